--- /dev/null
+++ b/tests/test_golden_stored_data.py
@@ -0,0 +1,557 @@
+"""Reads the stored data and wire documents of tests/golden/stored, which a build of commit 5862b4a wrote
+(tools/golden_stored_data.py), and writes the same state again.
+
+A build must read what the last one left on a disk, and what older builds send in a rolling change.  So these
+files are not made anew when a test fails: what they show is a change of a stored form.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import hashlib
+import shutil
+import sqlite3
+from pathlib import Path
+from typing import Any
+
+import orjson
+import pytest
+
+# The program's names, all of them here: a rename touches these lines and the attributes that are read below.
+from kelpcroft.cli.hands import report_of
+from kelpcroft.controllog.follower import Position
+from kelpcroft.controllog.replica import Answer, Feed, Options, Replica, Watch
+from kelpcroft.net.feed import FeedCodec
+from kelpcroft.net.feed import FeedError as AnswerError
+from kelpcroft.net.upstream import UpstreamCodec
+from kelpcroft.net.watchers import EventsCall, WatcherCodec, answered
+from kelpcroft.rollout.judge import Sample
+from kelpcroft.rollout.plan import Plan, Target
+from kelpcroft.rollout.plan import load as read_plan
+from kelpcroft.rollout.snapshot import dump
+from kelpcroft.rollout.snapshot import load as load_snapshot
+from kelpcroft.rollout.stages import Note, Order, Report, Rollout
+from kelpcroft.start.starts import decode as decode_starts
+from kelpcroft.start.starts import encode as encode_starts
+from kelpcroft.start.starts import path_of as path_of_starts
+from kelpcroft.store.handover import decode as decode_service
+from kelpcroft.store.handover import encode as encode_service
+from kelpcroft.store.handover import path_of as path_of_service
+from kelpcroft.store.rollouts import Store
+from tools import golden_stored_data as generator
+
+ROOT = Path(__file__).parent.parent
+STORED = ROOT / "tests/golden/stored"
+MS, SECOND = 10**6, 10**9
+NOW = 1_764_576_000 * SECOND
+MARK_4 = "b05a0f1811469659"  # of the last event
+SNAPSHOTS = ("done", "held", "phases", "reverting", "running", "silent", "taken_back")
+
+
+def golden(name: str) -> bytes:
+    """A committed file."""
+    return (STORED / name).read_bytes()
+
+
+def body_of(name: str) -> bytes:
+    """The body of a committed HTTP answer."""
+    return golden(name).partition(b"\r\n\r\n")[2]
+
+
+@pytest.fixture(scope="module")
+def made() -> dict[str, bytes]:
+    """The deterministic files as this build writes them."""
+    return generator.made()
+
+
+@pytest.fixture(scope="module")
+def plan() -> Plan:
+    """The rollout file that the snapshots and the runs are of."""
+    found, faults = read_plan(golden("plan.kdl"))
+    assert faults == []
+    return found
+
+
+@pytest.fixture
+def store(tmp_path: Path) -> Store:
+    """A copy of the committed database."""
+    shutil.copy(STORED / "rollouts.db", tmp_path / "rollouts.db")
+    return Store(str(tmp_path / "rollouts.db"))
+
+
+def test_no_golden_file_is_missing_or_unknown() -> None:
+    """Each committed file is read by a test of this module."""
+    expected = {*DETERMINISTIC, *(f"snapshot_{name}.json" for name in SNAPSHOTS)}
+    expected |= {"plan.kdl", "config.json", "rollouts.db", "digests.txt"}
+    assert {p.name for p in STORED.iterdir()} == expected
+
+
+# Written again ----------------------------------------------------------------------------------------------
+
+DETERMINISTIC = (
+    "control_state.http",
+    "replica_bad.http",
+    "replica_none.http",
+    "replica_refused.http",
+    "replica_state.http",
+    "replica_tail.http",
+    "service_drained.json",
+    "service_ended.json",
+    "service_in.json",
+    "starts_loop.starts",
+    "starts_one.starts",
+    "watch_marked.http",
+    "watch_unmarked.http",
+)
+
+
+@pytest.mark.parametrize("name", DETERMINISTIC)
+def test_the_same_state_is_written_with_the_same_bytes(name: str, made: dict[str, bytes]) -> None:
+    """The writer is deterministic: its bytes are the committed ones."""
+    assert set(made) == set(DETERMINISTIC)
+    assert made[name] == golden(name)
+
+
+# State of service -------------------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize(
+    ("name", "in_service", "since_ns", "written_ns", "pid", "ended_ns"),
+    [
+        ("service_drained.json", False, NOW - 2 * SECOND, NOW + 123 * MS, 4711, 0),
+        ("service_in.json", True, NOW + 400 * MS, NOW + 456 * MS, 4712, 0),
+        ("service_ended.json", False, NOW - 2 * SECOND, NOW + 789 * MS, 4711, NOW + 788 * MS),
+    ],
+)
+def test_the_state_of_service_is_read(
+    name: str, in_service: bool, since_ns: int, written_ns: int, pid: int, ended_ns: int
+) -> None:
+    """Each field of the file, and the same bytes when it is written with these fields."""
+    found, why = decode_service(golden(name), "n3", NOW + SECOND)
+    assert why == ""
+    assert found is not None
+    assert found.in_service is in_service
+    assert found.since_ns == since_ns
+    assert found.written_ns == written_ns
+    assert found.pid == pid
+    assert found.ended_ns == ended_ns
+    assert encode_service("n3", pid, written_ns, in_service, since_ns, ended_ns) == golden(name)
+
+
+def test_the_state_of_service_is_of_one_router_for_one_hour() -> None:
+    """It is read up to an hour after it was written, by the router that it names."""
+    data, written = golden("service_drained.json"), NOW + 123 * MS
+    assert decode_service(data, "n3", written + 3_600 * SECOND)[0] is not None
+    assert decode_service(data, "n3", written + 3_600 * SECOND + 1)[0] is None
+    assert decode_service(data, "n4", written)[0] is None
+
+
+def test_the_paths_of_a_router_are_unchanged() -> None:
+    """The next build looks under the same names."""
+    assert path_of_service("/tmp/", "n/3") == "/tmp/kelpcroft-n_3.json"
+    assert path_of_starts("/tmp/", "n/3") == "/tmp/kelpcroft-n_3.starts"
+
+
+# Starts -----------------------------------------------------------------------------------------------------
+
+LOOP = [NOW + n * 2_027 * MS for n in range(6)]
+
+
+@pytest.mark.parametrize(
+    ("name", "starts"), [("starts_one.starts", [NOW + 123 * MS]), ("starts_loop.starts", LOOP)]
+)
+def test_the_record_of_starts_is_read(name: str, starts: list[int]) -> None:
+    """Each start within the last minute, and the same bytes when the last is added to the others."""
+    assert decode_starts(golden(name), "n3", NOW + 20 * SECOND) == starts
+    assert decode_starts(golden(name), "n4", NOW + 20 * SECOND) == []
+    assert encode_starts("n3", starts[:-1], starts[-1]) == golden(name)
+
+
+def test_starts_of_over_a_minute_ago_are_left_out() -> None:
+    """The span ends a minute before now."""
+    assert decode_starts(golden("starts_loop.starts"), "n3", LOOP[2] + 60 * SECOND) == LOOP[3:]
+
+
+# Rollout snapshots ------------------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("name", SNAPSHOTS)
+def test_a_snapshot_is_read_and_written_with_the_same_bytes(name: str, plan: Plan) -> None:
+    """A snapshot that is loaded and stored again is the same."""
+    data = golden(f"snapshot_{name}.json")
+    assert orjson.dumps(dump(load_snapshot(plan, orjson.loads(data)))) == data
+
+
+@pytest.mark.parametrize(
+    ("name", "now_s", "stage", "stage_s", "outcome", "why", "hold_cause", "harmed", "after_ns"),
+    [
+        ("done", 1738, 2, 1677, "done", "", "", None, -1),
+        ("held", 1060, 0, 1030, "held", "ordered", "people", None, -1),
+        ("phases", 1020, -1, 1000, "running", "", "", None, -1),
+        ("running", 1200, 0, 1030, "running", "", "", None, -1),
+        ("silent", 1060, -1, 1000, "held", "2 routers do not answer: n1-1, n2-1", "silence", None, -1),
+        (
+            "taken_back",
+            1112,
+            0,
+            1030,
+            "taken back",
+            "class 'reads' does worse in zone 'z0'",
+            "",
+            ("z0", "reads"),
+            1063 * SECOND,
+        ),
+    ],
+)
+def test_the_state_of_a_rollout_is_read(
+    plan: Plan,
+    name: str,
+    now_s: int,
+    stage: int,
+    stage_s: int,
+    outcome: str,
+    why: str,
+    hold_cause: str,
+    harmed: tuple[str, str] | None,
+    after_ns: int,
+) -> None:
+    """Each field of the whole."""
+    r = load_snapshot(plan, orjson.loads(golden(f"snapshot_{name}.json")))
+    assert r.now == now_s * SECOND
+    assert r.stage == stage
+    assert r.stage_ns == stage_s * SECOND
+    assert r.outcome.value == outcome
+    assert r.why == why
+    assert r.hold_cause.value == hold_cause
+    assert r.harmed == harmed
+    assert r.after_ns == after_ns
+    assert r.memory_kb == 30_720
+    assert len(r.routers) == 12
+
+
+def test_every_phase_is_read(plan: Plan) -> None:
+    """Phases by their stored words, since when, and the instance that is to be restarted."""
+    r = load_snapshot(plan, orjson.loads(golden("snapshot_phases.json")))
+    assert [x.phase.value for x in r.routers.values()] == [
+        "waiting",
+        "out of service",
+        "changed",
+        "cold",
+        "judged",
+        "kept",
+        "leaving",
+        "undone",
+        "taken back",
+        "out, to be restarted",
+        "restarted",
+        "control",
+    ]
+    assert [x.since_ns for x in r.routers.values()] == [1_000 * SECOND + n for n in range(12)]
+    assert [x.was for x in r.routers.values()] == [f"was-{n}" for n in range(12)]
+    assert r.routers["n0-0"].report is None
+
+
+def test_a_router_of_a_rollout_is_read(plan: Plan) -> None:
+    """Each field of one router and of its last report."""
+    router = load_snapshot(plan, orjson.loads(golden("snapshot_running.json"))).routers["n0-0"]
+    assert router.target == Target("n0-0", "z0", "127.0.0.1:9101")
+    assert router.phase.value == "judged"
+    assert router.since_ns == 1_045 * SECOND
+    assert router.heard_ns == 1_200 * SECOND
+    assert router.first == {"program": "old"}
+    assert router.invariants == 0
+    assert router.was == ""
+    assert router.before == {"reads": Sample(831, 831.0, 813.0), "writes": Sample(313, 313.0, 309.0)}
+    report = router.report
+    assert report is not None
+    assert report.router == "n0-0"
+    assert report.instance == "n0-0-2"
+    assert report.digests == {"program": "beef"}
+    assert report.ready is True
+    assert report.in_service is True
+    assert report.invariants == 0
+    assert report.classes == {
+        "reads": Sample(5_031, 5_031.0, 4_874.0),
+        "writes": Sample(1_740, 1_740.0, 1_680.0),
+    }
+    assert report.memory_kb == 30_720
+
+
+def test_the_judgement_of_a_rollout_is_read(plan: Plan) -> None:
+    """Bets by zone and class, and what each side did before."""
+    judge = load_snapshot(plan, orjson.loads(golden("snapshot_running.json"))).judge
+    assert list(judge.bets) == [("z0", "reads"), ("z0", "writes")]
+    bet = judge.bets["z0", "reads"]
+    assert bet.worse == [-0.2788744566068176, -1.1784762737527568, -3.2742667084917647]
+    assert bet.fine == [1.262360825809707, 4.932609433476921, 11.794103535871887]
+    assert bet.slices == 152
+    assert bet.total == 0.7076121874246415
+    assert bet.verdict.value == "fine"
+    assert judge.bets["z0", "writes"].verdict.value == "open"
+    assert len(judge.sides) == 12
+    assert judge.sides[("z0", "reads"), True].before == Sample(831, 831.0, 813.0)
+
+
+def test_a_verdict_of_harm_is_read(plan: Plan) -> None:
+    """The rollout that is being taken back, with the bet that found the harm."""
+    r = load_snapshot(plan, orjson.loads(golden("snapshot_reverting.json")))
+    assert r.outcome.value == "reverting"
+    assert r.harmed == ("z0", "reads")
+    assert r.judge.bets["z0", "reads"].verdict.value == "worse"
+
+
+def test_a_snapshot_of_an_older_build_is_read(plan: Plan) -> None:
+    """Keys that came later may be missing: the memory, the cause of a hold, the instance to be restarted."""
+    raw = orjson.loads(golden("snapshot_running.json"))
+    del raw["hold_cause"], raw["memory"]
+    for router in raw["routers"].values():
+        del router["was"], router["report"]["memory"]
+    r = load_snapshot(plan, raw)
+    assert r.hold_cause.value == ""
+    assert r.memory_kb == 0
+    assert r.routers["n0-0"].was == ""
+    assert r.routers["n0-0"].report is not None
+    assert r.routers["n0-0"].report.memory_kb == 0
+
+
+# Rollout database -------------------------------------------------------------------------------------------
+
+
+def rows_of(path: Path) -> dict[str, Any]:
+    """All that an SQLite file holds: the statements of its tables, and their rows in order."""
+    db = sqlite3.connect(path)
+    tables = dict(db.execute("select name, sql from sqlite_master order by name"))
+    rows = {name: db.execute(f"select rowid, * from {name} order by rowid").fetchall() for name in tables}
+    db.close()
+    return {"tables": tables, "rows": rows}
+
+
+def test_the_last_run_is_read(store: Store) -> None:
+    """The run under way, with its lease and the orders that no step has heard."""
+    run = store.last()
+    assert run is not None
+    assert run.id == 2
+    assert run.plan == golden("plan.kdl")
+    assert run.began_ns == NOW + 60 * SECOND
+    assert run.snapshot == orjson.loads(golden("snapshot_running.json"))
+    assert run.outcome == "running"
+    assert run.owner == "4712-0badcafe"
+    assert run.lease_ns == NOW + 85 * SECOND
+    assert store.words(2) == [(2, "resume"), (3, "revert"), (4, "stop")]
+    assert store.words(1) == []
+    assert [Order(word).value for word in ("hold", "resume", "revert")] == ["hold", "resume", "revert"]
+
+
+def test_the_history_of_a_run_is_read(store: Store) -> None:
+    """Every decision with its time, its name, its sentence and its figures."""
+    history = store.history(1)
+    assert [(h["name"], h["text"]) for h in history] == [
+        ("stage", "stage 'one' begins"),
+        ("begun", "n0-0 is changed"),
+        ("worse", "class 'reads' does worse in zone 'z0'"),
+        ("reverting", "taken back: class 'reads' does worse in zone 'z0'"),
+        ("taken-back", "all that was changed is taken back"),
+        ("ended", "taken back; the harm is gone"),
+    ]
+    assert {h["at_ns"] for h in history} == {NOW + 2 * SECOND}
+    assert history[0]["figures"] == {"routers": ["n0-0"]}
+    assert history[1]["figures"] == {"router": "n0-0"}
+    assert set(history[2]["figures"]) == {"z0/reads", "z0/writes"}
+    assert set(history[2]["figures"]["z0/reads"]) == {"slices", "mean", "verdict", "worse", "fine"}
+    assert history[2]["figures"]["z0/reads"]["verdict"] == "worse"
+    assert store.history(2) == []
+
+
+def test_the_run_of_the_database_goes_on(store: Store, plan: Plan) -> None:
+    """Another controller takes the run once the lease has ended, hears the orders and ends it."""
+    with pytest.raises(RuntimeError, match="led by another"):
+        store.take(2, "5000-11", NOW + 85 * SECOND)
+    store.take(2, "5000-11", NOW + 85 * SECOND + 1)
+    run = store.last()
+    assert run is not None
+    rollout: Rollout = load_snapshot(plan, run.snapshot)
+    for _, word in store.words(2)[:2]:
+        rollout.handle(NOW + 86 * SECOND, Order(word))
+    assert rollout.outcome.value == "reverting"
+    notes = [Note("ended", "taken back", {"z0": 1})]
+    store.step(2, "5000-11", NOW + 86 * SECOND, dump(rollout), "taken back", notes, 4)
+    assert store.words(2) == []
+    assert store.history(2) == [
+        {"at_ns": NOW + 86 * SECOND, "name": "ended", "text": "taken back", "figures": {"z0": 1}}
+    ]
+    assert store.begin(NOW + 90 * SECOND, golden("plan.kdl"), {}) == 3
+
+
+def test_the_same_runs_are_written_with_the_same_rows(store: Store, tmp_path: Path) -> None:
+    """The calls that made the database make the same tables and rows again."""
+    history = [Note(h["name"], h["text"], h["figures"]) for h in store.history(1)]
+    (taken_back,) = store.db.execute("select snapshot from run where id = 1").fetchone()
+    store.close()
+    path, text = tmp_path / "again.db", golden("plan.kdl")
+    again = Store(str(path))
+    again.begin(NOW, text, orjson.loads(taken_back))
+    again.take(1, "4711-00c0ffee", NOW + SECOND)
+    again.step(1, "4711-00c0ffee", NOW + 2 * SECOND, orjson.loads(taken_back), "taken back", history)
+    again.leave(1, "4711-00c0ffee")
+    running = orjson.loads(golden("snapshot_running.json"))
+    again.begin(NOW + 60 * SECOND, text, running)
+    again.take(2, "4712-0badcafe", NOW + 61 * SECOND)
+    for n, verb in enumerate(("hold", "resume", "revert", "stop")):
+        again.say(2, NOW + (62 + n) * SECOND, verb)
+    again.step(2, "4712-0badcafe", NOW + 70 * SECOND, running, "running", [], 1)
+    again.close()
+    assert rows_of(path) == rows_of(tmp_path / "rollouts.db")
+
+
+# The control address ----------------------------------------------------------------------------------------
+
+
+def test_the_keys_of_the_control_state_are_unchanged(made: dict[str, bytes]) -> None:
+    """All keys that this build tells, in their order, and those of a class."""
+    raw = orjson.loads(made["control_state.http"].partition(b"\r\n\r\n")[2])
+    assert list(raw) == [
+        "name",
+        "instance",
+        "build",
+        "settings",
+        "rules",
+        "started_ms",
+        "now_ms",
+        "ready",
+        "why",
+        "service",
+        "since_ms",
+        "open",
+        "attempts",
+        "connections",
+        "clients",
+        "invariants",
+        "classes",
+        "memory_kb",
+    ]
+    assert list(raw["classes"]["page"]) == [
+        "asked",
+        "served",
+        "late",
+        "refused",
+        "failed",
+        "gone",
+        "attempts",
+        "worth",
+        "in_time",
+    ]
+
+
+def test_a_controller_reads_the_control_state_of_an_older_build() -> None:
+    """Each field that a rollout uses; an answer of another router counts as none."""
+    raw = orjson.loads(body_of("control_state.http"))
+    report = report_of(Target("n1", "z0"), raw)
+    assert isinstance(report, Report)
+    assert report.router == "n1"
+    assert report.instance == "0123456789abcdef"
+    assert report.digests == {"program": "5f2c09e1a7b3d480", "settings": "75b9c0cdbd682b9a", "rules": ""}
+    assert report.ready is True
+    assert report.in_service is False
+    assert report.invariants == 0
+    assert report.classes == {"page": Sample(6, 12.5, 2.5)}
+    assert report.memory_kb == 31_744
+    assert not isinstance(report_of(Target("n2", "z0"), raw), Report)
+
+
+# Control replicas -------------------------------------------------------------------------------------------
+
+
+def upstream_answer(name: str) -> Feed:
+    """A committed answer as a replica that follows reads it."""
+    (found,) = UpstreamCodec().feed(memoryview(golden(name)))
+    return found
+
+
+@pytest.mark.parametrize(("name", "events"), [("state", 3), ("tail", 2), ("none", 0)])
+def test_a_replica_reads_the_answer_of_an_older_one(name: str, events: int) -> None:
+    """Each field of an answer; its events as they came."""
+    feed = upstream_answer(f"replica_{name}.http")
+    assert feed.last == 4
+    assert feed.mark == MARK_4
+    assert feed.as_of_ms == NOW // MS
+    assert feed.more is False
+    assert len(feed.events) == events
+    assert list(feed.events) == orjson.loads(body_of(f"replica_{name}.http"))["events"]
+
+
+def test_a_router_reads_the_state_of_an_older_replica() -> None:
+    """Each field of a list of servers and of purges, of an object and of a group."""
+    (news,) = FeedCodec().feed(memoryview(golden("replica_state.http")))
+    assert news.last == 4
+    assert news.faults == ()
+    assert news.mark == MARK_4
+    assert news.as_of_ms == NOW // MS
+    members, by_object, by_group = (dataclasses.astuple(event) for event in news.events)
+    assert members == (
+        True,
+        (
+            ("s-c1", "10.0.0.1:7001", "edge-1", "box", 0, "in_service", 2.5, 1_764_575_000 * SECOND),
+            ("s-c3", "10.0.0.1:7001", "edge-1", "box", 0, "terminating", 1.0, 0),
+        ),
+        4,
+    )
+    assert by_object == (0x7F3A9C21E0B4D655, 0, NOW - 2 * SECOND)
+    assert by_group == (None, 17, NOW - SECOND)
+
+
+def test_a_router_reads_the_tail_of_an_older_replica() -> None:
+    """A server that has left, in a part of the list."""
+    (news,) = FeedCodec().feed(memoryview(golden("replica_tail.http")))
+    purge, members = (dataclasses.astuple(event) for event in news.events)
+    assert purge == (None, 17, NOW - SECOND)
+    assert members == (False, (("s-c2", "10.0.0.1:7001", "edge-1", "box", 3, "terminated", 1.0, 0),), 4)
+
+
+def test_a_replica_that_follows_an_older_one_tells_the_same_state() -> None:
+    """What was read from another replica is handed on with the same bytes."""
+    upstream = ("10.0.0.8", 7000)
+    replica = Replica(Options((upstream,), frozenset((upstream,))), 1)
+    replica.start(NOW)
+    replica.on_upstream(NOW, upstream_answer("replica_state.http"))
+    for watcher, (name, position) in enumerate({"state": Position(), "none": Position(4, MARK_4)}.items()):
+        (effect,) = replica.on_watch(NOW, Watch(watcher, position, True, 0))
+        assert isinstance(effect, Answer)
+        assert answered(effect.body) == golden(f"replica_{name}.http")
+
+
+@pytest.mark.parametrize(
+    ("name", "expected"),
+    [
+        ("watch_unmarked.http", EventsCall(Position(41, ""), False, SECOND)),
+        ("watch_marked.http", EventsCall(Position(42, "a0b1c2d3e4f50617"), True, 5 * SECOND)),
+    ],
+)
+def test_a_replica_reads_the_call_of_an_older_router(name: str, expected: EventsCall) -> None:
+    """The position, its mark and the wait."""
+    assert WatcherCodec().feed(golden(name)) == [expected]
+
+
+@pytest.mark.parametrize(
+    ("name", "why", "retry_after_ns"),
+    [("replica_refused.http", "status 503", SECOND), ("replica_bad.http", "status 400", 0)],
+)
+def test_a_router_reads_the_refusal_of_an_older_replica(name: str, why: str, retry_after_ns: int) -> None:
+    """An answer without a state, and after which time the router may come back."""
+    codec = FeedCodec()
+    with pytest.raises(AnswerError, match=why):
+        codec.feed(memoryview(golden(name)))
+    assert codec.retry_after_ns == retry_after_ns
+
+
+# Recorded exchanges and operators' files --------------------------------------------------------------------
+
+
+def test_recorded_exchanges_and_operators_files_are_unchanged() -> None:
+    """Each file's SHA-256 is the committed one.  A new file adds its line and
+    raises the number below; a line that is there stays."""
+    committed = {line[66:]: line[:64] for line in golden("digests.txt").decode().splitlines()}
+    folders = ("tests/exchanges", "tests/faulty", "tests/valid")
+    paths = [p for folder in folders for p in (ROOT / folder).rglob("*") if p.is_file()]
+    found = {p.relative_to(ROOT).as_posix(): hashlib.sha256(p.read_bytes()).hexdigest() for p in paths}
+    assert len(committed) == 131
+    assert found == committed
--- /dev/null
+++ b/tools/golden_stored_data.py
@@ -0,0 +1,250 @@
+"""Writes tests/golden/stored: stored data and wire documents of every kind, as the program writes them.
+
+    python tools/golden_stored_data.py
+
+The files were made at commit 5862b4a.  They stand for what older builds have left on disks and what they send
+to newer builds in a rolling change, so they must not be regenerated to make a test pass: a test that fails
+says that this build no longer reads or writes what that one did.  Existing files are therefore not
+overwritten; a new kind of file is added, and its commit is named here.
+
+``made`` gives the deterministic files, which the tests compare with the committed ones byte for byte.  The
+rollout snapshots and the database come from a simulated rollout and are made once: the tests read them and
+write their state again.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import sys
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+ROOT = Path(__file__).parent.parent
+sys.path[:0] = [str(ROOT)]
+
+from kelpcroft import messages as m  # noqa: E402
+from kelpcroft.config import parse  # noqa: E402
+from kelpcroft.controllog.follower import Position  # noqa: E402
+from kelpcroft.controllog.replica import Answer, Feed, Options, Replica, Watch  # noqa: E402
+from kelpcroft.core.ledger import Ledger  # noqa: E402
+from kelpcroft.core.reducer import Reducer  # noqa: E402
+from kelpcroft.net.control import reply  # noqa: E402
+from kelpcroft.net.feed import poll_request  # noqa: E402
+from kelpcroft.net.watchers import answered, bad, refused  # noqa: E402
+from kelpcroft.rollout.plan import load as read_plan  # noqa: E402
+from kelpcroft.rollout.snapshot import dump  # noqa: E402
+from kelpcroft.rollout.stages import HoldCause, Order, Outcome, Phase  # noqa: E402
+from kelpcroft.start.starts import encode as encode_starts  # noqa: E402
+from kelpcroft.store.handover import encode as encode_service  # noqa: E402
+from kelpcroft.store.rollouts import Store  # noqa: E402
+from kelplab.rollouts import Process, World  # noqa: E402
+
+FOLDER = ROOT / "tests/golden/stored"
+RECORDED = ("tests/exchanges", "tests/faulty", "tests/valid")
+MS, SECOND = 10**6, 10**9
+NOW = 1_764_576_000 * SECOND
+PLAN = """rollout version=1
+change { program build="beef"; }
+router "n0-0" zone="z0" control="127.0.0.1:9101"
+router "n0-1" zone="z0"
+router "n0-2" zone="z0"
+router "n0-3" zone="z0"
+router "n1-0" zone="z1"
+router "n1-1" zone="z1"
+router "n1-2" zone="z1"
+router "n1-3" zone="z1"
+router "n2-0" zone="z2"
+router "n2-1" zone="z2"
+router "n2-2" zone="z2"
+router "n2-3" zone="z2"
+stage "one" count=1 least="30s" most="900s"
+stage "half" share="50%" least="30s" most="900s"
+stage "all" share="100%" least="30s" most="900s"
+limits at-once=3 per-zone=1
+watch every="1s" slowest="30s" ready="10s" cold="10s" unknown=1
+"""
+
+
+def line(name: str, status: str = "active", **more: Any) -> dict[str, Any]:
+    """One server's line in a list event."""
+    return {
+        "name": name,
+        "address": "10.0.0.1:7001",
+        "zone": "edge-1",
+        "type": "box",
+        "status": status,
+        **more,
+    }
+
+
+def listed(number: int, *lines: dict[str, Any], snapshot: bool = False) -> dict[str, Any]:
+    """An event with lines of the list."""
+    return {"n": number, "members": {"index": number, "snapshot": snapshot, "endpoints": list(lines)}}
+
+
+EVENTS: tuple[dict[str, Any], ...] = (
+    listed(
+        1,
+        line("s-c1", weight=2.5, since_ms=1_764_575_000_000),
+        line("s-c2", group=3),
+        line("s-c3", "leaving"),
+        snapshot=True,
+    ),
+    {"n": 2, "purge": {"key": "7f3a9c21e0b4d655", "at": NOW // MS - 2_000}},
+    {"n": 3, "purge": {"group": 17, "at": NOW // MS - 1_000}},
+    listed(4, line("s-c2", "left", group=3)),
+)
+
+
+def replica_answers() -> dict[str, bytes]:
+    """What a control replica that follows a list service tells: the whole state, the tail, and no news."""
+    replica = Replica(Options((("10.0.0.9", 7000),)), 1)
+    replica.start(NOW)
+    replica.on_upstream(NOW, Feed(4, EVENTS))
+    marks = {entry.number: entry.mark for entry in replica.log.tail}
+    positions = {"state": Position(), "tail": Position(2, marks[2]), "none": Position(4, marks[4])}
+    found = {}
+    for number, (name, position) in enumerate(positions.items()):
+        effects = replica.on_watch(NOW, Watch(number, position, True, 0))
+        (body,) = [e.body for e in effects if isinstance(e, Answer)]
+        found[f"replica_{name}.http"] = answered(body)
+    return found
+
+
+def control_state() -> bytes:
+    """The answer to GET /control/state of a process that was drained, with one request of each end."""
+    reducer = Reducer(parse(json.loads((FOLDER / "config.json").read_bytes()), {}))
+    reducer.start(NOW)
+    reducer.handle(NOW, m.Identity("5f2c09e1a7b3d480", "0123456789abcdef"))
+    reducer.state.ledger = ledger = Ledger()
+    for how, attempts, in_time in (
+        ("served", 1, True),
+        ("served", 2, False),
+        ("refused", 0, False),
+        ("failed", 3, False),
+        ("gone", 1, True),
+        ("gone", 1, False),
+    ):
+        ledger.ended("page", how, attempts, 2.5, in_time)
+    reducer.handle(NOW + SECOND, m.Control(7, m.Verb.OUT))
+    effects = reducer.handle(NOW + 3 * SECOND, m.Control(8, m.Verb.STATE))
+    (told,) = [e for e in effects if isinstance(e, m.Reply)]
+    return reply(told.ok, {**told.fields, "memory_kb": 31_744})  # the network loop adds the memory
+
+
+def made() -> dict[str, bytes]:
+    """The deterministic files, by name."""
+    return {
+        "service_drained.json": encode_service("n3", 4711, NOW + 123 * MS, False, NOW - 2 * SECOND),
+        "service_in.json": encode_service("n3", 4712, NOW + 456 * MS, True, NOW + 400 * MS),
+        "service_ended.json": encode_service(
+            "n3", 4711, NOW + 789 * MS, False, NOW - 2 * SECOND, NOW + 788 * MS
+        ),
+        "starts_one.starts": encode_starts("n3", [], NOW + 123 * MS),
+        "starts_loop.starts": encode_starts(
+            "n3", [NOW + n * 2_027 * MS for n in range(5)], NOW + 5 * 2_027 * MS
+        ),
+        "control_state.http": control_state(),
+        "watch_unmarked.http": poll_request(("10.0.0.9", 7000), 41, 1_000),
+        "watch_marked.http": poll_request(("10.0.0.9", 7000), 42, 5_000, "a0b1c2d3e4f50617"),
+        "replica_refused.http": refused("stale", 1),
+        "replica_bad.http": bad("a call with a body"),
+        **replica_answers(),
+    }
+
+
+def rollouts() -> tuple[dict[str, bytes], World]:
+    """Snapshots of a rollout under way, held, taken back, and with a router in every phase."""
+
+    def harm(world: World, p: Process, cls: str) -> float:
+        return 0.3 if p.build == "beef" else 0.0
+
+    plan, faults = read_plan(PLAN.encode())
+    assert not faults, faults
+    running = World(plan, 1, lambda world, p, cls: 0.0)
+    for _ in range(200):
+        running.second()
+    assert running.rollout.outcome is Outcome.RUNNING and running.rollout.judge.bets
+    held = World(plan, 2, lambda world, p, cls: 0.0)
+    for _ in range(60):
+        held.second()
+    held.tell(Order.HOLD)
+    silent = World(plan, 5, lambda world, p, cls: 0.0)
+    for name in ("n1-1", "n2-1"):
+        silent.processes[name].silent_until = 1 << 80
+    for _ in range(60):
+        silent.second()
+    assert silent.rollout.outcome is Outcome.HELD and silent.rollout.hold_cause is HoldCause.SILENCE
+    done = World(plan, 6, lambda world, p, cls: 0.0)
+    assert done.run() is Outcome.DONE
+    back = World(plan, 3, harm)
+    while back.rollout.outcome is Outcome.RUNNING:
+        back.second()
+    reverting = orjson.dumps(dump(back.rollout))
+    assert back.rollout.outcome is Outcome.REVERTING
+    assert back.run() is Outcome.REVERTED
+    phases = World(plan, 4, lambda world, p, cls: 0.0)
+    for _ in range(20):
+        phases.second()
+    assert len(phases.rollout.routers) == len(Phase)
+    for n, (router, phase) in enumerate(zip(phases.rollout.routers.values(), Phase, strict=True)):
+        router.phase, router.since_ns, router.was = phase, 1_000 * SECOND + n, f"was-{n}"
+    next(iter(phases.rollout.routers.values())).report = None
+    worlds = {
+        "running": running,
+        "held": held,
+        "silent": silent,
+        "done": done,
+        "taken_back": back,
+        "phases": phases,
+    }
+    files = {f"snapshot_{name}.json": orjson.dumps(dump(world.rollout)) for name, world in worlds.items()}
+    return {"plan.kdl": PLAN.encode(), "snapshot_reverting.json": reverting, **files}, back
+
+
+def write_database(path: Path, back: World, running: dict[str, Any]) -> None:
+    """A run that was taken back with its history, and one under way with a lease and three orders."""
+    store = Store(str(path))
+    plan = PLAN.encode()
+    first = store.begin(NOW, plan, dump(back.rollout))
+    store.take(first, "4711-00c0ffee", NOW + SECOND)
+    store.step(
+        first, "4711-00c0ffee", NOW + 2 * SECOND, dump(back.rollout), back.rollout.outcome.value, back.notes
+    )
+    store.leave(first, "4711-00c0ffee")
+    second = store.begin(NOW + 60 * SECOND, plan, running)
+    store.take(second, "4712-0badcafe", NOW + 61 * SECOND)
+    for n, verb in enumerate(("hold", "resume", "revert", "stop")):
+        store.say(second, NOW + (62 + n) * SECOND, verb)
+    store.step(second, "4712-0badcafe", NOW + 70 * SECOND, running, "running", [], 1)
+    store.close()
+
+
+def digests() -> bytes:
+    """SHA-256 of each recorded exchange and each operator's file of the tests, one a line, by path."""
+    paths = [p for folder in RECORDED for p in (ROOT / folder).rglob("*") if p.is_file()]
+    return "".join(
+        f"{hashlib.sha256(p.read_bytes()).hexdigest()}  {p.relative_to(ROOT).as_posix()}\n"
+        for p in sorted(paths)
+    ).encode()
+
+
+def main() -> int:
+    FOLDER.mkdir(parents=True, exist_ok=True)
+    if not (FOLDER / "config.json").exists():
+        (FOLDER / "config.json").write_bytes((ROOT / "examples/config.json").read_bytes())
+    snapshots, back = rollouts()
+    for name, data in {**made(), **snapshots, "digests.txt": digests()}.items():
+        if not (FOLDER / name).exists():
+            (FOLDER / name).write_bytes(data)
+    database = FOLDER / "rollouts.db"
+    if not database.exists():
+        write_database(database, back, orjson.loads(snapshots["snapshot_running.json"]))
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
