--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -23,8 +23,8 @@
 from typing import Any
 
 from benchmarks.capacity import feed, page, replicas, requests
-from kelplab.hollow.configuration import Size
-from kelplab.standin import ROOT
+from testbed.hollow.configuration import Size
+from testbed.stand_ins import ROOT
 
 FOLDER = ROOT / "docs/capacity"
 COMPILED = ROOT / ".compiled/now"
--- a/benchmarks/capacity/feed.py
+++ b/benchmarks/capacity/feed.py
@@ -8,8 +8,8 @@
 from statistics import median
 from typing import Any
 
-from kelplab.hollow.configuration import Size
-from kelplab.hollow.processes import Asked, RealRouter, folder, hollow_routers, list_service, wait_for
+from testbed.hollow.configuration import Size
+from testbed.hollow.processes import Asked, RealRouter, folder, hollow_routers, list_service, wait_for
 
 SETTLE_S = 3.0  # after the start of all routers, before anything is counted
 ONE = Size(routers=1)
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -6,7 +6,7 @@
 import re
 from typing import Any
 
-from kelplab.standin import ROOT
+from testbed.stand_ins import ROOT
 
 PAGE = ROOT / "docs/CAPACITY.md"
 FOLDER = ROOT / "docs/capacity"
--- a/benchmarks/capacity/replicas.py
+++ b/benchmarks/capacity/replicas.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from benchmarks.capacity.feed import watched
-from kelplab.hollow.configuration import Size
-from kelplab.hollow.processes import (
+from testbed.hollow.configuration import Size
+from testbed.hollow.processes import (
     ControlReplica,
     RealRouter,
     cpu_s,
--- a/benchmarks/cold_start_field.py
+++ b/benchmarks/cold_start_field.py
@@ -3,7 +3,7 @@
     python -m benchmarks.cold_start_field [--processes 10 50 200] [--dead 5] [--seconds 20]
 
 Each size is played without a budget for calls of the list service and with ``start list-calls=50``, against
-the same stand-ins (kelplab/field), with clients at every router.  Printed: calls of the list service in all,
+the same stand-ins (testbed/field), with clients at every router.  Printed: calls of the list service in all,
 in the worst second and in the worst second after its return; the time until every router had heard it; the
 share of requests served of those asked in the first 5 and 10 s; memory and CPU of a router, CPU from exec to
 ready apart. The 200 want some 6 GB and take a minute each way."""
@@ -16,9 +16,9 @@
 from collections import Counter
 from pathlib import Path
 
-from kelplab.field import Field, Load
-from kelplab.field.field import RULES
-from kelplab.standin import MS, ROOT
+from testbed.field import Field, Load
+from testbed.field.field import RULES
+from testbed.stand_ins import MS, ROOT
 
 S = 1_000 * MS
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/benchmarks/cold_start_plot.py
+++ b/benchmarks/cold_start_plot.py
@@ -4,7 +4,7 @@
     pip install -r requirements-lab.txt
     python -m benchmarks.cold_start_plot OUT.png [--routers 200] [--seconds 30]
 
-The world of ``kelplab/coldstart.py``: all routers start in the same second, boxes and hubs are cold and
+The world of ``testbed/cold_start.py``: all routers start in the same second, boxes and hubs are cold and
 empty, and the list service bears 200 calls a second."""
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from collections import Counter
 from typing import Any
 
-from kelpcroft import messages as m
-from kelpcroft.start import Begin
-from kelplab.coldstart import START, Fleet, S
+from kelpcroft.core import effects
+from kelpcroft.startup import StartupOptions
+from testbed.cold_start import START, Fleet, S
 
 WAYS = (
-    ("as ever", Begin(), "tab:red"),
-    ("start list-calls=50 store=#true count=#true", Begin(50.0, True, True), "tab:blue"),
+    ("as ever", StartupOptions(), "tab:red"),
+    ("start list-calls=50 store=#true count=#true", StartupOptions(50.0, True, True), "tab:blue"),
 )
 
 
 class Played(Fleet):
     """A fleet whose routers begin as a file says."""
 
-    begun_with = Begin()
+    begun_with = StartupOptions()
 
-    def begin(self, n: int) -> list[m.Effect]:
+    def begin(self, n: int) -> list[effects.Effect]:
         return self.routers[n].start(self.now, self.begun_with)
 
 
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -25,7 +25,7 @@
 
 import msgpack
 
-from kelplab.standin import Router, World
+from testbed.stand_ins import Router, World
 
 CALLS = 200
 HALF = 32
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -20,9 +20,9 @@
 from typing import Any
 
 from benchmarks.request_cost import COPY, MS, ROOT, One
-from kelpcroft import messages as m
-from kelpcroft.messages import Timer
-from kelpcroft.net.feed import news_of
+from kelpcroft.core import inputs
+from kelpcroft.core.messages import TimerKind
+from kelpcroft.net.feed_codec import parse_watch_response
 
 SIZES = ((4, 2), (20, 3), (60, 10), (200, 20), (2000, 200))
 BASE = (20, 3)
@@ -71,12 +71,12 @@
         state = "leaving" if self.events % 2 else "active"
         members = {"index": self.events, "snapshot": False, "endpoints": [{**self.lines[0], "status": state}]}
         events = [{"n": self.events, "members": members}]
-        self.router.handle(self.now, news_of({"n": self.events, "events": events}))
+        self.router.handle(self.now, parse_watch_response({"n": self.events, "events": events}))
 
     def tick(self) -> None:
         """The housekeeping wake-up."""
         self.now += MS
-        self.router.handle(self.now, m.Due((Timer.HOUSE, 0, 0)))
+        self.router.handle(self.now, inputs.TimerFired((TimerKind.HOUSEKEEPING, 0, 0)))
 
 
 def cost(work: Callable[[], object], count: int) -> float:
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.rollout [--seeds 3] [--large]
 
-In virtual time (kelplab/rollouts.py), with the very state machine and judgement of the program.  Harm is the
+In virtual time (testbed/rollouts.py), with the very state machine and judgement of the program.  Harm is the
 number of requests that the change cost, and of routers that it touched.  `--large` adds the duration and the
 work of a controller at 10, 100 and 1,000 routers.
 """
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from time import perf_counter
 
-from kelpcroft.rollout.stages import Outcome
-from kelplab.rollouts import Process, S, World, plan_of
+from kelpcroft.rollout.state_machine import RolloutOutcome
+from testbed.rollouts import Process, S, World, plan_of
 
 Defect = Callable[[World, Process, str], float]
 SECONDS = 1_500
@@ -64,7 +64,7 @@
 
 def quiet(world: World) -> None:
     """A second of requests in which no rollout acts."""
-    rollout, world.rollout.outcome = world.rollout, Outcome.DONE
+    rollout, world.rollout.outcome = world.rollout, RolloutOutcome.DONE
     world.second()
     world.rollout = rollout
 
@@ -73,7 +73,7 @@
     """In stages, judged; a held one is taken back by people after ten minutes."""
     outcome = world.run(SECONDS)
     seconds = (world.now - 1_000 * S) // S
-    if outcome is Outcome.HELD:
+    if outcome is RolloutOutcome.HELD:
         for _ in range(600):
             quiet(world)
     return world.harmed, len(world.touched), seconds
--- a/benchmarks/rollout_field.py
+++ b/benchmarks/rollout_field.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.rollout_field [DEFECT ...]
 
-Six routers in two zones under load (kelplab/field); builds with a defect (kelplab/field/builds.py).  ``at
+Six routers in two zones under load (testbed/field); builds with a defect (testbed/field/builds.py).  ``at
 once``: all are changed in the same instant and taken back after so many seconds as the staged rollout
 took.  Harm is the number of requests that were not served within 150 ms, less what the sound build has at the
 same load; printed with the routers touched and the ratio of the two ways."""
@@ -15,9 +15,9 @@
 import time
 from pathlib import Path
 
-from kelpcroft.store.identity import of_program
-from kelplab.field import Field, Load, build
-from kelplab.standin import MS, ROOT
+from kelpcroft.store.identity import program_digest
+from testbed.field import Field, Load, build
+from testbed.stand_ins import MS, ROOT
 
 DEFECTS = ("sound", "refuses", "one in twenty", "slow", "one class", "crashes", "breaks an invariant")
 AIM_NS = 150 * MS
@@ -36,7 +36,7 @@
     """Requests harmed, routers touched, seconds, and how it ended."""
     builds = {"old": ROOT, "new": build(folder / "new", defect)}
     with Field(2, 3, builds) as field:
-        plan = field.plan(of_program(builds["new"] / "kelpcroft"))
+        plan = field.plan(program_digest(builds["new"] / "kelpcroft"))
         if defect == "one in twenty":
             plan = plan.replace("harm=0.15", "harm=0.05").replace('most="60s"', 'most="140s"')
         (folder / "plan.kdl").write_text(plan)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from statistics import median
 
-from kelplab.standin import ROOT, Router, World
+from testbed.stand_ins import ROOT, Router, World
 
 BEFORE = "fa17234"  # the last commit before routes
 TURNS = 9
--- a/kelpcroft/cli/__init__.py
+++ b/kelpcroft/cli/__init__.py
@@ -8,7 +8,7 @@
 from kelpcroft.cli.control_replica import control_replica
 from kelpcroft.cli.diff import diff
 from kelpcroft.cli.explain import explain
-from kelpcroft.cli.homes import homes_command
+from kelpcroft.cli.placement import homes_command
 from kelpcroft.cli.rollout import rollout
 from kelpcroft.cli.serve import serve
 
--- a/kelpcroft/cli/check.py
+++ b/kelpcroft/cli/check.py
@@ -7,21 +7,21 @@
 import click
 
 from kelpcroft.cli.common import (
-    Unfit,
-    as_json,
+    CommandError,
     config_option,
+    exit_negative,
     faults_of,
     findings,
     format_option,
-    no,
-    settings_of,
+    print_json,
+    read_settings,
 )
-from kelpcroft.deployment import lacks
+from kelpcroft.deployment_check import missing_features
 
 
 def missing(config: str | None) -> str:
     """What the deployment lacks, in words."""
-    return ", ".join(lacks(settings_of(config or ""))) or "lack"
+    return ", ".join(missing_features(read_settings(config or ""))) or "lack"
 
 
 @click.command(epilog="Example:  kelpcroft check examples/operator.kdl --config examples/config.json")
@@ -37,7 +37,7 @@
     fault.
     """
     if file is None and config is None:
-        raise Unfit("nothing to check: name a FILE, or --config CONFIG, or both")
+        raise CommandError("nothing to check: name a FILE, or --config CONFIG, or both")
     found = findings(config) if config else []
     broken = any(f.level == "fault" for f in found)
     if form == "text":
@@ -45,18 +45,18 @@
             click.echo(f"{config}: {f.level}: {f}")
     if broken or file is None:
         if form == "json":
-            as_json({"config": config, "good": not broken, "settings": [asdict(f) for f in found]})
+            print_json({"config": config, "good": not broken, "settings": [asdict(f) for f in found]})
         elif broken:
             held = f", so {file} was not held against it" if file else ""
             click.echo(f"{config}: not usable{held}", err=True)
         else:
             click.echo(f"{config}: good, {len(found)} to look at; it has no {missing(config)}")
         if broken:
-            no()
+            exit_negative()
         return
-    model, faults = faults_of(file, settings_of(config) if config else None)
+    model, faults = faults_of(file, read_settings(config) if config else None)
     if form == "json":
-        as_json(
+        print_json(
             {
                 "file": file,
                 "good": not faults,
@@ -64,17 +64,22 @@
                 "deployment": bool(config),
                 "settings": [asdict(f) for f in found],
                 "faults": [
-                    {"line": f.place.line, "column": f.place.column, "code": f.code, "reason": f.reason}
+                    {
+                        "line": f.position.line,
+                        "column": f.position.column,
+                        "code": f.code,
+                        "reason": f.message,
+                    }
                     for f in faults
                 ],
             }
         )
     elif faults:
         for fault in faults:
-            click.echo(fault.text(file))
+            click.echo(fault.format_for(file))
         click.echo(f"{len(faults)} fault{'s' * (len(faults) != 1)}", err=True)
     else:
         held = "held against the deployment" if config else "without a deployment"
         click.echo(f"{file}: good, {len(model.routes)} routes, {held}")
     if faults:
-        no()
+        exit_negative()
--- a/kelpcroft/cli/common.py
+++ b/kelpcroft/cli/common.py
@@ -9,18 +9,18 @@
 import click
 import orjson
 
-from kelpcroft.config import ConfigError, parse, table
-from kelpcroft.deployment import Finding
-from kelpcroft.deployment import check as deployment_check
-from kelpcroft.operator.check import check, load, read
-from kelpcroft.operator.faults import Fault
-from kelpcroft.operator.model import File
-from zincgrade import interface as api
+from kelpcroft.config import ConfigError, parse_config, require_object
+from kelpcroft.decision import interface as api
+from kelpcroft.deployment_check import ConfigurationDiagnostic
+from kelpcroft.deployment_check import check_configuration as deployment_check
+from kelpcroft.operator_file.check import check, load, read
+from kelpcroft.operator_file.diagnostics import Diagnostic
+from kelpcroft.operator_file.model import OperatorFile
 
 F = TypeVar("F", bound=Callable[..., Any])
 
 
-class Unfit(click.ClickException):
+class CommandError(click.ClickException):
     """One line on standard error, exit code 2: the command cannot be carried out as it was given."""
 
     exit_code = 2
@@ -48,59 +48,59 @@
     )
 
 
-def raw_of(path: str) -> dict[str, Any]:
+def read_configuration(path: str) -> dict[str, Any]:
     """A router's configuration as it stands."""
     try:
-        return table("the file", orjson.loads(Path(path).read_bytes()))
+        return require_object("the file", orjson.loads(Path(path).read_bytes()))
     except OSError as error:
-        raise Unfit(f"{path}: {error.strerror}") from error
+        raise CommandError(f"{path}: {error.strerror}") from error
     except orjson.JSONDecodeError as error:
-        raise Unfit(f"{path}: {error}") from error
+        raise CommandError(f"{path}: {error}") from error
     except ConfigError as error:
-        raise Unfit(f"{path}: {error}") from error
+        raise CommandError(f"{path}: {error}") from error
 
 
-def findings(path: str) -> list[Finding]:
+def findings(path: str) -> list[ConfigurationDiagnostic]:
     """What is wrong or odd in a router's configuration, as its start would say it."""
-    return deployment_check(raw_of(path))
+    return deployment_check(read_configuration(path))
 
 
-def settings_of(path: str) -> api.Settings:
+def read_settings(path: str) -> api.Settings:
     """The deployment's settings from a router's configuration.  Its addresses may be missing."""
     try:
         at = "127.0.0.1:1"
         filled = {"name": "n", "listen": at, "feed": at, "known": {"n": 0, "events": []}}
-        return parse({**filled, **raw_of(path)}, {}).settings
+        return parse_config({**filled, **read_configuration(path)}, {}).settings
     except ConfigError as error:
-        raise Unfit(f"{path}: {error}") from error
+        raise CommandError(f"{path}: {error}") from error
 
 
-def faults_of(path: str, settings: api.Settings | None) -> tuple[File, list[Fault]]:
+def faults_of(path: str, settings: api.Settings | None) -> tuple[OperatorFile, list[Diagnostic]]:
     """A file and all that is wrong with it, in a deployment if one is given."""
     try:
         file, faults = load(read(Path(path)))
     except OSError as error:
-        raise Unfit(f"{path}: {error.strerror}") from error
+        raise CommandError(f"{path}: {error.strerror}") from error
     if not faults and settings is not None:
         faults = check(file, settings)
     return file, faults
 
 
-def good(path: str, settings: api.Settings | None) -> File:
+def good(path: str, settings: api.Settings | None) -> OperatorFile:
     """A file that may be used; its faults and exit code 1 where it may not."""
     file, faults = faults_of(path, settings)
     if faults:
         for fault in faults:
-            click.echo(fault.text(path), err=True)
-        no()
+            click.echo(fault.format_for(path), err=True)
+        exit_negative()
     return file
 
 
-def as_json(value: Any) -> None:
+def print_json(value: Any) -> None:
     """One JSON document on standard output."""
     click.echo(orjson.dumps(value, option=orjson.OPT_INDENT_2).decode())
 
 
-def no() -> NoReturn:
+def exit_negative() -> NoReturn:
     """The answer is no."""
     raise SystemExit(1)
--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -9,22 +9,22 @@
 
 import click
 
-from kelpcroft.cli.common import Unfit, config_option, no, settings_of
-from kelpcroft.operator.replica import ReplicaFile, load
-from kelpcroft.operator.text import BYTES_MOST
+from kelpcroft.cli.common import CommandError, config_option, exit_negative, read_settings
+from kelpcroft.operator_file.replica import ControlReplicaFile, load
+from kelpcroft.operator_file.text import MAX_FILE_BYTES
 
 
-def file_of(path: str) -> ReplicaFile:
+def file_of(path: str) -> ControlReplicaFile:
     """A file that may be used; its faults and exit code 1 where it may not."""
     try:
         with Path(path).open("rb") as stream:
-            file, faults = load(stream.read(BYTES_MOST + 1))
+            file, faults = load(stream.read(MAX_FILE_BYTES + 1))
     except OSError as error:
-        raise Unfit(f"{path}: {error.strerror}") from error
+        raise CommandError(f"{path}: {error.strerror}") from error
     for fault in faults:
-        click.echo(fault.text(path), err=True)
+        click.echo(fault.format_for(path), err=True)
     if faults:
-        no()
+        exit_negative()
     return file
 
 
@@ -52,7 +52,7 @@
     Serves until SIGTERM.  GET /control/state on its address tells what it is and did.
     """
     said = file_of(file)
-    span_ns = settings_of(config).rules.purge_span_ns
+    span_ns = read_settings(config).rules.purge_retention_ns
     if dry_run:
         up = ", ".join(f"{host}:{port}" for host, port in (*said.list_services, *said.peers))
         click.echo(
@@ -63,15 +63,15 @@
     sys.exit(serve(said, span_ns, name, "" if form == "auto" else form))
 
 
-def serve(said: ReplicaFile, span_ns: int, name: str, form: str) -> int:
+def serve(said: ControlReplicaFile, span_ns: int, name: str, form: str) -> int:
     """Until a signal asks for the end.  Exit codes: 0 asked to end, 2 the address cannot be had."""
     from kelpcroft.config import ConfigError
-    from kelpcroft.controllog.replica import Options, Replica
+    from kelpcroft.control_log.replica import ControlReplica, ReplicaOptions
+    from kelpcroft.core.effects import LogEvent
     from kelpcroft.log import EventLog
-    from kelpcroft.messages import Log
     from kelpcroft.net.clock import Clock
-    from kelpcroft.net.listeners import bound, where
-    from kelpcroft.net.replica import ReplicaLoop
+    from kelpcroft.net.control_replica_server import ReplicaLoop
+    from kelpcroft.net.listeners import bind_listener, listening_address
 
     ours, theirs = os.pipe()
     for end in (ours, theirs):
@@ -79,7 +79,7 @@
     signal.set_wakeup_fd(theirs, warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, lambda *_: None)
-    options = Options(
+    options = ReplicaOptions(
         (*said.list_services, *said.peers),
         frozenset(said.peers),
         said.lease_ns,
@@ -88,12 +88,12 @@
         span_ns,
     )
     try:
-        listener = bound("listen", said.listen)
+        listener = bind_listener("listen", said.listen)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return 2
     clock, events = Clock(), EventLog(name, form=form)
-    at = where(listener)
-    events.write(clock.now(), Log("replica.listens", f"{name} listens on {at}", "info", {"at": at}))
-    ReplicaLoop(Replica(options, clock.now() ^ os.getpid()), listener, clock, events).run(ours)
+    at = listening_address(listener)
+    events.write(clock.now(), LogEvent("replica.listens", f"{name} listens on {at}", "info", {"at": at}))
+    ReplicaLoop(ControlReplica(options, clock.now() ^ os.getpid()), listener, clock, events).run(ours)
     return 0
--- a/kelpcroft/cli/diff.py
+++ b/kelpcroft/cli/diff.py
@@ -7,16 +7,24 @@
 
 import click
 
-from kelpcroft.cli.common import Unfit, as_json, config_option, format_option, good, no, settings_of
-from kelpcroft.operator.explain import differences
-from kelpcroft.operator.model import Match
-from zincgrade.interface import Effect, RequestClass
+from kelpcroft.cli.common import (
+    CommandError,
+    config_option,
+    exit_negative,
+    format_option,
+    good,
+    print_json,
+    read_settings,
+)
+from kelpcroft.decision.interface import Idempotency, RequestClass
+from kelpcroft.operator_file.explain import differences
+from kelpcroft.operator_file.model import RouteMatch
 
 
-def supposed(matches: list[Match]) -> list[tuple[str, RequestClass]]:
+def supposed(matches: list[RouteMatch]) -> list[tuple[str, RequestClass]]:
     """Classes to compare by where no deployment is given, with what to call them: those that are named and
     one that is not, of each effect, written through or not, in parts or not, as far as the files ask."""
-    effects = list(Effect) if any(m.effects for m in matches) else [Effect.SAFE]
+    effects = list(Idempotency) if any(m.effects for m in matches) else [Idempotency.SAFE]
     through = (False, True) if any(m.through is not None for m in matches) else (False,)
     parts = (False, True) if any(m.multipart is not None for m in matches) else (False,)
     found = []
@@ -24,7 +32,7 @@
         for effect, uncacheable, multi in product(effects, through, parts):
             words = [effect.value] * (len(effects) > 1) + ["through"] * uncacheable + ["multipart"] * multi
             label = name + (f" ({', '.join(words)})" if words else "")
-            found.append((label, RequestClass(name, effect, uncacheable=uncacheable, in_parts=multi)))
+            found.append((label, RequestClass(name, effect, uncacheable=uncacheable, multipart=multi)))
     return found
 
 
@@ -42,7 +50,7 @@
     Without --config the classes are those that the files name, and one that neither names.  Exit code 1 where
     there is a difference.
     """
-    settings = settings_of(config) if config else None
+    settings = read_settings(config) if config else None
     before, after = good(old, settings), good(new, settings)
     if settings:
         classes = [(c.name, c) for c in settings.classes]
@@ -56,9 +64,9 @@
             for change in differences(before, after, here, [cls])
         ]
     except ValueError as error:
-        raise Unfit(str(error)) from error
+        raise CommandError(str(error)) from error
     if form == "json":
-        as_json(
+        print_json(
             {
                 "same": not found,
                 "changes": [
@@ -81,4 +89,4 @@
         for words in c.what:
             click.echo(f"  {words}")
     if found:
-        no()
+        exit_negative()
--- a/kelpcroft/cli/explain.py
+++ b/kelpcroft/cli/explain.py
@@ -6,11 +6,19 @@
 
 import click
 
-from kelpcroft.cli.common import Unfit, as_json, config_option, format_option, good, no, settings_of
-from kelpcroft.operator.check import span
-from kelpcroft.operator.explain import Asked, longest_wait, most_sends, route_of, rows
-from kelpcroft.operator.faults import instead
-from kelpcroft.operator.model import GROUPS, PARTS
+from kelpcroft.cli.common import (
+    CommandError,
+    config_option,
+    exit_negative,
+    format_option,
+    good,
+    print_json,
+    read_settings,
+)
+from kelpcroft.operator_file.check import span
+from kelpcroft.operator_file.diagnostics import suggestion
+from kelpcroft.operator_file.explain import RequestAttributes, find_route, longest_wait, most_sends, rows
+from kelpcroft.operator_file.model import GROUP_RANGE, PART_RANGE
 
 
 @click.command(
@@ -21,8 +29,8 @@
 @config_option(required=True)
 @click.option("--class", "cls", required=True, help="The class of the request.")
 @click.option("--object", "item", default="0" * 16, help="Its object, 16 hex digits.")
-@click.option("--part", type=click.IntRange(*PARTS), default=0, help="Its part.")
-@click.option("--group", type=click.IntRange(*GROUPS), default=0, help="Its group.")
+@click.option("--part", type=click.IntRange(*PART_RANGE), default=0, help="Its part.")
+@click.option("--group", type=click.IntRange(*GROUP_RANGE), default=0, help="Its group.")
 @click.option("--retry", is_flag=True, help="It is a client's own retry.")
 @click.option("--write", is_flag=True, help="It has a body.")
 @format_option
@@ -31,18 +39,20 @@
 ) -> None:
     """Print the route that takes a request, each bound with the line it came from, and the most that follows:
     the longest wait and the number of sends."""
-    settings = settings_of(config)
+    settings = read_settings(config)
     known = {c.name: c for c in settings.classes}
     if cls not in known:
-        raise Unfit(f"--class: there is no class {cls!r}{instead(cls, known)}")
+        raise CommandError(f"--class: there is no class {cls!r}{suggestion(cls, known)}")
     if not re.fullmatch(r"[0-9a-f]{16}", item):
-        raise Unfit(f"--object: {item!r} is not 16 hex digits in lower case")
-    route = route_of(good(file, settings), settings.zone, Asked(known[cls], item, part, group, retry, write))
+        raise CommandError(f"--object: {item!r} is not 16 hex digits in lower case")
+    route = find_route(
+        good(file, settings), settings.zone, RequestAttributes(known[cls], item, part, group, retry, write)
+    )
     if route is None:
-        as_json({"route": None}) if form == "json" else click.echo(
+        print_json({"route": None}) if form == "json" else click.echo(
             "no route takes it: the file bounds nothing"
         )
-        no()
+        exit_negative()
     wait, sends = (
         longest_wait(route.bounds, known[cls]),
         most_sends(route.bounds, known[cls], settings.limits),
@@ -51,14 +61,14 @@
         {"bound": name, "value": words, "line": place.line} for name, words, place in rows(route.bounds)
     ]
     if form == "json":
-        as_json(
+        print_json(
             {
                 "route": route.name,
                 "line": route.place.line,
                 "bounds": bounds,
                 "longest_wait_ms": wait / 10**6,
                 "most_sends": sends,
-                "effect": known[cls].effect.value,
+                "effect": known[cls].idempotency.value,
             }
         )
         return
@@ -69,5 +79,5 @@
     click.echo(f"longest wait: {span(wait) if wait else 'as the client says'}")
     click.echo(
         f"most sends:   {sends}"
-        + (", one of which may have run" if known[cls].effect.value == "unsafe" else "")
+        + (", one of which may have run" if known[cls].idempotency.value == "unsafe" else "")
     )
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -14,16 +14,16 @@
 import click
 import orjson
 
-from kelpcroft.cli.common import F, Unfit, as_json, format_option, no
-from kelpcroft.cli.controller import Controller, begin
-from kelpcroft.cli.hands import filled
-from kelpcroft.operator.check import read
-from kelpcroft.operator.check import span as words
-from kelpcroft.rollout.homes import Moved, NoHomes, compare
-from kelpcroft.rollout.plan import Plan, load
+from kelpcroft.cli.common import CommandError, F, exit_negative, format_option, print_json
+from kelpcroft.cli.controller import RolloutController, begin_or_continue_run
+from kelpcroft.operator_file.check import read
+from kelpcroft.operator_file.check import span as words
+from kelpcroft.rollout.placement import Moved, NoHomes, compare
+from kelpcroft.rollout.plan import RolloutPlan, load_plan
+from kelpcroft.rollout.router_drivers import filled
 from kelpcroft.rollout.snapshot import SnapshotError
-from kelpcroft.rollout.stages import Note, Outcome
-from kelpcroft.store.rollouts import LeaseLost, Run, Store
+from kelpcroft.rollout.state_machine import HistoryEntry, RolloutOutcome
+from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
 
 
 @click.group()
@@ -31,33 +31,38 @@
     """A change in stages: judged new against old, stopped and taken back where it does worse."""
 
 
-def planned(path: str, form: str) -> Plan:
+def planned(path: str, form: str) -> RolloutPlan:
     """A rollout file that may be used; its faults and exit code 1 where it may not."""
     try:
-        plan, faults = load(read(Path(path)))
+        plan, faults = load_plan(read(Path(path)))
     except OSError as error:
-        raise Unfit(f"{path}: {error.strerror}") from error
+        raise CommandError(f"{path}: {error.strerror}") from error
     if not faults:
         return plan
     if form == "json":
-        as_json(
+        print_json(
             {
                 "file": path,
                 "good": False,
                 "faults": [
-                    {"line": f.place.line, "column": f.place.column, "code": f.code, "reason": f.reason}
+                    {
+                        "line": f.position.line,
+                        "column": f.position.column,
+                        "code": f.code,
+                        "reason": f.message,
+                    }
                     for f in faults
                 ],
             }
         )
     else:
         for fault in faults:
-            click.echo(fault.text(path))
+            click.echo(fault.format_for(path))
         click.echo(f"{len(faults)} fault{'s' * (len(faults) != 1)}", err=True)
-    no()
+    exit_negative()
 
 
-def worst_out(plan: Plan) -> dict[str, float]:
+def worst_out(plan: RolloutPlan) -> dict[str, float]:
     """The largest share of each zone's routers that may be out at once."""
     sizes: dict[str, int] = {}
     for router in plan.routers:
@@ -76,7 +81,7 @@
     differs between the two builds, where the file says how to ask them.  Exit code 1 where there is a fault.
     """
     found = planned(file, form)
-    stages = found.by_stage()
+    stages = found.routers_by_stage()
     changed: set[str] = set()
     rows = []
     for stage, routers in zip(found.stages, stages, strict=True):
@@ -98,7 +103,7 @@
         + sum(-(-len(r) // found.at_once) for r in stages) * found.cold_ns
     )
     if form == "json":
-        as_json(
+        print_json(
             {
                 "file": file,
                 "good": True,
@@ -139,7 +144,7 @@
     click.echo("harm is " + ("taken back" if found.take_back else "held for people to decide"))
 
 
-def moved(plan: Plan) -> tuple[dict[str, Moved], list[str]]:
+def moved(plan: RolloutPlan) -> tuple[dict[str, Moved], list[str]]:
     """By zone, how many objects have another home in the new build, each build asked by its own command; and
     what could not be asked."""
     main = ["-c", "from kelpcroft.cli import main; main()", "homes", "--config", "{config}"]
@@ -185,20 +190,20 @@
     )(command)
 
 
-def opened(path: str, must: bool = True) -> Store:
+def opened(path: str, must: bool = True) -> RolloutStore:
     """The store; used wrongly where there is none and one is wanted."""
     if must and not Path(path).exists():
-        raise Unfit(f"{path}: there is no such store; a rollout that was started makes one")
+        raise CommandError(f"{path}: there is no such store; a rollout that was started makes one")
     try:
-        return Store(path)
+        return RolloutStore(path)
     except sqlite3.Error as error:
-        raise Unfit(f"{path}: {error}") from error
+        raise CommandError(f"{path}: {error}") from error
 
 
-def current(store: Store, path: str) -> Run:
-    run = store.last()
+def current(store: RolloutStore, path: str) -> StoredRun:
+    run = store.newest_run()
     if run is None:
-        raise Unfit(f"{path}: holds no run")
+        raise CommandError(f"{path}: holds no run")
     return run
 
 
@@ -215,7 +220,7 @@
     found = planned(file, form)
     missing = [r.name for r in found.routers if not r.control]
     if missing or not (found.apply or found.local):
-        raise Unfit(
+        raise CommandError(
             f"{file}: "
             + (
                 f"router {missing[0]!r} has no control address"
@@ -225,24 +230,24 @@
         )
     store = opened(path, must=False)
 
-    def tell(note: Note) -> None:
+    def tell(note: HistoryEntry) -> None:
         if form == "json":
             click.echo(orjson.dumps({"name": note.name, "text": note.text, "figures": dict(note.figures)}))
         else:
             click.echo(f"{note.name}: {note.text}")
 
     try:
-        run = begin(store, read(Path(file)), found)
-        outcome = Controller(store, run, found, tell).lead()
+        run = begin_or_continue_run(store, read(Path(file)), found)
+        outcome = RolloutController(store, run, found, tell).lead()
     except (LeaseLost, SnapshotError) as error:
-        raise Unfit(str(error)) from error
+        raise CommandError(str(error)) from error
     except KeyboardInterrupt:
-        raise Unfit("left as it stands; start it again to go on") from None
-    if outcome is not Outcome.DONE:
-        no()
+        raise CommandError("left as it stands; start it again to go on") from None
+    if outcome is not RolloutOutcome.DONE:
+        exit_negative()
 
 
-def shown(run: Run) -> dict[str, Any]:
+def shown(run: StoredRun) -> dict[str, Any]:
     """A run as people and scripts see it."""
     s = run.snapshot
     return {
@@ -266,10 +271,10 @@
     }
 
 
-def print_status(run: Run, form: str) -> None:
+def print_status(run: StoredRun, form: str) -> None:
     told = shown(run)
     if form == "json":
-        as_json(told)
+        print_json(told)
         return
     click.echo(
         f"run {told['run']}: {told['outcome']}{': ' + told['why'] if told['why'] else ''}, stage "
@@ -295,7 +300,7 @@
     run = current(opened(path), path)
     print_status(run, form)
     if run.outcome in ("held", "reverting", "taken back"):
-        no()
+        exit_negative()
 
 
 @rollout.command(epilog="Example:  kelpcroft rollout watch --store /tmp/rollout.db")
@@ -323,7 +328,7 @@
     store = opened(path)
     found = store.history(current(store, path).id)
     if form == "json":
-        as_json(found)
+        print_json(found)
         return
     for row in found:
         at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(row["at_ns"] / 1e9))
@@ -343,11 +348,11 @@
         store = opened(path)
         run = current(store, path)
         if run.outcome in ("done", "taken back"):
-            raise Unfit(f"run {run.id} is over: {run.outcome}")
-        store.say(run.id, time.time_ns(), verb)
+            raise CommandError(f"run {run.id} is over: {run.outcome}")
+        store.add_operator_command(run.id, time.time_ns(), verb)
         led = run.lease_ns > time.time_ns()
         if form == "json":
-            as_json({"run": run.id, "said": verb, "led": led})
+            print_json({"run": run.id, "said": verb, "led": led})
         else:
             click.echo(
                 f"said to run {run.id}" + ("" if led else "; nobody leads it: start it to have it heard")
--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -11,16 +11,16 @@
 
 import orjson
 
-from kelpcroft.core.descriptors import LEAST as LEAST_SOCKETS
-from kelpcroft.deployment import Finding, check
-from kelpcroft.deployment.known import host_port
-from kelpcroft.messages import News, Reload
-from kelpcroft.net.feed import FeedError, news_of
-from zincgrade.interface import Settings, SettingsError
-from zincgrade.simhost import Kinds, settings_of
+from kelpcroft.core.descriptors import MIN_DESCRIPTORS as LEAST_SOCKETS
+from kelpcroft.core.inputs import ConfigFileRead, WatchResponse
+from kelpcroft.decision.interface import Settings, SettingsError
+from kelpcroft.deployment_check import ConfigurationDiagnostic, check_configuration
+from kelpcroft.deployment_check.known_keys import parse_host_port
+from kelpcroft.net.feed_codec import FeedError, parse_watch_response
+from kelpcroft.simulator_adapter import MachineKinds, parse_settings
 
 NS_PER_MS = 1_000_000
-FILE_MOST = 16 << 20  # bytes of a configuration read again
+MAX_CONFIG_FILE_BYTES = 16 << 20  # bytes of a configuration read again
 
 
 class ConfigError(ValueError):
@@ -35,33 +35,35 @@
     """All that a router is told at its start."""
 
     name: str
-    listen: Address
-    feed: Address
-    sockets: int
+    listen_address: Address
+    feed_address: Address
+    max_descriptors: int
     memory_mb: int
-    max_streams: int  # attempts that one connection to a server carries
-    idle_ns: int  # servers close a connection that has been idle for so long
-    dial_ns: int
+    max_attempts_per_connection: int  # attempts that one connection to a server carries
+    server_idle_timeout_ns: int  # servers close a connection that has been idle for so long
+    connect_timeout_ns: int
     settings: Settings
-    kinds: Kinds
-    known: News
-    trace: bool = False  # ROUTER_TRACE=1: every step of every attempt goes to the log
-    mgmt: Address | None = None  # the control address, if any
-    inherited: int | None = None  # ROUTER_FD: a listening socket's descriptor, served on and not bound
+    kinds: MachineKinds
+    initial_endpoints: WatchResponse
+    is_tracing: bool = False  # ROUTER_TRACE=1: every step of every attempt goes to the log
+    control_address: Address | None = None  # the control address, if any
+    inherited_listener_fd: int | None = (
+        None  # ROUTER_FD: a listening socket's descriptor, served on and not bound
+    )
     state_dir: str = ""  # $TMPDIR: where a process leaves its state of service for the next
     raw: dict[str, Any] = field(default_factory=dict, compare=False, repr=False)  # the file as it was read
-    doubts: tuple[Finding, ...] = ()  # what is odd in it, and starts all the same
+    warnings: tuple[ConfigurationDiagnostic, ...] = ()  # what is odd in it, and starts all the same
 
 
-def address_of(key: str, text: Any) -> Address:
+def parse_address(key: str, text: Any) -> Address:
     """``host:port`` as a socket wants it."""
-    found = host_port(text)
+    found = parse_host_port(text)
     if found is None:
         raise ConfigError(f"{key}: {text!r} is not an address as host:port")
     return found
 
 
-def number(key: str, value: Any, least: int, default: int | None = None) -> int:
+def require_number(key: str, value: Any, least: int, default: int | None = None) -> int:
     """A number of at least so much."""
     if value is None and default is not None:
         return default
@@ -70,14 +72,14 @@
     return int(value)
 
 
-def table(key: str, value: Any) -> dict[str, Any]:
+def require_object(key: str, value: Any) -> dict[str, Any]:
     """A JSON object."""
     if not isinstance(value, dict):
         raise ConfigError(f"{key}: {'is missing' if value is None else 'is not an object'}")
     return value
 
 
-def load(environ: Mapping[str, str]) -> Config:
+def load_config(environ: Mapping[str, str]) -> Config:
     """Read the environment, and the file that it names.  Raises ConfigError with a line for each fault."""
     path = environ.get("ROUTER_CONFIG", "")
     if not path:
@@ -88,11 +90,13 @@
         raise ConfigError(f"ROUTER_CONFIG: {path}: {error.strerror}") from error
     except orjson.JSONDecodeError as error:
         raise ConfigError(f"ROUTER_CONFIG: {path}: {error}") from error
-    found = check(table("ROUTER_CONFIG", raw))
+    found = check_configuration(require_object("ROUTER_CONFIG", raw))
     faults = [f"{f}" for f in found if f.level == "fault"]
     if faults:
         raise ConfigError("\nconfiguration: ".join(faults))
-    return held(replace(parse(raw, environ), doubts=tuple(found)), descriptors())
+    return limit_to_system_descriptors(
+        replace(parse_config(raw, environ), warnings=tuple(found)), descriptors()
+    )
 
 
 def descriptors() -> int:
@@ -101,60 +105,61 @@
     return sys.maxsize if soft == resource.RLIM_INFINITY else soft
 
 
-def held(config: Config, most: int) -> Config:
+def limit_to_system_descriptors(config: Config, most: int) -> Config:
     """A configuration that counts on no more descriptors than the system gives.  The settings may say more:
     who counts on those fails on the first that is not there, with clients already taken."""
-    if config.sockets <= most:
+    if config.max_descriptors <= most:
         return config
     if most < LEAST_SOCKETS:
         raise ConfigError(
             f"limits.sockets: the system gives this process {most} descriptors; "
             f"{LEAST_SOCKETS} at the least would do"
         )
-    doubt = Finding(
+    doubt = ConfigurationDiagnostic(
         "doubt",
         "limits.sockets",
-        f"{config.sockets}, but the system gives {most}",
+        f"{config.max_descriptors}, but the system gives {most}",
         f"a limit of that many; {most} are counted on",
     )
-    return replace(config, sockets=most, doubts=(*config.doubts, doubt))
+    return replace(config, max_descriptors=most, warnings=(*config.warnings, doubt))
 
 
-def reread(environ: Mapping[str, str]) -> Reload:
-    """The file's bytes once more, for the reducer to check (``kelpcroft.retune``); files are 1 MB at most."""
+def reread_config(environ: Mapping[str, str]) -> ConfigFileRead:
+    """The file's bytes once more, for the reducer to check (``kelpcroft.config_reload``); files are
+    1 MB at most."""
     path = environ.get("ROUTER_CONFIG", "")
     try:
         with open(path, "rb") as file:
-            data = file.read(FILE_MOST + 1)
+            data = file.read(MAX_CONFIG_FILE_BYTES + 1)
     except OSError as error:
-        return Reload(path, None, f"{path}: {error.strerror}")
-    if len(data) > FILE_MOST:
-        return Reload(path, None, f"{path}: is over {FILE_MOST} bytes")
-    return Reload(path, data)
+        return ConfigFileRead(path, None, f"{path}: {error.strerror}")
+    if len(data) > MAX_CONFIG_FILE_BYTES:
+        return ConfigFileRead(path, None, f"{path}: is over {MAX_CONFIG_FILE_BYTES} bytes")
+    return ConfigFileRead(path, data)
 
 
-def parse(raw: dict[str, Any], environ: Mapping[str, str]) -> Config:
+def parse_config(raw: dict[str, Any], environ: Mapping[str, str]) -> Config:
     """The JSON's values; ROUTER_NAME and ROUTER_LISTEN go before what it says."""
-    limits = table("limits", raw.get("limits", {}))
-    options = table("settings", raw.get("settings"))
+    limits = require_object("limits", raw.get("limits", {}))
+    options = require_object("settings", raw.get("settings"))
     try:
         seed = int(raw.get("seed", "0"), 16)
     except (TypeError, ValueError) as error:
         raise ConfigError(f"seed: {raw.get('seed')!r} is not a hexadecimal number") from error
     try:
-        settings = settings_of(options, seed)
-        kinds = Kinds(options)
+        settings = parse_settings(options, seed)
+        kinds = MachineKinds(options)
     except SettingsError as error:
         raise ConfigError(f"settings.{error}") from error
     except KeyError as error:
         raise ConfigError(f"settings: {error} is missing") from error
     except (TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"settings: {error}") from error
-    lim = table("settings.limits", options.get("limits", {}))
+    lim = require_object("settings.limits", options.get("limits", {}))
     try:
-        known = news_of(table("known", raw.get("known")))
-        if known.faults:
-            raise FeedError(known.faults[0])
+        known = parse_watch_response(require_object("known", raw.get("known")))
+        if known.unusable_events:
+            raise FeedError(known.unusable_events[0])
     except FeedError as error:
         raise ConfigError(f"known: {error}") from error
     name = environ.get("ROUTER_NAME") or raw.get("name")
@@ -167,19 +172,25 @@
         raise ConfigError(f"ROUTER_FD: {fd[:40]!r} is not the number of a descriptor")
     return Config(
         name=name,
-        listen=address_of("ROUTER_LISTEN" if listen else "listen", listen or raw.get("listen")),
-        feed=address_of("feed", raw.get("feed")),
-        sockets=number("limits.sockets", limits.get("sockets"), LEAST_SOCKETS, 1024),
-        memory_mb=number("limits.memory_mb", limits.get("memory_mb"), 1, 192),
-        max_streams=number("settings.limits.max_streams", lim.get("max_streams"), 1, 1),
-        idle_ns=number("settings.limits.conn_idle_ns", lim.get("conn_idle_ns"), 0, 0),
-        dial_ns=number("settings.limits.dial_timeout_ns", lim.get("dial_timeout_ns"), 1, 400 * NS_PER_MS),
+        listen_address=parse_address("ROUTER_LISTEN" if listen else "listen", listen or raw.get("listen")),
+        feed_address=parse_address("feed", raw.get("feed")),
+        max_descriptors=require_number("limits.sockets", limits.get("sockets"), LEAST_SOCKETS, 1024),
+        memory_mb=require_number("limits.memory_mb", limits.get("memory_mb"), 1, 192),
+        max_attempts_per_connection=require_number(
+            "settings.limits.max_streams", lim.get("max_streams"), 1, 1
+        ),
+        server_idle_timeout_ns=require_number("settings.limits.conn_idle_ns", lim.get("conn_idle_ns"), 0, 0),
+        connect_timeout_ns=require_number(
+            "settings.limits.dial_timeout_ns", lim.get("dial_timeout_ns"), 1, 400 * NS_PER_MS
+        ),
         settings=settings,
         kinds=kinds,
-        known=known,
-        trace=environ.get("ROUTER_TRACE") == "1",
+        initial_endpoints=known,
+        is_tracing=environ.get("ROUTER_TRACE") == "1",
         raw=raw,
-        mgmt=address_of("ROUTER_MGMT" if environ.get("ROUTER_MGMT") else "mgmt", mgmt) if mgmt else None,
-        inherited=int(fd) if fd else None,
+        control_address=parse_address("ROUTER_MGMT" if environ.get("ROUTER_MGMT") else "mgmt", mgmt)
+        if mgmt
+        else None,
+        inherited_listener_fd=int(fd) if fd else None,
         state_dir=environ.get("TMPDIR", ""),
     )
--- a/kelpcroft/retune/check.py
+++ b/kelpcroft/config_reload/check.py
@@ -22,49 +22,49 @@
 
 import orjson
 
-from kelpcroft.deployment.known import host_port
+from kelpcroft.deployment_check.known_keys import parse_host_port
 
 FAULTS_MOST = 100  # named in one pass; the rest are counted
 EFFECTS = ("safe", "keyed", "unsafe")
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class Diagnostic:
     """One reason why a file cannot be used: where, what was found there, and what would do."""
 
     place: str  # a path of keys and indices, as settings.classes[2].give_up_ns
     found: str
-    wanted: str
+    expected: str
 
     def __str__(self) -> str:
-        return f"{self.place or 'the file'}: {self.found}; {self.wanted}"
+        return f"{self.place or 'the file'}: {self.found}; {self.expected}"
 
 
-def decode(data: bytes) -> tuple[dict[str, Any] | None, list[Fault]]:
+def decode_config(data: bytes) -> tuple[dict[str, Any] | None, list[Diagnostic]]:
     """The JSON object of a file, or why there is none."""
     if not data.strip():
-        return None, [Fault("", "is empty", "a JSON object with the configuration would do")]
+        return None, [Diagnostic("", "is empty", "a JSON object with the configuration would do")]
     try:
         raw = orjson.loads(data)
     except orjson.JSONDecodeError as error:
         return None, [
-            Fault(
+            Diagnostic(
                 f"line {error.lineno} column {error.colno}",
                 f"not JSON: {error.msg}",
                 "a whole JSON object would do",
             )
         ]
     if not isinstance(raw, dict):
-        return None, [Fault("", f"is a JSON {type(raw).__name__}", "a JSON object would do")]
+        return None, [Diagnostic("", f"is a JSON {type(raw).__name__}", "a JSON object would do")]
     return raw, []
 
 
-def check(new: dict[str, Any], used: dict[str, Any]) -> list[Fault]:
+def validate_reload(new: dict[str, Any], used: dict[str, Any]) -> list[Diagnostic]:
     """Every fault of ``new``, a file that is to replace ``used``; none where it may be used."""
-    faults: list[Fault] = []
+    faults: list[Diagnostic] = []
     for key in used:
         if key not in new:
-            faults.append(Fault(key, "is missing", "the file in use has it"))
+            faults.append(Diagnostic(key, "is missing", "the file in use has it"))
     if isinstance(new.get("settings"), dict):
         missing(new["settings"], used.get("settings"), "settings", faults)
     settings = new.get("settings")
@@ -73,43 +73,43 @@
         limits = settings.get("limits")
         if isinstance(limits, dict) and "most_tries" in limits and not whole(limits["most_tries"]):
             faults.append(
-                Fault(
+                Diagnostic(
                     "settings.limits.most_tries",
                     shown(limits["most_tries"]),
                     "a positive whole number of attempts would do",
                 )
             )
     elif "settings" in new:
-        faults.append(Fault("settings", shown(settings), "an object would do"))
+        faults.append(Diagnostic("settings", shown(settings), "an object would do"))
     feed = new.get("feed")
-    if "feed" in new and host_port(feed) is None:
-        faults.append(Fault("feed", shown(feed), "an address as host:port would do"))
+    if "feed" in new and parse_host_port(feed) is None:
+        faults.append(Diagnostic("feed", shown(feed), "an address as host:port would do"))
     return faults[:FAULTS_MOST]
 
 
-def missing(new: Any, used: Any, place: str, faults: list[Fault]) -> None:
+def missing(new: Any, used: Any, place: str, faults: list[Diagnostic]) -> None:
     """Keys of ``used`` that ``new`` lacks, through objects and the items of lists of objects."""
     if isinstance(used, dict) and isinstance(new, dict):
         for key, value in used.items():
             at = f"{place}.{key}" if place else key
             if key not in new:
-                faults.append(Fault(at, "is missing", "the file in use has it"))
+                faults.append(Diagnostic(at, "is missing", "the file in use has it"))
             else:
                 missing(new[key], value, at, faults)
     elif isinstance(used, list) and isinstance(new, list) and used and all(isinstance(u, dict) for u in used):
         common = set.intersection(*(set(u) for u in used))
         for n, item in enumerate(new):
             if not isinstance(item, dict):
-                faults.append(Fault(f"{place}[{n}]", shown(item), "an object would do"))
+                faults.append(Diagnostic(f"{place}[{n}]", shown(item), "an object would do"))
                 continue
             for key in sorted(common - set(item)):
-                faults.append(Fault(f"{place}[{n}].{key}", "is missing", "every entry in use has it"))
+                faults.append(Diagnostic(f"{place}[{n}].{key}", "is missing", "every entry in use has it"))
 
 
-def classes(found: Any, faults: list[Fault]) -> None:
+def classes(found: Any, faults: list[Diagnostic]) -> None:
     """The list of classes: each named once, with a deadline and an effect that can be used."""
     if not isinstance(found, list) or not found:
-        faults.append(Fault("settings.classes", shown(found), "a list of at least one class would do"))
+        faults.append(Diagnostic("settings.classes", shown(found), "a list of at least one class would do"))
         return
     names: set[str] = set()
     for n, c in enumerate(found):
@@ -118,18 +118,24 @@
             continue  # named by ``missing`` where the file in use has objects there
         name = c.get("name")
         if not isinstance(name, str) or not name:
-            faults.append(Fault(f"{at}.name", shown(name), "a name of at least one character would do"))
+            faults.append(Diagnostic(f"{at}.name", shown(name), "a name of at least one character would do"))
         elif name in names:
-            faults.append(Fault(f"{at}.name", f"{name!r} is named twice", "one class of each name would do"))
+            faults.append(
+                Diagnostic(f"{at}.name", f"{name!r} is named twice", "one class of each name would do")
+            )
         else:
             names.add(name)
         if "give_up_ns" in c and not positive(c["give_up_ns"]):
             faults.append(
-                Fault(f"{at}.give_up_ns", shown(c["give_up_ns"]), "a positive number of nanoseconds would do")
+                Diagnostic(
+                    f"{at}.give_up_ns", shown(c["give_up_ns"]), "a positive number of nanoseconds would do"
+                )
             )
         effect = c.get("idempotency")
         if effect is not None and effect not in EFFECTS:
-            faults.append(Fault(f"{at}.idempotency", shown(effect), f"one of {', '.join(EFFECTS)} would do"))
+            faults.append(
+                Diagnostic(f"{at}.idempotency", shown(effect), f"one of {', '.join(EFFECTS)} would do")
+            )
 
 
 def positive(value: Any) -> bool:
--- a/kelpcroft/retune/plan.py
+++ b/kelpcroft/config_reload/plan.py
@@ -17,30 +17,30 @@
 
 from dataclasses import dataclass, fields, replace
 
-from zincgrade import interface as api
+from kelpcroft.decision import interface as api
 
 MS = 1_000_000
-PASSAGE_NS = 2_000 * MS  # the stricter of old and new is used for so long
+TRANSITION_NS = 2_000 * MS  # the stricter of old and new is used for so long
 NARROWNESS = {"all": 0, "zone": 1, "cell": 2}  # who drops the repeats of a key; others: by the new file
-STRICTNESS = {api.Effect.SAFE: 0, api.Effect.KEYED: 1, api.Effect.UNSAFE: 2}
+STRICTNESS = {api.Idempotency.SAFE: 0, api.Idempotency.KEYED: 1, api.Idempotency.UNSAFE: 2}
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class ConfigChange:
     """What a file read again changes, by the names of classes."""
 
-    came: tuple[str, ...]
-    went: tuple[str, ...]
+    added: tuple[str, ...]
+    removed: tuple[str, ...]
     changed: tuple[str, ...]
     attempts: tuple[int, int]  # before, after
 
     def __bool__(self) -> bool:
-        return bool(self.came or self.went or self.changed or self.attempts[0] != self.attempts[1])
+        return bool(self.added or self.removed or self.changed or self.attempts[0] != self.attempts[1])
 
     def __str__(self) -> str:
         parts = [
             f"{what}: {', '.join(names)}"
-            for what, names in (("came", self.came), ("went", self.went), ("changed", self.changed))
+            for what, names in (("came", self.added), ("went", self.removed), ("changed", self.changed))
             if names
         ]
         if self.attempts[0] != self.attempts[1]:
@@ -48,12 +48,12 @@
         return "; ".join(parts) or "no class or limit changed"
 
 
-def difference(old: api.Settings, new: api.Settings) -> Change:
+def diff_settings(old: api.Settings, new: api.Settings) -> ConfigChange:
     """The classes that came, went or changed, and the attempts before and after."""
     was, now = {c.name: c for c in old.classes}, {c.name: c for c in new.classes}
-    return Change(
-        came=tuple(n for n in now if n not in was),
-        went=tuple(n for n in was if n not in now),
+    return ConfigChange(
+        added=tuple(n for n in now if n not in was),
+        removed=tuple(n for n in was if n not in now),
         changed=tuple(n for n in now if n in was and now[n] != was[n]),
         attempts=(old.limits.max_attempts, new.limits.max_attempts),
     )
@@ -61,20 +61,20 @@
 
 def stricter(a: api.RequestClass, b: api.RequestClass) -> api.RequestClass:
     """One class as two files give it, held to the stricter of each: ``b`` where they agree."""
-    effect = a.effect if STRICTNESS[a.effect] > STRICTNESS[b.effect] else b.effect
-    if {a.effect, b.effect} == {api.Effect.SAFE, api.Effect.KEYED}:
-        effect = api.Effect.UNSAFE
-    keyed = [c for c in (a, b) if c.effect is api.Effect.KEYED]
-    window = min((c.window_ns for c in keyed), default=max(a.window_ns, b.window_ns))
-    group = max(keyed, key=lambda c: NARROWNESS.get(c.group, 0)).group if keyed else b.group
+    effect = a.idempotency if STRICTNESS[a.idempotency] > STRICTNESS[b.idempotency] else b.idempotency
+    if {a.idempotency, b.idempotency} == {api.Idempotency.SAFE, api.Idempotency.KEYED}:
+        effect = api.Idempotency.UNSAFE
+    keyed = [c for c in (a, b) if c.idempotency is api.Idempotency.KEYED]
+    window = min((c.dedup_window_ns for c in keyed), default=max(a.dedup_window_ns, b.dedup_window_ns))
+    group = max(keyed, key=lambda c: NARROWNESS.get(c.dedup_scope, 0)).dedup_scope if keyed else b.dedup_scope
     deadlines = [d for d in (a.deadline_ns, b.deadline_ns) if d > 0]
     deadline = min(deadlines) if deadlines else 0
     return replace(
         b,
-        effect=effect,
+        idempotency=effect,
         deadline_ns=deadline,
-        window_ns=window,
-        group=group,
+        dedup_window_ns=window,
+        dedup_scope=group,
         uncacheable=a.uncacheable or b.uncacheable,
     )
 
@@ -91,7 +91,7 @@
     return api.Limits(**merged)  # type: ignore[arg-type]
 
 
-def passage(old: api.Settings, new: api.Settings) -> api.Settings:
+def transition_settings(old: api.Settings, new: api.Settings) -> api.Settings:
     """The settings to use for ``PASSAGE_NS`` after a file is read again: ``old`` but for classes and limits,
     which are the stricter of both."""
     was = {c.name: c for c in old.classes}
@@ -101,6 +101,6 @@
     return replace(old, classes=classes, limits=limits_of(old.limits, new.limits))
 
 
-def settled(old: api.Settings, new: api.Settings) -> api.Settings:
+def final_settings(old: api.Settings, new: api.Settings) -> api.Settings:
     """The settings to use once the passage is over: ``old`` but for the new classes and limits."""
     return replace(old, classes=new.classes, limits=new.limits)
--- a/kelpcroft/controllog/follower.py
+++ b/kelpcroft/control_log/follower.py
@@ -21,63 +21,65 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Position:
+class LogPosition:
     """Up to where a log is known."""
 
-    number: int = 0  # 0 = nothing is known: the whole state is wanted
-    mark: str = ""
+    event_number: int = 0  # 0 = nothing is known: the whole state is wanted
+    fingerprint: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class ResponseHead:
     """What an answer says of itself."""
 
-    last: int
-    mark: str
+    last_event_number: int
+    fingerprint: str
     as_of_ms: int
-    whole: bool  # it holds the whole list
+    is_snapshot: bool  # it holds the whole list
 
 
-class Verdict(Enum):
+class ResponseVerdict(Enum):
     """What to do with an answer."""
 
-    TAKE = "take"  # as it stands; the position moves
-    DEPARTURES = "departures"  # only what goes and what is purged, until a state is known to be later
-    RESYNC = "resync"  # it is of a later log: ask this replica for the whole state
-    BEHIND = "behind"  # it is of an earlier state than what is known: ask another replica
+    APPLY = "take"  # as it stands; the position moves
+    APPLY_REMOVALS_ONLY = (
+        "departures"  # only what goes and what is purged, until a state is known to be later
+    )
+    REQUEST_SNAPSHOT = "resync"  # it is of a later log: ask this replica for the whole state
+    OUTDATED = "behind"  # it is of an earlier state than what is known: ask another replica
 
 
-class Follower:
+class LogFollower:
     """One follower's position and the time of its state."""
 
     def __init__(self, as_of_ms: int = 0) -> None:
         """``as_of_ms``: what is known from elsewhere, such as a configuration, may be so late; 0 =
         nothing."""
-        self.position = Position()
+        self.position = LogPosition()
         self.as_of_ms = as_of_ms  # of the latest state that was taken
         self.resync = False  # the next call asks for the whole state
         self.doubtful = False  # the position is of a log whose state has not been taken
 
-    def asks(self) -> Position:
+    def requested_position(self) -> LogPosition:
         """The position that the next call names."""
-        return Position() if self.resync else self.position
+        return LogPosition() if self.resync else self.position
 
-    def judge(self, head: Head) -> Verdict:
+    def judge(self, head: ResponseHead) -> ResponseVerdict:
         """What an answer to a call from ``asks`` is good for."""
         later = not self.as_of_ms or head.as_of_ms > self.as_of_ms + CLOCK_SKEW_MS
-        if head.whole:
-            return Verdict.TAKE if later else Verdict.DEPARTURES
-        if self.resync or head.last < self.position.number:
-            return Verdict.RESYNC if later else Verdict.BEHIND
+        if head.is_snapshot:
+            return ResponseVerdict.APPLY if later else ResponseVerdict.APPLY_REMOVALS_ONLY
+        if self.resync or head.last_event_number < self.position.event_number:
+            return ResponseVerdict.REQUEST_SNAPSHOT if later else ResponseVerdict.OUTDATED
         if self.doubtful:
-            return Verdict.RESYNC if later else Verdict.DEPARTURES
-        return Verdict.TAKE
+            return ResponseVerdict.REQUEST_SNAPSHOT if later else ResponseVerdict.APPLY_REMOVALS_ONLY
+        return ResponseVerdict.APPLY
 
-    def act(self, head: Head, verdict: Verdict) -> None:
+    def record_verdict(self, head: ResponseHead, verdict: ResponseVerdict) -> None:
         """The answer was dealt with by its verdict."""
-        self.resync = verdict is Verdict.RESYNC
-        if verdict in (Verdict.TAKE, Verdict.DEPARTURES):
-            self.position = Position(head.last, head.mark)
-            self.doubtful = verdict is Verdict.DEPARTURES
-        if verdict is Verdict.TAKE:
+        self.resync = verdict is ResponseVerdict.REQUEST_SNAPSHOT
+        if verdict in (ResponseVerdict.APPLY, ResponseVerdict.APPLY_REMOVALS_ONLY):
+            self.position = LogPosition(head.last_event_number, head.fingerprint)
+            self.doubtful = verdict is ResponseVerdict.APPLY_REMOVALS_ONLY
+        if verdict is ResponseVerdict.APPLY:
             self.as_of_ms = max(self.as_of_ms, head.as_of_ms)
--- a/kelpcroft/controllog/log.py
+++ b/kelpcroft/control_log/log.py
@@ -15,14 +15,14 @@
 
 import orjson
 
-TAIL_EVENTS = 8_192  # 27 minutes of 5 purges a second
-TAIL_BYTES = 2 << 20
+MAX_TAIL_EVENTS = 8_192  # 27 minutes of 5 purges a second
+MAX_TAIL_BYTES = 2 << 20
 SERVERS_MOST = 10_000
-PURGES_MOST = 20_000  # that matter at a time: 300 a second for a minute
+MAX_PURGES = 20_000  # that matter at a time: 300 a second for a minute
 MARK_BYTES = 8
 
 
-class LogFull(ValueError):
+class SnapshotIncompleteError(ValueError):
     """More servers or purges than are kept: no snapshot can be given without leaving some out."""
 
 
@@ -35,12 +35,12 @@
     mark: str
 
 
-def canonical(raw: Any) -> bytes:
+def canonical_json(raw: Any) -> bytes:
     """An event's text, the same whoever wrote it."""
     return orjson.dumps(raw, option=orjson.OPT_SORT_KEYS)
 
 
-def mark_of(text: bytes) -> str:
+def event_fingerprint(text: bytes) -> str:
     """The mark of an event, by its text in canonical form (sorted keys)."""
     return blake2b(text, digest_size=MARK_BYTES).hexdigest()
 
@@ -62,12 +62,12 @@
         self.snapshot_events: list[bytes] = []
 
     @property
-    def last(self) -> int:
+    def last_event_number(self) -> int:
         """The number of the last event."""
         return self.tail[-1].number if self.tail else self.base
 
     @property
-    def mark(self) -> str:
+    def last_fingerprint(self) -> str:
         """The mark of the last event."""
         return self.tail[-1].mark if self.tail else self.base_mark
 
@@ -83,17 +83,17 @@
         self.tail.clear()
         self.tail_bytes, self.base, self.base_mark, self.snapshot_events = 0, number, mark, []
 
-    def add(self, raw: Any, now_ms: int) -> str:
+    def append(self, raw: Any, now_ms: int) -> str:
         """One event in its turn.  Why its content cannot be used, or "": it is then handed on all the same,
         for a follower may know more kinds of events."""
         number = raw.get("n") if isinstance(raw, dict) else None
         if type(number) is not int or number < 0:
             return f"an event without a number: {str(raw)[:80]}"
         fault = self.apply(raw, now_ms)
-        text = canonical(raw)
-        self.tail.append(Entry(number, text, mark_of(text)))
+        text = canonical_json(raw)
+        self.tail.append(Entry(number, text, event_fingerprint(text)))
         self.tail_bytes += len(text)
-        while len(self.tail) > TAIL_EVENTS or self.tail_bytes > TAIL_BYTES:
+        while len(self.tail) > MAX_TAIL_EVENTS or self.tail_bytes > MAX_TAIL_BYTES:
             gone = self.tail.popleft()
             self.tail_bytes -= len(gone.text)
             self.base, self.base_mark = gone.number, gone.mark
@@ -124,9 +124,9 @@
         place = ("", int(purge.get("group") or 0)) if key is None else (f"{int(key, 16):016x}", 0)
         if now_ms - at > self.purge_span_ms:
             return
-        if place not in self.purges and len(self.purges) >= PURGES_MOST:
+        if place not in self.purges and len(self.purges) >= MAX_PURGES:
             self.forget_purges(now_ms)
-            if len(self.purges) >= PURGES_MOST:
+            if len(self.purges) >= MAX_PURGES:
                 self.incomplete_ms = max(self.incomplete_ms, at + self.purge_span_ms)
                 return
         self.purges[place] = max(at, self.purges.pop(place, 0))
@@ -138,7 +138,7 @@
 
     # What a follower gets ---------------------------------------------------------------------------------
 
-    def holds(self, number: int, mark: str) -> bool:
+    def contains(self, number: int, mark: str) -> bool:
         """Whether a position is in this log, by its mark: what comes after it can be told."""
         if number == self.base and mark == self.base_mark:
             return True
@@ -149,9 +149,9 @@
 
     def plain(self, number: int) -> bool:
         """Whether a position that has no mark can be gone on from: by its number alone."""
-        return self.base <= number <= self.last
+        return self.base <= number <= self.last_event_number
 
-    def after(self, number: int) -> list[bytes]:
+    def events_after(self, number: int) -> list[bytes]:
         """The events after a position that is held."""
         found = []
         for entry in reversed(self.tail):
@@ -163,14 +163,18 @@
     def snapshot(self, now_ms: int) -> list[bytes]:
         """The whole state as events, all under the last number.  Raises LogFull."""
         if now_ms < self.incomplete_ms:
-            raise LogFull(f"over {PURGES_MOST} purges that matter")
+            raise SnapshotIncompleteError(f"over {MAX_PURGES} purges that matter")
         if len(self.lines) > SERVERS_MOST:
-            raise LogFull(f"over {SERVERS_MOST} servers")
+            raise SnapshotIncompleteError(f"over {SERVERS_MOST} servers")
         number, made_ms = self.snapshot_at
-        if number == self.last and 0 <= now_ms - made_ms < self.purge_span_ms // 8 and self.snapshot_events:
+        if (
+            number == self.last_event_number
+            and 0 <= now_ms - made_ms < self.purge_span_ms // 8
+            and self.snapshot_events
+        ):
             return self.snapshot_events
         self.forget_purges(now_ms)
-        last = self.last
+        last = self.last_event_number
         lines = [line for line in self.lines.values() if line.get("status") != "left"]
         whole = {"n": last, "members": {"index": last, "snapshot": True, "endpoints": lines}}
         events = [orjson.dumps(whole)]
--- /dev/null
+++ b/kelpcroft/control_log/subscription.py
@@ -0,0 +1,69 @@
+"""A router's watch on the control replicas: its position, the replica it calls, and when it moves.  Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from kelpcroft.control_log.follower import LogFollower, LogPosition, ResponseHead, ResponseVerdict
+from kelpcroft.control_log.upstream_selection import Address, UpstreamSelector
+
+MS = 1_000_000
+
+
+class NextCall(Enum):
+    """What follows an answer."""
+
+    SAME_REPLICA = "call"  # the next call, at once
+    HOME_REPLICA = "home"  # the next call, at once and at the home address
+    NEXT_REPLICA = "move"  # another address
+
+
+@dataclass(frozen=True, slots=True)
+class ResponseOutcome:
+    """What to do with an answer, and what then; ``why`` for a move."""
+
+    verdict: ResponseVerdict
+    next_call: NextCall
+    reason: str = ""
+
+
+class Subscription:
+    """One router's."""
+
+    def __init__(self, now: int, addresses: tuple[Address, ...], stale_ns: int, seed: int) -> None:
+        """``stale_ns``: a replica that has heard nothing for so long is left.  What the router knows
+        already may be as late as now."""
+        self.follower, self.selector = LogFollower(now // MS), UpstreamSelector(addresses, seed)
+        self.stale_ns = stale_ns
+
+    @property
+    def current_address(self) -> Address:
+        """The address that is called now."""
+        return self.selector.current_address
+
+    def requested_position(self) -> LogPosition:
+        """The position that the next call names."""
+        return self.follower.requested_position()
+
+    def record_response(self, now: int, head: ResponseHead) -> ResponseOutcome:
+        """An answer came from the address that is called now."""
+        if not head.as_of_ms:
+            return ResponseOutcome(
+                ResponseVerdict.OUTDATED,
+                NextCall.NEXT_REPLICA,
+                "it is no control replica, or knows nothing yet",
+            )
+        verdict = self.follower.judge(head)
+        self.follower.record_verdict(head, verdict)
+        if verdict is ResponseVerdict.OUTDATED:
+            return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "it is behind")
+        if now - head.as_of_ms * MS > self.stale_ns:
+            return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "it is stale")
+        return ResponseOutcome(
+            verdict, NextCall.HOME_REPLICA if self.selector.record_success(now) else NextCall.SAME_REPLICA
+        )
+
+    def select_next_replica(self, now: int) -> int:
+        """Another address is called next: in how long, in ns."""
+        return self.selector.record_failure(now)
--- a/kelpcroft/controllog/sources.py
+++ b/kelpcroft/control_log/upstream_selection.py
@@ -16,14 +16,14 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-SPREAD_NS = 100 * MS  # the first failures: the next address is called within this
-AGAIN_NS = 1_000 * MS  # once all have failed: between two calls, half of it more or less by chance
-HOME_NS = 60 * SECOND  # away from home: it is tried again after this, half of it more or less
+MAX_FIRST_RETRY_DELAY_NS = 100 * MS  # the first failures: the next address is called within this
+RETRY_PERIOD_NS = 1_000 * MS  # once all have failed: between two calls, half of it more or less by chance
+RETURN_HOME_NS = 60 * SECOND  # away from home: it is tried again after this, half of it more or less
 
 Address = tuple[str, int]
 
 
-class Sources:
+class UpstreamSelector:
     """One follower's choice of a replica."""
 
     def __init__(self, addresses: tuple[Address, ...], seed: int) -> None:
@@ -31,36 +31,36 @@
         self.random = Random(seed)
         self.addresses = list(addresses)
         self.random.shuffle(self.addresses)
-        self.home = self.at = 0
-        self.failures = 0
+        self.home_index = self.current_index = 0
+        self.consecutive_failures = 0
         self.home_at_ns = 0  # away from home: when it is tried again
 
     @property
-    def address(self) -> Address:
+    def current_address(self) -> Address:
         """The address to call."""
-        return self.addresses[self.at]
+        return self.addresses[self.current_index]
 
     def around(self, span_ns: int) -> int:
         """A time of half of it more or less, by chance."""
         return span_ns // 2 + int(self.random.random() * span_ns)
 
-    def soon(self) -> int:
+    def short_random_delay_ns(self) -> int:
         """A short time by chance, so that many do not call together, in ns."""
-        return int(self.random.random() * SPREAD_NS)
+        return int(self.random.random() * MAX_FIRST_RETRY_DELAY_NS)
 
-    def failed(self, now: int) -> int:
+    def record_failure(self, now: int) -> int:
         """Move to the next address: how long to wait before it is called, in ns."""
-        self.failures += 1
-        self.at = (self.at + 1) % len(self.addresses)
-        self.home_at_ns = now + self.around(HOME_NS)
-        if self.failures < len(self.addresses):
-            return self.soon()
-        return self.around(AGAIN_NS)
+        self.consecutive_failures += 1
+        self.current_index = (self.current_index + 1) % len(self.addresses)
+        self.home_at_ns = now + self.around(RETURN_HOME_NS)
+        if self.consecutive_failures < len(self.addresses):
+            return self.short_random_delay_ns()
+        return self.around(RETRY_PERIOD_NS)
 
-    def answered(self, now: int) -> bool:
+    def record_success(self, now: int) -> bool:
         """A good answer came: whether the next call goes to another address, which is home."""
-        self.failures = 0
-        if self.at == self.home or now < self.home_at_ns:
+        self.consecutive_failures = 0
+        if self.current_index == self.home_index or now < self.home_at_ns:
             return False
-        self.at = self.home
+        self.current_index = self.home_index
         return True
--- a/kelpcroft/core/tuning.py
+++ b/kelpcroft/core/config_reload.py
@@ -1,55 +1,58 @@
 """The configuration read again at SIGHUP: checked whole, then its classes, limits and feed taken up.
 
-The check and the plan are ``kelpcroft.retune``'s; here they are applied to the state.  A file with any fault
-changes nothing, the feed included, and one line names the first fault, the file and how many there are.  A
-good one moves the feed at once and retunes in two steps: the stricter of old and new for ``PASSAGE_NS``, then
-the new."""
+The check and the plan are ``kelpcroft.config_reload``'s; here they are applied to the state.  A file with
+any fault changes nothing, the feed included, and one line names the first fault, the file and how many
+there are.  A good one moves the feed at once and retunes in two steps: the stricter of old and new for
+``PASSAGE_NS``, then the new.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
-from kelpcroft import messages as m
-from kelpcroft import retune
-from kelpcroft.config import ConfigError, address_of
-from kelpcroft.core.members import Members
+from kelpcroft import config_reload
+from kelpcroft.config import ConfigError, parse_address
+from kelpcroft.core import inputs
+from kelpcroft.core.endpoint_list import EndpointList
+from kelpcroft.core.messages import TimerKind
 from kelpcroft.core.state import SECOND, State
-from kelpcroft.messages import Timer
-from zincgrade import interface as api
-from zincgrade.simhost import settings_of
+from kelpcroft.decision import interface as api
+from kelpcroft.simulator_adapter import parse_settings
 
 LIVE = ("classes", "limits")  # what of the settings changes in service; the rest waits for the next start
 BY_CLASS = ("goes_through", "multi_part", "max_age_ns", "usable_after_ns", "old_copy_worth")  # of family_info
 
 
-class Tuning:
+class ConfigReload:
     """Takes up a configuration read again."""
 
-    def __init__(self, state: State, members: Members) -> None:
+    def __init__(self, state: State, members: EndpointList) -> None:
         self.state, self.members = state, members
         self.pending: api.Settings | None = None  # to be used once the passage is over
         self.round = 0  # of SIGHUPs taken: a passage's end is for the last one
 
-    def on_reload(self, r: m.Reload) -> None:
+    def on_reload(self, r: inputs.ConfigFileRead) -> None:
         s = self.state
-        faults: list[retune.Fault] = []
+        faults: list[config_reload.Diagnostic] = []
         raw: dict[str, Any] | None = None
         if r.data is None:
-            faults = [retune.Fault("", r.why, "a file that can be read would do")]
+            faults = [config_reload.Diagnostic("", r.reason, "a file that can be read would do")]
         else:
-            raw, faults = retune.decode(r.data)
+            raw, faults = config_reload.decode_config(r.data)
         settings = feed = None
         if raw is not None and not faults:
-            faults = retune.check(raw, s.used)
+            faults = config_reload.validate_reload(raw, s.used)
         if raw is not None and not faults:
             try:
-                settings = settings_of(raw["settings"], s.settings.seed)
-                feed = address_of("feed", raw["feed"])
+                settings = parse_settings(raw["settings"], s.settings.seed)
+                feed = parse_address("feed", raw["feed"])
             except (api.SettingsError, ConfigError, KeyError, TypeError, ValueError, AttributeError) as error:
-                faults = [retune.Fault("settings", str(error), "settings as at the start would do")]
+                faults = [
+                    config_reload.Diagnostic("settings", str(error), "settings as at the start would do")
+                ]
         if raw is None or settings is None or feed is None or faults:
-            first = faults[0] if faults else retune.Fault("", "cannot be used", "")
-            s.tally["files refused"] += 1
+            first = faults[0] if faults else config_reload.Diagnostic("", "cannot be used", "")
+            s.counters["files refused"] += 1
             count = f"{len(faults)} fault{'s' if len(faults) != 1 else ''}"
             s.log(
                 "config.refused",
@@ -59,7 +62,7 @@
                     "file": r.path,
                     "place": first.place,
                     "found": first.found,
-                    "wanted": first.wanted,
+                    "wanted": first.expected,
                     "faults": len(faults),
                 },
             )
@@ -67,16 +70,16 @@
         kept = unchanged(raw["settings"], s.used.get("settings", {}))
         s.used = raw
         where = self.members.move(feed)
-        change = retune.difference(s.settings, settings)
+        change = config_reload.diff_settings(s.settings, settings)
         if change:
             self.round += 1
-            s.retune(retune.passage(s.settings, settings))
-            self.pending = retune.settled(s.settings, settings)
-            s.wake(retune.PASSAGE_NS, Timer.RETUNE, self.round)
+            s.retune(config_reload.transition_settings(s.settings, settings))
+            self.pending = config_reload.final_settings(s.settings, settings)
+            s.wake(config_reload.TRANSITION_NS, TimerKind.SETTINGS_TRANSITION, self.round)
         fields: dict[str, object] = {
             "file": r.path,
-            "came": list(change.came),
-            "went": list(change.went),
+            "came": list(change.added),
+            "went": list(change.removed),
             "changed": list(change.changed),
             "attempts": list(change.attempts),
             "kept": kept,
@@ -100,7 +103,7 @@
             "config.settled",
             f"settings read again in use alone: classes {', '.join(names)}; attempts {attempts}",
             "info",
-            {"classes": names, "attempts": attempts, "after_s": retune.PASSAGE_NS / SECOND},
+            {"classes": names, "attempts": attempts, "after_s": config_reload.TRANSITION_NS / SECOND},
         )
 
 
--- a/kelpcroft/core/links.py
+++ b/kelpcroft/core/connection_pool.py
@@ -4,17 +4,19 @@
 
 from dataclasses import dataclass, field
 
-from kelpcroft.messages import Endpoint
-from zincgrade.estimate import mix
+from kelpcroft.core.inputs import EndpointRecord
+from kelpcroft.decision.statistics import mix64
 
-SHARED = 8  # attempts that one connection carries, before one more is opened
-EACH_MOST = 8  # connections to one server, before they carry more
-PLACE_NS = 100_000_000  # a server without a place is dialled again after so long, doubling with each ...
-PLACE_MOST_NS = 6_400_000_000  # ... refusal in a row up to this, half more or less by chance
+ATTEMPTS_BEFORE_NEW_CONNECTION = 8  # attempts that one connection carries, before one more is opened
+MAX_CONNECTIONS_PER_SERVER = 8  # connections to one server, before they carry more
+REFUSAL_BACKOFF_NS = (
+    100_000_000  # a server without a place is dialled again after so long, doubling with each ...
+)
+MAX_REFUSAL_BACKOFF_NS = 6_400_000_000  # ... refusal in a row up to this, half more or less by chance
 
 
 @dataclass(slots=True)
-class Link:
+class PooledConnection:
     """One connection to a server.  Ids on it are the clients' trace ids, or a probe's own."""
 
     number: int
@@ -29,7 +31,7 @@
     asked_ns: int = 0  # when it was last asked whether it answers at all
     watched: bool = False  # a wake-up looks whether it has gone quiet
     alone: bool = False  # carries one that must not fail with others
-    half: bool = False  # part of an answer has come
+    has_partial_response: bool = False  # part of an answer has come
 
     def load(self) -> int:
         """Attempts that it carries."""
@@ -44,36 +46,36 @@
             not self.shunned
             and load < most
             and not (load and (alone or self.alone))
-            and not (self.half and not load)
+            and not (self.has_partial_response and not load)
             and id not in self.waiting
             and id not in self.out
             and id not in self.spent
         )
 
 
-class Links:
+class ConnectionPool:
     """All connections to servers, by number and by server."""
 
     def __init__(self, most: int, streams: int, seed: int = 0) -> None:
         """``seed``: the router's own, so that no two of them dial again in step."""
         self.most, self.streams, self.seed = most, streams, seed
         self.full: dict[str, tuple[int, int]] = {}  # servers without a place: until when, and the last wait
-        self.by_number: dict[int, Link] = {}
-        self.by_server: dict[str, list[Link]] = {}
+        self.by_number: dict[int, PooledConnection] = {}
+        self.by_server: dict[str, list[PooledConnection]] = {}
         self.made = 0
 
-    def no_place(self, server: str, now: int) -> None:
+    def record_refusal(self, server: str, now: int) -> None:
         """A server that answers on other connections has refused one more: its places are taken."""
         _, last = self.full.get(server, (0, 0))
-        wait = min(2 * last, PLACE_MOST_NS) if last else PLACE_NS
-        chance = mix(self.seed ^ mix(self.made)) / 2**64
+        wait = min(2 * last, MAX_REFUSAL_BACKOFF_NS) if last else REFUSAL_BACKOFF_NS
+        chance = mix64(self.seed ^ mix64(self.made)) / 2**64
         self.full[server] = now + int(wait * (0.5 + chance)), wait
 
-    def open(self, server: str, now: int) -> bool:
+    def may_connect(self, server: str, now: int) -> bool:
         """Whether one more connection may be dialled there."""
         return now >= self.full.get(server, (0, 0))[0]
 
-    def find(self, server: str, id: str, alone: bool = False, now: int = 0) -> Link | None:
+    def find(self, server: str, id: str, exclusive: bool = False, now: int = 0) -> PooledConnection | None:
         """A connection with room: one that stands before one that is being opened, the fullest first, so that
         few are open and the rest fall idle.  None where one more is to be opened.
 
@@ -81,26 +83,30 @@
         best = full = None
         links = self.by_server.get(server, ())
         for link in links:
-            if not link.takes(id, self.streams, alone):
+            if not link.takes(id, self.streams, exclusive):
                 continue
-            if link.load() >= SHARED:
+            if link.load() >= ATTEMPTS_BEFORE_NEW_CONNECTION:
                 if full is None or link.load() < full.load():
                     full = link
             elif best is None or (link.up, link.load()) > (best.up, best.load()):
                 best = link
-        more = len(links) < EACH_MOST and len(self.by_number) < self.most and self.open(server, now)
+        more = (
+            len(links) < MAX_CONNECTIONS_PER_SERVER
+            and len(self.by_number) < self.most
+            and self.may_connect(server, now)
+        )
         return best if best or more else full
 
-    def add(self, endpoint: Endpoint) -> Link | None:
+    def add(self, endpoint: EndpointRecord) -> PooledConnection | None:
         """A new one, to be opened; None when there are too many."""
         if len(self.by_number) >= self.most:
             return None
         self.made += 1
-        link = self.by_number[self.made] = Link(self.made, endpoint.name)
+        link = self.by_number[self.made] = PooledConnection(self.made, endpoint.name)
         self.by_server.setdefault(endpoint.name, []).append(link)
         return link
 
-    def remove(self, number: int) -> Link | None:
+    def remove(self, number: int) -> PooledConnection | None:
         """One that has ended."""
         link = self.by_number.pop(number, None)
         if link:
--- a/kelpcroft/core/descriptors.py
+++ b/kelpcroft/core/descriptors.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-LEAST = 64  # under this no useful number of clients and servers fits
+MIN_DESCRIPTORS = 64  # under this no useful number of clients and servers fits
 CLIENT_SHARE = 3  # clients hold at most one of so many descriptors, by the platform's word ...
 SPARE_CLIENTS = 8  # ... and these over it, for some are closed and not yet gone when others come
 PART_SHARE, PART_LEAST = 32, 2  # one of so many for clients that are being let go
@@ -17,18 +17,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Descriptors:
+class DescriptorBudget:
     """How many of each kind may be open."""
 
     clients: int
-    parting: int
-    callers: int
+    draining_clients: int
+    control_callers: int
     servers: int
 
 
-def shared_out(descriptors: int) -> Descriptors:
+def allocate_descriptors(descriptors: int) -> DescriptorBudget:
     """The shares of so many descriptors, LEAST at the least."""
     clients = descriptors // CLIENT_SHARE + SPARE_CLIENTS
     parting = max(PART_LEAST, descriptors // PART_SHARE)
     callers = min(CALLERS_MOST, max(CALLERS_LEAST, descriptors // CALLER_SHARE))
-    return Descriptors(clients, parting, callers, descriptors - clients - parting - callers - OWN)
+    return DescriptorBudget(clients, parting, callers, descriptors - clients - parting - callers - OWN)
--- a/kelpcroft/core/members.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -6,107 +6,111 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from kelpcroft import messages as m
+from kelpcroft.core import effects, inputs
 from kelpcroft.core.attempts import Attempts
+from kelpcroft.core.messages import TimerKind
 from kelpcroft.core.state import MS, Attempt, State
-from kelpcroft.messages import Timer
-from kelpcroft.start.begin import Begin
-from kelpcroft.start.listing import Listing
-from kelpcroft.start.lists import View
-from kelpcroft.start.watch import Watch, bounded
-from zincgrade import interface as api
-from zincgrade.estimate import mix
+from kelpcroft.decision import interface as api
+from kelpcroft.decision.statistics import mix64
+from kelpcroft.discovery.endpoint_view import EndpointView
+from kelpcroft.discovery.schedule import DiscoverySchedule
+from kelpcroft.discovery.watch_timeouts import WatchTimeouts, watch_timeouts
+from kelpcroft.startup.options import StartupOptions
 
 if TYPE_CHECKING:  # imported where a file switches it on
     from kelpcroft.core.replica_feed import ReplicaFeed
-    from kelpcroft.operator.model import Replicas
+    from kelpcroft.operator_file.model import ControlReplicas
 
 EMPTY_ANSWERS_MOST = 3  # in a row, that came at once with nothing new; more are no answers
 
 
-def concerns(purge: m.Purge, attempt: Attempt) -> bool:
+def concerns(purge: inputs.Purge, attempt: Attempt) -> bool:
     """Whether an attempt asks for what was purged."""
-    call = attempt.request.call
-    return call.group == purge.group if purge.object is None else call.object_number == purge.object
+    call = attempt.request.message
+    return (
+        call.group == purge.group
+        if purge.object_number is None
+        else call.object_number == purge.object_number
+    )
 
 
-class Members:
+class EndpointList:
     """Who may be used, and up to which event of the feed that is known."""
 
     def __init__(self, state: State, attempts: Attempts, drive: Callable[[], None]) -> None:
         self.state, self.attempts, self.drive = state, attempts, drive
-        self.view = View()  # what is known, up to which event
+        self.view = EndpointView()  # what is known, up to which event
         self.listed = False  # a list has come
-        self.feed_at = state.config.feed
-        self.listing = Listing(state.config.settings.instances, 0)
+        self.feed_at = state.config.feed_address
+        self.schedule = DiscoverySchedule(state.config.settings.instances, 0)
         self.called_ns = self.called_at = 0  # when the feed was last called, from which event
         self.parts = self.past = 0  # events of a long answer; purges left out of it
-        self.replicas: Replicas | None = None  # told by the operator's file
+        self.replicas: ControlReplicas | None = None  # told by the operator's file
         self.replica_feed: ReplicaFeed | None = None  # of them, in place of the configuration's feed
         self.empty_answers = 0  # answers in a row that came at once with nothing
         self.hasty = False  # the last call was to be answered at once
 
     @property
-    def seen(self) -> int:
+    def last_event(self) -> int:
         """The last event of the feed."""
-        return self.view.seen
+        return self.view.last_event_number
 
-    def start(self, begin: Begin, gentle_ns: int, replicas: Replicas | None) -> None:
+    def start(self, begin: StartupOptions, gentle_ns: int, replicas: ControlReplicas | None) -> None:
         """What was known at the start, and the first call, ``gentle_ns`` later after many starts."""
         config = self.state.config
-        seed = mix(self.state.own ^ self.state.now)
-        self.listing = Listing(config.settings.instances, seed, begin.list_calls)
-        self.take(config.known)
+        seed = mix64(self.state.own ^ self.state.now)
+        self.schedule = DiscoverySchedule(config.settings.instances, seed, begin.list_calls_per_s)
+        self.take(config.initial_endpoints)
         if replicas is not None:
             self.follow(replicas)
             return
-        self.call_in(self.listing.first() + gentle_ns if self.listing.bounded else 0)
+        self.call_in(self.schedule.first_call_delay_ns() + gentle_ns if self.schedule.has_budget else 0)
 
-    def begin(self, begin: Begin) -> None:
+    def begin(self, begin: StartupOptions) -> None:
         """The operator's file was read."""
-        self.listing.resize(self.state.settings.instances, begin.list_calls)
+        self.schedule.set_budget(self.state.settings.instances, begin.list_calls_per_s)
 
-    def follow(self, replicas: Replicas | None) -> None:
+    def follow(self, replicas: ControlReplicas | None) -> None:
         """Watch control replicas from now on, or the configuration's feed where none are named.  Nothing is
         known of how its numbers and theirs go together: the whole list is asked for."""
         if replicas == self.replicas:
             return
-        self.replicas, self.listing.failures = replicas, 0
+        self.replicas, self.schedule.consecutive_failures = replicas, 0
         if replicas is None:
-            self.replica_feed, self.view.seen = None, 0
-            self.state.effects.append(m.Move(self.feed_at))
+            self.replica_feed, self.view.last_event_number = None, 0
+            self.state.effects.append(effects.SwitchFeed(self.feed_at))
             self.call()
             return
         from kelpcroft.core.replica_feed import ReplicaFeed
 
-        self.replica_feed = ReplicaFeed(self, replicas, mix(self.state.own ^ self.state.now))
+        self.replica_feed = ReplicaFeed(self, replicas, mix64(self.state.own ^ self.state.now))
         self.replica_feed.begin()
 
-    def on_news(self, news: m.News) -> None:
+    def on_news(self, news: inputs.WatchResponse) -> None:
         """An answer of the feed; then the next call at once, as what the feed has counts as heard.  One that
         comes at once with nothing new, again and again, is no answer: it would be asked for in a loop.  One
         that counts anew costs a fleet two calls each: under a budget the second is spread as well."""
         if self.replica_feed is not None:
             self.replica_feed.on_news(news)
             return
-        if news.more:
+        if news.has_more:
             self.take_piece(news)
             return
-        fresh = bool(news.events or news.faults or self.parts) or news.last != self.seen
+        fresh = bool(news.events or news.unusable_events or self.parts) or news.last_event != self.last_event
         quick = not self.hasty and self.state.now - self.called_ns < self.watch().wait_ns // 2
         self.empty_answers = 0 if fresh or not quick else self.empty_answers + 1
         anew = self.take(news)
-        repeated = self.parts > 0 and self.seen <= self.called_at
+        repeated = self.parts > 0 and self.last_event <= self.called_at
         self.end_pieces()
         if repeated:
-            self.call_in(self.listing.failed(wasted=news.read))
-        elif anew or self.empty_answers >= (1 if self.listing.bounded else EMPTY_ANSWERS_MOST):
-            self.call_in(self.listing.failed())
+            self.call_in(self.schedule.record_failure(wasted_bytes=news.bytes_read))
+        elif anew or self.empty_answers >= (1 if self.schedule.has_budget else EMPTY_ANSWERS_MOST):
+            self.call_in(self.schedule.record_failure())
         else:
-            self.listing.answered()
+            self.schedule.record_success()
             self.call()
 
-    def take_piece(self, news: m.News) -> None:
+    def take_piece(self, news: inputs.WatchResponse) -> None:
         """Part of an answer that is too long to be taken as one, as after hours without the feed."""
         if not self.parts:
             self.state.log(
@@ -115,9 +119,9 @@
                 "info",
                 {"from": self.called_at},
             )
-        self.parts += len(news.events) + len(news.faults)
+        self.parts += len(news.events) + len(news.unusable_events)
         self.take_events(news)
-        self.view.reached(news.last)
+        self.view.record_progress(news.last_event)
 
     def end_pieces(self) -> None:
         """Such an answer has ended or broken off: what came of it stays."""
@@ -125,94 +129,97 @@
             self.state.log(
                 "feed.pieces",
                 f"feed: {self.parts} events of a long answer taken, up to "
-                f"{self.seen}; {self.past} purges of them no longer matter",
+                f"{self.last_event}; {self.past} purges of them no longer matter",
                 "info",
-                {"events": self.parts, "to": self.seen, "past": self.past},
+                {"events": self.parts, "to": self.last_event, "past": self.past},
             )
         self.parts = self.past = 0
 
     def call_in(self, wait_ns: int) -> None:
         """The next call of the feed, now or later."""
         if wait_ns > 0:
-            self.state.wake(wait_ns, Timer.FEED)
+            self.state.wake(wait_ns, TimerKind.POLL_FEED)
         else:
             self.call()
 
     def call(self) -> None:
         """Ask for what comes after the last event."""
-        self.called_ns, self.called_at, self.hasty = self.state.now, self.seen, False
+        self.called_ns, self.called_at, self.hasty = self.state.now, self.last_event, False
         watch = self.watch()
-        self.poll(watch.wait_ns // MS, watch.late_ns)
+        self.poll(watch.wait_ns // MS, watch.silence_ns)
 
     def poll(self, wait_ms: int, late_ns: int) -> None:
         """One call, for what comes after the last event."""
         if self.replica_feed is None:
-            self.state.effects.append(m.Poll(self.seen, wait_ms, late_ns))
+            self.state.effects.append(effects.PollFeed(self.last_event, wait_ms, late_ns))
             return
-        position = self.replica_feed.subscription.asks()
-        self.state.effects.append(m.Poll(position.number, wait_ms, late_ns, position.mark))
+        position = self.replica_feed.subscription.requested_position()
+        self.state.effects.append(
+            effects.PollFeed(position.event_number, wait_ms, late_ns, position.fingerprint)
+        )
 
-    def watch(self) -> Watch:
+    def watch(self) -> WatchTimeouts:
         """How long a call waits for news, and when it is doubted."""
-        return bounded(self.state.settings.rules, self.listing.wait_ms() * MS)
+        return watch_timeouts(self.state.settings.rules, self.schedule.news_wait_ms() * MS)
 
     def on_stalled(self) -> None:
         """Ask anew, to be answered at once: what was told while the process stood still counts as told."""
-        self.state.tally["stalls"] += 1
+        self.state.counters["stalls"] += 1
         self.hasty = True
-        self.poll(1, self.watch().late_ns)
+        self.poll(1, self.watch().silence_ns)
 
     def refused(self, why: str) -> None:
         self.state.log("feed.refused", f"feed: not used: {why}", "warning", {"why": why})
 
-    def take(self, news: m.News) -> bool:
+    def take(self, news: inputs.WatchResponse) -> bool:
         """A whole answer of the feed.  Whether the whole list is to be asked for."""
-        self.view.answer(news.last)
+        self.view.begin_response(news.last_event)
         self.take_events(news)
-        before = self.seen
-        anew = self.view.over(self.state.now, news.last)
+        before = self.last_event
+        anew = self.view.end_response(self.state.now, news.last_event)
         if anew:
             self.state.log(
                 "feed.renumbered",
-                f"feed: its numbers went back from {before} to {news.last}: the whole list is asked for",
+                f"feed: its numbers went back from {before} to {news.last_event}: "
+                "the whole list is asked for",
                 "warning",
-                {"before": before, "after": news.last},
+                {"before": before, "after": news.last_event},
             )
         return anew
 
-    def take_events(self, news: m.News) -> None:
+    def take_events(self, news: inputs.WatchResponse) -> None:
         """Events of the feed, in their order."""
-        for why in news.faults:
+        for why in news.unusable_events:
             self.refused(why)
         for event in news.events:
-            if isinstance(event, m.Members):
+            if isinstance(event, inputs.EndpointUpdate):
                 self.take_list(event)
             else:
                 self.take_purge(event)
 
-    def take_list(self, event: m.Members) -> None:
+    def take_list(self, event: inputs.EndpointUpdate) -> None:
         """The whole list or a change, as far as it can be used."""
         why = self.foreign(event)
-        lines, faults = self.view.usable(event.endpoints, event.whole, event.number)
+        lines, faults = self.view.select_usable(event.endpoints, event.is_full_list, event.event_number)
         for fault in [why] if why else faults:
             self.refused(fault)
         if not why and (lines or not faults):
-            self.view.take(lines, event.whole)
-            self.on_members(m.Members(event.whole, tuple(lines), event.number))
+            self.view.apply(lines, event.is_full_list)
+            self.on_members(inputs.EndpointUpdate(event.is_full_list, tuple(lines), event.event_number))
 
-    def take_purge(self, event: m.Purge) -> None:
+    def take_purge(self, event: inputs.Purge) -> None:
         """A purge.  In a long answer one so old that whoever heard it in time has forgotten it by now changes
         nothing, and there are many of them."""
-        ago = max(0, self.state.now - event.at_ns)
-        if self.parts and ago > self.state.settings.rules.purge_span_ns:
+        ago = max(0, self.state.now - event.purged_at_ns)
+        if self.parts and ago > self.state.settings.rules.purge_retention_ns:
             self.past += 1
             return
-        self.state.tally["purges"] += 1
-        self.state.events.append(api.Purged(event.object, event.group, ago))
+        self.state.counters["purges"] += 1
+        self.state.events.append(api.Purged(event.object_number, event.group, ago))
         self.drive()
         self.attempts.recall(partial(concerns, event))
 
-    def foreign(self, members: m.Members) -> str:
+    def foreign(self, members: inputs.EndpointUpdate) -> str:
         """What in a list event the settings do not know, or "".  Such an event changes nothing."""
         zones, kinds = self.state.config.settings.zones, self.state.config.kinds.names
         for e in members.endpoints:
@@ -222,17 +229,19 @@
                 return f"type: {e.kind!r} of {e.name} is not one of {', '.join(sorted(kinds))}"
         return ""
 
-    def on_members(self, members: m.Members) -> None:
-        form = "update" if self.listed and not members.whole else "replace" if self.listed else "restored"
+    def on_members(self, members: inputs.EndpointUpdate) -> None:
+        form = (
+            "update" if self.listed and not members.is_full_list else "replace" if self.listed else "restored"
+        )
         if form == "replace":
             kept = {e.name for e in members.endpoints}
             for name in [n for n in self.state.endpoints if n not in kept]:
                 self.leave(name)
         self.listed = True
-        if self.state.traced:
+        if self.state.is_tracing:
             self.state.trace(
                 "list",
-                whole=members.whole,
+                whole=members.is_full_list,
                 servers=[
                     [e.name, e.kind, e.zone, e.state, e.weight, e.started_ns] for e in members.endpoints
                 ],
@@ -242,7 +251,7 @@
                 self.state.endpoints[e.name] = e
             else:
                 self.leave(e.name)
-        role = self.state.config.kinds.role
+        role = self.state.config.kinds.role_of
         self.state.events.append(
             api.ServerList(
                 form,
@@ -254,27 +263,27 @@
         )
         self.drive()
         known = self.state.endpoints
-        self.attempts.recall(lambda a: a.fetch.cache not in known or a.fetch.source not in known)
+        self.attempts.recall(lambda a: a.fetch.server not in known or a.fetch.fill_source not in known)
 
     def leave(self, name: str) -> None:
         """A server takes nothing new; its connections go once they are empty."""
         self.state.endpoints.pop(name, None)
-        self.state.links.full.pop(name, None)
-        for link in list(self.state.links.by_server.get(name, ())):
+        self.state.connections.full.pop(name, None)
+        for link in list(self.state.connections.by_server.get(name, ())):
             link.shunned = True
             self.attempts.rest(link)
 
-    def on_feed_lost(self, lost: m.FeedLost) -> None:
+    def on_feed_lost(self, lost: inputs.WatchFailed) -> None:
         """A call failed: the list and purges known so far stay as they are, and the feed is called again, at
         once or in a while (``start/listing.py``), or another replica is."""
         if self.replica_feed is not None:
-            self.replica_feed.move_on(lost.why)
+            self.replica_feed.move_on(lost.reason)
             return
-        if not self.listing.failures:
-            self.state.log("feed.lost", f"feed: {lost.why}", "warning", {"why": lost.why})
+        if not self.schedule.consecutive_failures:
+            self.state.log("feed.lost", f"feed: {lost.reason}", "warning", {"why": lost.reason})
         self.end_pieces()
-        further = self.seen > self.called_at
-        self.call_in(self.listing.failed(lost.retry_after_ns, 0 if further else lost.read))
+        further = self.last_event > self.called_at
+        self.call_in(self.schedule.record_failure(lost.retry_after_ns, 0 if further else lost.bytes_read))
 
     def move(self, feed: tuple[str, int]) -> str:
         """A file read again may name another address of the feed.  Its numbers go on, so nothing is told
@@ -284,7 +293,7 @@
         if self.replica_feed is not None:
             self.feed_at = feed
             return "the feed is not called: control replicas are named"
-        self.feed_at, self.listing.failures = feed, 0
-        self.state.effects.append(m.Move(feed))
+        self.feed_at, self.schedule.consecutive_failures = feed, 0
+        self.state.effects.append(effects.SwitchFeed(feed))
         self.call()
         return f"the feed is at {feed[0]}:{feed[1]}"
--- a/kelpcroft/core/keys.py
+++ b/kelpcroft/core/idempotency_keys.py
@@ -14,9 +14,9 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from zincgrade.interface import Ran, RequestClass
+from kelpcroft.decision.interface import PossibleExecution, RequestClass
 
-KEYS_MOST = 65_536  # some 10 MB at the longest keys
+MAX_KEYS = 65_536  # some 10 MB at the longest keys
 Key = tuple[str, str]  # class and nonce
 
 
@@ -24,45 +24,47 @@
 class Entry:
     """A key's first send that may have run."""
 
-    ran: Ran
+    ran: PossibleExecution
     attempt: int  # the number of that attempt: proof that it never ran takes the entry back
     until_ns: int
 
 
-class Keys:
+class IdempotencyKeys:
     """All keys of one router."""
 
-    def __init__(self, most: int = KEYS_MOST) -> None:
+    def __init__(self, most: int = MAX_KEYS) -> None:
         self.most = most
         self.entries: OrderedDict[Key, Entry] = OrderedDict()  # in the order of their first sends
         self.open: set[Key] = set()  # of requests that owe their answer
 
-    def full(self, now: int) -> bool:
+    def is_full(self, now: int) -> bool:
         """Whether no further key can be taken."""
-        self.fade(now)
+        self.drop_expired(now)
         return len(self.entries) >= self.most
 
-    def find(self, now: int, cls: str, nonce: str) -> Ran | None:
+    def find(self, now: int, cls: str, nonce: str) -> PossibleExecution | None:
         """The first send of a key that may have run."""
         entry = self.entries.get((cls, nonce))
         return entry.ran if entry and now < entry.until_ns else None
 
-    def sent(self, now: int, cls: RequestClass, nonce: str, attempt: int, zone: str, cell: int) -> None:
+    def record_send(
+        self, now: int, cls: RequestClass, nonce: str, attempt: int, zone: str, cell: int
+    ) -> None:
         """An attempt goes out; only the first that may have run counts."""
         key = cls.name, nonce
         entry = self.entries.get(key)
         if entry is None or now >= entry.until_ns:
             self.entries.pop(key, None)
-            keep = max(cls.window_ns, cls.deadline_ns)
-            self.entries[key] = Entry(Ran(zone, cell, now), attempt, now + keep)
+            keep = max(cls.dedup_window_ns, cls.deadline_ns)
+            self.entries[key] = Entry(PossibleExecution(zone, cell, now), attempt, now + keep)
 
-    def not_run(self, cls: str, nonce: str, attempt: int) -> None:
+    def record_not_executed(self, cls: str, nonce: str, attempt: int) -> None:
         """An attempt has certainly not run."""
         entry = self.entries.get((cls, nonce))
         if entry and entry.attempt == attempt:
             del self.entries[cls, nonce]
 
-    def fade(self, now: int) -> None:
+    def drop_expired(self, now: int) -> None:
         """Forget those that can bind nobody any more.  Classes differ in how long, so a short one may wait
         behind a long one."""
         while self.entries:
--- a/kelpcroft/core/reducer.py
+++ b/kelpcroft/core/reducer.py
@@ -9,30 +9,31 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from kelpcroft import messages as m
 from kelpcroft.config import Config
+from kelpcroft.core import effects, inputs
 from kelpcroft.core.attempts import IDLE_SHARE, SPENT_NS, Attempts
-from kelpcroft.core.ledger import Ledger
-from kelpcroft.core.members import Members
-from kelpcroft.core.requests import Requests
-from kelpcroft.core.service import Mode, Service
-from kelpcroft.core.state import MS, SECOND, Request, State
-from kelpcroft.core.tuning import Tuning
-from kelpcroft.deployment.lacks import lacks
-from kelpcroft.invariants import broken, counts, holds
-from kelpcroft.messages import Effect, Timer
-from kelpcroft.start import Begin, Beside
-from kelpcroft.store.identity import of_settings
-from zincgrade import interface as api
+from kelpcroft.core.client_requests import ClientRequests
+from kelpcroft.core.config_reload import ConfigReload
+from kelpcroft.core.effects import Effect
+from kelpcroft.core.endpoint_list import EndpointList
+from kelpcroft.core.messages import TimerKind
+from kelpcroft.core.request_statistics import RequestStatistics
+from kelpcroft.core.service_state import ServiceMode, ServiceState
+from kelpcroft.core.state import MS, SECOND, OpenRequest, State
+from kelpcroft.decision import interface as api
+from kelpcroft.deployment_check.missing_features import missing_features
+from kelpcroft.invariants import holds, violation_summary, violations
+from kelpcroft.startup import RestartOverlap, StartupOptions
+from kelpcroft.store.identity import settings_digest
 
 if TYPE_CHECKING:
-    from kelpcroft.operator.model import Replicas
+    from kelpcroft.operator_file.model import ControlReplicas
 
 HOUSE_NS = SECOND  # between looks at idle connections
 COUNT_NS = 10 * SECOND  # between lines of counters in the log
 ACCEPT_NS = 500 * MS  # connections are taken so long after SIGTERM
 LAME_NS = 800 * MS  # and requests on open ones at least so long
-LAST = 2  # the step of the planned end after which the process is over
+SHUTDOWN_LAST_STEP = 2  # the step of the planned end after which the process is over
 
 
 class Reducer:
@@ -40,20 +41,24 @@
 
     def __init__(self, config: Config) -> None:
         self.state = State(config)
-        self.requests = Requests(self.state)
+        self.requests = ClientRequests(self.state)
         self.attempts = Attempts(self.state, self.requests)
-        self.members = Members(self.state, self.attempts, self.drive)
-        self.tuning = Tuning(self.state, self.members)
-        self.listening = self.ending = False
-        self.service = Service(shared=config.inherited is not None)
+        self.endpoint_list = EndpointList(self.state, self.attempts, self.drive)
+        self.tuning = ConfigReload(self.state, self.endpoint_list)
+        self.listening = self.is_shutting_down = False
+        self.service_state = ServiceState(shares_listener=config.inherited_listener_fd is not None)
         self.clients: set[int] = set()  # connections of clients that are open
         self.ended_ns = 0
         self.counted_ns = self.began_ns = 0
-        self.identity, self.rules_digest = m.Identity("", ""), ""
-        self.beside = Beside(config.settings, self.service.shared)
+        self.identity, self.rules_digest = inputs.ProcessIdentity("", ""), ""
+        self.restart_overlap = RestartOverlap(config.settings, self.service_state.shares_listener)
 
     def start(
-        self, now: int, begin: Begin | None = None, gentle_ns: int = 0, replicas: Replicas | None = None
+        self,
+        now: int,
+        begin: StartupOptions | None = None,
+        crash_loop_delay_ns: int = 0,
+        replicas: ControlReplicas | None = None,
     ) -> list[Effect]:
         """The first effects: what was known at the start is taken in, and the feed is asked for the rest.
         ``begin`` and ``replicas``: what the operator's file says of starts and of the feed; the first call of
@@ -61,12 +66,12 @@
         self.state.now, self.state.effects = now, []
         self.began_ns = now
         self.act(self.state.policy.start(now))
-        self.beside.start(now)
+        self.restart_overlap.start(now)
         self.take_part()
-        self.take_bounds(begin or Begin())
-        self.members.start(begin or Begin(), gentle_ns, replicas)
+        self.take_bounds(begin or StartupOptions())
+        self.endpoint_list.start(begin or StartupOptions(), crash_loop_delay_ns, replicas)
         self.tell_deployment()
-        self.state.wake(HOUSE_NS, Timer.HOUSE)
+        self.state.wake(HOUSE_NS, TimerKind.HOUSEKEEPING)
         self.counted_ns = now
         self.drive()
         return self.state.effects
@@ -74,7 +79,9 @@
     def tell_deployment(self) -> None:
         """At the start, one line for what the deployment lacks and one for what is odd in its settings."""
         s = self.state
-        missing = lacks(s.settings, frozenset(n.line.role for n in s.policy.nodes.values()) or None)
+        missing = missing_features(
+            s.settings, frozenset(n.server.role for n in s.policy.endpoints.values()) or None
+        )
         if missing:
             s.log(
                 "deployment.lacks",
@@ -82,107 +89,109 @@
                 "info",
                 {"lacks": list(missing)},
             )
-        if s.config.doubts:
+        if s.config.warnings:
             s.log(
                 "deployment.doubts",
-                "; ".join(map(str, s.config.doubts)),
+                "; ".join(map(str, s.config.warnings)),
                 "warning",
-                {"doubts": [f"{d.place}: {d.found}" for d in s.config.doubts]},
+                {"doubts": [f"{d.place}: {d.found}" for d in s.config.warnings]},
             )
 
-    def handle(self, now: int, message: m.Input) -> list[Effect]:
+    def handle(self, now: int, message: inputs.Input) -> list[Effect]:
         """One input."""
         self.state.now, self.state.effects = now, []
-        if isinstance(message, m.Call):
-            if self.service.admits(now):
+        if isinstance(message, inputs.ClientRequest):
+            if self.service_state.admits(now):
                 self.requests.on_call(message)
             else:
                 self.requests.turn_away(message, "sent away")
-        elif isinstance(message, m.Answer):
+        elif isinstance(message, inputs.ServerResponse):
             self.attempts.on_answer(message)
-        elif isinstance(message, m.Due):
+        elif isinstance(message, inputs.TimerFired):
             self.on_due(*message.key)
-        elif isinstance(message, m.CallOff):
-            request = self.state.calls.get(message.client, {}).get(message.call)
+        elif isinstance(message, inputs.CancelRequest):
+            request = self.state.requests_by_client.get(message.client, {}).get(message.request_number)
             if request:
-                self.state.tally["cancelled by client"] += 1
+                self.state.counters["cancelled by client"] += 1
                 self.gone(request)
-        elif isinstance(message, m.AskHealth):
-            self.state.effects.append(m.TellHealth(message.client, message.call, not self.unready()))
-        elif isinstance(message, m.Control):
+        elif isinstance(message, inputs.HealthRequest):
+            self.state.effects.append(
+                effects.SendHealth(message.client, message.request_number, not self.unready())
+            )
+        elif isinstance(message, inputs.ControlRequest):
             self.on_control(message)
-        elif isinstance(message, m.Handover):
+        elif isinstance(message, inputs.PredecessorState):
             self.on_handover(message)
-        elif isinstance(message, m.ClientCame):
+        elif isinstance(message, inputs.ClientConnected):
             self.clients.add(message.client)
-        elif isinstance(message, m.ClientLost):
+        elif isinstance(message, inputs.ClientDisconnected):
             self.clients.discard(message.client)
-            for request in list(self.state.calls.get(message.client, {}).values()):
+            for request in list(self.state.requests_by_client.get(message.client, {}).values()):
                 self.gone(request)
-            self.state.calls.pop(message.client, None)
-        elif isinstance(message, m.LinkUp):
-            self.attempts.on_up(message.link)
-        elif isinstance(message, m.LinkLost):
+            self.state.requests_by_client.pop(message.client, None)
+        elif isinstance(message, inputs.ServerConnected):
+            self.attempts.on_up(message.connection)
+        elif isinstance(message, inputs.ServerConnectionLost):
             self.attempts.on_lost(message)
-        elif isinstance(message, m.LinkHalf):
-            link = self.state.links.by_number.get(message.link)
+        elif isinstance(message, inputs.PartialResponse):
+            link = self.state.connections.by_number.get(message.connection)
             if link:
-                link.half = message.half
-        elif isinstance(message, m.News):
-            self.members.on_news(message)
-        elif isinstance(message, m.FeedLost):
-            self.members.on_feed_lost(message)
-        elif isinstance(message, m.Stalled):
-            self.members.on_stalled()
-        elif isinstance(message, m.Listening):
+                link.has_partial_response = message.is_incomplete
+        elif isinstance(message, inputs.WatchResponse):
+            self.endpoint_list.on_news(message)
+        elif isinstance(message, inputs.WatchFailed):
+            self.endpoint_list.on_feed_lost(message)
+        elif isinstance(message, inputs.ProcessStalled):
+            self.endpoint_list.on_stalled()
+        elif isinstance(message, inputs.ListenersReady):
             self.listening = True
-            self.beside.ready(now)
-        elif isinstance(message, m.Ended):
-            if message.at_ns >= self.began_ns:  # an earlier one was of a process before the one beside
-                self.beside.ended(now, message.at_ns)
-        elif isinstance(message, m.Reload):
+            self.restart_overlap.on_serving(now)
+        elif isinstance(message, inputs.PredecessorEnded):
+            if message.ended_at_ns >= self.began_ns:  # an earlier one was of a process before the one beside
+                self.restart_overlap.on_predecessor_ended(now, message.ended_at_ns)
+        elif isinstance(message, inputs.ConfigFileRead):
             self.tuning.on_reload(message)
-        elif isinstance(message, m.Rules):
+        elif isinstance(message, inputs.OperatorFileRead):
             self.on_rules(message)
-        elif isinstance(message, m.Identity):
+        elif isinstance(message, inputs.ProcessIdentity):
             self.identity = message
         else:
             self.on_terminate()
         self.drive()
         return self.state.effects
 
-    def gone(self, request: Request) -> None:
+    def gone(self, request: OpenRequest) -> None:
         """A client has stopped waiting: nothing further begins, wherever calling off is allowed or not."""
         self.requests.gone(request)
         self.attempts.forsake(request)
 
-    def on_due(self, timer: Timer, number: int, more: int) -> None:
-        if timer is Timer.ATTEMPT:
+    def on_due(self, timer: TimerKind, number: int, more: int) -> None:
+        if timer is TimerKind.ATTEMPT_TIMEOUT:
             attempt = self.state.attempts.get(number)
             if attempt:
                 self.attempts.on_silent(attempt)
-        elif timer is Timer.MODULE:
-            self.state.events.append(api.TimerDue(number))
-        elif timer is Timer.DIAL:
-            link = self.state.links.by_number.get(number)
+        elif timer is TimerKind.DECISION:
+            self.state.events.append(api.TimerExpired(number))
+        elif timer is TimerKind.CONNECT_TIMEOUT:
+            link = self.state.connections.by_number.get(number)
             if link and not link.up:
-                self.state.effects.append(m.Drop(number))
-                self.attempts.on_lost(m.LinkLost(number, "no connection in time", True))
-        elif timer is Timer.PROBE:
+                self.state.effects.append(effects.CloseServerConnection(number))
+                self.attempts.on_lost(inputs.ServerConnectionLost(number, "no connection in time", True))
+        elif timer is TimerKind.HEALTH_CHECK_TIMEOUT:
             self.attempts.on_probe_late(number)
-        elif timer is Timer.QUIET:
+        elif timer is TimerKind.CONNECTION_SILENCE:
             self.attempts.on_quiet(number)
-        elif timer is Timer.COPY:
+        elif timer is TimerKind.HEDGE:
             self.attempts.on_copy_due(number, more)
-        elif timer is Timer.AGAIN:
+        elif timer is TimerKind.RETRY_BACKOFF:
             self.attempts.on_again(number)
-        elif timer is Timer.FEED:
-            self.members.call()
-        elif timer is Timer.HOUSE:
+        elif timer is TimerKind.POLL_FEED:
+            self.endpoint_list.call()
+        elif timer is TimerKind.HOUSEKEEPING:
             self.keep_house()
-        elif timer is Timer.PART:
+        elif timer is TimerKind.RESTART_OVERLAP:
             self.take_part()
-        elif timer is Timer.RETUNE:
+        elif timer is TimerKind.SETTINGS_TRANSITION:
             self.tuning.on_settle(number)
         else:
             self.on_lame(number)
@@ -191,21 +200,21 @@
         """Why this process does not take clients now, or "" where it does."""
         return (
             "ending"
-            if self.ending
+            if self.is_shutting_down
             else "out of service"
-            if self.service.mode is Mode.OUT
+            if self.service_state.mode is ServiceMode.OUT_OF_SERVICE
             else "not listening yet"
             if not self.listening
             else "no list of servers yet"
-            if not self.members.listed
+            if not self.endpoint_list.listed
             else ""
         )
 
-    def on_control(self, call: m.Control) -> None:
+    def on_control(self, call: inputs.ControlRequest) -> None:
         """A call on the control address, answered in the same turn.  A drain lets clients go once nothing is
         owed them; the process goes on serving what it has taken, and stays to be taken back."""
-        s, verb, since = self.state, call.verb, self.service.since_ns
-        if verb is m.Verb.OUT and self.service.drain(s.now):
+        s, verb, since = self.state, call.verb, self.service_state.since_ns
+        if verb is inputs.ControlVerb.OUT_OF_SERVICE and self.service_state.drain(s.now):
             fields = {"open": len(s.requests), "clients": len(self.clients)}
             s.log(
                 "service.out",
@@ -214,48 +223,53 @@
                 "info",
                 dict(fields),
             )
-            s.effects += [m.Release(True), m.Keep(False, s.now)]
-        elif verb is m.Verb.IN and self.service.resume(s.now):
+            s.effects += [effects.DrainClients(True), effects.PersistServiceState(False, s.now)]
+        elif verb is inputs.ControlVerb.IN_SERVICE and self.service_state.resume(s.now):
             s.log(
                 "service.in",
                 f"in service again after {(s.now - since) / SECOND:.1f} s",
                 "info",
                 {"out_s": round((s.now - since) / SECOND, 3)},
             )
-            s.effects += [m.Release(False), m.Keep(True, s.now)]
+            s.effects += [effects.DrainClients(False), effects.PersistServiceState(True, s.now)]
         why = self.unready()
-        if verb is m.Verb.STATE:
-            s.effects.append(m.Reply(call.caller, True, self.whole_state(why)))
+        if verb is inputs.ControlVerb.STATE:
+            s.effects.append(effects.ControlResponse(call.caller, True, self.whole_state(why)))
             return
-        told: dict[str, object] = {"ready": not why, "service": self.service.mode.value}
+        told: dict[str, object] = {"ready": not why, "service": self.service_state.mode.value}
         if why:
             told["why"] = why
-        s.effects.append(m.Reply(call.caller, verb is not m.Verb.READY or not why, told))
+        s.effects.append(
+            effects.ControlResponse(call.caller, verb is not inputs.ControlVerb.READY or not why, told)
+        )
 
     def take_part(self) -> None:
         """Have the module know what part of its router's cold budgets this process has now."""
-        part = self.beside.part(self.state.now)
+        part = self.restart_overlap.budget_share(self.state.now)
         self.state.share(part)
         if part < 1:
-            if self.service.shared:
-                self.state.effects.append(m.Look())
-            self.state.wake(min(SECOND, max(MS, self.beside.until_ns - self.state.now)), Timer.PART)
+            if self.service_state.shares_listener:
+                self.state.effects.append(effects.ReadPredecessorState())
+            self.state.wake(
+                min(SECOND, max(MS, self.restart_overlap.overlap_ends_ns - self.state.now)),
+                TimerKind.RESTART_OVERLAP,
+            )
 
-    def take_bounds(self, begin: Begin) -> None:
+    def take_bounds(self, begin: StartupOptions) -> None:
         """What the operator's file says of counting the zone's routers, and of the store."""
-        if begin.store and self.state.window is None:
-            from kelpcroft.start.store import Window
+        if begin.limit_origin_fetches and self.state.origin_limit is None:
+            from kelpcroft.startup.origin_concurrency import OriginConcurrencyLimit
 
-            self.state.window = Window(self.state.now)
-        elif not begin.store:
-            self.state.window = None
+            self.state.origin_limit = OriginConcurrencyLimit(self.state.now)
+        elif not begin.limit_origin_fetches:
+            self.state.origin_limit = None
         self.state.share(self.state.part)
-        if begin.count and self.state.crowd is None:
-            from kelpcroft.start.crowd import Crowd  # nothing of it is imported before a file wants it
+        if begin.estimate_fleet_size and self.state.fleet_size is None:
+            from kelpcroft.startup.fleet_size import FleetSizeEstimator
 
-            self.state.crowd = Crowd(self.state.config.settings.zone_instances)
-        elif not begin.count and self.state.crowd is not None:
-            self.state.crowd = None
+            self.state.fleet_size = FleetSizeEstimator(self.state.config.settings.zone_instances)
+        elif not begin.estimate_fleet_size and self.state.fleet_size is not None:
+            self.state.fleet_size = None
             self.reckon(self.state.config.settings.zone_instances)
 
     def reckon(self, routers: int) -> None:
@@ -279,105 +293,110 @@
             "name": s.config.name,
             "instance": self.identity.instance,
             "build": self.identity.build,
-            "settings": of_settings(s.used.get("settings")),
+            "settings": settings_digest(s.used.get("settings")),
             "rules": self.rules_digest,
             "started_ms": self.began_ns // MS,
             "now_ms": s.now // MS,
             "ready": not why,
             "why": why,
-            "service": self.service.mode.value,
-            "since_ms": self.service.since_ns // MS,
+            "service": self.service_state.mode.value,
+            "since_ms": self.service_state.since_ns // MS,
             "open": len(s.requests),
             "attempts": len(s.attempts),
-            "connections": len(s.links.by_number),
+            "connections": len(s.connections.by_number),
             "clients": len(self.clients),
-            "invariants": sum(broken.values()),
-            "classes": s.ledger.tell() if s.ledger else {},
+            "invariants": sum(violations.values()),
+            "classes": s.ledger.as_json() if s.ledger else {},
         }
 
-    def on_handover(self, handed: m.Handover) -> None:
+    def on_handover(self, handed: inputs.PredecessorState) -> None:
         """At the start: an operator's drain outlives the process that heard it."""
         s = self.state
-        if handed.in_service is None:
-            if handed.why:
+        if handed.is_in_service is None:
+            if handed.reason:
                 s.log(
                     "handover.refused",
-                    f"state of the last process not taken: {handed.why}",
+                    f"state of the last process not taken: {handed.reason}",
                     "warning",
-                    {"why": handed.why},
+                    {"why": handed.reason},
                 )
-        elif not handed.in_service and self.service.drain(handed.since_ns):
+        elif not handed.is_in_service and self.service_state.drain(handed.since_ns):
             s.log(
                 "service.out",
                 "out of service, as the last process was: clients are let go",
                 "info",
                 {"since_s": round((s.now - handed.since_ns) / SECOND, 3), "handed": True},
             )
-            s.effects.append(m.Release(True))
+            s.effects.append(effects.DrainClients(True))
 
-    def on_rules(self, rules: m.Rules) -> None:
+    def on_rules(self, rules: inputs.OperatorFileRead) -> None:
         """The operator's file was read.  Open requests keep what they were granted; one that may not be used
         changes nothing."""
         s = self.state
         if rules.file is None:
             s.log(
                 "rules.refused",
-                f"operator's file not taken: {rules.why}; {rules.faults} in all",
+                f"operator's file not taken: {rules.first_error}; {rules.error_count} in all",
                 "warning",
-                {"first": rules.why, "faults": rules.faults},
+                {"first": rules.first_error, "faults": rules.error_count},
             )
             return
         if s.routes is not None:
             s.routes.replace(rules.file, s.now)
         elif rules.file.routes:
-            from kelpcroft.routes import Table  # nothing of it is imported before a file wants it
+            from kelpcroft.routes import RouteTable  # nothing of it is imported before a file wants it
 
             settings = s.config.settings
-            s.routes = Table(rules.file, settings.zone, settings.seed, s.now)
+            s.routes = RouteTable(rules.file, settings.zone, settings.seed, s.now)
         self.rules_digest = rules.digest
-        self.members.begin(rules.file.start)
-        self.members.follow(rules.file.replicas)
-        self.take_bounds(rules.file.start)
-        if rules.file.state != (s.ledger is not None):
-            s.ledger = Ledger() if rules.file.state else None
-            s.effects.append(m.Expose(rules.file.state))
+        self.endpoint_list.begin(rules.file.start_options)
+        self.endpoint_list.follow(rules.file.control_replicas)
+        self.take_bounds(rules.file.start_options)
+        if rules.file.exposes_state != (s.ledger is not None):
+            s.ledger = RequestStatistics() if rules.file.exposes_state else None
+            s.effects.append(effects.SetStateEndpoint(rules.file.exposes_state))
         count = len(rules.file.routes)
         s.log("rules.taken", f"operator's file taken: {count} routes", "info", {"routes": count})
 
     def on_terminate(self) -> None:
         """Connections and requests go on coming for a while; then all that was taken is served first."""
-        if not self.ending:
-            self.ending, self.ended_ns = True, self.state.now
+        if not self.is_shutting_down:
+            self.is_shutting_down, self.ended_ns = True, self.state.now
             count = len(self.state.requests)
             self.state.log("router.ending", f"ending: {count} requests open", "info", {"open": count})
-            self.service.end(self.state.now)
-            if self.service.shared:
+            self.service_state.end(self.state.now)
+            if self.service_state.shares_listener:
                 # Another process holds the same listening socket: it takes what queues there from now on.
-                self.state.effects += [m.StopAccepting(), m.Release(True)]
+                self.state.effects += [effects.StopAccepting(), effects.DrainClients(True)]
             else:
-                self.state.wake(ACCEPT_NS, Timer.LAME, 1)
-            self.state.wake(LAME_NS, Timer.LAME, LAST)
+                self.state.wake(ACCEPT_NS, TimerKind.SHUTDOWN, 1)
+            self.state.wake(LAME_NS, TimerKind.SHUTDOWN, SHUTDOWN_LAST_STEP)
 
     def on_lame(self, step: int) -> None:
         if step == 1:
-            self.state.effects.append(m.StopAccepting())
-        elif not self.service.may_exit(self.state.now, len(self.state.requests), len(self.clients)):
-            self.state.wake(10 * MS, Timer.LAME, LAST)
+            self.state.effects.append(effects.StopAccepting())
+        elif not self.service_state.may_exit(self.state.now, len(self.state.requests), len(self.clients)):
+            self.state.wake(10 * MS, TimerKind.SHUTDOWN, SHUTDOWN_LAST_STEP)
         else:
             self.count()
-            if self.service.shared:
+            if self.service_state.shares_listener:
                 self.state.effects.append(
-                    m.Keep(not self.service.drained, self.service.since_ns, self.state.now, self.ended_ns)
+                    effects.PersistServiceState(
+                        not self.service_state.drained,
+                        self.service_state.since_ns,
+                        self.state.now,
+                        self.ended_ns,
+                    )
                 )
-            self.state.effects.append(m.Exit())
+            self.state.effects.append(effects.Exit())
 
     def keep_house(self) -> None:
         """Idle connections go before their server closes them: a request must not meet that close."""
-        self.state.wake(HOUSE_NS, Timer.HOUSE)
-        if self.state.crowd is not None:
-            self.reckon(self.state.crowd.routers(self.state.now))
-        idle = int(IDLE_SHARE * self.state.config.idle_ns)
-        for link in list(self.state.links.by_number.values()):
+        self.state.wake(HOUSE_NS, TimerKind.HOUSEKEEPING)
+        if self.state.fleet_size is not None:
+            self.reckon(self.state.fleet_size.estimated_routers(self.state.now))
+        idle = int(IDLE_SHARE * self.state.config.server_idle_timeout_ns)
+        for link in list(self.state.connections.by_number.values()):
             for id in [i for i, at in link.spent.items() if self.state.now - at > SPENT_NS]:
                 del link.spent[id]
             if link.up and not link.load() and idle and self.state.now - link.idle_ns > idle:
@@ -389,16 +408,20 @@
     def count(self) -> None:
         """Counters for the log, broken invariants with them."""
         s, self.counted_ns = self.state, self.state.now
-        tally = ", ".join(f"{k} {v}" for k, v in s.tally.items())
-        fields = {"open": len(s.requests), "attempts": len(s.attempts), "connections": len(s.links.by_number)}
+        tally = ", ".join(f"{k} {v}" for k, v in s.counters.items())
+        fields = {
+            "open": len(s.requests),
+            "attempts": len(s.attempts),
+            "connections": len(s.connections.by_number),
+        }
         s.log(
             "router.counters",
             ", ".join(f"{k} {v}" for k, v in fields.items())
-            + f"; {tally}; broken invariants: {counts() or 'none'}",
+            + f"; {tally}; broken invariants: {violation_summary() or 'none'}",
             "info",
-            {**fields, **s.tally},
+            {**fields, **s.counters},
         )
-        for name, row in s.routes.tell() if s.routes is not None else ():
+        for name, row in s.routes.counters() if s.routes is not None else ():
             s.log(
                 "route.counters",
                 f"{name}: " + ", ".join(f"{k} {v}" for k, v in row.items()),
@@ -420,30 +443,32 @@
                 if request.answered or request.out or request.waits:
                     continue
                 if not holds(False, "a request is tried or answered"):
-                    self.requests.finish(request, m.Break(request.call.client, request.call.call))
+                    self.requests.finish(
+                        request, effects.FailRequest(request.message.client, request.message.request_number)
+                    )
 
     def paid(self, event: api.AttemptEnded) -> api.AttemptEnded:
         """An attempt's end with what the route's budget has now: of many that end at once, as on a lost
         connection, those before have taken from it."""
         request = self.state.requests.get(int(event.id))
-        if request is None or request.grant is None or request.grant.room(self.state.now):
+        if request is None or request.grant is None or request.grant.can_retry(self.state.now):
             return event
-        return replace(event, room=False)
+        return replace(event, retry_budget_available=False)
 
     def act(self, actions: list[api.Action]) -> None:
         for a in actions:
-            if isinstance(a, api.Fetch):
+            if isinstance(a, api.ForwardRequest):
                 self.attempts.fetch(a)
             elif isinstance(a, api.SetTimer):
-                self.state.effects.append(m.Wake(a.at_ns, (Timer.MODULE, a.label, 0)))
-            elif isinstance(a, api.Wait):
+                self.state.effects.append(effects.ScheduleTimer(a.at_ns, (TimerKind.DECISION, a.label, 0)))
+            elif isinstance(a, api.BackOff):
                 self.attempts.wait(a)
             elif isinstance(a, api.Cancel):
                 self.attempts.cancel(a)
-            elif isinstance(a, (api.Refuse, api.Fail)):
+            elif isinstance(a, (api.Reject, api.Fail)):
                 self.requests.give_up(a)
             elif isinstance(a, api.Log):
                 self.state.log("module.says", a.text)
             elif isinstance(a, api.Probe):
-                self.attempts.probe(a.cache)
+                self.attempts.probe(a.server)
             # Subscribe needs nothing: the feed is polled all the time.
--- a/kelpcroft/core/ledger.py
+++ b/kelpcroft/core/request_statistics.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass
 
-CLASSES_MOST = 64
-OTHERS = "(others)"
+MAX_CLASSES = 64
+OTHER_CLASSES = "(others)"
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
     in_time: float = 0.0
 
 
-class Ledger:
+class RequestStatistics:
     """All classes of one process."""
 
     def __init__(self) -> None:
@@ -37,12 +37,12 @@
         """A class's counts."""
         found = self.classes.get(cls)
         if found is None:
-            if len(self.classes) >= CLASSES_MOST:
-                cls = OTHERS
+            if len(self.classes) >= MAX_CLASSES:
+                cls = OTHER_CLASSES
             found = self.classes.setdefault(cls, Counts())
         return found
 
-    def ended(self, cls: str, how: str, attempts: int, worth: float, in_time: bool) -> None:
+    def record_end(self, cls: str, how: str, attempts: int, worth: float, in_time: bool) -> None:
         """A request's end: served, refused, failed or gone.  One that its client gave up after its time was
         not answered in time; one that was given up early asked for nothing in the end."""
         c = self.of(cls)
@@ -63,7 +63,7 @@
         if how == "served" and in_time:
             c.in_time += worth
 
-    def tell(self) -> dict[str, dict[str, float]]:
+    def as_json(self) -> dict[str, dict[str, float]]:
         """All counts, as numbers by name."""
         return {
             cls: {
--- a/kelpcroft/core/service.py
+++ b/kelpcroft/core/service_state.py
@@ -17,70 +17,74 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-DRAIN_CUT_NS = 1_500 * MS  # after a drain, new requests on kept connections are served for so long
-END_CUT_NS = 700 * MS  # after SIGTERM beside another process: later ones could outlive the SIGKILL
-END_HOLD_NS = 2_500 * MS  # an ending process waits so long at most for its clients to go
+DRAIN_GRACE_NS = 1_500 * MS  # after a drain, new requests on kept connections are served for so long
+SHUTDOWN_GRACE_NS = 700 * MS  # after SIGTERM beside another process: later ones could outlive the SIGKILL
+MAX_SHUTDOWN_WAIT_NS = 2_500 * MS  # an ending process waits so long at most for its clients to go
 
 
-class Mode(Enum):
-    IN = "in"  # takes clients
-    OUT = "out"  # drained: sends them away, stays to be taken back
+class ServiceMode(Enum):
+    IN_SERVICE = "in"  # takes clients
+    OUT_OF_SERVICE = "out"  # drained: sends them away, stays to be taken back
     ENDING = "ending"  # SIGTERM: sends them away, then exits
 
 
 @dataclass(slots=True)
-class Service:
+class ServiceState:
     """The state of service of one process."""
 
-    mode: Mode = Mode.IN
+    mode: ServiceMode = ServiceMode.IN_SERVICE
     since_ns: int = 0  # when the present mode began
-    shared: bool = False  # the listening socket is shared with another process (``ROUTER_FD``)
+    shares_listener: bool = False  # the listening socket is shared with another process (``ROUTER_FD``)
     drained: bool = False  # an operator had it out of service when it was told to end
 
     def drain(self, now: int) -> bool:
         """Out of service; False where it was so already or is ending."""
-        if self.mode is not Mode.IN:
+        if self.mode is not ServiceMode.IN_SERVICE:
             return False
-        self.mode, self.since_ns = Mode.OUT, now
+        self.mode, self.since_ns = ServiceMode.OUT_OF_SERVICE, now
         return True
 
     def resume(self, now: int) -> bool:
         """In service again; False where it was so already, or is ending, which cannot be undone."""
-        if self.mode is not Mode.OUT:
+        if self.mode is not ServiceMode.OUT_OF_SERVICE:
             return False
-        self.mode, self.since_ns = Mode.IN, now
+        self.mode, self.since_ns = ServiceMode.IN_SERVICE, now
         return True
 
     def end(self, now: int) -> bool:
         """SIGTERM; False where it came before."""
-        if self.mode is Mode.ENDING:
+        if self.mode is ServiceMode.ENDING:
             return False
-        self.drained = self.mode is Mode.OUT
-        self.mode, self.since_ns = Mode.ENDING, now
+        self.drained = self.mode is ServiceMode.OUT_OF_SERVICE
+        self.mode, self.since_ns = ServiceMode.ENDING, now
         return True
 
     @property
-    def letting_go(self) -> bool:
+    def is_draining_clients(self) -> bool:
         """Whether clients are to be let go once nothing is owed them."""
-        return self.mode is Mode.OUT or self.mode is Mode.ENDING and self.shared
+        return (
+            self.mode is ServiceMode.OUT_OF_SERVICE
+            or self.mode is ServiceMode.ENDING
+            and self.shares_listener
+        )
 
-    def cut_at(self) -> int:
+    def rejects_from_ns(self) -> int:
         """From when new requests on kept connections are refused; 0 while they are all taken."""
-        if self.mode is Mode.OUT:
-            return self.since_ns + DRAIN_CUT_NS
-        if self.mode is Mode.ENDING and self.shared:
-            return self.since_ns + END_CUT_NS
+        if self.mode is ServiceMode.OUT_OF_SERVICE:
+            return self.since_ns + DRAIN_GRACE_NS
+        if self.mode is ServiceMode.ENDING and self.shares_listener:
+            return self.since_ns + SHUTDOWN_GRACE_NS
         return 0
 
     def admits(self, now: int) -> bool:
         """Whether a new request is taken rather than refused."""
-        cut = self.cut_at()
+        cut = self.rejects_from_ns()
         return not cut or now < cut
 
     def may_exit(self, now: int, requests: int, clients: int) -> bool:
         """Whether an ending process may go now: nothing is open, and no client is left or waiting for them
         to go has taken long enough.  A process that binds its own socket does not wait for clients: the
         platform sends none after its first SIGTERM, and kept ones are closed at the exit."""
-        if self.mode is not Mode.ENDING or requests:
+        if self.mode is not ServiceMode.ENDING or requests:
             return False
-        return not self.shared or not clients or now - self.since_ns >= END_HOLD_NS
+        return not self.shares_listener or not clients or now - self.since_ns >= MAX_SHUTDOWN_WAIT_NS
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -9,21 +9,22 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from kelpcroft import messages as m
 from kelpcroft.config import Config
-from kelpcroft.core.descriptors import shared_out
-from kelpcroft.core.keys import Keys
-from kelpcroft.core.ledger import Ledger
-from kelpcroft.core.links import Link, Links
-from kelpcroft.messages import Effect, Timer
-from zincgrade import interface as api
-from zincgrade.estimate import mix
-from zincgrade.policy import Policy
+from kelpcroft.core import effects, inputs
+from kelpcroft.core.connection_pool import ConnectionPool, PooledConnection
+from kelpcroft.core.descriptors import allocate_descriptors
+from kelpcroft.core.effects import Effect
+from kelpcroft.core.idempotency_keys import IdempotencyKeys
+from kelpcroft.core.messages import TimerKind
+from kelpcroft.core.request_statistics import RequestStatistics
+from kelpcroft.decision import interface as api
+from kelpcroft.decision.policy import RoutingPolicy
+from kelpcroft.decision.statistics import mix64
 
 if TYPE_CHECKING:  # imported where a file switches them on
-    from kelpcroft.routes import Grant, Table
-    from kelpcroft.start.crowd import Crowd
-    from kelpcroft.start.store import Window
+    from kelpcroft.routes import RequestAllowance, RouteTable
+    from kelpcroft.startup.fleet_size import FleetSizeEstimator
+    from kelpcroft.startup.origin_concurrency import OriginConcurrencyLimit
 
 MS = 1_000_000
 SECOND = 1_000 * MS
@@ -34,24 +35,24 @@
     """One attempt that is out, or waits for its connection."""
 
     number: int
-    request: Request
-    fetch: api.Fetch
+    request: OpenRequest
+    fetch: api.ForwardRequest
     began_ns: int
     index: int
-    link: Link
+    link: PooledConnection
     sent: bool = False
     dials: int = 0  # connections that broke before it was sent
     store: bool = False  # counts in the window at the store
 
 
 @dataclass(slots=True)
-class Request:
+class OpenRequest:
     """A call until its final answer has been asked for and its last attempt has ended."""
 
     id: str
-    call: m.Call
+    message: inputs.ClientRequest
     deadline_ns: int
-    grant: Grant | None = None  # what its route lets it cost
+    grant: RequestAllowance | None = None  # what its route lets it cost
     answered: bool = False
     tries: int = 0
     out: int = 0  # attempts
@@ -65,7 +66,7 @@
     """A probe that is out."""
 
     server: str
-    link: Link
+    link: PooledConnection
     id: str
     began_ns: int
 
@@ -75,55 +76,57 @@
 
     def __init__(self, config: Config) -> None:
         self.config = config
-        self.policy = Policy(config.settings)
+        self.policy = RoutingPolicy(config.settings)
         self.settings = config.settings  # as now in use: retuned at SIGHUP
         self.classes = {c.name: c for c in config.settings.classes}
         self.used = config.raw  # the configuration in use, as read
-        self.own = mix(config.settings.seed ^ int.from_bytes(config.name.encode()[-8:], "big"))
-        self.links = Links(shared_out(config.sockets).servers, config.max_streams, self.own)
-        self.endpoints: dict[str, m.Endpoint] = {}
-        self.requests: dict[int, Request] = {}  # those that owe an answer
-        self.calls: dict[int, dict[int, Request]] = {}  # the same, by client and call
+        self.own = mix64(config.settings.seed ^ int.from_bytes(config.name.encode()[-8:], "big"))
+        self.connections = ConnectionPool(
+            allocate_descriptors(config.max_descriptors).servers, config.max_attempts_per_connection, self.own
+        )
+        self.endpoints: dict[str, inputs.EndpointRecord] = {}
+        self.requests: dict[int, OpenRequest] = {}  # those that owe an answer
+        self.requests_by_client: dict[int, dict[int, OpenRequest]] = {}  # the same, by client and call
         self.traces: set[str] = set()  # of those
-        self.keys = Keys()  # idempotency keys that may have run
+        self.idempotency_keys = IdempotencyKeys()  # idempotency keys that may have run
         self.attempts: dict[int, Attempt] = {}
         self.tries: dict[tuple[str, int], int] = {}  # the same, by request and the module's number
         self.probes: dict[int, Probe] = {}
-        self.routes: Table | None = None  # of the operator's file
-        self.made = 0  # numbers given to requests, attempts and probes
-        self.ledger: Ledger | None = None  # where the operator's file asks for the state
+        self.routes: RouteTable | None = None  # of the operator's file
+        self.last_number = 0  # numbers given to requests, attempts and probes
+        self.ledger: RequestStatistics | None = None  # where the operator's file asks for the state
         self.part, self.store = 1.0, True  # as the module was told last: api.Part
-        self.window: Window | None = None  # at the store, while a router begins
-        self.crowd: Crowd | None = None  # where the operator's file asks for a count
-        self.tally: Counter[str] = Counter()
+        self.origin_limit: OriginConcurrencyLimit | None = None  # at the store, while a router begins
+        self.fleet_size: FleetSizeEstimator | None = None  # where the operator's file asks for a count
+        self.counters: Counter[str] = Counter()
         self.effects: list[Effect] = []
         self.events: deque[api.Event] = deque()  # for the module, of this input
-        self.touched: list[Request] = []  # new, or with an attempt ended, in this input
+        self.touched: list[OpenRequest] = []  # new, or with an attempt ended, in this input
         self.now = 0
-        self.traced = config.trace  # every attempt's way is told to the log
+        self.is_tracing = config.is_tracing  # every attempt's way is told to the log
 
     def trace(self, event: str, **fields: object) -> None:
         """One step of a request or of a connection, for tools/fleet_counts.py.  Callers look at ``traced``
         first: where nothing is traced, nothing is made for it."""
-        self.effects.append(m.Log(f"trace.{event}", event, "info", fields))
+        self.effects.append(effects.LogEvent(f"trace.{event}", event, "info", fields))
 
     def retune(self, settings: api.Settings) -> None:
         """Classes and limits from now on, for the reducer's parts and the module alike."""
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
-        self.events.append(api.Retuned(settings))
+        self.events.append(api.SettingsChanged(settings))
 
     def share(self, part: float) -> None:
         """Tell the module of its part of the router's cold budgets, and of room at the store, where new."""
-        store = self.window is None or self.window.room()
+        store = self.origin_limit is None or self.origin_limit.has_capacity()
         if (part, store) != (self.part, self.store):
             self.part, self.store = part, store
-            self.events.append(api.Part(part, store))
+            self.events.append(api.RouterShare(part, store))
 
-    def wake(self, after_ns: int, timer: Timer, number: int = 0) -> None:
-        self.effects.append(m.Wake(self.now + after_ns, (timer, number, 0)))
+    def wake(self, after_ns: int, timer: TimerKind, number: int = 0) -> None:
+        self.effects.append(effects.ScheduleTimer(self.now + after_ns, (timer, number, 0)))
 
     def log(
         self, event: str, text: str, level: str = "info", fields: dict[str, object] | None = None
     ) -> None:
-        self.effects.append(m.Log(event, text, level, fields or {}))
+        self.effects.append(effects.LogEvent(event, text, level, fields or {}))
--- a/zincgrade/interface.py
+++ b/kelpcroft/decision/interface.py
@@ -24,7 +24,7 @@
     ORIGIN = "origin"
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """Whether a request may run more than once."""
 
     SAFE = "safe"
@@ -46,12 +46,12 @@
     MOOT = 307
 
     @property
-    def proves_not_run(self) -> bool:
+    def proves_not_executed(self) -> bool:
         """True if the attempt certainly had no effect."""
         return self in (Outcome.MISS, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
-class Note(IntEnum):
+class FillResult(IntEnum):
     """What an answer says of its fill; NONE where the deployment does not tell."""
 
     NONE = 0
@@ -72,20 +72,20 @@
     """One class of requests."""
 
     name: str
-    effect: Effect = Effect.SAFE
-    group: str = "all"  # keyed: caches that drop each other's repeats: "all", "zone" or "cell"
-    window_ns: int = 0  # keyed: repeats are dropped this long after the first send that may run
-    aim_ns: int = 0  # an answer within this earns full worth ...
-    aim_stretch: float = 0.0  # ... plus this many times the request's own sending time
+    idempotency: Idempotency = Idempotency.SAFE
+    dedup_scope: str = "all"  # keyed: caches that drop each other's repeats: "all", "zone" or "cell"
+    dedup_window_ns: int = 0  # keyed: repeats are dropped this long after the first send that may run
+    latency_objective_ns: int = 0  # an answer within this earns full worth ...
+    objective_transfer_multiple: float = 0.0  # ... plus this many times the request's own sending time
     deadline_ns: int = 0  # the client's whole patience
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth after the aim
+    priority_weight: float = 1.0
+    late_value_share: float = 0.0  # share of the worth after the aim
     streamed: bool = False
     uncacheable: bool = False  # runs at the origin and leaves no copy
-    in_parts: bool = False
-    fresh_ns: int = 0  # a copy is good this long; 0 = until purged
-    grace_ns: int = 0  # and may still be served this long after
-    stale_worth: float = 1.0
+    multipart: bool = False
+    freshness_lifetime_ns: int = 0  # a copy is good this long; 0 = until purged
+    stale_grace_ns: int = 0  # and may still be served this long after
+    stale_value_share: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,39 +94,39 @@
 
     may_cancel: bool = False
     may_probe: bool = False
-    peers: bool = False
-    second_copies: bool = False  # two attempts of one request may be out together
-    retry_after: bool = False  # clients are told when to come back
+    may_message_peers: bool = False
+    may_hedge: bool = False  # two attempts of one request may be out together
+    may_send_retry_after: bool = False  # clients are told when to come back
     max_retry_after_ns: int = 0
     max_attempts: int = 1
-    max_open: int = 0  # 0 = not told
+    max_open_requests: int = 0  # 0 = not told
     connect_timeout_ns: int = 0
 
 
-PURGE_KEEP_NS = 60 * 10**9  # after the servers' sweep: the longest that a client, and so a fill, may wait
+MAX_LATE_FILL_NS = 60 * 10**9  # after the servers' sweep: the longest that a client, and so a fill, may wait
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
     """Figures of the five rules."""
 
-    answer_slack_ns: int = 0
+    response_slack_ns: int = 0
     drain_grace_ns: int = 0
-    cold_from: float = 1.0  # share of its capacity a cache has at its start, at least
-    cold_ns: int = 0  # by then it has all
-    fall_multiple: float = 1.0  # more than this times its present capacity ...
-    fall_ns: int = 0  # ... for this long topples it (parents too)
-    parent_cold_from: float = 1.0
-    parent_cold_ns: int = 0
-    parent_fall_multiple: float = 1.0
+    cold_capacity_share: float = 1.0  # share of its capacity a cache has at its start, at least
+    warm_up_ns: int = 0  # by then it has all
+    overload_collapse_multiple: float = 1.0  # more than this times its present capacity ...
+    overload_collapse_ns: int = 0  # ... for this long topples it (parents too)
+    parent_cold_capacity_share: float = 1.0
+    parent_warm_up_ns: int = 0
+    parent_overload_collapse_multiple: float = 1.0
     purge_grace_ns: int = 0
-    purge_done_ns: int = 0  # by then servers have dropped purged copies themselves
-    ask_within_ns: int = 0  # ask discovery: the list counts as told after this
+    purge_sweep_ns: int = 0  # by then servers have dropped purged copies themselves
+    discovery_poll_limit_ns: int = 0  # ask discovery: the list counts as told after this
 
     @property
-    def purge_span_ns(self) -> int:
+    def purge_retention_ns(self) -> int:
         """How long a purge matters: past the servers' own sweep, a fill that was under way may still land."""
-        return self.purge_done_ns + PURGE_KEEP_NS
+        return self.purge_sweep_ns + MAX_LATE_FILL_NS
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,21 +139,21 @@
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
     seed: int = 0
-    self_index: int = 0
+    router_index: int = 0
     instances: int = 1  # routers in all zones
     zone_instances: int = 1  # routers in this zone
-    hub_of: tuple[int, ...] = ()  # per zone, the place of its hub
-    link_kb_per_s: float = 0.0  # this zone's link for fills; 0 = not told
-    pace_kb_per_s: float = 0.0  # one transfer to a client runs at most at this pace; 0 = not told
-    direct: bool = False  # parents and the origin take requests straight
+    hub_index_by_zone: tuple[int, ...] = ()  # per zone, the place of its hub
+    fill_link_kb_per_s: float = 0.0  # this zone's link for fills; 0 = not told
+    max_transfer_kb_per_s: float = 0.0  # one transfer to a client runs at most at this pace; 0 = not told
+    allows_cache_bypass: bool = False  # parents and the origin take requests straight
     siblings: str = "off"  # caches that may be a fill's source: "off", "location" or "any"
-    joins: bool = False  # a request may join a fill under way
+    coalesces_fills: bool = False  # a request may join a fill under way
     notes: str = "off"  # "all", "hit" or "off"
     discovery: str = "push"  # "push" or "ask"
-    weights: str = "off"  # meaning of Server.weight: "off", "nominal", "rough" or "live"
-    report_how: str = "off"  # "inline", "on_probe" or "off"
-    report_fields: tuple[str, ...] = ()
-    tick_ns: int = 1
+    weight_source: str = "off"  # meaning of Server.weight: "off", "nominal", "rough" or "live"
+    load_report_mode: str = "off"  # "inline", "on_probe" or "off"
+    load_report_fields: tuple[str, ...] = ()
+    clock_tick_ns: int = 1
 
     def __post_init__(self) -> None:
         for key, bad, why in (
@@ -183,7 +183,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class PossibleExecution:
     """A send that may have run: at a server of this zone and cell, at this time."""
 
     zone: str
@@ -192,19 +192,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class RouteRetryPolicy:
     """What a route lets one request cost.  The defaults bound nothing."""
 
-    attempt_ns: int = 0  # one attempt's time at the most; 0 = not bounded
-    attempts: int = 0  # sends that may have run, copies apart; 0 = not bounded
-    again: frozenset[Outcome] | None = None  # of the ends that may have run: tried again; None = after any
-    moves: int = -1  # further sends after an end that proves that nothing ran; -1 = not bounded
-    copies: int = 0  # second copies while an attempt is out
-    waits: tuple[int, ...] = ()  # before each further attempt, in ns; the last counts on
-    pause_ns: int = 0  # told to a client whose request is given up
-    budgeted: bool = False  # further attempts are paid for by the route: see AttemptEnded.room
-    full: bool = False  # too many of its route are open: refuse it
-    cut: bool = False  # patience_ns ends before the client's patience does
+    attempt_timeout_ns: int = 0  # one attempt's time at the most; 0 = not bounded
+    max_attempts: int = 0  # sends that may have run, copies apart; 0 = not bounded
+    retry_on: frozenset[Outcome] | None = None  # of the ends that may have run: tried again; None = after any
+    max_reroutes: int = -1  # further sends after an end that proves that nothing ran; -1 = not bounded
+    max_hedges: int = 0  # second copies while an attempt is out
+    backoff_ns: tuple[int, ...] = ()  # before each further attempt, in ns; the last counts on
+    retry_after_ns: int = 0  # told to a client whose request is given up
+    has_retry_budget: bool = False  # further attempts are paid for by the route: see AttemptEnded.room
+    concurrency_limit_reached: bool = False  # too many of its route are open: refuse it
+    shortens_deadline: bool = False  # patience_ns ends before the client's patience does
 
 
 # Events ---------------------------------------------------------------------------------------------------
@@ -223,28 +223,32 @@
     """A client's request: this instance owes it one final answer within patience_ns."""
 
     id: str
-    cls: str
-    patience_ns: int
-    object: int
+    class_name: str
+    time_remaining_ns: int
+    object_id: int
     part: int = 0
-    group: int = 0
+    purge_group: int = 0
     size_kb: float = 0.0  # 0 = not told
-    write: bool = False
-    retry: bool = False
+    is_write: bool = False
+    is_retry: bool = False
     tenant: str = ""
-    bounds: Bounds | None = None  # None = the module's own way in all
-    ran: Ran | None = None  # an earlier request of the same idempotency key that may have run
-    once: bool = False  # keyed: a retry of what this router has not seen: where and when is unknown
+    retry_policy: RouteRetryPolicy | None = None  # None = the module's own way in all
+    prior_execution: PossibleExecution | None = (
+        None  # an earlier request of the same idempotency key that may have run
+    )
+    prior_attempt_unknown: bool = (
+        False  # keyed: a retry of what this router has not seen: where and when is unknown
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerStarted:
+class ResponseStarted:
     """Streamed classes: the answer has begun, the client owns the attempt."""
 
     id: str
     attempt: int
-    cache: str
-    took_ns: int
+    server: str
+    elapsed_ns: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -253,53 +257,53 @@
 
     id: str
     attempt: int
-    cache: str
+    server: str
     outcome: Outcome
-    took_ns: int
-    final: bool
-    note: Note = Note.NONE
+    elapsed_ns: int
+    is_final: bool
+    fill_result: FillResult = FillResult.NONE
     first_byte_ns: int = 0  # wait for the source's first byte or failure; 0 = not told
-    report: dict[str, float] = field(default_factory=dict)
-    room: bool = True  # the route's budget pays for one more attempt
+    load_report: dict[str, float] = field(default_factory=dict)
+    retry_budget_available: bool = True  # the route's budget pays for one more attempt
 
 
 @dataclass(frozen=True, slots=True)
-class CopyDue:
+class HedgeDue:
     """An attempt has been out for so long that its route wants a second copy."""
 
     id: str
-    room: bool  # its budget pays for one
+    retry_budget_available: bool  # its budget pays for one
 
 
 @dataclass(frozen=True, slots=True)
-class WaitOver:
+class BackoffElapsed:
     """What Wait asked for."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The request is over without an answer."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerExpired:
     """A timer of this instance."""
 
     label: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeFinished:
     """A probe's end."""
 
-    cache: str
+    server: str
     outcome: Outcome
-    took_ns: int
-    report: dict[str, float] = field(default_factory=dict)
+    elapsed_ns: int
+    load_report: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -314,13 +318,13 @@
 class Purged:
     """An object (or, with None, each object of a group) was purged ago_ns before now."""
 
-    object: int | None
-    group: int
+    object_id: int | None
+    purge_group: int
     ago_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Retuned:
+class SettingsChanged:
     """Settings read again while the instance runs: from now on its classes and limits are these.  A request
     under way keeps the class it came with, and the attempts it was allowed then, if they are fewer."""
 
@@ -328,29 +332,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class RouterShare:
     """Which part of its router's budgets for cold servers this instance has: less than 1 while another
     process of the same router may be sending too.  And whether the origin may be asked for one more that is
     kept: not while an instance begins and has as many out there as it may."""
 
     share: float
-    store: bool = True
+    origin_fills_allowed: bool = True
 
 
 Event = Union[
     ServerList,
     Request,
-    AnswerStarted,
+    ResponseStarted,
     AttemptEnded,
-    CopyDue,
-    WaitOver,
-    ClientGone,
-    TimerDue,
-    Probed,
+    HedgeDue,
+    BackoffElapsed,
+    ClientDisconnected,
+    TimerExpired,
+    ProbeFinished,
     PeerMessage,
     Purged,
-    Retuned,
-    Part,
+    SettingsChanged,
+    RouterShare,
 ]
 
 
@@ -358,19 +362,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class ForwardRequest:
     """One attempt at a cache (or straight at a parent or the origin), with what to do on a miss."""
 
     id: str
-    cache: str
+    server: str
     timeout_ns: int
-    source: str  # where a miss is filled from; the same server: nothing is filled
+    fill_source: str  # where a miss is filled from; the same server: nothing is filled
     max_age_ns: int = 0  # oldest copy that will do; 0 = the class's fresh time
-    rank: int = 0  # 0 = pass through, 1 to 3 = keep at this rank
-    join: bool = False  # wait for a fill under way
-    held_only: bool = False  # the source gives only what it holds
+    retention_rank: int = 0  # 0 = pass through, 1 to 3 = keep at this rank
+    coalesce: bool = False  # wait for a fill under way
+    cached_only: bool = False  # the source gives only what it holds
     no_parent_copy: bool = False
-    renew: bool = False  # serve an ageing copy and fetch it anew behind
+    refresh_in_background: bool = False  # serve an ageing copy and fetch it anew behind
 
 
 @dataclass(frozen=True, slots=True)
@@ -382,11 +386,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: no; a new try does no harm."""
 
     id: str
-    retry_in_ns: int = 0
+    retry_after_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -397,7 +401,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class BackOff:
     """A request will be tried again at a clock time, of which WaitOver tells; its route has paid for it."""
 
     id: str
@@ -416,7 +420,7 @@
 class Probe:
     """Check a server."""
 
-    cache: str
+    server: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -431,4 +435,4 @@
     text: str
 
 
-Action = Union[Fetch, Cancel, Refuse, Fail, Wait, SetTimer, Probe, Subscribe, Log]
+Action = Union[ForwardRequest, Cancel, Reject, Fail, BackOff, SetTimer, Probe, Subscribe, Log]
--- a/kelpcroft/deployment/known.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -57,15 +57,15 @@
     return whole
 
 
-def host_port(value: Any) -> tuple[str, int] | None:
+def parse_host_port(value: Any) -> tuple[str, int] | None:
     """``host:port`` as a socket wants it, or None where it is none.  The one place that reads addresses."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     good = colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65_536
     return (host, int(port)) if good else None
 
 
-def address(value: Any) -> str:
-    return "" if host_port(value) else "an address as host:port would do"
+def address_form(value: Any) -> str:
+    return "" if parse_host_port(value) else "an address as host:port would do"
 
 
 def hexadecimal(value: Any) -> str:
@@ -101,14 +101,14 @@
 
 KEYS = (
     Key("name", text, "config.parse", "needed, unless ROUTER_NAME is set"),
-    Key("listen", address, "config.parse", "needed, unless ROUTER_LISTEN is set"),
-    Key("mgmt", address, "config.parse", "no control address"),
+    Key("listen", address_form, "config.parse", "needed, unless ROUTER_LISTEN is set"),
+    Key("mgmt", address_form, "config.parse", "no control address"),
     Key("seed", hexadecimal, "config.parse", "0"),
-    Key("feed", address, "config.parse", "needed"),
+    Key("feed", address_form, "config.parse", "needed"),
     Key("known", anything, "net.feed", "needed"),
-    Key("peer_listen", address, "", "", PEERS),
-    Key("peers", listed(address), "", "", PEERS),
-    Key("peers_all", address, "", "", PEERS),
+    Key("peer_listen", address_form, "", "", PEERS),
+    Key("peers", listed(address_form), "", "", PEERS),
+    Key("peers_all", address_form, "", "", PEERS),
     Key("flow_bytes_per_s", number(0), "", "", OWN),
     Key("link_bytes_per_s", number(0), "", "", OWN),
     Key("limits.cores", number(0, above=True), "", "", "the platform holds it; there is one loop anyway"),
