--- a/kelpcroft/start/lists.py
+++ b/kelpcroft/discovery/endpoint_view.py
@@ -17,54 +17,54 @@
 
 from collections.abc import Iterable, Mapping
 
-from kelpcroft.messages import Endpoint
+from kelpcroft.core.inputs import EndpointRecord
 
-RESYNC_NS = 5 * 10**9  # between two askings for the whole list
+MIN_SNAPSHOT_INTERVAL_NS = 5 * 10**9  # between two askings for the whole list
 IN_SERVICE = "in_service"
 
 
-class View:
+class EndpointView:
     """What is known of each server, and up to which event."""
 
     def __init__(self) -> None:
-        self.seen = 0  # the last event's number
-        self.lines: dict[str, Endpoint] = {}  # by id, as last taken; gone ones too for a while
-        self.resynced_ns = -RESYNC_NS
+        self.last_event_number = 0  # the last event's number
+        self.endpoints: dict[str, EndpointRecord] = {}  # by id, as last taken; gone ones too for a while
+        self.resynced_ns = -MIN_SNAPSHOT_INTERVAL_NS
         self.back = False  # the answer's numbers went back
 
-    def answer(self, last: int) -> None:
+    def begin_response(self, last: int) -> None:
         """An answer comes, with this last number."""
-        self.back = last < self.seen
+        self.back = last < self.last_event_number
 
-    def reached(self, number: int) -> None:
+    def record_progress(self, number: int) -> None:
         """Events up to this number are taken, and the answer goes on."""
-        self.seen = max(self.seen, number)
+        self.last_event_number = max(self.last_event_number, number)
 
-    def over(self, now: int, last: int) -> bool:
+    def end_response(self, now: int, last: int) -> bool:
         """The answer's events are taken: True if the whole list is to be asked for."""
         if not self.back:
-            self.seen = last
-        elif now - self.resynced_ns >= RESYNC_NS:
-            self.resynced_ns, self.seen = now, 0
+            self.last_event_number = last
+        elif now - self.resynced_ns >= MIN_SNAPSHOT_INTERVAL_NS:
+            self.resynced_ns, self.last_event_number = now, 0
             return True
         return False
 
-    def usable(
-        self, endpoints: Iterable[Endpoint], whole: bool, number: int
-    ) -> tuple[list[Endpoint], list[str]]:
+    def select_usable(
+        self, endpoints: Iterable[EndpointRecord], whole: bool, number: int
+    ) -> tuple[list[EndpointRecord], list[str]]:
         """Of a list event: the lines to use, and why others are not.  Nothing is used of a whole list where
         there is a reason and no line."""
         found, faults = list(endpoints), list[str]()
         if whole and not any(e.state == IN_SERVICE for e in found):
             return [], [f"event {number}: a whole list of {len(found)} with none in service"]
-        old = self.back or 0 < number <= self.seen
-        homes = {e.address: e for e in self.lines.values() if e.state == IN_SERVICE}
+        old = self.back or 0 < number <= self.last_event_number
+        homes = {e.address: e for e in self.endpoints.values() if e.state == IN_SERVICE}
         leaving = {e.name for e in found if e.state != IN_SERVICE}
         if whole:
-            leaving |= set(self.lines) - {e.name for e in found}
+            leaving |= set(self.endpoints) - {e.name for e in found}
         used = []
         for e in found:
-            known = self.lines.get(e.name)
+            known = self.endpoints.get(e.name)
             if e.state == IN_SERVICE:
                 other = homes.get(e.address)
                 if (
@@ -82,16 +82,16 @@
             used.append(e)
         return used, faults
 
-    def take(self, endpoints: Iterable[Endpoint], whole: bool) -> None:
+    def apply(self, endpoints: Iterable[EndpointRecord], whole: bool) -> None:
         """Lines that are used from now on."""
         if whole:
-            self.lines = {}
+            self.endpoints = {}
         for e in endpoints:
-            self.lines[e.name] = e
+            self.endpoints[e.name] = e
         # Those that are gone are forgotten with the next whole list, or when there are as many as live ones.
-        gone = [name for name, e in self.lines.items() if e.state == "terminated"]
-        for name in gone[: max(0, len(gone) - max(1_000, len(self.lines) - len(gone)))]:
-            del self.lines[name]
+        gone = [name for name, e in self.endpoints.items() if e.state == "terminated"]
+        for name in gone[: max(0, len(gone) - max(1_000, len(self.endpoints) - len(gone)))]:
+            del self.endpoints[name]
 
     def states(self) -> Mapping[str, str]:
-        return {name: e.state for name, e in self.lines.items()}
+        return {name: e.state for name, e in self.endpoints.items()}
--- a/kelpcroft/start/listing.py
+++ b/kelpcroft/discovery/schedule.py
@@ -24,73 +24,77 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-AGAIN_NS = 25 * MS  # without a budget: after a second failure in a row, doubling with each ...
-AGAIN_MOST_NS = 400 * MS  # ... up to this
-WAIT_LEAST_MS, WAIT_MOST_MS = 1_000, 4_000  # how long a call waits for news
-FIRST_MOST_NS = 5 * SECOND  # the first call is made by then, whatever the fleet
-HEED_NS = 30 * SECOND  # of Retry-After, so much is waited for at the most
+SECOND_RETRY_DELAY_NS = 25 * MS  # without a budget: after a second failure in a row, doubling with each ...
+MAX_RETRY_DELAY_NS = 400 * MS  # ... up to this
+WAIT_LEAST_MS, MAX_NEWS_WAIT_MS = 1_000, 4_000  # how long a call waits for news
+MAX_FIRST_CALL_DELAY_NS = 5 * SECOND  # the first call is made by then, whatever the fleet
+MAX_RETRY_AFTER_NS = 30 * SECOND  # of Retry-After, so much is waited for at the most
 WASTE_FREE = 256 << 10  # bytes of a call that brought nothing: no more than this is a mishap ...
 WASTE_PER_S = 64 << 10  # ... and more is waited for as if it had come at this pace ...
 WASTE_MOST_NS = 60 * SECOND  # ... so long at the most: a feed that is well again is heard by then
 
 
-class Listing:
+class DiscoverySchedule:
     """One router's part of the calls."""
 
     def __init__(self, routers: int, seed: int, calls_per_s: float = 0.0) -> None:
         """``seed``: another for each router and each of its starts.  ``calls_per_s``: 0 = no budget."""
         self.seed = seed
         self.random: Callable[[], float] | None = None
-        self.failures = 0
-        self.resize(routers, calls_per_s)
+        self.consecutive_failures = 0
+        self.set_budget(routers, calls_per_s)
 
-    def resize(self, routers: int, calls_per_s: float) -> None:
+    def set_budget(self, routers: int, calls_per_s: float) -> None:
         """Another budget, from the operator's file."""
-        self.bounded, routers = calls_per_s > 0, max(1, routers)
-        if self.bounded and self.random is None:
+        self.has_budget, routers = calls_per_s > 0, max(1, routers)
+        if self.has_budget and self.random is None:
             from random import Random  # not even imported where no file names a budget
 
             self.random = Random(self.seed).random
-        self.cycle_ns = int(routers / calls_per_s * SECOND) if self.bounded else 0
+        self.cycle_ns = int(routers / calls_per_s * SECOND) if self.has_budget else 0
 
     @property
-    def late_ns(self) -> int:
+    def max_delay_ns(self) -> int:
         """How late the first news after an outage may be heard."""
-        return int(1.5 * self.cycle_ns) if self.bounded else AGAIN_MOST_NS
+        return int(1.5 * self.cycle_ns) if self.has_budget else MAX_RETRY_DELAY_NS
 
     def chance(self, most_ns: int) -> int:
         """A time up to so much, any as likely as the next."""
         return int(self.random() * most_ns) if self.random else 0
 
-    def first(self) -> int:
+    def first_call_delay_ns(self) -> int:
         """How long after its start the router makes its first call, in ns."""
-        return self.chance(min(self.cycle_ns, FIRST_MOST_NS))
+        return self.chance(min(self.cycle_ns, MAX_FIRST_CALL_DELAY_NS))
 
-    def wait_ms(self) -> int:
+    def news_wait_ms(self) -> int:
         """How long a call is to wait for news."""
-        return min(WAIT_MOST_MS, max(WAIT_LEAST_MS, self.cycle_ns // MS))
+        return min(MAX_NEWS_WAIT_MS, max(WAIT_LEAST_MS, self.cycle_ns // MS))
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """An answer has come: the next call may go out at once."""
-        self.failures = 0
+        self.consecutive_failures = 0
 
-    def failed(self, retry_after_ns: int = 0, wasted: int = 0) -> int:
+    def record_failure(self, retry_after_ns: int = 0, wasted_bytes: int = 0) -> int:
         """How long to wait before the next call after one that failed, in ns.  ``wasted``: bytes of an answer
         that brought the router no further.  One that is too long for ever was else asked for without end."""
-        self.failures += 1
-        paid = min(WASTE_MOST_NS, wasted * SECOND // WASTE_PER_S) if wasted > WASTE_FREE else 0
+        self.consecutive_failures += 1
+        paid = min(WASTE_MOST_NS, wasted_bytes * SECOND // WASTE_PER_S) if wasted_bytes > WASTE_FREE else 0
         return max(paid, self.again(retry_after_ns))
 
     def again(self, retry_after_ns: int) -> int:
         """The same, whatever came of the call."""
-        if not self.bounded:
-            return 0 if self.failures == 1 else min(AGAIN_NS << min(self.failures - 2, 8), AGAIN_MOST_NS)
+        if not self.has_budget:
+            return (
+                0
+                if self.consecutive_failures == 1
+                else min(SECOND_RETRY_DELAY_NS << min(self.consecutive_failures - 2, 8), MAX_RETRY_DELAY_NS)
+            )
         # One cut connection is heard of soon; a whole fleet's come again spread over its cycle.
         wait = (
             self.chance(self.cycle_ns)
-            if self.failures == 1
+            if self.consecutive_failures == 1
             else self.cycle_ns // 2 + self.chance(self.cycle_ns)
         )
         if retry_after_ns > 0:
-            wait = max(wait, min(retry_after_ns, HEED_NS) + self.chance(self.cycle_ns))
+            wait = max(wait, min(retry_after_ns, MAX_RETRY_AFTER_NS) + self.chance(self.cycle_ns))
         return wait
--- a/kelpcroft/start/watch.py
+++ b/kelpcroft/discovery/watch_timeouts.py
@@ -16,33 +16,35 @@
 
 from dataclasses import dataclass
 
-from zincgrade.interface import Rules
+from kelpcroft.decision.interface import Rules
 
 MS = 1_000_000
-LATE_NS = 400 * MS  # past its wait an answer begins by then, and goes on so soon
-LEAST_NS = 20 * MS  # nothing is doubted sooner: a call there and back takes as long
-WHOLE_NS = 5_000 * MS  # and is whole by then
+MAX_SILENCE_NS = 400 * MS  # past its wait an answer begins by then, and goes on so soon
+MIN_TIMEOUT_NS = 20 * MS  # nothing is doubted sooner: a call there and back takes as long
+MAX_TRANSFER_NS = 5_000 * MS  # and is whole by then
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchTimeouts:
     """How long a call waits for news, and how long after it is doubted."""
 
     wait_ns: int
-    late_ns: int
+    silence_ns: int
 
 
-def bounded(rules: Rules, wait_ns: int) -> Watch:
+def watch_timeouts(rules: Rules, wait_ns: int) -> WatchTimeouts:
     """A call that would wait so long, as these rules let it."""
-    if not rules.ask_within_ns:
-        return Watch(wait_ns, LATE_NS)
+    if not rules.discovery_poll_limit_ns:
+        return WatchTimeouts(wait_ns, MAX_SILENCE_NS)
     graces = [grace for grace in (rules.drain_grace_ns, rules.purge_grace_ns) if grace > 0]
-    whole = rules.ask_within_ns + min(graces, default=0)
-    return Watch(max(LEAST_NS, min(wait_ns, whole // 2)), max(LEAST_NS, min(LATE_NS, whole // 4)))
+    whole = rules.discovery_poll_limit_ns + min(graces, default=0)
+    return WatchTimeouts(
+        max(MIN_TIMEOUT_NS, min(wait_ns, whole // 2)), max(MIN_TIMEOUT_NS, min(MAX_SILENCE_NS, whole // 4))
+    )
 
 
-def late(now: int, called_ns: int, heard_ns: int, wait_ns: int, late_ns: int) -> bool:
+def is_overdue(now: int, called_ns: int, heard_ns: int, wait_ns: int, late_ns: int) -> bool:
     """Whether a call's answer is to be given up: made and, if it has begun, last heard of at these times."""
     if heard_ns <= called_ns:
         return now - called_ns > wait_ns + late_ns
-    return now - heard_ns > late_ns or now - called_ns > wait_ns + WHOLE_NS
+    return now - heard_ns > late_ns or now - called_ns > wait_ns + MAX_TRANSFER_NS
--- a/kelpcroft/log.py
+++ b/kelpcroft/log.py
@@ -14,10 +14,10 @@
 
 import orjson
 
-from kelpcroft.messages import Log
+from kelpcroft.core.effects import LogEvent
 
-WINDOW_NS = 10 * 10**9
-EACH_MOST = 40  # lines of one event in a window
+RATE_WINDOW_NS = 10 * 10**9
+MAX_LINES_PER_EVENT = 40  # lines of one event in a window
 LEVELS = {"info": logging.INFO, "warning": logging.WARNING}
 
 
@@ -30,9 +30,9 @@
     def admits(self, now: int, event: str) -> int:
         """How many lines of an event were left out before this one; -1 where this one is left out too."""
         start, lines, left_out = self.seen.get(event, (now, 0, 0))
-        if now - start >= WINDOW_NS:
+        if now - start >= RATE_WINDOW_NS:
             start, lines = now, 0
-        if lines >= EACH_MOST:
+        if lines >= MAX_LINES_PER_EVENT:
             self.seen[event] = start, lines, left_out + 1
             return -1
         self.seen[event] = start, lines + 1, 0
@@ -78,7 +78,7 @@
         handler.setFormatter(formatter)
         self.logger.addHandler(handler)
 
-    def write(self, now: int, log: Log) -> None:
+    def write(self, now: int, log: LogEvent) -> None:
         """One event.  Traced steps are asked for one by one, and all of them are wanted."""
         if log.event.startswith("trace."):
             self.stream.write(
--- a/kelpcroft/net/connections.py
+++ b/kelpcroft/net/connections.py
@@ -5,10 +5,10 @@
 import socket
 from collections import deque
 
-from kelpcroft import messages as m
-from kelpcroft.net import control, front, shelf
-from kelpcroft.net.buffers import SIZE, Backlog, BufferPool
-from kelpcroft.net.feed import SNAPSHOT_MOST, WHOLE_MOST, FeedCodec
+from kelpcroft.core import inputs
+from kelpcroft.net import client_codec, control_codec, server_codec
+from kelpcroft.net.buffers import BUFFER_BYTES, BufferPool, WriteBuffer
+from kelpcroft.net.feed_codec import MAX_SNAPSHOT_BYTES, MAX_WHOLE_RESPONSE_BYTES, FeedCodec
 
 
 class Connection:
@@ -18,10 +18,10 @@
 
     def __init__(self, sock: socket.socket, pool: BufferPool, now: int) -> None:
         self.sock = sock
-        self.backlog = Backlog(pool)
-        self.up = False
-        self.events = 0  # registered with the selector
-        self.ready_ns = 0  # no later than this its unread input came; 0 = there is none
+        self.backlog = WriteBuffer(pool)
+        self.is_connected = False
+        self.interest = 0  # registered with the selector
+        self.unread_since_ns = 0  # no later than this its unread input came; 0 = there is none
         self.moved_ns = now  # when something was last written, or nothing waited
 
 
@@ -32,12 +32,18 @@
 
     def __init__(self, number: int, sock: socket.socket, pool: BufferPool, now: int) -> None:
         super().__init__(sock, pool, now)
-        self.number, self.codec, self.up = number, front.FrontCodec(number, SIZE), True
-        self.said = False  # a whole message has come
-        self.heard_ns = now  # when the last one did, or else the connection
-        self.begun_ns = 0  # when the message began of which a part has come
-        self.untaken: deque[tuple[int, m.Call | m.AskHealth]] = deque()  # read, and when; not told yet
-        self.leaving = False  # nothing more is taken from it, and nothing more is owed
+        self.number, self.codec, self.is_connected = (
+            number,
+            client_codec.ClientCodec(number, BUFFER_BYTES),
+            True,
+        )
+        self.has_sent_message = False  # a whole message has come
+        self.last_message_ns = now  # when the last one did, or else the connection
+        self.partial_since_ns = 0  # when the message began of which a part has come
+        self.pending_messages: deque[tuple[int, inputs.ClientRequest | inputs.HealthRequest]] = (
+            deque()
+        )  # read, and when; not told yet
+        self.is_closing = False  # nothing more is taken from it, and nothing more is owed
         self.parted_ns = 0  # since when its connection is being ended
         self.thrown = 0  # bytes read since then, and thrown away
 
@@ -49,11 +55,13 @@
 
     def __init__(self, number: int, sock: socket.socket, pool: BufferPool, now: int) -> None:
         super().__init__(sock, pool, now)
-        self.number, self.codec = number, shelf.ShelfCodec(number)
+        self.number, self.codec = number, server_codec.ServerCodec(number)
         self.read_ns = now  # when bytes last came
         self.put = 0  # bytes handed over to be written, in all
-        self.pulls: deque[tuple[int, str]] = deque()  # attempts not all written: up to which byte, and id
-        self.half = False  # part of an answer has come
+        self.unsent_attempts: deque[tuple[int, str]] = (
+            deque()
+        )  # attempts not all written: up to which byte, and id
+        self.has_partial_response = False  # part of an answer has come
 
 
 class ControlConnection(Connection):
@@ -61,7 +69,7 @@
 
     def __init__(self, number: int, sock: socket.socket, pool: BufferPool, now: int, state: bool) -> None:
         super().__init__(sock, pool, now)
-        self.number, self.codec, self.up = number, control.ControlCodec(state), True
+        self.number, self.codec, self.is_connected = number, control_codec.ControlCodec(state), True
         self.opened_ns = now
         self.answered = False  # the answer is written, or waits to be; what comes after is not read
 
@@ -72,7 +80,7 @@
     def __init__(self, sock: socket.socket, pool: BufferPool, now: int, replica: bool) -> None:
         """``replica``: it is a control replica, whose snapshots are bounded and taken as one."""
         super().__init__(sock, pool, now)
-        self.codec = FeedCodec(SNAPSHOT_MOST if replica else WHOLE_MOST)
+        self.codec = FeedCodec(MAX_SNAPSHOT_BYTES if replica else MAX_WHOLE_RESPONSE_BYTES)
         self.polled_ns = now
         self.wait_ns = self.late_ns = 0
         self.heard_ns = 0  # when bytes last came
--- a/kelpcroft/net/control.py
+++ b/kelpcroft/net/control_codec.py
@@ -18,16 +18,16 @@
 import httptools
 import orjson
 
-from kelpcroft.messages import Verb
+from kelpcroft.core.inputs import ControlVerb
 
-HEAD_MOST = 4_096  # bytes of the request line and headers together
-BODY_MOST = 1_024  # bytes of a body, which is not used
+MAX_HEAD_BYTES = 4_096  # bytes of the request line and headers together
+MAX_BODY_BYTES = 1_024  # bytes of a body, which is not used
 READ_SIZE = 4_096  # the one buffer of each connection
-CALLS: dict[bytes, tuple[bytes, Verb]] = {
-    b"/control/ready": (b"GET", Verb.READY),
-    b"/control/state": (b"GET", Verb.STATE),
-    b"/control/out-of-service": (b"PUT", Verb.OUT),
-    b"/control/in-service": (b"PUT", Verb.IN),
+CALLS: dict[bytes, tuple[bytes, ControlVerb]] = {
+    b"/control/ready": (b"GET", ControlVerb.READY),
+    b"/control/state": (b"GET", ControlVerb.STATE),
+    b"/control/out-of-service": (b"PUT", ControlVerb.OUT_OF_SERVICE),
+    b"/control/in-service": (b"PUT", ControlVerb.IN_SERVICE),
 }
 
 
@@ -37,7 +37,7 @@
     def __init__(self, state: bool = False) -> None:
         self.state = state  # the operator's file asks for /control/state
         self.parser = httptools.HttpRequestParser(self)
-        self.head = self.body = 0  # bytes of each so far
+        self.head_bytes = self.body = 0  # bytes of each so far
         self.url = b""
         self.headed = self.complete = False
         self.done = False  # a verb or an answer has been given
@@ -48,12 +48,12 @@
 
     def on_url(self, url: bytes) -> None:
         self.url += url
-        if len(self.url) > HEAD_MOST:
+        if len(self.url) > MAX_HEAD_BYTES:
             self.fault = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
             raise _Fault()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if name.lower() == b"content-length" and value.strip().isdigit() and int(value) > BODY_MOST:
+        if name.lower() == b"content-length" and value.strip().isdigit() and int(value) > MAX_BODY_BYTES:
             self.fault = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
             raise _Fault()
 
@@ -62,7 +62,7 @@
 
     def on_body(self, body: bytes) -> None:
         self.body += len(body)
-        if self.body > BODY_MOST:
+        if self.body > MAX_BODY_BYTES:
             self.fault = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
             raise _Fault()
 
@@ -71,7 +71,7 @@
 
     # ---------------------------------------------------------------------------------------------------
 
-    def feed(self, data: bytes | memoryview) -> Verb | bytes | None:
+    def receive_data(self, data: bytes | memoryview) -> ControlVerb | bytes | None:
         """What these bytes complete: a verb for the reducer, an answer to write and close with, or None for
         more to come.  Each byte of the head is counted before the parser may keep it."""
         if self.done:
@@ -80,23 +80,23 @@
         if not self.headed:
             end = data.find(b"\r\n\r\n")
             within = len(data) if end < 0 else end + 4
-            if self.head + within > HEAD_MOST:
+            if self.head_bytes + within > MAX_HEAD_BYTES:
                 return self.finish(
                     answer(
                         HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
-                        {"error": f"the head is over {HEAD_MOST} bytes"},
+                        {"error": f"the head is over {MAX_HEAD_BYTES} bytes"},
                     )
                 )
-            self.head += within
+            self.head_bytes += within
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             return self.finish(answer(HTTPStatus.BAD_REQUEST, {"error": "no upgrade is offered here"}))
         except (httptools.HttpParserError, _Fault) as error:
             if self.fault is HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE:
-                why = f"the head is over {HEAD_MOST} bytes"
+                why = f"the head is over {MAX_HEAD_BYTES} bytes"
             elif self.fault is HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
-                why = f"a body is not used; this one is over {BODY_MOST} bytes"
+                why = f"a body is not used; this one is over {MAX_BODY_BYTES} bytes"
             else:
                 why = f"not HTTP/1.1: {error}"[:200]
             return self.finish(answer(self.fault or HTTPStatus.BAD_REQUEST, {"error": why}))
@@ -104,14 +104,14 @@
             return None
         return self.finish(self.call())
 
-    def call(self) -> Verb | bytes:
+    def call(self) -> ControlVerb | bytes:
         """The whole request: which call it is, or why it is none."""
         try:
             path = httptools.parse_url(self.url).path
         except httptools.HttpParserInvalidURLError:
             return answer(HTTPStatus.BAD_REQUEST, {"error": "the target is not a path"})
         method = self.parser.get_method()
-        calls = {p: call for p, call in CALLS.items() if self.state or call[1] is not Verb.STATE}
+        calls = {p: call for p, call in CALLS.items() if self.state or call[1] is not ControlVerb.STATE}
         known = calls.get(path.rstrip(b"/") if len(path) > 1 else path)
         if known is None:
             return answer(
@@ -133,13 +133,13 @@
         self.head_only = method == b"HEAD"
         return verb
 
-    def finish(self, result: Verb | bytes) -> Verb | bytes:
+    def finish(self, result: ControlVerb | bytes) -> ControlVerb | bytes:
         self.done = True
         return result
 
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a call has begun and not ended."""
-        return self.head > 0 and not self.done
+        return self.head_bytes > 0 and not self.done
 
 
 class _Fault(Exception):
--- a/kelpcroft/net/replica.py
+++ b/kelpcroft/net/control_replica_server.py
@@ -10,15 +10,23 @@
 
 import orjson
 
-from kelpcroft.controllog import replica as core
-from kelpcroft.controllog.replica import Replica
-from kelpcroft.controllog.sources import Address
+from kelpcroft.control_log import replica as core
+from kelpcroft.control_log.replica import ControlReplica
+from kelpcroft.control_log.upstream_selection import Address
+from kelpcroft.core.effects import LogEvent
 from kelpcroft.log import EventLog
-from kelpcroft.messages import Log
 from kelpcroft.net.clock import Clock
-from kelpcroft.net.feed import SNAPSHOT_MOST, FeedError, poll_request
-from kelpcroft.net.upstream import UpstreamCodec
-from kelpcroft.net.watchers import CallError, EventsCall, StateCall, WatcherCodec, answered, bad, refused
+from kelpcroft.net.feed_codec import MAX_SNAPSHOT_BYTES, FeedError, encode_poll
+from kelpcroft.net.upstream_codec import UpstreamCodec
+from kelpcroft.net.watch_codec import (
+    EventsRequest,
+    StateRequest,
+    WatchRequestError,
+    WatchServerCodec,
+    answered,
+    bad,
+    refused,
+)
 
 MS = 1_000_000
 SECOND = 1_000 * MS
@@ -35,7 +43,7 @@
     """One watcher's connection."""
 
     def __init__(self, number: int, sock: socket.socket, now: int) -> None:
-        self.number, self.sock, self.codec = number, sock, WatcherCodec()
+        self.number, self.sock, self.codec = number, sock, WatchServerCodec()
         self.unwritten = bytearray()
         self.moved_ns = now  # when it last called or took something
         self.ending = False  # closed once all is written
@@ -46,7 +54,7 @@
 
     def __init__(self, address: Address, sock: socket.socket, now: int) -> None:
         self.address, self.sock = address, sock
-        self.codec = UpstreamCodec(SNAPSHOT_MOST)
+        self.codec = UpstreamCodec(MAX_SNAPSHOT_BYTES)
         self.unwritten = b""
         self.up, self.waits = False, False
         self.begun_ns = self.heard_ns = now
@@ -55,7 +63,9 @@
 class ReplicaLoop:
     """Owns every socket of a control replica; decides nothing."""
 
-    def __init__(self, replica: Replica, listener: socket.socket, clock: Clock, events: EventLog) -> None:
+    def __init__(
+        self, replica: ControlReplica, listener: socket.socket, clock: Clock, events: EventLog
+    ) -> None:
         self.replica, self.listener, self.clock, self.events = replica, listener, clock, events
         self.selector = selectors.DefaultSelector()
         self.watchers: dict[int, Watcher] = {}
@@ -82,7 +92,7 @@
     def turn(self) -> None:
         """Wait, read, do what is due."""
         now = self.clock.now()
-        due = [self.replica.next_due(), self.calls[0][0] if self.calls else None, now + SECOND // 2]
+        due = [self.replica.next_timer_ns(), self.calls[0][0] if self.calls else None, now + SECOND // 2]
         wait = max(0, min(x for x in due if x is not None) - now) / SECOND
         for key, events in self.selector.select(wait):
             if key.fileobj is self.listener:
@@ -97,7 +107,7 @@
         while self.calls and self.calls[0][0] <= now:
             self.call(heapq.heappop(self.calls)[2])
         self.look_upstream(now)
-        self.carry_out(self.replica.on_due(now))
+        self.carry_out(self.replica.on_timer(now))
         if now - self.swept_ns > SWEEP_NS:
             self.sweep(now)
 
@@ -109,23 +119,23 @@
     def carry_out(self, effects: list[core.Effect]) -> None:
         """What the replica decided."""
         for e in effects:
-            if isinstance(e, core.Answer):
+            if isinstance(e, core.SendWatchResponse):
                 self.bytes_out += len(e.body)
-                self.write(e.watcher, answered(e.body))
-            elif isinstance(e, core.Refuse):
-                self.write(e.watcher, refused(e.why, e.retry_s))
+                self.write(e.watcher_id, answered(e.body))
+            elif isinstance(e, core.RefuseWatcher):
+                self.write(e.watcher_id, refused(e.reason, e.retry_after_s))
             elif isinstance(e, core.CallUpstream):
                 self.made += 1
                 heapq.heappush(self.calls, (self.clock.now() + e.delay_ns, self.made, e))
             else:
-                self.events.write(self.clock.now(), Log(e.event, e.text, e.level, e.fields))
+                self.events.write(self.clock.now(), LogEvent(e.event, e.text, e.level, e.fields))
 
     # Upstream ---------------------------------------------------------------------------------------------
 
     def call(self, e: core.CallUpstream) -> None:
         """One call, on the connection that stands or on a new one."""
         now = self.clock.now()
-        if self.upstream is not None and (e.anew or self.upstream.address != e.address):
+        if self.upstream is not None and (e.on_new_connection or self.upstream.address != e.address):
             self.close_upstream()
         if self.upstream is None:
             sock = socket.socket(socket.AF_INET6 if ":" in e.address[0] else socket.AF_INET)
@@ -135,8 +145,8 @@
             self.upstream = Upstream(e.address, sock, now)
             self.selector.register(sock, selectors.EVENT_READ | selectors.EVENT_WRITE, self.upstream)
         upstream = self.upstream
-        marked = e.position.mark if e.address in self.replica.options.peers else None
-        upstream.unwritten += poll_request(e.address, e.position.number, e.wait_ns // MS, marked)
+        marked = e.position.fingerprint if e.address in self.replica.options.peers else None
+        upstream.unwritten += encode_poll(e.address, e.position.event_number, e.wait_ns // MS, marked)
         upstream.waits, upstream.begun_ns = True, now
         if upstream.up:
             self.write_upstream(upstream)
@@ -187,17 +197,17 @@
         upstream.heard_ns = self.clock.now()
         fault = ""
         try:
-            upstream.codec.feed(memoryview(data))
+            upstream.codec.receive_data(memoryview(data))
         except FeedError as error:
             fault = str(error)
-        for feed in upstream.codec.done:  # also what came whole before a fault
-            if upstream is not self.upstream and feed.more:
+        for feed in upstream.codec.completed:  # also what came whole before a fault
+            if upstream is not self.upstream and feed.has_more:
                 break  # what has begun is of no use any more
-            if not feed.more:
+            if not feed.has_more:
                 upstream.waits = False
-                if not upstream.codec.keeps:
+                if not upstream.codec.keeps_alive:
                     self.close_upstream()
-            self.carry_out(self.replica.on_upstream(self.clock.now(), feed))
+            self.carry_out(self.replica.on_upstream_response(self.clock.now(), feed))
         if fault and upstream is self.upstream:
             self.lose_upstream(f"malformed: {fault}")
 
@@ -207,7 +217,7 @@
         if upstream is None or not upstream.waits:
             return
         since = max(upstream.begun_ns, upstream.heard_ns)
-        most = core.UPSTREAM_WAIT_NS + core.UPSTREAM_LATE_NS if upstream.up else CONNECT_NS
+        most = core.UPSTREAM_WAIT_NS + core.UPSTREAM_TIMEOUT_MARGIN_NS if upstream.up else CONNECT_NS
         if now - since > most:
             self.lose_upstream("no answer in time")
 
@@ -216,7 +226,7 @@
         waited = self.upstream is not None and self.upstream.waits
         self.close_upstream()
         if waited:
-            self.carry_out(self.replica.on_upstream_lost(self.clock.now(), why))
+            self.carry_out(self.replica.on_upstream_failed(self.clock.now(), why))
 
     def close_upstream(self) -> None:
         if self.upstream is not None:
@@ -259,7 +269,7 @@
             return
         try:
             found = watcher.codec.feed(data)
-        except CallError as error:
+        except WatchRequestError as error:
             self.write(watcher.number, bad(str(error)))
             watcher.ending = True
             self.flush(watcher)
@@ -268,22 +278,22 @@
         for one in found:
             self.take(watcher, one)
 
-    def take(self, watcher: Watcher, one: EventsCall | StateCall) -> None:
+    def take(self, watcher: Watcher, one: EventsRequest | StateRequest) -> None:
         """One call."""
-        if isinstance(one, StateCall):
+        if isinstance(one, StateRequest):
             self.write(watcher.number, answered(orjson.dumps(self.state())))
             return
-        watch = core.Watch(watcher.number, one.position, one.marked, one.wait_ns)
+        watch = core.WatchRequest(watcher.number, one.position, one.knows_fingerprints, one.wait_ns)
         self.carry_out(self.replica.on_watch(self.clock.now(), watch))
 
     def state(self) -> dict[str, object]:
         """What an operator asks for."""
         now, r = self.clock.now(), self.replica
-        host, port = r.sources.address
+        host, port = r.sources.current_address
         return {
-            "last": r.log.last,
-            "mark": r.log.mark,
-            "stale": r.stale,
+            "last": r.log.last_event_number,
+            "mark": r.log.last_fingerprint,
+            "stale": r.is_stale,
             "age_ms": now // MS - r.follower.as_of_ms,
             "upstream": f"{host}:{port}",
             "watches": len(r.waiting),
@@ -333,7 +343,7 @@
             return
         self.selector.unregister(watcher.sock)
         watcher.sock.close()
-        self.replica.on_gone(watcher.number)
+        self.replica.on_watcher_disconnected(watcher.number)
 
     def sweep(self, now: int) -> None:
         """Let those go who neither call nor read any more."""
--- a/kelpcroft/net/loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -13,13 +13,29 @@
 from dataclasses import replace
 from pathlib import Path
 
-from kelpcroft import messages as m
 from kelpcroft.config import Config
-from kelpcroft.core.descriptors import shared_out
-from kelpcroft.core.reducer import LAST, Reducer
+from kelpcroft.core import effects, inputs, messages
+from kelpcroft.core.descriptors import allocate_descriptors
+from kelpcroft.core.reducer import SHUTDOWN_LAST_STEP, Reducer
+from kelpcroft.decision.interface import Settings
+from kelpcroft.discovery.watch_timeouts import is_overdue
 from kelpcroft.log import EventLog
-from kelpcroft.net import control, front, handing, listeners, shelf
-from kelpcroft.net.buffers import SIZE, BufferPool
+from kelpcroft.net import (
+    client_codec as client_codec,
+)
+from kelpcroft.net import (
+    control_codec as control_codec,
+)
+from kelpcroft.net import (
+    listeners,
+)
+from kelpcroft.net import (
+    predecessor_files as predecessor_files,
+)
+from kelpcroft.net import (
+    server_codec as server_codec,
+)
+from kelpcroft.net.buffers import BUFFER_BYTES, BufferPool
 from kelpcroft.net.clock import Clock
 from kelpcroft.net.connections import (
     ClientConnection,
@@ -28,26 +44,30 @@
     FeedConnection,
     ServerConnection,
 )
-from kelpcroft.net.feed import FeedError, poll_request
+from kelpcroft.net.feed_codec import FeedError, encode_poll
 from kelpcroft.net.memory import peak_kb
-from kelpcroft.start.watch import late
-from zincgrade.interface import Settings
 
 SECOND = 1_000_000_000
 MAX_READS_PER_TURN = 2  # buffers read from one connection before the others have their turn
 RESTED_NS = 20_000_000  # a server's connection is looked at before a write after so long a rest
 MAX_ACCEPTS_PER_TURN = 64  # connections accepted before the others have their turn
-SLOW_BYTES = 512 * 1024  # a client with so much unread sends nothing more until it has read
+MAX_UNREAD_BYTES_PER_CLIENT = 512 * 1024  # a client with so much unread sends nothing more until it has read
 RULES_NS = 3_000_000  # the operator's file is read for so long in one turn
-CLIENTS_NS = 20_000_000  # new requests are taken for so long in one turn
-PACE_NS = 25_000_000  # in a long turn, what is decided goes out and leavers are heard so often
+CLIENT_REQUESTS_TURN_NS = 20_000_000  # new requests are taken for so long in one turn
+LONG_TURN_FLUSH_INTERVAL_NS = (
+    25_000_000  # in a long turn, what is decided goes out and leavers are heard so often
+)
 GONE_NS = 50_000_000  # what waited so long unread may be from a client that has left: read to the end
 WAITED_NS = 1_000_000  # from so much on, what a request waited here is taken off its patience
 UNTAKEN_MOST = 64  # messages of one client that are read and not taken, before it is read on
-SILENT_NS = 2 * SECOND  # a client has so long to say something, and for each message that it has begun
-IDLE_NS = 5 * SECOND  # one with nothing open goes after so long; usual ones go by themselves after 4 s
+SILENT_CLIENT_TIMEOUT_NS = (
+    2 * SECOND
+)  # a client has so long to say something, and for each message that it has begun
+IDLE_CLIENT_TIMEOUT_NS = (
+    5 * SECOND
+)  # one with nothing open goes after so long; usual ones go by themselves after 4 s
 SPARED_NS = SECOND // 10  # when clients are too many, one that was heard so lately does not go for another
-STALLED_NS = SECOND // 5  # the rest of a server's answer follows sooner, or does not come
+PARTIAL_RESPONSE_TIMEOUT_NS = SECOND // 5  # the rest of a server's answer follows sooner, or does not come
 CLEAN_NS = SECOND // 10  # between looks at silent, idle, stalled and stuck connections
 MAX_MALFORMED_LOGS_PER_SWEEP = 2  # lines about bad clients between such looks: they come in hundreds
 WRITE_STALL_TIMEOUT_NS = 10 * SECOND  # a connection that takes nothing for so long is closed
@@ -60,54 +80,58 @@
 LINGERING_CLOSE_TIMEOUT_NS = SECOND  # a client whose connection we have ended ends it by then ...
 LINGERING_CLOSE_MAX_BYTES = 1 << 20  # ... and sends so much at the most that is read and thrown away
 SHUTDOWN_DRAIN_TIMEOUT_NS = SECOND  # at the end, requests that wait unread put it off so long at most
-LINGER_NS = SECOND // 5  # at the end, for clients to read what was written
+SHUTDOWN_LINGER_NS = SECOND // 5  # at the end, for clients to read what was written
 CALLER_NS = 5 * SECOND  # a caller has so long for its call and to read the answer
 NEW_NS = SECOND  # in a drain, a client that has said nothing is let go after so long
 
 
-class Loop:
+class EventLoop:
     """Owns every socket.  Inputs go to the reducer, its effects are carried out here."""
 
     def __init__(
         self,
         config: Config,
         clock: Clock,
-        reload: Callable[[], m.Reload] | None = None,
-        rules: Callable[[Settings], Iterator[m.Rules | None]] | None = None,
+        reload: Callable[[], inputs.ConfigFileRead] | None = None,
+        rules: Callable[[Settings], Iterator[inputs.OperatorFileRead | None]] | None = None,
         events: EventLog | None = None,
     ) -> None:
         self.config, self.clock = config, clock
-        self.reload = reload or (lambda: m.Reload("", None, "there is no file"))
+        self.reload = reload or (lambda: inputs.ConfigFileRead("", None, "there is no file"))
         self.rules = rules  # reads the operator's file in steps
-        self.reading: Iterator[m.Rules | None] | None = None
+        self.reading: Iterator[inputs.OperatorFileRead | None] | None = None
         self.events = events or EventLog(config.name)
-        self.feed_at = config.feed
+        self.feed_address = config.feed_address
         self.reducer = Reducer(config)
         self.selector = selectors.DefaultSelector()
-        self.pool = BufferPool(config.memory_mb * 1024 * 1024 // POOL_SHARE // SIZE)  # of unwritten bytes
-        self.scratch = bytearray(SIZE)  # what is read, one connection at a time
+        self.pool = BufferPool(
+            config.memory_mb * 1024 * 1024 // POOL_SHARE // BUFFER_BYTES
+        )  # of unwritten bytes
+        self.scratch = bytearray(BUFFER_BYTES)  # what is read, one connection at a time
         self.clients: dict[int, ClientConnection] = {}
         self.parting: dict[int, ClientConnection] = {}  # being ended, longest first
         self.servers: dict[int, ServerConnection] = {}
         self.feed: FeedConnection | None = None
-        self.shares = shared_out(config.sockets)
+        self.shares = allocate_descriptors(config.max_descriptors)
         self.listener: socket.socket | None = None
         self.heeded: set[socket.socket] = set()  # listening sockets that are watched
         self.mgmt: socket.socket | None = None  # the control address
         self.callers: dict[int, ControlConnection] = {}
         self.releasing = False  # clients go once nothing is owed them
         self.made = 0
-        self.heap: list[tuple[int, int, m.Key]] = []
+        self.timers: list[tuple[int, int, messages.TimerKey]] = []
         self.dirty: dict[Connection, None] = {}
         self.lost: list[tuple[Connection, str]] = []
         self.hung: list[tuple[ClientConnection, str]] = []  # to be let go, by the reducer's word
-        self.undialled: list[m.LinkLost | m.FeedLost] = []  # connections that could not even be begun
-        self.stopping = False
+        self.undialled: list[
+            inputs.ServerConnectionLost | inputs.WatchFailed
+        ] = []  # connections that could not even be begun
+        self.is_stopping = False
         self.untaken: dict[ClientConnection, None] = {}  # clients with something read and not told
         self.paced_ns = 0  # when leavers were last heard
         self.unheard_ns = 0  # the end is put off until then at most, for requests that wait unread
         self.cleaned_ns = self.complaints = 0
-        self.selected_ns = clock.now()
+        self.last_select_ns = clock.now()
         self.stalled_ns = 0  # when it was last seen to have stood still
         self.blind_ns = 0  # until then nothing but the feed is read: the list is as old as a stall
         self.waited_ns = 0  # the longest that what is being read from a client may have waited
@@ -119,28 +143,28 @@
     def run(
         self,
         signals: int | None = None,
-        first: m.Rules | None = None,
+        first: inputs.OperatorFileRead | None = None,
         listener: socket.socket | None = None,
         mgmt: socket.socket | None = None,
-        handed: m.Handover | None = None,
+        handed: inputs.PredecessorState | None = None,
         gentle_ns: int = 0,
     ) -> None:
         """Serve until the reducer asks for the end, by the rules that are first given, on a listening socket
         that is handed over or else bound here to the address of the configuration; calls on the control
         address come on ``mgmt``, bound here where the configuration names one and none is given.  The first
         call of the list waits ``gentle_ns`` more, where the router starts again and again."""
-        self.begin(signals, first, listener, mgmt, handed, gentle_ns)
-        while not self.stopping:
-            self.turn()
-        self.linger()
+        self.start(signals, first, listener, mgmt, handed, gentle_ns)
+        while not self.is_stopping:
+            self.run_turn()
+        self.flush_and_close()
 
-    def begin(
+    def start(
         self,
         signals: int | None = None,
-        first: m.Rules | None = None,
+        first: inputs.OperatorFileRead | None = None,
         listener: socket.socket | None = None,
         mgmt: socket.socket | None = None,
-        handed: m.Handover | None = None,
+        handed: inputs.PredecessorState | None = None,
         gentle_ns: int = 0,
     ) -> None:
         """All of ``run`` before its first turn."""
@@ -148,28 +172,31 @@
         if signals is not None:
             self.selector.register(signals, selectors.EVENT_READ, None)
         file = first.file if first is not None else None
-        begin, replicas = (file.start, file.replicas) if file is not None else (None, None)
-        self.carry_out(self.reducer.start(self.clock.now(), begin, gentle_ns, replicas))
+        begin, replicas = (file.start_options, file.control_replicas) if file is not None else (None, None)
+        self.perform_effects(self.reducer.start(self.clock.now(), begin, gentle_ns, replicas))
         if handed is not None:
-            self.tell(handed)
-        if mgmt is None and self.config.mgmt is not None:
-            mgmt = listeners.bound("mgmt", self.config.mgmt)
+            self.handle_input(handed)
+        if mgmt is None and self.config.control_address is not None:
+            mgmt = listeners.bind_listener("mgmt", self.config.control_address)
         if mgmt is not None:
             self.mgmt = mgmt
             self.heed(mgmt, True)
-            at = listeners.where(mgmt)
+            at = listeners.listening_address(mgmt)
             self.log("control.listens", f"control address on {at}", {"at": at})
         self.listen(listener)
         if first is not None:
-            self.tell(first)
-        self.tell(m.Listening())
-        self.selected_ns = self.clock.now()
+            self.handle_input(first)
+        self.handle_input(inputs.ListenersReady())
+        self.last_select_ns = self.clock.now()
 
     def listen(self, listener: socket.socket | None) -> None:
         """Take clients on the socket handed over, or at the one address that was named."""
-        self.listener = listener or listeners.bound("listen", self.config.listen)
+        self.listener = listener or listeners.bind_listener("listen", self.config.listen_address)
         self.heed(self.listener, True)
-        at, how = listeners.where(self.listener), "bound" if self.config.inherited is None else "inherited"
+        at, how = (
+            listeners.listening_address(self.listener),
+            "bound" if self.config.inherited_listener_fd is None else "inherited",
+        )
         self.log("router.listens", f"{self.config.name} listens on {at} ({how})", {"at": at, "socket": how})
 
     def heed(self, listener: socket.socket | None, on: bool) -> None:
@@ -184,7 +211,7 @@
             self.heeded.discard(listener)
             self.selector.unregister(listener)
 
-    def linger(self) -> None:
+    def flush_and_close(self) -> None:
         """Flush, then let clients read to the end: a close with input unread would reset the connection.
         What comes after this is thrown away: nothing of it is sent on."""
         for client in self.clients.values():
@@ -193,12 +220,12 @@
                 client.sock.shutdown(socket.SHUT_WR)
             except OSError:
                 pass
-        until = self.clock.now() + LINGER_NS
+        until = self.clock.now() + SHUTDOWN_LINGER_NS
         while (self.clients or self.parting) and self.clock.now() < until:
             for key, _ in self.selector.select((until - self.clock.now()) / SECOND):
                 if isinstance(key.data, ClientConnection):
                     try:
-                        ended = not key.data.sock.recv(SIZE)
+                        ended = not key.data.sock.recv(BUFFER_BYTES)
                     except BlockingIOError:
                         ended = False
                     except OSError:
@@ -210,10 +237,10 @@
 
     # One turn ---------------------------------------------------------------------------------------------
 
-    def turn(self) -> None:
+    def run_turn(self) -> None:
         """Wait, read, let what is due come due, write."""
         now = self.clock.now()
-        wait = max(0, self.heap[0][0] - now) / SECOND if self.heap else 1.0
+        wait = max(0, self.timers[0][0] - now) / SECOND if self.timers else 1.0
         if self.reading is not None:
             self.read_on(now + RULES_NS)
             wait = 0.0
@@ -222,8 +249,8 @@
         if self.untaken:
             wait = 0.0
         ready = self.selector.select(min(wait, 1.0))
-        before, self.selected_ns = self.selected_ns, self.clock.now()
-        if now - before > STALL_NS or self.selected_ns - now - int(min(wait, 1.0) * SECOND) > STALL_NS:
+        before, self.last_select_ns = self.last_select_ns, self.clock.now()
+        if now - before > STALL_NS or self.last_select_ns - now - int(min(wait, 1.0) * SECOND) > STALL_NS:
             self.look_first()
         turns: tuple[list[tuple[Connection, int]], ...] = ([], [], [])
         for key, events in ready:
@@ -236,7 +263,7 @@
                 self.accept_callers()
             elif self.signals is not None:
                 try:
-                    self.on_signals(os.read(self.signals, SIZE))
+                    self.handle_signals(os.read(self.signals, BUFFER_BYTES))
                 except BlockingIOError:
                     pass
         # News of the list and of purges before answers, answers before new requests.
@@ -244,7 +271,7 @@
             self.serve(peer, events)
         if self.blind_ns > self.clock.now():
             for peer, _ in turns[2]:
-                peer.ready_ns = peer.ready_ns or before
+                peer.unread_since_ns = peer.unread_since_ns or before
             self.flush()
             return
         self.blind_ns = 0
@@ -256,16 +283,16 @@
             self.pace()
         self.take_requests(turns[2], before)
         now = self.clock.now()
-        while self.heap and self.heap[0][0] <= now and not self.stopping:
-            due = heapq.heappop(self.heap)[2]
-            if due[0] is m.Timer.LAME and due[1] == LAST and self.unheard(now):
+        while self.timers and self.timers[0][0] <= now and not self.is_stopping:
+            due = heapq.heappop(self.timers)[2]
+            if due[0] is messages.TimerKind.SHUTDOWN and due[1] == SHUTDOWN_LAST_STEP and self.unheard(now):
                 self.made += 1  # no two entries of the heap may be compared by their keys
-                heapq.heappush(self.heap, (now + SHUTDOWN_DRAIN_TIMEOUT_NS // 100, self.made, due))
+                heapq.heappush(self.timers, (now + SHUTDOWN_DRAIN_TIMEOUT_NS // 100, self.made, due))
             else:
-                self.tell(m.Due(due))
+                self.handle_input(inputs.TimerFired(due))
                 self.pace()
         feed = self.feed
-        if feed and feed.waits and late(now, feed.polled_ns, feed.heard_ns, feed.wait_ns, feed.late_ns):
+        if feed and feed.waits and is_overdue(now, feed.polled_ns, feed.heard_ns, feed.wait_ns, feed.late_ns):
             self.lose(feed, "no answer in time")
         if now - self.cleaned_ns > CLEAN_NS:
             self.clean(now)
@@ -274,7 +301,7 @@
     def unheard(self, now: int) -> bool:
         """Whether a request waits unread while nothing else keeps the process: it has been taken, and gets
         its answer before the end."""
-        if not self.reducer.ending or self.reducer.state.requests:
+        if not self.reducer.is_shutting_down or self.reducer.state.requests:
             return False
         self.unheard_ns = self.unheard_ns or now + SHUTDOWN_DRAIN_TIMEOUT_NS
         return now < self.unheard_ns and (bool(self.untaken) or any(map(self.unread, self.clients.values())))
@@ -288,23 +315,23 @@
             return
         self.stalled_ns, self.blind_ns = now, now + BLIND_NS
         self.close(self.feed)  # the call that is out on it waits for news, and its answer is from before
-        self.tell(m.Stalled())
+        self.handle_input(inputs.ProcessStalled())
 
-    def on_signals(self, numbers: bytes) -> None:
+    def handle_signals(self, numbers: bytes) -> None:
         """SIGHUP has the configuration read again, the others end the program."""
         if signal.SIGHUP in numbers:
-            self.tell(self.reload())
+            self.handle_input(self.reload())
             # Checked against the classes now in use: those of a configuration just read are among them.
             self.reading = self.rules(self.reducer.state.settings) if self.rules else None
         if any(number != signal.SIGHUP for number in numbers):
-            self.tell(m.Terminate())
+            self.handle_input(inputs.ShutdownRequested())
 
     def read_on(self, until: int) -> None:
         """A few steps of the operator's file: a large one takes a second, in which drains and purges come."""
         for rules in self.reading or ():
             if rules is not None:
                 self.reading = None
-                self.tell(rules)
+                self.handle_input(rules)
                 return
             if self.clock.now() > until:
                 return
@@ -325,18 +352,18 @@
                 isinstance(peer, ClientConnection)
                 and events & selectors.EVENT_READ
                 and peer.sock.fileno() >= 0
-                and peer.number in self.reducer.state.calls
-                and len(peer.untaken) < UNTAKEN_MOST
+                and peer.number in self.reducer.state.requests_by_client
+                and len(peer.pending_messages) < UNTAKEN_MOST
             ):
-                self.waited_ns = self.clock.now() - (peer.ready_ns or before)
-                peer.ready_ns = 0
+                self.waited_ns = self.clock.now() - (peer.unread_since_ns or before)
+                peer.unread_since_ns = 0
                 self.read(peer)
                 ready[at] = peer, events & ~selectors.EVENT_READ
 
     def pace(self) -> None:
         """Within a long turn: what is decided goes out, and who has left meanwhile is heard."""
         now = self.clock.now()
-        if now - self.paced_ns < PACE_NS:
+        if now - self.paced_ns < LONG_TURN_FLUSH_INTERVAL_NS:
             return
         self.flush()
         looked = self.selector.select(0)
@@ -347,18 +374,18 @@
     def take_requests(self, ready: list[tuple[Connection, int]], before: int) -> None:
         """New requests, for a bounded time: the rest wait where they are, so that a router short of CPU still
         hears the feed and passes answers on.  What has waited may have come since the last look before."""
-        until = self.selected_ns + CLIENTS_NS
+        until = self.last_select_ns + CLIENT_REQUESTS_TURN_NS
         left = [(peer, 0) for peer in self.untaken]
         for at, (peer, events) in enumerate(left + ready):
-            if events and not peer.ready_ns:
-                peer.ready_ns = before
+            if events and not peer.unread_since_ns:
+                peer.unread_since_ns = before
             if self.clock.now() > until:
                 for rest, waits in ready[max(0, at + 1 - len(left)) :]:
-                    rest.ready_ns = rest.ready_ns or (before if waits else 0)
+                    rest.unread_since_ns = rest.unread_since_ns or (before if waits else 0)
                 return
             if events:
-                self.waited_ns = self.clock.now() - peer.ready_ns
-                peer.ready_ns = 0
+                self.waited_ns = self.clock.now() - peer.unread_since_ns
+                peer.unread_since_ns = 0
                 self.serve(peer, events)
             if isinstance(peer, ClientConnection):
                 self.take(peer)
@@ -366,15 +393,17 @@
 
     def take(self, client: ClientConnection) -> None:
         """Tell what a client has sent, in its order."""
-        while client.untaken and not client.leaving:
-            read_ns, message = client.untaken.popleft()
+        while client.pending_messages and not client.is_closing:
+            read_ns, message = client.pending_messages.popleft()
             waited = self.clock.now() - read_ns
-            if waited > WAITED_NS and isinstance(message, m.Call):
+            if waited > WAITED_NS and isinstance(message, inputs.ClientRequest):
                 message = replace(
-                    message, patience_ns=message.patience_ns - waited, waited_ns=message.waited_ns + waited
+                    message,
+                    remaining_time_ns=message.remaining_time_ns - waited,
+                    queued_ns=message.queued_ns + waited,
                 )
-            self.tell(message)
-        client.untaken.clear()
+            self.handle_input(message)
+        client.pending_messages.clear()
         self.untaken.pop(client, None)
 
     def flush(self) -> None:
@@ -382,11 +411,16 @@
         while self.dirty or self.lost or self.hung or self.undialled:
             dirty, self.dirty = self.dirty, {}
             for peer in dirty:
-                if isinstance(peer, ServerConnection) and peer.pulls and peer.up and peer.sock.fileno() >= 0:
+                if (
+                    isinstance(peer, ServerConnection)
+                    and peer.unsent_attempts
+                    and peer.is_connected
+                    and peer.sock.fileno() >= 0
+                ):
                     # One that rested may have been ended by its server since the selector was asked.
                     if self.clock.now() - max(peer.read_ns, peer.moved_ns) > RESTED_NS:
                         self.read(peer)
-                if peer.up and peer.sock.fileno() >= 0:
+                if peer.is_connected and peer.sock.fileno() >= 0:
                     self.write(peer)
             lost, self.lost = self.lost, []
             for peer, why in lost:
@@ -396,91 +430,91 @@
                 self.part(client, why)
             undialled, self.undialled = self.undialled, []
             for message in undialled:
-                self.tell(message)
+                self.handle_input(message)
 
-    def tell(self, message: m.Input) -> None:
+    def handle_input(self, message: inputs.Input) -> None:
         """One input to the reducer, and what it asks for."""
-        self.carry_out(self.reducer.handle(self.clock.now(), message))
+        self.perform_effects(self.reducer.handle(self.clock.now(), message))
 
     # Effects ----------------------------------------------------------------------------------------------
 
-    def carry_out(self, effects: list[m.Effect]) -> None:
-        for e in effects:
-            if isinstance(e, m.Wake):
+    def perform_effects(self, effect_list: list[effects.Effect]) -> None:
+        for e in effect_list:
+            if isinstance(e, effects.ScheduleTimer):
                 self.made += 1
-                heapq.heappush(self.heap, (e.at_ns, self.made, e.key))
-            elif isinstance(e, m.Serve):
-                self.answer(e.client, front.served(e.call, e.body, e.same))
-            elif isinstance(e, m.Pull):
-                self.send(e.link, shelf.pull(e), e.id)
-            elif isinstance(e, m.Kill):
-                self.send(e.link, shelf.kill(e))
-            elif isinstance(e, m.Decline):
-                self.answer(e.client, (front.refused(e.call, e.pause_ns),))
-            elif isinstance(e, m.Break):
-                self.answer(e.client, (front.failed(e.call),))
-            elif isinstance(e, m.TellHealth):
-                self.answer(e.client, (front.health(e.call, e.fit),))
-            elif isinstance(e, m.Dial):
+                heapq.heappush(self.timers, (e.at_ns, self.made, e.key))
+            elif isinstance(e, effects.SendResponse):
+                self.answer(e.client, client_codec.encode_response(e.request_number, e.body, e.not_modified))
+            elif isinstance(e, effects.SendAttempt):
+                self.send(e.connection, server_codec.encode_attempt(e), e.attempt_id)
+            elif isinstance(e, effects.CancelAttempt):
+                self.send(e.connection, server_codec.encode_cancel(e))
+            elif isinstance(e, effects.RejectRequest):
+                self.answer(e.client, (client_codec.encode_rejection(e.request_number, e.retry_after_ns),))
+            elif isinstance(e, effects.FailRequest):
+                self.answer(e.client, (client_codec.encode_failure(e.request_number),))
+            elif isinstance(e, effects.SendHealth):
+                self.answer(e.client, (client_codec.encode_health(e.request_number, e.is_ready),))
+            elif isinstance(e, effects.OpenServerConnection):
                 self.dial(e)
-            elif isinstance(e, m.Drop):
-                server = self.servers.get(e.link)
+            elif isinstance(e, effects.CloseServerConnection):
+                server = self.servers.get(e.connection)
                 if server:
                     self.close(server)
-            elif isinstance(e, m.Check):
-                self.send(e.link, shelf.check(e))
-            elif isinstance(e, m.Poll):
+            elif isinstance(e, effects.SendHealthCheck):
+                self.send(e.connection, server_codec.encode_health_check(e))
+            elif isinstance(e, effects.PollFeed):
                 self.poll(e)
-            elif isinstance(e, m.Move):
-                self.feed_at = e.feed
+            elif isinstance(e, effects.SwitchFeed):
+                self.feed_address = e.address
                 if self.feed:
                     self.close(self.feed)
-            elif isinstance(e, m.HangUp):
+            elif isinstance(e, effects.CloseClient):
                 client = self.clients.get(e.client)
                 if client:
-                    client.leaving = True
-                    self.hung.append((client, e.why))
-            elif isinstance(e, m.Log):
+                    client.is_closing = True
+                    self.hung.append((client, e.reason))
+            elif isinstance(e, effects.LogEvent):
                 self.events.write(self.clock.now(), e)
-            elif isinstance(e, m.Reply):
+            elif isinstance(e, effects.ControlResponse):
                 caller = self.callers.get(e.caller)
                 if caller:
                     fields = e.fields
                     if "instance" in fields:
                         fields = {**fields, "memory_kb": peak_kb()}
-                    self.reply(caller, control.reply(e.ok, fields, caller.codec.head_only))
-            elif isinstance(e, m.Keep):
+                    self.reply(caller, control_codec.reply(e.ok, fields, caller.codec.head_only))
+            elif isinstance(e, effects.PersistServiceState):
                 self.keep(e)
-            elif isinstance(e, m.Look):
-                left = handing.read(self.config.state_dir, self.config.name)
-                if left is not None and left.ended_ns:
-                    self.tell(m.Ended(left.ended_ns))
-            elif isinstance(e, m.Expose):
-                self.expose(e.on)
-            elif isinstance(e, m.Release):
-                self.releasing = e.on
+            elif isinstance(e, effects.ReadPredecessorState):
+                left = predecessor_files.read_handover(self.config.state_dir, self.config.name)
+                if left is not None and left.ended_at_ns:
+                    self.handle_input(inputs.PredecessorEnded(left.ended_at_ns))
+            elif isinstance(e, effects.SetStateEndpoint):
+                self.expose(e.is_enabled)
+            elif isinstance(e, effects.DrainClients):
+                self.releasing = e.is_enabled
                 for client in list(self.clients.values()):
                     self.let_go(client)
-            elif isinstance(e, m.StopAccepting):
+            elif isinstance(e, effects.StopAccepting):
                 self.stop_accepting()
             else:
                 self.flush()
-                self.stopping = True
+                self.is_stopping = True
 
-    def answer(self, number: int, pieces: tuple[m.Body, ...]) -> None:
+    def answer(self, number: int, pieces: tuple[messages.Body, ...]) -> None:
         client = self.clients.get(number)
         if client:
             client.backlog.add(pieces)
             self.dirty[client] = None
 
-    def send(self, number: int, pieces: list[m.Body], id: str = "") -> None:
+    def send(self, number: int, pieces: list[messages.Body], id: str = "") -> None:
         """Bytes for a server; with ``id`` they are an attempt."""
         server = self.servers.get(number)
         if server:
             server.backlog.add(pieces)
             server.put += sum(map(len, pieces))
             if id:
-                server.pulls.append((server.put, id))
+                server.unsent_attempts.append((server.put, id))
             self.dirty[server] = None
 
     def connect(self, address: tuple[str, int]) -> socket.socket:
@@ -501,62 +535,66 @@
             raise OSError(code, errno.errorcode.get(code, "?"))
         return sock
 
-    def dial(self, e: m.Dial) -> None:
+    def dial(self, e: effects.OpenServerConnection) -> None:
         host, _, port = e.address.rpartition(":")
         now = self.clock.now()
         try:
             sock = self.connect((host, int(port)))
         except OSError as error:
             # Said once what asked for it is carried out.  Nothing was opened, so nothing is to be closed.
-            self.undialled.append(m.LinkLost(e.link, str(error)))
+            self.undialled.append(inputs.ServerConnectionLost(e.connection, str(error)))
             return
-        self.servers[e.link] = ServerConnection(e.link, sock, self.pool, now)
-        self.watch(self.servers[e.link], selectors.EVENT_WRITE)
+        self.servers[e.connection] = ServerConnection(e.connection, sock, self.pool, now)
+        self.watch(self.servers[e.connection], selectors.EVENT_WRITE)
 
-    def poll(self, e: m.Poll) -> None:
+    def poll(self, e: effects.PollFeed) -> None:
         now = self.clock.now()
         if self.feed is not None and self.feed.waits:
             return  # one poll at a time: a wake-up from before a move may ask for a second
         if self.feed is None:
             try:
-                self.feed = FeedConnection(self.connect(self.feed_at), self.pool, now, e.mark is not None)
+                self.feed = FeedConnection(
+                    self.connect(self.feed_address), self.pool, now, e.log_fingerprint is not None
+                )
             except OSError as error:
-                self.undialled.append(m.FeedLost(str(error)))
+                self.undialled.append(inputs.WatchFailed(str(error)))
                 return
             self.watch(self.feed, selectors.EVENT_WRITE)
         feed = self.feed
         feed.polled_ns, feed.waits = now, True
-        feed.wait_ns, feed.late_ns = e.wait_ms * 1_000_000, e.late_ns
-        feed.backlog.add((poll_request(self.feed_at, e.after, e.wait_ms, e.mark),))
+        feed.wait_ns, feed.late_ns = e.wait_ms * 1_000_000, e.response_timeout_ns
+        feed.backlog.add((encode_poll(self.feed_address, e.after_event, e.wait_ms, e.log_fingerprint),))
         self.dirty[feed] = None
 
     # Sockets ----------------------------------------------------------------------------------------------
 
     def watch(self, peer: Connection, events: int) -> None:
         """What the selector is to say of a connection."""
-        if events == peer.events:
+        if events == peer.interest:
             return
-        if not peer.events:
+        if not peer.interest:
             self.selector.register(peer.sock, events, peer)
         elif events:
             self.selector.modify(peer.sock, events, peer)
         else:
             self.selector.unregister(peer.sock)
-        peer.events = events
+        peer.interest = events
 
     def wanted(self, peer: Connection) -> int:
         """Read, unless it is a client that does not read itself; write, where something waits."""
         waits = peer.backlog.size()
-        return (0 if isinstance(peer, ClientConnection) and waits > SLOW_BYTES else selectors.EVENT_READ) | (
-            selectors.EVENT_WRITE if waits else 0
-        )
+        return (
+            0
+            if isinstance(peer, ClientConnection) and waits > MAX_UNREAD_BYTES_PER_CLIENT
+            else selectors.EVENT_READ
+        ) | (selectors.EVENT_WRITE if waits else 0)
 
     def stop_accepting(self) -> None:
         """Close the listening socket.  Whoever waits on one of our own has connected: the close would reset
         them, so they are taken first.  On a shared one another process takes them."""
         if self.listener is None:
             return
-        if self.config.inherited is None:
+        if self.config.inherited_listener_fd is None:
             for _ in range(listeners.BACKLOG // MAX_ACCEPTS_PER_TURN):
                 if not self.accept():
                     break
@@ -588,21 +626,21 @@
             self.made += 1
             client = self.clients[self.made] = ClientConnection(self.made, sock, self.pool, self.clock.now())
             self.watch(client, selectors.EVENT_READ)
-            self.tell(m.ClientCame(client.number))
+            self.handle_input(inputs.ClientConnected(client.number))
         return True
 
     def not_accepted(self, what: str, error: OSError) -> None:
         self.log("accept.failed", f"{what}: {error}", {"why": str(error)}, "warning")
 
     def writable(self, peer: Connection) -> None:
-        if not peer.up:
+        if not peer.is_connected:
             code = peer.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 self.lose(peer, errno.errorcode.get(code, str(code)), code in DOWN)
                 return
-            peer.up = True
+            peer.is_connected = True
             if isinstance(peer, ServerConnection):
-                self.tell(m.LinkUp(peer.number))
+                self.handle_input(inputs.ServerConnected(peer.number))
         self.write(peer)
 
     def write(self, peer: Connection) -> None:
@@ -616,8 +654,8 @@
         if not after or after < before:
             peer.moved_ns = self.clock.now()
         if isinstance(peer, ServerConnection):
-            while peer.pulls and peer.pulls[0][0] <= peer.backlog.sent:
-                peer.pulls.popleft()
+            while peer.unsent_attempts and peer.unsent_attempts[0][0] <= peer.backlog.sent_bytes:
+                peer.unsent_attempts.popleft()
         if not room:
             self.lost.append((peer, "no buffers left for what it does not read"))
             return
@@ -626,7 +664,7 @@
             if isinstance(peer, ControlConnection):
                 self.ended(peer)
             elif isinstance(peer, ClientConnection):
-                if peer.leaving:
+                if peer.is_closing:
                     self.shut(peer)
                 elif self.releasing:
                     self.let_go(peer)
@@ -636,7 +674,7 @@
         if isinstance(peer, ControlConnection):
             self.hear(peer)
             return
-        if isinstance(peer, ClientConnection) and peer.leaving:
+        if isinstance(peer, ClientConnection) and peer.is_closing:
             self.throw_away(peer)
             return
         # One buffer of the loop's own: codecs copy what they keep, so it is free again when this returns, and
@@ -650,11 +688,11 @@
                     return
                 self.take_in(peer, memoryview(buffer)[:got])
                 waited = isinstance(peer, ClientConnection) and self.waited_ns > GONE_NS
-                if got < SIZE and not waited or peer.sock.fileno() < 0:
+                if got < BUFFER_BYTES and not waited or peer.sock.fileno() < 0:
                     return
         except BlockingIOError:
             pass
-        except (front.FrontError, FeedError) as error:
+        except (client_codec.ClientProtocolError, FeedError) as error:
             if isinstance(peer, ClientConnection):
                 self.part(peer, f"malformed: {error}")
             else:
@@ -667,43 +705,47 @@
         if isinstance(peer, FeedConnection):
             peer.heard_ns = self.clock.now()
             try:
-                found = peer.codec.feed(data)
+                found = peer.codec.receive_data(data)
             except FeedError:
-                for news in peer.codec.done:  # whole events before the fault
-                    self.tell(news)
+                for news in peer.codec.completed:  # whole events before the fault
+                    self.handle_input(news)
                 raise
             for news in found:
-                if not news.more:
+                if not news.has_more:
                     peer.waits, self.blind_ns = False, 0
-                    if not peer.codec.keeps:
+                    if not peer.codec.keeps_alive:
                         self.close(peer)
-                self.tell(news)
+                self.handle_input(news)
         elif isinstance(peer, ServerConnection):
             peer.read_ns = self.clock.now()
-            for answer in peer.codec.feed(data):
-                self.tell(answer)
-            if peer.codec.fault:
-                self.lose(peer, f"malformed: {peer.codec.fault}")
-            elif peer.half != peer.codec.partial():
-                peer.half = not peer.half
-                self.tell(m.LinkHalf(peer.number, peer.half))
+            for answer in peer.codec.receive_data(data):
+                self.handle_input(answer)
+            if peer.codec.error:
+                self.lose(peer, f"malformed: {peer.codec.error}")
+            elif peer.has_partial_response != peer.codec.has_partial_message():
+                peer.has_partial_response = not peer.has_partial_response
+                self.handle_input(inputs.PartialResponse(peer.number, peer.has_partial_response))
         elif isinstance(peer, ClientConnection):
-            messages, now = peer.codec.feed(data, self.waited_ns), self.clock.now()
-            if messages:
-                peer.said, peer.heard_ns, peer.begun_ns = True, now, 0
-            if not peer.codec.partial():
-                peer.begun_ns = 0
-            elif not peer.begun_ns:
-                peer.begun_ns = now
-            for message in messages:
-                if isinstance(message, m.CallOff):
+            message_list, now = peer.codec.receive_data(data, self.waited_ns), self.clock.now()
+            if message_list:
+                peer.has_sent_message, peer.last_message_ns, peer.partial_since_ns = True, now, 0
+            if not peer.codec.has_partial_message():
+                peer.partial_since_ns = 0
+            elif not peer.partial_since_ns:
+                peer.partial_since_ns = now
+            for message in message_list:
+                if isinstance(message, inputs.CancelRequest):
                     # One that was not told yet is never sent on, and nothing is owed.
-                    kept = [one for one in peer.untaken if one[1].call != message.call]
-                    if len(kept) == len(peer.untaken):
-                        self.tell(message)
-                    peer.untaken = deque(kept)
+                    kept = [
+                        one
+                        for one in peer.pending_messages
+                        if one[1].request_number != message.request_number
+                    ]
+                    if len(kept) == len(peer.pending_messages):
+                        self.handle_input(message)
+                    peer.pending_messages = deque(kept)
                 else:
-                    peer.untaken.append((now, message))
+                    peer.pending_messages.append((now, message))
                     self.untaken[peer] = None
 
     # The control address ------------------------------------------------------------------------------------
@@ -727,7 +769,7 @@
                     self.heed(self.mgmt, False)
                     return
                 continue
-            if len(self.callers) >= self.shares.callers:
+            if len(self.callers) >= self.shares.control_callers:
                 self.close(min(self.callers.values(), key=lambda c: c.opened_ns))
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # a close takes along what waits
@@ -741,16 +783,16 @@
         nothing imported where no file switches it on."""
         self.exposed = on
         if on and not self.identified:
-            from kelpcroft.store.identity import of_program
+            from kelpcroft.store.identity import program_digest
 
             self.identified = True
             instance = f"{os.getpid()}-{self.clock.now():x}"
-            self.tell(m.Identity(of_program(Path(__file__).parent.parent), instance))
+            self.handle_input(inputs.ProcessIdentity(program_digest(Path(__file__).parent.parent), instance))
 
     def hear(self, caller: ControlConnection) -> None:
         """What a caller sent: a whole call goes to the reducer; what is no call is answered here."""
         try:
-            data = caller.sock.recv(control.READ_SIZE)
+            data = caller.sock.recv(control_codec.READ_SIZE)
         except BlockingIOError:
             return
         except OSError:
@@ -759,10 +801,10 @@
         if not data:
             self.close(caller)
         elif not caller.answered:
-            said = caller.codec.feed(data)
-            if isinstance(said, m.Verb):
+            said = caller.codec.receive_data(data)
+            if isinstance(said, inputs.ControlVerb):
                 caller.answered = True
-                self.tell(m.Control(caller.number, said))
+                self.handle_input(inputs.ControlRequest(caller.number, said))
             elif said is not None:
                 self.reply(caller, said)
 
@@ -779,12 +821,12 @@
         except OSError:
             self.close(caller)
 
-    def keep(self, e: m.Keep) -> None:
+    def keep(self, e: effects.PersistServiceState) -> None:
         """The state of service for the router's next process: written whole, then put in place."""
         if not self.config.state_dir:
             return
         try:
-            handing.write(self.config.state_dir, self.config.name, self.clock.now(), e)
+            predecessor_files.write_handover(self.config.state_dir, self.config.name, self.clock.now(), e)
         except OSError as error:
             self.log(
                 "handover.unwritten",
@@ -799,9 +841,14 @@
         """In a drain, close a client's connection once nothing is owed on it, nothing of it is half read,
         and nothing waits unread in the socket: a request that crosses the close is sent again by the
         client, and goes to another router."""
-        if not self.releasing or client.leaving or client.ready_ns or client.codec.partial():
+        if (
+            not self.releasing
+            or client.is_closing
+            or client.unread_since_ns
+            or client.codec.has_partial_message()
+        ):
             return
-        if not client.said and self.clock.now() - client.heard_ns < NEW_NS:
+        if not client.has_sent_message and self.clock.now() - client.last_message_ns < NEW_NS:
             return  # new: its first request is on the way
         if self.spare(client) and not self.unread(client):  # else it is read soon, then let go
             self.part(client)
@@ -813,7 +860,7 @@
         connection, and an answer just written goes with it."""
         if client.number not in self.clients:
             return
-        client.leaving, client.parted_ns = True, self.clock.now()
+        client.is_closing, client.parted_ns = True, self.clock.now()
         self.untaken.pop(client, None)
         self.parting[client.number] = self.clients.pop(client.number)
         self.heed(self.listener, True)
@@ -825,10 +872,10 @@
                 {"client": client.number, "why": why},
                 "warning",
             )
-        if len(self.parting) > self.shares.parting:
+        if len(self.parting) > self.shares.draining_clients:
             self.close(next(iter(self.parting.values())))
         self.shut(client)
-        self.tell(m.ClientLost(client.number))
+        self.handle_input(inputs.ClientDisconnected(client.number))
 
     def shut(self, client: ClientConnection) -> None:
         """End our side of a leaving client's connection, once what was answered is written."""
@@ -876,27 +923,31 @@
                         {"client": peer.number, "why": why},
                         "warning",
                     )
-                self.tell(m.ClientLost(peer.number))
+                self.handle_input(inputs.ClientDisconnected(peer.number))
             elif peer.number in self.parting:
                 self.close(peer)
         elif isinstance(peer, ServerConnection) and peer.number in self.servers:
-            unsent = frozenset(id for end, id in peer.pulls if end > peer.backlog.sent)
+            unsent = frozenset(id for end, id in peer.unsent_attempts if end > peer.backlog.sent_bytes)
             self.close(peer)
-            self.tell(m.LinkLost(peer.number, why or "closed by the server", down, unsent))
+            self.handle_input(
+                inputs.ServerConnectionLost(peer.number, why or "closed by the server", down, unsent)
+            )
         elif isinstance(peer, FeedConnection) and peer is self.feed:
             self.blind_ns = 0
             self.close(peer)
-            self.tell(m.FeedLost(why or "closed", peer.codec.retry_after_ns, peer.codec.read))
+            self.handle_input(
+                inputs.WatchFailed(why or "closed", peer.codec.retry_after_ns, peer.codec.body_bytes_read)
+            )
 
     def close(self, peer: Connection) -> None:
-        if peer.events:
+        if peer.interest:
             self.watch(peer, 0)
         peer.backlog.clear()
         self.dirty.pop(peer, None)
         peer.sock.close()
         if isinstance(peer, ClientConnection):
             self.untaken.pop(peer, None)
-            peer.untaken.clear()
+            peer.pending_messages.clear()
             self.clients.pop(peer.number, None)
             self.parting.pop(peer.number, None)
             if len(self.clients) < self.shares.clients:
@@ -925,24 +976,28 @@
             if peer.backlog.size() and now - peer.moved_ns > WRITE_STALL_TIMEOUT_NS:
                 self.lose(peer, "takes nothing any more")
             elif isinstance(peer, ServerConnection):
-                if peer.codec.partial() and now - peer.read_ns > STALLED_NS:
+                if peer.codec.has_partial_message() and now - peer.read_ns > PARTIAL_RESPONSE_TIMEOUT_NS:
                     self.lose(peer, "an answer has stopped short")
-            elif isinstance(peer, ClientConnection) and not peer.ready_ns:
-                silent = peer.begun_ns or (0 if peer.said else peer.heard_ns)
-                idle = now - peer.heard_ns > IDLE_NS and self.spare(peer)
-                if (silent and now - silent > SILENT_NS or idle) and not self.unread(peer):
+            elif isinstance(peer, ClientConnection) and not peer.unread_since_ns:
+                silent = peer.partial_since_ns or (0 if peer.has_sent_message else peer.last_message_ns)
+                idle = now - peer.last_message_ns > IDLE_CLIENT_TIMEOUT_NS and self.spare(peer)
+                if (silent and now - silent > SILENT_CLIENT_TIMEOUT_NS or idle) and not self.unread(peer):
                     self.part(peer)
 
     def spare(self, client: ClientConnection) -> bool:
         """Whether nothing is owed on a client's connection and nothing waits to be written."""
-        waits = client.backlog.size() or client in self.dirty or client.untaken
-        return not waits and client.number not in self.reducer.state.calls
+        waits = client.backlog.size() or client in self.dirty or client.pending_messages
+        return not waits and client.number not in self.reducer.state.requests_by_client
 
     def make_room(self) -> bool:
         """One client goes for another: the longest silent that never asked, else the longest idle."""
         latest = self.clock.now() - SPARED_NS
-        found = [c for c in self.clients.values() if c.heard_ns < latest and not c.ready_ns and self.spare(c)]
-        for client in sorted(found, key=lambda c: (c.said, c.heard_ns)):
+        found = [
+            c
+            for c in self.clients.values()
+            if c.last_message_ns < latest and not c.unread_since_ns and self.spare(c)
+        ]
+        for client in sorted(found, key=lambda c: (c.has_sent_message, c.last_message_ns)):
             if not self.unread(client):
                 self.part(client)
                 return True
@@ -957,4 +1012,4 @@
         return False
 
     def log(self, event: str, text: str, fields: dict[str, object], level: str = "info") -> None:
-        self.events.write(self.clock.now(), m.Log(event, text, level, fields))
+        self.events.write(self.clock.now(), effects.LogEvent(event, text, level, fields))
--- a/kelpcroft/net/event_stream.py
+++ b/kelpcroft/net/event_stream.py
@@ -9,8 +9,8 @@
 
 import re
 
-EVENT_MOST = 2 << 20  # bytes of one event: a list of 10,000 servers; a longer one is left out
-ENVELOPE_MOST = 1 << 16  # bytes of all that is not an event
+MAX_EVENT_BYTES = 2 << 20  # bytes of one event: a list of 10,000 servers; a longer one is left out
+MAX_ENVELOPE_BYTES = 1 << 16  # bytes of all that is not an event
 STRING_MOST = 1 << 16  # bytes of one string; one that has not ended is looked at again with each read
 EVENTS_KEY = b'"events"'
 EVENTS_DEPTH = 2  # the answer's object, and its array of events
@@ -30,9 +30,9 @@
         self.inside = False  # the array of events is open
         self.begun = False  # an event is open: ``rest`` begins with it
         self.skipping = False  # and it is too long
-        self.fault = ""  # why these bytes cannot be cut any further
+        self.error = ""  # why these bytes cannot be cut any further
 
-    def feed(self, data: bytes) -> list[bytes | None]:
+    def receive_data(self, data: bytes) -> list[bytes | None]:
         """The events that these bytes complete, None for one too long to keep; see ``fault``."""
         text, found = self.rest + data, list[bytes | None]()
         start = 0  # of what is not handed on yet
@@ -53,10 +53,10 @@
             elif token in b"}]":
                 self.depth -= 1
                 if self.depth < 0:
-                    self.fault = "more brackets are closed than opened"
+                    self.error = "more brackets are closed than opened"
                     return found
                 if self.begun and self.depth == EVENTS_DEPTH:
-                    long = self.skipping or at - start > EVENT_MOST
+                    long = self.skipping or at - start > MAX_EVENT_BYTES
                     found.append(None if long else text[start:at])
                     start, self.begun = at, False
                 elif self.inside and self.depth < EVENTS_DEPTH:
@@ -71,7 +71,7 @@
     def keep(self, text: bytes, start: int, at: int) -> None:
         """What is left for the next bytes; nothing of it grows without bound."""
         if self.begun:
-            if self.skipping or at - start > EVENT_MOST:
+            if self.skipping or at - start > MAX_EVENT_BYTES:
                 self.skipping, start = True, at
         elif self.inside:
             start = at  # commas and white space between events
@@ -80,12 +80,12 @@
             start = at
         self.rest, self.scanned = text[start:], at - start
         if len(self.rest) - self.scanned > STRING_MOST:
-            self.fault = f"a string of over {STRING_MOST} bytes"
-        if len(self.envelope) > ENVELOPE_MOST:
-            self.fault = f"over {ENVELOPE_MOST} bytes that are no events"
+            self.error = f"a string of over {STRING_MOST} bytes"
+        if len(self.envelope) > MAX_ENVELOPE_BYTES:
+            self.error = f"over {MAX_ENVELOPE_BYTES} bytes that are no events"
 
     def end(self) -> bytes:
         """The answer without its events, once its last byte has come; see ``fault``."""
         if self.depth or self.rest:
-            self.fault = "it ends within an event"
+            self.error = "it ends within an event"
         return self.envelope
--- a/kelpcroft/net/listeners.py
+++ b/kelpcroft/net/listeners.py
@@ -9,7 +9,7 @@
 BACKLOG = 1024  # connections that the kernel queues before one is accepted
 
 
-def bound(key: str, address: Address) -> socket.socket:
+def bind_listener(key: str, address: Address) -> socket.socket:
     """A listening socket of our own at an address.  ConfigError, naming ``key``, where it cannot be had."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
@@ -24,7 +24,7 @@
     return sock
 
 
-def adopt(fd: int) -> socket.socket:
+def adopt_listener(fd: int) -> socket.socket:
     """The listening socket that the platform hands down as descriptor ``fd`` (``$ROUTER_FD``).
 
     It must be a TCP socket over IPv4 or IPv6 that listens; ConfigError otherwise, the descriptor left as
@@ -53,7 +53,7 @@
     return sock
 
 
-def where(sock: socket.socket) -> str:
+def listening_address(sock: socket.socket) -> str:
     """``host:port`` at which a socket listens."""
     host, port = sock.getsockname()[:2]
     return f"{host}:{port}"
--- a/kelpcroft/net/shelf.py
+++ b/kelpcroft/net/server_codec.py
@@ -10,8 +10,10 @@
 from functools import lru_cache
 from itertools import product
 
-from kelpcroft.messages import Answer, Body, Check, Kill, Pull
-from zincgrade.interface import Note, Outcome
+from kelpcroft.core.effects import CancelAttempt, SendAttempt, SendHealthCheck
+from kelpcroft.core.inputs import ServerResponse
+from kelpcroft.core.messages import Body
+from kelpcroft.decision.interface import FillResult, Outcome
 
 NS_PER_MS = 1_000_000
 HEAD_MOST = 4_096  # bytes of an answer without its body
@@ -30,23 +32,23 @@
     "UNFIT": Outcome.ERROR,
 }
 NOTES = {
-    "mem": Note.HIT,
-    "parent": Note.FILLED,
-    "origin": Note.FILLED_FROM_ORIGIN,
-    "shared": Note.JOINED,
-    "old": Note.STALE,
-    "denied": Note.SOURCE_REFUSED,
-    "unreached": Note.SOURCE_BROKE,
-    "absent": Note.SOURCE_LACKS,
-    "crowded": Note.NO_FILL_PLACE,
-    "behind": Note.ORIGIN_FAILED,
+    "mem": FillResult.HIT,
+    "parent": FillResult.FILLED,
+    "origin": FillResult.FILLED_FROM_ORIGIN,
+    "shared": FillResult.JOINED,
+    "old": FillResult.STALE,
+    "denied": FillResult.SOURCE_REFUSED,
+    "unreached": FillResult.SOURCE_BROKE,
+    "absent": FillResult.SOURCE_LACKS,
+    "crowded": FillResult.NO_FILL_PLACE,
+    "behind": FillResult.ORIGIN_FAILED,
 }
 WAYS = {
     on: "+".join(w for w, x in zip("jhnr", on, strict=True) if x) for on in product((False, True), repeat=4)
 }
 
 
-class ShelfError(ValueError):
+class ServerProtocolError(ValueError):
     """Bytes that are no answer of this protocol."""
 
 
@@ -60,33 +62,33 @@
     return [head, last, b"\r\n"] if len(last) > 1_024 else [head + last + b"\r\n"]
 
 
-def pull(p: Pull) -> list[Body]:
+def encode_attempt(p: SendAttempt) -> list[Body]:
     """An attempt."""
-    fields = [f"cls={p.cls}", f"item={p.object}", f"chunk={p.part}", f"limit={p.limit_ms}"]
-    if p.nonce:
-        fields.append(f"nonce={p.nonce}")
+    fields = [f"cls={p.request_class}", f"item={p.object_id}", f"chunk={p.part_id}", f"limit={p.timeout_ms}"]
+    if p.idempotency_key:
+        fields.append(f"nonce={p.idempotency_key}")
     if p.source:
         fields.append(f"next={p.source}")
-    if p.rank:
-        fields.append(f"admit={p.rank}")
-    if p.age_limit_ms:
-        fields.append(f"agelim={p.age_limit_ms}")
-    ways = WAYS[p.join, p.held_only, p.no_parent_copy, p.renew]
+    if p.retention_rank:
+        fields.append(f"admit={p.retention_rank}")
+    if p.max_age_ms:
+        fields.append(f"agelim={p.max_age_ms}")
+    ways = WAYS[p.join_fill, p.cache_only, p.no_parent_copy, p.refresh_behind]
     if ways:
         fields.append(f"ways={ways}")
-    if p.tag:
-        fields.append(f"cached={p.tag}")
-    return command(b"PULL", p.id.encode(), ",".join(fields).encode(), p.body)
+    if p.etag:
+        fields.append(f"cached={p.etag}")
+    return command(b"PULL", p.attempt_id.encode(), ",".join(fields).encode(), p.body)
 
 
-def kill(k: Kill) -> list[Body]:
+def encode_cancel(k: CancelAttempt) -> list[Body]:
     """An attempt is given up."""
-    return command(b"KILL", k.id.encode())
+    return command(b"KILL", k.attempt_id.encode())
 
 
-def check(c: Check) -> list[Body]:
+def encode_health_check(c: SendHealthCheck) -> list[Body]:
     """A probe."""
-    return command(b"METER", c.id.encode())
+    return command(b"METER", c.attempt_id.encode())
 
 
 def fields_of(text: str) -> dict[str, str]:
@@ -95,7 +97,7 @@
         return {}
     pairs = [pair.partition("=") for pair in text.split(",")]
     if not all(name and equals for name, equals, _ in pairs):
-        raise ShelfError(f"fields: {text[:80]!r}")
+        raise ServerProtocolError(f"fields: {text[:80]!r}")
     return {name: value for name, _, value in pairs}
 
 
@@ -106,7 +108,7 @@
     return {name: float(value) for name, _, value in pairs}
 
 
-class ShelfCodec:
+class ServerCodec:
     """Answers on one connection."""
 
     def __init__(self, link: int) -> None:
@@ -115,23 +117,23 @@
         self.words = ("", "", "")  # id, word and fields of the answer whose body is being filled
         self.body: bytearray | None = None  # its line end included
         self.filled = 0
-        self.fault = ""  # why nothing more can be read
+        self.error = ""  # why nothing more can be read
 
-    def feed(self, data: memoryview) -> list[Answer]:
+    def receive_data(self, data: memoryview) -> list[ServerResponse]:
         """The answers that these bytes complete.  Those ahead of bytes that are none are good; ``fault`` then
         says why the connection is of no further use."""
-        found: list[Answer] = []
+        found: list[ServerResponse] = []
         try:
             self.take(data, found)
-        except ShelfError as error:
-            self.fault = str(error)
+        except ServerProtocolError as error:
+            self.error = str(error)
         return found
 
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether an answer has begun and not ended."""
         return self.body is not None or bool(self.head)
 
-    def take(self, data: memoryview, found: list[Answer]) -> None:
+    def take(self, data: memoryview, found: list[ServerResponse]) -> None:
         at = 0
         while at < len(data):
             body = self.body
@@ -146,7 +148,7 @@
                 # What follows at once is looked at too: a body said to be four bytes longer than it is takes
                 # them from the next answer's head, and ends as a body should.
                 if not body.endswith(b"\r\n") or bytes(data[at : at + 1]) not in (b"", b"*"):
-                    raise ShelfError("a body does not end where it should")
+                    raise ServerProtocolError("a body does not end where it should")
                 del body[-2:]
                 id, word, text = self.words
                 found.append(self.answer(id, word, text, body))
@@ -163,33 +165,33 @@
                 or self.head.count(b"\r\n") >= HEAD_LINES
                 or not (self.head.startswith(START) or START.startswith(self.head))
             ):
-                raise ShelfError(f"not an answer: {self.head[:60]!r}")
+                raise ServerProtocolError(f"not an answer: {self.head[:60]!r}")
             return len(data)
         words, sizes = match.group(2, 4, 6), match.group(1, 3, 5)
         if any(len(word) != int(size) for word, size in zip(words, sizes, strict=True)):
-            raise ShelfError(f"a word's length is not what it says: {self.head[:60]!r}")
+            raise ServerProtocolError(f"a word's length is not what it says: {self.head[:60]!r}")
         size = int(match.group(7))
         if size > BODY_MOST:
-            raise ShelfError(f"a body of {size} bytes")
+            raise ServerProtocolError(f"a body of {size} bytes")
         try:
             id, word, text = words
             self.words = id.decode(), word.decode(), text.decode()
         except UnicodeDecodeError as error:
-            raise ShelfError(str(error)) from error
+            raise ServerProtocolError(str(error)) from error
         self.body, self.filled, self.head = bytearray(size + 2), 0, b""
         return match.end() - before
 
-    def answer(self, id: str, word: str, text: str, body: bytearray) -> Answer:
+    def answer(self, id: str, word: str, text: str, body: bytearray) -> ServerResponse:
         """The four strings as a message."""
         outcome = ENDS.get(word)
         if outcome is None:
-            raise ShelfError(f"{word[:40]!r} is not an answer's word")
+            raise ServerProtocolError(f"{word[:40]!r} is not an answer's word")
         fields = fields_of(text)
         try:
             waited = int(float(fields.get("slow") or 0) * NS_PER_MS)
             report = report_of(fields.get("meter", ""))
         except (ValueError, OverflowError) as error:
-            raise ShelfError(str(error)) from error
-        note = NOTES.get(fields.get("tell", ""), Note.NONE)  # a note of a later day says nothing here
+            raise ServerProtocolError(str(error)) from error
+        note = NOTES.get(fields.get("tell", ""), FillResult.NONE)  # a note of a later day says nothing here
         named = fields.get("sum", "") if word == "KEEP" else ""
-        return Answer(self.link, id, outcome, note, waited, report, word == "KEEP", body, named)
+        return ServerResponse(self.link, id, outcome, note, waited, report, word == "KEEP", body, named)
--- a/kelpcroft/net/upstream.py
+++ b/kelpcroft/net/upstream_codec.py
@@ -7,27 +7,27 @@
 
 import orjson
 
-from kelpcroft.controllog.replica import Feed
-from kelpcroft.net.feed import AnswerCodec, FeedError
+from kelpcroft.control_log.replica import UpstreamResponse
+from kelpcroft.net.feed_codec import FeedError, FeedResponseCodec
 
 
-class UpstreamCodec(AnswerCodec[Feed]):
+class UpstreamCodec(FeedResponseCodec[UpstreamResponse]):
     """Answers of a list service or of another replica."""
 
-    def whole(self, raw: Any) -> Feed:
+    def parse_response(self, raw: Any) -> UpstreamResponse:
         """One answer; FeedError where it is none."""
         well = isinstance(raw, dict) and type(raw.get("n")) is int and isinstance(raw.get("events"), list)
         if not well:
             raise FeedError("not an answer with n and events")
         mark, as_of = raw.get("mark"), raw.get("as_of")
-        return Feed(
+        return UpstreamResponse(
             raw["n"],
             tuple(raw["events"]),
             mark if isinstance(mark, str) else "",
             as_of if type(as_of) is int else None,
         )
 
-    def piece(self, found: list[bytes | None]) -> Feed:
+    def parse_piece(self, found: list[bytes | None]) -> UpstreamResponse:
         """Events of a long answer; one that cannot be read is left out."""
         events = []
         for text in found:
@@ -35,4 +35,4 @@
                 events.append(orjson.loads(text or b"null"))
             except orjson.JSONDecodeError:
                 continue
-        return Feed(0, tuple(events), more=True)
+        return UpstreamResponse(0, tuple(events), has_more=True)
--- a/kelpcroft/operator/__init__.py
+++ b/kelpcroft/operator_file/__init__.py
@@ -4,8 +4,8 @@
 all of them at once, and neither raises for anything that a file may hold.
 """
 
-from kelpcroft.operator.check import check, load
-from kelpcroft.operator.faults import Fault
-from kelpcroft.operator.model import File
+from kelpcroft.operator_file.check import check, load
+from kelpcroft.operator_file.diagnostics import Diagnostic
+from kelpcroft.operator_file.model import OperatorFile
 
-__all__ = ["Fault", "File", "check", "load"]
+__all__ = ["Diagnostic", "OperatorFile", "check", "load"]
--- a/kelpcroft/operator/faults.py
+++ b/kelpcroft/operator_file/diagnostics.py
@@ -9,10 +9,10 @@
 from difflib import get_close_matches
 from typing import NamedTuple
 
-FAULTS_MOST = 1_000  # of one file; what follows is not read
+MAX_DIAGNOSTICS = 1_000  # of one file; what follows is not read
 
 
-class Place(NamedTuple):
+class FilePosition(NamedTuple):
     """Line and column in the file, both from 1; columns count characters."""
 
     line: int = 0
@@ -22,68 +22,68 @@
 NEWLINE = r"\r\n|[\n\r\x85\x0b\x0c\u2028\u2029]"
 
 
-class Source:
+class SourceText:
     """A text that knows its lines.  Offsets become places only where they are wanted."""
 
     def __init__(self, text: str) -> None:
         self.text = text
-        self.starts = [0, *(match.end() for match in re.finditer(NEWLINE, text))]
+        self.line_starts = [0, *(match.end() for match in re.finditer(NEWLINE, text))]
 
-    def place(self, at: int) -> Place:
+    def position_of(self, at: int) -> FilePosition:
         """Line and column of an offset."""
-        line = bisect_right(self.starts, at)
-        return Place(line, at - self.starts[line - 1] + 1)
+        line = bisect_right(self.line_starts, at)
+        return FilePosition(line, at - self.line_starts[line - 1] + 1)
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class Diagnostic:
     """One fault.  ``code`` is stable: scripts may rely on it."""
 
-    place: Place
+    position: FilePosition
     code: str
-    reason: str
+    message: str
 
-    def text(self, path: str) -> str:
+    def format_for(self, path: str) -> str:
         """``FILE:LINE:COL: CODE: reason``, on one line whatever the file held."""
-        reason = "".join(c if c.isprintable() else f"\\u{ord(c):04x}" for c in self.reason)
-        return f"{path}:{self.place.line}:{self.place.column}: {self.code}: {reason}"
+        reason = "".join(c if c.isprintable() else f"\\u{ord(c):04x}" for c in self.message)
+        return f"{path}:{self.position.line}:{self.position.column}: {self.code}: {reason}"
 
 
-class TooMany(Exception):
+class TooManyDiagnostics(Exception):
     """FAULTS_MOST of them; what follows is not read."""
 
 
-class Faults:
+class DiagnosticCollector:
     """Collects them, up to FAULTS_MOST: a broken file of 1 MB may hold more than anyone reads."""
 
-    def __init__(self, source: Source | None = None) -> None:
-        self.kept: list[Fault] = []
+    def __init__(self, source: SourceText | None = None) -> None:
+        self.found: list[Diagnostic] = []
         self.count = 0
-        self.source = source or Source("")
+        self.source = source or SourceText("")
 
-    def add(self, place: Place | int, code: str, reason: str) -> None:
+    def add(self, place: FilePosition | int, code: str, reason: str) -> None:
         """One more, at a place or at an offset into the source."""
         self.count += 1
-        self.kept.append(Fault(self.place(place), code, reason))
-        if self.count >= FAULTS_MOST:
-            raise TooMany
+        self.found.append(Diagnostic(self.position_of(place), code, reason))
+        if self.count >= MAX_DIAGNOSTICS:
+            raise TooManyDiagnostics
 
-    def place(self, place: Place | int) -> Place:
+    def position_of(self, place: FilePosition | int) -> FilePosition:
         """The place of an offset."""
-        return self.source.place(place) if isinstance(place, int) else place
+        return self.source.position_of(place) if isinstance(place, int) else place
 
-    def sorted(self) -> list[Fault]:
+    def in_file_order(self) -> list[Diagnostic]:
         """In the order of the file."""
-        return sorted(self.kept, key=lambda fault: fault.place)
+        return sorted(self.found, key=lambda fault: fault.position)
 
 
-def shown(value: object) -> str:
+def abbreviated(value: object) -> str:
     """A value for a message, cut where it is long."""
     text = repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def instead(word: str, known: Iterable[str]) -> str:
+def suggestion(word: str, known: Iterable[str]) -> str:
     """What to write in place of a word that is not known: the nearest one, or the whole choice if short."""
     choice = sorted(known)
     near = get_close_matches(word[:64], choice, 1, 0.6)
--- a/kelpcroft/operator/explain.py
+++ b/kelpcroft/operator_file/explain.py
@@ -5,19 +5,28 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from kelpcroft.operator.boxes import WHOLE, Box, boxes, cut, meets
-from kelpcroft.operator.check import span
-from kelpcroft.operator.faults import Place
-from kelpcroft.operator.model import GROUPS, PARTS, Bounds, Budget, File, Moment, Range, Route
-from kelpcroft.routes.index import Index
-from zincgrade import interface as api
+from kelpcroft.decision import interface as api
+from kelpcroft.operator_file.check import span
+from kelpcroft.operator_file.diagnostics import FilePosition
+from kelpcroft.operator_file.match_regions import WHOLE, Box, boxes, cut, meets
+from kelpcroft.operator_file.model import (
+    GROUP_RANGE,
+    PART_RANGE,
+    AdaptiveDuration,
+    BudgetSettings,
+    OperatorFile,
+    Range,
+    Route,
+    RoutePolicy,
+)
+from kelpcroft.routes.index import RouteIndex
 
 REGIONS_MOST = 20_000  # boxes into which one class is cut for a comparison
-Row = tuple[str, str, Place]  # what, its value in words, where it was said
+Row = tuple[str, str, FilePosition]  # what, its value in words, where it was said
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestAttributes:
     """One request, as far as routes look at it."""
 
     cls: api.RequestClass
@@ -28,15 +37,15 @@
     write: bool = False
 
 
-def route_of(file: File, zone: str, asked: Asked) -> Route | None:
+def find_route(file: OperatorFile, zone: str, asked: RequestAttributes) -> Route | None:
     """The first route that takes a request."""
-    at = Index(file.routes, zone).find(
+    at = RouteIndex(file.routes, zone).find(
         asked.cls, asked.object, asked.group, asked.part, asked.retry, asked.write
     )
     return file.routes[at] if at >= 0 else None
 
 
-def moment_words(m: Moment) -> str:
+def moment_words(m: AdaptiveDuration) -> str:
     """A duration or a quantile in words."""
     if not m.quantile:
         return span(m.ns)
@@ -45,11 +54,11 @@
     return f"p{m.quantile * 100:g} of recent answers{least}{most}"
 
 
-def rows(b: Bounds) -> Iterator[Row]:
+def rows(b: RoutePolicy) -> Iterator[Row]:
     """Each bound that is said, in words, with its place."""
 
     def row(key: str, name: str, words: str) -> Row:
-        return name, words, b.places.get(key, Place())
+        return name, words, b.places.get(key, FilePosition())
 
     if b.timeout:
         yield row(
@@ -87,19 +96,19 @@
         yield row("pause_ns", "pause", span(b.pause_ns))
 
 
-def longest_wait(b: Bounds, cls: api.RequestClass) -> int:
+def longest_wait(b: RoutePolicy, cls: api.RequestClass) -> int:
     """The longest that a client of a class can wait for its answer, in ns; 0 = not told."""
-    return b.timeout.of(cls.deadline_ns) if b.timeout and cls.deadline_ns else cls.deadline_ns
+    return b.timeout.within(cls.deadline_ns) if b.timeout and cls.deadline_ns else cls.deadline_ns
 
 
-def most_sends(b: Bounds, cls: api.RequestClass, limits: api.Limits) -> int:
+def most_sends(b: RoutePolicy, cls: api.RequestClass, limits: api.Limits) -> int:
     """The most sends that one request of a class can cause."""
     most = limits.max_attempts
-    if cls.effect is api.Effect.UNSAFE:
+    if cls.idempotency is api.Idempotency.UNSAFE:
         attempts, copies = 1, 0
     else:
         attempts = most if b.attempts is None else b.attempts
-        copies = b.copies.most if b.copies and cls.effect is api.Effect.SAFE else 0
+        copies = b.copies.most if b.copies and cls.idempotency is api.Idempotency.SAFE else 0
     moves = most if b.moves is None else b.moves
     return min(most, attempts + copies + moves)
 
@@ -118,12 +127,12 @@
     what: tuple[str, ...]  # bounds that differ, in words
 
 
-def regions(file: File, zone: str, cls: api.RequestClass) -> list[tuple[Box, Route | None]]:
+def regions(file: OperatorFile, zone: str, cls: api.RequestClass) -> list[tuple[Box, Route | None]]:
     """A class cut into disjoint boxes, each with its first route."""
     left, found = [WHOLE], []
     for route in file.routes:
         m = route.match
-        if not m.fits(cls) or m.zones and zone not in m.zones:
+        if not m.accepts_class(cls) or m.zones and zone not in m.zones:
             continue
         for box in boxes(route):
             hit = [b for b in left if meets(b, box)]
@@ -158,8 +167,8 @@
         if r != whole:
             said.append(f'{name}="{r[0]}..{r[1]}"' if r[0] != r[1] else f'{name}="{r[0]}"')
 
-    ranged("group", rest[0], GROUPS)
-    ranged("part", rest[1], PARTS)
+    ranged("group", rest[0], GROUP_RANGE)
+    ranged("part", rest[1], PART_RANGE)
     low, high = rest[2]
     if (low, high) != (0, (1 << 64) - 1):
         first, last = f"{low:016x}", f"{high:016x}"
@@ -171,7 +180,7 @@
     return " ".join(said) or "all of it"
 
 
-def said(route: Route | None, budgets: dict[str, Budget]) -> dict[str, str]:
+def said(route: Route | None, budgets: dict[str, BudgetSettings]) -> dict[str, str]:
     """A route's bounds in words, those of its budgets with them."""
     if route is None:
         return {}
@@ -182,7 +191,9 @@
     return found
 
 
-def differences(old: File, new: File, zone: str, classes: Iterable[api.RequestClass]) -> Iterator[Change]:
+def differences(
+    old: OperatorFile, new: OperatorFile, zone: str, classes: Iterable[api.RequestClass]
+) -> Iterator[Change]:
     """Which requests of these classes are treated differently.  Raises ValueError for files in too many
     pieces."""
     old_budgets, new_budgets = ({b.name: b for b in file.budgets} for file in (old, new))
--- a/kelpcroft/operator/boxes.py
+++ b/kelpcroft/operator_file/match_regions.py
@@ -12,15 +12,15 @@
 from dataclasses import replace
 from itertools import product
 
-from kelpcroft.operator.model import GROUPS, PARTS, Range, Route
-from zincgrade import interface as api
+from kelpcroft.decision import interface as api
+from kelpcroft.operator_file.model import GROUP_RANGE, PART_RANGE, Range, Route
 
 OBJECTS: Range = (0, (1 << 64) - 1)
 BOTH: Range = (0, 1)
 CUTS_MOST = 100_000  # some tenths of a second of Python
 BOXES_MOST = 2_000  # of one class
 Box = tuple[Range, ...]  # retry, write, group, part, object
-WHOLE: Box = (BOTH, BOTH, GROUPS, PARTS, OBJECTS)
+WHOLE: Box = (BOTH, BOTH, GROUP_RANGE, PART_RANGE, OBJECTS)
 
 
 def within(prefix: str) -> Range:
@@ -65,14 +65,14 @@
         product(
             (flag[m.retry],),
             (flag[m.write],),
-            m.groups or (GROUPS,),
-            m.parts or (PARTS,),
+            m.groups or (GROUP_RANGE,),
+            m.parts or (PART_RANGE,),
             tuple(map(within, m.objects)) or (OBJECTS,),
         )
     )
 
 
-class Cover:
+class RouteCoverage:
     """What is left of each class, while routes are added in order."""
 
     def __init__(self, settings: api.Settings) -> None:
@@ -83,9 +83,9 @@
         self.given_up = False
         self.takers: list[str] = []  # of the last route that took nothing: who takes what it matches
 
-    def add(self, route: Route) -> set[str]:
+    def add_route(self, route: Route) -> set[str]:
         """Classes of which this route takes something.  Empty for one that can never match."""
-        names = tuple(c.name for c in self.classes if route.match.fits(c))
+        names = tuple(c.name for c in self.classes if route.match.accepts_class(c))
         if not self.here(route):
             return set(names)  # another zone's: what is left there is not known here
         taken: set[str] = set()
@@ -96,7 +96,9 @@
                 if left:
                     taken.add(name)
                 m = route.match
-                if replace(m, classes=(), zones=(), effects=(), through=None, multipart=None).rest():
+                if replace(
+                    m, classes=(), zones=(), effects=(), through=None, multipart=None
+                ).matches_everything():
                     self.left[name] = []
                 continue
             for box in mine:
--- a/kelpcroft/operator/replica.py
+++ b/kelpcroft/operator_file/replica.py
@@ -17,10 +17,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelpcroft.operator import values
-from kelpcroft.operator.faults import Fault, Faults, TooMany, instead, shown
-from kelpcroft.operator.reader import Reader
-from kelpcroft.operator.text import Item, tree
+from kelpcroft.operator_file import values
+from kelpcroft.operator_file.diagnostics import (
+    Diagnostic,
+    DiagnosticCollector,
+    TooManyDiagnostics,
+    abbreviated,
+    suggestion,
+)
+from kelpcroft.operator_file.reader import NodeReader
+from kelpcroft.operator_file.text import KdlNode, parse_nodes
 
 VERSION = 1
 MS = 10**6
@@ -35,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaFile:
+class ControlReplicaFile:
     """What such a file says."""
 
     listen: Address = ("127.0.0.1", 0)
@@ -46,79 +52,85 @@
     watches: int = 1_000
 
 
-def load(data: bytes) -> tuple[ReplicaFile, list[Fault]]:
+def load(data: bytes) -> tuple[ControlReplicaFile, list[Diagnostic]]:
     """A file's bytes, and all that is wrong with them."""
-    faults, file = Faults(), ReplicaFile()
+    faults, file = DiagnosticCollector(), ControlReplicaFile()
     try:
-        file = ReplicaReader(faults).replica(tree(data, faults))
-    except TooMany:
+        file = ReplicaReader(faults).replica(parse_nodes(data, faults))
+    except TooManyDiagnostics:
         pass
-    return file, faults.sorted()
+    return file, faults.in_file_order()
 
 
-class ReplicaReader(Reader):
+class ReplicaReader(NodeReader):
     """One file; what nodes may hold is checked as in the operator's file."""
 
-    def replica(self, items: Iterable[Item]) -> ReplicaFile:
+    def replica(self, items: Iterable[KdlNode]) -> ControlReplicaFile:
         """The whole file."""
         said: dict[str, Any] = {}
         seen: dict[str, int] = {}
         for n, item in enumerate(items):
             if n == 0 and item.name != HEAD:
-                self.faults.add(
-                    item.place,
+                self.diagnostics.add(
+                    item.offset,
                     "no-version",
-                    f"the first node is '{HEAD} version={VERSION}', not {shown(item.name)}",
+                    f"the first node is '{HEAD} version={VERSION}', not {abbreviated(item.name)}",
                 )
             if item.name not in TOP:
-                self.faults.add(
-                    item.place,
+                self.diagnostics.add(
+                    item.offset,
                     "unknown-node",
-                    f"a replica's file holds no {shown(item.name)}{instead(item.name, TOP)}",
+                    f"a replica's file holds no {abbreviated(item.name)}{suggestion(item.name, TOP)}",
                 )
             elif item.name in seen:
-                self.faults.add(
-                    item.place,
+                self.diagnostics.add(
+                    item.offset,
                     "duplicate-node",
-                    f"{item.name!r} stands at line {self.line(seen[item.name])} already",
+                    f"{item.name!r} stands at line {self.line_of(seen[item.name])} already",
                 )
             else:
-                seen[item.name] = item.place
+                seen[item.name] = item.offset
                 said.update(self.node(item))
         for name, example in (("listen", '"10.0.0.1:7100"'), ("list-service", '"10.0.0.9:7000"')):
             if name not in seen and not (name == "list-service" and "peer" in seen):
-                self.faults.add(0, "missing-value", f"there is no {name}; add one, as {name} {example}")
-        return ReplicaFile(**{key: value for key, value in said.items() if value is not None})
+                self.diagnostics.add(0, "missing-value", f"there is no {name}; add one, as {name} {example}")
+        return ControlReplicaFile(**{key: value for key, value in said.items() if value is not None})
 
-    def node(self, item: Item) -> dict[str, Any]:
+    def node(self, item: KdlNode) -> dict[str, Any]:
         """What one node says."""
         if item.name == HEAD:
-            self.form(item, 0, ("version",))
-            found = item.props.get("version")
+            self.check_structure(item, 0, ("version",))
+            found = item.properties.get("version")
             if found is None or found.value != VERSION or isinstance(found.value, bool):
-                place = item.place if found is None else found.place
-                self.faults.add(place, "unknown-version", f"{HEAD} version={VERSION} is known here")
+                place = item.offset if found is None else found.value_offset
+                self.diagnostics.add(place, "unknown-version", f"{HEAD} version={VERSION} is known here")
             return {}
         if item.name in ("list-service", "peer"):
-            self.form(item, len(item.args), ())
-            return {"list_services" if item.name == "list-service" else "peers": self.addresses(item)}
-        self.form(item, 1, ())
+            self.check_structure(item, len(item.arguments), ())
+            return {"list_services" if item.name == "list-service" else "peers": self.read_addresses(item)}
+        self.check_structure(item, 1, ())
         if item.name == "listen":
-            return {"listen": self.argument(item, values.address, 'an address, as in listen "10.0.0.1:7100"')}
+            return {
+                "listen": self.read_argument(
+                    item, values.parse_address, 'an address, as in listen "10.0.0.1:7100"'
+                )
+            }
         if item.name == "watches":
 
             def count(raw: Any) -> int:
-                return values.count(raw, 1, WATCHES_MOST)
+                return values.parse_count(raw, 1, WATCHES_MOST)
 
-            return {"watches": self.argument(item, count, "a count, as in watches 1000")}
+            return {"watches": self.read_argument(item, count, "a count, as in watches 1000")}
         return {f"{item.name}_ns": self.span(item, LEASE_NS if item.name == "lease" else BATCH_NS)}
 
-    def span(self, item: Item, whole: tuple[int, int]) -> int | None:
+    def span(self, item: KdlNode, whole: tuple[int, int]) -> int | None:
         """A duration between two others."""
-        found: int | None = self.argument(item, values.duration, f'a time, as in {item.name} "500ms"')
+        found: int | None = self.read_argument(
+            item, values.parse_duration, f'a time, as in {item.name} "500ms"'
+        )
         if found is not None and not whole[0] <= found <= whole[1]:
-            self.faults.add(
-                item.args[0][1],
+            self.diagnostics.add(
+                item.arguments[0][1],
                 "bad-duration",
                 f"{item.name!r} is from {whole[0] // MS}ms to {whole[1] // MS}ms",
             )
--- a/kelpcroft/operator/service.py
+++ b/kelpcroft/operator_file/service.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 
 from kelpcroft.config import ConfigError
-from kelpcroft.messages import Rules
-from kelpcroft.operator.check import check, load, read, reading
-from kelpcroft.store.identity import digest
-from zincgrade import interface as api
+from kelpcroft.core.inputs import OperatorFileRead
+from kelpcroft.decision import interface as api
+from kelpcroft.operator_file.check import check, load, read, reading
+from kelpcroft.store.identity import hex_digest
 
 
-def start(path: str, settings: api.Settings) -> Rules:
+def load_at_start(path: str, settings: api.Settings) -> OperatorFileRead:
     """A file at the start.  Raises ConfigError with a line for each fault: nobody wants a router that starts
     without the bounds it was given."""
     try:
@@ -22,11 +22,11 @@
         raise ConfigError(f"ROUTER_RULES: {path}: {error.strerror}") from error
     faults = faults or check(file, settings)
     if faults:
-        raise ConfigError("\n".join(fault.text(path) for fault in faults))
-    return Rules(file, digest=digest(data) if file.state else "")
+        raise ConfigError("\n".join(fault.format_for(path) for fault in faults))
+    return OperatorFileRead(file, digest=hex_digest(data) if file.exposes_state else "")
 
 
-def steps(path: str, settings: api.Settings) -> Iterator[Rules | None]:
+def reload_steps(path: str, settings: api.Settings) -> Iterator[OperatorFileRead | None]:
     """A file that is read again: None for each step, then what came of it."""
     rules = yield from reading(Path(path), settings)
     yield rules
--- a/kelpcroft/operator/text.py
+++ b/kelpcroft/operator_file/text.py
@@ -13,10 +13,16 @@
 
 import ckdl
 
-from kelpcroft.operator.faults import NEWLINE, Faults, Place, Source, shown
+from kelpcroft.operator_file.diagnostics import (
+    NEWLINE,
+    DiagnosticCollector,
+    FilePosition,
+    SourceText,
+    abbreviated,
+)
 
-BYTES_MOST = 1 << 20  # of a file
-NODES_MOST = 20_100  # in it
+MAX_FILE_BYTES = 1 << 20  # of a file
+MAX_NODES = 20_100  # in it
 DEPTH_MOST = 16  # of children in children
 ENTRIES_MOST = 26_000  # arguments and properties in all
 
@@ -38,7 +44,7 @@
 BLOCK = re.compile(r"/\*|\*/")
 
 
-class NotKdl(Exception):
+class KdlSyntaxError(Exception):
     """The text stops being KDL at ``at``."""
 
     def __init__(self, at: int, reason: str) -> None:
@@ -46,7 +52,7 @@
         self.at, self.reason, self.code = at, reason, "not-kdl"
 
 
-class TooMuch(NotKdl):
+class LimitExceeded(KdlSyntaxError):
     """A limit is passed at ``at``."""
 
     def __init__(self, at: int, code: str, reason: str) -> None:
@@ -65,14 +71,14 @@
     children: list[Spot] = field(default_factory=list)
 
 
-class Locator:
+class NodeLocator:
     """One pass over a text.  It judges no more of the grammar than it needs to find its way."""
 
     def __init__(self, text: str) -> None:
         self.text, self.at = text, 0
         self.nodes = self.entries = 0
 
-    def run(self) -> Iterator[Spot]:
+    def top_level_nodes(self) -> Iterator[Spot]:
         """The nodes at the top, each once it is whole.  Raises NotKdl."""
         top: list[Spot] = []
         stack: list[tuple[list[Spot], Spot | None]] = [(top, None)]
@@ -81,18 +87,20 @@
             if not kind:
                 if len(stack) > 1:
                     owner = stack[-1][1]
-                    raise NotKdl(owner.at if owner else at, "the children of this node are not closed: '}'")
+                    raise KdlSyntaxError(
+                        owner.at if owner else at, "the children of this node are not closed: '}'"
+                    )
                 return
             if kind == "mark" and word == ";":
                 continue
             if kind == "mark" and word == "}":
                 if len(stack) == 1:
-                    raise NotKdl(at, "a '}' closes nothing")
+                    raise KdlSyntaxError(at, "a '}' closes nothing")
                 _, owner = stack.pop()
                 if owner:
                     owner.end = self.at
                     if self.entry(owner):
-                        raise NotKdl(self.at, "a node has children once")
+                        raise KdlSyntaxError(self.at, "a node has children once")
                 if len(stack) == 1 and top:
                     yield top.pop()
                 continue
@@ -102,16 +110,16 @@
             if kind == "mark" and word == "(":
                 kind, at, word = self.annotated(at)
             if kind not in ("word", "string", "long", "raw"):
-                raise NotKdl(at, f"a node's name is due, not {shown(word)}")
+                raise KdlSyntaxError(at, f"a node's name is due, not {abbreviated(word)}")
             self.nodes += 1
-            if self.nodes > NODES_MOST:
-                raise TooMuch(at, "too-many-nodes", f"over {NODES_MOST} nodes; match more with fewer")
+            if self.nodes > MAX_NODES:
+                raise LimitExceeded(at, "too-many-nodes", f"over {MAX_NODES} nodes; match more with fewer")
             spot = Spot(at, self.at)
             if not dropped:
                 stack[-1][0].append(spot)
             if self.entry(spot):
                 if len(stack) > DEPTH_MOST:
-                    raise TooMuch(at, "too-deep", f"children nested over {DEPTH_MOST} deep")
+                    raise LimitExceeded(at, "too-deep", f"children nested over {DEPTH_MOST} deep")
                 stack.append((spot.children, spot))
             elif len(stack) == 1 and top:
                 yield top.pop()
@@ -146,17 +154,17 @@
             if kind == "mark" and word == "(":
                 kind, at, word = self.annotated(at)
             if kind not in ("word", "string", "long", "raw"):
-                raise NotKdl(at, f"an argument or a property is due, not {shown(word)}")
+                raise KdlSyntaxError(at, f"an argument or a property is due, not {abbreviated(word)}")
             self.entries += 1
             if self.entries > ENTRIES_MOST:
-                raise TooMuch(at, "too-many-nodes", f"over {ENTRIES_MOST} arguments and properties")
+                raise LimitExceeded(at, "too-many-nodes", f"over {ENTRIES_MOST} arguments and properties")
             if self.equals():
                 key = self.plain(kind, word)
                 kind, value_at, word = self.take()
                 if kind == "mark" and word == "(":
                     kind, value_at, word = self.annotated(value_at)
                 if kind not in ("word", "string", "long", "raw"):
-                    raise NotKdl(value_at, f"a property's value is due, not {shown(word)}")
+                    raise KdlSyntaxError(value_at, f"a property's value is due, not {abbreviated(word)}")
                 if not dropped:
                     spot.props.append((key, at, value_at))
             elif not dropped:
@@ -183,7 +191,7 @@
         while depth:
             kind, _, word = self.take(skip_lines=True)
             if not kind:
-                raise NotKdl(at, "these children are not closed: '}'")
+                raise KdlSyntaxError(at, "these children are not closed: '}'")
             depth += (kind == "mark" and word == "{") - (kind == "mark" and word == "}")
 
     def annotated(self, at: int) -> tuple[str, int, str]:
@@ -191,7 +199,7 @@
         self.take()
         kind, _, word = self.take()
         if kind != "mark" or word != ")":
-            raise NotKdl(at, "a type annotation is not closed: ')'")
+            raise KdlSyntaxError(at, "a type annotation is not closed: ')'")
         return self.take()
 
     def take(self, skip_lines: bool = False) -> tuple[str, int, str]:
@@ -200,7 +208,7 @@
             match = TOKEN.match(self.text, self.at)
             if match is None:
                 at = self.at
-                raise NotKdl(at, f"nothing in KDL begins with {shown(self.text[at : at + 12])}")
+                raise KdlSyntaxError(at, f"nothing in KDL begins with {abbreviated(self.text[at : at + 12])}")
             kind = match.lastgroup or ""
             at = match.start(kind)
             self.at = match.end()
@@ -217,7 +225,7 @@
         while depth:
             match = BLOCK.search(self.text, self.at)
             if match is None:
-                raise NotKdl(at, "this comment is not closed: '*/'")
+                raise KdlSyntaxError(at, "this comment is not closed: '*/'")
             depth += 1 if match[0] == "/*" else -1
             self.at = match.end()
 
@@ -235,52 +243,52 @@
 
 
 @dataclass(slots=True)
-class Property:
+class KdlProperty:
     """A property's value, with the places of its key and of itself (offsets into the text)."""
 
     value: Value
-    key_place: int
-    place: int
+    key_offset: int
+    value_offset: int
 
 
 @dataclass(slots=True)
-class Item:
+class KdlNode:
     """A node with its places (offsets into the text)."""
 
     name: str
-    place: int
-    args: list[tuple[Value, int]]
-    props: dict[str, Property]
-    children: list[Item]
+    offset: int
+    arguments: list[tuple[Value, int]]
+    properties: dict[str, KdlProperty]
+    children: list[KdlNode]
 
 
-def tree(data: bytes, faults: Faults) -> Iterator[Item]:
+def parse_nodes(data: bytes, faults: DiagnosticCollector) -> Iterator[KdlNode]:
     """The nodes at the top of a file, one at a time, as a whole tree of a large file takes much memory.  What
     is no KDL is noted among ``faults`` and left out."""
-    if len(data) > BYTES_MOST:
-        faults.add(Place(1, 1), "too-large", f"over {BYTES_MOST} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        faults.add(FilePosition(1, 1), "too-large", f"over {MAX_FILE_BYTES} bytes")
         return
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
         before = data[: error.start].decode()
         faults.add(
-            Source(before).place(len(before)),
+            SourceText(before).position_of(len(before)),
             "not-utf8",
             f"byte {data[error.start]:#04x} begins no UTF-8 character; save the file as UTF-8",
         )
         return
-    faults.source = Source(text)
+    faults.source = SourceText(text)
     try:
-        for spot in Locator(text).run():
+        for spot in NodeLocator(text).top_level_nodes():
             try:
                 nodes = ckdl.parse(text[spot.at : spot.end], version=2).nodes
             except ValueError as error:
                 at = worst(text, spot)
-                faults.add(at, "not-kdl", f"{error}: near {shown(text[at : at + 30])}")
+                faults.add(at, "not-kdl", f"{error}: near {abbreviated(text[at : at + 30])}")
                 continue
             yield from beside(nodes, [spot], faults)
-    except NotKdl as error:
+    except KdlSyntaxError as error:
         faults.add(error.at, error.code, error.reason)
 
 
@@ -298,11 +306,11 @@
             return at
 
 
-def beside(nodes: list[ckdl.Node], spots: list[Spot], faults: Faults) -> list[Item]:
+def beside(nodes: list[ckdl.Node], spots: list[Spot], faults: DiagnosticCollector) -> list[KdlNode]:
     """Parsed nodes with their places.  Where both disagree the file is refused, not guessed at."""
-    items: list[Item] = []
+    items: list[KdlNode] = []
     if len(nodes) != len(spots):
-        faults.add(Place(1, 1), "not-kdl", f"{len(nodes)} nodes were parsed where {len(spots)} stand")
+        faults.add(FilePosition(1, 1), "not-kdl", f"{len(nodes)} nodes were parsed where {len(spots)} stand")
         return items
     for node, spot in zip(nodes, spots, strict=True):
         found, values = node.properties, node.args
@@ -310,21 +318,23 @@
             faults.add(
                 spot.at,
                 "not-kdl",
-                f"the parts of {shown(node.name)} cannot be told apart; "
+                f"the parts of {abbreviated(node.name)} cannot be told apart; "
                 "write them without escapes and comments",
             )
             continue
-        props: dict[str, Property] = {}
+        props: dict[str, KdlProperty] = {}
         for key, at, value_at in spot.props:
             if key in props:
                 faults.add(at, "duplicate-key", f"{key!r} stands here twice; the last would win")
             if key not in found:
-                faults.add(at, "not-kdl", f"{shown(key)} cannot be told apart; write it without escapes")
+                faults.add(
+                    at, "not-kdl", f"{abbreviated(key)} cannot be told apart; write it without escapes"
+                )
                 continue
-            props[key] = Property(bare(found[key]), at, value_at)
+            props[key] = KdlProperty(bare(found[key]), at, value_at)
         args = [(bare(value), at) for value, at in zip(values, spot.args, strict=True)]
         children = beside(node.children, spot.children, faults) if spot.children else []
-        items.append(Item(node.name, spot.at, args, props, children))
+        items.append(KdlNode(node.name, spot.at, args, props, children))
     return items
 
 
--- a/kelpcroft/rollout/homes.py
+++ b/kelpcroft/rollout/placement.py
@@ -11,9 +11,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from zincgrade import interface as api
-from zincgrade.estimate import mix
-from zincgrade.policy import Policy
+from kelpcroft.decision import interface as api
+from kelpcroft.decision.policy import RoutingPolicy
+from kelpcroft.decision.statistics import mix64
 
 STEP_NS = 100 * 10**6  # between two requests: nothing of one is left at the next
 SETTLED_NS = 3_600 * 10**9  # the list is taken to be so old: no cache is cold
@@ -26,23 +26,25 @@
 def homes(settings: api.Settings, servers: Sequence[api.Server], count: int) -> list[str]:
     """The cache that each of so many objects goes to, "" where none takes it.  The objects are the same in
     every call.  Raises NoHomes where no class is kept in caches."""
-    cls = next((c for c in settings.classes if c.effect is api.Effect.SAFE and not c.uncacheable), None)
+    cls = next(
+        (c for c in settings.classes if c.idempotency is api.Idempotency.SAFE and not c.uncacheable), None
+    )
     if cls is None:
         raise NoHomes("no class is kept in caches")
-    policy, now = Policy(settings), 10**18
+    policy, now = RoutingPolicy(settings), 10**18
     policy.start(now)
     policy.handle(now, api.ServerList("restored", tuple(servers)))
     now += SETTLED_NS
     found = []
     for n in range(count):
         now += STEP_NS
-        request = api.Request(str(n), cls.name, cls.deadline_ns or 10**9, mix(n) >> 1)
-        fetch = next((a for a in policy.handle(now, request) if isinstance(a, api.Fetch)), None)
+        request = api.Request(str(n), cls.name, cls.deadline_ns or 10**9, mix64(n) >> 1)
+        fetch = next((a for a in policy.handle(now, request) if isinstance(a, api.ForwardRequest)), None)
         if fetch is None:
             found.append("")
             continue
-        found.append(fetch.cache)
-        end = api.AttemptEnded(fetch.id, 0, fetch.cache, api.Outcome.OK, 10**6, True, api.Note.HIT)
+        found.append(fetch.server)
+        end = api.AttemptEnded(fetch.id, 0, fetch.server, api.Outcome.OK, 10**6, True, api.FillResult.HIT)
         policy.handle(now + 10**6, end)
     return found
 
--- a/kelpcroft/rollout/plan.py
+++ b/kelpcroft/rollout/plan.py
@@ -32,13 +32,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from kelpcroft.deployment.known import address
-from kelpcroft.operator import values
-from kelpcroft.operator.faults import Fault, Faults, Place, TooMany, instead, shown
-from kelpcroft.operator.reader import Reader
-from kelpcroft.operator.text import Item, Value, tree
-from kelpcroft.operator.values import Unusable
-from kelpcroft.rollout.judge import Rates
+from kelpcroft.deployment_check.known_keys import address_form
+from kelpcroft.operator_file import values
+from kelpcroft.operator_file.diagnostics import (
+    Diagnostic,
+    DiagnosticCollector,
+    FilePosition,
+    TooManyDiagnostics,
+    abbreviated,
+    suggestion,
+)
+from kelpcroft.operator_file.reader import NodeReader
+from kelpcroft.operator_file.text import KdlNode, Value, parse_nodes
+from kelpcroft.operator_file.values import InvalidValue
+from kelpcroft.rollout.judge import StopCriteria
 
 VERSION = 1
 SECOND = 10**9
@@ -53,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class RouterTarget:
     """One router that is to be changed."""
 
     name: str
@@ -61,7 +68,7 @@
     control: str = ""
     config: str = ""  # what a local one is started with
     rules: str = ""
-    place: Place = field(default=Place(), compare=False)
+    place: FilePosition = field(default=FilePosition(), compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +81,7 @@
     least_ns: int
     most_ns: int
     control: int = 0  # routers of the old that are restarted in each zone of it, to compare with
-    place: Place = field(default=Place(), compare=False)
+    place: FilePosition = field(default=FilePosition(), compare=False)
 
     def reaches(self, routers: int) -> int:
         """Routers that are changed at its end, of so many."""
@@ -82,11 +89,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class RolloutPlan:
     """A whole file."""
 
     change: tuple[tuple[str, str], ...] = ()  # what, and the digest of the new one
-    routers: tuple[Target, ...] = ()
+    routers: tuple[RouterTarget, ...] = ()
     stages: tuple[Stage, ...] = ()
     at_once: int = 1  # routers out of service or not judged ready, in all ...
     per_zone: int = 1  # ... and in one zone
@@ -96,7 +103,7 @@
     ready_ns: int = 20 * SECOND  # a changed router must be ready within this
     cold_ns: int = 20 * SECOND  # and is not judged for so long after
     unknown_most: int = 1  # with more routers that do not answer, nothing new is begun
-    rates: Rates = Rates()
+    rates: StopCriteria = StopCriteria()
     take_back: bool = True
     apply: tuple[str, ...] = ()  # the command that changes a router; {router} stands for its name
     undo: tuple[str, ...] = ()
@@ -108,10 +115,10 @@
     act_ns: int = 60 * SECOND  # it must have ended by then
     repeat: bool = False  # to run it twice does no harm
 
-    def by_stage(self) -> list[list[Target]]:
+    def routers_by_stage(self) -> list[list[RouterTarget]]:
         """Who is changed in which stage: zones in their order, one router of each in turn, so that every
         stage spreads over the zones and a zone's last routers come last."""
-        zones: dict[str, list[Target]] = {zone: [] for zone in self.order}
+        zones: dict[str, list[RouterTarget]] = {zone: [] for zone in self.order}
         for router in self.routers:
             zones.setdefault(router.zone, []).append(router)
         turns = [found for found in zones.values() if found]
@@ -126,265 +133,291 @@
 
     def longest_ns(self) -> int:
         """The longest that it can take, changes included: each waits for ready and for warm."""
-        rounds = sum(-(-len(found) // self.at_once) for found in self.by_stage())
+        rounds = sum(-(-len(found) // self.at_once) for found in self.routers_by_stage())
         return sum(s.most_ns for s in self.stages) + rounds * (self.ready_ns + self.cold_ns)
 
 
-def load(data: bytes) -> tuple[Plan, list[Fault]]:
+def load_plan(data: bytes) -> tuple[RolloutPlan, list[Diagnostic]]:
     """A file's bytes as a plan, and all that is wrong with it."""
-    faults, plan = Faults(), Plan()
+    faults, plan = DiagnosticCollector(), RolloutPlan()
     try:
-        plan = PlanReader(faults).plan(tree(data, faults))
+        plan = PlanReader(faults).plan(parse_nodes(data, faults))
         if not faults.count:
             judge(plan, faults)
-    except TooMany:
+    except TooManyDiagnostics:
         pass
-    return plan, faults.sorted()
+    return plan, faults.in_file_order()
 
 
-class PlanReader(Reader):
+class PlanReader(NodeReader):
     """One rollout file; what nodes may hold is checked as in the operator's file."""
 
-    def plan(self, items: Iterable[Item]) -> Plan:
+    def plan(self, items: Iterable[KdlNode]) -> RolloutPlan:
         said: dict[str, object] = {}
-        routers: list[Target] = []
+        routers: list[RouterTarget] = []
         stages: list[Stage] = []
         seen: dict[str, int] = {}
         names: dict[tuple[str, str], int] = {}
         for n, item in enumerate(items):
             if n == 0 and item.name != "rollout":
-                self.faults.add(
-                    item.place,
+                self.diagnostics.add(
+                    item.offset,
                     "no-version",
-                    f"the first node is 'rollout version={VERSION}', not {shown(item.name)}",
+                    f"the first node is 'rollout version={VERSION}', not {abbreviated(item.name)}",
                 )
             if item.name not in TOP:
-                self.faults.add(
-                    item.place,
+                self.diagnostics.add(
+                    item.offset,
                     "unknown-node",
-                    f"a rollout holds no {shown(item.name)}{instead(item.name, TOP)}",
+                    f"a rollout holds no {abbreviated(item.name)}{suggestion(item.name, TOP)}",
                 )
                 continue
             if item.name in ("router", "stage"):
-                name = self.name(item)
+                name = self.read_name(item)
                 if name and (item.name, name) in names:
-                    self.faults.add(
-                        item.place,
+                    self.diagnostics.add(
+                        item.offset,
                         "duplicate-name",
-                        f"{item.name} {shown(name)} stands at line "
-                        f"{self.line(names[item.name, name])} already",
+                        f"{item.name} {abbreviated(name)} stands at line "
+                        f"{self.line_of(names[item.name, name])} already",
                     )
-                names.setdefault((item.name, name), item.place)
+                names.setdefault((item.name, name), item.offset)
                 if item.name == "router":
                     routers.append(self.target(item, name))
                 else:
                     stages.append(self.stage(item, name))
                 continue
             if item.name in seen:
-                self.faults.add(
-                    item.place,
+                self.diagnostics.add(
+                    item.offset,
                     "duplicate-node",
-                    f"{item.name!r} stands at line {self.line(seen[item.name])} already",
+                    f"{item.name!r} stands at line {self.line_of(seen[item.name])} already",
                 )
                 continue
-            seen[item.name] = item.place
+            seen[item.name] = item.offset
             if item.name == "rollout":
                 self.version(item)
             else:
                 said.update(getattr(self, f"read_{item.name}")(item))
         if "change" not in seen:
-            self.faults.add(0, "no-change", 'what changes? add change { program build="..." }')
+            self.diagnostics.add(0, "no-change", 'what changes? add change { program build="..." }')
         for what, found in (("router", routers), ("stage", stages)):
             if not found:
-                self.faults.add(0, f"no-{what}", f'there is no {what}; add one, as {what} "one"')
-        return Plan(routers=tuple(routers[:ROUTERS_MOST]), stages=tuple(stages[:STAGES_MOST]), **said)  # type: ignore[arg-type]
+                self.diagnostics.add(0, f"no-{what}", f'there is no {what}; add one, as {what} "one"')
+        return RolloutPlan(routers=tuple(routers[:ROUTERS_MOST]), stages=tuple(stages[:STAGES_MOST]), **said)  # type: ignore[arg-type]
 
-    def version(self, item: Item) -> None:
-        self.form(item, 0, ("version",))
-        found = item.props.get("version")
+    def version(self, item: KdlNode) -> None:
+        self.check_structure(item, 0, ("version",))
+        found = item.properties.get("version")
         if found is None:
-            self.faults.add(item.place, "no-version", f"which version? write rollout version={VERSION}")
+            self.diagnostics.add(item.offset, "no-version", f"which version? write rollout version={VERSION}")
         elif found.value != VERSION or isinstance(found.value, bool):
-            self.faults.add(
-                found.place,
+            self.diagnostics.add(
+                found.value_offset,
                 "unknown-version",
-                f"version {shown(found.value)} is not known here; version {VERSION} is",
+                f"version {abbreviated(found.value)} is not known here; version {VERSION} is",
             )
 
-    def read_change(self, item: Item) -> dict[str, object]:
-        self.form(item, 0, (), WHATS)
+    def read_change(self, item: KdlNode) -> dict[str, object]:
+        self.check_structure(item, 0, (), WHATS)
         found = []
         for child in item.children:
             if child.name not in WHATS:
                 continue
             key = "build" if child.name == "program" else "digest"
-            self.form(child, 0, (key,))
-            digest = self.prop(
+            self.check_structure(child, 0, (key,))
+            digest = self.read_property(
                 child, key, hexadecimal, f'the new one\'s digest, as in {key}="5f2c09e1a7b3d480"'
             )
             found.append((child.name, digest or ""))
         if not found:
-            self.faults.add(
-                item.place, "no-change", "it touches nothing; program, settings or rules would do"
+            self.diagnostics.add(
+                item.offset, "no-change", "it touches nothing; program, settings or rules would do"
             )
         return {"change": tuple(found)}
 
-    def target(self, item: Item, name: str) -> Target:
-        self.form(item, 1, ("zone", "control", "config", "rules"))
-        zone = self.prop(item, "zone", lambda v: values.text_of(v, "a name"), 'a zone, as in zone="edge-1"')
-        control = self.prop(item, "control", reachable)
-        config, rules = (self.prop(item, key, lambda v: values.text_of(v, "a path")) for key in PATHS)
-        return Target(
-            name, zone or "", control or "", config or "", rules or "", self.faults.place(item.place)
+    def target(self, item: KdlNode, name: str) -> RouterTarget:
+        self.check_structure(item, 1, ("zone", "control", "config", "rules"))
+        zone = self.read_property(
+            item, "zone", lambda v: values.parse_text(v, "a name"), 'a zone, as in zone="edge-1"'
+        )
+        control = self.read_property(item, "control", reachable)
+        config, rules = (
+            self.read_property(item, key, lambda v: values.parse_text(v, "a path")) for key in PATHS
+        )
+        return RouterTarget(
+            name,
+            zone or "",
+            control or "",
+            config or "",
+            rules or "",
+            self.diagnostics.position_of(item.offset),
         )
 
-    def stage(self, item: Item, name: str) -> Stage:
-        self.form(item, 1, ("count", "share", "least", "most", "control"))
-        control = self.prop(item, "control", lambda v: values.count(v, 0, ROUTERS_MOST))
-        count = self.prop(item, "count", lambda v: values.count(v, 1, ROUTERS_MOST))
-        share = self.prop(item, "share", a_share)
-        if (count is None) == (share is None) and "count" not in item.props and "share" not in item.props:
-            self.faults.add(item.place, "missing-value", "'stage' wants count=3 or share=\"10%\"")
-        elif "count" in item.props and "share" in item.props:
-            self.faults.add(item.place, "count-and-share", "'stage' takes a count or a share, not both")
-        least = self.prop(item, "least", values.duration, 'its least time, as in least="2m"')
-        most = self.prop(item, "most", values.duration, 'its most time, as in most="20m"')
-        place = self.faults.place(item.place)
+    def stage(self, item: KdlNode, name: str) -> Stage:
+        self.check_structure(item, 1, ("count", "share", "least", "most", "control"))
+        control = self.read_property(item, "control", lambda v: values.parse_count(v, 0, ROUTERS_MOST))
+        count = self.read_property(item, "count", lambda v: values.parse_count(v, 1, ROUTERS_MOST))
+        share = self.read_property(item, "share", a_share)
+        if (
+            (count is None) == (share is None)
+            and "count" not in item.properties
+            and "share" not in item.properties
+        ):
+            self.diagnostics.add(item.offset, "missing-value", "'stage' wants count=3 or share=\"10%\"")
+        elif "count" in item.properties and "share" in item.properties:
+            self.diagnostics.add(item.offset, "count-and-share", "'stage' takes a count or a share, not both")
+        least = self.read_property(item, "least", values.parse_duration, 'its least time, as in least="2m"')
+        most = self.read_property(item, "most", values.parse_duration, 'its most time, as in most="20m"')
+        place = self.diagnostics.position_of(item.offset)
         return Stage(name, count or 0, share or 0.0, least or 0, most or 0, control or 0, place)
 
-    def read_limits(self, item: Item) -> dict[str, object]:
-        self.form(item, 0, ("at-once", "per-zone"))
+    def read_limits(self, item: KdlNode) -> dict[str, object]:
+        self.check_structure(item, 0, ("at-once", "per-zone"))
         found = {
-            key.replace("-", "_"): self.prop(item, key, lambda v: values.count(v, 1, ROUTERS_MOST))
+            key.replace("-", "_"): self.read_property(
+                item, key, lambda v: values.parse_count(v, 1, ROUTERS_MOST)
+            )
             for key in ("at-once", "per-zone")
         }
         return {key: value for key, value in found.items() if value is not None}
 
-    def read_order(self, item: Item) -> dict[str, object]:
-        self.form(item, 1, ())
-        found = self.argument(item, values.words, 'zones, as in order "edge-3,edge-1"')
+    def read_order(self, item: KdlNode) -> dict[str, object]:
+        self.check_structure(item, 1, ())
+        found = self.read_argument(item, values.parse_list, 'zones, as in order "edge-3,edge-1"')
         return {"order": tuple(dict.fromkeys(found or ()))}
 
-    def read_watch(self, item: Item) -> dict[str, object]:
+    def read_watch(self, item: KdlNode) -> dict[str, object]:
         keys = ("every", "slowest", "ready", "cold")
-        self.form(item, 0, (*keys, "unknown"))
-        found = {f"{key}_ns": self.prop(item, key, values.duration) for key in keys}
-        found["unknown_most"] = self.prop(item, "unknown", lambda v: values.count(v, 0, ROUTERS_MOST))
+        self.check_structure(item, 0, (*keys, "unknown"))
+        found = {f"{key}_ns": self.read_property(item, key, values.parse_duration) for key in keys}
+        found["unknown_most"] = self.read_property(
+            item, "unknown", lambda v: values.parse_count(v, 0, ROUTERS_MOST)
+        )
         return {key: value for key, value in found.items() if value is not None}
 
-    def read_stop(self, item: Item) -> dict[str, object]:
-        self.form(item, 0, ("harm", "tolerance", "false-stop", "missed-harm", "memory"))
-        memory = self.prop(item, "memory", lambda v: values.number(v, 1, 100, "bad-rate"))
+    def read_stop(self, item: KdlNode) -> dict[str, object]:
+        self.check_structure(item, 0, ("harm", "tolerance", "false-stop", "missed-harm", "memory"))
+        memory = self.read_property(item, "memory", lambda v: values.parse_number(v, 1, 100, "bad-rate"))
         found = {}
         for key in ("harm", "tolerance", "false-stop", "missed-harm"):
-            value = self.prop(item, key, lambda v: values.number(v, 0, 1, "bad-rate"))
+            value = self.read_property(item, key, lambda v: values.parse_number(v, 0, 1, "bad-rate"))
             if value is not None:
                 found[key.replace("-", "_")] = value
         try:
-            return {"rates": Rates(**found)} | ({} if memory is None else {"memory": memory})
+            return {"rates": StopCriteria(**found)} | ({} if memory is None else {"memory": memory})
         except ValueError as error:
-            self.faults.add(item.place, "bad-rate", str(error))
+            self.diagnostics.add(item.offset, "bad-rate", str(error))
             return {}
 
-    def read_act(self, item: Item) -> dict[str, object]:
-        self.form(item, 0, ("timeout", "repeat", "local"), (*COMMANDS, "old", "new"))
-        limit, repeat = self.prop(item, "timeout", values.duration), self.prop(item, "repeat", values.flag)
+    def read_act(self, item: KdlNode) -> dict[str, object]:
+        self.check_structure(item, 0, ("timeout", "repeat", "local"), (*COMMANDS, "old", "new"))
+        limit, repeat = (
+            self.read_property(item, "timeout", values.parse_duration),
+            self.read_property(item, "repeat", values.parse_flag),
+        )
         said = {"act_ns": limit} if limit else {}
-        if self.prop(item, "local", values.flag):
+        if self.read_property(item, "local", values.parse_flag):
             folders = {}
             for child in item.children:
                 if child.name in ("old", "new"):
-                    self.form(child, 1, ())
+                    self.check_structure(child, 1, ())
                     what = 'the folder of a build, as in old "/srv/router"'
-                    folders[child.name] = self.argument(child, lambda v: values.text_of(v, "a path"), what)
+                    folders[child.name] = self.read_argument(
+                        child, lambda v: values.parse_text(v, "a path"), what
+                    )
             if not all(folders.get(name) for name in ("old", "new")):
-                self.faults.add(item.place, "missing-value", "a local 'act' wants old and new, each a folder")
+                self.diagnostics.add(
+                    item.offset, "missing-value", "a local 'act' wants old and new, each a folder"
+                )
             # It looks before it acts, so that to repeat it does no harm.
             return said | {"local": (folders.get("old", ""), folders.get("new", "")), "repeat": True}
         found = self.commands(item, COMMANDS, ("apply", "undo"), "router")
         return {**found, **said, "repeat": bool(repeat)}
 
     def commands(
-        self, item: Item, names: tuple[str, ...], needed: tuple[str, ...], holder: str
+        self, item: KdlNode, names: tuple[str, ...], needed: tuple[str, ...], holder: str
     ) -> dict[str, tuple[str, ...]]:
         """The commands that a node holds, by their names, each as a list of words."""
         found: dict[str, tuple[str, ...]] = {}
         for child in item.children:
             if child.name in names:
-                self.form(child, WORDS_MOST, ())
-                words = [self.value(child, place, raw, argument) for raw, place in child.args]
+                self.check_structure(child, WORDS_MOST, ())
+                words = [self.read_value(child, place, raw, argument) for raw, place in child.arguments]
                 found[child.name] = tuple(word or "" for word in words)
         for name in needed:
             if not found.get(name):
                 what = f'{item.name!r} wants {name}, as in {name} "tool" "{{{holder}}}"'
-                self.faults.add(item.place, "missing-value", what)
+                self.diagnostics.add(item.offset, "missing-value", what)
         return found
 
-    def read_homes(self, item: Item) -> dict[str, object]:
-        self.form(item, 0, ("objects",), ("old", "new"))
-        count = self.prop(item, "objects", lambda v: values.count(v, 1, 100_000))
+    def read_homes(self, item: KdlNode) -> dict[str, object]:
+        self.check_structure(item, 0, ("objects",), ("old", "new"))
+        count = self.read_property(item, "objects", lambda v: values.parse_count(v, 1, 100_000))
         found = self.commands(item, ("old", "new"), ("old", "new"), "config")
         both = {"homes": (found.get("old", ()), found.get("new", ()))}
         return both | ({"objects": count} if count else {})
 
-    def read_then(self, item: Item) -> dict[str, object]:
-        self.form(item, 1, ())
-        word = self.argument(item, lambda v: values.text_of(v, "a name"), "take-back or hold")
+    def read_then(self, item: KdlNode) -> dict[str, object]:
+        self.check_structure(item, 1, ())
+        word = self.read_argument(item, lambda v: values.parse_text(v, "a name"), "take-back or hold")
         if word is not None and word not in THEN:
-            self.faults.add(
-                item.place,
+            self.diagnostics.add(
+                item.offset,
                 "unknown-word",
-                f"{shown(word)}{instead(word, THEN)}; there are {' and '.join(THEN)}",
+                f"{abbreviated(word)}{suggestion(word, THEN)}; there are {' and '.join(THEN)}",
             )
         return {"take_back": word != "hold"}
 
 
 def hexadecimal(raw: Value) -> str:
-    text = values.text_of(raw, "hex digits")
+    text = values.parse_text(raw, "hex digits")
     if not 4 <= len(text) <= 64 or set(text) - set("0123456789abcdef"):
-        raise Unusable("bad-digest", f"{shown(raw)} is not 4 to 64 hex digits in lower case")
+        raise InvalidValue("bad-digest", f"{abbreviated(raw)} is not 4 to 64 hex digits in lower case")
     return text
 
 
 def argument(raw: Value) -> str:
     """One word of a command.  What stands in braces is one of HOLDERS; {{ and }} are braces."""
-    text = values.text_of(raw, "a name")
+    text = values.parse_text(raw, "a name")
     if not text or len(text) > WORD_MOST or "\0" in text:
-        raise Unusable("bad-word", f"{shown(raw)} is no argument of a command")
+        raise InvalidValue("bad-word", f"{abbreviated(raw)} is no argument of a command")
     try:
         text.format(**dict.fromkeys(HOLDERS, ""))
     except (KeyError, IndexError, ValueError) as error:
-        raise Unusable(
-            "bad-word", f"{shown(raw)}: {error} is none of {', '.join('{' + h + '}' for h in HOLDERS)}"
+        raise InvalidValue(
+            "bad-word", f"{abbreviated(raw)}: {error} is none of {', '.join('{' + h + '}' for h in HOLDERS)}"
         ) from error
     return text
 
 
 def reachable(raw: Value) -> str:
-    text = values.text_of(raw, "a name")
-    if address(text):
-        raise Unusable("bad-address", f"{shown(raw)} is no address; host:port would do")
+    text = values.parse_text(raw, "a name")
+    if address_form(text):
+        raise InvalidValue("bad-address", f"{abbreviated(raw)} is no address; host:port would do")
     return text
 
 
 def a_share(raw: Value) -> float:
-    found = values.share(raw)
+    found = values.parse_share(raw)
     if found is None:
-        raise Unusable("bad-share", f'{shown(raw)} is no share; write one as "10%"')
+        raise InvalidValue("bad-share", f'{abbreviated(raw)} is no share; write one as "10%"')
     return found
 
 
-def judge(plan: Plan, faults: Faults) -> None:
+def judge(plan: RolloutPlan, faults: DiagnosticCollector) -> None:
     """What each node may say and the whole may not."""
     zones: dict[str, list[str]] = {}
     for router in plan.routers:
         zones.setdefault(router.zone, []).append(router.name)
     for zone in plan.order:
         if zone not in zones:
-            faults.add(0, "unknown-zone", f"order: no router is of zone {shown(zone)}{instead(zone, zones)}")
+            faults.add(
+                0, "unknown-zone", f"order: no router is of zone {abbreviated(zone)}{suggestion(zone, zones)}"
+            )
     reached = 0
-    for stage, found in zip(plan.stages, plan.by_stage(), strict=True):
-        what = f"stage {shown(stage.name)}"
+    for stage, found in zip(plan.stages, plan.routers_by_stage(), strict=True):
+        what = f"stage {abbreviated(stage.name)}"
         end = stage.reaches(len(plan.routers))
         if end <= reached:
             faults.add(
@@ -409,7 +442,7 @@
                     stage.place,
                     "whole-zone",
                     f"{what} changes all {len(names)} routers of zone "
-                    f"{shown(zone)}: none of the old would be left there to compare with",
+                    f"{abbreviated(zone)}: none of the old would be left there to compare with",
                 )
         if stage.control:
             judge_control(plan, stage, found, zones, faults)
@@ -419,7 +452,8 @@
                 faults.add(
                     router.place,
                     "no-config",
-                    f"router {shown(router.name)}: a local one wants config, the file that it starts with",
+                    f"router {abbreviated(router.name)}: a local one wants config, "
+                    "the file that it starts with",
                 )
         if {what for what, _ in plan.change} != {"program"}:
             faults.add(0, "local-program", "a local 'act' changes the program, and nothing else")
@@ -434,29 +468,34 @@
             faults.add(
                 0,
                 "zone-out",
-                f"limits: {plan.per_zone} routers of zone {shown(zone)} may be out at once, "
+                f"limits: {plan.per_zone} routers of zone {abbreviated(zone)} may be out at once, "
                 f"and it has {len(names)}",
             )
 
 
 def judge_control(
-    plan: Plan, stage: Stage, found: list[Target], zones: dict[str, list[str]], faults: Faults
+    plan: RolloutPlan,
+    stage: Stage,
+    found: list[RouterTarget],
+    zones: dict[str, list[str]],
+    faults: DiagnosticCollector,
 ) -> None:
     """A control group is compared from its start on, so it must start beside the new ones, once."""
-    what, here = f"stage {shown(stage.name)}", [r.zone for r in found]
+    what, here = f"stage {abbreviated(stage.name)}", [r.zone for r in found]
     for zone in sorted(set(here)):
         if here.count(zone) > 1:
             faults.add(
                 stage.place,
                 "control-many",
-                f"{what} changes {here.count(zone)} routers of zone {shown(zone)} one after another; a "
+                f"{what} changes {here.count(zone)} routers of zone {abbreviated(zone)} one after another; a "
                 "control group is for a stage that changes one",
             )
         if len(zones[zone]) < 1 + stage.control:
             faults.add(
                 stage.place,
                 "control-few",
-                f"{what}: zone {shown(zone)} has {len(zones[zone])} routers, too few for {stage.control} "
+                f"{what}: zone {abbreviated(zone)} has {len(zones[zone])} routers, "
+                f"too few for {stage.control} "
                 "beside the new one",
             )
         elif plan.per_zone < 1 + stage.control or plan.at_once < len(set(here)) * (1 + stage.control):
--- a/kelpcroft/cli/hands.py
+++ b/kelpcroft/rollout/router_drivers.py
@@ -17,29 +17,32 @@
 
 import orjson
 
-from kelpcroft.rollout.judge import Sample
-from kelpcroft.rollout.plan import Plan, Target
-from kelpcroft.rollout.stages import Act, Event, Report, Silent
+from kelpcroft.rollout.judge import RequestSample
+from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
+from kelpcroft.rollout.state_machine import CommandKind, Event, NoAnswer, RouterReport
 
 ANSWER_MOST = 256 * 1024  # bytes of a router's state that are read
 OUTPUT_MOST = 2_000  # characters of a command's output that are kept
 END_S = 10.0  # a local process has so long to end by itself
-CALLS = {Act.OUT: "out-of-service", Act.IN: "in-service"}
+CALLS = {CommandKind.DRAIN: "out-of-service", CommandKind.ENABLE: "in-service"}
 TOLD = {"program": "build", "settings": "settings", "rules": "rules"}
 
 
-def report_of(target: Target, raw: Any) -> Event:
+def report_of(target: RouterTarget, raw: Any) -> Event:
     """A router's answer as an event; one that cannot be read, or is another router's, counts as silence."""
     try:
         if raw["name"] != target.name:
-            return Silent(target.name)
+            return NoAnswer(target.name)
         classes = {
-            str(cls): Sample(int(c["asked"]), float(c["worth"]), float(c["in_time"]))
+            str(cls): RequestSample(int(c["asked"]), float(c["worth"]), float(c["in_time"]))
             for cls, c in raw["classes"].items()
         }
-        if any(not 0 <= s.in_time <= s.worth < 1e18 or s.asked < 0 for s in classes.values()):
-            return Silent(target.name)
-        return Report(
+        if any(
+            not 0 <= s.in_time_weight <= s.requested_weight < 1e18 or s.request_count < 0
+            for s in classes.values()
+        ):
+            return NoAnswer(target.name)
+        return RouterReport(
             target.name,
             str(raw["instance"]),
             {what: str(raw[key]) for what, key in TOLD.items()},
@@ -51,7 +54,7 @@
             max(0, int(raw.get("memory_kb", 0))),
         )
     except (KeyError, TypeError, ValueError, AttributeError):
-        return Silent(target.name)
+        return NoAnswer(target.name)
 
 
 def unreaped(number: int) -> bool:
@@ -62,7 +65,7 @@
         return False
 
 
-def filled(words: Sequence[str], target: Target) -> list[str]:
+def filled(words: Sequence[str], target: RouterTarget) -> list[str]:
     """A command's words with what stands in braces filled in."""
     return [
         w.format(router=target.name, zone=target.zone, control=target.control, config=target.config)
@@ -70,14 +73,14 @@
     ]
 
 
-class Hands:
+class RouterDriver:
     """What touches routers: their control addresses, and the operators' own tool."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: RolloutPlan) -> None:
         self.plan = plan
         self.timeout_s = max(0.2, min(5.0, 2 * plan.every_ns / 1e9))
 
-    def call(self, target: Target, method: str, verb: str) -> Any:
+    def call_control(self, target: RouterTarget, method: str, verb: str) -> Any:
         """One call on a control address.  Raises OSError, HTTPException or ValueError."""
         host, _, port = target.control.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=self.timeout_s)
@@ -91,33 +94,37 @@
         finally:
             connection.close()
 
-    def ask(self, target: Target) -> Event:
+    def poll(self, target: RouterTarget) -> Event:
         """A router's state, or silence."""
         try:
-            return report_of(target, self.call(target, "GET", "state"))
+            return report_of(target, self.call_control(target, "GET", "state"))
         except (OSError, http.client.HTTPException, ValueError):
-            return Silent(target.name)
+            return NoAnswer(target.name)
 
-    def act(self, target: Target, act: Act) -> str:
+    def execute(self, target: RouterTarget, kind: CommandKind) -> str:
         """Carry an order out: "" or why it failed.  That it did not fail proves nothing: the router tells."""
-        if act in CALLS:
+        if kind in CALLS:
             try:
-                self.call(target, "PUT", CALLS[act])
+                self.call_control(target, "PUT", CALLS[kind])
                 return ""
             except (OSError, http.client.HTTPException, ValueError) as error:
                 return f"{type(error).__name__}: {error}"
-        return self.change(target, act)
+        return self.change(target, kind)
 
-    def change(self, target: Target, act: Act) -> str:
+    def change(self, target: RouterTarget, act: CommandKind) -> str:
         """Start a router's process anew, of the new build, the old or its own; "" or why it failed."""
         raise NotImplementedError
 
 
-class Commands(Hands):
+class CommandDriver(RouterDriver):
     """The operators' own tool: an argument list from the file, no shell, a time-out, its output kept."""
 
-    def change(self, target: Target, act: Act) -> str:
-        found = {Act.APPLY: self.plan.apply, Act.UNDO: self.plan.undo, Act.RESTART: self.plan.restart}[act]
+    def change(self, target: RouterTarget, act: CommandKind) -> str:
+        found = {
+            CommandKind.APPLY: self.plan.apply,
+            CommandKind.UNDO: self.plan.undo,
+            CommandKind.RESTART: self.plan.restart,
+        }[act]
         words = filled(found, target)
         try:
             done = subprocess.run(
@@ -134,24 +141,28 @@
         return f"{words[0]} ended with {done.returncode}: {text}" if done.returncode else ""
 
 
-class Local(Hands):
+class LocalProcessDriver(RouterDriver):
     """Processes of this machine, each with the folder of a build, its configuration and its operator's file.
 
     A router's process is known by its own word (``instance`` begins with its number), asked for right before
     it is told to end.  What runs as it should is left alone, so that an order may be repeated."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: RolloutPlan) -> None:
         super().__init__(plan)
         assert plan.local is not None
-        self.folders = {Act.UNDO: plan.local[0], Act.RESTART: plan.local[0], Act.APPLY: plan.local[1]}
+        self.folders = {
+            CommandKind.UNDO: plan.local[0],
+            CommandKind.RESTART: plan.local[0],
+            CommandKind.APPLY: plan.local[1],
+        }
         self.new = dict(plan.change).get("program", "")
         self.children: list[subprocess.Popen[bytes]] = []
         self.restarted: dict[str, str] = {}  # by router: the instance that was told to end
 
-    def change(self, target: Target, act: Act) -> str:
+    def change(self, target: RouterTarget, act: CommandKind) -> str:
         self.children = [c for c in self.children if c.poll() is None]
         try:
-            raw = self.call(target, "GET", "state")
+            raw = self.call_control(target, "GET", "state")
         except ConnectionRefusedError:
             raw = None  # nothing runs there
         except (OSError, http.client.HTTPException, ValueError) as error:
@@ -161,21 +172,21 @@
                 return f"at {target.control} is another router"
             is_new = raw.get("build") == self.new
             instance = str(raw.get("instance"))
-            if act is Act.RESTART:
+            if act is CommandKind.RESTART:
                 if self.restarted.get(target.name) not in (None, instance):
                     return ""
                 self.restarted[target.name] = instance
-            elif is_new == (act is Act.APPLY):
+            elif is_new == (act is CommandKind.APPLY):
                 return ""
             number = instance.partition("-")[0]
             if not number.isdigit():
                 return f"instance {instance!r} does not begin with a process's number"
-            why = self.end(int(number))
+            why = self.stop_process(int(number))
             if why:
                 return why
-        return self.start(target, Path(self.folders[act]))
+        return self.start_process(target, Path(self.folders[act]))
 
-    def end(self, number: int) -> str:
+    def stop_process(self, number: int) -> str:
         """Ask a process to end, and see that it does."""
         child = next((c for c in self.children if c.pid == number), None)
         try:
@@ -194,7 +205,7 @@
             return f"process {number}: {error.strerror}"
         return f"process {number} does not end"
 
-    def start(self, target: Target, folder: Path) -> str:
+    def start_process(self, target: RouterTarget, folder: Path) -> str:
         """A process that outlives this one; its log goes beside its configuration."""
         config = Path(target.config).absolute()
         env = {**os.environ, "ROUTER_CONFIG": str(config), "ROUTER_NAME": target.name}
@@ -219,6 +230,6 @@
         return ""
 
 
-def hands_for(plan: Plan) -> Hands:
+def hands_for(plan: RolloutPlan) -> RouterDriver:
     """What a plan names."""
-    return Local(plan) if plan.local else Commands(plan)
+    return LocalProcessDriver(plan) if plan.local else CommandDriver(plan)
--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -9,9 +9,9 @@
 
 from typing import Any
 
-from kelpcroft.rollout.judge import Bet, Judge, Sample, Verdict
-from kelpcroft.rollout.plan import Plan
-from kelpcroft.rollout.stages import HoldCause, Outcome, Phase, Report, Rollout, Router
+from kelpcroft.rollout.judge import RegressionJudge, RequestSample, SequentialTest, Verdict
+from kelpcroft.rollout.plan import RolloutPlan
+from kelpcroft.rollout.state_machine import HoldCause, Phase, Rollout, RolloutOutcome, Router, RouterReport
 
 VERSION = 1
 
@@ -20,15 +20,15 @@
     """A snapshot that cannot be used; the message says why."""
 
 
-def samples(found: dict[str, Sample]) -> dict[str, list[float]]:
-    return {cls: [s.asked, s.worth, s.in_time] for cls, s in found.items()}
+def samples(found: dict[str, RequestSample]) -> dict[str, list[float]]:
+    return {cls: [s.request_count, s.requested_weight, s.in_time_weight] for cls, s in found.items()}
 
 
-def of_samples(raw: dict[str, list[float]]) -> dict[str, Sample]:
-    return {cls: Sample(int(a), float(w), float(t)) for cls, (a, w, t) in raw.items()}
+def of_samples(raw: dict[str, list[float]]) -> dict[str, RequestSample]:
+    return {cls: RequestSample(int(a), float(w), float(t)) for cls, (a, w, t) in raw.items()}
 
 
-def dump(r: Rollout) -> dict[str, Any]:
+def to_snapshot(r: Rollout) -> dict[str, Any]:
     """All that is needed to go on."""
     routers = {}
     for name, x in r.routers.items():
@@ -40,14 +40,14 @@
                 "digests": dict(p.digests),
                 "ready": p.ready,
                 "in_service": p.in_service,
-                "invariants": p.invariants,
-                "classes": samples(dict(p.classes)),
-                "memory": p.memory_kb,
+                "invariants": p.invariant_violations,
+                "classes": samples(dict(p.samples_by_class)),
+                "memory": p.peak_memory_kb,
             }
         routers[name] = {
             "phase": x.phase.value,
             "since": x.since_ns,
-            "heard": x.heard_ns,
+            "heard": x.last_report_ns,
             "report": told,
             "first": dict(x.first),
             "invariants": x.invariants,
@@ -55,7 +55,8 @@
             "was": x.was,
         }
     bets = [
-        [*place, b.worse, b.fine, b.slices, b.total, b.verdict.value] for place, b in r.judge.bets.items()
+        [*place, b.worse, b.fine, b.slice_count, b.total, b.verdict.value]
+        for place, b in r.judge.tests.items()
     ]
     sides = [[*place, new, samples({"": side.before})[""]] for (place, new), side in r.judge.sides.items()]
     return {
@@ -64,7 +65,7 @@
         "stage": r.stage,
         "stage_ns": r.stage_ns,
         "outcome": r.outcome.value,
-        "why": r.why,
+        "why": r.reason,
         "hold_cause": r.hold_cause.value,
         "memory": r.memory_kb,
         "harmed": list(r.harmed) if r.harmed else None,
@@ -75,7 +76,7 @@
     }
 
 
-def load(plan: Plan, raw: dict[str, Any]) -> Rollout:
+def from_snapshot(plan: RolloutPlan, raw: dict[str, Any]) -> Rollout:
     """The rollout as it was left; ``resume`` tells it the time.  Raises SnapshotError."""
     try:
         if raw["v"] != VERSION:
@@ -83,8 +84,8 @@
         if set(raw["routers"]) != {t.name for t in plan.routers}:
             raise SnapshotError("it is of other routers than the plan's")
         r = Rollout(plan, int(raw["now"]))
-        r.stage, r.stage_ns, r.why = int(raw["stage"]), int(raw["stage_ns"]), str(raw["why"])
-        r.outcome, r.after_ns = Outcome(raw["outcome"]), int(raw["after"])
+        r.stage, r.stage_ns, r.reason = int(raw["stage"]), int(raw["stage_ns"]), str(raw["why"])
+        r.outcome, r.after_ns = RolloutOutcome(raw["outcome"]), int(raw["after"])
         r.hold_cause = HoldCause(raw.get("hold_cause", ""))
         r.memory_kb = int(raw.get("memory", 0))
         r.harmed = (str(raw["harmed"][0]), str(raw["harmed"][1])) if raw["harmed"] else None
@@ -96,7 +97,7 @@
             router.before = of_samples(x["before"])
             if x["report"] is not None:
                 p = x["report"]
-                router.report = Report(
+                router.report = RouterReport(
                     name,
                     p["instance"],
                     p["digests"],
@@ -107,10 +108,10 @@
                     int(p.get("memory", 0)),
                 )
             router.was = str(x.get("was", ""))
-        r.judge = Judge(plan.rates)
+        r.judge = RegressionJudge(plan.rates)
         for zone, cls, worse, fine, slices, total, verdict in raw["bets"]:
-            bet = r.judge.bets[zone, cls] = Bet(plan.rates)
-            bet.worse, bet.fine, bet.slices, bet.total = list(worse), list(fine), slices, total
+            bet = r.judge.tests[zone, cls] = SequentialTest(plan.rates)
+            bet.worse, bet.fine, bet.slice_count, bet.total = list(worse), list(fine), slices, total
             bet.verdict = Verdict(verdict)
         for zone, cls, new, before in raw["sides"]:
             r.judge.side((zone, cls), new).before = of_samples({"": before})[""]
--- a/kelpcroft/routes/__init__.py
+++ b/kelpcroft/routes/__init__.py
@@ -4,6 +4,6 @@
 the one ``Table``; what it grants reaches the decision module as frozen bounds.
 """
 
-from kelpcroft.routes.table import Grant, Table
+from kelpcroft.routes.table import RequestAllowance, RouteTable
 
-__all__ = ["Grant", "Table"]
+__all__ = ["RequestAllowance", "RouteTable"]
--- a/kelpcroft/routes/budget.py
+++ b/kelpcroft/routes/budget.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from kelpcroft.operator.model import Budget as Declared
+from kelpcroft.operator_file.model import BudgetSettings as Declared
 
 NS = 1_000_000_000
 
 
-class Budget:
+class RetryBudget:
     """Tokens.  Each request earns ``ratio``, each second ``least_per_s``; up to ``burst`` are kept; a further
     attempt or a copy takes one.  Never overdrawn: ``take`` is the only way down, and takes whole tokens."""
 
@@ -15,9 +15,9 @@
         self.ratio, self.least_per_s, self.burst = declared.ratio, declared.least_per_s, declared.burst
         self.tokens = declared.burst
         self.filled_ns = now
-        self.taken = self.denied = 0
+        self.spent = self.denied = 0
 
-    def retune(self, declared: Declared, now: int) -> None:
+    def reconfigure(self, declared: Declared, now: int) -> None:
         """New figures; what is kept stays, up to the new burst."""
         self.fill(now)
         self.ratio, self.least_per_s, self.burst = declared.ratio, declared.least_per_s, declared.burst
@@ -35,16 +35,16 @@
         self.fill(now)
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
-    def room(self, now: int) -> bool:
+    def can_spend(self, now: int) -> bool:
         """Whether one more may be taken."""
         self.fill(now)
         return self.tokens >= 1
 
-    def take(self, now: int) -> bool:
+    def spend(self, now: int) -> bool:
         """Take one; False, and nothing taken, where there is none."""
-        if not self.room(now):
+        if not self.can_spend(now):
             self.denied += 1
             return False
         self.tokens -= 1
-        self.taken += 1
+        self.spent += 1
         return True
