--- a/kelpcroft/routes/index.py
+++ b/kelpcroft/routes/index.py
@@ -12,8 +12,8 @@
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
 
-from kelpcroft.operator.model import GROUPS, PARTS, Range, Route
-from zincgrade.interface import RequestClass
+from kelpcroft.decision.interface import RequestClass
+from kelpcroft.operator_file.model import GROUP_RANGE, PART_RANGE, Range, Route
 
 NOBODY = 0xFFFFFFFF
 Placed = list[tuple[int, Route]]  # with their places in the file
@@ -24,17 +24,17 @@
     """Routes of one prefix, class, retry and write, by group and part."""
 
     def __init__(self, routes: Sequence[tuple[int, Route]]) -> None:
-        self.groups = [GROUPS[0]]
-        edges = {GROUPS[0]}
+        self.groups = [GROUP_RANGE[0]]
+        edges = {GROUP_RANGE[0]}
         for _, route in routes:
             for low, high in route.match.groups:
                 edges |= {low, high + 1}
-        self.groups = sorted(edge for edge in edges if edge <= GROUPS[1])
+        self.groups = sorted(edge for edge in edges if edge <= GROUP_RANGE[1])
         self.starts: list[array[int]] = []
         self.orders: list[array[int]] = []
         drawn: dict[tuple[int, ...], int] = {}
         for low in self.groups:
-            here = [(order, route) for order, route in routes if holds(route.match.groups, low)]
+            here = [(order, route) for order, route in routes if in_any_range(route.match.groups, low)]
             key = tuple(order for order, _ in here)
             at = drawn.setdefault(key, len(self.starts))
             if at == len(self.starts):  # runs of groups that are treated alike share theirs
@@ -52,7 +52,7 @@
         return self.orders[at][bisect_right(self.starts[at], part) - 1]
 
 
-def holds(ranges: Sequence[Range], value: int) -> bool:
+def in_any_range(ranges: Sequence[Range], value: int) -> bool:
     """Whether a value lies in one of them; in none at all, any does."""
     return not ranges or any(low <= value <= high for low, high in ranges)
 
@@ -60,8 +60,8 @@
 def paint(routes: Iterable[tuple[int, Sequence[Range]]]) -> tuple[array[int], array[int]]:
     """Runs of parts: where each starts, and the earliest route that takes it.  Routes come in their order; a
     part once painted stays, and ``after`` leaps over what is."""
-    ranges = [(order, low, high + 1) for order, parts in routes for low, high in parts or (PARTS,)]
-    edges = sorted({PARTS[0], PARTS[1] + 1, *(e for _, low, high in ranges for e in (low, high))})
+    ranges = [(order, low, high + 1) for order, parts in routes for low, high in parts or (PART_RANGE,)]
+    edges = sorted({PART_RANGE[0], PART_RANGE[1] + 1, *(e for _, low, high in ranges for e in (low, high))})
     place = {edge: at for at, edge in enumerate(edges)}
     colour = array("L", [NOBODY]) * (len(edges) - 1)
     after = list(range(len(edges)))
@@ -96,7 +96,7 @@
             here = [
                 (order, route)
                 for order, route in routes
-                if route.match.fits(cls)
+                if route.match.accepts_class(cls)
                 and route.match.retry in (None, retry)
                 and route.match.write in (None, write)
             ]
@@ -122,7 +122,7 @@
         return best
 
 
-class Index:
+class RouteIndex:
     """All routes of a file, for requests of one zone."""
 
     def __init__(self, routes: Sequence[Route], zone: str) -> None:
@@ -134,14 +134,16 @@
                 self.by_prefix.setdefault(prefix, []).append((order, route))
         self.kinds: dict[tuple[str, bool, bool], Kind] = {}  # of classes that there are, four each
 
-    def find(self, cls: RequestClass, object: str, group: int, part: int, retry: bool, write: bool) -> int:
+    def find(
+        self, request_class: RequestClass, object_id: str, group: int, part: int, retry: bool, write: bool
+    ) -> int:
         """The place of the first route that takes a request, or -1.  ``object`` is 16 hex digits.  A class
         may become another under its name in service."""
-        key = cls.name, retry, write
+        key = request_class.name, retry, write
         kind = self.kinds.get(key)
-        if kind is None or kind.cls is not cls:
-            kind = self.kinds[key] = Kind(self.by_prefix, cls, retry, write)
-        best = kind.first(object, group, part)
+        if kind is None or kind.cls is not request_class:
+            kind = self.kinds[key] = Kind(self.by_prefix, request_class, retry, write)
+        best = kind.first(object_id, group, part)
         return -1 if best == NOBODY else best
 
 
@@ -153,7 +155,7 @@
         for prefix in set(route.match.objects) or {""}:
             prefixes.setdefault(prefix, []).append(route)
     for found in prefixes.values():
-        edges = {e for r in found for low, high in r.match.groups for e in (low, high + 1)} | {GROUPS[0]}
+        edges = {e for r in found for low, high in r.match.groups for e in (low, high + 1)} | {GROUP_RANGE[0]}
         spans = sum(
             max(1, len(r.match.parts))
             * min(len(edges), sum(high - low + 1 for low, high in r.match.groups) or len(edges))
--- a/kelpcroft/routes/sketch.py
+++ b/kelpcroft/routes/sketch.py
@@ -11,18 +11,18 @@
 from bisect import bisect_left
 from math import ceil, log
 
-LEAST_NS, MOST_NS = 1_000_000, 120 * 10**9
-GROWTH = 1.05
-HALF_NS = 10 * 10**9  # a sample counts half after so long
-BUCKETS = ceil(log(MOST_NS / LEAST_NS) / log(GROWTH)) + 1
-EDGES = [LEAST_NS * GROWTH**n for n in range(BUCKETS)]
+LEAST_NS, MAX_LATENCY_NS = 1_000_000, 120 * 10**9
+BUCKET_GROWTH = 1.05
+HALF_LIFE_NS = 10 * 10**9  # a sample counts half after so long
+BUCKETS = ceil(log(MAX_LATENCY_NS / LEAST_NS) / log(BUCKET_GROWTH)) + 1
+EDGES = [LEAST_NS * BUCKET_GROWTH**n for n in range(BUCKETS)]
 SCALE_MOST = 2.0**40  # weight of a new sample at which all are brought back to size
 FEW = 20.0  # samples, faded ones counted as they fade, under which nothing is known ...
 TAIL = 2.0  # ... nor with fewer than so many past the quantile
 FRESH_NS = 100 * 10**6  # a quantile is worked out anew so often at the most
 
 
-class Sketch:
+class LatencySketch:
     """The recent answers of one route."""
 
     def __init__(self, now: int) -> None:
@@ -33,7 +33,7 @@
 
     def weight(self, now: int) -> float:
         """Of a sample of now.  Brings all back to size where it has grown too large."""
-        weight = float(2.0 ** min(1_000.0, max(0, now - self.epoch_ns) / HALF_NS))
+        weight = float(2.0 ** min(1_000.0, max(0, now - self.epoch_ns) / HALF_LIFE_NS))
         if weight > SCALE_MOST:
             for at, count in enumerate(self.counts):
                 self.counts[at] = count / weight
@@ -41,7 +41,7 @@
             self.epoch_ns, weight = now, 1.0
         return weight
 
-    def add(self, now: int, took_ns: int) -> None:
+    def record(self, now: int, took_ns: int) -> None:
         """One more answer, or the time after which one was given up: it would have taken longer still."""
         weight = self.weight(now)
         self.counts[min(BUCKETS - 1, bisect_left(EDGES, took_ns))] += weight
@@ -65,5 +65,5 @@
         for at, count in enumerate(self.counts):
             left -= count
             if left <= 0 and count:
-                return int(EDGES[at] / GROWTH**0.5) if at else LEAST_NS
-        return MOST_NS
+                return int(EDGES[at] / BUCKET_GROWTH**0.5) if at else LEAST_NS
+        return MAX_LATENCY_NS
--- a/kelpcroft/routes/table.py
+++ b/kelpcroft/routes/table.py
@@ -4,26 +4,26 @@
 
 from random import Random
 
-from kelpcroft.operator.model import Backoff, File, Moment, Route
-from kelpcroft.routes.budget import Budget
-from kelpcroft.routes.index import Index
-from kelpcroft.routes.sketch import Sketch
-from zincgrade import interface as api
-from zincgrade.interface import Outcome
+from kelpcroft.decision import interface as api
+from kelpcroft.decision.interface import Outcome
+from kelpcroft.operator_file.model import AdaptiveDuration, Backoff, OperatorFile, Route
+from kelpcroft.routes.budget import RetryBudget
+from kelpcroft.routes.index import RouteIndex
+from kelpcroft.routes.sketch import LatencySketch
 
 OUTCOMES = {"error": Outcome.ERROR, "reset": Outcome.RESET, "timeout": Outcome.TIMEOUT}
 
 
-class Lane:
+class RouteState:
     """One route in service.  Open requests hold on to theirs when the file is read again."""
 
-    def __init__(self, route: Route, budgets: dict[str, Budget]) -> None:
+    def __init__(self, route: Route, budgets: dict[str, RetryBudget]) -> None:
         self.name = route.name
-        self.sketch: Sketch | None = None
-        self.open = self.taken = self.crowded = 0
+        self.sketch: LatencySketch | None = None
+        self.open_requests = self.taken = self.crowded = 0
         self.declare(route, budgets)
 
-    def declare(self, route: Route, budgets: dict[str, Budget]) -> None:
+    def declare(self, route: Route, budgets: dict[str, RetryBudget]) -> None:
         """What the file says now; what was seen stays."""
         b = self.bounds = route.bounds
         self.budget = budgets.get(b.budget or "")
@@ -32,19 +32,19 @@
         after = b.copies.after if copies and b.copies else None
         self.learns = any(m is not None and m.quantile > 0 for m in (b.attempt, after))
         again = None if b.on is None else frozenset(OUTCOMES[word] for word in b.on)
-        self.plain = api.Bounds(
-            attempt_ns=b.attempt.ns if b.attempt else 0,
-            attempts=b.attempts or 0,
-            again=again,
-            moves=-1 if b.moves is None else b.moves,
-            copies=copies,
-            pause_ns=b.pause_ns or 0,
-            budgeted=self.budget is not None,
+        self.plain = api.RouteRetryPolicy(
+            attempt_timeout_ns=b.attempt.ns if b.attempt else 0,
+            max_attempts=b.attempts or 0,
+            retry_on=again,
+            max_reroutes=-1 if b.moves is None else b.moves,
+            max_hedges=copies,
+            retry_after_ns=b.pause_ns or 0,
+            has_retry_budget=self.budget is not None,
         )
         whole = b.timeout is None or b.timeout.share >= 1
         self.steady = whole and not b.backoff and not (b.attempt and b.attempt.quantile)
 
-    def moment(self, now: int, m: Moment) -> int:
+    def moment(self, now: int, m: AdaptiveDuration) -> int:
         """A duration, or the quantile as it stands; 0 while too little is known and no most is given."""
         if not m.quantile:
             return m.ns
@@ -55,74 +55,86 @@
         return min(found, m.most_ns) if m.most_ns else found
 
 
-class Grant:
+class RequestAllowance:
     """What one request may cost, and the lane that it is in."""
 
-    __slots__ = ("lane", "bounds", "wait_ns", "copy_ns", "budget", "copy_budget", "learns")
-
-    def __init__(self, lane: Lane, bounds: api.Bounds, wait_ns: int, copy_ns: int) -> None:
-        self.lane, self.bounds = lane, bounds
-        self.wait_ns = wait_ns  # for the whole answer, from now
-        self.copy_ns = copy_ns  # after which a copy of an attempt is due; 0 = none
-        self.budget, self.copy_budget, self.learns = lane.budget, lane.copy_budget, lane.learns
+    __slots__ = (
+        "route",
+        "bounds",
+        "answer_timeout_ns",
+        "hedge_delay_ns",
+        "retry_budget",
+        "hedge_budget",
+        "records_latency",
+    )
+
+    def __init__(self, lane: RouteState, bounds: api.RouteRetryPolicy, wait_ns: int, copy_ns: int) -> None:
+        self.route, self.bounds = lane, bounds
+        self.answer_timeout_ns = wait_ns  # for the whole answer, from now
+        self.hedge_delay_ns = copy_ns  # after which a copy of an attempt is due; 0 = none
+        self.retry_budget, self.hedge_budget, self.records_latency = (
+            lane.budget,
+            lane.copy_budget,
+            lane.learns,
+        )
 
-    def room(self, now: int) -> bool:
+    def can_retry(self, now: int) -> bool:
         """Whether a further attempt is paid for."""
-        return self.budget is None or self.budget.room(now)
+        return self.retry_budget is None or self.retry_budget.can_spend(now)
 
-    def copy_room(self, now: int) -> bool:
+    def can_hedge(self, now: int) -> bool:
         """Whether a copy is paid for."""
-        return self.copy_budget is None or self.copy_budget.room(now)
+        return self.hedge_budget is None or self.hedge_budget.can_spend(now)
 
-    def pay(self, now: int) -> bool:
+    def spend_retry(self, now: int) -> bool:
         """A further attempt is made; False would overdraw."""
-        return self.budget is None or self.budget.take(now)
+        return self.retry_budget is None or self.retry_budget.spend(now)
 
-    def pay_copy(self, now: int) -> bool:
+    def spend_hedge(self, now: int) -> bool:
         """A copy is sent; False would overdraw."""
-        return self.copy_budget is None or self.copy_budget.take(now)
+        return self.hedge_budget is None or self.hedge_budget.spend(now)
 
-    def saw(self, now: int, took_ns: int) -> None:
+    def record_latency(self, now: int, took_ns: int) -> None:
         """An answer took so long, or was given up after so long: it would have taken longer still.  Without
         the latter a quantile that ends attempts would fall with each that it ends."""
-        if self.lane.learns:
-            if self.lane.sketch is None:
-                self.lane.sketch = Sketch(now)
-            self.lane.sketch.add(now, took_ns)
+        if self.route.learns:
+            if self.route.sketch is None:
+                self.route.sketch = LatencySketch(now)
+            self.route.sketch.record(now, took_ns)
 
     def release(self) -> None:
         """The request is over."""
-        self.lane.open -= 1
+        self.route.open_requests -= 1
 
 
-class Table:
+class RouteTable:
     """All routes of a file, for one router."""
 
-    def __init__(self, file: File, zone: str, seed: int, now: int) -> None:
+    def __init__(self, file: OperatorFile, zone: str, seed: int, now: int) -> None:
         self.zone, self.random = zone, Random(seed)
-        self.budgets: dict[str, Budget] = {}
-        self.lanes: list[Lane] = []
-        self.index = Index((), zone)
+        self.budgets: dict[str, RetryBudget] = {}
+        self.routes: list[RouteState] = []
+        self.index = RouteIndex((), zone)
         self.replace(file, now)
 
-    def replace(self, file: File, now: int) -> None:
+    def replace(self, file: OperatorFile, now: int) -> None:
         """Another file.  Routes and budgets that keep their name keep what they know."""
-        old_budgets, old_lanes = self.budgets, {lane.name: lane for lane in self.lanes}
+        old_budgets, old_lanes = self.budgets, {lane.name: lane for lane in self.routes}
         self.budgets = {}
         for declared in file.budgets:
             kept = old_budgets.get(declared.name)
             if kept:
-                kept.retune(declared, now)
-            self.budgets[declared.name] = kept or Budget(declared, now)
-        self.lanes = []
+                kept.reconfigure(declared, now)
+            self.budgets[declared.name] = kept or RetryBudget(declared, now)
+        self.routes = []
         for route in file.routes:
             lane = old_lanes.get(route.name)
             if lane:
                 lane.declare(route, self.budgets)
-            self.lanes.append(lane or Lane(route, self.budgets))
-        self.index = Index(file.routes, self.zone)
+            self.routes.append(lane or RouteState(route, self.budgets))
+        self.index = RouteIndex(file.routes, self.zone)
 
-    def take(
+    def admit(
         self,
         now: int,
         cls: api.RequestClass,
@@ -133,20 +145,25 @@
         write: bool,
         patience_ns: int,
         waited_ns: int,
-    ) -> Grant | None:
+    ) -> RequestAllowance | None:
         """What a request is granted; None where no route takes it.  ``patience_ns`` is what is left of the
         client's, ``waited_ns`` what is gone.  The grant counts as open until it is released."""
         at = self.index.find(cls, object, group, part, retry, write)
         if at < 0:
             return None
-        lane = self.lanes[at]
+        lane = self.routes[at]
         b, bounds, wait = lane.bounds, lane.plain, patience_ns
         lane.taken += 1
-        crowded = b.open is not None and lane.open >= b.open
-        lane.open += 1
+        crowded = b.open is not None and lane.open_requests >= b.open
+        lane.open_requests += 1
         if crowded:
             lane.crowded += 1
-            return Grant(lane, api.Bounds(pause_ns=bounds.pause_ns, full=True), wait, 0)
+            return RequestAllowance(
+                lane,
+                api.RouteRetryPolicy(retry_after_ns=bounds.retry_after_ns, concurrency_limit_reached=True),
+                wait,
+                0,
+            )
         if lane.budget:
             lane.budget.earn(now)
         if lane.copy_budget and lane.copy_budget is not lane.budget:
@@ -154,23 +171,23 @@
         if not lane.steady:
             attempt = lane.moment(now, b.attempt) if b.attempt else 0
             if b.timeout:
-                wait = max(0, min(patience_ns, b.timeout.of(patience_ns + waited_ns) - waited_ns))
+                wait = max(0, min(patience_ns, b.timeout.within(patience_ns + waited_ns) - waited_ns))
             waits = self.waits(b.backoff, b.attempts) if b.backoff else ()
             p = bounds
-            bounds = api.Bounds(
+            bounds = api.RouteRetryPolicy(
                 attempt,
-                p.attempts,
-                p.again,
-                p.moves,
-                p.copies,
+                p.max_attempts,
+                p.retry_on,
+                p.max_reroutes,
+                p.max_hedges,
                 waits,
-                p.pause_ns,
-                p.budgeted,
+                p.retry_after_ns,
+                p.has_retry_budget,
                 False,
                 wait < patience_ns,
             )
-        copy = lane.moment(now, b.copies.after) if b.copies and bounds.copies else 0
-        return Grant(lane, bounds, wait, copy)
+        copy = lane.moment(now, b.copies.after) if b.copies and bounds.max_hedges else 0
+        return RequestAllowance(lane, bounds, wait, copy)
 
     def waits(self, backoff: Backoff, attempts: int | None) -> tuple[int, ...]:
         """The waits before each further attempt of one request."""
@@ -180,14 +197,14 @@
             waits.append(self.random.randint(0, top) if backoff.jitter else top)
         return tuple(waits)
 
-    def tell(self) -> list[tuple[str, dict[str, int]]]:
+    def counters(self) -> list[tuple[str, dict[str, int]]]:
         """Counters of each route that was used, and of each budget, for the log."""
         rows = [
-            (f"route {lane.name}", {"taken": lane.taken, "open": lane.open, "crowded": lane.crowded})
-            for lane in self.lanes
+            (f"route {lane.name}", {"taken": lane.taken, "open": lane.open_requests, "crowded": lane.crowded})
+            for lane in self.routes
             if lane.taken
         ]
         return rows + [
-            (f"budget {name}", {"left": int(b.tokens), "taken": b.taken, "denied": b.denied})
+            (f"budget {name}", {"left": int(b.tokens), "taken": b.spent, "denied": b.denied})
             for name, b in self.budgets.items()
         ]
--- a/zincgrade/simhost.py
+++ b/kelpcroft/simulator_adapter.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable
 from typing import IO, Any, NoReturn
 
-from zincgrade import interface as i
-from zincgrade.policy import Policy
+from kelpcroft.decision import interface as i
+from kelpcroft.decision.policy import RoutingPolicy
 
-WIDTH = {
+MIN_FIELD_COUNTS = {
     "Hello": 3,
     "Down": 1,
     "Roster": 2,
@@ -35,7 +35,7 @@
     return values[place] if values and place < len(values) and values[place] is not None else absent
 
 
-def settings_of(options: dict[str, Any], seed: int) -> i.Settings:
+def parse_settings(options: dict[str, Any], seed: int) -> i.Settings:
     """Settings from the wire's options; unknown keys are skipped."""
     fam: dict[str, Any] = options.get("family_info") or {}
     lim: dict[str, Any] = options.get("limits") or {}
@@ -44,26 +44,26 @@
     classes = []
     for n, c in enumerate(options.get("classes") or []):
         try:
-            effect = i.Effect(c.get("idempotency") or "safe")
+            effect = i.Idempotency(c.get("idempotency") or "safe")
         except ValueError as error:
             raise i.SettingsError(f"classes[{n}].idempotency: {error}") from error
         classes.append(
             i.RequestClass(
                 name=c["name"],
-                effect=effect,
-                group=c.get("group") or "all",
-                window_ns=int(c.get("dedup_window_ns") or 0),
-                aim_ns=int(c.get("aim_ns") or 0),
-                aim_stretch=float(c.get("aim_stretch") or 0),
+                idempotency=effect,
+                dedup_scope=c.get("group") or "all",
+                dedup_window_ns=int(c.get("dedup_window_ns") or 0),
+                latency_objective_ns=int(c.get("aim_ns") or 0),
+                objective_transfer_multiple=float(c.get("aim_stretch") or 0),
                 deadline_ns=int(c.get("give_up_ns") or 0),
-                worth=float(_at([c.get("credit")], 0, 1)),
-                late_worth=float(c.get("late_value") or 0),
+                priority_weight=float(_at([c.get("credit")], 0, 1)),
+                late_value_share=float(c.get("late_value") or 0),
                 streamed=bool(c.get("stream")),
                 uncacheable=bool(_at(fam.get("goes_through"), n, False)),
-                in_parts=bool(_at(fam.get("multi_part"), n, False)),
-                fresh_ns=int(_at(fam.get("max_age_ns"), n, 0)),
-                grace_ns=int(_at(fam.get("usable_after_ns"), n, 0)),
-                stale_worth=float(_at(fam.get("old_copy_worth"), n, 1)),
+                multipart=bool(_at(fam.get("multi_part"), n, False)),
+                freshness_lifetime_ns=int(_at(fam.get("max_age_ns"), n, 0)),
+                stale_grace_ns=int(_at(fam.get("usable_after_ns"), n, 0)),
+                stale_value_share=float(_at(fam.get("old_copy_worth"), n, 1)),
             )
         )
     zones = tuple(options.get("dcs") or [])
@@ -78,47 +78,47 @@
         limits=i.Limits(
             may_cancel=bool(lim.get("may_cancel")),
             may_probe=bool(lim.get("probing")),
-            peers=bool(lim.get("peers")),
-            second_copies=bool(lim.get("second_copies")),
-            retry_after=bool(lim.get("retry_after")),
+            may_message_peers=bool(lim.get("peers")),
+            may_hedge=bool(lim.get("second_copies")),
+            may_send_retry_after=bool(lim.get("retry_after")),
             max_retry_after_ns=int(lim.get("max_retry_after_ns") or 0),
             max_attempts=int(_at([lim.get("most_tries")], 0, 1)),
-            max_open=int(lim.get("max_open") or 0),
+            max_open_requests=int(lim.get("max_open") or 0),
             connect_timeout_ns=int(lim.get("dial_timeout_ns") or 0),
         ),
         rules=i.Rules(
-            answer_slack_ns=int(con.get("answer_slack_ns") or 0),
+            response_slack_ns=int(con.get("answer_slack_ns") or 0),
             drain_grace_ns=int(con.get("drain_grace_ns") or 0),
-            cold_from=float(_at([con.get("cold_from")], 0, 1)),
-            cold_ns=int(con.get("cold_ns") or 0),
-            fall_multiple=float(_at([con.get("fall_multiple")], 0, 1)),
-            fall_ns=int(con.get("fall_ns") or 0),
-            parent_cold_from=float(_at([fam.get("parent_cold_from")], 0, 1)),
-            parent_cold_ns=int(fam.get("parent_warms_in_ns") or 0),
-            parent_fall_multiple=float(_at([fam.get("parent_fall_multiple")], 0, 1)),
+            cold_capacity_share=float(_at([con.get("cold_from")], 0, 1)),
+            warm_up_ns=int(con.get("cold_ns") or 0),
+            overload_collapse_multiple=float(_at([con.get("fall_multiple")], 0, 1)),
+            overload_collapse_ns=int(con.get("fall_ns") or 0),
+            parent_cold_capacity_share=float(_at([fam.get("parent_cold_from")], 0, 1)),
+            parent_warm_up_ns=int(fam.get("parent_warms_in_ns") or 0),
+            parent_overload_collapse_multiple=float(_at([fam.get("parent_fall_multiple")], 0, 1)),
             purge_grace_ns=int(fam.get("purge_grace_ns") or 0),
-            purge_done_ns=int(fam.get("purge_takes_ns") or 0),
-            ask_within_ns=int(con.get("ask_within_ns") or 0),
+            purge_sweep_ns=int(fam.get("purge_takes_ns") or 0),
+            discovery_poll_limit_ns=int(con.get("ask_within_ns") or 0),
         ),
-        self_index=int(options.get("self_index") or 0),
+        router_index=int(options.get("self_index") or 0),
         instances=instances,
         zone_instances=max(1, int(_at(fam.get("instances_by_zone"), place, instances))),
-        hub_of=tuple(fam.get("hub_of") or []),
-        link_kb_per_s=float(_at(fam.get("zone_link_kb_per_s"), place, 0)),
-        pace_kb_per_s=float(fam.get("pace_kb_per_s") or 0),
-        direct=bool(fam.get("may_pass_by")),
+        hub_index_by_zone=tuple(fam.get("hub_of") or []),
+        fill_link_kb_per_s=float(_at(fam.get("zone_link_kb_per_s"), place, 0)),
+        max_transfer_kb_per_s=float(fam.get("pace_kb_per_s") or 0),
+        allows_cache_bypass=bool(fam.get("may_pass_by")),
         siblings=fam.get("sideways") or "off",
-        joins=bool(fam.get("merges_fills")),
+        coalesces_fills=bool(fam.get("merges_fills")),
         notes=fam.get("notes_given") or "off",
         discovery=options.get("discovery") or "push",
-        weights=options.get("weight_source") or "off",
-        report_how=rep.get("how") or "off",
-        report_fields=tuple(rep.get("fields") or []),
-        tick_ns=int(options.get("tick_ns") or 1),
+        weight_source=options.get("weight_source") or "off",
+        load_report_mode=rep.get("how") or "off",
+        load_report_fields=tuple(rep.get("fields") or []),
+        clock_tick_ns=int(options.get("tick_ns") or 1),
     )
 
 
-class Kinds:
+class MachineKinds:
     """How one instance's settings name the kinds of machine that are parents and the origin."""
 
     def __init__(self, options: dict[str, Any]) -> None:
@@ -132,29 +132,31 @@
     def _name(kinds: list[str], place: int | None) -> str | None:
         return kinds[place] if place is not None and 0 <= place < len(kinds) else None
 
-    def role(self, kind: str) -> i.Role:
+    def role_of(self, kind: str) -> i.Role:
         """The role of a kind of machine."""
         if kind == self.origin:
             return i.Role.ORIGIN
         return i.Role.PARENT if kind == self.parent else i.Role.CACHE
 
 
-class Instance:
+class SimulatedRouter:
     """One gateway: its policy, and what is needed to read its lines."""
 
     def __init__(self, now_ns: int, seed: int, options: dict[str, Any]) -> None:
-        settings = settings_of(options, seed)
-        self.kinds = Kinds(options)
-        self.fields = settings.report_fields
-        self.policy = Policy(settings)
-        self.first = self.policy.start(now_ns)
+        settings = parse_settings(options, seed)
+        self.kinds = MachineKinds(options)
+        self.report_fields = settings.load_report_fields
+        self.policy = RoutingPolicy(settings)
+        self.startup_actions = self.policy.start(now_ns)
 
-    def report(self, row: list[float] | None) -> dict[str, float]:
+    def parse_report(self, row: list[float] | None) -> dict[str, float]:
         """A load report by field."""
-        return {k: v for k, v in zip(self.fields, row or [], strict=False) if v is not None}
+        return {k: v for k, v in zip(self.report_fields, row or [], strict=False) if v is not None}
 
 
-def event_of(name: str, v: list[Any], inst: Instance, rosters: dict[int, list[list[Any]]]) -> i.Event:
+def parse_event(
+    name: str, v: list[Any], inst: SimulatedRouter, rosters: dict[int, list[list[Any]]]
+) -> i.Event:
     """One wire event as one of ours."""
     if name == "Sync":
         entries = (
@@ -163,7 +165,7 @@
             else tuple(
                 i.Server(
                     name=e[0],
-                    role=inst.kinds.role(e[2]),
+                    role=inst.kinds.role_of(e[2]),
                     zone=e[1],
                     cell=e[3] or 0,
                     state=e[4],
@@ -177,15 +179,15 @@
     if name == "Ingress":
         return i.Request(
             id=v[1],
-            patience_ns=v[2],
-            retry=bool(v[3]),
+            time_remaining_ns=v[2],
+            is_retry=bool(v[3]),
             part=v[4] or 0,
-            write=bool(v[5]),
-            object=v[6] or 0,
-            group=v[7] or 0,
+            is_write=bool(v[5]),
+            object_id=v[6] or 0,
+            purge_group=v[7] or 0,
             size_kb=v[8] or 0,
             tenant=str(v[9] or ""),
-            cls=v[10],
+            class_name=v[10],
         )
     if name == "AttemptEnd":
         return i.AttemptEnded(
@@ -195,67 +197,77 @@
             i.Outcome(v[4]),
             v[5] or 0,
             bool(v[6]),
-            i.Note(v[7] or 0),
+            i.FillResult(v[7] or 0),
             v[8] or 0,
-            inst.report(_at(v, 9, None)),
+            inst.parse_report(_at(v, 9, None)),
         )
     if name == "Streaming":
-        return i.AnswerStarted(v[1], v[4] or 0, v[2], v[3] or 0)
+        return i.ResponseStarted(v[1], v[4] or 0, v[2], v[3] or 0)
     if name == "Abandoned":
-        return i.ClientGone(v[1])
+        return i.ClientDisconnected(v[1])
     if name == "DeadlineHit":
-        return i.TimerDue(v[1])
+        return i.TimerExpired(v[1])
     if name == "ProbeResult":
-        return i.Probed(v[2], i.Outcome(v[1]), v[3] or 0, inst.report(_at(v, 4, None)))
+        return i.ProbeFinished(v[2], i.Outcome(v[1]), v[3] or 0, inst.parse_report(_at(v, 4, None)))
     if name == "Mail":
         return i.PeerMessage(v[1] or 0, v[2] or "")
     return i.Purged(v[1], v[3] or 0, v[2] or 0)
 
 
-def line_of(gateway: int, a: i.Action) -> list[Any]:
+def encode_action(gateway: int, a: i.Action) -> list[Any]:
     """One of our actions as a wire line."""
-    if isinstance(a, i.Fetch):
-        switches = a.join * 1 + a.held_only * 2 + a.no_parent_copy * 4 + a.renew * 8
-        return ["Get", gateway, a.id, a.cache, a.timeout_ns, switches, a.source, a.max_age_ns, a.rank]
+    if isinstance(a, i.ForwardRequest):
+        switches = a.coalesce * 1 + a.cached_only * 2 + a.no_parent_copy * 4 + a.refresh_in_background * 8
+        return [
+            "Get",
+            gateway,
+            a.id,
+            a.server,
+            a.timeout_ns,
+            switches,
+            a.fill_source,
+            a.max_age_ns,
+            a.retention_rank,
+        ]
     if isinstance(a, i.Cancel):
         return ["Revoke", gateway, a.id, a.attempt]
-    if isinstance(a, i.Refuse):
-        return ["Refuse", gateway, a.id, a.retry_in_ns]
+    if isinstance(a, i.Reject):
+        return ["Refuse", gateway, a.id, a.retry_after_ns]
     if isinstance(a, i.Fail):
         return ["Lose", gateway, a.id]
     if isinstance(a, i.SetTimer):
         return ["Schedule", gateway, a.label, a.at_ns]
     if isinstance(a, i.Probe):
-        return ["Probe", gateway, a.cache]
+        return ["Probe", gateway, a.server]
     if isinstance(a, i.Subscribe):
         return ["KeepInformed", gateway, True]
     if isinstance(a, i.Log):
         return ["WriteLog", gateway, a.text]
-    raise Malformed(f"{type(a).__name__} has no words on this wire, and without bounds is not asked for")
+    raise MalformedLine(f"{type(a).__name__} has no words on this wire, and without bounds is not asked for")
 
 
-class Malformed(Exception):
+class MalformedLine(Exception):
     """A line that is not on the wire's page."""
 
 
-class Host:
+class SimulatorHost:
     """Reads batches and writes replies."""
 
     def __init__(self, out: IO[str]) -> None:
         self.out = out
         self.rosters: dict[int, list[list[Any]]] = {}
-        self.instances: dict[int, Instance] = {}
+        self.instances: dict[int, SimulatedRouter] = {}
 
-    def one(self, now_ns: int, m: list[Any]) -> tuple[int, Iterable[i.Action]]:
+    def dispatch(self, now_ns: int, m: list[Any]) -> tuple[int, Iterable[i.Action]]:
         """What one event makes its instance do."""
         name, v = m[0], m[1:]
         gateway = v[0]
         if name == "Hello":
             try:
-                self.instances[gateway] = inst = Instance(now_ns, int(v[1] or 0), v[2])
+                self.instances[gateway] = inst = SimulatedRouter(now_ns, int(v[1] or 0), v[2])
             except (i.SettingsError, KeyError, TypeError) as error:
-                raise Malformed(f"settings: {error}") from error
-            return gateway, inst.first
+                raise MalformedLine(f"settings: {error}") from error
+            return gateway, inst.startup_actions
         if name == "Down":
             self.instances.pop(gateway, None)
             return gateway, ()
@@ -263,36 +275,36 @@
             return gateway, ()
         inst = self.instances[gateway]
         try:
-            event = event_of(name, v, inst, self.rosters)
+            event = parse_event(name, v, inst, self.rosters)
         except (ValueError, KeyError, TypeError, IndexError) as error:
-            raise Malformed(f"{name}: {error}") from error
+            raise MalformedLine(f"{name}: {error}") from error
         return gateway, inst.policy.handle(now_ns, event)
 
-    def line(self, m: Any) -> None:
+    def read_line(self, m: Any) -> None:
         """One event line of the open batch."""
-        if not isinstance(m, list) or not m or m[0] not in WIDTH:
-            raise Malformed("not a known message")
-        if len(m) - 1 < WIDTH[m[0]]:
-            raise Malformed(f"{m[0]}: {len(m) - 1} values where {WIDTH[m[0]]} are due")
+        if not isinstance(m, list) or not m or m[0] not in MIN_FIELD_COUNTS:
+            raise MalformedLine("not a known message")
+        if len(m) - 1 < MIN_FIELD_COUNTS[m[0]]:
+            raise MalformedLine(f"{m[0]}: {len(m) - 1} values where {MIN_FIELD_COUNTS[m[0]]} are due")
         if m[0] == "Roster":
             if not isinstance(m[2], list) or any(not isinstance(e, list) or len(e) < 5 for e in m[2]):
-                raise Malformed("Roster: an entry is too short")
+                raise MalformedLine("Roster: an entry is too short")
             self.rosters[m[1]] = m[2]
             return
         if not isinstance(m[1], int):
-            raise Malformed(f"{m[0]}: instance {m[1]!r} is not a number")
+            raise MalformedLine(f"{m[0]}: instance {m[1]!r} is not a number")
         try:
-            gateway, actions = self.one(self.now_ns, m)
-        except Malformed:
+            gateway, actions = self.dispatch(self.now_ns, m)
+        except MalformedLine:
             raise
         except Exception as error:  # the module's own fault: the wire has a message for it
             print(f"decision error: {error!r}", file=sys.stderr)
-            self.write(["Exception", m[1], f"{type(error).__name__}: {error}"])
+            self.write_line(["Exception", m[1], f"{type(error).__name__}: {error}"])
             return
         for action in actions:
-            self.write(line_of(gateway, action))
+            self.write_line(encode_action(gateway, action))
 
-    def write(self, value: list[Any]) -> None:
+    def write_line(self, value: list[Any]) -> None:
         """One reply line."""
         self.out.write(json.dumps(value, separators=(",", ":")) + "\n")
 
@@ -306,21 +318,21 @@
                 m = json.loads(text)
                 if isinstance(m, list) and m[:1] == ["Turn"]:
                     if batch is not None or len(m) < 3 or not all(isinstance(x, int) for x in m[1:3]):
-                        raise Malformed("Turn out of place or not two numbers")
+                        raise MalformedLine("Turn out of place or not two numbers")
                     self.now_ns, batch = m[1], m[2]
                 elif batch is None:
-                    raise Malformed("outside a batch")
+                    raise MalformedLine("outside a batch")
                 elif m == ["End"]:
-                    self.write(["Next", batch])
+                    self.write_line(["Next", batch])
                     self.out.flush()
                     batch = None
                 else:
-                    self.line(m)
-            except (Malformed, json.JSONDecodeError) as error:
-                stop(number, text, error)
+                    self.read_line(m)
+            except (MalformedLine, json.JSONDecodeError) as error:
+                exit_malformed(number, text, error)
 
 
-def stop(number: int, text: str, error: Exception) -> NoReturn:
+def exit_malformed(number: int, text: str, error: Exception) -> NoReturn:
     """Name the line and end with a failure."""
     print(f"line {number}: {error}: {text.strip()[:200]}", file=sys.stderr)
     raise SystemExit(2)
@@ -328,7 +340,7 @@
 
 def main() -> None:
     """Serve standard input."""
-    Host(sys.stdout).run(sys.stdin)
+    SimulatorHost(sys.stdout).run(sys.stdin)
 
 
 if __name__ == "__main__":
--- a/kelpcroft/start/starts.py
+++ b/kelpcroft/startup/crash_loop_backoff.py
@@ -22,7 +22,7 @@
 NS_PER_MS = 1_000_000
 
 
-def path_of(folder: str, name: str) -> str:
+def file_path(folder: str, name: str) -> str:
     """Where the file of a router lies."""
     return f"{folder.rstrip('/')}/kelpcroft-{name.replace('/', '_')}.starts"
 
@@ -50,7 +50,7 @@
     return orjson.dumps({"v": VERSION, "name": name, "starts_ms": [x // NS_PER_MS for x in kept]}) + b"\n"
 
 
-def wait_ns(starts: list[int]) -> int:
+def crash_loop_delay_ns(starts: list[int]) -> int:
     """How long the first call to the list service is to wait, by the earlier starts within the span."""
     over = len(starts) - FREE
     return min(WAIT_NS << min(over, 8), WAIT_MOST_NS) if over >= 0 else 0
--- a/kelpcroft/start/crowd.py
+++ b/kelpcroft/startup/fleet_size.py
@@ -16,7 +16,7 @@
 
 import math
 
-from zincgrade.estimate import Faded
+from kelpcroft.decision.statistics import DecayingSum
 
 SPAN_NS = 4 * 10**9  # reports count 1/e after so long
 SAMPLES = 4.0  # of them, faded, before they say anything
@@ -25,15 +25,15 @@
 INSANE = 1e6  # no cache holds as many requests
 
 
-class Crowd:
+class FleetSizeEstimator:
     """The routers of one zone."""
 
     def __init__(self, said: int) -> None:
         """``said``: routers of the zone by the settings."""
         self.said = max(1, said)
-        self.all, self.own, self.seen = Faded(SPAN_NS), Faded(SPAN_NS), Faded(SPAN_NS)
+        self.all, self.own, self.seen = DecayingSum(SPAN_NS), DecayingSum(SPAN_NS), DecayingSum(SPAN_NS)
 
-    def told(self, now: int, reported: float, own: int) -> None:
+    def record_report(self, now: int, reported: float, own: int) -> None:
         """A cache's report of requests held, and how many of this router's were there.  One that cannot be
         right says nothing; one under our own number is of before they came."""
         if own > 0 and 0 <= reported < INSANE:
@@ -41,12 +41,12 @@
             self.own.add(now, own)
             self.seen.add(now, 1.0)
 
-    def routers(self, now: int) -> int:
+    def estimated_routers(self, now: int) -> int:
         """The number to reckon with."""
-        own = self.own.now(now)
-        if own <= 0 or self.seen.now(now) < SAMPLES:
+        own = self.own.value_at(now)
+        if own <= 0 or self.seen.value_at(now) < SAMPLES:
             return self.said
-        found = min(MOST * self.said, max(self.said / MOST, self.all.now(now) / own))
+        found = min(MOST * self.said, max(self.said / MOST, self.all.value_at(now) / own))
         if found > MORE * self.said:
             return math.ceil(found - 1e-6)
         fewer = FEWER * found
--- /dev/null
+++ b/kelpcroft/startup/options.py
@@ -0,0 +1,14 @@
+"""What the operator's file says of a start.  The defaults change nothing."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class StartupOptions:
+    """How this router begins beside all others that begin with it."""
+
+    list_calls_per_s: float = 0.0  # calls a second that the list service bears of all routers; 0 = no budget
+    limit_origin_fetches: bool = False  # fetches out at the store are few at first
+    estimate_fleet_size: bool = False  # routers of the zone are counted by what caches report
--- a/kelpcroft/start/store.py
+++ b/kelpcroft/startup/origin_concurrency.py
@@ -19,36 +19,36 @@
 LATE_SHARE = 2 / 3  # of a class's wanted time: a wait for the store beyond it is late
 
 
-class Window:
+class OriginConcurrencyLimit:
     """The bound of one router."""
 
     def __init__(self, now: int) -> None:
-        self.size, self.out, self.over = FIRST, 0, False
+        self.limit, self.in_flight, self.is_lifted = FIRST, 0, False
         self.cut_ns, self.late_ns, self.good = 0, now, 0
 
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more may go out."""
-        return self.over or self.out < self.size
+        return self.is_lifted or self.in_flight < self.limit
 
-    def late(self, wait_ns: float, wanted_ns: int) -> bool:
+    def is_late(self, wait_ns: float, wanted_ns: int) -> bool:
         """Whether a wait for the store was too long for a class's wanted time."""
         return wait_ns > LATE_SHARE * wanted_ns
 
-    def sent(self) -> None:
+    def record_sent(self) -> None:
         """One more is out."""
-        self.out += 1
+        self.in_flight += 1
 
-    def ended(self, now: int, sent_ns: int, late: bool | None) -> None:
+    def record_finished(self, now: int, sent_ns: int, late: bool | None) -> None:
         """One is not out any more; ``late``: whether it took too long, None where that does not tell.  What
         was sent before the last cut says nothing of its effect."""
-        self.out = max(0, self.out - 1)
-        if late is None or self.over:
+        self.in_flight = max(0, self.in_flight - 1)
+        if late is None or self.is_lifted:
             return
         if late:
             self.late_ns, self.good = now, 0
             if sent_ns >= self.cut_ns:
-                self.size, self.cut_ns = max(1.0, self.size / 2), now
+                self.limit, self.cut_ns = max(1.0, self.limit / 2), now
             return
         self.good += 1
-        self.size += 1 / self.size
-        self.over = self.size >= OPEN_MOST or now - self.late_ns >= CALM_NS and self.good >= CALM_LEAST
+        self.limit += 1 / self.limit
+        self.is_lifted = self.limit >= OPEN_MOST or now - self.late_ns >= CALM_NS and self.good >= CALM_LEAST
--- a/kelpcroft/store/handover.py
+++ b/kelpcroft/store/handover.py
@@ -19,13 +19,13 @@
 import orjson
 
 VERSION = 1
-SIZE_MOST = 4_096  # bytes of the file; a larger one is not read
-AGE_MOST_NS = 3_600 * 10**9  # one written longer ago than this says nothing of the router now
+MAX_FILE_BYTES = 4_096  # bytes of the file; a larger one is not read
+MAX_AGE_NS = 3_600 * 10**9  # one written longer ago than this says nothing of the router now
 NS_PER_MS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Handed:
+class HandoverRecord:
     """What the last process of this router said when it last changed its state of service."""
 
     in_service: bool
@@ -35,7 +35,7 @@
     ended_ns: int = 0  # when a process of this router last ended beside another; 0 = not told
 
 
-def path_of(folder: str, name: str) -> str:
+def file_path(folder: str, name: str) -> str:
     """Where the file of a router lies; names are the platform's and have no slash."""
     return f"{folder.rstrip('/')}/kelpcroft-{name.replace('/', '_')}.json"
 
@@ -59,11 +59,11 @@
     )
 
 
-def decode(data: bytes, name: str, now_ns: int) -> tuple[Handed | None, str]:
+def decode(data: bytes, name: str, now_ns: int) -> tuple[HandoverRecord | None, str]:
     """What the file says, or None and why it is not taken: too large, not JSON, an unknown version, another
     router's, a field missing or of the wrong type, written in the future or too long ago."""
-    if len(data) > SIZE_MOST:
-        return None, f"is over {SIZE_MOST} bytes"
+    if len(data) > MAX_FILE_BYTES:
+        return None, f"is over {MAX_FILE_BYTES} bytes"
     try:
         raw: Any = orjson.loads(data)
     except orjson.JSONDecodeError as error:
@@ -92,8 +92,8 @@
     written = raw["written_ms"] * NS_PER_MS
     if written > now_ns + NS_PER_MS * 1_000 or not math.isfinite(written):
         return None, "was written in the future"
-    if now_ns - written > AGE_MOST_NS:
+    if now_ns - written > MAX_AGE_NS:
         return None, f"was written {(now_ns - written) // 10**9} s ago"
-    return Handed(
+    return HandoverRecord(
         raw["service"] == "in", raw["since_ms"] * NS_PER_MS, written, raw["pid"], ended * NS_PER_MS
     ), ""
--- a/kelpcroft/store/identity.py
+++ b/kelpcroft/store/identity.py
@@ -15,20 +15,20 @@
 FILES_MOST = 2_000  # of a program; more are a wrong folder
 
 
-def digest(data: bytes) -> str:
+def hex_digest(data: bytes) -> str:
     """16 hex digits."""
     return blake2b(data, digest_size=8).hexdigest()
 
 
-def of_settings(settings: Any) -> str:
+def settings_digest(settings: Any) -> str:
     """Of settings, whatever the order of their keys.  What says where a router stands among others is left
     out: all routers of a fleet that have the same settings tell the same, and a change can name it."""
     if isinstance(settings, dict):
         settings = {key: value for key, value in settings.items() if key not in PLACE}
-    return digest(orjson.dumps(settings, option=orjson.OPT_SORT_KEYS))
+    return hex_digest(orjson.dumps(settings, option=orjson.OPT_SORT_KEYS))
 
 
-def of_files(files: Iterable[tuple[str, bytes]]) -> str:
+def files_digest(files: Iterable[tuple[str, bytes]]) -> str:
     """Of a program's files, by their names, in any order."""
     whole = blake2b(digest_size=8)
     for name, data in sorted(files):
@@ -36,16 +36,13 @@
     return whole.hexdigest()
 
 
-def of_program(package: Path) -> str:
-    """Of the packages as they stand beside each other: both, compiled or not.  Empty where they cannot be
+def program_digest(package: Path) -> str:
+    """Of the package as it stands, compiled or not.  Empty where they cannot be
     read."""
     try:
         found = [
-            p
-            for name in ("kelpcroft", "zincgrade")
-            for p in (package.parent / name).rglob("*")
-            if p.suffix in SUFFIXES
+            p for name in ("kelpcroft",) for p in (package.parent / name).rglob("*") if p.suffix in SUFFIXES
         ]
-        return of_files((str(p.relative_to(package.parent)), p.read_bytes()) for p in found[:FILES_MOST])
+        return files_digest((str(p.relative_to(package.parent)), p.read_bytes()) for p in found[:FILES_MOST])
     except OSError:
         return ""
--- a/kelpcroft/store/rollouts.py
+++ b/kelpcroft/store/rollouts.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from kelpcroft.rollout.stages import Note
+from kelpcroft.rollout.state_machine import HistoryEntry
 
 SCHEMA = """
 create table if not exists run (
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class StoredRun:
     """A run as it was last committed."""
 
     id: int
@@ -47,7 +47,7 @@
     lease_ns: int
 
 
-class Store:
+class RolloutStore:
     """The file.  One for each process."""
 
     def __init__(self, path: str) -> None:
@@ -59,7 +59,7 @@
     def close(self) -> None:
         self.db.close()
 
-    def begin(self, now: int, plan: bytes, snapshot: dict[str, Any]) -> int:
+    def create_run(self, now: int, plan: bytes, snapshot: dict[str, Any]) -> int:
         """A new run.  Raises LeaseLost while another is not over."""
         with Transaction(self.db):
             row = self.db.execute("select id from run where outcome not in ('done', 'taken back')").fetchone()
@@ -71,14 +71,16 @@
             )
             return int(cursor.lastrowid or 0)
 
-    def last(self) -> Run | None:
+    def newest_run(self) -> StoredRun | None:
         """The newest run."""
         row = self.db.execute(
             "select id, plan, began, snapshot, outcome, owner, lease from run order by id desc limit 1"
         ).fetchone()
-        return Run(row[0], row[1], row[2], orjson.loads(row[3]), row[4], row[5], row[6]) if row else None
+        return (
+            StoredRun(row[0], row[1], row[2], orjson.loads(row[3]), row[4], row[5], row[6]) if row else None
+        )
 
-    def take(self, run: int, owner: str, now: int) -> None:
+    def acquire_lease(self, run: int, owner: str, now: int) -> None:
         """Take a run's lease, if nobody has it or it has ended.  Raises LeaseLost."""
         done = self.db.execute(
             "update run set owner = ?, lease = ? where id = ? and (owner = ? or lease < ?)",
@@ -87,14 +89,14 @@
         if not done.rowcount:
             raise LeaseLost(f"run {run} is led by another controller")
 
-    def step(
+    def commit_step(
         self,
         run: int,
         owner: str,
         now: int,
         snapshot: dict[str, Any],
         outcome: str,
-        notes: Iterable[Note],
+        notes: Iterable[HistoryEntry],
         heard: int = 0,
     ) -> None:
         """One step: the snapshot, the notes, the lease, and the words of people that were heard in it (up to
@@ -116,15 +118,15 @@
             )
             self.db.execute("delete from word where run = ? and rowid <= ?", (run, heard))
 
-    def leave(self, run: int, owner: str) -> None:
+    def release_lease(self, run: int, owner: str) -> None:
         """Give the lease back."""
         self.db.execute("update run set lease = 0 where id = ? and owner = ?", (run, owner))
 
-    def say(self, run: int, now: int, verb: str) -> None:
+    def add_operator_command(self, run: int, now: int, verb: str) -> None:
         """What people order; the controller takes it up in its next turn."""
         self.db.execute("insert into word values (?, ?, ?)", (run, now, verb))
 
-    def words(self, run: int) -> list[tuple[int, str]]:
+    def pending_operator_commands(self, run: int) -> list[tuple[int, str]]:
         """What people have ordered and no step has heard yet, each with its number."""
         return self.db.execute("select rowid, verb from word where run = ? order by rowid", (run,)).fetchall()
 
--- a/kelplab/coldstart.py
+++ b/testbed/cold_start.py
@@ -17,12 +17,12 @@
 from random import Random
 from typing import Any
 
-from kelpcroft import messages as m
-from kelpcroft.config import parse
+from kelpcroft.config import parse_config
+from kelpcroft.core import effects, inputs
 from kelpcroft.core.reducer import Reducer
-from kelplab.standin import ROOT
-from zincgrade.estimate import mix
-from zincgrade.interface import Note, Outcome
+from kelpcroft.decision.interface import FillResult, Outcome
+from kelpcroft.decision.statistics import mix64
+from testbed.stand_ins import ROOT
 
 MS, S = 10**6, 10**9
 START = 1_764_576_000 * S
@@ -103,7 +103,7 @@
         return {"outstanding": float(len(self.out))}
 
     def has(self, item: int, seed: int) -> bool:
-        return item in self.holds or not self.started and mix(item * 65_537 + seed) % 1000 < KEPT * 1000
+        return item in self.holds or not self.started and mix64(item * 65_537 + seed) % 1000 < KEPT * 1000
 
 
 @dataclass
@@ -169,7 +169,7 @@
             if dead_boxes and n % dead_boxes == 1:
                 box.dead_until = START + 10_000 * S
         self.store = Store((fills * (1 - KEPT) + routers * rate * ORDERS) * 2)
-        self.seeds = {name: mix(n) for n, name in enumerate([*self.boxes, *self.hubs])}
+        self.seeds = {name: mix64(n) for n, name in enumerate([*self.boxes, *self.hubs])}
         self.listed: dict[int, int] = {}  # by router: when it had heard the service
         self.asked: Counter[int] = Counter()  # by tenth of a second, as all that follow
         self.good: Counter[int] = Counter()
@@ -211,7 +211,7 @@
         lines += [self.line(name, "hub", "parent", box) for name, box in self.hubs.items()]
         lines.append(self.line("store", "hub", "origin", None))
         known = {"n": 1, "events": [{"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": lines}}]}
-        made = Reducer(parse(raw | {"name": f"n{n}", "known": known, "seed": f"{n + 1:x}"}, {}))
+        made = Reducer(parse_config(raw | {"name": f"n{n}", "known": known, "seed": f"{n + 1:x}"}, {}))
         if self.change is not None:
             self.change(made)
         return made
@@ -256,17 +256,20 @@
             elif event == "start":
                 self.up[n] = True
                 self.carry_out(n, self.begin(n))
-                self.carry_out(n, self.routers[n].handle(self.now, m.Listening()))
+                self.carry_out(n, self.routers[n].handle(self.now, inputs.ListenersReady()))
             elif event == "ask":
                 self.ask(n)
             elif isinstance(event, tuple) and event[0] == "turn":
                 self.answer_call(n, event[1])
-            elif not (isinstance(event, (m.Answer, m.LinkUp)) and event.link not in self.links[n]):
-                if isinstance(event, m.LinkLost):
-                    self.drop(n, event.link)
+            elif not (
+                isinstance(event, (inputs.ServerResponse, inputs.ServerConnected))
+                and event.connection not in self.links[n]
+            ):
+                if isinstance(event, inputs.ServerConnectionLost):
+                    self.drop(n, event.connection)
                 self.carry_out(n, self.routers[n].handle(self.now, event))
 
-    def begin(self, n: int) -> list[m.Effect]:
+    def begin(self, n: int) -> list[effects.Effect]:
         return self.routers[n].start(self.now)
 
     # Clients ----------------------------------------------------------------------------------------------
@@ -281,7 +284,7 @@
     def call(self, n: int, item: int, order: bool, again: bool) -> None:
         self.made += 1
         cls, patience = ("order", 3_000 * MS) if order else ("page", 2_400 * MS)
-        call = m.Call(
+        call = inputs.ClientRequest(
             self.made,
             1,
             cls,
@@ -313,14 +316,14 @@
         s, at = self.service, self.now + MS
         s.calls.append(at)
         if at < s.dead_until:
-            self.later(at + MS, n, m.FeedLost("refused"))
+            self.later(at + MS, n, inputs.WatchFailed("refused"))
             return
         s.free_at = max(s.free_at, at) + int(S / s.per_s)
         if (s.free_at - at) / S * s.per_s > s.most:
             s.falls, s.dead_until, s.free_at = s.falls + 1, at + s.down_ns, at + s.down_ns
             s.last = 1 if s.renumbers else s.last
             for other in {*s.held, n}:
-                self.later(at + MS, other, m.FeedLost("reset"))
+                self.later(at + MS, other, inputs.WatchFailed("reset"))
             s.held.clear()
             return
         s.held[n] = s.calls[-1], after, at + wait_ms * MS
@@ -334,7 +337,7 @@
         if after != self.service.last or self.now >= until:
             del self.service.held[n]
             self.listed.setdefault(n, self.now)
-            self.later(self.now + MS, n, m.News(self.service.last, ()))
+            self.later(self.now + MS, n, inputs.WatchResponse(self.service.last, ()))
         else:
             self.later(until, n, ("turn", call))
 
@@ -345,49 +348,57 @@
         if name in self.boxes:
             self.boxes[name].links -= 1
 
-    def carry_out(self, n: int, effects: list[m.Effect]) -> None:
-        for e in effects:
-            if isinstance(e, m.Wake):
-                self.later(max(e.at_ns, self.now), n, m.Due(e.key))
-            elif isinstance(e, m.Poll):
-                self.poll(n, e.after, getattr(e, "wait_ms", 1_000))
-            elif isinstance(e, m.Dial):
+    def carry_out(self, n: int, effect_list: list[effects.Effect]) -> None:
+        for e in effect_list:
+            if isinstance(e, effects.ScheduleTimer):
+                self.later(max(e.at_ns, self.now), n, inputs.TimerFired(e.key))
+            elif isinstance(e, effects.PollFeed):
+                self.poll(n, e.after_event, getattr(e, "wait_ms", 1_000))
+            elif isinstance(e, effects.OpenServerConnection):
                 self.dial(n, e)
-            elif isinstance(e, m.Drop):
-                self.drop(n, e.link)
-            elif isinstance(e, m.Pull):
+            elif isinstance(e, effects.CloseServerConnection):
+                self.drop(n, e.connection)
+            elif isinstance(e, effects.SendAttempt):
                 self.pull(n, e)
-            elif isinstance(e, m.Check):
-                fit = m.Answer(e.link, e.id, Outcome.OK, Note.NONE, 0, {}, False, b"")
+            elif isinstance(e, effects.SendHealthCheck):
+                fit = inputs.ServerResponse(
+                    e.connection, e.attempt_id, Outcome.OK, FillResult.NONE, 0, {}, False, b""
+                )
                 self.later(self.now + TRIP_NS, n, fit)
-            elif isinstance(e, (m.Serve, m.Decline, m.Break)):
-                self.ended(n, e.client, isinstance(e, m.Serve), isinstance(e, m.Decline))
+            elif isinstance(e, (effects.SendResponse, effects.RejectRequest, effects.FailRequest)):
+                self.ended(
+                    n, e.client, isinstance(e, effects.SendResponse), isinstance(e, effects.RejectRequest)
+                )
 
-    def dial(self, n: int, e: m.Dial) -> None:
+    def dial(self, n: int, e: effects.OpenServerConnection) -> None:
         name = e.address.rpartition(":")[0]
         self.dials[self.tenth()] += 1
-        self.links[n][e.link] = name
+        self.links[n][e.connection] = name
         box = self.boxes.get(name) or self.hubs.get(name)
         if box is None:
-            self.later(self.now + FAR_NS, n, m.LinkUp(e.link))
+            self.later(self.now + FAR_NS, n, inputs.ServerConnected(e.connection))
             return
         box.dials, box.links = box.dials + 1, box.links + 1
         if self.now < box.dead_until or box.links > box.places:
             box.refused += 1
-            self.later(self.now + MS, n, m.LinkLost(e.link, "refused", True))
+            self.later(self.now + MS, n, inputs.ServerConnectionLost(e.connection, "refused", True))
         else:
-            self.later(self.now + TRIP_NS, n, m.LinkUp(e.link))
+            self.later(self.now + TRIP_NS, n, inputs.ServerConnected(e.connection))
 
-    def pull(self, n: int, e: m.Pull) -> None:
-        name, item = self.links[n].get(e.link, ""), int(e.object, 16)
-        answer = m.Answer(e.link, e.id, Outcome.OK, Note.HIT, 0, {}, False, b"x")
+    def pull(self, n: int, e: effects.SendAttempt) -> None:
+        name, item = self.links[n].get(e.connection, ""), int(e.object_id, 16)
+        answer = inputs.ServerResponse(
+            e.connection, e.attempt_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"x"
+        )
         box = self.boxes.get(name) or self.hubs.get(name)
         if box is None:
             took = self.store.take(self.now)
             if took < 0:
-                answer = m.Answer(e.link, e.id, Outcome.FULL, Note.NONE, 0, {}, False, b"")
-            elif e.cls == "order":
-                self.ran[e.id] += 1
+                answer = inputs.ServerResponse(
+                    e.connection, e.attempt_id, Outcome.FULL, FillResult.NONE, 0, {}, False, b""
+                )
+            elif e.request_class == "order":
+                self.ran[e.attempt_id] += 1
             self.later(self.now + max(took, FAR_NS), n, answer)
             return
         if self.now < box.dead_until:
@@ -398,46 +409,63 @@
         if not box.has(item, self.seeds[name]):
             wait, note = self.fill(e, item)
             if wait < 0:
-                bad = Outcome.MISS if note is Note.SOURCE_LACKS else Outcome.ERROR
-                self.later(self.now + TRIP_NS, n, m.Answer(e.link, e.id, bad, note, 0, {}, False, b""))
+                bad = Outcome.MISS if note is FillResult.SOURCE_LACKS else Outcome.ERROR
+                self.later(
+                    self.now + TRIP_NS,
+                    n,
+                    inputs.ServerResponse(e.connection, e.attempt_id, bad, note, 0, {}, False, b""),
+                )
                 return
             box.holds.add(item)
             took += wait
-            answer = m.Answer(e.link, e.id, Outcome.OK, note, wait, {}, False, b"x")
+            answer = inputs.ServerResponse(
+                e.connection, e.attempt_id, Outcome.OK, note, wait, {}, False, b"x"
+            )
         at = self.now + took + TRIP_NS
         report = box.report(self.now, at)
         self.later(
-            at, n, m.Answer(e.link, e.id, answer.outcome, answer.note, answer.waited_ns, report, False, b"x")
+            at,
+            n,
+            inputs.ServerResponse(
+                e.connection,
+                e.attempt_id,
+                answer.outcome,
+                answer.note,
+                answer.source_wait_ns,
+                report,
+                False,
+                b"x",
+            ),
         )
 
-    def fill(self, e: m.Pull, item: int) -> tuple[int, Note]:
+    def fill(self, e: effects.SendAttempt, item: int) -> tuple[int, FillResult]:
         """How long a miss waits for its source, and what is said of it; under 0 where it gets nothing."""
         if not e.source:
-            return -1, Note.SOURCE_LACKS
+            return -1, FillResult.SOURCE_LACKS
         hub = self.hubs.get(e.source)
         if hub is None:
             if e.source in self.boxes:  # a sibling's copy
                 held = self.boxes[e.source].has(item, self.seeds[e.source])
-                return (TRIP_NS, Note.FILLED) if held else (-1, Note.SOURCE_LACKS)
+                return (TRIP_NS, FillResult.FILLED) if held else (-1, FillResult.SOURCE_LACKS)
             took = self.store.take(self.now)
-            return took, Note.FILLED_FROM_ORIGIN if took >= 0 else Note.SOURCE_REFUSED
+            return took, FillResult.FILLED_FROM_ORIGIN if took >= 0 else FillResult.SOURCE_REFUSED
         if self.now < hub.dead_until:
-            return -1, Note.SOURCE_BROKE
+            return -1, FillResult.SOURCE_BROKE
         took = hub.take(self.now)
         if took < 0:
-            return -1, Note.SOURCE_BROKE
+            return -1, FillResult.SOURCE_BROKE
         hub.fills += 1
         self.hub_fills[self.tenth()] += 1
         wait = took - UNIT_NS + TRIP_NS  # it passes on what it gets, at a higher pace
         if hub.has(item, self.seeds[e.source]):
-            return wait, Note.FILLED
-        if e.held_only:
-            return -1, Note.SOURCE_LACKS
+            return wait, FillResult.FILLED
+        if e.cache_only:
+            return -1, FillResult.SOURCE_LACKS
         more = self.store.take(self.now)
         if more < 0:
-            return -1, Note.ORIGIN_FAILED
+            return -1, FillResult.ORIGIN_FAILED
         hub.holds.add(item)
-        return wait + more, Note.FILLED_FROM_ORIGIN
+        return wait + more, FillResult.FILLED_FROM_ORIGIN
 
     # Figures ----------------------------------------------------------------------------------------------
 
--- a/kelplab/demo.py
+++ b/testbed/demo.py
@@ -4,10 +4,10 @@
 
 import sys
 
-from kelpcroft.cli.common import settings_of
-from kelpcroft.operator import load
-from kelpcroft.operator.explain import Asked, route_of
-from kelplab.standin import ROOT, Reply, Router, Seen, World
+from kelpcroft.cli.common import read_settings
+from kelpcroft.operator_file import load
+from kelpcroft.operator_file.explain import RequestAttributes, find_route
+from testbed.stand_ins import ROOT, Reply, Router, Seen, World
 
 ZONE = "edge-1"
 TROUBLED = "00000000000000aa"  # every first answer for this object is an error
@@ -29,9 +29,9 @@
     text = (ROOT / "examples/operator.kdl").read_text()
     file, faults = load(text.encode())
     if faults:
-        print(faults[0].text("examples/operator.kdl"), file=sys.stderr)
+        print(faults[0].format_for("examples/operator.kdl"), file=sys.stderr)
         return 1
-    classes = {c.name: c for c in settings_of(str(ROOT / "examples/config.json")).classes}
+    classes = {c.name: c for c in read_settings(str(ROOT / "examples/config.json")).classes}
     good = True
     with World(script) as world, Router(world, text) as router:
         print(f"a router on {router.address[0]}:{router.address[1]}, two caches, a parent and the origin\n")
@@ -45,7 +45,9 @@
             ("order", "00000000000000bb", 0),
             ("order", TROUBLED, 0),
         ):
-            route = route_of(file, ZONE, Asked(classes[cls], item, part, 17, write=cls == "order"))
+            route = find_route(
+                file, ZONE, RequestAttributes(classes[cls], item, part, 17, write=cls == "order")
+            )
             trace = client.send(cls, object=item, part=part, body=b"one dish" if cls == "order" else b"")
             answer = next(client.answers(1))
             asked = [s.server for s in world.pulls(trace)]
--- a/kelplab/demo_rollout.py
+++ b/testbed/demo_rollout.py
@@ -11,9 +11,9 @@
 import time
 from pathlib import Path
 
-from kelpcroft.store.identity import of_program
-from kelplab.field import Field, Load, build
-from kelplab.standin import ROOT
+from kelpcroft.store.identity import program_digest
+from testbed.field import Field, Load, build
+from testbed.stand_ins import ROOT
 
 PATIENCE_S = 180.0
 
@@ -57,7 +57,7 @@
             new = build(folder / "new", defect)
             with Field(2, 3, {"old": ROOT, "new": new}) as field:
                 plan, store = str(folder / "rollout.kdl"), str(folder / "rollout.db")
-                Path(plan).write_text(field.plan(of_program(new / "kelpcroft")))
+                Path(plan).write_text(field.plan(program_digest(new / "kelpcroft")))
                 with Load(field) as load:
                     if defect == "sound":
                         say("a good change")
--- a/kelplab/deployments.py
+++ b/testbed/deployments.py
@@ -9,10 +9,10 @@
 from random import Random
 from typing import Any
 
-from kelpcroft import messages as m
-from kelpcroft.config import parse
+from kelpcroft.config import parse_config
+from kelpcroft.core import effects, inputs
 from kelpcroft.core.reducer import Reducer
-from zincgrade.interface import Note, Outcome
+from kelpcroft.decision.interface import FillResult, Outcome
 
 MS, S = 10**6, 10**9
 START = 1_764_576_000 * S
@@ -120,7 +120,7 @@
     """One attempt on the wire, and how it ended for the router."""
 
     at: int
-    pull: m.Pull
+    pull: effects.SendAttempt
     server: str
     life: int  # of the router: counts its starts
     fate: str
@@ -133,9 +133,9 @@
     """One call of a client and all that came of it."""
 
     at: int
-    call: m.Call
+    call: inputs.ClientRequest
     life: int
-    finals: list[tuple[int, m.Effect]] = field(default_factory=list)
+    finals: list[tuple[int, effects.Effect]] = field(default_factory=list)
     gone: int = 0  # the client cancelled, or the router was killed
 
 
@@ -144,7 +144,7 @@
 
     def __init__(self, seed: int, seconds: int = 12) -> None:
         self.random, self.raw = Random(seed + 1_000_003), made(seed)
-        self.config = parse(self.raw, {})
+        self.config = parse_config(self.raw, {})
         self.endpoints = {e["name"]: dict(e) for e in self.raw["known"]["events"][0]["members"]["endpoints"]}
         self.classes = {c["name"]: c for c in self.raw["settings"]["classes"]}
         self.silent = self.random.choice([0.0, 0.05, 0.3])
@@ -185,17 +185,20 @@
         gone = [e for e in self.endpoints.values() if e["status"] != "active" or e.get("since_ms")]
         if gone:
             self.members(gone)
-        self.tell(m.Listening())
+        self.tell(inputs.ListenersReady())
 
-    def tell(self, message: m.Input) -> None:
-        if isinstance(message, (m.LinkUp, m.LinkLost, m.Answer)) and message.link not in self.links:
+    def tell(self, message: inputs.Input) -> None:
+        if (
+            isinstance(message, (inputs.ServerConnected, inputs.ServerConnectionLost, inputs.ServerResponse))
+            and message.connection not in self.links
+        ):
             return
-        if isinstance(message, m.LinkLost):
-            del self.links[message.link]
-            for key in [k for k in self.open if k[0] == message.link]:
+        if isinstance(message, inputs.ServerConnectionLost):
+            del self.links[message.connection]
+            for key in [k for k in self.open if k[0] == message.connection]:
                 self.open.pop(key).over = self.now
-        if isinstance(message, m.Answer):
-            sent = self.open.pop((message.link, message.id), None)
+        if isinstance(message, inputs.ServerResponse):
+            sent = self.open.pop((message.connection, message.attempt_id), None)
             if sent is None:
                 return
             sent.over = self.now
@@ -204,13 +207,13 @@
     def members(self, rows: list[dict[str, Any]]) -> None:
         states = {"active": "in_service", "leaving": "terminating", "left": "terminated"}
         self.tell(
-            m.News(
+            inputs.WatchResponse(
                 9,
                 (
-                    m.Members(
+                    inputs.EndpointUpdate(
                         False,
                         tuple(
-                            m.Endpoint(
+                            inputs.EndpointRecord(
                                 e["name"],
                                 e["address"],
                                 e["zone"],
@@ -242,7 +245,7 @@
             return
         self.made += 1
         item = r.choice([7, 8, 9, r.randrange(10**6)])
-        call = m.Call(
+        call = inputs.ClientRequest(
             self.made,
             1,
             cls["name"],
@@ -256,29 +259,29 @@
             retry,
             "",
             b"x" if cls["idempotency"] != "safe" else b"",
-            nonce=nonce,
+            idempotency_key=nonce,
             size_kb=r.choice([0.0, 1.0, 200.0, 5_000.0]),
         )
-        ask = self.asks[self.made, 1] = self.by_trace[call.trace] = Ask(self.now, call, self.life)
+        ask = self.asks[self.made, 1] = self.by_trace[call.trace_id] = Ask(self.now, call, self.life)
         self.later(self.now + patience * MS + 51 * MS, ("leave", ask, since or self.now))
         self.tell(call)
 
     def do_leave(self, ask: Ask, since: int) -> None:
         """The client's patience is over; it may come again as its class allows."""
-        cls = self.classes[ask.call.cls]
+        cls = self.classes[ask.call.request_class]
         if not ask.finals and not ask.gone:
             ask.gone = self.now
             if ask.life == self.life and self.up:
-                self.tell(m.CallOff(ask.call.client, 1))
-        refused = any(isinstance(f, m.Decline) for _, f in ask.finals)
-        served = any(isinstance(f, m.Serve) for _, f in ask.finals)
+                self.tell(inputs.CancelRequest(ask.call.client, 1))
+        refused = any(isinstance(f, effects.RejectRequest) for _, f in ask.finals)
+        served = any(isinstance(f, effects.SendResponse) for _, f in ask.finals)
         again = (
             cls["idempotency"] == "keyed"
             and not served
             and (refused or cls["group"] == "all" and self.now - since < cls["dedup_window_ns"])
         )
         if again and self.random.random() < 0.7:
-            self.later(self.now + 100 * MS, ("ask", ask.call.nonce, True, since))
+            self.later(self.now + 100 * MS, ("ask", ask.call.idempotency_key, True, since))
 
     def do_drain(self) -> None:
         self.change("leaving", self.random.choice(["leaving", "left"]))
@@ -286,7 +289,7 @@
     def do_restart(self) -> None:
         name = self.change("active", "active")
         for link in [k for k, at in self.links.items() if name and at == name]:
-            self.tell(m.LinkLost(link, "reset"))
+            self.tell(inputs.ServerConnectionLost(link, "reset"))
 
     def change(self, what: str, status: str) -> str:
         names = [
@@ -307,7 +310,7 @@
         item, group = self.random.choice([(7, 0), (8, 0), (None, 3)])
         self.told.append((self.now, "purge", (item, group, self.now - 50 * MS)))
         if self.up:
-            self.tell(m.News(9, (m.Purge(item, group, self.now - 50 * MS),)))
+            self.tell(inputs.WatchResponse(9, (inputs.Purge(item, group, self.now - 50 * MS),)))
 
     def do_kill(self) -> None:
         """The router dies; its clients' connections end, and it starts again from nothing."""
@@ -324,38 +327,40 @@
         self.begin()
         for at, what, more in list(self.told):
             if what == "purge":  # it is told those of the last seconds at its start
-                self.tell(m.News(9, (m.Purge(more[0], more[1], more[2]),)))
+                self.tell(inputs.WatchResponse(9, (inputs.Purge(more[0], more[1], more[2]),)))
                 self.told.append((self.now, "purge", more))
                 self.told.remove((at, what, more))
 
     # What the router does ---------------------------------------------------------------------------------
 
-    def carry_out(self, effects: list[m.Effect]) -> None:
-        for e in effects:
-            if isinstance(e, m.Wake):
-                self.later(max(e.at_ns, self.now), m.Due(e.key))
-            elif isinstance(e, m.Dial):
+    def carry_out(self, effect_list: list[effects.Effect]) -> None:
+        for e in effect_list:
+            if isinstance(e, effects.ScheduleTimer):
+                self.later(max(e.at_ns, self.now), inputs.TimerFired(e.key))
+            elif isinstance(e, effects.OpenServerConnection):
                 name = next(n for n, x in self.endpoints.items() if x["address"] == e.address)
-                self.links[e.link] = name
+                self.links[e.connection] = name
                 up = self.random.random() > 0.03
                 self.later(
                     self.now + self.random.randint(1, 30) * MS,
-                    m.LinkUp(e.link) if up else m.LinkLost(e.link, "refused", True),
+                    inputs.ServerConnected(e.connection)
+                    if up
+                    else inputs.ServerConnectionLost(e.connection, "refused", True),
                 )
-            elif isinstance(e, m.Drop):
-                self.links.pop(e.link, None)
-                for key in [k for k in self.open if k[0] == e.link]:
+            elif isinstance(e, effects.CloseServerConnection):
+                self.links.pop(e.connection, None)
+                for key in [k for k in self.open if k[0] == e.connection]:
                     self.open.pop(key).over = self.now
-            elif isinstance(e, m.Kill):
-                sent = self.open.pop((e.link, e.id), None)
+            elif isinstance(e, effects.CancelAttempt):
+                sent = self.open.pop((e.connection, e.attempt_id), None)
                 if sent:
                     sent.over = self.now
-            elif isinstance(e, m.Pull):
+            elif isinstance(e, effects.SendAttempt):
                 self.pull(e)
-            elif isinstance(e, (m.Serve, m.Decline, m.Break)):
-                self.asks[e.client, e.call].finals.append((self.now, e))
+            elif isinstance(e, (effects.SendResponse, effects.RejectRequest, effects.FailRequest)):
+                self.asks[e.client, e.request_number].finals.append((self.now, e))
 
-    def pull(self, e: m.Pull) -> None:
+    def pull(self, e: effects.SendAttempt) -> None:
         r = self.random
         fate = (
             "silent"
@@ -363,13 +368,22 @@
             else r.choices(["done", "lack", "wait", "broke", "reset"], [0.8, 0.05, 0.05, 0.05, 0.02])[0]
         )
         took = int(r.lognormvariate(4, 1)) * MS + MS
-        sent = Send(self.now, e, self.links[e.link], self.life, fate, took)
+        sent = Send(self.now, e, self.links[e.connection], self.life, fate, took)
         self.sends.append(sent)
-        self.open[e.link, e.id] = sent
+        self.open[e.connection, e.attempt_id] = sent
         took += self.now
         if fate == "reset":
-            self.later(took, m.LinkLost(e.link, "reset"))
+            self.later(took, inputs.ServerConnectionLost(e.connection, "reset"))
         elif fate != "silent":
-            report = {k: r.random() for k in self.config.settings.report_fields}
-            note = r.choice([Note.HIT, Note.FILLED, Note.FILLED_FROM_ORIGIN]) if fate == "done" else Note.NONE
-            self.later(took, m.Answer(e.link, e.id, ENDS[fate], note, 5 * MS, report, False, b"x"))
+            report = {k: r.random() for k in self.config.settings.load_report_fields}
+            note = (
+                r.choice([FillResult.HIT, FillResult.FILLED, FillResult.FILLED_FROM_ORIGIN])
+                if fate == "done"
+                else FillResult.NONE
+            )
+            self.later(
+                took,
+                inputs.ServerResponse(
+                    e.connection, e.attempt_id, ENDS[fate], note, 5 * MS, report, False, b"x"
+                ),
+            )
--- a/kelplab/field/agent.py
+++ b/testbed/field/agent.py
@@ -1,4 +1,4 @@
-"""What a rollout's `apply` and `undo` run: ``python -m kelplab.field.agent PORT VERB ROUTER``."""
+"""What a rollout's `apply` and `undo` run: ``python -m testbed.field.agent PORT VERB ROUTER``."""
 
 from __future__ import annotations
 
--- a/kelplab/field/builds.py
+++ b/testbed/field/builds.py
@@ -5,7 +5,7 @@
 import shutil
 from pathlib import Path
 
-from kelplab.standin import ROOT
+from testbed.stand_ins import ROOT
 
 Change = tuple[str, str, str]  # file, what stands there, what is put in its place
 
@@ -14,7 +14,7 @@
     """Refuses requests."""
     anchor = "        if keyed and (c.cls, c.nonce) in self.state.keys.open:\n"
     return (
-        "kelpcroft/core/requests.py",
+        "kelpcroft/core/client_requests.py",
         anchor,
         "        self.nth = getattr(self, 'nth', 0) + 1  # of this router's requests\n"
         f"        if {when}:\n"
@@ -40,7 +40,7 @@
     ),
     "slow": (  # servers' answers are heard 200 ms late
         (
-            "kelpcroft/net/loop.py",
+            "kelpcroft/net/event_loop.py",
             "            for answer in peer.codec.feed(data):\n                self.tell(answer)\n",
             (
                 "            self.late = getattr(self, 'late', [])\n"
@@ -49,7 +49,7 @@
             ),
         ),
         (
-            "kelpcroft/net/loop.py",
+            "kelpcroft/net/event_loop.py",
             "        ready = self.selector.select(min(wait, 1.0))\n",
             (
                 "        ready = self.selector.select(min(wait, 0.005))\n"
@@ -63,7 +63,7 @@
     "one zone": (refuse("self.state.settings.zone == 'z1' and self.nth % 3 == 0"),),
     "leaks": (
         (
-            "kelpcroft/core/requests.py",
+            "kelpcroft/core/client_requests.py",
             "        here = self.state.calls.get(c.client, {})\n",
             (
                 "        here = self.state.calls.get(c.client, {})\n"
@@ -74,7 +74,7 @@
     ),
     "breaks an invariant": (
         (
-            "kelpcroft/core/requests.py",
+            "kelpcroft/core/client_requests.py",
             "        here = self.state.calls.get(c.client, {})\n",
             "        here = self.state.calls.get(c.client, {})\n"
             '        holds(self.state.made % 50 != 0, "a defect")\n',
@@ -83,42 +83,46 @@
     # One for each rule, for the watch.
     "answers nothing": (
         (
-            "kelpcroft/core/requests.py",
+            "kelpcroft/core/client_requests.py",
             "        if answer:\n            self.state.effects.append(answer)\n",
             "        if answer and self.state.made % 10:\n            self.state.effects.append(answer)\n",
         ),
     ),
     "runs twice": (
         (
-            "zincgrade/policy.py",
-            "        if held.cls.effect is Effect.SAFE or ran is None:\n",
+            "kelpcroft/decision/policy.py",
+            "        if held.request_class.idempotency is Idempotency.SAFE or ran is None:\n",
             "        if True:\n",
         ),
     ),
     "sends to the drained": (
         (
-            "zincgrade/policy.py",
-            '        return node.listed and node.line.state == "in_service"\n',
+            "kelpcroft/decision/policy.py",
+            '        return node.is_listed and node.server.state == "in_service"\n',
             "        return True\n",
         ),
         (
-            "kelpcroft/core/members.py",
+            "kelpcroft/core/endpoint_list.py",
             '            if e.state == "in_service":\n',
             "            if True:\n",
         ),
     ),
     "floods the cold": (
-        ("zincgrade/policy.py", "        if share >= 1:\n            return True\n", "        return True\n"),
         (
-            "zincgrade/policy.py",
-            "            weight = node.line.weight * share * node.lean(even, least)\n",
-            "            weight = node.line.weight\n",
+            "kelpcroft/decision/policy.py",
+            "        if share >= 1:\n            return True\n",
+            "        return True\n",
+        ),
+        (
+            "kelpcroft/decision/policy.py",
+            "            weight = node.server.weight * share * node.load_preference(even, least)\n",
+            "            weight = node.server.weight\n",
         ),
     ),
     "serves the purged": (
         (
-            "zincgrade/policy.py",
-            "        limit = max(PURGE_MARGIN_NS, self.now - purged - PURGE_MARGIN_NS)\n",
+            "kelpcroft/decision/policy.py",
+            "        limit = max(PURGE_MARGIN_NS, self.now_ns - purged - PURGE_MARGIN_NS)\n",
             "        return 0\n",
         ),
     ),
@@ -135,7 +139,7 @@
 
 def build(folder: Path, defect: str = "sound") -> Path:
     """A copy of the program under ``folder``; raises where a defect no longer fits the sources."""
-    for package in ("kelpcroft", "zincgrade"):
+    for package in ("kelpcroft",):
         shutil.copytree(
             ROOT / package, folder / package, ignore=shutil.ignore_patterns("__pycache__", "*.so")
         )
--- a/kelplab/field/field.py
+++ b/testbed/field/field.py
@@ -23,9 +23,9 @@
 from pathlib import Path
 from typing import Any
 
-from kelplab.field.relay import Relay
-from kelplab.field.watch import SLACK_NS, Asked, Rules, Watch
-from kelplab.standin import MS, ROOT, SERVERS, WAIT_S, Client, Script, World, well
+from testbed.field.relay import Relay
+from testbed.field.watch import SLACK_NS, Asked, Rules, Watch
+from testbed.stand_ins import MS, ROOT, SERVERS, WAIT_S, Client, Script, World, well
 
 PACE_KB_PER_S = 1_000.0
 SIZE_KB = 20.0  # of every page that Load asks for
@@ -372,7 +372,7 @@
             f'router "{name}" zone="{node.zone}" control="{at[name][0]}:{at[name][1]}"'
             for name, node in self.nodes.items()
         ]
-        agent = f'"{sys.executable}" "-m" "kelplab.field.agent" "{self.agent.getsockname()[1]}"'
+        agent = f'"{sys.executable}" "-m" "testbed.field.agent" "{self.agent.getsockname()[1]}"'
         return "\n".join(
             [
                 "rollout version=1",
--- a/kelplab/field/watch.py
+++ b/testbed/field/watch.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from kelplab.standin import MS, Seen, World
+from testbed.stand_ins import MS, Seen, World
 
 S = 1_000_000_000
 SLACK_NS = 150 * MS  # what a busy machine may add between a wire and a record
--- a/kelplab/fleet.py
+++ b/testbed/fleet.py
@@ -9,23 +9,25 @@
 from collections.abc import Callable
 from random import Random
 
-from zincgrade import interface as api
-from zincgrade.interface import Note, Outcome
-from zincgrade.policy import Policy
+from kelpcroft.decision import interface as api
+from kelpcroft.decision.interface import FillResult, Outcome
+from kelpcroft.decision.policy import RoutingPolicy
 
 MS, S = 10**6, 10**9
 # Time to the end in ns, how it ends, the note and the report.
-Reply = tuple[int, Outcome, Note, dict[str, float]]
+Reply = tuple[int, Outcome, FillResult, dict[str, float]]
 
 
 class Fleet:
     """Many routers in virtual time; ``reply`` says when and how an attempt ends, or is None: never."""
 
-    def __init__(self, routers: list[Policy], reply: Callable[[int, api.Fetch], Reply | None]) -> None:
+    def __init__(
+        self, routers: list[RoutingPolicy], reply: Callable[[int, api.ForwardRequest], Reply | None]
+    ) -> None:
         self.routers, self.reply = routers, reply
         self.heap: list[tuple[int, int, int, api.Event]] = []
         self.made = 0
-        self.sent: list[tuple[int, api.Fetch]] = []
+        self.sent: list[tuple[int, api.ForwardRequest]] = []
         self.ended: list[tuple[int, api.Action]] = []
         self.tries: dict[tuple[int, str], int] = {}
 
@@ -40,25 +42,33 @@
             now, _, n, event = heapq.heappop(self.heap)
             for a in self.routers[n].handle(now, event):
                 if isinstance(a, api.SetTimer):
-                    self.at(a.at_ns, n, api.TimerDue(a.label))
-                elif isinstance(a, api.Fetch):
+                    self.at(a.at_ns, n, api.TimerExpired(a.label))
+                elif isinstance(a, api.ForwardRequest):
                     self.sent.append((now, a))
                     number = self.tries.get((n, a.id), 0)
                     self.tries[n, a.id] = number + 1
                     took, outcome, note, report = self.reply(now, a) or (
                         a.timeout_ns,
                         Outcome.TIMEOUT,
-                        Note.NONE,
+                        FillResult.NONE,
                         {},
                     )
                     self.at(
                         now + took,
                         n,
                         api.AttemptEnded(
-                            a.id, number, a.cache, outcome, took, outcome is Outcome.OK, note, 50 * MS, report
+                            a.id,
+                            number,
+                            a.server,
+                            outcome,
+                            took,
+                            outcome is Outcome.OK,
+                            note,
+                            50 * MS,
+                            report,
                         ),
                     )
-                elif isinstance(a, (api.Refuse, api.Fail)):
+                elif isinstance(a, (api.Reject, api.Fail)):
                     self.ended.append((now, a))
 
     def ask(self, start: int, end: int, each_ns: int, random: Random, objects: int = 10**6) -> None:
--- a/kelplab/hollow/configuration.py
+++ b/testbed/hollow/configuration.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelplab.standin import ROOT
+from testbed.stand_ins import ROOT
 
 PARENTS = 9  # of the servers, in the hub zone; one more is the origin
 
--- a/kelplab/hollow/field.py
+++ b/testbed/hollow/field.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-from kelplab.field.relay import Relay
-from kelplab.hollow.configuration import Size
-from kelplab.hollow.processes import Asked, ControlReplica, hollow_routers, list_service, wait_for
+from testbed.field.relay import Relay
+from testbed.hollow.configuration import Size
+from testbed.hollow.processes import Asked, ControlReplica, hollow_routers, list_service, wait_for
 
 LONGEST_S = 20.0  # who is not in step by then never will be
 
--- a/kelplab/hollow/load.py
+++ b/testbed/hollow/load.py
@@ -1,6 +1,6 @@
 """Requests at a steady rate over some connections, whatever comes back.
 
-    python -m kelplab.hollow.load --to HOST:PORT --rate 800 --seconds 5
+    python -m testbed.hollow.load --to HOST:PORT --rate 800 --seconds 5
 
 Prints how many were sent and served, and how long the served ones took.
 """
--- a/kelplab/hollow/processes.py
+++ b/testbed/hollow/processes.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from kelplab.hollow.configuration import Size, configuration
-from kelplab.standin import ROOT
+from testbed.hollow.configuration import Size, configuration
+from testbed.stand_ins import ROOT
 
 EACH_PROCESS = 100  # hollow routers in one process
 TICK_S = os.sysconf("SC_CLK_TCK")
@@ -66,7 +66,7 @@
 def list_service(size: Size) -> Iterator[Asked]:
     """The list service of a fleet."""
     service = Asked(
-        ["-m", "kelplab.hollow.service", "--servers", str(size.servers), "--zones", str(size.zones)]
+        ["-m", "testbed.hollow.service", "--servers", str(size.servers), "--zones", str(size.zones)]
     )
     try:
         yield service
@@ -83,7 +83,7 @@
             words = [
                 "-O",
                 "-m",
-                "kelplab.hollow.routers",
+                "testbed.hollow.routers",
                 "--first",
                 str(first),
                 "--count",
--- a/kelplab/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -1,7 +1,7 @@
 """Many routers in one process: their real loops, with real connections to the list service and control
 addresses of their own, and no client and no server.
 
-    python -m kelplab.hollow.routers --first 0 --count 100 --feed HOST:PORT
+    python -m testbed.hollow.routers --first 0 --count 100 --feed HOST:PORT
 
 with ``--rules FILE`` for an operator's file.  Prints one line when all of them have begun, and
 after each line on standard input what they did since the line before: processor time, memory, and when each
@@ -20,12 +20,12 @@
 from functools import partial
 from typing import Any
 
-from kelpcroft.config import parse
+from kelpcroft.config import parse_config
 from kelpcroft.log import EventLog
 from kelpcroft.net.clock import Clock
-from kelpcroft.net.loop import Loop
-from kelpcroft.operator.service import start, steps
-from kelplab.hollow.configuration import Size, configuration
+from kelpcroft.net.event_loop import EventLoop
+from kelpcroft.operator_file.service import load_at_start, reload_steps
+from testbed.hollow.configuration import Size, configuration
 
 LOOK_S = 0.05  # loops with a wake-up that is due are looked for this often at the least
 
@@ -36,23 +36,23 @@
     def __init__(self, size: Size, number: int, feed: str, rules: str) -> None:
         host = f"127.2.{number // 250}.{number % 250 + 1}"
         raw = configuration(size, number, feed, f"{host}:7000", f"{host}:7001")
-        config = parse(raw, {})
-        reading = partial(steps, rules) if rules else None
-        self.loop = Loop(config, Clock(), rules=reading, events=EventLog(config.name, form="json"))
-        self.loop.begin(first=start(rules, config.settings) if rules else None)
+        config = parse_config(raw, {})
+        reading = partial(reload_steps, rules) if rules else None
+        self.loop = EventLoop(config, Clock(), rules=reading, events=EventLog(config.name, form="json"))
+        self.loop.start(first=load_at_start(rules, config.settings) if rules else None)
         self.seen: list[tuple[int, int]] = []  # up to which event it knew, and since when
 
     def due(self, now_ns: int) -> bool:
         """Whether a wake-up of its own has come."""
-        heap = self.loop.heap
+        heap = self.loop.timers
         return bool(heap) and heap[0][0] <= now_ns
 
     def turn(self) -> None:
         """One turn of its loop; when it came to know more, that is written down.  The time since its last
         turn was waited outside of it, and is no stall."""
-        self.loop.selected_ns = self.loop.clock.now()
-        self.loop.turn()
-        known = self.loop.reducer.members.seen
+        self.loop.last_select_ns = self.loop.clock.now()
+        self.loop.run_turn()
+        known = self.loop.reducer.endpoint_list.last_event
         if not self.seen or self.seen[-1][0] != known:
             self.seen.append((known, time.time_ns()))
 
@@ -71,7 +71,7 @@
     def turn(self) -> None:
         """All routers that have something to do have one turn."""
         now = time.time_ns()
-        next_ns = min((r.loop.heap[0][0] for r in self.routers if r.loop.heap), default=now)
+        next_ns = min((r.loop.timers[0][0] for r in self.routers if r.loop.timers), default=now)
         for key, _ in self.selector.select(min(LOOK_S, max(0, next_ns - now) / 1e9)):
             if key.data is None:
                 self.order()
@@ -101,7 +101,7 @@
             "memory_kb": pages * os.sysconf("SC_PAGE_SIZE") // 1024,
             "seen": seen,
             "in_service": [len(r.loop.reducer.state.endpoints) for r in self.routers],
-            "at": [r.loop.feed_at[1] for r in self.routers],
+            "at": [r.loop.feed_address[1] for r in self.routers],
             "now_ns": time.time_ns(),
         }
 
--- a/kelplab/hollow/servers.py
+++ b/testbed/hollow/servers.py
@@ -1,6 +1,6 @@
 """Stand-in servers as a process of their own: every request is answered with a body of one size.
 
-    python -m kelplab.hollow.servers --bytes 20000
+    python -m testbed.hollow.servers --bytes 20000
 
 Prints their addresses by name, and ends with its standard input.
 """
@@ -11,7 +11,7 @@
 import json
 import sys
 
-from kelplab.standin import Reply, Seen, World
+from testbed.stand_ins import Reply, Seen, World
 
 
 def main() -> None:
--- a/kelplab/hollow/service.py
+++ b/testbed/hollow/service.py
@@ -1,6 +1,6 @@
 """A list service as a process of its own, so that its work can be read as a role's figure.
 
-    python -m kelplab.hollow.service --servers 150 --zones 19
+    python -m testbed.hollow.service --servers 150 --zones 19
 
 Prints ``{"port": N}``, then takes one JSON object a line on standard input and answers each by one line:
 
@@ -27,7 +27,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from kelplab.hollow.configuration import Size, endpoints
+from testbed.hollow.configuration import Size, endpoints
 
 QUERY = re.compile(rb"GET /v1/events\?SUB=(\d+)&wait=(\d+)")
 READ_SIZE = 1 << 16
--- a/kelplab/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -14,16 +14,16 @@
 
 import orjson
 
-from kelpcroft import messages as m
-from kelpcroft.config import parse
-from kelpcroft.controllog import replica as core
-from kelpcroft.controllog.follower import Position
-from kelpcroft.controllog.replica import Options, Replica
+from kelpcroft.config import parse_config
+from kelpcroft.control_log import replica as core
+from kelpcroft.control_log.follower import LogPosition
+from kelpcroft.control_log.replica import ControlReplica, ReplicaOptions
+from kelpcroft.core import effects, inputs, messages
 from kelpcroft.core.reducer import Reducer
-from kelpcroft.net.feed import news_of
-from kelpcroft.net.upstream import UpstreamCodec
-from kelpcroft.operator.model import File, Replicas
-from kelplab.hollow.configuration import Size, configuration, endpoints
+from kelpcroft.net.feed_codec import parse_watch_response
+from kelpcroft.net.upstream_codec import UpstreamCodec
+from kelpcroft.operator_file.model import ControlReplicas, OperatorFile
+from testbed.hollow.configuration import Size, configuration, endpoints
 
 MS = 10**6
 SECOND = 10**9
@@ -108,14 +108,14 @@
 class ReplicaNode:
     """One control replica over all its processes."""
 
-    def __init__(self, net: Net, number: int, options: Options, skew_ns: int) -> None:
+    def __init__(self, net: Net, number: int, options: ReplicaOptions, skew_ns: int) -> None:
         self.net, self.number, self.options, self.skew_ns = net, number, options, skew_ns
         self.name, self.up, self.starts = f"replica-{number}", False, 0
         self.watches: dict[int, Call] = {}
         self.watchers: dict[str, int] = {}  # by caller, while its connection stands
         self.calls: list[int] = []  # when, in true time
         self.notes: list[str] = []
-        self.core = Replica(options, number)
+        self.core = ControlReplica(options, number)
         self.out: Call | None = None
         self.start()
 
@@ -125,7 +125,7 @@
     def start(self) -> None:
         """A new process, that knows nothing."""
         self.up, self.starts, self.out = True, self.starts + 1, None
-        self.core = Replica(self.options, self.number * 1_000 + self.starts)
+        self.core = ControlReplica(self.options, self.number * 1_000 + self.starts)
         self.carry_out(self.core.start(self.now()))
         self.tick(self.starts)
 
@@ -140,25 +140,25 @@
     def tick(self, start: int) -> None:
         """Look at what is due, as the process's own loop does."""
         if self.up and start == self.starts:
-            due = self.core.next_due()
+            due = self.core.next_timer_ns()
             if due is not None and due <= self.now():
-                self.carry_out(self.core.on_due(self.now()))
+                self.carry_out(self.core.on_timer(self.now()))
             self.net.at(10 * MS, lambda: self.tick(start))
 
     def on_call(self, call: Call) -> None:
         self.calls.append(self.net.now)
         number = self.watchers.setdefault(call.caller, self.net.made)
         self.watches[number] = call
-        position = Position(call.after, call.mark or "")
-        watch = core.Watch(number, position, call.mark is not None, call.wait_ns)
+        position = LogPosition(call.after, call.mark or "")
+        watch = core.WatchRequest(number, position, call.mark is not None, call.wait_ns)
         self.carry_out(self.core.on_watch(self.now(), watch))
 
-    def carry_out(self, effects: list[core.Effect]) -> None:
+    def carry_out(self, effect_list: list[core.Effect]) -> None:
         start = self.starts
-        for e in effects:
-            if isinstance(e, (core.Answer, core.Refuse)):
-                call = self.watches.pop(e.watcher, None)
-                if call and isinstance(e, core.Answer):
+        for e in effect_list:
+            if isinstance(e, (core.SendWatchResponse, core.RefuseWatcher)):
+                call = self.watches.pop(e.watcher_id, None)
+                if call and isinstance(e, core.SendWatchResponse):
                     self.net.reply(call, e.body)
                 elif call:
                     self.net.fail(call)
@@ -170,25 +170,30 @@
     def call(self, e: core.CallUpstream, start: int) -> None:
         if not self.up or start != self.starts:
             return
-        mark = e.position.mark if e.address in self.options.peers else None
+        mark = e.position.fingerprint if e.address in self.options.peers else None
 
         def reply(body: bytes | None) -> None:
             if not self.up or start != self.starts:
                 return
             if body is None:
-                self.carry_out(self.core.on_upstream_lost(self.now(), "lost"))
+                self.carry_out(self.core.on_upstream_failed(self.now(), "lost"))
             else:
-                self.carry_out(self.core.on_upstream(self.now(), UpstreamCodec().whole(orjson.loads(body))))
+                self.carry_out(
+                    self.core.on_upstream_response(
+                        self.now(), UpstreamCodec().parse_response(orjson.loads(body))
+                    )
+                )
 
         self.net.call(
-            Call(self.name, e.address, e.position.number, mark, e.wait_ns, reply), core.UPSTREAM_LATE_NS
+            Call(self.name, e.address, e.position.event_number, mark, e.wait_ns, reply),
+            core.UPSTREAM_TIMEOUT_MARGIN_NS,
         )
 
 
 class RouterNode:
     """One router over all its processes."""
 
-    def __init__(self, net: Net, number: int, size: Size, replicas: Replicas, skew_ns: int) -> None:
+    def __init__(self, net: Net, number: int, size: Size, replicas: ControlReplicas, skew_ns: int) -> None:
         self.net, self.number, self.size, self.replicas, self.skew_ns = net, number, size, replicas, skew_ns
         self.name, self.starts, self.calls = f"router-{number}", 0, 0
         self.start()
@@ -201,35 +206,35 @@
         self.starts += 1
         raw = configuration(self.size, self.number, "10.9.9.9:1", "127.0.0.1:1", "127.0.0.1:2")
         raw["known"]["events"][0]["members"]["endpoints"] = list(self.net.service.lines.values())
-        self.reducer = Reducer(parse(raw, {}))
+        self.reducer = Reducer(parse_config(raw, {}))
         self.at: Address = ("", 0)
         self.out: Call | None = None
         self.logged: list[str] = []
         self.carry_out(self.reducer.start(self.now(), None, 0, self.replicas))
-        self.tell(m.Rules(File(replicas=self.replicas)))
+        self.tell(inputs.OperatorFileRead(OperatorFile(control_replicas=self.replicas)))
 
-    def tell(self, message: m.Input) -> None:
+    def tell(self, message: inputs.Input) -> None:
         self.carry_out(self.reducer.handle(self.now(), message))
 
-    def carry_out(self, effects: list[m.Effect]) -> None:
+    def carry_out(self, effect_list: list[effects.Effect]) -> None:
         start = self.starts
-        for e in effects:
-            if isinstance(e, m.Move):
-                self.at = e.feed
+        for e in effect_list:
+            if isinstance(e, effects.SwitchFeed):
+                self.at = e.address
                 if self.out is not None:
                     self.out.over, self.out = True, None
-            elif isinstance(e, m.Poll):
+            elif isinstance(e, effects.PollFeed):
                 self.poll(e)
-            elif isinstance(e, m.Wake) and e.key[0] is m.Timer.FEED:
+            elif isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.POLL_FEED:
                 self.net.at(e.at_ns - self.now(), lambda e=e: self.due(e, start))  # type: ignore[misc]
-            elif isinstance(e, m.Log):
+            elif isinstance(e, effects.LogEvent):
                 self.logged.append(e.event)
 
-    def due(self, e: m.Wake, start: int) -> None:
+    def due(self, e: effects.ScheduleTimer, start: int) -> None:
         if start == self.starts:
-            self.tell(m.Due(e.key))
+            self.tell(inputs.TimerFired(e.key))
 
-    def poll(self, e: m.Poll) -> None:
+    def poll(self, e: effects.PollFeed) -> None:
         if self.out is not None:
             return
         start, self.calls = self.starts, self.calls + 1
@@ -237,10 +242,12 @@
         def reply(body: bytes | None) -> None:
             self.out = None
             if start == self.starts:
-                self.tell(m.FeedLost("lost") if body is None else news_of(orjson.loads(body)))
+                self.tell(
+                    inputs.WatchFailed("lost") if body is None else parse_watch_response(orjson.loads(body))
+                )
 
-        self.out = Call(self.name, self.at, e.after, e.mark, e.wait_ms * MS, reply)
-        self.net.call(self.out, e.late_ns)
+        self.out = Call(self.name, self.at, e.after_event, e.log_fingerprint, e.wait_ms * MS, reply)
+        self.net.call(self.out, e.response_timeout_ns)
 
     def serving(self) -> set[str]:
         """Servers that it may use."""
@@ -254,7 +261,7 @@
 class Net:
     """All of them, and the time."""
 
-    def __init__(self, size: Size, replicas: list[Options], skews_ns: list[int]) -> None:
+    def __init__(self, size: Size, replicas: list[ReplicaOptions], skews_ns: list[int]) -> None:
         self.now, self.made = START, 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.cut: set[frozenset[str]] = set()
@@ -264,7 +271,7 @@
             ReplicaNode(self, n + 1, options, skews_ns[n % len(skews_ns)])
             for n, options in enumerate(replicas)
         ]
-        named = Replicas(tuple(address_of(r.number) for r in self.replicas))
+        named = ControlReplicas(tuple(address_of(r.number) for r in self.replicas))
         self.run(SECOND)
         self.routers = [
             RouterNode(self, n, size, named, -skews_ns[n % len(skews_ns)]) for n in range(size.routers)
@@ -317,7 +324,7 @@
         if not call.over and isinstance(node, ReplicaNode):
             number = node.watchers.pop(call.caller, -1)
             node.watches.pop(number, None)
-            node.core.on_gone(number)
+            node.core.on_watcher_disconnected(number)
         self.over(call, None)
 
     def fail(self, call: Call) -> None:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from kelplab.field import Field, Load, Mode
-from kelplab.field.field import RULES
-from kelplab.standin import MS, ROOT, WAIT_S, World
+from testbed.field import Field, Load, Mode
+from testbed.field.field import RULES
+from testbed.stand_ins import MS, ROOT, WAIT_S, World
 
 ZONES, EACH = 6, 4
 ALL = ZONES * EACH
--- a/tests/test_control_field.py
+++ b/tests/test_control_field.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from kelplab.field import Field, Load, Mode, build
-from kelplab.field.field import RULES
-from kelplab.hollow.configuration import Size
-from kelplab.hollow.field import ControlField
-from kelplab.hollow.processes import ControlReplica, wait_for
-from kelplab.standin import PROGRAM
+from testbed.field import Field, Load, Mode, build
+from testbed.field.field import RULES
+from testbed.hollow.configuration import Size
+from testbed.hollow.field import ControlField
+from testbed.hollow.processes import ControlReplica, wait_for
+from testbed.stand_ins import PROGRAM
 
 SIZE = Size(routers=12, servers=40, zones=3)
 LEASE = 'lease "2s"'
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -5,7 +5,7 @@
 import socket
 import unittest
 
-from kelplab.field.datagrams import Datagrams, Fate
+from testbed.field.datagrams import Datagrams, Fate
 
 
 class Relayed(unittest.TestCase):
