--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -10,9 +10,9 @@
 import unittest
 from pathlib import Path
 
-from kelplab.field import Field, Load, Mode, Relay, Watch, build
-from kelplab.field.builds import DEFECTS
-from kelplab.standin import MS, Reply, Seen
+from testbed.field import Field, Load, Mode, Relay, Watch, build
+from testbed.field.builds import DEFECTS
+from testbed.stand_ins import MS, Reply, Seen
 
 SHORT = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
 BROKEN = {
--- a/tests/test_routes_loopback.py
+++ b/tests/test_routes_loopback.py
@@ -9,7 +9,7 @@
 import unittest
 from collections.abc import Callable
 
-from kelplab.standin import MS, Answer, Reply, Router, Seen, World, well
+from testbed.stand_ins import MS, Answer, Reply, Router, Seen, World, well
 
 HEAD = 'kelpcroft version=1\nroute "orders" { match class="order"; timeout "1.5s"; attempts most=1; }\n'
 ONE = ("cache1", "parent", "origin")
