--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -11,7 +11,7 @@
 import unittest
 from typing import Any
 
-from kelplab.standin import ROOT, Reply, Router, Seen, World
+from testbed.stand_ins import ROOT, Reply, Router, Seen, World
 
 S, MS = 10**9, 10**6
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_text())["settings"]
--- a/tools/compile.py
+++ b/tools/compile.py
@@ -17,25 +17,25 @@
 
 ROOT = Path(__file__).parent.parent
 TARGET = ROOT / ".compiled"
-PACKAGES = ("zincgrade", "kelpcroft")
+PACKAGES = ("kelpcroft",)
 HOT = (
-    "zincgrade/interface.py",
-    "zincgrade/estimate.py",
-    "zincgrade/held.py",
-    "zincgrade/policy.py",
-    "kelpcroft/core/keys.py",
-    "kelpcroft/core/ledger.py",
-    "kelpcroft/core/links.py",
+    "kelpcroft/decision/interface.py",
+    "kelpcroft/decision/statistics.py",
+    "kelpcroft/decision/requests.py",
+    "kelpcroft/decision/policy.py",
+    "kelpcroft/core/idempotency_keys.py",
+    "kelpcroft/core/request_statistics.py",
+    "kelpcroft/core/connection_pool.py",
     "kelpcroft/core/state.py",
-    "kelpcroft/core/requests.py",
+    "kelpcroft/core/client_requests.py",
     "kelpcroft/core/attempts.py",
-    "kelpcroft/core/members.py",
+    "kelpcroft/core/endpoint_list.py",
     "kelpcroft/core/reducer.py",
-    "kelpcroft/net/front.py",
-    "kelpcroft/net/shelf.py",
+    "kelpcroft/net/client_codec.py",
+    "kelpcroft/net/server_codec.py",
     "kelpcroft/net/buffers.py",
     "kelpcroft/net/connections.py",
-    "kelpcroft/net/loop.py",
+    "kelpcroft/net/event_loop.py",
 )
 # Compiled apart: what is compiled together is loaded together, and these are wanted only with a file.
 ROUTES = tuple(f"kelpcroft/routes/{name}.py" for name in ("budget", "sketch", "index", "table"))
--- a/zincgrade/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""zincgrade: the decisions of a caching router, as a library."""
