--- a/kelpcroft/cli/check.py
+++ b/kelpcroft/cli/check.py
@@ -2,26 +2,24 @@
 
 from __future__ import annotations
 
-from dataclasses import asdict
-
 import click
 
 from kelpcroft.cli.common import (
     CommandError,
     config_option,
+    diagnose_configuration,
+    diagnose_file,
+    echo_diagnostics,
     exit_negative,
-    faults_of,
-    findings,
     format_option,
+    placed_json,
+    positioned_json,
     print_json,
     read_settings,
 )
 from kelpcroft.deployment_check import missing_features
-
-
-def missing(config: str | None) -> str:
-    """What the deployment lacks, in words."""
-    return ", ".join(missing_features(read_settings(config or ""))) or "lack"
+from kelpcroft.diagnostics import Diagnostic, Severity
+from kelpcroft.operator_file.model import OperatorFile
 
 
 @click.command(epilog="Example:  kelpcroft check examples/operator.kdl --config examples/config.json")
@@ -35,51 +33,68 @@
     Without --config only what needs no deployment is checked: names of classes and zones, give-up times and
     the deployment's limits are not.  Without FILE only CONFIG is looked at.  Exit code 1 where there is a
     fault.
-    """
+    """  # noqa: D205 - the text of --help
     if file is None and config is None:
         raise CommandError("nothing to check: name a FILE, or --config CONFIG, or both")
-    found = findings(config) if config else []
-    broken = any(f.level == "fault" for f in found)
+    odd = diagnose_configuration(config) if config else []
+    is_usable = not any(diagnostic.level is Severity.FAULT for diagnostic in odd)
     if form == "text":
-        for f in found:
-            click.echo(f"{config}: {f.level}: {f}")
-    if broken or file is None:
-        if form == "json":
-            print_json({"config": config, "good": not broken, "settings": [asdict(f) for f in found]})
-        elif broken:
-            held = f", so {file} was not held against it" if file else ""
-            click.echo(f"{config}: not usable{held}", err=True)
-        else:
-            click.echo(f"{config}: good, {len(found)} to look at; it has no {missing(config)}")
-        if broken:
+        for diagnostic in odd:
+            click.echo(f"{config}: {diagnostic.level}: {diagnostic}")
+    if file is None or not is_usable:
+        report_configuration(config or "", file, odd, is_usable, form)
+        if not is_usable:
             exit_negative()
         return
-    model, faults = faults_of(file, read_settings(config) if config else None)
+    model, faults = diagnose_file(file, read_settings(config) if config else None)
     if form == "json":
-        print_json(
-            {
-                "file": file,
-                "good": not faults,
-                "routes": len(model.routes),
-                "deployment": bool(config),
-                "settings": [asdict(f) for f in found],
-                "faults": [
-                    {
-                        "line": f.position.line,
-                        "column": f.position.column,
-                        "code": f.code,
-                        "reason": f.message,
-                    }
-                    for f in faults
-                ],
-            }
-        )
-    elif faults:
-        for fault in faults:
-            click.echo(fault.format_for(file))
-        click.echo(f"{len(faults)} fault{'s' * (len(faults) != 1)}", err=True)
+        print_file_json(file, model, faults, odd, has_deployment=bool(config))
     else:
-        held = "held against the deployment" if config else "without a deployment"
-        click.echo(f"{file}: good, {len(model.routes)} routes, {held}")
+        echo_file(file, model, faults, has_deployment=bool(config))
     if faults:
         exit_negative()
+
+
+def report_configuration(
+    config: str, file: str | None, odd: list[Diagnostic], is_usable: bool, form: str
+) -> None:
+    """The answer where only a configuration was looked at; its diagnostics as text are printed already."""
+    if form == "json":
+        print_json({"config": config, "good": is_usable, "settings": [placed_json(d) for d in odd]})
+    elif is_usable:
+        missing = ", ".join(missing_features(read_settings(config))) or "lack"
+        click.echo(f"{config}: good, {len(odd)} to look at; it has no {missing}")
+    else:
+        not_checked = f", so {file} was not held against it" if file else ""
+        click.echo(f"{config}: not usable{not_checked}", err=True)
+
+
+def print_file_json(
+    path: str,
+    model: OperatorFile,
+    faults: list[Diagnostic],
+    odd: list[Diagnostic],
+    *,
+    has_deployment: bool,
+) -> None:
+    """The answer for a file, as JSON."""
+    print_json(
+        {
+            "file": path,
+            "good": not faults,
+            "routes": len(model.routes),
+            "deployment": has_deployment,
+            "settings": [placed_json(diagnostic) for diagnostic in odd],
+            "faults": [positioned_json(fault) for fault in faults],
+        }
+    )
+
+
+def echo_file(path: str, model: OperatorFile, faults: list[Diagnostic], *, has_deployment: bool) -> None:
+    """The answer for a file, as text."""
+    if faults:
+        echo_diagnostics(path, faults)
+        click.echo(f"{len(faults)} fault{'s' if len(faults) != 1 else ''}", err=True)
+        return
+    held = "held against the deployment" if has_deployment else "without a deployment"
+    click.echo(f"{path}: good, {len(model.routes)} routes, {held}")
--- a/kelpcroft/cli/explain.py
+++ b/kelpcroft/cli/explain.py
@@ -11,14 +11,25 @@
     config_option,
     exit_negative,
     format_option,
-    good,
+    load_usable_file,
     print_json,
     read_settings,
 )
-from kelpcroft.operator_file.check import span
+from kelpcroft.decision import interface as api
 from kelpcroft.operator_file.diagnostics import suggestion
-from kelpcroft.operator_file.explain import RequestAttributes, find_route, longest_wait, most_sends, rows
-from kelpcroft.operator_file.model import GROUP_RANGE, PART_RANGE
+from kelpcroft.operator_file.explain import (
+    ANY_OBJECT,
+    PolicyRow,
+    RequestAttributes,
+    describe_policy,
+    find_route,
+    longest_wait_ns,
+    max_sends,
+)
+from kelpcroft.operator_file.model import GROUP_RANGE, PART_RANGE, Route
+from kelpcroft.operator_file.values import MS, format_duration
+
+OBJECT_ID = re.compile(r"[0-9a-f]{16}")
 
 
 @click.command(
@@ -27,57 +38,85 @@
 )
 @click.argument("file")
 @config_option(required=True)
-@click.option("--class", "cls", required=True, help="The class of the request.")
-@click.option("--object", "item", default="0" * 16, help="Its object, 16 hex digits.")
+@click.option("--class", "class_name", required=True, help="The class of the request.")
+@click.option("--object", "object_id", default=ANY_OBJECT, help="Its object, 16 hex digits.")
 @click.option("--part", type=click.IntRange(*PART_RANGE), default=0, help="Its part.")
 @click.option("--group", type=click.IntRange(*GROUP_RANGE), default=0, help="Its group.")
 @click.option("--retry", is_flag=True, help="It is a client's own retry.")
 @click.option("--write", is_flag=True, help="It has a body.")
 @format_option
 def explain(
-    file: str, config: str, cls: str, item: str, part: int, group: int, retry: bool, write: bool, form: str
+    file: str,
+    config: str,
+    class_name: str,
+    object_id: str,
+    part: int,
+    group: int,
+    retry: bool,
+    write: bool,
+    form: str,
 ) -> None:
     """Print the route that takes a request, each bound with the line it came from, and the most that follows:
-    the longest wait and the number of sends."""
+    the longest wait and the number of sends."""  # noqa: D205, D209 - the text of --help
     settings = read_settings(config)
-    known = {c.name: c for c in settings.classes}
-    if cls not in known:
-        raise CommandError(f"--class: there is no class {cls!r}{suggestion(cls, known)}")
-    if not re.fullmatch(r"[0-9a-f]{16}", item):
-        raise CommandError(f"--object: {item!r} is not 16 hex digits in lower case")
-    route = find_route(
-        good(file, settings), settings.zone, RequestAttributes(known[cls], item, part, group, retry, write)
-    )
+    request_class = class_of(settings, class_name)
+    if not OBJECT_ID.fullmatch(object_id):
+        raise CommandError(f"--object: {object_id!r} is not 16 hex digits in lower case")
+    request = RequestAttributes(request_class, object_id, part, group, retry, write)
+    route = find_route(load_usable_file(file, settings), settings.zone, request)
     if route is None:
-        print_json({"route": None}) if form == "json" else click.echo(
-            "no route takes it: the file bounds nothing"
-        )
+        report_no_route(form)
         exit_negative()
-    wait, sends = (
-        longest_wait(route.bounds, known[cls]),
-        most_sends(route.bounds, known[cls], settings.limits),
-    )
-    bounds = [
-        {"bound": name, "value": words, "line": place.line} for name, words, place in rows(route.bounds)
-    ]
     if form == "json":
-        print_json(
-            {
-                "route": route.name,
-                "line": route.place.line,
-                "bounds": bounds,
-                "longest_wait_ms": wait / 10**6,
-                "most_sends": sends,
-                "effect": known[cls].idempotency.value,
-            }
-        )
-        return
-    click.echo(f"route {route.name!r}, line {route.place.line}")
-    width = max([len(str(b["bound"])) for b in bounds], default=0)
-    for b in bounds:
-        click.echo(f"  {b['bound']:<{width}}  {b['value']}  (line {b['line']})")
-    click.echo(f"longest wait: {span(wait) if wait else 'as the client says'}")
-    click.echo(
-        f"most sends:   {sends}"
-        + (", one of which may have run" if known[cls].idempotency.value == "unsafe" else "")
+        print_route_json(route, request_class, settings.limits)
+    else:
+        echo_route(route, request_class, settings.limits)
+
+
+def class_of(settings: api.Settings, name: str) -> api.RequestClass:
+    """A class by its name.  Raises CommandError where there is none."""
+    known = {request_class.name: request_class for request_class in settings.classes}
+    if name not in known:
+        raise CommandError(f"--class: there is no class {name!r}{suggestion(name, known)}")
+    return known[name]
+
+
+def report_no_route(form: str) -> None:
+    """The answer where no route takes the request."""
+    if form == "json":
+        print_json({"route": None})
+    else:
+        click.echo("no route takes it: the file bounds nothing")
+
+
+def print_route_json(route: Route, request_class: api.RequestClass, limits: api.Limits) -> None:
+    """The answer as JSON."""
+    print_json(
+        {
+            "route": route.name,
+            "line": route.position.line,
+            "bounds": [row_json(row) for row in describe_policy(route.policy)],
+            "longest_wait_ms": longest_wait_ns(route.policy, request_class) / MS,
+            "most_sends": max_sends(route.policy, request_class, limits),
+            "effect": request_class.idempotency.value,
+        }
     )
+
+
+def row_json(row: PolicyRow) -> dict[str, object]:
+    """A row of the policy for the JSON answer."""
+    return {"bound": row.name, "value": row.words, "line": row.position.line}
+
+
+def echo_route(route: Route, request_class: api.RequestClass, limits: api.Limits) -> None:
+    """The answer as text."""
+    click.echo(f"route {route.name!r}, line {route.position.line}")
+    rows = list(describe_policy(route.policy))
+    width = max((len(row.name) for row in rows), default=0)
+    for row in rows:
+        click.echo(f"  {row.name:<{width}}  {row.words}  (line {row.position.line})")
+    wait_ns = longest_wait_ns(route.policy, request_class)
+    click.echo(f"longest wait: {format_duration(wait_ns) if wait_ns else 'as the client says'}")
+    is_unsafe = request_class.idempotency is api.Idempotency.UNSAFE
+    once = ", one of which may have run" if is_unsafe else ""
+    click.echo(f"most sends:   {max_sends(route.policy, request_class, limits)}{once}")
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -16,8 +16,8 @@
 
 from kelpcroft.cli.common import CommandError, F, exit_negative, format_option, print_json
 from kelpcroft.cli.controller import RolloutController, begin_or_continue_run
-from kelpcroft.operator_file.check import read
-from kelpcroft.operator_file.check import span as words
+from kelpcroft.operator_file.check import read_bytes as read
+from kelpcroft.operator_file.values import format_duration as words
 from kelpcroft.rollout.placement import Moved, NoHomes, compare
 from kelpcroft.rollout.plan import RolloutPlan, load_plan
 from kelpcroft.rollout.router_drivers import filled
--- a/kelpcroft/cli/serve.py
+++ b/kelpcroft/cli/serve.py
@@ -7,6 +7,8 @@
 
 import click
 
+LOG_FORMATS = ("auto", "text", "json")
+
 
 @click.command(epilog="Example:  kelpcroft serve --config examples/config.json --file examples/operator.kdl")
 @click.option("--config", metavar="CONFIG", help="The JSON configuration; else $ROUTER_CONFIG.")
@@ -21,7 +23,7 @@
 @click.option(
     "--format",
     "form",
-    type=click.Choice(["auto", "text", "json"]),
+    type=click.Choice(LOG_FORMATS),
     default="auto",
     show_default=True,
     help="How log lines are printed; auto is text on a terminal.",
@@ -30,17 +32,17 @@
     config: str | None, file: str | None, name: str | None, listen: str | None, release: bool, form: str
 ) -> None:
     """Serve until SIGTERM.  SIGHUP has the configuration and the operator's file read again."""
-    env = dict(os.environ)
-    for key, value in (
-        ("ROUTER_CONFIG", config),
-        ("ROUTER_RULES", file),
-        ("ROUTER_NAME", name),
-        ("ROUTER_LISTEN", listen),
-        ("ROUTER_LOG", None if form == "auto" else form),
-    ):
-        if value is not None:
-            env[key] = value
+    options = {
+        "ROUTER_CONFIG": config,
+        "ROUTER_RULES": file,
+        "ROUTER_NAME": name,
+        "ROUTER_LISTEN": listen,
+        "ROUTER_LOG": None if form == "auto" else form,
+    }
+    environment = dict(os.environ)
+    environment.update({key: value for key, value in options.items() if value is not None})
+    interpreter_options = ["-O"] if release else []
     # Another image of the process: nothing of the command line stays in the memory of the router.
-    python = [sys.executable, *(["-O"] if release else []), "-m", "kelpcroft"]
+    command = [sys.executable, *interpreter_options, "-m", "kelpcroft"]
     sys.stdout.flush()
-    os.execve(sys.executable, python, env)
+    os.execve(sys.executable, command, environment)
--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -14,8 +14,9 @@
 from kelpcroft.core.descriptors import MIN_DESCRIPTORS as LEAST_SOCKETS
 from kelpcroft.core.inputs import ConfigFileRead, WatchResponse
 from kelpcroft.decision.interface import Settings, SettingsError
-from kelpcroft.deployment_check import ConfigurationDiagnostic, check_configuration
+from kelpcroft.deployment_check import Diagnostic, check_configuration
 from kelpcroft.deployment_check.known_keys import parse_host_port
+from kelpcroft.diagnostics import Severity
 from kelpcroft.net.feed_codec import FeedError, parse_watch_response
 from kelpcroft.simulator_adapter import MachineKinds, parse_settings
 
@@ -52,7 +53,7 @@
     )
     state_dir: str = ""  # $TMPDIR: where a process leaves its state of service for the next
     raw: dict[str, Any] = field(default_factory=dict, compare=False, repr=False)  # the file as it was read
-    warnings: tuple[ConfigurationDiagnostic, ...] = ()  # what is odd in it, and starts all the same
+    warnings: tuple[Diagnostic, ...] = ()  # what is odd in it, and starts all the same
 
 
 def parse_address(key: str, text: Any) -> Address:
@@ -115,11 +116,11 @@
             f"limits.sockets: the system gives this process {most} descriptors; "
             f"{LEAST_SOCKETS} at the least would do"
         )
-    doubt = ConfigurationDiagnostic(
-        "doubt",
+    doubt = Diagnostic(
         "limits.sockets",
         f"{config.max_descriptors}, but the system gives {most}",
         f"a limit of that many; {most} are counted on",
+        Severity.DOUBT,
     )
     return replace(config, max_descriptors=most, warnings=(*config.warnings, doubt))
 
--- a/kelpcroft/deployment_check/__init__.py
+++ b/kelpcroft/deployment_check/__init__.py
@@ -1,7 +1,11 @@
-"""What a deployment's configuration says: every key that is known, what is wrong with it, and what it lacks.
-Pure: no file, socket or clock."""
+"""What a deployment's JSON configuration says: every known key, what is wrong, and what it lacks.
 
-from kelpcroft.deployment_check.check import ConfigurationDiagnostic, check_configuration
+Owns the table of keys (``known_keys``), which ``docs/operators/sites.md`` has for people.  Pure: no file,
+socket or clock; imports the decision module's interface only.  Start reading at ``check``.
+"""
+
+from kelpcroft.deployment_check.check import check_configuration
 from kelpcroft.deployment_check.missing_features import missing_features
+from kelpcroft.diagnostics import Diagnostic
 
-__all__ = ["ConfigurationDiagnostic", "check_configuration", "missing_features"]
+__all__ = ["Diagnostic", "check_configuration", "missing_features"]
--- /dev/null
+++ b/kelpcroft/deployment_check/contradictions.py
@@ -0,0 +1,203 @@
+"""Settings that can be used one by one and do not fit together."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from typing import Any
+
+from kelpcroft.deployment_check.json_values import abbreviated_json, list_at, object_at
+from kelpcroft.diagnostics import Diagnostic, Severity
+
+# Lists of ``family_info`` that have a value for each class, and for each zone.
+LISTS_BY_CLASS = ("goes_through", "multi_part", "max_age_ns", "usable_after_ns", "old_copy_worth")
+LISTS_BY_ZONE = ("hub_of", "instances_by_zone", "zone_link_kb_per_s")
+MACHINE_KIND_KEYS = ("master_kind", "shield_kind")
+
+
+class SettingsView:
+    """The settings by their parts; a part that is missing, or no object or list, is empty."""
+
+    def __init__(self, settings: dict[str, Any]) -> None:
+        self.settings = settings
+        self.family_info = object_at(settings, "family_info")
+        self.limits = object_at(settings, "limits")
+        self.contract = object_at(settings, "contract")
+        self.report = object_at(settings, "report")
+        self.zones = list_at(settings, "dcs")
+        self.machine_types = list_at(settings, "machine_types")
+        self.class_entries = list_at(settings, "classes")
+        self.classes = [entry for entry in self.class_entries if isinstance(entry, dict)]
+
+
+def contradictions(settings: dict[str, Any]) -> Iterator[Diagnostic]:
+    """All contradictions, in the order of RULES."""
+    view = SettingsView(settings)
+    for rule in RULES:
+        yield from rule(view)
+
+
+def doubt(place: str, found: str, expected: str) -> Diagnostic:
+    """A diagnostic of settings with which the program starts all the same."""
+    return Diagnostic(place, found, expected, Severity.DOUBT)
+
+
+def check_zone(view: SettingsView) -> Iterator[Diagnostic]:
+    """The router's own zone is one of all."""
+    zone = view.settings.get("az")
+    if isinstance(view.settings.get("dcs"), list) and zone is not None and zone not in view.zones:
+        yield Diagnostic(
+            "settings.az",
+            f"{abbreviated_json(zone)} is not one of dcs",
+            "the router's own zone would do",
+        )
+
+
+def check_class_names(view: SettingsView) -> Iterator[Diagnostic]:
+    """No two classes have one name."""
+    names = [entry.get("name") for entry in view.classes]
+    for index, name in enumerate(names):
+        if name in names[:index]:
+            yield Diagnostic(
+                f"settings.classes[{index}].name",
+                f"{abbreviated_json(name)} is named twice",
+                "one class of each name would do",
+            )
+
+
+def check_class_times(view: SettingsView) -> Iterator[Diagnostic]:
+    """A class's times fit each other, and a keyed class has a window."""
+    for index, entry in enumerate(view.classes):
+        place = f"settings.classes[{index}]"
+        aim_ns: Any = entry.get("aim_ns")
+        deadline_ns: Any = entry.get("give_up_ns")
+        are_numbers = isinstance(aim_ns, (int, float)) and isinstance(deadline_ns, (int, float))
+        if are_numbers and aim_ns > deadline_ns > 0:
+            yield doubt(
+                f"{place}.aim_ns",
+                "clients give up before an answer is late",
+                "an aim under give_up_ns would do",
+            )
+        if entry.get("idempotency") == "keyed" and not entry.get("dedup_window_ns"):
+            yield doubt(
+                f"{place}.dedup_window_ns",
+                "no window for a keyed class",
+                "how long repeats are dropped; with none it is never sent again",
+            )
+
+
+def check_list_lengths(view: SettingsView) -> Iterator[Diagnostic]:
+    """Lists by class, and by zone, have a value for each."""
+    for keys, entries, what in (
+        (LISTS_BY_CLASS, view.class_entries, "classes"),
+        (LISTS_BY_ZONE, view.zones, "zones in dcs"),
+    ):
+        for key in keys:
+            values = view.family_info.get(key)
+            if isinstance(values, list) and entries and len(values) != len(entries):
+                yield doubt(
+                    f"settings.family_info.{key}",
+                    f"{len(values)} values for {len(entries)} {what}",
+                    "one for each would do; missing ones mean the default",
+                )
+
+
+def check_machine_kinds(view: SettingsView) -> Iterator[Diagnostic]:
+    """Kinds of servers are places in the list of machine types."""
+    kinds = len(view.machine_types)
+    for key in MACHINE_KIND_KEYS:
+        place = view.family_info.get(key)
+        if isinstance(place, int) and place >= kinds:
+            yield doubt(
+                f"settings.family_info.{key}",
+                f"{place} is no place in machine_types",
+                f"0 to {kinds - 1} or -1 would do",
+            )
+
+
+def check_hubs(view: SettingsView) -> Iterator[Diagnostic]:
+    """Hubs are places in the list of zones."""
+    zones = len(view.zones)
+    for index, hub in enumerate(list_at(view.family_info, "hub_of")):
+        if isinstance(hub, int) and zones and hub >= zones:
+            yield doubt(
+                f"settings.family_info.hub_of[{index}]",
+                f"{hub} is no place in dcs",
+                f"0 to {zones - 1} would do",
+            )
+
+
+def check_router_index(view: SettingsView) -> Iterator[Diagnostic]:
+    """The router's own number is one of all routers'."""
+    index = view.settings.get("self_index")
+    instances = view.settings.get("instances")
+    if isinstance(index, int) and isinstance(instances, int) and index >= instances:
+        yield doubt(
+            "settings.self_index", f"{index} of {instances} instances", "a number under instances would do"
+        )
+
+
+def check_zone_instances(view: SettingsView) -> Iterator[Diagnostic]:
+    """There are routers in this router's zone."""
+    by_zone = view.family_info.get("instances_by_zone")
+    zone = view.settings.get("az")
+    if not isinstance(by_zone, list) or len(by_zone) != len(view.zones) or zone not in view.zones:
+        return
+    if not by_zone[view.zones.index(zone)]:
+        yield doubt(
+            "settings.family_info.instances_by_zone",
+            "no instance in this router's zone",
+            "at least 1 there would do; 1 is taken",
+        )
+
+
+def check_second_copies(view: SettingsView) -> Iterator[Diagnostic]:
+    """Second copies need a second send."""
+    if view.limits.get("second_copies") is True and view.limits.get("most_tries", 1) == 1:
+        yield doubt("settings.limits.second_copies", "allowed, but most_tries is 1", "2 or more would do")
+
+
+def check_retry_after(view: SettingsView) -> Iterator[Diagnostic]:
+    """A longest pause goes with pauses."""
+    if view.limits.get("max_retry_after_ns") and not view.limits.get("retry_after"):
+        yield doubt(
+            "settings.limits.max_retry_after_ns",
+            "a longest pause, but retry_after is not allowed",
+            "retry_after true would do",
+        )
+
+
+def check_cold_start(view: SettingsView) -> Iterator[Diagnostic]:
+    """Caches that start cold are warm at some time."""
+    cold = view.contract.get("cold_from")
+    if isinstance(cold, (int, float)) and cold < 1 and not view.contract.get("cold_ns"):
+        yield doubt(
+            "settings.contract.cold_ns",
+            "caches start cold and never warm",
+            "the time until they are warm would do; with none they count as warm",
+        )
+
+
+def check_reports(view: SettingsView) -> Iterator[Diagnostic]:
+    """Fields of a report go with reports."""
+    if view.report.get("fields") and view.report.get("how", "off") == "off":
+        yield doubt(
+            "settings.report.how",
+            "fields are named, but no reports are given",
+            "inline or on_probe would do",
+        )
+
+
+RULES: tuple[Callable[[SettingsView], Iterator[Diagnostic]], ...] = (
+    check_zone,
+    check_class_names,
+    check_class_times,
+    check_list_lengths,
+    check_machine_kinds,
+    check_hubs,
+    check_router_index,
+    check_zone_instances,
+    check_second_copies,
+    check_retry_after,
+    check_cold_start,
+    check_reports,
+)
--- a/kelpcroft/operator_file/check.py
+++ b/kelpcroft/operator_file/check.py
@@ -1,14 +1,16 @@
 """Whether a file may be used: by itself, and held against a deployment's settings.
 
 ``load`` needs no deployment.  ``check`` knows the classes, zones and limits, and refuses what a rule forbids:
-a second run of what must not run twice, a wait past the client's give-up time, more sends than allowed.
+a second run of what must not run twice, a wait past the client's give-up time, more sends than allowed.  Both
+find all faults at once, and raise for nothing that a file may hold.  Each comes in steps too, for the serving
+process, which has other work.
 """
 
 from __future__ import annotations
 
 import gc
-from collections.abc import Generator
-from contextlib import contextmanager
+from collections.abc import Generator, Iterable
+from contextlib import contextmanager, suppress
 from pathlib import Path
 from typing import TypeVar
 
@@ -18,358 +20,242 @@
 from kelpcroft.operator_file.diagnostics import (
     Diagnostic,
     DiagnosticCollector,
-    FilePosition,
     TooManyDiagnostics,
     abbreviated,
     suggestion,
 )
-from kelpcroft.operator_file.match_regions import RouteCoverage, count
+from kelpcroft.operator_file.match_regions import RouteCoverage, region_count
 from kelpcroft.operator_file.model import OperatorFile, Route, RoutePolicy
-from kelpcroft.operator_file.reader import NodeReader
-from kelpcroft.operator_file.text import MAX_FILE_BYTES, parse_nodes
-from kelpcroft.routes.index import CELLS_MOST, too_complex
+from kelpcroft.operator_file.reader import OperatorFileReader
+from kelpcroft.operator_file.route_rules import RouteRules
+from kelpcroft.operator_file.text import FILE_START, MAX_FILE_BYTES, parse_nodes
+from kelpcroft.routes.index import MAX_CELLS, largest_plane
 from kelpcroft.store.identity import hex_digest
 
-MS = 1_000_000
-REST_S = MAX_NEWS_WAIT_MS / 1_000  # between two calls of a router that hears nothing new
-BOXES_MOST = 50_000  # groups times parts times objects, of all routes together
-T = TypeVar("T")
-Steps = Generator[None, None, T]
+LIST_CALL_EVERY_S = MAX_NEWS_WAIT_MS / 1_000  # of a router that hears nothing new
+MAX_REGIONS = 50_000  # groups times parts times objects, of all routes together
+MAX_NAMED_TAKERS = 3  # of a route that can never match
+Result = TypeVar("Result")
+Steps = Generator[None, None, Result]
 
 
 def load(data: bytes) -> tuple[OperatorFile, list[Diagnostic]]:
     """A file's bytes as a model, and all that is wrong with it without regard to a deployment."""
-    with collections_off():
-        return finish(loading(data))
+    with garbage_collection_off():
+        return run_to_end(load_steps(data))
+
+
+def check(file: OperatorFile, settings: api.Settings) -> list[Diagnostic]:
+    """All that is wrong with a file in a deployment.  Empty for a file that may be used there."""
+    with garbage_collection_off():
+        return run_to_end(check_steps(file, settings))
 
 
 @contextmanager
-def collections_off() -> Generator[None, None, None]:
+def garbage_collection_off() -> Generator[None, None, None]:
     """Nothing here is cyclic, and collections took half of the time of a large file."""
-    collects = gc.isenabled()
+    was_on = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if collects:
+        if was_on:
             gc.enable()
 
 
-def loading(data: bytes) -> Steps[tuple[OperatorFile, list[Diagnostic]]]:
-    """``load`` in steps of well under a millisecond, for a process that has other work."""
-    faults, file = DiagnosticCollector(), OperatorFile()
-    try:
-        file = yield from NodeReader(faults).file(parse_nodes(data, faults))
-        if not faults.count:
-            yield from alone(file, faults)
-    except TooManyDiagnostics:
-        pass
-    return file, faults.in_file_order()
-
-
-def finish(steps: Steps[T]) -> T:
+def run_to_end(steps: Steps[Result]) -> Result:
     """All steps at once."""
     while True:
         try:
             next(steps)
         except StopIteration as end:
-            found: T = end.value
-            return found
+            result: Result = end.value
+            return result
 
 
-def read(path: Path) -> bytes:
+def read_bytes(path: Path) -> bytes:
     """A file's bytes, one more than may be at the most.  Raises OSError."""
     with path.open("rb") as stream:
         return stream.read(MAX_FILE_BYTES + 1)
 
 
-def reading(path: Path, settings: api.Settings) -> Steps[OperatorFileRead]:
-    """A file in steps, as what the reducer is told of it: the file itself where it may be used."""
+def read_steps(path: Path, settings: api.Settings) -> Steps[OperatorFileRead]:
+    """A file on disk in steps, as what the reducer is told of it: the file itself where it may be used."""
     try:
-        data = read(path)
+        data = read_bytes(path)
     except OSError as error:
         return OperatorFileRead(None, f"{path}: {error.strerror}", 1)
-    file, faults = yield from loading(data)
-    if not faults:
-        faults = yield from checking(file, settings)
-    if faults:
-        return OperatorFileRead(None, faults[0].format_for(str(path)), len(faults))
+    file, diagnostics = yield from load_steps(data)
+    if not diagnostics:
+        diagnostics = yield from check_steps(file, settings)
+    if diagnostics:
+        return OperatorFileRead(None, diagnostics[0].format_for(str(path)), len(diagnostics))
     return OperatorFileRead(file, digest=hex_digest(data) if file.exposes_state else "")
 
 
-def alone(file: OperatorFile, faults: DiagnosticCollector) -> Steps[None]:
+def load_steps(data: bytes) -> Steps[tuple[OperatorFile, list[Diagnostic]]]:
+    """``load`` in steps of well under a millisecond."""
+    diagnostics = DiagnosticCollector()
+    file = OperatorFile()
+    with suppress(TooManyDiagnostics):
+        file = yield from OperatorFileReader(diagnostics).read_file(parse_nodes(data, diagnostics))
+        if not diagnostics.count:
+            yield from check_alone(file, diagnostics)
+    return file, diagnostics.in_file_order()
+
+
+def check_steps(file: OperatorFile, settings: api.Settings) -> Steps[list[Diagnostic]]:
+    """``check`` in steps of about a millisecond; one with much to subtract takes longer."""
+    diagnostics = DiagnosticCollector()
+    with suppress(TooManyDiagnostics):
+        check_start(file, settings, diagnostics)
+        check_names(file, settings, diagnostics)
+        if not diagnostics.count:
+            yield from check_routes(file, settings, diagnostics)
+    return diagnostics.in_file_order()
+
+
+# Without a deployment -------------------------------------------------------------------------------------
+
+
+def check_alone(file: OperatorFile, diagnostics: DiagnosticCollector) -> Steps[None]:
     """What needs no deployment to be wrong."""
     for route in file.routes:
         yield
-        bounds_alone(route.bounds, f"route {abbreviated(route.name)}", route.place, faults)
+        RouteRules(route, diagnostics).check_alone()
     if not file.routes and file.defaults != RoutePolicy():
-        place = min(file.defaults.places.values(), default=FilePosition(1, 1))
-        faults.add(place, "no-rest", 'the defaults have no route to apply to; add route "rest" { match }')
-    total = 0
-    for route in file.routes:
-        total += count(route)
-        if total > BOXES_MOST:
-            faults.add(
-                route.match_place,
-                "too-complex",
-                f"up to route {abbreviated(route.name)} the lists of "
-                f"groups, parts and objects make over {BOXES_MOST} cases; use ranges",
-            )
-            return
+        diagnostics.add(
+            min(file.defaults.positions.values(), default=FILE_START),
+            "no-rest",
+            'the defaults have no route to apply to; add route "rest" { match }',
+        )
+    crowded = first_route_beyond(file.routes, MAX_REGIONS)
+    if crowded is not None:
+        diagnostics.add(
+            crowded.match_position,
+            "too-complex",
+            f"up to route {abbreviated(crowded.name)} the lists of "
+            f"groups, parts and objects make over {MAX_REGIONS} cases; use ranges",
+        )
+        return
     yield
-    cells = too_complex(file.routes)
-    if cells:
-        faults.add(
-            file.routes[0].place,
+    cells = largest_plane(file.routes)
+    if cells > MAX_CELLS:
+        diagnostics.add(
+            file.routes[0].position,
             "too-complex",
             f"{cells} meetings of group and part ranges under "
-            f"one object prefix, {CELLS_MOST} at most; use fewer ranges, or name objects",
-        )
-
-
-def bounds_alone(b: RoutePolicy, owner: str, place: FilePosition, faults: DiagnosticCollector) -> None:
-    """One route's bounds against each other."""
-    at = b.places.get
-    wait = b.timeout.ns if b.timeout else 0
-    attempt = b.attempt.longest_ns() if b.attempt else 0
-    if wait and attempt > wait:
-        faults.add(
-            at("attempt", place),
-            "attempt-over-route",
-            f"{owner}: an attempt may take {span(attempt)} and the whole answer {span(wait)}",
+            f"one object prefix, {MAX_CELLS} at most; use fewer ranges, or name objects",
         )
-    elif wait and b.attempt and b.attempt.least_ns > wait:
-        faults.add(
-            at("attempt", place),
-            "attempt-over-route",
-            f"{owner}: an attempt has {span(b.attempt.least_ns)} at the least, the whole answer {span(wait)}",
-        )
-    if b.copies and b.copies.most:
-        after = b.copies.after.shortest_ns()
-        if attempt and after >= attempt:
-            faults.add(
-                at("copies", place),
-                "copy-after-attempt",
-                f"{owner}: a copy is due after {span(after)}, when the attempt has ended at its "
-                f"time-out of {span(attempt)}",
-            )
-        if wait and after >= wait:
-            faults.add(
-                at("copies", place),
-                "copy-after-attempt",
-                f"{owner}: a copy is due after {span(after)}, past the whole wait of {span(wait)}",
-            )
-    if b.backoff:
-        longest = b.backoff.longest_total_ns(b.attempts or 2)
-        if wait and longest >= wait:
-            faults.add(
-                at("backoff", place),
-                "backoff-over-wait",
-                f"{owner}: its waits between {b.attempts or 2} attempts come to {span(longest)}, "
-                f"the whole answer has {span(wait)}",
-            )
 
 
-def check(file: OperatorFile, settings: api.Settings) -> list[Diagnostic]:
-    """All that is wrong with a file in a deployment.  Empty for a file that may be used there."""
-    with collections_off():
-        return finish(checking(file, settings))
+def first_route_beyond(routes: Iterable[Route], most: int) -> Route | None:
+    """The route with which all up to it have more than so many regions; None where they never have."""
+    total = 0
+    for route in routes:
+        total += region_count(route)
+        if total > most:
+            return route
+    return None
 
 
-def checking(file: OperatorFile, settings: api.Settings) -> Steps[list[Diagnostic]]:
-    """``check`` in steps."""
-    faults = DiagnosticCollector()
-    try:
-        yield from deployed(file, settings, faults)
-    except TooManyDiagnostics:
-        pass
-    return faults.in_file_order()
+# In a deployment ------------------------------------------------------------------------------------------
 
 
-def deployed(file: OperatorFile, settings: api.Settings, faults: DiagnosticCollector) -> Steps[None]:
-    """Names, then what each route takes, then its bounds."""
-    rest = settings.instances / REST_S  # calls of the list service that a fleet at rest makes
-    if 0 < file.start_options.list_calls_per_s < rest:
-        faults.add(
+def check_start(file: OperatorFile, settings: api.Settings, diagnostics: DiagnosticCollector) -> None:
+    """What the file says of starts, against the size and the reports of the deployment."""
+    start = file.start_options
+    calls_at_rest_per_s = settings.instances / LIST_CALL_EVERY_S
+    if 0 < start.list_calls_per_s < calls_at_rest_per_s:
+        diagnostics.add(
             file.start_position,
             "rate-under-rest",
-            f"{settings.instances} routers at rest call the list "
-            f"service {rest:g} times a second; "
-            f"list-calls={file.start_options.list_calls_per_s:g} cannot be kept",
+            f"{settings.instances} routers at rest call the list service {calls_at_rest_per_s:g} "
+            f"times a second; list-calls={start.list_calls_per_s:g} cannot be kept",
         )
-    if file.start_options.estimate_fleet_size and (
-        settings.load_report_mode == "off" or "outstanding" not in settings.load_report_fields
-    ):
-        faults.add(
+    reports = settings.load_report_fields
+    has_reports = settings.load_report_mode != "off" and "outstanding" in reports
+    if start.estimate_fleet_size and not has_reports:
+        diagnostics.add(
             file.start_position,
             "no-report",
             "count=#true wants servers that report 'outstanding'; "
-            f"this deployment's report {', '.join(settings.load_report_fields) or 'nothing'}",
+            f"this deployment's report {', '.join(reports) or 'nothing'}",
         )
-    classes = {c.name: c for c in settings.classes}
+
+
+def check_names(file: OperatorFile, settings: api.Settings, diagnostics: DiagnosticCollector) -> None:
+    """Classes and zones that routes name are the deployment's."""
+    classes = list(dict.fromkeys(request_class.name for request_class in settings.classes))
     for route in file.routes:
-        for what, named, known in (
-            ("class", route.match.classes, list(classes)),
-            ("zone", route.match.zones, list(settings.zones)),
-        ):
-            for name in named:
-                if name not in known:
-                    faults.add(
-                        route.match_place,
-                        f"unknown-{what}",
-                        f"route {abbreviated(route.name)}: there is no {what} {abbreviated(name)}"
-                        f"{suggestion(name, known)}",
-                    )
-    if faults.count:
-        return
-    cover = RouteCoverage(settings)
+        check_known(route, "class", route.match.classes, classes, diagnostics)
+        check_known(route, "zone", route.match.zones, list(settings.zones), diagnostics)
+
+
+def check_known(
+    route: Route, what: str, names: Iterable[str], known: list[str], diagnostics: DiagnosticCollector
+) -> None:
+    """Names of one kind, in a route's match, are known."""
+    for name in names:
+        if name not in known:
+            diagnostics.add(
+                route.match_position,
+                f"unknown-{what}",
+                f"route {abbreviated(route.name)}: there is no {what} {abbreviated(name)}"
+                f"{suggestion(name, known)}",
+            )
+
+
+def check_routes(file: OperatorFile, settings: api.Settings, diagnostics: DiagnosticCollector) -> Steps[None]:
+    """What each route takes, then its policy; in the end, what no route takes."""
+    coverage = RouteCoverage(settings)
     for route in file.routes:
         yield
-        takes = cover.add_route(route)
-        if not takes and waits(route, file, settings):
-            continue
-        if not takes:
-            earlier = cover.takers
-            names = ", ".join(abbreviated(name) for name in earlier[:3])
-            names += " and others" if len(earlier) > 3 else ""
-            faults.add(
-                route.match_place,
-                "unreachable-route",
-                f"route {abbreviated(route.name)} can never match: {names or 'nothing'} takes all of it"
-                + ("; move it up" if earlier else ""),
-            )
+        taken = coverage.add_route(route)
+        if not taken:
+            if not is_for_other_deployments(route, file, settings):
+                note_unreachable(route, coverage.takers, diagnostics)
             continue
-        if not route.bounds.places:
+        if not route.policy.positions:
             continue  # it says nothing that could be wrong
-        for cls in settings.classes:
-            if cls.name in takes:
-                class_rules(route, cls, settings, faults)
-        deployment_rules(route, settings, faults)
+        rules = RouteRules(route, diagnostics)
+        for request_class in settings.classes:
+            if request_class.name in taken:
+                rules.check_class(request_class)
+        rules.check_deployment(settings.limits)
     if file.routes:
-        for name in cover.uncovered():
-            last = file.routes[-1]
-            faults.add(
-                last.place,
+        for name in coverage.uncovered():
+            diagnostics.add(
+                file.routes[-1].position,
                 "no-route",
                 f"class {abbreviated(name)} has requests that no route takes; "
                 'add a last route with an empty match, route "rest" { match }',
             )
 
 
-def waits(route: Route, file: OperatorFile, settings: api.Settings) -> bool:
-    """Whether a route that takes nothing is there for classes of another deployment: it matches by what a
-    class is and none here is that, or it takes the rest behind routes that match so."""
-    m = route.match
-    if m.matches_everything():
-        return any(other.match.asks_class_properties() for other in file.routes)
-    return m.asks_class_properties() and not m.classes and not any(map(m.accepts_class, settings.classes))
-
-
-def deployment_rules(route: Route, settings: api.Settings, faults: DiagnosticCollector) -> None:
-    """A route against the limits of the deployment."""
-    b, owner, limits = route.bounds, f"route {abbreviated(route.name)}", settings.limits
-
-    def at(key: str) -> FilePosition:
-        return b.places.get(key, route.place)
-
-    most = limits.max_attempts
-    if b.attempts is not None and b.attempts > most:
-        faults.add(
-            at("attempts"),
-            "attempts-over-deployment",
-            f"{owner}: {b.attempts} attempts; the deployment allows {most} sends for a request",
-        )
-    if b.moves is not None and b.moves > most - 1:
-        faults.add(
-            at("moves"),
-            "moves-over-deployment",
-            f"{owner}: {b.moves} moves behind the first send; the deployment allows {most} in all",
-        )
-    if b.copies and b.copies.most:
-        if not limits.may_hedge:
-            faults.add(at("copies"), "copies-forbidden", f"{owner}: the deployment allows no second copies")
-        elif b.copies.most > most - 1:
-            faults.add(
-                at("copies"),
-                "attempts-over-deployment",
-                f"{owner}: {b.copies.most} copies; the deployment allows {most} sends for a request",
-            )
-    if b.pause_ns:
-        if not limits.may_send_retry_after:
-            faults.add(at("pause_ns"), "pause-forbidden", f"{owner}: the deployment tells clients no pause")
-        elif b.pause_ns > limits.max_retry_after_ns > 0:
-            faults.add(
-                at("pause_ns"),
-                "pause-too-long",
-                f"{owner}: a pause of {span(b.pause_ns)}, of which "
-                f"the deployment allows {span(limits.max_retry_after_ns)}",
-            )
-
-
-def class_rules(
-    route: Route, cls: api.RequestClass, settings: api.Settings, faults: DiagnosticCollector
-) -> None:
-    """A route against one class whose requests it takes."""
-    b, owner = route.bounds, f"route {abbreviated(route.name)}"
-
-    def at(key: str) -> FilePosition:
-        return b.places.get(key, route.place)
+def note_unreachable(route: Route, takers: list[str], diagnostics: DiagnosticCollector) -> None:
+    """A route can never match; ``takers`` are those that take what it would."""
+    names = ", ".join(abbreviated(name) for name in takers[:MAX_NAMED_TAKERS])
+    if len(takers) > MAX_NAMED_TAKERS:
+        names += " and others"
+    diagnostics.add(
+        route.match_position,
+        "unreachable-route",
+        f"route {abbreviated(route.name)} can never match: {names or 'nothing'} takes all of it"
+        + ("; move it up" if takers else ""),
+    )
 
-    if cls.idempotency is not api.Idempotency.SAFE:
-        why = (
-            "must never run twice"
-            if cls.idempotency is api.Idempotency.UNSAFE
-            else "may be repeated only where its repeats are dropped"
-        )
-        if cls.idempotency is api.Idempotency.UNSAFE and b.attempts is not None and b.attempts > 1:
-            faults.add(
-                at("attempts"),
-                "second-attempt",
-                f"{owner}: {b.attempts} attempts at class {abbreviated(cls.name)}, which {why} "
-                f"(its effect is {cls.idempotency.value!r}); write attempts most=1 in a route of its own",
-            )
-        if b.copies and b.copies.most:
-            faults.add(
-                at("copies"),
-                "second-copy",
-                f"{owner}: a second copy of class {abbreviated(cls.name)}, which {why} "
-                f"(its effect is {cls.idempotency.value!r}); write copies most=0 in a route of its own",
-            )
-    limit = cls.deadline_ns
-    if not limit:
-        return
-    wait = b.timeout.within(limit) if b.timeout else limit
-    if b.timeout and b.timeout.ns > limit:
-        faults.add(
-            at("timeout"),
-            "wait-over-class",
-            f"{owner}: a wait of {span(b.timeout.ns)}, but clients "
-            f"of class {abbreviated(cls.name)} give up after {span(limit)}",
-        )
-        return
-    if b.timeout and b.timeout.ns:
-        return  # held against each other already, without the deployment
-    whole = f"the whole answer of class {abbreviated(cls.name)} has {span(wait)}"
-    attempt = max(b.attempt.longest_ns(), b.attempt.least_ns) if b.attempt else 0
-    if attempt > wait:
-        faults.add(
-            at("attempt"), "attempt-over-route", f"{owner}: an attempt may take {span(attempt)}; {whole}"
-        )
-    if b.copies and b.copies.most and b.copies.after.shortest_ns() >= wait:
-        faults.add(
-            at("copies"),
-            "copy-after-attempt",
-            f"{owner}: a copy is due after {span(b.copies.after.shortest_ns())}; {whole}",
-        )
-    longest = b.backoff.longest_total_ns(b.attempts or 2) if b.backoff else 0
-    if b.backoff and longest >= wait:
-        faults.add(
-            at("backoff"),
-            "backoff-over-wait",
-            f"{owner}: its waits between attempts come to {span(longest)}; {whole}",
-        )
 
+def is_for_other_deployments(route: Route, file: OperatorFile, settings: api.Settings) -> bool:
+    """Whether a route that takes nothing here is there for classes of another deployment.
 
-def span(ns: int) -> str:
-    """A time for people."""
-    return f"{ns / 10**9:g}s" if ns >= 10**9 else f"{ns / MS:g}ms"
+    It matches by what a class is and none here is that, or it takes the rest behind routes that match so.
+    """
+    match = route.match
+    if match.matches_everything():
+        return any(other.match.asks_class_properties() for other in file.routes)
+    return (
+        match.asks_class_properties()
+        and not match.classes
+        and not any(match.accepts_class(request_class) for request_class in settings.classes)
+    )
--- a/kelpcroft/operator_file/explain.py
+++ b/kelpcroft/operator_file/explain.py
@@ -2,115 +2,159 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
+from itertools import takewhile
+from typing import Any, NamedTuple
 
 from kelpcroft.decision import interface as api
-from kelpcroft.operator_file.check import span
-from kelpcroft.operator_file.diagnostics import FilePosition
-from kelpcroft.operator_file.match_regions import WHOLE, Box, boxes, cut, meets
+from kelpcroft.diagnostics import NO_POSITION, FilePosition
+from kelpcroft.operator_file.match_regions import (
+    ALL_REQUESTS,
+    OBJECT_DIGITS,
+    OBJECT_RANGE,
+    Region,
+    intersect,
+    overlaps,
+    regions_of,
+    subtract,
+)
 from kelpcroft.operator_file.model import (
     GROUP_RANGE,
     PART_RANGE,
     AdaptiveDuration,
+    AnswerTimeout,
+    Backoff,
     BudgetSettings,
+    Hedging,
     OperatorFile,
     Range,
     Route,
     RoutePolicy,
 )
+from kelpcroft.operator_file.values import format_duration
 from kelpcroft.routes.index import RouteIndex
 
-REGIONS_MOST = 20_000  # boxes into which one class is cut for a comparison
-Row = tuple[str, str, FilePosition]  # what, its value in words, where it was said
+MAX_REGIONS_OF_CLASS = 20_000  # into which one class is cut for a comparison
+MAX_COMPARED_PAIRS = 50 * MAX_REGIONS_OF_CLASS
+MAX_SHOWN_REGIONS = 4  # of one difference
+ANY_OBJECT = "0" * OBJECT_DIGITS
 
 
 @dataclass(frozen=True, slots=True)
 class RequestAttributes:
     """One request, as far as routes look at it."""
 
-    cls: api.RequestClass
-    object: str = "0" * 16
+    request_class: api.RequestClass
+    object_id: str = ANY_OBJECT
     part: int = 0
     group: int = 0
     retry: bool = False
     write: bool = False
 
 
-def find_route(file: OperatorFile, zone: str, asked: RequestAttributes) -> Route | None:
+class PolicyRow(NamedTuple):
+    """One field of a policy in words, and where the file says it."""
+
+    name: str
+    words: str
+    position: FilePosition
+
+
+class TooManyRegionsError(ValueError):
+    """A class falls into more regions than are compared; the text is for people."""
+
+
+def find_route(file: OperatorFile, zone: str, request: RequestAttributes) -> Route | None:
     """The first route that takes a request."""
-    at = RouteIndex(file.routes, zone).find(
-        asked.cls, asked.object, asked.group, asked.part, asked.retry, asked.write
+    index = RouteIndex(file.routes, zone).find(
+        request.request_class,
+        request.object_id,
+        request.group,
+        request.part,
+        request.retry,
+        request.write,
     )
-    return file.routes[at] if at >= 0 else None
+    return file.routes[index] if index >= 0 else None
 
 
-def moment_words(m: AdaptiveDuration) -> str:
-    """A duration or a quantile in words."""
-    if not m.quantile:
-        return span(m.ns)
-    least = f", at least {span(m.least_ns)}" if m.least_ns else ""
-    most = f", at most {span(m.most_ns)}" if m.most_ns else ""
-    return f"p{m.quantile * 100:g} of recent answers{least}{most}"
+# A policy in words ----------------------------------------------------------------------------------------
 
 
-def rows(b: RoutePolicy) -> Iterator[Row]:
-    """Each bound that is said, in words, with its place."""
+def describe_policy(policy: RoutePolicy) -> Iterator[PolicyRow]:
+    """Each field of a policy that is said, in words, with its position."""
+    for field, name, words in POLICY_WORDS:
+        value = getattr(policy, field)
+        if value is not None:
+            yield PolicyRow(name, words(value), policy.positions.get(field, NO_POSITION))
 
-    def row(key: str, name: str, words: str) -> Row:
-        return name, words, b.places.get(key, FilePosition())
 
-    if b.timeout:
-        yield row(
-            "timeout",
-            "timeout",
-            span(b.timeout.ns) if b.timeout.ns else f"{b.timeout.share * 100:g}% of the client's patience",
-        )
-    if b.attempt:
-        yield row("attempt", "attempt timeout", moment_words(b.attempt))
-    if b.attempts is not None:
-        yield row("attempts", "attempts", f"{b.attempts} that may have run")
-    if b.on is not None:
-        yield row("on", "tried again on", ", ".join(sorted(b.on)))
-    if b.budget is not None:
-        yield row("budget", "budget", f"further attempts from {b.budget!r}")
-    if b.moves is not None:
-        yield row("moves", "moves", f"{b.moves} after proof that nothing ran")
-    if b.backoff:
-        yield row(
-            "backoff",
-            "backoff",
-            f"from {span(b.backoff.first_ns)}, doubled up to {span(b.backoff.most_ns)}"
-            + (", drawn from 0 to that" if b.backoff.jitter else ""),
-        )
-    if b.copies:
-        paid = f", from budget {b.copies.budget!r}" if b.copies.budget else ""
-        yield row(
-            "copies",
-            "copies",
-            f"{b.copies.most} after {moment_words(b.copies.after)}{paid}" if b.copies.most else "none",
-        )
-    if b.open is not None:
-        yield row("open", "limit", f"{b.open} open at once")
-    if b.pause_ns is not None:
-        yield row("pause_ns", "pause", span(b.pause_ns))
+def answer_timeout_words(timeout: AnswerTimeout) -> str:
+    """A duration or a share in words."""
+    return format_duration(timeout.ns) if timeout.ns else f"{timeout.share * 100:g}% of the client's patience"
 
 
-def longest_wait(b: RoutePolicy, cls: api.RequestClass) -> int:
-    """The longest that a client of a class can wait for its answer, in ns; 0 = not told."""
-    return b.timeout.within(cls.deadline_ns) if b.timeout and cls.deadline_ns else cls.deadline_ns
+def adaptive_duration_words(duration: AdaptiveDuration) -> str:
+    """A duration or a quantile in words."""
+    if not duration.quantile:
+        return format_duration(duration.ns)
+    least = f", at least {format_duration(duration.min_ns)}" if duration.min_ns else ""
+    most = f", at most {format_duration(duration.max_ns)}" if duration.max_ns else ""
+    return f"p{duration.quantile * 100:g} of recent answers{least}{most}"
+
+
+def backoff_words(backoff: Backoff) -> str:
+    """A back-off in words."""
+    drawn = ", drawn from 0 to that" if backoff.full_jitter else ""
+    return (
+        f"from {format_duration(backoff.initial_ns)}, doubled up to {format_duration(backoff.max_ns)}{drawn}"
+    )
+
+
+def hedging_words(hedging: Hedging) -> str:
+    """Second copies in words."""
+    if not hedging.max_hedges:
+        return "none"
+    paid = f", from budget {hedging.budget!r}" if hedging.budget else ""
+    return f"{hedging.max_hedges} after {adaptive_duration_words(hedging.delay)}{paid}"
+
+
+# Fields of RoutePolicy, what operators call them, and how their values are said.
+POLICY_WORDS: tuple[tuple[str, str, Callable[[Any], str]], ...] = (
+    ("answer_timeout", "timeout", answer_timeout_words),
+    ("attempt_timeout", "attempt timeout", adaptive_duration_words),
+    ("max_attempts", "attempts", "{} that may have run".format),
+    ("retry_on", "tried again on", lambda outcomes: ", ".join(sorted(outcomes))),
+    ("retry_budget", "budget", "further attempts from {!r}".format),
+    ("max_reroutes", "moves", "{} after proof that nothing ran".format),
+    ("backoff", "backoff", backoff_words),
+    ("hedging", "copies", hedging_words),
+    ("max_open_requests", "limit", "{} open at once".format),
+    ("retry_after_ns", "pause", format_duration),
+)
+
+# What follows for one request -----------------------------------------------------------------------------
 
 
-def most_sends(b: RoutePolicy, cls: api.RequestClass, limits: api.Limits) -> int:
+def longest_wait_ns(policy: RoutePolicy, request_class: api.RequestClass) -> int:
+    """The longest that a client of a class can wait for its answer, in ns; 0 = the class does not tell."""
+    deadline_ns = request_class.deadline_ns
+    if not policy.answer_timeout or not deadline_ns:
+        return deadline_ns
+    return policy.answer_timeout.within(deadline_ns)
+
+
+def max_sends(policy: RoutePolicy, request_class: api.RequestClass, limits: api.Limits) -> int:
     """The most sends that one request of a class can cause."""
-    most = limits.max_attempts
-    if cls.idempotency is api.Idempotency.UNSAFE:
-        attempts, copies = 1, 0
-    else:
-        attempts = most if b.attempts is None else b.attempts
-        copies = b.copies.most if b.copies and cls.idempotency is api.Idempotency.SAFE else 0
-    moves = most if b.moves is None else b.moves
-    return min(most, attempts + copies + moves)
+    allowed = limits.max_attempts
+    attempts = 1
+    hedges = 0
+    if request_class.idempotency is not api.Idempotency.UNSAFE:
+        attempts = allowed if policy.max_attempts is None else policy.max_attempts
+    if request_class.idempotency is api.Idempotency.SAFE and policy.hedging:
+        hedges = policy.hedging.max_hedges
+    reroutes = allowed if policy.max_reroutes is None else policy.max_reroutes
+    return min(allowed, attempts + hedges + reroutes)
 
 
 # Comparison -----------------------------------------------------------------------------------------------
@@ -120,102 +164,156 @@
 class Change:
     """Requests of a class that two files treat differently."""
 
-    cls: str
-    where: str
+    class_name: str
+    where: str  # their regions, in words
     old: str  # the route's name; "" = none
     new: str
-    what: tuple[str, ...]  # bounds that differ, in words
+    what: tuple[str, ...]  # fields of the policy that differ, in words
+
+
+class RoutedRegion(NamedTuple):
+    """A region of a class, and the first route that takes it."""
+
+    region: Region
+    route: Route | None
+
+
+class Difference(NamedTuple):
+    """How two routes differ: their names, "" for none, and what of their policies does."""
+
+    old: str
+    new: str
+    what: tuple[str, ...]
 
 
-def regions(file: OperatorFile, zone: str, cls: api.RequestClass) -> list[tuple[Box, Route | None]]:
-    """A class cut into disjoint boxes, each with its first route."""
-    left, found = [WHOLE], []
+def routed_regions(file: OperatorFile, zone: str, request_class: api.RequestClass) -> list[RoutedRegion]:
+    """A class cut into disjoint regions, each with its first route.  Raises TooManyRegionsError."""
+    remaining = [ALL_REQUESTS]
+    found: list[RoutedRegion] = []
     for route in file.routes:
-        m = route.match
-        if not m.accepts_class(cls) or m.zones and zone not in m.zones:
+        if not route.match.accepts_class(request_class) or not route.match.accepts_zone(zone):
             continue
-        for box in boxes(route):
-            hit = [b for b in left if meets(b, box)]
+        for region in regions_of(route):
+            hit = [r for r in remaining if overlaps(r, region)]
             if not hit:
                 continue
-            left = [b for b in left if not meets(b, box)]
-            for b in hit:
-                found.append((common(b, box), route))
-                left.extend(cut(b, box))
-        if len(left) + len(found) > REGIONS_MOST:
-            raise ValueError(
-                f"class {cls.name!r} falls into over {REGIONS_MOST} pieces; compare smaller files"
+            remaining = [r for r in remaining if not overlaps(r, region)]
+            for r in hit:
+                found.append(RoutedRegion(intersect(r, region), route))
+                remaining.extend(subtract(r, region))
+        if len(remaining) + len(found) > MAX_REGIONS_OF_CLASS:
+            raise TooManyRegionsError(
+                f"class {request_class.name!r} falls into over {MAX_REGIONS_OF_CLASS} pieces; "
+                "compare smaller files"
             )
-    return found + [(b, None) for b in left]
+    return found + [RoutedRegion(r, None) for r in remaining]
 
 
-def common(a: Box, b: Box) -> Box:
-    """What two boxes that meet share."""
-    return tuple((max(x[0], y[0]), min(x[1], y[1])) for x, y in zip(a, b, strict=True))
+def region_words(region: Region) -> str:
+    """A region in the words of a match."""
+    retry, write, group, part, objects = region
+    words = [
+        *flag_words("retry", retry),
+        *flag_words("write", write),
+        *range_words("group", group, GROUP_RANGE),
+        *range_words("part", part, PART_RANGE),
+    ]
+    if objects != OBJECT_RANGE:
+        words.append(object_words(objects))
+    return " ".join(words) or "all of it"
 
 
-def words_of(box: Box) -> str:
-    """A box in the words of a match."""
-    flags, rest = box[:2], box[2:]
-    said = [
-        f"{name}=#{'true' if low else 'false'}"
-        for name, (low, high) in zip(("retry", "write"), flags, strict=True)
-        if low == high
-    ]
+def flag_words(name: str, values: Range) -> list[str]:
+    """A flag, where one of both values is meant."""
+    low, high = values
+    return [f"{name}=#{'true' if low else 'false'}"] if low == high else []
+
+
+def range_words(name: str, values: Range, full_range: Range) -> list[str]:
+    """A range, where it is not the full one."""
+    if values == full_range:
+        return []
+    low, high = values
+    return [f'{name}="{low}"' if low == high else f'{name}="{low}..{high}"']
+
+
+def object_words(objects: Range) -> str:
+    """A range of objects: the prefix that all of them have, where they are all that have it."""
+    low, high = objects
+    first = f"{low:0{OBJECT_DIGITS}x}"
+    last = f"{high:0{OBJECT_DIGITS}x}"
+    shared = sum(1 for _ in takewhile(lambda pair: pair[0] == pair[1], zip(first, last, strict=True)))
+    if set(first[shared:]) <= {"0"} and set(last[shared:]) <= {"f"}:
+        return f'object="{first[:shared]}"'
+    return f"objects {first} to {last}"
+
 
-    def ranged(name: str, r: Range, whole: Range) -> None:
-        if r != whole:
-            said.append(f'{name}="{r[0]}..{r[1]}"' if r[0] != r[1] else f'{name}="{r[0]}"')
-
-    ranged("group", rest[0], GROUP_RANGE)
-    ranged("part", rest[1], PART_RANGE)
-    low, high = rest[2]
-    if (low, high) != (0, (1 << 64) - 1):
-        first, last = f"{low:016x}", f"{high:016x}"
-        prefix = 0
-        while prefix < 16 and first[prefix] == last[prefix]:
-            prefix += 1
-        whole = set(first[prefix:]) <= {"0"} and set(last[prefix:]) <= {"f"}
-        said.append(f'object="{first[:prefix]}"' if whole else f"objects {first} to {last}")
-    return " ".join(said) or "all of it"
-
-
-def said(route: Route | None, budgets: dict[str, BudgetSettings]) -> dict[str, str]:
-    """A route's bounds in words, those of its budgets with them."""
+def route_words(route: Route | None, budgets: dict[str, BudgetSettings]) -> dict[str, str]:
+    """A route's policy in words, with the budgets that it names."""
     if route is None:
         return {}
-    found = {name: words for name, words, _ in rows(route.bounds)}
-    for name in {route.bounds.budget, route.bounds.copies.budget if route.bounds.copies else None} - {None}:
-        b = budgets[name or ""]
-        found[f"budget {name!r}"] = f"ratio {b.ratio:g}, least {b.least_per_s:g}/s, burst {b.burst:g}"
-    return found
+    policy = route.policy
+    words = {row.name: row.words for row in describe_policy(policy)}
+    hedge_budget = policy.hedging.budget if policy.hedging else None
+    for name in {policy.retry_budget, hedge_budget} - {None}:
+        budget = budgets[name or ""]
+        words[f"budget {name!r}"] = (
+            f"ratio {budget.ratio:g}, least {budget.min_per_s:g}/s, burst {budget.burst:g}"
+        )
+    return words
 
 
 def differences(
     old: OperatorFile, new: OperatorFile, zone: str, classes: Iterable[api.RequestClass]
 ) -> Iterator[Change]:
-    """Which requests of these classes are treated differently.  Raises ValueError for files in too many
-    pieces."""
-    old_budgets, new_budgets = ({b.name: b for b in file.budgets} for file in (old, new))
-    for cls in classes:
-        merged: dict[tuple[str, str, tuple[str, ...]], list[str]] = {}
-        before, after = regions(old, zone, cls), regions(new, zone, cls)
-        if len(before) * len(after) > 50 * REGIONS_MOST:
-            raise ValueError(f"class {cls.name!r} falls into too many pieces; compare smaller files")
-        for box, a in before:
-            mine = said(a, old_budgets)
-            for other, b in after:
-                if not meets(box, other):
-                    continue
-                theirs = said(b, new_budgets)
-                what = tuple(
-                    f"{key}: {mine.get(key, 'not said')} -> {theirs.get(key, 'not said')}"
-                    for key in sorted({*mine, *theirs})
-                    if mine.get(key) != theirs.get(key)
-                )
-                if what:
-                    key = a.name if a else "", b.name if b else "", what
-                    merged.setdefault(key, []).append(words_of(common(box, other)))
-        for (old_name, new_name, what), where in merged.items():
-            more = f" and {len(where) - 4} more" if len(where) > 4 else ""
-            yield Change(cls.name, "; ".join(where[:4]) + more, old_name, new_name, what)
+    """Which requests of these classes two files treat differently.
+
+    Raises:
+        TooManyRegionsError: A class falls into too many regions to be compared.
+    """
+    for request_class in classes:
+        for difference, regions in differences_of_class(old, new, zone, request_class).items():
+            rest = len(regions) - MAX_SHOWN_REGIONS
+            more = f" and {rest} more" if rest > 0 else ""
+            where = "; ".join(regions[:MAX_SHOWN_REGIONS]) + more
+            yield Change(request_class.name, where, difference.old, difference.new, difference.what)
+
+
+def differences_of_class(
+    old: OperatorFile, new: OperatorFile, zone: str, request_class: api.RequestClass
+) -> dict[Difference, list[str]]:
+    """Each difference in one class, with the regions in words where it holds."""
+    old_budgets = {budget.name: budget for budget in old.budgets}
+    new_budgets = {budget.name: budget for budget in new.budgets}
+    before = routed_regions(old, zone, request_class)
+    after = routed_regions(new, zone, request_class)
+    if len(before) * len(after) > MAX_COMPARED_PAIRS:
+        raise TooManyRegionsError(
+            f"class {request_class.name!r} falls into too many pieces; compare smaller files"
+        )
+    found: dict[Difference, list[str]] = {}
+    for old_region, old_route in before:
+        old_words = route_words(old_route, old_budgets)
+        for new_region, new_route in after:
+            if not overlaps(old_region, new_region):
+                continue
+            what = changed_words(old_words, route_words(new_route, new_budgets))
+            if what:
+                difference = Difference(name_of(old_route), name_of(new_route), what)
+                words = region_words(intersect(old_region, new_region))
+                found.setdefault(difference, []).append(words)
+    return found
+
+
+def name_of(route: Route | None) -> str:
+    """A route's name; empty for none."""
+    return route.name if route else ""
+
+
+def changed_words(old: dict[str, str], new: dict[str, str]) -> tuple[str, ...]:
+    """What differs between two policies in words, by name."""
+    return tuple(
+        f"{name}: {old.get(name, 'not said')} -> {new.get(name, 'not said')}"
+        for name in sorted({*old, *new})
+        if old.get(name) != new.get(name)
+    )
--- a/kelpcroft/operator_file/match_regions.py
+++ b/kelpcroft/operator_file/match_regions.py
@@ -1,9 +1,12 @@
-"""Which requests earlier routes have taken already: unreachable routes and classes without one.
+"""Algebra of match regions: which requests earlier routes have taken already.
 
-A request is a point: class, retry, write, group, part, object.  A route takes a union of boxes of them;
-what is left of each class is kept as disjoint boxes, and a route's boxes are cut out of it in turn.
-The work is bounded by a count of cuts, not by a clock: past it no route is called unreachable, and no class
-without a route, unless that is plain without cutting.
+A request is a point: class, retry, write, group, part, object.  Within a class a region is an axis-parallel
+box of such points, and a route takes a union of regions.  What is left of each class is kept as disjoint
+regions, and every route's are subtracted from it in turn: a route that takes nothing is unreachable, and a
+class of which something is left at the end has requests without a route.
+
+The work is bounded by a count of subtractions, not by a clock: past it no route is called unreachable, and no
+class without a route, unless that is plain without subtracting.
 """
 
 from __future__ import annotations
@@ -13,128 +16,155 @@
 from itertools import product
 
 from kelpcroft.decision import interface as api
-from kelpcroft.operator_file.model import GROUP_RANGE, PART_RANGE, Range, Route
+from kelpcroft.operator_file.model import GROUP_RANGE, PART_RANGE, Range, Route, RouteMatch
 
-OBJECTS: Range = (0, (1 << 64) - 1)
-BOTH: Range = (0, 1)
-CUTS_MOST = 100_000  # some tenths of a second of Python
-BOXES_MOST = 2_000  # of one class
-Box = tuple[Range, ...]  # retry, write, group, part, object
-WHOLE: Box = (BOTH, BOTH, GROUP_RANGE, PART_RANGE, OBJECTS)
+OBJECT_DIGITS = 16
+BITS_PER_DIGIT = 4
+OBJECT_RANGE: Range = (0, (1 << OBJECT_DIGITS * BITS_PER_DIGIT) - 1)
+FLAG_RANGES: dict[bool | None, Range] = {None: (0, 1), False: (0, 0), True: (1, 1)}
+MAX_SUBTRACTIONS = 100_000  # some tenths of a second of Python
+MAX_REGIONS_OF_CLASS = 2_000
+Region = tuple[Range, ...]  # retry, write, group, part, object
+ALL_REQUESTS: Region = (FLAG_RANGES[None], FLAG_RANGES[None], GROUP_RANGE, PART_RANGE, OBJECT_RANGE)
 
 
-def within(prefix: str) -> Range:
+def objects_with_prefix(prefix: str) -> Range:
     """The objects that begin with these hex digits."""
-    free = 4 * (16 - len(prefix))
-    low = int(prefix, 16) << free
-    return low, low + (1 << free) - 1
+    free_bits = BITS_PER_DIGIT * (OBJECT_DIGITS - len(prefix))
+    low = int(prefix, 16) << free_bits
+    return low, low + (1 << free_bits) - 1
 
 
-def meets(a: Box, b: Box) -> bool:
-    """Whether two boxes share a point."""
+def overlaps(a: Region, b: Region) -> bool:
+    """Whether two regions share a point."""
     for (low, high), (other_low, other_high) in zip(a, b):  # noqa: B905 - in the innermost loop
         if low > other_high or other_low > high:
             return False
     return True
 
 
-def cut(box: Box, away: Box) -> Iterator[Box]:
-    """What is left of a box, as disjoint boxes; they meet."""
-    for axis, (low, high) in enumerate(away):
-        here_low, here_high = box[axis]
+def intersect(a: Region, b: Region) -> Region:
+    """What two regions that overlap share."""
+    return tuple((max(x[0], y[0]), min(x[1], y[1])) for x, y in zip(a, b, strict=True))
+
+
+def subtract(region: Region, taken: Region) -> Iterator[Region]:
+    """What is left of a region without another that overlaps it, as disjoint regions."""
+    for axis, (low, high) in enumerate(taken):
+        here_low, here_high = region[axis]
         if low <= here_low and here_high <= high:
             continue
         if here_low < low:
-            yield (*box[:axis], (here_low, low - 1), *box[axis + 1 :])
+            yield (*region[:axis], (here_low, low - 1), *region[axis + 1 :])
         if here_high > high:
-            yield (*box[:axis], (high + 1, here_high), *box[axis + 1 :])
-        box = (*box[:axis], (max(low, here_low), min(high, here_high)), *box[axis + 1 :])
+            yield (*region[:axis], (high + 1, here_high), *region[axis + 1 :])
+        region = (*region[:axis], (max(low, here_low), min(high, here_high)), *region[axis + 1 :])
 
 
-def count(route: Route) -> int:
-    """How many boxes a route's match takes."""
-    m = route.match
-    return max(1, len(m.groups)) * max(1, len(m.parts)) * max(1, len(m.objects))
+def region_count(route: Route) -> int:
+    """How many regions a route's match takes of a class."""
+    match = route.match
+    return max(1, len(match.groups)) * max(1, len(match.parts)) * max(1, len(match.objects))
 
 
-def boxes(route: Route) -> list[Box]:
+def regions_of(route: Route) -> list[Region]:
     """All that a route's match takes of a class."""
-    m = route.match
-    flag = {None: BOTH, False: (0, 0), True: (1, 1)}
+    match = route.match
     return list(
         product(
-            (flag[m.retry],),
-            (flag[m.write],),
-            m.groups or (GROUP_RANGE,),
-            m.parts or (PART_RANGE,),
-            tuple(map(within, m.objects)) or (OBJECTS,),
+            (FLAG_RANGES[match.retry],),
+            (FLAG_RANGES[match.write],),
+            match.groups or (GROUP_RANGE,),
+            match.parts or (PART_RANGE,),
+            tuple(map(objects_with_prefix, match.objects)) or (OBJECT_RANGE,),
         )
     )
 
 
+def takes_whole_classes(match: RouteMatch) -> bool:
+    """Whether a match takes all requests of every class and zone that it takes any of."""
+    without_classes = replace(match, classes=(), zones=(), effects=(), uncacheable=None, multipart=None)
+    return without_classes.matches_everything()
+
+
 class RouteCoverage:
-    """What is left of each class, while routes are added in order."""
+    """What is left of each class while routes are added in their order.
+
+    Attributes:
+        gave_up: MAX_SUBTRACTIONS or MAX_REGIONS_OF_CLASS was passed; from then on nothing is subtracted.
+        takers: Names of the routes that take what the last route matches, where that took nothing.
+    """
 
     def __init__(self, settings: api.Settings) -> None:
-        self.zone, self.classes = settings.zone, settings.classes
-        self.left: dict[str, list[Box]] = {c.name: [WHOLE] for c in settings.classes}
-        self.taken: dict[str, list[tuple[str, Box]]] = {c.name: [] for c in settings.classes}
-        self.cuts = 0
-        self.given_up = False
-        self.takers: list[str] = []  # of the last route that took nothing: who takes what it matches
+        self.zone = settings.zone
+        self.classes = settings.classes
+        self.remaining: dict[str, list[Region]] = {c.name: [ALL_REQUESTS] for c in settings.classes}
+        self.taken: dict[str, list[tuple[str, Region]]] = {c.name: [] for c in settings.classes}
+        self.subtractions = 0
+        self.gave_up = False
+        self.takers: list[str] = []
 
     def add_route(self, route: Route) -> set[str]:
-        """Classes of which this route takes something.  Empty for one that can never match."""
+        """Add the next route.
+
+        Returns:
+            Names of the classes of which it takes something; empty for a route that can never match.
+        """
         names = tuple(c.name for c in self.classes if route.match.accepts_class(c))
-        if not self.here(route):
+        if not route.match.accepts_zone(self.zone):
             return set(names)  # another zone's: what is left there is not known here
+        regions = [] if self.gave_up else regions_of(route)
         taken: set[str] = set()
-        mine = [] if self.given_up else boxes(route)
         for name in names:
-            left = self.left[name]
-            if self.given_up:
-                if left:
-                    taken.add(name)
-                m = route.match
-                if replace(
-                    m, classes=(), zones=(), effects=(), through=None, multipart=None
-                ).matches_everything():
-                    self.left[name] = []
-                continue
-            for box in mine:
-                self.cuts += len(left) + 1
-                if self.cuts > CUTS_MOST:
-                    taken.add(name)
-                    break
-                hit = [b for b in left if meets(b, box)]
-                if hit:
-                    taken.add(name)
-                    left = [b for b in left if not meets(b, box)]
-                    for b in hit:
-                        left.extend(cut(b, box))
-            self.left[name] = left
-            if len(left) > BOXES_MOST or self.cuts > CUTS_MOST:
-                self.given_up = True
-        if not taken and not self.given_up:
-            self.takers = list(
-                dict.fromkeys(
-                    other
-                    for name in names
-                    for other, box in self.taken[name]
-                    if any(meets(box, b) for b in mine)
-                )
-            )
+            took = self.take_unbounded(name, route) if self.gave_up else self.take(name, regions)
+            if took:
+                taken.add(name)
+        if not taken and not self.gave_up:
+            self.takers = self.routes_that_took(names, regions)
         for name in taken:
-            self.taken[name].extend((route.name, box) for box in mine)
+            self.taken[name].extend((route.name, region) for region in regions)
         return taken
 
-    def here(self, route: Route) -> bool:
-        """Whether a route is for this router's zone: others take nothing from those behind them."""
-        return not route.match.zones or self.zone in route.match.zones
+    def take(self, name: str, regions: list[Region]) -> bool:
+        """Subtract regions from what is left of a class.  True where they take something, or may."""
+        remaining = self.remaining[name]
+        took = False
+        for region in regions:
+            self.subtractions += len(remaining) + 1
+            if self.subtractions > MAX_SUBTRACTIONS:
+                took = True
+                break
+            hit = [r for r in remaining if overlaps(r, region)]
+            if hit:
+                took = True
+                remaining = [r for r in remaining if not overlaps(r, region)]
+                for r in hit:
+                    remaining.extend(subtract(r, region))
+        self.remaining[name] = remaining
+        if len(remaining) > MAX_REGIONS_OF_CLASS or self.subtractions > MAX_SUBTRACTIONS:
+            self.gave_up = True
+        return took
+
+    def take_unbounded(self, name: str, route: Route) -> bool:
+        """What ``take`` does without subtracting: a route may take something of whatever is left."""
+        is_left = bool(self.remaining[name])
+        if takes_whole_classes(route.match):
+            self.remaining[name] = []
+        return is_left
+
+    def routes_that_took(self, names: tuple[str, ...], regions: list[Region]) -> list[str]:
+        """Names of the routes, in their order, that took something of these regions of these classes."""
+        found = (
+            route_name
+            for name in names
+            for route_name, region in self.taken[name]
+            if any(overlaps(region, r) for r in regions)
+        )
+        return list(dict.fromkeys(found))
 
     def uncovered(self) -> list[str]:
-        """Classes of which something is left."""
-        if self.given_up:
+        """Names of the classes of which something is left."""
+        if self.gave_up:
             # Many routes together may take all of a class, but none takes anything where all is left.
-            return [name for name, left in self.left.items() if left == [WHOLE]]
-        return [name for name, left in self.left.items() if left]
+            return [name for name, left in self.remaining.items() if left == [ALL_REQUESTS]]
+        return [name for name, left in self.remaining.items() if left]
--- a/kelpcroft/operator_file/text.py
+++ b/kelpcroft/operator_file/text.py
@@ -1,250 +1,37 @@
-"""Bytes to a tree of KDL nodes in which every node, argument and property knows its place.
+"""Bytes to a tree of KDL nodes in which every node, argument and property knows its offset in the text.
 
-ckdl parses, and tells no positions.  ``Locator`` walks the same text and finds where each node and value
-stands, in document order; ``tree`` lays one beside the other.  The locator runs first, as it also holds the
-limits: nothing larger or deeper than these is handed to the parser.  Both go node by node at the top.
+ckdl parses and ``NodeLocator`` finds where each node stands; ``attach_offsets`` lays one beside the other.
+The locator runs first, as it also holds the limits.  Both go node by node at the top.
 """
 
 from __future__ import annotations
 
-import re
-from collections.abc import Iterator
-from dataclasses import dataclass, field
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+from typing import NamedTuple
 
 import ckdl
 
-from kelpcroft.operator_file.diagnostics import (
-    NEWLINE,
-    DiagnosticCollector,
-    FilePosition,
-    SourceText,
-    abbreviated,
-)
+from kelpcroft.operator_file.diagnostics import DiagnosticCollector, FilePosition, SourceText, abbreviated
+from kelpcroft.operator_file.locator import KdlSyntaxError, NodeLocator, NodeSpan
 
-MAX_FILE_BYTES = 1 << 20  # of a file
-MAX_NODES = 20_100  # in it
-DEPTH_MOST = 16  # of children in children
-ENTRIES_MOST = 26_000  # arguments and properties in all
+MAX_FILE_BYTES = 1 << 20
+FILE_START = FilePosition(1, 1)
+EXCERPT_CHARACTERS = 30  # of the text, in a message
 
 Value = str | int | float | bool | None
 
-BLANK = r"[ \t\ufeff\u00a0\u1680\u2000-\u200a\u202f\u205f\u3000]"
-TOKEN = re.compile(
-    rf"{BLANK}*(?:(?P<newline>(?:{NEWLINE})(?:{BLANK}|{NEWLINE})*)|(?P<comment>//[^\n\r\x85\x0b\x0c\u2028\u2029]*)"
-    rf"|(?P<block>/\*)|(?P<dash>/-)|(?P<more>\\{BLANK}*(?://[^\n\r]*)?(?:{NEWLINE}|\Z))|(?P<mark>[;{{}}()=])"
-    r'|(?P<raw>(?P<hashes>#+)(?:"""(?s:.*?)"""|"(?s:.*?)")(?P=hashes))'
-    r'|(?P<long>"""(?s:(?:\\.|[^\\])*?)""")|(?P<string>"(?:\\(?s:.)|[^"\\])*")'
-    r"|(?P<word>(?:[^\s{}();=\"\\/\ufeff\x85\u2028\u2029])+)|(?P<end>\Z))"
-)
-EQUALS = re.compile(rf"{BLANK}*(?:(?P<sure>=)|/\*|\\)")
-SIMPLE = re.compile(  # most properties and arguments, in one match
-    rf'{BLANK}*(?:(?P<key>[A-Za-z_][A-Za-z0-9_-]*)=(?P<value>"[^"\\\n\r]*"|[A-Za-z0-9_.#-]+)'
-    r'|(?P<arg>"[^"\\\n\r]*"))(?=[ \t\n;{}])'
-)
-BLOCK = re.compile(r"/\*|\*/")
 
+class KdlArgument(NamedTuple):
+    """An argument of a node, and its offset into the text."""
 
-class KdlSyntaxError(Exception):
-    """The text stops being KDL at ``at``."""
-
-    def __init__(self, at: int, reason: str) -> None:
-        super().__init__(reason)
-        self.at, self.reason, self.code = at, reason, "not-kdl"
-
-
-class LimitExceeded(KdlSyntaxError):
-    """A limit is passed at ``at``."""
-
-    def __init__(self, at: int, code: str, reason: str) -> None:
-        super().__init__(at, reason)
-        self.code = code
-
-
-@dataclass(slots=True)
-class Spot:
-    """Where a node and its parts stand: offsets into the text."""
-
-    at: int
-    end: int = 0
-    args: list[int] = field(default_factory=list)
-    props: list[tuple[str, int, int]] = field(default_factory=list)  # key, where it and its value stand
-    children: list[Spot] = field(default_factory=list)
-
-
-class NodeLocator:
-    """One pass over a text.  It judges no more of the grammar than it needs to find its way."""
-
-    def __init__(self, text: str) -> None:
-        self.text, self.at = text, 0
-        self.nodes = self.entries = 0
-
-    def top_level_nodes(self) -> Iterator[Spot]:
-        """The nodes at the top, each once it is whole.  Raises NotKdl."""
-        top: list[Spot] = []
-        stack: list[tuple[list[Spot], Spot | None]] = [(top, None)]
-        while True:
-            kind, at, word = self.take(skip_lines=True)
-            if not kind:
-                if len(stack) > 1:
-                    owner = stack[-1][1]
-                    raise KdlSyntaxError(
-                        owner.at if owner else at, "the children of this node are not closed: '}'"
-                    )
-                return
-            if kind == "mark" and word == ";":
-                continue
-            if kind == "mark" and word == "}":
-                if len(stack) == 1:
-                    raise KdlSyntaxError(at, "a '}' closes nothing")
-                _, owner = stack.pop()
-                if owner:
-                    owner.end = self.at
-                    if self.entry(owner):
-                        raise KdlSyntaxError(self.at, "a node has children once")
-                if len(stack) == 1 and top:
-                    yield top.pop()
-                continue
-            dropped = kind == "dash"
-            if dropped:
-                kind, at, word = self.take(skip_lines=True)
-            if kind == "mark" and word == "(":
-                kind, at, word = self.annotated(at)
-            if kind not in ("word", "string", "long", "raw"):
-                raise KdlSyntaxError(at, f"a node's name is due, not {abbreviated(word)}")
-            self.nodes += 1
-            if self.nodes > MAX_NODES:
-                raise LimitExceeded(at, "too-many-nodes", f"over {MAX_NODES} nodes; match more with fewer")
-            spot = Spot(at, self.at)
-            if not dropped:
-                stack[-1][0].append(spot)
-            if self.entry(spot):
-                if len(stack) > DEPTH_MOST:
-                    raise LimitExceeded(at, "too-deep", f"children nested over {DEPTH_MOST} deep")
-                stack.append((spot.children, spot))
-            elif len(stack) == 1 and top:
-                yield top.pop()
-
-    def entry(self, spot: Spot) -> bool:
-        """A node's arguments and properties up to its end.  True where its children begin."""
-        while True:
-            start = self.at
-            simple = SIMPLE.match(self.text, start)
-            if simple is not None and self.entries < ENTRIES_MOST:
-                self.entries += 1
-                self.at = spot.end = simple.end()
-                if simple["key"] is not None:
-                    spot.props.append((simple["key"], simple.start("key"), simple.start("value")))
-                else:
-                    spot.args.append(simple.start("arg"))
-                continue
-            kind, at, word = self.take()
-            dropped = kind == "dash"
-            if dropped:
-                kind, at, word = self.take(skip_lines=True)
-            if kind in ("", "newline", "comment") or kind == "mark" and word in (";", "}"):
-                if word == "}":
-                    self.at = start  # closes the node round this one
-                spot.end = max(spot.end, start)
-                return False
-            if kind == "mark" and word == "{":
-                if dropped:
-                    self.skip_children(at)
-                    continue
-                return True
-            if kind == "mark" and word == "(":
-                kind, at, word = self.annotated(at)
-            if kind not in ("word", "string", "long", "raw"):
-                raise KdlSyntaxError(at, f"an argument or a property is due, not {abbreviated(word)}")
-            self.entries += 1
-            if self.entries > ENTRIES_MOST:
-                raise LimitExceeded(at, "too-many-nodes", f"over {ENTRIES_MOST} arguments and properties")
-            if self.equals():
-                key = self.plain(kind, word)
-                kind, value_at, word = self.take()
-                if kind == "mark" and word == "(":
-                    kind, value_at, word = self.annotated(value_at)
-                if kind not in ("word", "string", "long", "raw"):
-                    raise KdlSyntaxError(value_at, f"a property's value is due, not {abbreviated(word)}")
-                if not dropped:
-                    spot.props.append((key, at, value_at))
-            elif not dropped:
-                spot.args.append(at)
-            spot.end = self.at
-
-    def equals(self) -> bool:
-        """Whether an equals sign follows, after blanks, comments and continued lines; it is taken if so."""
-        after = self.at
-        match = EQUALS.match(self.text, after)
-        if match is None:
-            return False
-        if match["sure"]:
-            self.at = match.end()
-            return True
-        _, _, word = self.take()
-        if word != "=":
-            self.at = after
-        return word == "="
-
-    def skip_children(self, at: int) -> None:
-        """A block that was struck out with ``/-``."""
-        depth = 1
-        while depth:
-            kind, _, word = self.take(skip_lines=True)
-            if not kind:
-                raise KdlSyntaxError(at, "these children are not closed: '}'")
-            depth += (kind == "mark" and word == "{") - (kind == "mark" and word == "}")
-
-    def annotated(self, at: int) -> tuple[str, int, str]:
-        """What follows a type annotation."""
-        self.take()
-        kind, _, word = self.take()
-        if kind != "mark" or word != ")":
-            raise KdlSyntaxError(at, "a type annotation is not closed: ')'")
-        return self.take()
-
-    def take(self, skip_lines: bool = False) -> tuple[str, int, str]:
-        """The next token that means something: its kind, where it stands and its text; "" at the end."""
-        while True:
-            match = TOKEN.match(self.text, self.at)
-            if match is None:
-                at = self.at
-                raise KdlSyntaxError(at, f"nothing in KDL begins with {abbreviated(self.text[at : at + 12])}")
-            kind = match.lastgroup or ""
-            at = match.start(kind)
-            self.at = match.end()
-            if kind == "block":
-                self.skip_comment(at)
-            elif kind == "end":
-                return "", at, ""
-            elif kind != "more" and not (skip_lines and kind in ("newline", "comment")):
-                return kind, at, match[kind]
-
-    def skip_comment(self, at: int) -> None:
-        """A comment between ``/*`` and ``*/``; such comments nest."""
-        depth = 1
-        while depth:
-            match = BLOCK.search(self.text, self.at)
-            if match is None:
-                raise KdlSyntaxError(at, "this comment is not closed: '*/'")
-            depth += 1 if match[0] == "/*" else -1
-            self.at = match.end()
-
-    @staticmethod
-    def plain(kind: str, word: str) -> str:
-        """A property's key as the parser gives it."""
-        if kind == "word":
-            return word
-        if kind == "string" and "\\" not in word:
-            return word[1:-1]
-        try:
-            return str(ckdl.parse(f"- {word}", version=2).nodes[0].args[0])
-        except ValueError:
-            return word
+    value: Value
+    offset: int
 
 
 @dataclass(slots=True)
 class KdlProperty:
-    """A property's value, with the places of its key and of itself (offsets into the text)."""
+    """A property's value, with the offsets of its key and of itself into the text."""
 
     value: Value
     key_offset: int
@@ -253,93 +40,135 @@
 
 @dataclass(slots=True)
 class KdlNode:
-    """A node with its places (offsets into the text)."""
+    """A node with its offset into the text."""
 
     name: str
     offset: int
-    arguments: list[tuple[Value, int]]
+    arguments: list[KdlArgument]
     properties: dict[str, KdlProperty]
     children: list[KdlNode]
 
 
-def parse_nodes(data: bytes, faults: DiagnosticCollector) -> Iterator[KdlNode]:
-    """The nodes at the top of a file, one at a time, as a whole tree of a large file takes much memory.  What
-    is no KDL is noted among ``faults`` and left out."""
-    if len(data) > MAX_FILE_BYTES:
-        faults.add(FilePosition(1, 1), "too-large", f"over {MAX_FILE_BYTES} bytes")
+def parse_nodes(data: bytes, diagnostics: DiagnosticCollector) -> Iterator[KdlNode]:
+    """The nodes at the top of a file, one at a time, as a whole tree of a large file takes much memory.
+
+    What is no KDL is noted in ``diagnostics`` and left out; that also learns the file's text, for positions.
+
+    Raises:
+        TooManyDiagnostics: The file has more faults than are kept.
+    """
+    text = decode_text(data, diagnostics)
+    if text is None:
         return
+    diagnostics.source = SourceText(text)
+    try:
+        for span in NodeLocator(text).top_level_nodes():
+            yield from parse_node(text, span, diagnostics)
+    except KdlSyntaxError as error:
+        diagnostics.add(error.offset, error.code, error.message)
+
+
+def decode_text(data: bytes, diagnostics: DiagnosticCollector) -> str | None:
+    """A file's text, or None and a diagnostic where it is too large or no UTF-8."""
+    if len(data) > MAX_FILE_BYTES:
+        diagnostics.add(FILE_START, "too-large", f"over {MAX_FILE_BYTES} bytes")
+        return None
     try:
-        text = data.decode()
+        return data.decode()
     except UnicodeDecodeError as error:
         before = data[: error.start].decode()
-        faults.add(
+        diagnostics.add(
             SourceText(before).position_of(len(before)),
             "not-utf8",
             f"byte {data[error.start]:#04x} begins no UTF-8 character; save the file as UTF-8",
         )
-        return
-    faults.source = SourceText(text)
-    try:
-        for spot in NodeLocator(text).top_level_nodes():
-            try:
-                nodes = ckdl.parse(text[spot.at : spot.end], version=2).nodes
-            except ValueError as error:
-                at = worst(text, spot)
-                faults.add(at, "not-kdl", f"{error}: near {abbreviated(text[at : at + 30])}")
-                continue
-            yield from beside(nodes, [spot], faults)
-    except KdlSyntaxError as error:
-        faults.add(error.at, error.code, error.reason)
+        return None
 
 
-def worst(text: str, whole: Spot) -> int:
-    """Where the parser's fault is: the innermost node that does not parse on its own."""
-    at, spots = whole.at, whole.children
+def parse_node(text: str, span: NodeSpan, diagnostics: DiagnosticCollector) -> list[KdlNode]:
+    """One node at the top; none, and diagnostics, where it cannot be parsed."""
+    try:
+        nodes = ckdl.parse(text[span.offset : span.end], version=2).nodes
+    except ValueError as error:
+        offset = innermost_broken_node(text, span)
+        excerpt = text[offset : offset + EXCERPT_CHARACTERS]
+        diagnostics.add(offset, "not-kdl", f"{error}: near {abbreviated(excerpt)}")
+        return []
+    return attach_offsets(nodes, [span], diagnostics)
+
+
+def innermost_broken_node(text: str, whole: NodeSpan) -> int:
+    """Where the parser's fault is: the offset of the innermost node that does not parse on its own."""
+    offset = whole.offset
+    children = whole.children
     while True:
-        for spot in spots:
-            try:
-                ckdl.parse(text[spot.at : spot.end], version=2)
-            except ValueError:
-                at, spots = spot.at, spot.children
+        for child in children:
+            if not parses_alone(text, child):
+                offset = child.offset
+                children = child.children
                 break
         else:
-            return at
-
-
-def beside(nodes: list[ckdl.Node], spots: list[Spot], faults: DiagnosticCollector) -> list[KdlNode]:
-    """Parsed nodes with their places.  Where both disagree the file is refused, not guessed at."""
-    items: list[KdlNode] = []
-    if len(nodes) != len(spots):
-        faults.add(FilePosition(1, 1), "not-kdl", f"{len(nodes)} nodes were parsed where {len(spots)} stand")
-        return items
-    for node, spot in zip(nodes, spots, strict=True):
-        found, values = node.properties, node.args
-        if len(values) != len(spot.args) or len(found) != len({key for key, _, _ in spot.props}):
-            faults.add(
-                spot.at,
+            return offset
+
+
+def parses_alone(text: str, span: NodeSpan) -> bool:
+    """Whether the parser takes a node by itself."""
+    try:
+        ckdl.parse(text[span.offset : span.end], version=2)
+    except ValueError:
+        return False
+    return True
+
+
+def attach_offsets(
+    nodes: list[ckdl.Node], spans: list[NodeSpan], diagnostics: DiagnosticCollector
+) -> list[KdlNode]:
+    """Parsed nodes with their offsets.  Where both passes disagree the file is refused, not guessed at."""
+    if len(nodes) != len(spans):
+        diagnostics.add(FILE_START, "not-kdl", f"{len(nodes)} nodes were parsed where {len(spans)} stand")
+        return []
+    located: list[KdlNode] = []
+    for node, span in zip(nodes, spans, strict=True):
+        parsed_arguments = node.args
+        parsed_properties = node.properties
+        keys = {key for key, _, _ in span.properties}
+        if len(parsed_arguments) != len(span.arguments) or len(parsed_properties) != len(keys):
+            diagnostics.add(
+                span.offset,
                 "not-kdl",
                 f"the parts of {abbreviated(node.name)} cannot be told apart; "
                 "write them without escapes and comments",
             )
             continue
-        props: dict[str, KdlProperty] = {}
-        for key, at, value_at in spot.props:
-            if key in props:
-                faults.add(at, "duplicate-key", f"{key!r} stands here twice; the last would win")
-            if key not in found:
-                faults.add(
-                    at, "not-kdl", f"{abbreviated(key)} cannot be told apart; write it without escapes"
-                )
-                continue
-            props[key] = KdlProperty(bare(found[key]), at, value_at)
-        args = [(bare(value), at) for value, at in zip(values, spot.args, strict=True)]
-        children = beside(node.children, spot.children, faults) if spot.children else []
-        items.append(KdlNode(node.name, spot.at, args, props, children))
-    return items
-
-
-def bare(value: object) -> Value:
+        properties = locate_properties(parsed_properties, span, diagnostics)
+        arguments = [
+            KdlArgument(without_annotation(value), offset)
+            for value, offset in zip(parsed_arguments, span.arguments, strict=True)
+        ]
+        children = attach_offsets(node.children, span.children, diagnostics) if span.children else []
+        located.append(KdlNode(node.name, span.offset, arguments, properties, children))
+    return located
+
+
+def locate_properties(
+    parsed: Mapping[str, object], span: NodeSpan, diagnostics: DiagnosticCollector
+) -> dict[str, KdlProperty]:
+    """A node's properties by key; a key that stands twice is noted, and its last value taken."""
+    properties: dict[str, KdlProperty] = {}
+    for key, key_offset, value_offset in span.properties:
+        if key in properties:
+            diagnostics.add(key_offset, "duplicate-key", f"{key!r} stands here twice; the last would win")
+        if key not in parsed:
+            diagnostics.add(
+                key_offset, "not-kdl", f"{abbreviated(key)} cannot be told apart; write it without escapes"
+            )
+            continue
+        properties[key] = KdlProperty(without_annotation(parsed[key]), key_offset, value_offset)
+    return properties
+
+
+def without_annotation(value: object) -> Value:
     """A value without its type annotation, which means nothing here."""
     if isinstance(value, (str, int, float, bool)):
         return value
-    return bare(value.value) if isinstance(value, ckdl.Value) else None
+    return without_annotation(value.value) if isinstance(value, ckdl.Value) else None
--- a/kelpcroft/operator_file/values.py
+++ b/kelpcroft/operator_file/values.py
@@ -1,4 +1,8 @@
-"""Texts of the file to values: durations, shares, quantiles, rates, ranges.  Each raises Unusable."""
+"""Parsers of the file's values: durations, shares, quantiles, rates, ranges, lists.
+
+Each raises InvalidValue.  It takes whatever a KDL value may be, and refuses what has the wrong type with an
+example of the right one.
+"""
 
 from __future__ import annotations
 
@@ -7,27 +11,52 @@
 from kelpcroft.deployment_check.known_keys import parse_host_port
 from kelpcroft.operator_file.diagnostics import abbreviated
 
-DAY_NS = 86_400 * 10**9
-UNITS = {"us": 10**3, "ms": 10**6, "s": 10**9, "m": 60 * 10**9, "h": 3_600 * 10**9}
+MS = 10**6
+SECOND = 10**9
+DAY_NS = 86_400 * SECOND
+UNITS_NS = {"us": 10**3, "ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3_600 * SECOND}
+SECONDS_BY_RATE_UNIT = {"s": 1, "m": 60}
+MAX_RATE_PER_S = 100_000.0
+MAX_BURST = 1_000_000.0
+MIN_PERCENTILE = 50.0
+MAX_PERCENTILE = 99.9
+
 NUMBER = r"-?(?:\d{1,18}(?:\.\d{1,18})?|inf|nan)"
 DURATION = re.compile(rf"({NUMBER})\s*([a-z]*)")
 SHARE = re.compile(rf"({NUMBER})\s*%")
 QUANTILE = re.compile(rf"p({NUMBER})")
 RATE = re.compile(rf"({NUMBER})\s*/\s*([a-z]+)")
-RANGE = re.compile(r"(\d{1,18})?\s*(\.\.)?\s*(\d{1,18})?")
-RATE_MOST, BURST_MOST = 100_000.0, 1_000_000.0
+RANGE = re.compile(r"(?P<low>\d{1,18})?\s*(?P<dots>\.\.)?\s*(?P<high>\d{1,18})?")
+
+EXAMPLES = {
+    "a duration": '"250ms"',
+    "a wait": '"2.5s" or "80%"',
+    "a moment": '"150ms" or "p95"',
+    "a rate": '"5/s"',
+    "a range": '"8..19"',
+    "a name": '"orders"',
+    "a list": '"error,reset"',
+    "hex digits": '"7f3a"',
+    "an address": '"10.0.0.1:7100"',
+}
 
 
-class InvalidValue(ValueError):
-    """A value that cannot be used, and the code of the rule that it breaks."""
+class InvalidValue(ValueError):  # noqa: N818 - a value of the operator's file, and no error of the program
+    """A value that cannot be used.
+
+    Attributes:
+        code: The rule that it breaks, see Diagnostic.code.
+        reason: What is wrong, for people.
+    """
 
     def __init__(self, code: str, reason: str) -> None:
         super().__init__(reason)
-        self.code, self.reason = code, reason
+        self.code = code
+        self.reason = reason
 
 
 def parse_text(value: object, what: str) -> str:
-    """A string; anything else is the wrong type."""
+    """A string without the blanks at its ends; ``what`` is a key of EXAMPLES."""
     if not isinstance(value, str):
         raise InvalidValue(
             "wrong-type", f"{what} is written as text, such as {EXAMPLES[what]}, not {abbreviated(value)}"
@@ -35,19 +64,6 @@
     return value.strip()
 
 
-EXAMPLES = {
-    "a duration": '"250ms"',
-    "a wait": '"2.5s" or "80%"',
-    "a moment": '"150ms" or "p95"',
-    "a rate": '"5/s"',
-    "a range": '"8..19"',
-    "a name": '"orders"',
-    "a list": '"error,reset"',
-    "hex digits": '"7f3a"',
-    "an address": '"10.0.0.1:7100"',
-}
-
-
 def parse_duration(value: object, what: str = "a duration") -> int:
     """Nanoseconds, above 0 and at most a day."""
     text = parse_text(value, what)
@@ -63,9 +79,9 @@
         raise InvalidValue(
             "bad-duration", f"{abbreviated(text)} has no unit; {number}ms and {number}s are two of them"
         )
-    if unit not in UNITS:
-        raise InvalidValue("bad-duration", f"{abbreviated(unit)} is no unit; there are {', '.join(UNITS)}")
-    ns = round(float(number) * UNITS[unit])
+    if unit not in UNITS_NS:
+        raise InvalidValue("bad-duration", f"{abbreviated(unit)} is no unit; there are {', '.join(UNITS_NS)}")
+    ns = round(float(number) * UNITS_NS[unit])
     if ns <= 0:
         raise InvalidValue("bad-duration", f"{abbreviated(text)} is not above 0")
     if ns > DAY_NS:
@@ -73,65 +89,70 @@
     return ns
 
 
+def format_duration(ns: int) -> str:
+    """A time in ns as the file would write it: in ms under a second, else in s."""
+    return f"{ns / SECOND:g}s" if ns >= SECOND else f"{ns / MS:g}ms"
+
+
 def parse_address(value: object) -> tuple[str, int]:
     """``host:port`` as a socket wants it."""
-    found = parse_host_port(parse_text(value, "an address"))
-    if found is None:
+    address = parse_host_port(parse_text(value, "an address"))
+    if address is None:
         raise InvalidValue("bad-address", f"{abbreviated(value)} is no address; host:port would do")
-    return found
+    return address
 
 
 def parse_share(value: object) -> float | None:
-    """A share above 0 and up to 1 from a text in percent; None for a text that is none."""
+    """A share above 0 and up to 1 from a text in percent; None for what is not written in percent."""
     match = SHARE.fullmatch(value.strip()) if isinstance(value, str) else None
     if not match:
         return None
-    found = float(match[1]) / 100
-    if not 0 < found <= 1:
+    share = float(match[1]) / 100
+    if not 0 < share <= 1:
         raise InvalidValue("bad-share", f"{abbreviated(value)} is not above 0% and at most 100%")
-    return found
+    return share
 
 
 def parse_quantile(value: object) -> float | None:
-    """A quantile from p50 to p99.9; None for a text that is none."""
+    """A quantile (0 to 1) from a text as ``p95``, p50 to p99.9; None for what is not written so."""
     match = QUANTILE.fullmatch(value.strip()) if isinstance(value, str) else None
     if not match:
         return None
-    found = float(match[1])
-    if not 50 <= found <= 99.9:
+    percentile = float(match[1])
+    if not MIN_PERCENTILE <= percentile <= MAX_PERCENTILE:
         raise InvalidValue("bad-quantile", f"{abbreviated(value)} is not from p50 to p99.9")
-    return round(found / 100, 6)
+    return round(percentile / 100, 6)
 
 
 def parse_rate(value: object) -> float:
-    """So many a second."""
+    """So many a second, from 0 to MAX_RATE_PER_S."""
     text = parse_text(value, "a rate")
     match = RATE.fullmatch(text)
-    if not match or match[2] not in ("s", "m"):
+    if not match or match[2] not in SECONDS_BY_RATE_UNIT:
         raise InvalidValue(
             "bad-rate", f'{abbreviated(text)} is no rate; write one a second or a minute, as "5/s" or "30/m"'
         )
-    found = float(match[1]) / (60 if match[2] == "m" else 1)
-    if not 0 <= found <= RATE_MOST:
-        raise InvalidValue("bad-rate", f"{abbreviated(text)} is not from 0 to {RATE_MOST:g}/s")
-    return found
+    per_s = float(match[1]) / SECONDS_BY_RATE_UNIT[match[2]]
+    if not 0 <= per_s <= MAX_RATE_PER_S:
+        raise InvalidValue("bad-rate", f"{abbreviated(text)} is not from 0 to {MAX_RATE_PER_S:g}/s")
+    return per_s
 
 
-def parse_number(value: object, least: float, most: float, code: str) -> float:
-    """A number between two others."""
+def parse_number(value: object, minimum: float, maximum: float, code: str) -> float:
+    """A number between two others, both included; ``code`` is the rule that one beyond them breaks."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise InvalidValue("wrong-type", f"a number is due, not {abbreviated(value)}")
-    if not least <= value <= most:
-        raise InvalidValue(code, f"{abbreviated(value)} is not from {least:g} to {most:g}")
+    if not minimum <= value <= maximum:
+        raise InvalidValue(code, f"{abbreviated(value)} is not from {minimum:g} to {maximum:g}")
     return float(value)
 
 
-def parse_count(value: object, least: int, most: int) -> int:
-    """A whole number between two others."""
+def parse_count(value: object, minimum: int, maximum: int) -> int:
+    """A whole number between two others, both included."""
     if isinstance(value, bool) or not isinstance(value, int):
         raise InvalidValue("wrong-type", f"a whole number is due, not {abbreviated(value)}")
-    if not least <= value <= most:
-        raise InvalidValue("bad-count", f"{abbreviated(value)} is not from {least} to {most}")
+    if not minimum <= value <= maximum:
+        raise InvalidValue("bad-count", f"{abbreviated(value)} is not from {minimum} to {maximum}")
     return value
 
 
@@ -142,25 +163,37 @@
     return value
 
 
-def parse_range(value: object, whole: tuple[int, int]) -> tuple[int, int]:
-    """A range as ``8``, ``8..19``, ``8..`` or ``..19``, both ends included, within the whole."""
+def parse_range(value: object, allowed: tuple[int, int]) -> tuple[int, int]:
+    """A range as ``8``, ``8..19``, ``8..`` or ``..19``, both ends included, within the allowed one."""
     if isinstance(value, int) and not isinstance(value, bool):
         value = str(value)
     text = parse_text(value, "a range")
     match = RANGE.fullmatch(text)
-    if not match or not (match[1] or match[3]) or (match[1] and match[3] and not match[2]):
+    if not match or not is_range(match):
         raise InvalidValue(
             "bad-range", f"{abbreviated(text)} is no range; write one as 8, 8..19, 8.. or ..19"
         )
-    low = int(match[1]) if match[1] else whole[0]
-    high = int(match[3]) if match[3] else (whole[1] if match[2] else low)
+    low = int(match["low"]) if match["low"] else allowed[0]
+    if match["high"]:
+        high = int(match["high"])
+    elif match["dots"]:
+        high = allowed[1]
+    else:
+        high = low
     if low > high:
         raise InvalidValue("bad-range", f"{abbreviated(text)} is upside down; did you mean {high}..{low}?")
-    if low < whole[0] or high > whole[1]:
-        raise InvalidValue("bad-range", f"{abbreviated(text)} is not within {whole[0]}..{whole[1]}")
+    if low < allowed[0] or high > allowed[1]:
+        raise InvalidValue("bad-range", f"{abbreviated(text)} is not within {allowed[0]}..{allowed[1]}")
     return low, high
 
 
+def is_range(match: re.Match[str]) -> bool:
+    """Whether what RANGE takes is a range: it has an end, and dots between two ends."""
+    if match["low"] and match["high"]:
+        return bool(match["dots"])
+    return bool(match["low"] or match["high"])
+
+
 def parse_list(value: object, what: str = "a list") -> list[str]:
-    """A list, its members apart by commas."""
+    """A list, its members apart by commas; ``what`` is a key of EXAMPLES."""
     return [word.strip() for word in parse_text(value, what).split(",")]
--- a/kelpcroft/rollout/plan.py
+++ b/kelpcroft/rollout/plan.py
@@ -42,7 +42,7 @@
     abbreviated,
     suggestion,
 )
-from kelpcroft.operator_file.reader import NodeReader
+from kelpcroft.operator_file.node_reader import NodeReader
 from kelpcroft.operator_file.text import KdlNode, Value, parse_nodes
 from kelpcroft.operator_file.values import InvalidValue
 from kelpcroft.rollout.judge import StopCriteria
--- a/kelpcroft/routes/__init__.py
+++ b/kelpcroft/routes/__init__.py
@@ -1,7 +1,12 @@
-"""What a route lets a request cost: which route takes it, its budgets, its recent answers, how many are open.
+"""The operator's routes in service: which route takes a request, and what that lets it cost.
 
-Pure: time is an argument, chance a seeded generator, and no socket, file or log is touched.  The reducer owns
-the one ``Table``; what it grants reaches the decision module as frozen bounds.
+Owns the retry budgets, the quantiles of recent answers and the counts of open requests.  Pure: time is an
+argument, chance a seeded generator, and no socket, file or log is touched.  Imports the operator file's
+model and the decision module's interface only.  The reducer owns the one ``RouteTable``; what it grants
+reaches the decision module as a frozen policy.  Compiled with mypyc as a group of its own, as nothing of it
+is loaded without an operator's file.
+
+Start reading at ``table``.
 """
 
 from kelpcroft.routes.table import RequestAllowance, RouteTable
--- a/kelpcroft/routes/budget.py
+++ b/kelpcroft/routes/budget.py
@@ -1,47 +1,60 @@
-"""A budget of further attempts and copies: a share of recent requests, with a floor and a store."""
+"""Retry budget: further attempts and hedges as a share of recent requests, with a floor and a store.
 
-from __future__ import annotations
+A token bucket that requests fill, as in Finagle's and Envoy's retry budgets, and that time fills a little.
+"""
 
-from kelpcroft.operator_file.model import BudgetSettings as Declared
+from __future__ import annotations
 
-NS = 1_000_000_000
+from typing import Final
 
+from kelpcroft.operator_file.model import BudgetSettings
 
-class RetryBudget:
-    """Tokens.  Each request earns ``ratio``, each second ``least_per_s``; up to ``burst`` are kept; a further
-    attempt or a copy takes one.  Never overdrawn: ``take`` is the only way down, and takes whole tokens."""
+NS_PER_S: Final = 1_000_000_000
 
-    def __init__(self, declared: Declared, now: int) -> None:
-        self.ratio, self.least_per_s, self.burst = declared.ratio, declared.least_per_s, declared.burst
-        self.tokens = declared.burst
-        self.filled_ns = now
-        self.spent = self.denied = 0
 
-    def reconfigure(self, declared: Declared, now: int) -> None:
+class RetryBudget:
+    """Tokens.  Each request earns ``ratio``, each second ``min_per_s``; up to ``burst`` are kept.
+
+    A further attempt or a hedge takes one.  Never overdrawn: ``spend`` is the only way down, and takes
+    whole tokens.
+    """
+
+    def __init__(self, settings: BudgetSettings, now: int) -> None:
+        self.ratio = settings.ratio
+        self.min_per_s = settings.min_per_s
+        self.burst = settings.burst
+        self.tokens = settings.burst
+        self.refilled_ns = now
+        self.spent = 0
+        self.denied = 0
+
+    def reconfigure(self, settings: BudgetSettings, now: int) -> None:
         """New figures; what is kept stays, up to the new burst."""
-        self.fill(now)
-        self.ratio, self.least_per_s, self.burst = declared.ratio, declared.least_per_s, declared.burst
+        self.refill(now)
+        self.ratio = settings.ratio
+        self.min_per_s = settings.min_per_s
+        self.burst = settings.burst
         self.tokens = min(self.tokens, self.burst)
 
-    def fill(self, now: int) -> None:
-        """What time has earned up to now; a clock that stood still earns nothing."""
-        if now > self.filled_ns:
-            earned = self.least_per_s * (now - self.filled_ns) / NS
+    def refill(self, now: int) -> None:
+        """What time has earned up to ``now``, in ns; a clock that stood still earns nothing."""
+        if now > self.refilled_ns:
+            earned = self.min_per_s * (now - self.refilled_ns) / NS_PER_S
             self.tokens = min(self.burst, self.tokens + earned)
-            self.filled_ns = now
+            self.refilled_ns = now
 
     def earn(self, now: int) -> None:
         """One more request."""
-        self.fill(now)
+        self.refill(now)
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def can_spend(self, now: int) -> bool:
-        """Whether one more may be taken."""
-        self.fill(now)
+        """Whether a token may be taken."""
+        self.refill(now)
         return self.tokens >= 1
 
     def spend(self, now: int) -> bool:
-        """Take one; False, and nothing taken, where there is none."""
+        """Take a token; False, and nothing taken, where there is none."""
         if not self.can_spend(now):
             self.denied += 1
             return False
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -66,7 +66,7 @@
         for cls in found:
             at = RouteIndex(file.routes, "edge-1").find(cls, "0" * 16, 0, 0, False, False)
             self.assertEqual(
-                file.routes[at].bounds.attempts, 1 if cls.idempotency is api.Idempotency.UNSAFE else None
+                file.routes[at].policy.max_attempts, 1 if cls.idempotency is api.Idempotency.UNSAFE else None
             )
 
     def test_a_class_that_becomes_another_in_service_is_matched_anew(self) -> None:
@@ -241,7 +241,7 @@
     def test_what_the_check_lets_pass_starts(self) -> None:
         """No fault: then `parse` takes it.  Over all keys, each with values of every form."""
         odd = [None, 0, 1, -1, 0.5, 1e300, "", "x", "off", True, [], [0], [True], ["a"], {}, {"a": 1}]
-        for key in deployment_check.known_keys.KEYS:
+        for key in deployment_check.known_keys.CONFIGURATION_KEYS:
             if "[]" in key.path or not key.path.startswith("settings.") or not key.reader:
                 continue
             for value in odd:
@@ -257,7 +257,7 @@
 
     def test_the_page_has_every_key(self) -> None:
         page = (ROOT / "docs/operators/sites.md").read_text()
-        for key in deployment_check.known_keys.KEYS:
+        for key in deployment_check.known_keys.CONFIGURATION_KEYS:
             self.assertIn(
                 f"| `{key.path}` | {key.reader or 'nobody: ' + key.why} | "
                 f"{key.absent or 'nothing changes'} |",
@@ -266,7 +266,7 @@
 
     def test_every_key_that_is_read_in_settings_is_known(self) -> None:
         source = (ROOT / "kelpcroft/simulator_adapter.py").read_text()
-        known = {key.path.rpartition(".")[2] for key in deployment_check.known_keys.KEYS}
+        known = {key.path.rpartition(".")[2] for key in deployment_check.known_keys.CONFIGURATION_KEYS}
         read = set(re.findall(r'(?:options|lim|con|rep|fam|c)(?:\.get\(|\[)"(\w+)"', source))
         self.assertGreater(len(read), 40)
         self.assertEqual(read - known - {"family_info", "limits", "contract", "report", "classes"}, set())
--- a/tests/test_operator_faulty.py
+++ b/tests/test_operator_faulty.py
@@ -17,7 +17,8 @@
 from kelpcroft.config import parse_config
 from kelpcroft.decision import interface as api
 from kelpcroft.operator_file import Diagnostic, OperatorFile, check, load
-from kelpcroft.operator_file.text import MAX_FILE_BYTES, MAX_NODES
+from kelpcroft.operator_file.locator import MAX_NODES
+from kelpcroft.operator_file.text import MAX_FILE_BYTES
 
 HERE = Path(__file__).parent
 # Keys of a configuration's limits, as the files of tests/faulty name them, and the fields that hold them.
--- a/tests/test_operator_properties.py
+++ b/tests/test_operator_properties.py
@@ -24,7 +24,8 @@
     RouteMatch,
     RoutePolicy,
 )
-from kelpcroft.operator_file.text import KdlSyntaxError, NodeLocator, parse_nodes
+from kelpcroft.operator_file.locator import KdlSyntaxError, NodeLocator
+from kelpcroft.operator_file.text import parse_nodes
 
 MS = 1_000_000
 QUICK = settings(max_examples=60, deadline=None, derandomize=True)
@@ -51,32 +52,32 @@
     retry=maybe(st.booleans()),
     write=maybe(st.booleans()),
     effects=st.lists(st.sampled_from(EFFECT_NAMES), max_size=2).map(tuple),
-    through=maybe(st.booleans()),
+    uncacheable=maybe(st.booleans()),
     multipart=maybe(st.booleans()),
 )
 quantiles = st.builds(
     AdaptiveDuration,
     quantile=st.sampled_from([0.5, 0.95, 0.99, 0.999]),
-    least_ns=st.integers(0, 9).map(lambda n: n * MS),
+    min_ns=st.integers(0, 9).map(lambda n: n * MS),
 )
 bounds = st.builds(
     RoutePolicy,
-    timeout=maybe(st.builds(AnswerTimeout, ns=st.integers(10_000, 20_000).map(lambda n: n * MS))),
-    attempt=maybe(
+    answer_timeout=maybe(st.builds(AnswerTimeout, ns=st.integers(10_000, 20_000).map(lambda n: n * MS))),
+    attempt_timeout=maybe(
         st.builds(AdaptiveDuration, ns=st.integers(9_000, 9_900).map(lambda n: n * MS)) | quantiles
     ),
-    attempts=maybe(st.integers(1, 9)),
-    on=maybe(st.frozensets(st.sampled_from(RETRYABLE_OUTCOMES), min_size=1)),
-    budget=maybe(st.just("b")),
-    moves=maybe(st.integers(0, 9)),
+    max_attempts=maybe(st.integers(1, 9)),
+    retry_on=maybe(st.frozensets(st.sampled_from(RETRYABLE_OUTCOMES), min_size=1)),
+    retry_budget=maybe(st.just("b")),
+    max_reroutes=maybe(st.integers(0, 9)),
     backoff=maybe(st.builds(Backoff, st.just(MS), st.integers(1, 90).map(lambda n: n * MS), st.booleans())),
-    copies=maybe(
+    hedging=maybe(
         st.builds(
             Hedging, st.integers(1, 3), st.builds(AdaptiveDuration, ns=times) | quantiles, maybe(st.just("b"))
         )
     ),
-    open=maybe(st.integers(1, 999)),
-    pause_ns=maybe(times),
+    max_open_requests=maybe(st.integers(1, 999)),
+    retry_after_ns=maybe(times),
 )
 
 
@@ -84,7 +85,7 @@
 def files(draw: Any) -> OperatorFile:
     rows = st.tuples(names, matches, bounds)
     found = draw(st.lists(rows, min_size=1, max_size=4, unique_by=lambda r: r[0]))
-    used = any(b.budget or b.copies and b.copies.budget for _, _, b in found)
+    used = any(b.retry_budget or b.hedging and b.hedging.budget for _, _, b in found)
     budget = BudgetSettings("b", 0.25, draw(st.sampled_from([0.0, 5.0])), 20.0)
     return OperatorFile(tuple(Route(*route) for route in found), (budget,) if used else ())
 
@@ -99,7 +100,7 @@
     def moment(m: AdaptiveDuration, key: str) -> str:
         if m.ns:
             return f'{key}{"" if "/-" in gap else gap}="{m.ns // MS}ms"'
-        return f'{key}="p{m.quantile * 100:g}"' + (f'{gap}least="{m.least_ns // MS}ms"' if m.least_ns else "")
+        return f'{key}="p{m.quantile * 100:g}"' + (f'{gap}least="{m.min_ns // MS}ms"' if m.min_ns else "")
 
     def flag(key: str, value: bool | None) -> str:
         return "" if value is None else f"{gap}{key}=#{str(value).lower()}"
@@ -110,9 +111,9 @@
 
     text = f"kelpcroft{gap}version=1{end}"
     for b in file.budgets:
-        text += f'budget "{b.name}"{gap}ratio={b.ratio}{gap}least="{b.least_per_s}/s" burst={b.burst}{end}'
+        text += f'budget "{b.name}"{gap}ratio={b.ratio}{gap}least="{b.min_per_s}/s" burst={b.burst}{end}'
     for r in file.routes:
-        m, b = r.match, r.bounds
+        m, b = r.match, r.policy
         text += (
             f"route {quoted(r.name)}{gap}{{{end}match"
             + listed("class", m.classes)
@@ -122,31 +123,35 @@
             + flag("retry", m.retry)
             + flag("write", m.write)
             + listed("effect", m.effects)
-            + flag("through", m.through)
+            + flag("through", m.uncacheable)
             + flag("multipart", m.multipart)
             + end
         )
-        if b.timeout:
-            text += f'timeout{gap}"{b.timeout.ns // MS}ms"{end}'
-        if b.attempt:
-            text += f"attempt{gap}{moment(b.attempt, 'timeout')}{end}"
-        if b.attempts is not None or b.on is not None or b.budget:
-            text += "attempts" + (f"{gap}most={b.attempts}" if b.attempts is not None else "")
-            text += listed("on", sorted(b.on or ())) + (f'{gap}budget="{b.budget}"' if b.budget else "") + end
-        if b.moves is not None:
-            text += f"moves{gap}most={b.moves}{end}"
+        if b.answer_timeout:
+            text += f'timeout{gap}"{b.answer_timeout.ns // MS}ms"{end}'
+        if b.attempt_timeout:
+            text += f"attempt{gap}{moment(b.attempt_timeout, 'timeout')}{end}"
+        if b.max_attempts is not None or b.retry_on is not None or b.retry_budget:
+            text += "attempts" + (f"{gap}most={b.max_attempts}" if b.max_attempts is not None else "")
+            text += (
+                listed("on", sorted(b.retry_on or ()))
+                + (f'{gap}budget="{b.retry_budget}"' if b.retry_budget else "")
+                + end
+            )
+        if b.max_reroutes is not None:
+            text += f"moves{gap}most={b.max_reroutes}{end}"
         if b.backoff:
             text += (
-                f'backoff first="{b.backoff.first_ns // MS}ms"{gap}most="{b.backoff.most_ns // MS}ms"'
-                f'{gap}jitter="{"full" if b.backoff.jitter else "none"}"{end}'
+                f'backoff first="{b.backoff.initial_ns // MS}ms"{gap}most="{b.backoff.max_ns // MS}ms"'
+                f'{gap}jitter="{"full" if b.backoff.full_jitter else "none"}"{end}'
             )
-        if b.copies:
-            text += f"copies most={b.copies.most}{gap}{moment(b.copies.after, 'after')}"
-            text += (f'{gap}budget="{b.copies.budget}"' if b.copies.budget else "") + end
-        if b.open is not None:
-            text += f"limit{gap}open={b.open}{end}"
-        if b.pause_ns is not None:
-            text += f'pause "{b.pause_ns // MS}ms"{end}'
+        if b.hedging:
+            text += f"copies most={b.hedging.max_hedges}{gap}{moment(b.hedging.delay, 'after')}"
+            text += (f'{gap}budget="{b.hedging.budget}"' if b.hedging.budget else "") + end
+        if b.max_open_requests is not None:
+            text += f"limit{gap}open={b.max_open_requests}{end}"
+        if b.retry_after_ns is not None:
+            text += f'pause "{b.retry_after_ns // MS}ms"{end}'
         text += f"}}{end}"
     return text
 
--- a/tests/test_routes_parts.py
+++ b/tests/test_routes_parts.py
@@ -49,7 +49,7 @@
         and m.retry in (None, retry)
         and m.write in (None, write)
         and (not m.effects or CLASSES[cls].idempotency.value in m.effects)
-        and m.through in (None, cls == "order")
+        and m.uncacheable in (None, cls == "order")
         and m.multipart in (None, False)
     )
 
