--- a/kelpcroft/deployment_check/check.py
+++ b/kelpcroft/deployment_check/check.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from kelpcroft.deployment_check.contradictions import contradictions
-from kelpcroft.deployment_check.json_values import abbreviated_json
+from kelpcroft.deployment_check.json_values import JsonObject, abbreviated_json
 from kelpcroft.deployment_check.known_keys import CONFIGURATION_KEYS
 from kelpcroft.diagnostics import Diagnostic, Severity
 
@@ -32,7 +32,7 @@
 LEVELS_BY_WEIGHT = (Severity.FAULT, Severity.DOUBT, Severity.UNKNOWN)
 
 
-def check_configuration(raw: dict[str, Any]) -> list[Diagnostic]:
+def check_configuration(raw: JsonObject) -> list[Diagnostic]:
     """All diagnostics, faults first, each level in the order of the keys; MAX_DIAGNOSTICS at the most.
 
     ROUTER_NAME and ROUTER_LISTEN may stand in for ``name`` and ``listen``, so their absence is none.
@@ -68,7 +68,7 @@
             yield entry_place, entry
 
 
-def missing_values(raw: dict[str, Any]) -> Iterator[Diagnostic]:
+def missing_values(raw: JsonObject) -> Iterator[Diagnostic]:
     """What the program needs and the configuration does not have."""
     has_settings = raw.get("settings") is not None
     if not has_settings:
@@ -95,7 +95,7 @@
             yield Diagnostic(f"{place}.name", "is missing", "a text would do")
 
 
-def malformed_values(raw: dict[str, Any]) -> Iterator[Diagnostic]:
+def malformed_values(raw: JsonObject) -> Iterator[Diagnostic]:
     """Values of a form that cannot be used.  Of those that nobody reads it is only doubted."""
     for path in OBJECT_PATHS:
         for place, value in values_at(raw, path):
@@ -109,7 +109,7 @@
                 yield Diagnostic(place, abbreviated_json(value), expected, level)
 
 
-def unknown_keys(raw: dict[str, Any]) -> Iterator[Diagnostic]:
+def unknown_keys(raw: JsonObject) -> Iterator[Diagnostic]:
     """Keys that the table does not have."""
     known: dict[str, set[str]] = {path: set(keys) for path, keys in CONTAINER_KEYS.items()}
     for key in CONFIGURATION_KEYS:
@@ -122,7 +122,7 @@
                 yield from unknown_keys_of(place, value, names)
 
 
-def unknown_keys_of(place: str, value: dict[str, Any], known: Collection[str]) -> Iterator[Diagnostic]:
+def unknown_keys_of(place: str, value: JsonObject, known: Collection[str]) -> Iterator[Diagnostic]:
     """Keys of one object that are none of the known ones."""
     for name in value:
         if name not in known:
--- a/kelpcroft/deployment_check/contradictions.py
+++ b/kelpcroft/deployment_check/contradictions.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from kelpcroft.deployment_check.json_values import abbreviated_json, list_at, object_at
+from kelpcroft.deployment_check.json_values import JsonObject, abbreviated_json, list_at, object_at
 from kelpcroft.diagnostics import Diagnostic, Severity
 
 # Lists of ``family_info`` that have a value for each class, and for each zone.
@@ -17,7 +17,7 @@
 class SettingsView:
     """The settings by their parts; a part that is missing, or no object or list, is empty."""
 
-    def __init__(self, settings: dict[str, Any]) -> None:
+    def __init__(self, settings: JsonObject) -> None:
         self.settings = settings
         self.family_info = object_at(settings, "family_info")
         self.limits = object_at(settings, "limits")
@@ -29,7 +29,7 @@
         self.classes = [entry for entry in self.class_entries if isinstance(entry, dict)]
 
 
-def contradictions(settings: dict[str, Any]) -> Iterator[Diagnostic]:
+def contradictions(settings: JsonObject) -> Iterator[Diagnostic]:
     """All contradictions, in the order of RULES."""
     view = SettingsView(settings)
     for rule in RULES:
--- a/kelpcroft/deployment_check/json_values.py
+++ b/kelpcroft/deployment_check/json_values.py
@@ -7,15 +7,16 @@
 import orjson
 
 MAX_SHOWN_CHARACTERS = 60
+JsonObject = dict[str, Any]  # as it was parsed, before any check
 
 
-def object_at(parent: dict[str, Any], key: str) -> dict[str, Any]:
+def object_at(parent: JsonObject, key: str) -> JsonObject:
     """An object under a key; empty where there is none."""
     value = parent.get(key)
     return value if isinstance(value, dict) else {}
 
 
-def list_at(parent: dict[str, Any], key: str) -> list[Any]:
+def list_at(parent: JsonObject, key: str) -> list[Any]:
     """A list under a key; empty where there is none."""
     value = parent.get(key)
     return value if isinstance(value, list) else []
--- a/kelpcroft/operator_file/explain.py
+++ b/kelpcroft/operator_file/explain.py
@@ -194,19 +194,19 @@
         if not route.match.accepts_class(request_class) or not route.match.accepts_zone(zone):
             continue
         for region in regions_of(route):
-            hit = [r for r in remaining if overlaps(r, region)]
+            hit = [left for left in remaining if overlaps(left, region)]
             if not hit:
                 continue
-            remaining = [r for r in remaining if not overlaps(r, region)]
-            for r in hit:
-                found.append(RoutedRegion(intersect(r, region), route))
-                remaining.extend(subtract(r, region))
+            remaining = [left for left in remaining if not overlaps(left, region)]
+            for left in hit:
+                found.append(RoutedRegion(intersect(left, region), route))
+                remaining.extend(subtract(left, region))
         if len(remaining) + len(found) > MAX_REGIONS_OF_CLASS:
             raise TooManyRegionsError(
                 f"class {request_class.name!r} falls into over {MAX_REGIONS_OF_CLASS} pieces; "
                 "compare smaller files"
             )
-    return found + [RoutedRegion(r, None) for r in remaining]
+    return found + [RoutedRegion(left, None) for left in remaining]
 
 
 def region_words(region: Region) -> str:
@@ -234,7 +234,7 @@
     if values == full_range:
         return []
     low, high = values
-    return [f'{name}="{low}"' if low == high else f'{name}="{low}..{high}"']
+    return [f'{name}="{low}"'] if low == high else [f'{name}="{low}..{high}"']
 
 
 def object_words(objects: Range) -> str:
--- a/kelpcroft/operator_file/locator.py
+++ b/kelpcroft/operator_file/locator.py
@@ -189,7 +189,8 @@
         if entry is None or self.entry_count >= MAX_ENTRIES:
             return False
         self.entry_count += 1
-        self.offset = node.end = entry.end()
+        self.offset = entry.end()
+        node.end = self.offset
         if entry["key"] is None:
             node.arguments.append(entry.start("arg"))
         else:
--- a/kelpcroft/operator_file/match_regions.py
+++ b/kelpcroft/operator_file/match_regions.py
@@ -35,17 +35,20 @@
     return low, low + (1 << free_bits) - 1
 
 
-def overlaps(a: Region, b: Region) -> bool:
+def overlaps(region: Region, other: Region) -> bool:
     """Whether two regions share a point."""
-    for (low, high), (other_low, other_high) in zip(a, b):  # noqa: B905 - in the innermost loop
+    for (low, high), (other_low, other_high) in zip(region, other):  # noqa: B905 - in the innermost loop
         if low > other_high or other_low > high:
             return False
     return True
 
 
-def intersect(a: Region, b: Region) -> Region:
+def intersect(region: Region, other: Region) -> Region:
     """What two regions that overlap share."""
-    return tuple((max(x[0], y[0]), min(x[1], y[1])) for x, y in zip(a, b, strict=True))
+    return tuple(
+        (max(low, other_low), min(high, other_high))
+        for (low, high), (other_low, other_high) in zip(region, other, strict=True)
+    )
 
 
 def subtract(region: Region, taken: Region) -> Iterator[Region]:
@@ -134,12 +137,12 @@
             if self.subtractions > MAX_SUBTRACTIONS:
                 took = True
                 break
-            hit = [r for r in remaining if overlaps(r, region)]
+            hit = [left for left in remaining if overlaps(left, region)]
             if hit:
                 took = True
-                remaining = [r for r in remaining if not overlaps(r, region)]
-                for r in hit:
-                    remaining.extend(subtract(r, region))
+                remaining = [left for left in remaining if not overlaps(left, region)]
+                for left in hit:
+                    remaining.extend(subtract(left, region))
         self.remaining[name] = remaining
         if len(remaining) > MAX_REGIONS_OF_CLASS or self.subtractions > MAX_SUBTRACTIONS:
             self.gave_up = True
@@ -158,7 +161,7 @@
             route_name
             for name in names
             for route_name, region in self.taken[name]
-            if any(overlaps(region, r) for r in regions)
+            if any(overlaps(region, wanted) for wanted in regions)
         )
         return list(dict.fromkeys(found))
 
--- a/kelpcroft/operator_file/reader.py
+++ b/kelpcroft/operator_file/reader.py
@@ -65,7 +65,7 @@
             is_first = False
             self.read_top_level_node(node)
         file = OperatorFile(
-            tuple(replace(route, policy=route.policy.with_defaults(self.defaults)) for route in self.routes),
+            self.routes_with_defaults(),
             tuple(self.budgets),
             self.defaults,
             self.exposes_state,
@@ -76,6 +76,14 @@
         self.check_budget_names(file)
         return file
 
+    def routes_with_defaults(self) -> tuple[Route, ...]:
+        """The routes, with the defaults laid under their policies."""
+        if self.defaults == RoutePolicy():
+            return tuple(self.routes)
+        return tuple(
+            replace(route, policy=route.policy.with_defaults(self.defaults)) for route in self.routes
+        )
+
     def read_top_level_node(self, node: KdlNode) -> None:
         """A node at the top: one of those that may stand once, or a budget or route with a name."""
         if node.name in NAMED_NODES:
--- a/kelpcroft/operator_file/text.py
+++ b/kelpcroft/operator_file/text.py
@@ -97,10 +97,10 @@
     return attach_offsets(nodes, [span], diagnostics)
 
 
-def innermost_broken_node(text: str, whole: NodeSpan) -> int:
+def innermost_broken_node(text: str, broken: NodeSpan) -> int:
     """Where the parser's fault is: the offset of the innermost node that does not parse on its own."""
-    offset = whole.offset
-    children = whole.children
+    offset = broken.offset
+    children = broken.children
     while True:
         for child in children:
             if not parses_alone(text, child):
