--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -6,6 +6,7 @@
 import signal
 import sys
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
@@ -13,23 +14,39 @@
 from kelpcroft.operator_file.replica import ControlReplicaFile, load
 from kelpcroft.operator_file.text import MAX_FILE_BYTES
 
+if TYPE_CHECKING:
+    from kelpcroft.control_log.messages import ReplicaOptions
 
-def file_of(path: str) -> ControlReplicaFile:
+NS_PER_S = 1e9
+EXIT_STOPPED = 0
+EXIT_NO_ADDRESS = 2
+
+HELP = """\
+Follow the list service, or another replica, as FILE says, and tell routers the list of servers and the
+purges in the same form.  CONFIG is the configuration of any of the routers: it tells how long purges
+matter.
+
+Serves until SIGTERM.  GET /control/state on its address tells what it is and did.
+"""
+
+
+def read_file(path: str) -> ControlReplicaFile:
     """A file that may be used; its faults and exit code 1 where it may not."""
     try:
         with Path(path).open("rb") as stream:
-            file, faults = load(stream.read(MAX_FILE_BYTES + 1))
+            file, diagnostics = load(stream.read(MAX_FILE_BYTES + 1))
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}") from error
-    for fault in faults:
-        click.echo(fault.format_for(path), err=True)
-    if faults:
+    for diagnostic in diagnostics:
+        click.echo(diagnostic.format_for(path), err=True)
+    if diagnostics:
         exit_negative()
     return file
 
 
 @click.command(
     "control-replica",
+    help=HELP,
     epilog="Example:  kelpcroft control-replica replica.kdl --config examples/config.json",
 )
 @click.argument("file")
@@ -38,62 +55,83 @@
 @click.option("--dry-run", is_flag=True, help="Only check FILE and CONFIG, and say what would be served.")
 @click.option(
     "--format",
-    "form",
+    "log_format",
     type=click.Choice(["auto", "text", "json"]),
     default="auto",
     show_default=True,
     help="How log lines are printed; auto is text on a terminal.",
 )
-def control_replica(file: str, config: str, name: str, dry_run: bool, form: str) -> None:
-    """Follow the list service, or another replica, as FILE says, and tell routers the list of servers and the
-    purges in the same form.  CONFIG is the configuration of any of the routers: it tells how long purges
-    matter.
-
-    Serves until SIGTERM.  GET /control/state on its address tells what it is and did.
-    """
-    said = file_of(file)
-    span_ns = read_settings(config).rules.purge_retention_ns
+def control_replica(file: str, config: str, name: str, dry_run: bool, log_format: str) -> None:
+    """Check FILE and CONFIG, and serve until a signal asks for the end."""
+    options = read_file(file)
+    purge_span_ns = read_settings(config).rules.purge_retention_ns
     if dry_run:
-        up = ", ".join(f"{host}:{port}" for host, port in (*said.list_services, *said.peers))
-        click.echo(
-            f"{file}: good; would serve {said.watches} watchers at {said.listen[0]}:{said.listen[1]} "
-            f"from {up}; a purge matters for {span_ns / 1e9:g} s"
-        )
+        click.echo(f"{file}: good; would serve {describe(options, purge_span_ns)}")
         return
-    sys.exit(serve(said, span_ns, name, "" if form == "auto" else form))
+    sys.exit(serve(options, purge_span_ns, name, "" if log_format == "auto" else log_format))
 
 
-def serve(said: ControlReplicaFile, span_ns: int, name: str, form: str) -> int:
-    """Until a signal asks for the end.  Exit codes: 0 asked to end, 2 the address cannot be had."""
+def describe(file: ControlReplicaFile, purge_span_ns: int) -> str:
+    """What a replica with this file would do, in a line."""
+    upstreams = ", ".join(f"{host}:{port}" for host, port in (*file.list_services, *file.peers))
+    return (
+        f"{file.watches} watchers at {file.listen[0]}:{file.listen[1]} from {upstreams}; "
+        f"a purge matters for {purge_span_ns / NS_PER_S:g} s"
+    )
+
+
+def serve(file: ControlReplicaFile, purge_span_ns: int, name: str, log_format: str) -> int:
+    """Serve until a signal asks for the end.
+
+    Returns:
+        The exit code: 0 asked to end, 2 the address cannot be had.
+    """
+    # Only here: the other commands start sooner without them.
     from kelpcroft.config import ConfigError
-    from kelpcroft.control_log.replica import ControlReplica, ReplicaOptions
+    from kelpcroft.control_log.replica import ControlReplica
     from kelpcroft.core.effects import LogEvent
     from kelpcroft.log import EventLog
     from kelpcroft.net.clock import Clock
-    from kelpcroft.net.control_replica_server import ReplicaLoop
+    from kelpcroft.net.control_replica_server import ControlReplicaServer
     from kelpcroft.net.listeners import bind_listener, listening_address
 
-    ours, theirs = os.pipe()
-    for end in (ours, theirs):
-        os.set_blocking(end, False)
-    signal.set_wakeup_fd(theirs, warn_on_full_buffer=False)
-    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(number, lambda *_: None)
-    options = ReplicaOptions(
-        (*said.list_services, *said.peers),
-        frozenset(said.peers),
-        said.lease_ns,
-        said.batch_ns,
-        said.watches,
-        span_ns,
-    )
+    signals = open_signal_pipe()
     try:
-        listener = bind_listener("listen", said.listen)
+        listener = bind_listener("listen", file.listen)
     except ConfigError as error:
         click.echo(str(error), err=True)
-        return 2
-    clock, events = Clock(), EventLog(name, form=form)
-    at = listening_address(listener)
-    events.write(clock.now(), LogEvent("replica.listens", f"{name} listens on {at}", "info", {"at": at}))
-    ReplicaLoop(ControlReplica(options, clock.now() ^ os.getpid()), listener, clock, events).run(ours)
-    return 0
+        return EXIT_NO_ADDRESS
+    with listener:
+        clock = Clock()
+        events = EventLog(name, form=log_format)
+        address = listening_address(listener)
+        text = f"{name} listens on {address}"
+        events.write(clock.now(), LogEvent("replica.listens", text, "info", {"at": address}))
+        replica = ControlReplica(replica_options(file, purge_span_ns), clock.now() ^ os.getpid())
+        ControlReplicaServer(replica, listener, clock, events).run(signals)
+    return EXIT_STOPPED
+
+
+def replica_options(file: ControlReplicaFile, purge_span_ns: int) -> ReplicaOptions:
+    """The settings of a replica with this file."""
+    from kelpcroft.control_log.messages import ReplicaOptions
+
+    return ReplicaOptions(
+        upstreams=(*file.list_services, *file.peers),
+        peers=frozenset(file.peers),
+        lease_ns=file.lease_ns,
+        batch_ns=file.batch_ns,
+        max_watches=file.watches,
+        purge_span_ns=purge_span_ns,
+    )
+
+
+def open_signal_pipe() -> int:
+    """The reading end of a pipe into which signals' numbers are written; both ends stay open to the end."""
+    read_end, write_end = os.pipe()
+    for end in (read_end, write_end):
+        os.set_blocking(end, False)
+    signal.set_wakeup_fd(write_end, warn_on_full_buffer=False)
+    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        signal.signal(number, lambda *_: None)
+    return read_end
--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -11,175 +11,247 @@
 from collections import deque
 from dataclasses import dataclass
 from hashlib import blake2b
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
 MAX_TAIL_EVENTS = 8_192  # 27 minutes of 5 purges a second
 MAX_TAIL_BYTES = 2 << 20
-SERVERS_MOST = 10_000
+MAX_SERVERS = 10_000
 MAX_PURGES = 20_000  # that matter at a time: 300 a second for a minute
-MARK_BYTES = 8
+FINGERPRINT_BYTES = 8
+SNAPSHOT_LIFETIMES_PER_PURGE_SPAN = 8  # a snapshot is reused for an eighth of the time a purge matters
+
+RawEvent = Any  # one event of the feed, as parsed from JSON
 
 
 class SnapshotIncompleteError(ValueError):
-    """More servers or purges than are kept: no snapshot can be given without leaving some out."""
+    """More servers or purges than are kept: no snapshot can be given without leaving some out.
+
+    Attributes:
+        limit: how many of them are kept.
+        what: of what there are more.
+    """
+
+    def __init__(self, limit: int, what: str) -> None:
+        super().__init__(f"over {limit} {what}")  # told to watchers: on the wire
+        self.limit = limit
+        self.what = what
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class TailEvent:
     """One event of the tail."""
 
     number: int
-    text: bytes
-    mark: str
+    encoded: bytes  # canonical JSON
+    fingerprint: str
+
+
+class PurgeKey(NamedTuple):
+    """What a purge removes: one object, or a group of them."""
+
+    object_hash: str  # 16 hex digits; "" where a group is purged
+    group: int  # 0 where an object is purged
 
 
-def canonical_json(raw: Any) -> bytes:
-    """An event's text, the same whoever wrote it."""
-    return orjson.dumps(raw, option=orjson.OPT_SORT_KEYS)
+def canonical_json(event: RawEvent) -> bytes:
+    """An event as JSON with sorted keys: the same bytes whoever wrote it."""
+    return orjson.dumps(event, option=orjson.OPT_SORT_KEYS)
 
 
-def event_fingerprint(text: bytes) -> str:
-    """The mark of an event, by its text in canonical form (sorted keys)."""
-    return blake2b(text, digest_size=MARK_BYTES).hexdigest()
+def event_fingerprint(encoded: bytes) -> str:
+    """The log's fingerprint at an event: a BLAKE2b hash, in hex, of the event's canonical JSON.
+
+    It covers that event alone.  The number of the event goes with it, so that two logs with the same event
+    under the same number are taken for one up to there.
+    """
+    return blake2b(encoded, digest_size=FINGERPRINT_BYTES).hexdigest()
 
 
 class ControlLog:
     """One log as far as it is known."""
 
     def __init__(self, purge_span_ms: int) -> None:
-        """``purge_span_ms``: how long a purge matters, counted from its time."""
+        """Start with nothing.
+
+        Args:
+            purge_span_ms: how long a purge matters, counted from the time that it names.
+        """
         self.purge_span_ms = purge_span_ms
-        self.lines: dict[str, Any] = {}  # by server's name, as it came
-        self.purges: dict[tuple[str, int], int] = {}  # by object, or by group where that is "": when, ms
-        self.tail: deque[Entry] = deque()
+        self.servers: dict[str, Any] = {}  # by name: the newest line, as it came
+        self.purges: dict[PurgeKey, int] = {}  # when each was made, in Unix ms
+        self.tail: deque[TailEvent] = deque()
         self.tail_bytes = 0
-        self.base = 0  # the number before the tail, and its mark
-        self.base_mark = ""
-        self.incomplete_ms = 0  # no snapshot until then: a purge found no room
-        self.snapshot_at: tuple[int, int] = (-1, 0)  # number and time of the snapshot that is kept
-        self.snapshot_events: list[bytes] = []
+        self._base_number = 0  # of the event before the tail
+        self._base_fingerprint = ""
+        self._incomplete_until_ms = 0  # no snapshot until then: a purge found no room
+        self._snapshot: list[bytes] = []  # the last one made, for others that ask soon
+        self._snapshot_number = -1  # the last event in it
+        self._snapshot_made_ms = 0
 
     @property
     def last_event_number(self) -> int:
-        """The number of the last event."""
-        return self.tail[-1].number if self.tail else self.base
+        """The number of the last event; 0 where there is none."""
+        return self.tail[-1].number if self.tail else self._base_number
 
     @property
     def last_fingerprint(self) -> str:
-        """The mark of the last event."""
-        return self.tail[-1].mark if self.tail else self.base_mark
+        """The fingerprint of the last event."""
+        return self.tail[-1].fingerprint if self.tail else self._base_fingerprint
 
-    def begin_anew(self) -> None:
-        """Another log is followed from now on: its whole list comes next.  Purges are kept: they are told by
-        their own times, and a purge that was told once is in force whatever becomes of the log."""
-        self.lines, self.base, self.base_mark = {}, 0, ""
-        self.tail.clear()
-        self.tail_bytes, self.snapshot_events = 0, []
+    # Writing ----------------------------------------------------------------------------------------------
 
-    def set_base(self, number: int, mark: str) -> None:
+    def start_new_log(self) -> None:
+        """Another log is followed from now on: its whole list comes next.
+
+        Purges are kept: they go by their own times, and a purge that was told once is in force whatever
+        becomes of the log.
+        """
+        self.servers = {}
+        self.set_base(0, "")
+
+    def set_base(self, number: int, fingerprint: str) -> None:
         """The state is that of this position, as a snapshot of another replica said."""
         self.tail.clear()
-        self.tail_bytes, self.base, self.base_mark, self.snapshot_events = 0, number, mark, []
+        self.tail_bytes = 0
+        self._base_number = number
+        self._base_fingerprint = fingerprint
+        self._snapshot = []
 
-    def append(self, raw: Any, now_ms: int) -> str:
-        """One event in its turn.  Why its content cannot be used, or "": it is then handed on all the same,
-        for a follower may know more kinds of events."""
-        number = raw.get("n") if isinstance(raw, dict) else None
+    def append(self, event: RawEvent, now_ms: int) -> str:
+        """Take one event in its turn.
+
+        Returns:
+            Why its content cannot be used, or "".  An event whose content is not understood is handed on all
+            the same, for a follower may know more kinds of events.
+        """
+        number = event.get("n") if isinstance(event, dict) else None
         if type(number) is not int or number < 0:
-            return f"an event without a number: {str(raw)[:80]}"
-        fault = self.apply(raw, now_ms)
-        text = canonical_json(raw)
-        self.tail.append(Entry(number, text, event_fingerprint(text)))
-        self.tail_bytes += len(text)
+            return f"an event without a number: {str(event)[:80]}"
+        problem = self.apply(event, now_ms)
+        encoded = canonical_json(event)
+        self.tail.append(TailEvent(number, encoded, event_fingerprint(encoded)))
+        self.tail_bytes += len(encoded)
+        self._shorten_tail()
+        return problem
+
+    def _shorten_tail(self) -> None:
+        """Drop the oldest events of a tail that has grown over its bounds."""
         while len(self.tail) > MAX_TAIL_EVENTS or self.tail_bytes > MAX_TAIL_BYTES:
-            gone = self.tail.popleft()
-            self.tail_bytes -= len(gone.text)
-            self.base, self.base_mark = gone.number, gone.mark
-        return fault
+            dropped = self.tail.popleft()
+            self.tail_bytes -= len(dropped.encoded)
+            self._base_number = dropped.number
+            self._base_fingerprint = dropped.fingerprint
+
+    def apply(self, event: dict[str, Any], now_ms: int) -> str:
+        """What an event does to the state, and nothing to the tail.
 
-    def apply(self, raw: dict[str, Any], now_ms: int) -> str:
-        """What an event does to the state.  Why it cannot be used, or ""."""
+        Returns:
+            Why it cannot be used, or "".
+        """
         try:
-            if "members" in raw:
-                self.apply_members(raw["members"])
-            elif "purge" in raw:
-                self.apply_purge(raw["purge"], now_ms)
+            if "members" in event:
+                self._apply_members(event["members"])
+            elif "purge" in event:
+                self._apply_purge(event["purge"], now_ms)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            return f"event {raw['n']}: {type(error).__name__}: {error}"
+            return f"event {event['n']}: {type(error).__name__}: {error}"
         return ""
 
-    def apply_members(self, members: dict[str, Any]) -> None:
+    def _apply_members(self, members: dict[str, Any]) -> None:
         lines = {str(line["name"]): line for line in members["endpoints"]}
         if members.get("snapshot"):
-            self.lines = lines
+            self.servers = lines
         else:
-            self.lines.update(lines)
-        if len(self.lines) > SERVERS_MOST:  # servers that have gone are not listed for good
-            self.lines = {name: line for name, line in self.lines.items() if line.get("status") != "left"}
-
-    def apply_purge(self, purge: dict[str, Any], now_ms: int) -> None:
-        at, key = int(purge["at"]), purge.get("key")
-        place = ("", int(purge.get("group") or 0)) if key is None else (f"{int(key, 16):016x}", 0)
-        if now_ms - at > self.purge_span_ms:
+            self.servers.update(lines)
+        if len(self.servers) > MAX_SERVERS:  # servers that have gone are not listed for good
+            self.servers = {name: line for name, line in self.servers.items() if not has_left(line)}
+
+    def _apply_purge(self, purge: dict[str, Any], now_ms: int) -> None:
+        purged_ms = int(purge["at"])
+        key = purge_key(purge)
+        if now_ms - purged_ms > self.purge_span_ms:
             return
-        if place not in self.purges and len(self.purges) >= MAX_PURGES:
-            self.forget_purges(now_ms)
+        if key not in self.purges and len(self.purges) >= MAX_PURGES:
+            self._drop_expired_purges(now_ms)
             if len(self.purges) >= MAX_PURGES:
-                self.incomplete_ms = max(self.incomplete_ms, at + self.purge_span_ms)
+                self._incomplete_until_ms = max(self._incomplete_until_ms, purged_ms + self.purge_span_ms)
                 return
-        self.purges[place] = max(at, self.purges.pop(place, 0))
+        self.purges[key] = max(purged_ms, self.purges.pop(key, 0))  # popped: it goes to the end
 
-    def forget_purges(self, now_ms: int) -> None:
-        """Those that no longer matter."""
-        least = now_ms - self.purge_span_ms
-        self.purges = {place: at for place, at in self.purges.items() if at >= least}
+    def _drop_expired_purges(self, now_ms: int) -> None:
+        oldest_ms = now_ms - self.purge_span_ms
+        self.purges = {key: purged_ms for key, purged_ms in self.purges.items() if purged_ms >= oldest_ms}
 
-    # What a follower gets ---------------------------------------------------------------------------------
+    # Reading ----------------------------------------------------------------------------------------------
 
-    def contains(self, number: int, mark: str) -> bool:
-        """Whether a position is in this log, by its mark: what comes after it can be told."""
-        if number == self.base and mark == self.base_mark:
+    def contains(self, number: int, fingerprint: str) -> bool:
+        """Whether a position is in this log: what comes after it can be told."""
+        if number == self._base_number and fingerprint == self._base_fingerprint:
             return True
-        for entry in reversed(self.tail):
-            if entry.number <= number:
-                return entry.number == number and entry.mark == mark
+        for event in reversed(self.tail):
+            if event.number <= number:
+                return event.number == number and event.fingerprint == fingerprint
         return False
 
-    def plain(self, number: int) -> bool:
-        """Whether a position that has no mark can be gone on from: by its number alone."""
-        return self.base <= number <= self.last_event_number
+    def contains_number(self, number: int) -> bool:
+        """Whether a position without a fingerprint can be gone on from: by its number alone."""
+        return self._base_number <= number <= self.last_event_number
 
     def events_after(self, number: int) -> list[bytes]:
-        """The events after a position that is held."""
+        """The events after a position that the log contains, oldest first."""
         found = []
-        for entry in reversed(self.tail):
-            if entry.number <= number:
+        for event in reversed(self.tail):  # followers are close to the end: the walk is short
+            if event.number <= number:
                 break
-            found.append(entry.text)
+            found.append(event.encoded)
         return found[::-1]
 
     def snapshot(self, now_ms: int) -> list[bytes]:
-        """The whole state as events, all under the last number.  Raises LogFull."""
-        if now_ms < self.incomplete_ms:
-            raise SnapshotIncompleteError(f"over {MAX_PURGES} purges that matter")
-        if len(self.lines) > SERVERS_MOST:
-            raise SnapshotIncompleteError(f"over {SERVERS_MOST} servers")
-        number, made_ms = self.snapshot_at
-        if (
-            number == self.last_event_number
-            and 0 <= now_ms - made_ms < self.purge_span_ms // 8
-            and self.snapshot_events
-        ):
-            return self.snapshot_events
-        self.forget_purges(now_ms)
+        """The whole state as events, all under the last number.
+
+        Raises:
+            SnapshotIncompleteError: there are more servers or purges than are kept.
+        """
+        if now_ms < self._incomplete_until_ms:
+            raise SnapshotIncompleteError(MAX_PURGES, "purges that matter")
+        if len(self.servers) > MAX_SERVERS:
+            raise SnapshotIncompleteError(MAX_SERVERS, "servers")
+        if not self._can_reuse_snapshot(now_ms):
+            self._drop_expired_purges(now_ms)
+            self._snapshot = self._encode_snapshot()
+            self._snapshot_number = self.last_event_number
+            self._snapshot_made_ms = now_ms
+        return self._snapshot
+
+    def _can_reuse_snapshot(self, now_ms: int) -> bool:
+        """Whether the last snapshot is of the last event, and holds few purges that have expired."""
+        reused_for_ms = self.purge_span_ms // SNAPSHOT_LIFETIMES_PER_PURGE_SPAN
+        return (
+            bool(self._snapshot)
+            and self._snapshot_number == self.last_event_number
+            and 0 <= now_ms - self._snapshot_made_ms < reused_for_ms
+        )
+
+    def _encode_snapshot(self) -> list[bytes]:
         last = self.last_event_number
-        lines = [line for line in self.lines.values() if line.get("status") != "left"]
-        whole = {"n": last, "members": {"index": last, "snapshot": True, "endpoints": lines}}
-        events = [orjson.dumps(whole)]
-        for (key, group), at in self.purges.items():
-            what = {"key": key, "at": at} if key else {"group": group, "at": at}
-            events.append(orjson.dumps({"n": last, "purge": what}))
-        self.snapshot_at, self.snapshot_events = (last, now_ms), events
+        lines = [line for line in self.servers.values() if not has_left(line)]
+        events = [orjson.dumps({"n": last, "members": {"index": last, "snapshot": True, "endpoints": lines}})]
+        for key, purged_ms in self.purges.items():
+            what: dict[str, object] = {"key": key.object_hash} if key.object_hash else {"group": key.group}
+            events.append(orjson.dumps({"n": last, "purge": {**what, "at": purged_ms}}))
         return events
+
+
+def has_left(line: dict[str, Any]) -> bool:
+    """Whether a server's line says that it is gone for good."""
+    return line.get("status") == "left"
+
+
+def purge_key(purge: dict[str, Any]) -> PurgeKey:
+    """What a purge event names.  Raises TypeError or ValueError where that cannot be read."""
+    object_hash = purge.get("key")
+    if object_hash is None:
+        return PurgeKey("", int(purge.get("group") or 0))
+    return PurgeKey(f"{int(object_hash, 16):016x}", 0)
--- a/kelpcroft/control_log/subscription.py
+++ b/kelpcroft/control_log/subscription.py
@@ -12,29 +12,36 @@
 
 
 class NextCall(Enum):
-    """What follows an answer."""
+    """Where the call that follows an answer goes."""
 
-    SAME_REPLICA = "call"  # the next call, at once
-    HOME_REPLICA = "home"  # the next call, at once and at the home address
-    NEXT_REPLICA = "move"  # another address
+    SAME_REPLICA = "call"  # at once
+    HOME_REPLICA = "home"  # at once
+    NEXT_REPLICA = "move"  # in a while; see ``Subscription.select_next_replica``
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseOutcome:
-    """What to do with an answer, and what then; ``why`` for a move."""
+    """What to do with an answer, and what then."""
 
     verdict: ResponseVerdict
     next_call: NextCall
-    reason: str = ""
+    reason: str = ""  # for leaving the replica
 
 
 class Subscription:
-    """One router's."""
+    """One router's position in the log, and its choice of a replica."""
 
     def __init__(self, now: int, addresses: tuple[Address, ...], stale_ns: int, seed: int) -> None:
-        """``stale_ns``: a replica that has heard nothing for so long is left.  What the router knows
-        already may be as late as now."""
-        self.follower, self.selector = LogFollower(now // MS), UpstreamSelector(addresses, seed)
+        """Start with no position.
+
+        Args:
+            now: Unix ns.  What the router knows already may be as late as this.
+            addresses: the replicas; at least one.
+            stale_ns: a replica that has heard nothing for so long is left.
+            seed: another for each router and each of its starts.
+        """
+        self.follower = LogFollower(now // MS)
+        self.selector = UpstreamSelector(addresses, seed)
         self.stale_ns = stale_ns
 
     @property
@@ -49,21 +56,22 @@
     def record_response(self, now: int, head: ResponseHead) -> ResponseOutcome:
         """An answer came from the address that is called now."""
         if not head.as_of_ms:
-            return ResponseOutcome(
-                ResponseVerdict.OUTDATED,
-                NextCall.NEXT_REPLICA,
-                "it is no control replica, or knows nothing yet",
-            )
+            reason = "it is no control replica, or knows nothing yet"
+            return ResponseOutcome(ResponseVerdict.OUTDATED, NextCall.NEXT_REPLICA, reason)
         verdict = self.follower.judge(head)
         self.follower.record_verdict(head, verdict)
         if verdict is ResponseVerdict.OUTDATED:
             return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "it is behind")
         if now - head.as_of_ms * MS > self.stale_ns:
             return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "it is stale")
-        return ResponseOutcome(
-            verdict, NextCall.HOME_REPLICA if self.selector.record_success(now) else NextCall.SAME_REPLICA
-        )
+        if self.selector.record_success(now):
+            return ResponseOutcome(verdict, NextCall.HOME_REPLICA)
+        return ResponseOutcome(verdict, NextCall.SAME_REPLICA)
 
     def select_next_replica(self, now: int) -> int:
-        """Another address is called next: in how long, in ns."""
+        """Leave the current replica: another address is called next.
+
+        Returns:
+            In how long, in ns.
+        """
         return self.selector.record_failure(now)
--- a/kelpcroft/net/upstream_codec.py
+++ b/kelpcroft/net/upstream_codec.py
@@ -1,5 +1,7 @@
-"""What a control replica hears from upstream: answers of the feed with their events as they came.  No
-socket."""
+"""What a control replica hears from upstream: answers of the feed, with their events as they came.
+
+No socket here.  Events are handed on to watchers whatever they hold, so they are not looked into.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +9,7 @@
 
 import orjson
 
-from kelpcroft.control_log.replica import UpstreamResponse
+from kelpcroft.control_log.messages import UpstreamResponse
 from kelpcroft.net.feed_codec import FeedError, FeedResponseCodec
 
 
@@ -15,24 +17,31 @@
     """Answers of a list service or of another replica."""
 
     def parse_response(self, raw: Any) -> UpstreamResponse:
-        """One answer; FeedError where it is none."""
-        well = isinstance(raw, dict) and type(raw.get("n")) is int and isinstance(raw.get("events"), list)
-        if not well:
+        """One answer.
+
+        Raises:
+            FeedError: it has no number or no list of events.
+        """
+        is_response = (
+            isinstance(raw, dict) and type(raw.get("n")) is int and isinstance(raw.get("events"), list)
+        )
+        if not is_response:
             raise FeedError("not an answer with n and events")
-        mark, as_of = raw.get("mark"), raw.get("as_of")
+        fingerprint = raw.get("mark")
+        as_of_ms = raw.get("as_of")
         return UpstreamResponse(
             raw["n"],
             tuple(raw["events"]),
-            mark if isinstance(mark, str) else "",
-            as_of if type(as_of) is int else None,
+            fingerprint if isinstance(fingerprint, str) else "",
+            as_of_ms if type(as_of_ms) is int else None,
         )
 
-    def parse_piece(self, found: list[bytes | None]) -> UpstreamResponse:
+    def parse_piece(self, encoded_events: list[bytes | None]) -> UpstreamResponse:
         """Events of a long answer; one that cannot be read is left out."""
         events = []
-        for text in found:
+        for encoded in encoded_events:
             try:
-                events.append(orjson.loads(text or b"null"))
+                events.append(orjson.loads(encoded or b"null"))
             except orjson.JSONDecodeError:
                 continue
         return UpstreamResponse(0, tuple(events), has_more=True)
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -15,9 +15,10 @@
 import orjson
 
 from kelpcroft.config import parse_config
-from kelpcroft.control_log import replica as core
+from kelpcroft.control_log import messages as core
 from kelpcroft.control_log.follower import LogPosition
-from kelpcroft.control_log.replica import ControlReplica, ReplicaOptions
+from kelpcroft.control_log.messages import ReplicaOptions
+from kelpcroft.control_log.replica import ControlReplica
 from kelpcroft.core import effects, inputs, messages
 from kelpcroft.core.reducer import Reducer
 from kelpcroft.net.feed_codec import parse_watch_response
--- a/tests/test_control_log.py
+++ b/tests/test_control_log.py
@@ -11,15 +11,8 @@
 from kelpcroft.control_log import log as control_log
 from kelpcroft.control_log.follower import LogFollower, LogPosition, ResponseHead, ResponseVerdict
 from kelpcroft.control_log.log import ControlLog, SnapshotIncompleteError, canonical_json, event_fingerprint
-from kelpcroft.control_log.replica import (
-    CallUpstream,
-    ControlReplica,
-    RefuseWatcher,
-    ReplicaOptions,
-    SendWatchResponse,
-    UpstreamResponse,
-    WatchRequest,
-)
+from kelpcroft.control_log.messages import CallUpstream, RefuseWatcher, ReplicaOptions, SendWatchResponse, UpstreamResponse, WatchRequest
+from kelpcroft.control_log.replica import ControlReplica
 from kelpcroft.control_log.upstream_selection import (
     MAX_FIRST_RETRY_DELAY_NS,
     RETRY_PERIOD_NS,
@@ -209,7 +202,7 @@
         self.assertIsInstance(refused[0], RefuseWatcher, "one that knows no marks could not tell")
 
     def test_watches_are_bounded(self) -> None:
-        replica = self.replica(watches_most=2)
+        replica = self.replica(max_watches=2)
         mark = replica.log.last_fingerprint
         for n in range(2):
             self.assertEqual(self.told(replica, NOW, WatchRequest(n, LogPosition(1, mark), True, SECOND)), [])
--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from kelpcroft.control_log.replica import ReplicaOptions
+from kelpcroft.control_log.messages import ReplicaOptions
 from testbed.hollow.configuration import Size
 from testbed.hollow.virtual import MS, SECOND, Net, address_of
 
--- a/tests/test_golden_stored_data.py
+++ b/tests/test_golden_stored_data.py
@@ -18,17 +18,12 @@
 import pytest
 
 from kelpcroft.control_log.follower import LogPosition
-from kelpcroft.control_log.replica import (
-    ControlReplica,
-    ReplicaOptions,
-    SendWatchResponse,
-    UpstreamResponse,
-    WatchRequest,
-)
+from kelpcroft.control_log.messages import ReplicaOptions, SendWatchResponse, UpstreamResponse, WatchRequest
+from kelpcroft.control_log.replica import ControlReplica
 from kelpcroft.net.feed_codec import FeedCodec
 from kelpcroft.net.feed_codec import FeedError as AnswerError
 from kelpcroft.net.upstream_codec import UpstreamCodec
-from kelpcroft.net.watch_codec import EventsRequest, WatchServerCodec, answered
+from kelpcroft.net.watch_codec import EventsRequest, WatchServerCodec, encode_response
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 from kelpcroft.rollout.plan import load_plan as read_plan
@@ -532,7 +527,7 @@
     ):
         (effect,) = replica.on_watch(NOW, WatchRequest(watcher, position, True, 0))
         assert isinstance(effect, SendWatchResponse)
-        assert answered(effect.body) == golden(f"replica_{name}.http")
+        assert encode_response(effect.body) == golden(f"replica_{name}.http")
 
 
 @pytest.mark.parametrize(
@@ -544,7 +539,7 @@
 )
 def test_a_replica_reads_the_call_of_an_older_router(name: str, expected: EventsRequest) -> None:
     """The position, its mark and the wait."""
-    assert WatchServerCodec().feed(golden(name)) == [expected]
+    assert WatchServerCodec().receive_data(golden(name)) == [expected]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_replica_file.py
+++ b/tests/test_replica_file.py
@@ -80,7 +80,7 @@
             b"GET /v1/events?SUB=41&wait=1000 HTTP/1.1\r\nHost: a\r\n\r\n"
             b"GET /v1/events?SUB=41&wait=10&mark=0a0b HTTP/1.1\r\n\r\nGET /control/state HTTP/1.1\r\n\r\n"
         )
-        found = [one for n in range(0, len(data), 7) for one in codec.feed(data[n : n + 7])]
+        found = [one for n in range(0, len(data), 7) for one in codec.receive_data(data[n : n + 7])]
         self.assertEqual(
             found,
             [
@@ -102,7 +102,7 @@
             b"GET /control/state HTTP/1.1\r\n\r\n" * 9,
         ):
             with self.subTest(data=data[:60]), self.assertRaises(WatchRequestError):
-                WatchServerCodec().feed(data)
+                WatchServerCodec().receive_data(data)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.binary(max_size=300), st.integers(1, 50))
@@ -110,7 +110,7 @@
         codec = WatchServerCodec()
         try:
             for n in range(0, len(data), size):
-                codec.feed(data[n : n + size])
+                codec.receive_data(data[n : n + size])
         except WatchRequestError:
             pass
 
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -27,19 +27,19 @@
 
 from kelpcroft.config import parse_config  # noqa: E402
 from kelpcroft.control_log.follower import LogPosition  # noqa: E402
-from kelpcroft.control_log.replica import (  # noqa: E402
-    ControlReplica,
+from kelpcroft.control_log.messages import (  # noqa: E402
     ReplicaOptions,
     SendWatchResponse,
     UpstreamResponse,
     WatchRequest,
 )
+from kelpcroft.control_log.replica import ControlReplica  # noqa: E402
 from kelpcroft.core import effects, inputs  # noqa: E402
 from kelpcroft.core.reducer import Reducer  # noqa: E402
 from kelpcroft.core.request_statistics import RequestStatistics  # noqa: E402
 from kelpcroft.net.control_codec import reply  # noqa: E402
 from kelpcroft.net.feed_codec import encode_poll  # noqa: E402
-from kelpcroft.net.watch_codec import answered, bad, refused  # noqa: E402
+from kelpcroft.net.watch_codec import encode_bad_request, encode_refusal, encode_response  # noqa: E402
 from kelpcroft.rollout.plan import load_plan as read_plan  # noqa: E402
 from kelpcroft.rollout.snapshot import to_snapshot  # noqa: E402
 from kelpcroft.rollout.state_machine import HoldCause, OperatorCommand, Phase, RolloutOutcome  # noqa: E402
@@ -110,13 +110,13 @@
     replica = ControlReplica(ReplicaOptions((("10.0.0.9", 7000),)), 1)
     replica.start(NOW)
     replica.on_upstream_response(NOW, UpstreamResponse(4, EVENTS))
-    marks = {entry.number: entry.mark for entry in replica.log.tail}
+    marks = {entry.number: entry.fingerprint for entry in replica.log.tail}
     positions = {"state": LogPosition(), "tail": LogPosition(2, marks[2]), "none": LogPosition(4, marks[4])}
     found = {}
     for number, (name, position) in enumerate(positions.items()):
         effect_list = replica.on_watch(NOW, WatchRequest(number, position, True, 0))
         (body,) = [e.body for e in effect_list if isinstance(e, SendWatchResponse)]
-        found[f"replica_{name}.http"] = answered(body)
+        found[f"replica_{name}.http"] = encode_response(body)
     return found
 
 
@@ -156,8 +156,8 @@
         "control_state.http": control_state(),
         "watch_unmarked.http": encode_poll(("10.0.0.9", 7000), 41, 1_000),
         "watch_marked.http": encode_poll(("10.0.0.9", 7000), 42, 5_000, "a0b1c2d3e4f50617"),
-        "replica_refused.http": refused("stale", 1),
-        "replica_bad.http": bad("a call with a body"),
+        "replica_refused.http": encode_refusal("stale", 1),
+        "replica_bad.http": encode_bad_request("a call with a body"),
         **replica_answers(),
     }
 
