--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -30,14 +30,14 @@
 class Fixed(DiscoverySchedule):
     """A second, half more or less."""
 
-    def again(self, retry_after_ns: int) -> int:
+    def retry_delay_ns(self, retry_after_ns: int) -> int:
         return SECOND // 2 + self.chance(SECOND)
 
 
 class Exponential(DiscoverySchedule):
     """Back-off with full jitter, up to 30 s."""
 
-    def again(self, retry_after_ns: int) -> int:
+    def retry_delay_ns(self, retry_after_ns: int) -> int:
         return self.chance(min(100 * MS << min(self.consecutive_failures, 10), 30 * SECOND))
 
 
--- a/kelpcroft/startup/crash_loop_backoff.py
+++ b/kelpcroft/startup/crash_loop_backoff.py
@@ -1,7 +1,7 @@
-"""A router that starts again and again: what it remembers of earlier starts only makes it gentler.  Pure.
+"""A router that starts again and again waits before it calls the list service (crash-loop back-off).  Pure.
 
-The file lies under ``$TMPDIR``; where that does not last, or the file is missing or odd, nothing is
-remembered and the router starts as ever.
+What it remembers of earlier starts only makes it gentler.  The file lies under ``$TMPDIR``; where that does
+not last, or the file is missing or odd, nothing is remembered and the router starts as ever.
 
     {"v": 1, "name": "n3", "starts_ms": [1764576000123, 1764576002150]}
 """
@@ -13,12 +13,13 @@
 import orjson
 
 VERSION = 1
-SIZE_MOST = 4_096
-KEPT = 32  # starts that are remembered
-SPAN_NS = 60 * 10**9  # those longer ago say nothing
-FREE = 2  # starts within the span that cost no wait
-WAIT_NS = 500 * 10**6  # the first call to the list service waits so long at the next, doubling ...
-WAIT_MOST_NS = 4 * 10**9  # ... up to this: a drain must be heard of within 7 s
+MAX_FILE_BYTES = 4_096
+MAX_REMEMBERED_STARTS = 32
+MEMORY_NS = 60 * 10**9  # starts longer ago say nothing
+FREE_STARTS = 2  # within that time, that cost no wait
+FIRST_DELAY_NS = 500 * 10**6  # the first call to the list service waits so long at the next, doubling ...
+MAX_DELAY_NS = 4 * 10**9  # ... up to this: a drain must be heard of within 7 s
+MAX_DOUBLINGS = 8  # past them the delay is over its bound anyway
 NS_PER_MS = 1_000_000
 
 
@@ -28,8 +29,12 @@
 
 
 def decode(data: bytes, name: str, now_ns: int) -> list[int]:
-    """Its earlier starts within the span, oldest first, in ns; none where the file is not to be used."""
-    if len(data) > SIZE_MOST:
+    """A router's earlier starts within the time that counts.
+
+    Returns:
+        Unix ns, oldest first; none where the file is not to be used.
+    """
+    if len(data) > MAX_FILE_BYTES:
         return []
     try:
         raw: Any = orjson.loads(data)
@@ -37,20 +42,23 @@
         return []
     if not isinstance(raw, dict) or raw.get("v") != VERSION or raw.get("name") != name:
         return []
-    found = raw.get("starts_ms")
-    if not isinstance(found, list) or not all(type(x) is int for x in found):
+    starts_ms = raw.get("starts_ms")
+    if not isinstance(starts_ms, list) or not all(type(start_ms) is int for start_ms in starts_ms):
         return []
-    times = sorted(x * NS_PER_MS for x in found[-KEPT:])
-    return [x for x in times if now_ns - SPAN_NS < x <= now_ns]
+    starts_ns = sorted(start_ms * NS_PER_MS for start_ms in starts_ms[-MAX_REMEMBERED_STARTS:])
+    return [start_ns for start_ns in starts_ns if now_ns - MEMORY_NS < start_ns <= now_ns]
 
 
-def encode(name: str, starts: list[int], now_ns: int) -> bytes:
-    """The file's bytes after one more start."""
-    kept = [*starts, now_ns][-KEPT:]
-    return orjson.dumps({"v": VERSION, "name": name, "starts_ms": [x // NS_PER_MS for x in kept]}) + b"\n"
+def encode(name: str, starts_ns: list[int], now_ns: int) -> bytes:
+    """The file's bytes after one more start, now."""
+    kept_ns = [*starts_ns, now_ns][-MAX_REMEMBERED_STARTS:]
+    starts_ms = [start_ns // NS_PER_MS for start_ns in kept_ns]
+    return orjson.dumps({"v": VERSION, "name": name, "starts_ms": starts_ms}) + b"\n"
 
 
-def crash_loop_delay_ns(starts: list[int]) -> int:
-    """How long the first call to the list service is to wait, by the earlier starts within the span."""
-    over = len(starts) - FREE
-    return min(WAIT_NS << min(over, 8), WAIT_MOST_NS) if over >= 0 else 0
+def crash_loop_delay_ns(starts_ns: list[int]) -> int:
+    """How long the first call to the list service is to wait, by the earlier starts that count."""
+    excess = len(starts_ns) - FREE_STARTS
+    if excess < 0:
+        return 0
+    return min(FIRST_DELAY_NS << min(excess, MAX_DOUBLINGS), MAX_DELAY_NS)
--- a/kelpcroft/startup/options.py
+++ b/kelpcroft/startup/options.py
@@ -7,8 +7,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StartupOptions:
-    """How this router begins beside all others that begin with it."""
+    """How this router begins beside all others that begin with it: node ``start`` of the operator's file."""
 
-    list_calls_per_s: float = 0.0  # calls a second that the list service bears of all routers; 0 = no budget
-    limit_origin_fetches: bool = False  # fetches out at the store are few at first
-    estimate_fleet_size: bool = False  # routers of the zone are counted by what caches report
+    list_calls_per_s: float = 0.0  # that the list service bears of all; 0 = no budget (``list-calls``)
+    limit_origin_fetches: bool = False  # fetches out at the origin are few at first (``store``)
+    estimate_fleet_size: bool = False  # routers of the zone are counted by what caches report (``count``)
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -123,7 +123,7 @@
 
     def test_a_shared_one_looks_for_the_end_of_the_other(self) -> None:
         r = router()
-        r.service_state.shares_listener = r.restart_overlap.shared = True
+        r.service_state.shares_listener = r.restart_overlap.is_shared = True
         effect_list = r.start(NOW)
         self.assertTrue(only(effects.ReadPredecessorState, effect_list))
         r.handle(NOW + S, inputs.PredecessorEnded(NOW - S))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -523,13 +523,13 @@
             good.replace(b'"v":1', b'"v":2'),
             b'{"v":1,"name":"n3","starts_ms":[true]}',
             b'{"v":1,"name":"n3","starts_ms":"x"}',
-            b" " * crash_loop_backoff.SIZE_MOST + good,
+            b" " * crash_loop_backoff.MAX_FILE_BYTES + good,
         ):
             self.assertEqual(crash_loop_backoff.decode(data, "n3", NOW), [])
         future = crash_loop_backoff.encode("n3", [], NOW + 3_600 * S)
         self.assertEqual(crash_loop_backoff.decode(future, "n3", NOW), [], "a clock that was wrong")
         self.assertLess(
-            len(crash_loop_backoff.encode("n" * 200, [NOW] * 100, NOW)), crash_loop_backoff.SIZE_MOST
+            len(crash_loop_backoff.encode("n" * 200, [NOW] * 100, NOW)), crash_loop_backoff.MAX_FILE_BYTES
         )
 
     def test_on_a_disk(self) -> None:
