--- a/kelpcroft/config_reload/__init__.py
+++ b/kelpcroft/config_reload/__init__.py
@@ -1,5 +1,8 @@
-"""Retuning on SIGHUP: a configuration read again is checked whole (``check``), and what it changes is taken
-up in two steps (``plan``).  Pure: no file, socket or clock."""
+"""A configuration read again on SIGHUP: checked whole (``check``), then taken up in two steps (``plan``).
+
+Pure: no file, socket or clock.  Imports the settings of the decision code and ``kelpcroft.deployment_check``
+for addresses.  ``kelpcroft.core.config_reload`` applies both to the state; start reading at ``check``.
+"""
 
 from kelpcroft.config_reload.check import Diagnostic, decode_config, validate_reload
 from kelpcroft.config_reload.plan import (
@@ -14,9 +17,9 @@
     "TRANSITION_NS",
     "ConfigChange",
     "Diagnostic",
-    "validate_reload",
     "decode_config",
     "diff_settings",
-    "transition_settings",
     "final_settings",
+    "transition_settings",
+    "validate_reload",
 ]
--- a/kelpcroft/config_reload/check.py
+++ b/kelpcroft/config_reload/check.py
@@ -12,7 +12,8 @@
 - ``feed`` is not an address as host:port.
 
 The start reads its file more loosely (``kelpcroft.config.parse``), so that a file that started the router
-before still does; this check is for the file that is to replace one in use."""
+before still does; this check is for the file that is to replace one in use.
+"""
 
 from __future__ import annotations
 
@@ -24,15 +25,16 @@
 
 from kelpcroft.deployment_check.known_keys import parse_host_port
 
-FAULTS_MOST = 100  # named in one pass; the rest are counted
-EFFECTS = ("safe", "keyed", "unsafe")
+MAX_DIAGNOSTICS = 100  # named in one pass; the rest are counted
+MAX_SHOWN_CHARACTERS = 60  # of a value that cannot be used
+IDEMPOTENCY_NAMES = ("safe", "keyed", "unsafe")
 
 
 @dataclass(frozen=True, slots=True)
 class Diagnostic:
     """One reason why a file cannot be used: where, what was found there, and what would do."""
 
-    place: str  # a path of keys and indices, as settings.classes[2].give_up_ns
+    place: str  # a path of keys and indices, as settings.classes[2].give_up_ns; "" is the file
     found: str
     expected: str
 
@@ -41,119 +43,132 @@
 
 
 def decode_config(data: bytes) -> tuple[dict[str, Any] | None, list[Diagnostic]]:
-    """The JSON object of a file, or why there is none."""
+    """The JSON object of a file, or None and why there is none."""
     if not data.strip():
         return None, [Diagnostic("", "is empty", "a JSON object with the configuration would do")]
     try:
         raw = orjson.loads(data)
     except orjson.JSONDecodeError as error:
-        return None, [
-            Diagnostic(
-                f"line {error.lineno} column {error.colno}",
-                f"not JSON: {error.msg}",
-                "a whole JSON object would do",
-            )
-        ]
+        place = f"line {error.lineno} column {error.colno}"
+        return None, [Diagnostic(place, f"not JSON: {error.msg}", "a whole JSON object would do")]
     if not isinstance(raw, dict):
         return None, [Diagnostic("", f"is a JSON {type(raw).__name__}", "a JSON object would do")]
     return raw, []
 
 
 def validate_reload(new: dict[str, Any], used: dict[str, Any]) -> list[Diagnostic]:
-    """Every fault of ``new``, a file that is to replace ``used``; none where it may be used."""
-    faults: list[Diagnostic] = []
-    for key in used:
-        if key not in new:
-            faults.append(Diagnostic(key, "is missing", "the file in use has it"))
-    if isinstance(new.get("settings"), dict):
-        missing(new["settings"], used.get("settings"), "settings", faults)
-    settings = new.get("settings")
-    if isinstance(settings, dict):
-        classes(settings.get("classes"), faults)
-        limits = settings.get("limits")
-        if isinstance(limits, dict) and "most_tries" in limits and not whole(limits["most_tries"]):
-            faults.append(
-                Diagnostic(
-                    "settings.limits.most_tries",
-                    shown(limits["most_tries"]),
-                    "a positive whole number of attempts would do",
-                )
-            )
-    elif "settings" in new:
-        faults.append(Diagnostic("settings", shown(settings), "an object would do"))
-    feed = new.get("feed")
-    if "feed" in new and parse_host_port(feed) is None:
-        faults.append(Diagnostic("feed", shown(feed), "an address as host:port would do"))
-    return faults[:FAULTS_MOST]
-
-
-def missing(new: Any, used: Any, place: str, faults: list[Diagnostic]) -> None:
-    """Keys of ``used`` that ``new`` lacks, through objects and the items of lists of objects."""
-    if isinstance(used, dict) and isinstance(new, dict):
-        for key, value in used.items():
-            at = f"{place}.{key}" if place else key
+    """What is wrong with ``new``, a file that is to replace ``used``; nothing where it may be used."""
+    return ReloadCheck().run(new, used)
+
+
+class ReloadCheck:
+    """One pass over a file that is to replace the one in use."""
+
+    def __init__(self) -> None:
+        self._found: list[Diagnostic] = []
+
+    def run(self, new: dict[str, Any], used: dict[str, Any]) -> list[Diagnostic]:
+        """The diagnostics of ``new``, in the order in which the file is looked through."""
+        for key in used:
             if key not in new:
-                faults.append(Diagnostic(at, "is missing", "the file in use has it"))
-            else:
-                missing(new[key], value, at, faults)
-    elif isinstance(used, list) and isinstance(new, list) and used and all(isinstance(u, dict) for u in used):
-        common = set.intersection(*(set(u) for u in used))
-        for n, item in enumerate(new):
-            if not isinstance(item, dict):
-                faults.append(Diagnostic(f"{place}[{n}]", shown(item), "an object would do"))
+                self._note(key, "is missing", "the file in use has it")
+        if "settings" in new:
+            self._check_settings(new["settings"], used.get("settings"))
+        if "feed" in new and parse_host_port(new["feed"]) is None:
+            self._note("feed", abbreviated(new["feed"]), "an address as host:port would do")
+        return self._found[:MAX_DIAGNOSTICS]
+
+    def _note(self, place: str, found: str, expected: str) -> None:
+        self._found.append(Diagnostic(place, found, expected))
+
+    def _check_settings(self, settings: Any, used: Any) -> None:
+        if not isinstance(settings, dict):
+            self._note("settings", abbreviated(settings), "an object would do")
+            return
+        self._check_keys(settings, used, "settings")
+        self._check_classes(settings.get("classes"))
+        self._check_limits(settings.get("limits"))
+
+    def _check_limits(self, limits: Any) -> None:
+        if not isinstance(limits, dict) or "most_tries" not in limits:
+            return
+        most_tries = limits["most_tries"]
+        if not is_positive_whole(most_tries):
+            expected = "a positive whole number of attempts would do"
+            self._note("settings.limits.most_tries", abbreviated(most_tries), expected)
+
+    def _check_keys(self, new: Any, used: Any, place: str) -> None:
+        """Keys of ``used`` that ``new`` lacks, through objects and the items of lists of objects."""
+        if isinstance(used, dict) and isinstance(new, dict):
+            for key, value in used.items():
+                if key not in new:
+                    self._note(f"{place}.{key}", "is missing", "the file in use has it")
+                else:
+                    self._check_keys(new[key], value, f"{place}.{key}")
+        elif isinstance(used, list) and isinstance(new, list) and is_list_of_objects(used):
+            common = set.intersection(*(set(entry) for entry in used))
+            self._check_entries(new, common, place)
+
+    def _check_entries(self, entries: list[Any], common: set[str], place: str) -> None:
+        """Keys that every entry in use has, in each entry of a list."""
+        for index, entry in enumerate(entries):
+            if not isinstance(entry, dict):
+                self._note(f"{place}[{index}]", abbreviated(entry), "an object would do")
                 continue
-            for key in sorted(common - set(item)):
-                faults.append(Diagnostic(f"{place}[{n}].{key}", "is missing", "every entry in use has it"))
-
-
-def classes(found: Any, faults: list[Diagnostic]) -> None:
-    """The list of classes: each named once, with a deadline and an effect that can be used."""
-    if not isinstance(found, list) or not found:
-        faults.append(Diagnostic("settings.classes", shown(found), "a list of at least one class would do"))
-        return
-    names: set[str] = set()
-    for n, c in enumerate(found):
-        at = f"settings.classes[{n}]"
-        if not isinstance(c, dict):
-            continue  # named by ``missing`` where the file in use has objects there
-        name = c.get("name")
+            for key in sorted(common - set(entry)):
+                self._note(f"{place}[{index}].{key}", "is missing", "every entry in use has it")
+
+    def _check_classes(self, classes: Any) -> None:
+        """The list of classes: each named once, with a deadline and an effect that can be used."""
+        if not isinstance(classes, list) or not classes:
+            expected = "a list of at least one class would do"
+            self._note("settings.classes", abbreviated(classes), expected)
+            return
+        names: set[str] = set()
+        for index, entry in enumerate(classes):
+            if isinstance(entry, dict):  # others are named with the keys, where the file in use has objects
+                self._check_class(entry, f"settings.classes[{index}]", names)
+
+    def _check_class(self, entry: dict[str, Any], place: str, names: set[str]) -> None:
+        """One class.  Its name is added to those of the classes before it."""
+        name = entry.get("name")
         if not isinstance(name, str) or not name:
-            faults.append(Diagnostic(f"{at}.name", shown(name), "a name of at least one character would do"))
+            self._note(f"{place}.name", abbreviated(name), "a name of at least one character would do")
         elif name in names:
-            faults.append(
-                Diagnostic(f"{at}.name", f"{name!r} is named twice", "one class of each name would do")
-            )
+            self._note(f"{place}.name", f"{name!r} is named twice", "one class of each name would do")
         else:
             names.add(name)
-        if "give_up_ns" in c and not positive(c["give_up_ns"]):
-            faults.append(
-                Diagnostic(
-                    f"{at}.give_up_ns", shown(c["give_up_ns"]), "a positive number of nanoseconds would do"
-                )
-            )
-        effect = c.get("idempotency")
-        if effect is not None and effect not in EFFECTS:
-            faults.append(
-                Diagnostic(f"{at}.idempotency", shown(effect), f"one of {', '.join(EFFECTS)} would do")
-            )
+        if "give_up_ns" in entry and not is_positive(entry["give_up_ns"]):
+            expected = "a positive number of nanoseconds would do"
+            self._note(f"{place}.give_up_ns", abbreviated(entry["give_up_ns"]), expected)
+        effect = entry.get("idempotency")
+        if effect is not None and effect not in IDEMPOTENCY_NAMES:
+            expected = f"one of {', '.join(IDEMPOTENCY_NAMES)} would do"
+            self._note(f"{place}.idempotency", abbreviated(effect), expected)
+
+
+def is_list_of_objects(entries: list[Any]) -> bool:
+    """Whether a list of the file holds objects, and at least one."""
+    return bool(entries) and all(isinstance(entry, dict) for entry in entries)
 
 
-def positive(value: Any) -> bool:
-    """A number above 0 that is neither true nor false, nor infinite."""
-    return (
-        not isinstance(value, bool) and isinstance(value, (int, float)) and value > 0 and math.isfinite(value)
-    )
+def is_positive(value: Any) -> bool:
+    """Whether it is a number above 0 that is neither true nor false, nor infinite."""
+    if isinstance(value, bool) or not isinstance(value, (int, float)):
+        return False
+    return value > 0 and math.isfinite(value)
 
 
-def whole(value: Any) -> bool:
-    """A whole number above 0."""
-    return positive(value) and float(value).is_integer()
+def is_positive_whole(value: Any) -> bool:
+    """Whether it is a whole number above 0."""
+    return is_positive(value) and float(value).is_integer()
 
 
-def shown(value: Any) -> str:
-    """A value as the file has it, cut short."""
+def abbreviated(value: Any) -> str:
+    """A value as the file has it, cut short, and that it cannot be used."""
     if value is None:
         return "is missing or null"
-    plain = isinstance(value, (dict, list, str, int, float, bool))
-    text = orjson.dumps(value).decode() if plain else repr(value)
-    return f"{text[:60]}{'...' if len(text) > 60 else ''} is not usable"
+    is_json = isinstance(value, (dict, list, str, int, float, bool))
+    text = orjson.dumps(value).decode() if is_json else repr(value)
+    ellipsis = "..." if len(text) > MAX_SHOWN_CHARACTERS else ""
+    return f"{text[:MAX_SHOWN_CHARACTERS]}{ellipsis} is not usable"
