--- a/kelpcroft/purge/floors.py
+++ b/kelpcroft/purge/floors.py
@@ -12,132 +12,174 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import TypeVar
 
-from kelpcroft.purge.order import Stamp
+from kelpcroft.purge.order import PurgeStamp
 
 PARTS_END = 10_000  # parts are 0 to 9,999
-NEVER = Stamp(0, 0, 0)  # older than any purge
-TAGGED_MOST = 100_000  # objects whose tags are remembered
+NEVER = PurgeStamp(0, 0, 0)  # older than any purge
+MAX_TAGGED_PARTS = 100_000  # whose tags are remembered
+
+K = TypeVar("K")
 
 
 @dataclass(frozen=True, slots=True)
-class What:
+class PurgeTarget:
     """What a purge names: an object, a group, a tag, or a pattern (a class alone is one)."""
 
-    object: int | None = None
+    object_id: int | None = None
     group: int | None = None
     tag: str | None = None
-    cls: str | None = None  # of a pattern; None = any
+    request_class: str | None = None  # of a pattern; None = any
     prefix: str = ""  # of a pattern: hex digits that the object begins with
-    parts: tuple[int, int] = (0, PARTS_END - 1)
+    parts: tuple[int, int] = (0, PARTS_END - 1)  # of a pattern: first and last
+
 
+class PartRuns:
+    """The newest purge of each part, as runs of neighbouring parts with one stamp.
 
-class Runs:
-    """Parts and the newest purge of each, as runs of one stamp."""
+    Attributes:
+        starts: the first part of each run.
+        stamps: the stamp of each run; neighbours differ.
+    """
 
     def __init__(self) -> None:
         self.starts = [0]
         self.stamps = [NEVER]
 
-    def cut(self, part: int) -> int:
-        """The place of the run that begins at a part, made if need be."""
-        at = bisect_right(self.starts, part) - 1
-        if self.starts[at] != part:
-            at += 1
-            self.starts.insert(at, part)
-            self.stamps.insert(at, self.stamps[at - 1])
-        return at
-
-    def raise_to(self, low: int, high: int, stamp: Stamp) -> None:
+    def raise_to(self, low: int, high: int, stamp: PurgeStamp) -> None:
         """The parts from low to high, both included, were purged."""
-        first = self.cut(low)
-        last = self.cut(high + 1) if high + 1 < PARTS_END else len(self.starts)
-        for at in range(first, last):
-            self.stamps[at] = max(self.stamps[at], stamp)
-        self.join(max(0, first - 1), min(len(self.starts), last + 1))
-
-    def forget(self, before: Stamp) -> bool:
-        """Drop what is older; True if nothing is left."""
-        self.stamps = [stamp if stamp >= before else NEVER for stamp in self.stamps]
-        self.join(0, len(self.starts))
+        first = self._split_at(low)
+        last = self._split_at(high + 1) if high + 1 < PARTS_END else len(self.starts)
+        for index in range(first, last):
+            self.stamps[index] = max(self.stamps[index], stamp)
+        self._merge(max(0, first - 1), min(len(self.starts), last + 1))
+
+    def drop_before(self, horizon: PurgeStamp) -> bool:
+        """Forget what is older.
+
+        Returns:
+            Whether nothing is left.
+        """
+        self.stamps = [stamp if stamp >= horizon else NEVER for stamp in self.stamps]
+        self._merge(0, len(self.starts))
         return self.stamps == [NEVER]
 
-    def join(self, first: int, last: int) -> None:
-        """Neighbours of one stamp become one run."""
-        keep = [at for at in range(first, last) if at == first or self.stamps[at] != self.stamps[at - 1]]
-        self.starts[first:last] = [self.starts[at] for at in keep]
-        self.stamps[first:last] = [self.stamps[at] for at in keep]
-
-    def newest(self, part: int) -> Stamp:
+    def newest(self, part: int) -> PurgeStamp:
         """The newest purge of a part."""
         return self.stamps[bisect_right(self.starts, part) - 1]
 
-
-class Floors:
-    """All purges that may still matter."""
-
-    def __init__(self, tagged_most: int = TAGGED_MOST) -> None:
-        self.objects: dict[int, Stamp] = {}
-        self.groups: dict[int, Stamp] = {}
-        self.tags: dict[str, Stamp] = {}
-        self.any_tag = NEVER  # the newest purge of any tag
-        self.patterns: dict[int, dict[str, dict[str | None, Runs]]] = {}  # by length, prefix, class
-        self.tagged: OrderedDict[tuple[int, int], frozenset[str]] = OrderedDict()
-        self.tagged_most = tagged_most
-
-    def add(self, stamp: Stamp, what: What) -> None:
+    def _split_at(self, part: int) -> int:
+        """The index of the run that begins at a part, made if need be."""
+        index = bisect_right(self.starts, part) - 1
+        if self.starts[index] != part:
+            index += 1
+            self.starts.insert(index, part)
+            self.stamps.insert(index, self.stamps[index - 1])
+        return index
+
+    def _merge(self, first: int, last: int) -> None:
+        """Neighbours of one stamp become one run, among the runs from first to before last."""
+        kept = [
+            index
+            for index in range(first, last)
+            if index == first or self.stamps[index] != self.stamps[index - 1]
+        ]
+        self.starts[first:last] = [self.starts[index] for index in kept]
+        self.stamps[first:last] = [self.stamps[index] for index in kept]
+
+
+RunsByClass = dict[str | None, PartRuns]  # by class; None is any
+
+
+class PurgeFloors:
+    """All purges that may still matter.
+
+    Attributes:
+        objects: the newest purge of each object.
+        groups: the newest purge of each group.
+        tags: the newest purge of each tag.
+        patterns: the newest purges by pattern: by the prefix's length, then by prefix, then by class.
+    """
+
+    def __init__(self, max_tagged_parts: int = MAX_TAGGED_PARTS) -> None:
+        """Begin with none.
+
+        Args:
+            max_tagged_parts: of how many parts the tags are remembered.
+        """
+        self.objects: dict[int, PurgeStamp] = {}
+        self.groups: dict[int, PurgeStamp] = {}
+        self.tags: dict[str, PurgeStamp] = {}
+        self._newest_of_any_tag = NEVER
+        self.patterns: dict[int, dict[str, RunsByClass]] = {}
+        self._tagged: OrderedDict[tuple[int, int], frozenset[str]] = OrderedDict()  # by object and part
+        self._max_tagged_parts = max_tagged_parts
+
+    def add(self, stamp: PurgeStamp, target: PurgeTarget) -> None:
         """A purge, heard of at any time and any number of times."""
-        if what.object is not None:
-            self.objects[what.object] = max(stamp, self.objects.get(what.object, NEVER))
-        elif what.group is not None:
-            self.groups[what.group] = max(stamp, self.groups.get(what.group, NEVER))
-        elif what.tag is not None:
-            self.tags[what.tag] = max(stamp, self.tags.get(what.tag, NEVER))
-            self.any_tag = max(stamp, self.any_tag)
+        if target.object_id is not None:
+            self.objects[target.object_id] = max(stamp, self.objects.get(target.object_id, NEVER))
+        elif target.group is not None:
+            self.groups[target.group] = max(stamp, self.groups.get(target.group, NEVER))
+        elif target.tag is not None:
+            self.tags[target.tag] = max(stamp, self.tags.get(target.tag, NEVER))
+            self._newest_of_any_tag = max(stamp, self._newest_of_any_tag)
         else:
-            by_class = self.patterns.setdefault(len(what.prefix), {}).setdefault(what.prefix, {})
-            by_class.setdefault(what.cls, Runs()).raise_to(*what.parts, stamp)
+            by_class = self.patterns.setdefault(len(target.prefix), {}).setdefault(target.prefix, {})
+            by_class.setdefault(target.request_class, PartRuns()).raise_to(*target.parts, stamp)
 
-    def bears(self, object: int, part: int, tags: Iterable[str]) -> None:
+    def record_tags(self, object_id: int, part: int, tags: Iterable[str]) -> None:
         """An answer told the tags of a part.  The memory has an end; what is longest unused goes first."""
-        self.tagged[object, part] = frozenset(tags)
-        self.tagged.move_to_end((object, part))
-        if len(self.tagged) > self.tagged_most:
-            self.tagged.popitem(last=False)
-
-    def floor(self, cls: str, object: int, part: int, group: int) -> Stamp:
-        """The newest purge that touches a part; NEVER if none does.  A part whose tags are not known counts
-        as bearing every tag: forgetting is sound, and costs a fill where a copy is older than that purge."""
-        newest = max(self.objects.get(object, NEVER), self.groups.get(group, NEVER))
-        if self.any_tag > newest:
-            known = self.tagged.get((object, part))
-            if known is None:
-                newest = self.any_tag
-            else:
-                newest = max([newest, *(self.tags.get(tag, NEVER) for tag in known)])
-        digits = f"{object:016x}"
-        for length, found in self.patterns.items():
-            by_class = found.get(digits[:length])
-            if by_class:
-                for wanted in (cls, None):
-                    runs = by_class.get(wanted)
-                    if runs is not None:
-                        newest = max(newest, runs.newest(part))
+        self._tagged[object_id, part] = frozenset(tags)
+        self._tagged.move_to_end((object_id, part))
+        if len(self._tagged) > self._max_tagged_parts:
+            self._tagged.popitem(last=False)
+
+    def floor(self, request_class: str, object_id: int, part: int, group: int) -> PurgeStamp:
+        """The newest purge that touches a part; NEVER if none does.
+
+        A part whose tags are not known counts as bearing every tag: forgetting is sound, and costs a fill
+        where a copy is older than that purge.
+        """
+        newest = max(self.objects.get(object_id, NEVER), self.groups.get(group, NEVER))
+        newest = max(newest, self._newest_of_tags(object_id, part))
+        digits = f"{object_id:016x}"
+        for length, by_prefix in self.patterns.items():
+            by_class = by_prefix.get(digits[:length], {})
+            for wanted in (request_class, None):
+                runs = by_class.get(wanted)
+                if runs is not None:
+                    newest = max(newest, runs.newest(part))
         return newest
 
-    def forget(self, before: Stamp) -> None:
-        """Drop purges older than a place in the order before which provably no old copy can return."""
-        for table in (self.objects, self.groups):
-            for key in [key for key, stamp in table.items() if stamp < before]:
-                del table[key]
-        for tag in [tag for tag, stamp in self.tags.items() if stamp < before]:
-            del self.tags[tag]
-        self.any_tag = max(self.tags.values(), default=NEVER)
-        for length, found in list(self.patterns.items()):
-            for prefix, by_class in list(found.items()):
-                for cls in [cls for cls, runs in by_class.items() if runs.forget(before)]:
-                    del by_class[cls]
+    def _newest_of_tags(self, object_id: int, part: int) -> PurgeStamp:
+        """The newest purge of a tag that a part bears, or may bear."""
+        tags = self._tagged.get((object_id, part))
+        if tags is None:
+            return self._newest_of_any_tag
+        return max((self.tags.get(tag, NEVER) for tag in tags), default=NEVER)
+
+    def drop_before(self, horizon: PurgeStamp) -> None:
+        """Forget purges older than a place in the order before which provably no old copy can return."""
+        drop_older(self.objects, horizon)
+        drop_older(self.groups, horizon)
+        drop_older(self.tags, horizon)
+        self._newest_of_any_tag = max(self.tags.values(), default=NEVER)
+        self._drop_patterns_before(horizon)
+
+    def _drop_patterns_before(self, horizon: PurgeStamp) -> None:
+        for length, by_prefix in list(self.patterns.items()):
+            for prefix, by_class in list(by_prefix.items()):
+                for name in [name for name, runs in by_class.items() if runs.drop_before(horizon)]:
+                    del by_class[name]
                 if not by_class:
-                    del found[prefix]
-            if not found:
+                    del by_prefix[prefix]
+            if not by_prefix:
                 del self.patterns[length]
+
+
+def drop_older(stamps: dict[K, PurgeStamp], horizon: PurgeStamp) -> None:
+    """Forget what is older than a place in the order."""
+    for key in [key for key, stamp in stamps.items() if stamp < horizon]:
+        del stamps[key]
--- a/kelpcroft/purge/order.py
+++ b/kelpcroft/purge/order.py
@@ -11,11 +11,11 @@
 from typing import NamedTuple
 
 MS = 1_000_000
-AHEAD_MS = 5_000  # a stamp further ahead of the own clock is refused: twice two seconds, and some
-COUNTER_MOST = 0xFFFF
+MAX_CLOCK_LEAD_MS = 5_000  # a stamp further ahead of the own clock is refused: twice two seconds, and some
+MAX_COUNTER = 0xFFFF
 
 
-class Stamp(NamedTuple):
+class PurgeStamp(NamedTuple):
     """A place in the order; tuples compare as the order is."""
 
     ms: int  # Unix milliseconds, of the clock or of what was heard
@@ -23,32 +23,50 @@
     router: int
 
 
-class Ahead(ValueError):
-    """A stamp from a clock that is too far ahead; taking it would drag the whole fleet's order along."""
+class ClockAheadError(ValueError):
+    """A stamp from a clock that is too far ahead; taking it would drag the whole fleet's order along.
+
+    Attributes:
+        lead_ms: how far it is ahead of the own clock.
+    """
+
+    def __init__(self, lead_ms: int) -> None:
+        super().__init__(f"a stamp {lead_ms} ms ahead of this clock; {MAX_CLOCK_LEAD_MS} at the most")
+        self.lead_ms = lead_ms
 
 
 class HybridClock:
     """The clock of one router.  Its stamps only grow, whatever the wall clock does."""
 
     def __init__(self, router: int) -> None:
+        """Begin before any stamp.
+
+        Args:
+            router: another number for each router.
+        """
         self.router = router
-        self.last = Stamp(0, 0, router)
+        self.last = PurgeStamp(0, 0, router)
 
-    def next(self, now_ns: int) -> Stamp:
+    def next_stamp(self, now_ns: int) -> PurgeStamp:
         """A stamp for a purge that is made here now."""
-        wall = now_ns // MS
-        if wall > self.last.ms:
-            self.last = Stamp(wall, 0, self.router)
-        elif self.last.counter < COUNTER_MOST:
-            self.last = Stamp(self.last.ms, self.last.counter + 1, self.router)
+        wall_ms = now_ns // MS
+        if wall_ms > self.last.ms:
+            self.last = PurgeStamp(wall_ms, 0, self.router)
+        elif self.last.counter < MAX_COUNTER:
+            self.last = PurgeStamp(self.last.ms, self.last.counter + 1, self.router)
         else:
-            self.last = Stamp(self.last.ms + 1, 0, self.router)
+            self.last = PurgeStamp(self.last.ms + 1, 0, self.router)
         return self.last
 
-    def heard(self, now_ns: int, stamp: Stamp) -> None:
-        """Another router's stamp: what is made here from now on comes after it.  Raises Ahead for one further
-        ahead of the own clock than AHEAD_MS, and takes nothing of it."""
-        if stamp.ms - now_ns // MS > AHEAD_MS:
-            raise Ahead(f"a stamp {stamp.ms - now_ns // MS} ms ahead of this clock; {AHEAD_MS} at the most")
+    def observe(self, now_ns: int, stamp: PurgeStamp) -> None:
+        """Another router's stamp: what is made here from now on comes after it.
+
+        Raises:
+            ClockAheadError: it is further ahead of the own clock than ``MAX_CLOCK_LEAD_MS``; nothing of it is
+                taken.
+        """
+        lead_ms = stamp.ms - now_ns // MS
+        if lead_ms > MAX_CLOCK_LEAD_MS:
+            raise ClockAheadError(lead_ms)
         if (stamp.ms, stamp.counter) > (self.last.ms, self.last.counter):
-            self.last = Stamp(stamp.ms, stamp.counter, self.router)
+            self.last = PurgeStamp(stamp.ms, stamp.counter, self.router)
--- a/tests/test_purge_order.py
+++ b/tests/test_purge_order.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kelpcroft.purge.order import AHEAD_MS, MS, Ahead, HybridClock, Stamp
+from kelpcroft.purge.order import MAX_CLOCK_LEAD_MS, MS, ClockAheadError, HybridClock, PurgeStamp
 
 NOW = 1_764_576_000_000 * MS
 steps = st.lists(st.tuples(st.integers(0, 3), st.integers(0, 3), st.integers(0, 50)), max_size=80)
@@ -21,39 +21,39 @@
     ) -> None:
         """Clocks up to two seconds off either way, one of which jumps back in the middle."""
         clocks = [HybridClock(n) for n in range(4)]
-        made: list[Stamp] = []
+        made: list[PurgeStamp] = []
         now = NOW
         for at, (maker, hearer, wait) in enumerate(moves):
             now += wait * MS
             if at == jump:
                 skew = [-skew[0], *skew[1:]]
             before = clocks[maker].last
-            stamp = clocks[maker].next(now + skew[maker] * MS)
+            stamp = clocks[maker].next_stamp(now + skew[maker] * MS)
             self.assertGreater(stamp[:2], before[:2])
-            clocks[hearer].heard(now + skew[hearer] * MS, stamp)
+            clocks[hearer].observe(now + skew[hearer] * MS, stamp)
             if hearer != maker:
-                self.assertGreater(clocks[hearer].next(now + skew[hearer] * MS), stamp)
+                self.assertGreater(clocks[hearer].next_stamp(now + skew[hearer] * MS), stamp)
             made.append(stamp)
         self.assertEqual(len(set(made)), len(made), "no two purges share a place")
 
     def test_overlapping_purges_a_second_apart_keep_their_order(self) -> None:
         early, late = HybridClock(1), HybridClock(0)
-        first = early.next(NOW + 2_000 * MS)  # two seconds fast
-        late.heard(NOW, first)
-        second = late.next(NOW + 1_000 * MS - 2_000 * MS)  # a second later, two seconds slow
+        first = early.next_stamp(NOW + 2_000 * MS)  # two seconds fast
+        late.observe(NOW, first)
+        second = late.next_stamp(NOW + 1_000 * MS - 2_000 * MS)  # a second later, two seconds slow
         self.assertGreater(second, first)
 
     def test_a_clock_gone_mad_drags_nobody_along(self) -> None:
         clock = HybridClock(1)
-        clock.heard(NOW, Stamp(NOW // MS + AHEAD_MS, 0, 2))
+        clock.observe(NOW, PurgeStamp(NOW // MS + MAX_CLOCK_LEAD_MS, 0, 2))
         kept = clock.last
-        with self.assertRaises(Ahead):
-            clock.heard(NOW, Stamp(NOW // MS + AHEAD_MS + 1, 0, 2))
+        with self.assertRaises(ClockAheadError):
+            clock.observe(NOW, PurgeStamp(NOW // MS + MAX_CLOCK_LEAD_MS + 1, 0, 2))
         self.assertEqual(clock.last, kept)
 
     def test_more_than_a_counter_holds_in_a_millisecond(self) -> None:
         clock = HybridClock(1)
-        stamps = [clock.next(NOW) for _ in range(70_000)]
+        stamps = [clock.next_stamp(NOW) for _ in range(70_000)]
         self.assertEqual(stamps, sorted(set(stamps)))
 
 
