--- a/tests/test_control_log.py
+++ b/tests/test_control_log.py
@@ -11,7 +11,14 @@
 from kelpcroft.control_log import log as control_log
 from kelpcroft.control_log.follower import LogFollower, LogPosition, ResponseHead, ResponseVerdict
 from kelpcroft.control_log.log import ControlLog, SnapshotIncompleteError, canonical_json, event_fingerprint
-from kelpcroft.control_log.messages import CallUpstream, RefuseWatcher, ReplicaOptions, SendWatchResponse, UpstreamResponse, WatchRequest
+from kelpcroft.control_log.messages import (
+    CallUpstream,
+    RefuseWatcher,
+    ReplicaOptions,
+    SendWatchResponse,
+    UpstreamResponse,
+    WatchRequest,
+)
 from kelpcroft.control_log.replica import ControlReplica
 from kelpcroft.control_log.upstream_selection import (
     MAX_FIRST_RETRY_DELAY_NS,
--- a/tests/test_purge_floors.py
+++ b/tests/test_purge_floors.py
@@ -31,7 +31,9 @@
 bearing = st.dictionaries(st.tuples(objects, parts), st.frozensets(st.sampled_from(["nut", "egg", "oat"])))
 
 
-def touches(what: PurgeTarget, one: tuple[str, int, int, int], tags: dict[tuple[int, int], frozenset[str]]) -> bool:
+def touches(
+    what: PurgeTarget, one: tuple[str, int, int, int], tags: dict[tuple[int, int], frozenset[str]]
+) -> bool:
     cls, item, part, group = one
     if what.object_id is not None:
         return what.object_id == item
