--- a/kelpcroft/config_reload/plan.py
+++ b/kelpcroft/config_reload/plan.py
@@ -123,11 +123,11 @@
     ``old`` but for classes and limits, which are the stricter of both.
     """
     old_classes = {c.name: c for c in old.classes}
-    kept = {c.name for c in new.classes}
+    new_names = {c.name for c in new.classes}
     classes = tuple(
         stricter_class(old_classes[c.name], c) if c.name in old_classes else c for c in new.classes
     )
-    classes += tuple(c for c in old.classes if c.name not in kept)
+    classes += tuple(c for c in old.classes if c.name not in new_names)
     return replace(old, classes=classes, limits=stricter_limits(old.limits, new.limits))
 
 
--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -22,7 +22,7 @@
 FINGERPRINT_BYTES = 8
 SNAPSHOT_LIFETIMES_PER_PURGE_SPAN = 8  # a snapshot is reused for an eighth of the time a purge matters
 
-RawEvent = Any  # one event of the feed, as parsed from JSON
+JsonObject = dict[str, Any]  # part of the feed, as parsed from JSON; anything in it may be missing or odd
 
 
 class SnapshotIncompleteError(ValueError):
@@ -55,7 +55,7 @@
     group: int  # 0 where an object is purged
 
 
-def canonical_json(event: RawEvent) -> bytes:
+def canonical_json(event: Any) -> bytes:
     """An event as JSON with sorted keys: the same bytes whoever wrote it."""
     return orjson.dumps(event, option=orjson.OPT_SORT_KEYS)
 
@@ -79,7 +79,7 @@
             purge_span_ms: how long a purge matters, counted from the time that it names.
         """
         self.purge_span_ms = purge_span_ms
-        self.servers: dict[str, Any] = {}  # by name: the newest line, as it came
+        self.servers: dict[str, JsonObject] = {}  # by name: the newest line, as it came
         self.purges: dict[PurgeKey, int] = {}  # when each was made, in Unix ms
         self.tail: deque[TailEvent] = deque()
         self.tail_bytes = 0
@@ -119,7 +119,7 @@
         self._base_fingerprint = fingerprint
         self._snapshot = []
 
-    def append(self, event: RawEvent, now_ms: int) -> str:
+    def append(self, event: Any, now_ms: int) -> str:
         """Take one event in its turn.
 
         Returns:
@@ -144,7 +144,7 @@
             self._base_number = dropped.number
             self._base_fingerprint = dropped.fingerprint
 
-    def apply(self, event: dict[str, Any], now_ms: int) -> str:
+    def apply(self, event: JsonObject, now_ms: int) -> str:
         """What an event does to the state, and nothing to the tail.
 
         Returns:
@@ -159,7 +159,7 @@
             return f"event {event['n']}: {type(error).__name__}: {error}"
         return ""
 
-    def _apply_members(self, members: dict[str, Any]) -> None:
+    def _apply_members(self, members: JsonObject) -> None:
         lines = {str(line["name"]): line for line in members["endpoints"]}
         if members.get("snapshot"):
             self.servers = lines
@@ -168,7 +168,7 @@
         if len(self.servers) > MAX_SERVERS:  # servers that have gone are not listed for good
             self.servers = {name: line for name, line in self.servers.items() if not has_left(line)}
 
-    def _apply_purge(self, purge: dict[str, Any], now_ms: int) -> None:
+    def _apply_purge(self, purge: JsonObject, now_ms: int) -> None:
         purged_ms = int(purge["at"])
         key = purge_key(purge)
         if now_ms - purged_ms > self.purge_span_ms:
@@ -244,12 +244,12 @@
         return events
 
 
-def has_left(line: dict[str, Any]) -> bool:
+def has_left(line: JsonObject) -> bool:
     """Whether a server's line says that it is gone for good."""
     return line.get("status") == "left"
 
 
-def purge_key(purge: dict[str, Any]) -> PurgeKey:
+def purge_key(purge: JsonObject) -> PurgeKey:
     """What a purge event names.  Raises TypeError or ValueError where that cannot be read."""
     object_hash = purge.get("key")
     if object_hash is None:
--- a/kelpcroft/control_log/watchers.py
+++ b/kelpcroft/control_log/watchers.py
@@ -83,7 +83,8 @@
             self._refuse(watcher_id, f"over {self._options.max_watches} watches")
             return
         until_ns = now + max(0, min(request.wait_ns, MAX_WAIT_NS) - EARLY_RESPONSE_NS)
-        pending = self.pending[watcher_id] = PendingWatch(request, now, until_ns)
+        pending = PendingWatch(request, now, until_ns)
+        self.pending[watcher_id] = pending
         self._answer_or_wait(now, pending)
 
     def remove(self, watcher_id: int) -> None:
@@ -120,14 +121,14 @@
     def _answer_or_wait(self, now: int, pending: PendingWatch) -> None:
         """Answer a call, or see when to look at it again."""
         watcher_id = pending.request.watcher_id
-        wanted_ns = now if self._has_news_for(pending.request) else pending.until_ns
-        at_ns = max(self._earliest_answer_ns(pending), wanted_ns)
-        if at_ns <= now:
+        needed_ns = now if self._has_news_for(pending.request) else pending.until_ns
+        due_ns = max(self._earliest_answer_ns(pending), needed_ns)
+        if due_ns <= now:
             self._answer(now, pending.request)
             return
-        if pending.due_ns != at_ns:
-            pending.due_ns = at_ns
-            heapq.heappush(self._timers, WatchTimer(at_ns, watcher_id))
+        if pending.due_ns != due_ns:
+            pending.due_ns = due_ns
+            heapq.heappush(self._timers, WatchTimer(due_ns, watcher_id))
 
     def _earliest_answer_ns(self, pending: PendingWatch) -> int:
         """The batch's time after the last answer to this watcher."""
--- a/kelpcroft/discovery/endpoint_view.py
+++ b/kelpcroft/discovery/endpoint_view.py
@@ -68,15 +68,15 @@
 
         Nothing is used of a whole list where there is a reason and no line.
         """
-        told = list(endpoints)
-        if is_full_list and not any(line.state == IN_SERVICE for line in told):
-            return [], [f"event {event_number}: a whole list of {len(told)} with none in service"]
+        lines = list(endpoints)
+        if is_full_list and not any(line.state == IN_SERVICE for line in lines):
+            return [], [f"event {event_number}: a whole list of {len(lines)} with none in service"]
         is_old = self._numbers_went_back or 0 < event_number <= self.last_event_number
         by_address = {e.address: e for e in self.endpoints.values() if e.state == IN_SERVICE}
-        leaving = self._leaving(told, is_full_list)
+        leaving = self._leaving(lines, is_full_list)
         used: list[EndpointRecord] = []
         problems: list[str] = []
-        for line in told:
+        for line in lines:
             problem = ""
             if line.state == IN_SERVICE:
                 problem = takes_address(line, by_address.get(line.address), leaving)
@@ -87,11 +87,11 @@
                 used.append(line)
         return used, problems
 
-    def _leaving(self, told: list[EndpointRecord], is_full_list: bool) -> set[str]:
+    def _leaving(self, lines: list[EndpointRecord], is_full_list: bool) -> set[str]:
         """Names of servers that a list event takes out of service: by their line, or by their absence."""
-        leaving = {line.name for line in told if line.state != IN_SERVICE}
+        leaving = {line.name for line in lines if line.state != IN_SERVICE}
         if is_full_list:
-            leaving |= set(self.endpoints) - {line.name for line in told}
+            leaving |= set(self.endpoints) - {line.name for line in lines}
         return leaving
 
     def _comes_back(self, line: EndpointRecord, is_old: bool) -> str:
--- a/kelpcroft/discovery/schedule.py
+++ b/kelpcroft/discovery/schedule.py
@@ -77,9 +77,9 @@
         """How late the first news after an outage may be heard."""
         return int(MAX_CYCLES_LATE * self.cycle_ns) if self.has_budget else MAX_RETRY_DELAY_NS
 
-    def chance(self, most_ns: int) -> int:
+    def chance(self, max_ns: int) -> int:
         """A time up to so much, any as likely as the next; 0 without a budget."""
-        return int(self.random() * most_ns) if self.random else 0
+        return int(self.random() * max_ns) if self.random else 0
 
     def first_call_delay_ns(self) -> int:
         """How long after its start the router makes its first call."""
--- a/kelpcroft/net/control_replica_upstream.py
+++ b/kelpcroft/net/control_replica_upstream.py
@@ -115,7 +115,8 @@
             self.close()
             connection = None
         if connection is None:
-            connection = self._connection = self._connect(call.address, now)
+            connection = self._connect(call.address, now)
+            self._connection = connection
         fingerprint = call.position.fingerprint if call.address in self._peers else None
         connection.unwritten += encode_poll(
             call.address, call.position.event_number, call.wait_ns // MS, fingerprint
