--- a/tools/compile.py
+++ b/tools/compile.py
@@ -19,6 +19,9 @@
 TARGET = ROOT / ".compiled"
 PACKAGES = ("kelpcroft",)
 HOT = (
+    "kelpcroft/decision/settings.py",
+    "kelpcroft/decision/events.py",
+    "kelpcroft/decision/actions.py",
     "kelpcroft/decision/interface.py",
     "kelpcroft/decision/statistics.py",
     "kelpcroft/decision/requests.py",
