--- /dev/null
+++ b/kelpcroft/decision/attempt_feedback.py
@@ -0,0 +1,188 @@
+"""What the end of an attempt, or its silence, tells of the cache, its fill source and the object."""
+
+from __future__ import annotations
+
+import math
+from typing import Final
+
+from kelpcroft.decision.admission import Admission
+from kelpcroft.decision.endpoint import Endpoint
+from kelpcroft.decision.events import AttemptEnded, FillResult, Outcome, Role
+from kelpcroft.decision.latency_model import LatencyModel
+from kelpcroft.decision.outlier_ejection import OutlierEjection
+from kelpcroft.decision.outlier_state import EJECTION_FAILURE_SCORE
+from kelpcroft.decision.requests import Attempt, InFlightRequest
+from kelpcroft.decision.router_state import RouterState
+from kelpcroft.decision.units import MS
+
+AT_CAPACITY_PAUSE_NS: Final = 200 * MS  # a cache that rejected a request is asked last for this long
+MIN_WARM_HIT_SHARE: Final = 0.02  # a cache with fewer hits has started, told or not
+MAX_PLAUSIBLE_LOAD: Final = 1e4  # a report of more is no load
+
+
+class AttemptFeedback:
+    """Hands what an attempt shows to the parts that learn from it."""
+
+    def __init__(
+        self, state: RouterState, latency_model: LatencyModel, admission: Admission, ejection: OutlierEjection
+    ) -> None:
+        self.state = state
+        self.latency_model = latency_model
+        self.admission = admission
+        self.ejection = ejection
+
+    def record_end(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
+        """Learn from an attempt's end.
+
+        The order matters: expected times are those from before this end, until the success of the object
+        itself.
+        """
+        if request.expects_fill and (
+            event.fill_result is not FillResult.NONE or event.outcome is Outcome.MISS
+        ):
+            self.admission.record_fill_expectation(event.fill_result is not FillResult.HIT)
+        if event.load_report and attempt.endpoint.server.role is Role.CACHE:
+            self.record_load_report(attempt.endpoint, event.load_report)
+        self._record_timeliness(request, attempt, event)
+        self._record_failed_fill(request, attempt, event)
+        self._record_latency(request, attempt, event)
+        if event.outcome is Outcome.FULL and event.fill_result in (
+            FillResult.NONE,
+            FillResult.NO_FILL_PLACE,
+        ):
+            attempt.endpoint.at_capacity_until_ns = self.state.now_ns + AT_CAPACITY_PAUSE_NS
+        if event.outcome is Outcome.OK:
+            self._record_success(request, attempt, event)
+            return
+        if event.outcome is Outcome.MISS:
+            self.ejection.record_success(attempt.endpoint)
+        self.ejection.attribute_failure(attempt, event)
+
+    def _record_timeliness(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
+        """Tell admission control whether the request was late; a server at capacity counts as late."""
+        if event.outcome not in (Outcome.OK, Outcome.FULL) or attempt.is_trial:
+            return
+        if event.fill_result is FillResult.NONE:
+            was_fill = request.expects_fill
+        else:
+            was_fill = event.fill_result is not FillResult.HIT
+        is_late = event.outcome is Outcome.FULL or self.latency_model.is_late(request)
+        self.admission.record_timeliness(request, is_late, was_fill)
+
+    def _record_failed_fill(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
+        """Count a fill that failed as a slow one of whoever fills."""
+        filling = attempt.filling_endpoint()
+        if event.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
+            self.record_missing_answer(request, attempt)
+        elif (
+            self.ejection.is_unreported_source_failure(attempt, event)
+            or event.fill_result in (FillResult.SOURCE_BROKE, FillResult.SOURCE_REFUSED)
+            or (filling is attempt.endpoint and event.outcome in (Outcome.ERROR, Outcome.FULL))
+        ):
+            # It costs what a late answer costs, however quick it is.
+            filling.record_first_byte(self.state.now_ns, self.latency_model.latency_objective_ns(request))
+
+    def _record_latency(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
+        """Learn how long answers take, at the server too where the object's own transfer time is known."""
+        if event.outcome not in (Outcome.OK, Outcome.TIMEOUT):
+            return
+        slowdown = self.latency_model.record_latency(request, event.elapsed_ns)
+        if self.latency_model.has_own_transfer_time(request):
+            attempt.endpoint.slowdown.add(slowdown)
+
+    def _record_success(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
+        """Learn from an answer: its server lives and holds the object now."""
+        now_ns = self.state.now_ns
+        endpoint = attempt.endpoint
+        self.ejection.record_success(endpoint)
+        transfer_ns = self.latency_model.expected_transfer_ns(request)
+        endpoint.work_completed.add(now_ns, transfer_ns)
+        if self.latency_model.has_known_size(request):
+            self.latency_model.record_known_transfer(request, transfer_ns)
+        elif event.fill_result in (FillResult.NONE, FillResult.HIT):
+            self.latency_model.record_measured_transfer(request, event.elapsed_ns)
+        history = request.history
+        if history is not None:
+            least_ns = min(history.min_response_ns or event.elapsed_ns, event.elapsed_ns)
+            history.min_response_ns = least_ns
+            history.known_copies[endpoint.server.name] = now_ns
+        if event.fill_result is FillResult.HIT:
+            endpoint.last_hit_sent_ns = max(endpoint.last_hit_sent_ns, attempt.sent_ns)
+        if attempt.is_filled() and event.fill_result in (
+            FillResult.FILLED,
+            FillResult.FILLED_FROM_ORIGIN,
+            FillResult.JOINED,
+        ):
+            self._record_fill(request, attempt, event, transfer_ns)
+
+    def _record_fill(
+        self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded, transfer_ns: float
+    ) -> None:
+        """Learn from a fill: its source lives, and took this long."""
+        self.ejection.record_success(attempt.fill_source)
+        if event.fill_result is FillResult.FILLED_FROM_ORIGIN:
+            for origin in self.state.directory.origins:
+                self.ejection.record_success(origin)
+        # Past the first byte, what the transfer lost to a crowded link counts too, or a parent that answers
+        # a few requests quickly would keep its rank.
+        wait_ns = max(event.first_byte_ns, event.elapsed_ns - transfer_ns)
+        attempt.filling_endpoint().record_first_byte(self.state.now_ns, wait_ns)
+        slack_ns = self.latency_model.latency_objective_ns(request) - transfer_ns
+        self.admission.fills.record_source_wait(self.state.now_ns, wait_ns / max(MS, slack_ns))
+
+    def record_missing_answer(self, request: InFlightRequest, attempt: Attempt) -> None:
+        """Count an answer that has not come as a late one, which it will be, and in time."""
+        filling = attempt.filling_endpoint()
+        overdue_ns = self.state.now_ns - attempt.sent_ns - self.latency_model.expected_transfer_ns(request)
+        if overdue_ns <= 0 or filling.server.role is Role.CACHE:
+            return
+        if math.log(overdue_ns) > filling.log_first_byte_ns.mean:
+            filling.record_first_byte(self.state.now_ns, overdue_ns)
+
+    def record_silence(self, request: InFlightRequest) -> None:
+        """Look at the attempts of a request that are out: silence and lateness tell before any end does."""
+        attempts = request.attempts_in_flight
+        for attempt in attempts.values():
+            # Silence well past its usual time: one such attempt is enough, and it goes on.
+            if self._is_silent(request, attempt):
+                self.ejection.record_unattributed_failure(attempt, EJECTION_FAILURE_SCORE)
+        expected_ns = self.latency_model.expected_transfer_ns(request)
+        # A copy asked for long after it is answered by now: it waits for its source, not for its cache.
+        awaiting_fill = [
+            attempt
+            for attempt in attempts.values()
+            if attempt.sent_ns + expected_ns < attempt.endpoint.last_hit_sent_ns
+        ]
+        for attempt in awaiting_fill:
+            attempt.endpoint.requests_awaiting_fill += 1
+        if request.is_closed or request.response_started or not self.latency_model.is_late(request):
+            return
+        if not request.timeliness_recorded:
+            for attempt in attempts.values():
+                self.record_missing_answer(request, attempt)
+        self.admission.record_timeliness(request, True, request.expects_fill or len(awaiting_fill) > 0)
+
+    def _is_silent(self, request: InFlightRequest, attempt: Attempt) -> bool:
+        if request.response_started or attempt.is_trial:
+            return False
+        return self.state.now_ns - attempt.sent_ns > self.latency_model.expected_latency_ns(request)
+
+    def record_load_report(self, endpoint: Endpoint, report: dict[str, float]) -> None:
+        """Take in a cache's load, which all routers share: one of them alone sees too little.
+
+        Args:
+            endpoint: The cache.
+            report: ``utilization``, ``x0`` (share of hits) and ``x1`` (load of its link), as far as it tells
+                them.
+        """
+        utilization = report.get("utilization", endpoint.utilization)
+        if utilization != endpoint.utilization and 0 <= utilization < MAX_PLAUSIBLE_LOAD:
+            endpoint.utilization = utilization
+            endpoint.mean_utilization.add(utilization)
+        link_load = report.get("x1", -1.0)
+        if 0 <= link_load < MAX_PLAUSIBLE_LOAD:
+            self.admission.fills.link_load.record(self.state.now_ns, link_load)
+        hit_share = report.get("x0", 1.0)
+        age_ns = self.state.now_ns - endpoint.started_ns
+        if 0 <= hit_share < MIN_WARM_HIT_SHARE and age_ns > self.state.settings.rules.warm_up_ns:
+            endpoint.started_ns = self.state.now_ns  # as if it started now, whatever the list says
--- /dev/null
+++ b/kelpcroft/decision/cache_selection.py
@@ -0,0 +1,147 @@
+"""Cache selection: weighted rendezvous hashing with bounded loads.
+
+Each object has one home among the caches of the zone, the same at every router (highest random weight, Thaler
+and Ravishankar, 1998).  A cache that holds many more requests than the zone's mean per weight is passed over
+(consistent hashing with bounded loads, Mirrokni et al., 2018), as is one that has rejected requests lately.
+"""
+
+from __future__ import annotations
+
+from typing import Final
+
+from kelpcroft.decision.endpoint import MAX_COLD_UTILIZATION, Endpoint
+from kelpcroft.decision.idempotency import IdempotencyGuard
+from kelpcroft.decision.outlier_ejection import OutlierEjection
+from kelpcroft.decision.requests import InFlightRequest
+from kelpcroft.decision.router_state import RouterState
+from kelpcroft.decision.slow_start import SlowStart
+
+MAX_LOAD_OVER_MEAN: Final = (
+    1.75  # a cache may hold this many times the zone's mean of requests per weight ...
+)
+MIN_REQUESTS_BEFORE_BOUND: Final = 4.0  # ... but always this many of ours, so that chance alone moves nothing
+MIN_COMPARED_UTILIZATION: Final = 0.1  # reported utilisations under this are alike
+MAX_SLOWDOWN_RATIO: Final = 3.0  # a cache this much slower than the zone's quickest gets less ...
+MIN_SLOW_CACHE_SHARE: Final = 0.25  # ... down to this share of its objects
+MIN_SLOWDOWN: Final = 1e-9  # no cache is quicker than this
+
+
+class Candidate:
+    """A cache that may take an object; the one to try first sorts first.
+
+    Attributes:
+        endpoint: The cache.
+        rank: Its weighted rendezvous score for the object; the highest is the object's home.
+        weight: The weight that bounds its load.
+        is_overloaded: True if it holds too much for its weight, or is at capacity.
+    """
+
+    __slots__ = ("endpoint", "is_overloaded", "rank", "weight")
+
+    def __init__(self, endpoint: Endpoint, rank: float, weight: float) -> None:
+        self.endpoint = endpoint
+        self.rank = rank
+        self.weight = weight
+        self.is_overloaded = False
+
+    def __lt__(self, other: Candidate) -> bool:
+        if self.is_overloaded != other.is_overloaded:
+            return other.is_overloaded
+        if self.rank != other.rank:
+            return self.rank > other.rank
+        return self.endpoint.server.name < other.endpoint.server.name
+
+
+class CacheSelection:
+    """Ranks the caches of the zone for an object."""
+
+    def __init__(
+        self,
+        state: RouterState,
+        slow_start: SlowStart,
+        idempotency: IdempotencyGuard,
+        ejection: OutlierEjection,
+    ) -> None:
+        self.state = state
+        self.slow_start = slow_start
+        self.idempotency = idempotency
+        self.ejection = ejection
+
+    def ranked_caches(self, request: InFlightRequest) -> list[Endpoint]:
+        """Return the caches that may be asked, in the order to try: by hash, the overloaded last.
+
+        An ejected cache comes first if a trial request is due and the hash would give it the object anyway.
+        """
+        live: list[Candidate] = []
+        trials: list[Candidate] = []
+        total_requests = 0
+        total_weight = 0.0
+        zone_mean = self._mean_utilization()
+        min_utilization = self._min_compared_utilization()
+        slow_limit = self._slow_limit()
+        for cache in self.state.directory.zone_caches:
+            if cache.server.name in request.excluded_servers or not self.idempotency.may_send(request, cache):
+                continue
+            warm_fraction = cache.warm_fraction(self.state.now_ns, self.state.settings.rules)
+            if cache.is_ejected:
+                if self._is_trial_allowed(cache, request, warm_fraction):
+                    rank = cache.rendezvous_rank(request.object_hash, cache.server.weight)
+                    trials.append(Candidate(cache, rank, 0.0))
+                continue
+            if request.cache_only and warm_fraction < 1:
+                continue  # it would find nothing, and counts against the cold budget
+            preference = cache.load_preference(zone_mean, min_utilization)
+            weight = cache.server.weight * warm_fraction * preference
+            total_requests = total_requests + cache.requests_in_flight
+            total_weight = total_weight + weight
+            if self.slow_start.has_budget_at(cache, request, warm_fraction):
+                share = self._share_by_slowdown(cache, slow_limit)
+                rank = cache.rendezvous_rank(request.object_hash, weight * share)
+                live.append(Candidate(cache, rank, weight))
+        per_weight = MAX_LOAD_OVER_MEAN * (total_requests + 1) / total_weight if total_weight else 0.0
+        best_rank = max([candidate.rank for candidate in live], default=0.0)
+        due_trials = [candidate.endpoint for candidate in trials if candidate.rank > best_rank]
+        return due_trials[:1] + self._by_rank(live, per_weight)
+
+    def _by_rank(self, candidates: list[Candidate], max_requests_per_weight: float) -> list[Endpoint]:
+        """Return caches by rank, but those that hold too much or are at capacity last."""
+        for candidate in candidates:
+            endpoint = candidate.endpoint
+            max_requests = max(MIN_REQUESTS_BEFORE_BOUND, max_requests_per_weight * candidate.weight)
+            candidate.is_overloaded = (
+                endpoint.requests_in_flight >= max_requests
+                or self.state.now_ns < endpoint.at_capacity_until_ns
+            )
+        return [candidate.endpoint for candidate in sorted(candidates)]
+
+    def _is_trial_allowed(self, cache: Endpoint, request: InFlightRequest, warm_fraction: float) -> bool:
+        """Return True if an ejected cache may get this request as a trial."""
+        is_due = self.ejection.is_trial_due(request, cache)
+        return is_due and self.slow_start.has_budget_at(cache, request, warm_fraction)
+
+    def _mean_utilization(self) -> float:
+        """Return the mean utilisation of the zone's caches that report any, else 1."""
+        reported = [
+            cache.mean_utilization.mean
+            for cache in self.state.directory.zone_caches
+            if cache.mean_utilization.sample_count
+        ]
+        return sum(reported) / len(reported) if reported else 1.0
+
+    def _min_compared_utilization(self) -> float:
+        """Return the utilisation under which caches are alike: told weights need no guess from loads."""
+        if self.state.settings.weight_source == "off":
+            return MIN_COMPARED_UTILIZATION
+        return MAX_COLD_UTILIZATION
+
+    def _slow_limit(self) -> float:
+        """Return the slowdown from which a cache gets less."""
+        quickest = min([cache.slowdown.mean for cache in self.state.directory.zone_caches], default=1.0)
+        return MAX_SLOWDOWN_RATIO * quickest
+
+    def _share_by_slowdown(self, cache: Endpoint, slow_limit: float) -> float:
+        """Return the share of its objects that a cache keeps: under 1 for one much slower than its peers.
+
+        That is an exception to the hash: the cache has a hot object, or is failing slowly.
+        """
+        return min(1.0, max(MIN_SLOW_CACHE_SHARE, slow_limit / max(cache.slowdown.mean, MIN_SLOWDOWN)))
--- /dev/null
+++ b/kelpcroft/decision/forwarding.py
@@ -0,0 +1,126 @@
+"""Forwarding: sends a request's next attempt."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from kelpcroft.decision.actions import ForwardRequest, RetentionRank
+from kelpcroft.decision.endpoint import Endpoint
+from kelpcroft.decision.events import Role
+from kelpcroft.decision.freshness import Freshness
+from kelpcroft.decision.latency_model import LatencyModel
+from kelpcroft.decision.outlier_ejection import OutlierEjection
+from kelpcroft.decision.request_completion import RequestCompletion
+from kelpcroft.decision.requests import Attempt, InFlightRequest
+from kelpcroft.decision.route_selection import Route, RouteSelection
+from kelpcroft.decision.router_state import RouterState
+
+REUSED_REQUEST_COUNT: Final = 1.5  # requests of late from which a copy is kept longer ...
+HOT_REQUEST_COUNT: Final = 4.0  # ... and longest
+
+
+class Forwarding:
+    """Sends the attempts of requests."""
+
+    def __init__(
+        self,
+        state: RouterState,
+        latency_model: LatencyModel,
+        ejection: OutlierEjection,
+        freshness: Freshness,
+        routes: RouteSelection,
+        completion: RequestCompletion,
+    ) -> None:
+        self.state = state
+        self.latency_model = latency_model
+        self.ejection = ejection
+        self.freshness = freshness
+        self.routes = routes
+        self.completion = completion
+
+    def send_next_attempt(self, request: InFlightRequest) -> None:
+        """Send the next attempt of a request, or end it where none is left."""
+        remaining_ns = request.deadline_ns - self.state.now_ns
+        route = None
+        if remaining_ns > 0 and not self.has_no_attempt_left(request):
+            route = self.routes.pick_route(request)
+        if route is None:
+            self.completion.reject_or_fail(request)
+        else:
+            self.send(request, route, remaining_ns)
+
+    def has_no_attempt_left(self, request: InFlightRequest) -> bool:
+        """Return True if a request has had all its attempts: by the limit when it came or now, if lower."""
+        return request.attempts_sent >= min(request.max_attempts, self.state.settings.limits.max_attempts)
+
+    def send(self, request: InFlightRequest, route: Route, remaining_ns: int) -> None:
+        """Send one attempt, and count it against every budget that it touches."""
+        endpoint = route.endpoint
+        source = route.fill_source
+        is_trial = endpoint.is_ejected or source.is_ejected
+        self._count_against_budgets(request, endpoint, source)
+        number = request.attempts_sent
+        request.attempts_in_flight[number] = Attempt(endpoint, source, self.state.now_ns, is_trial)
+        endpoint.requests_in_flight += 1
+        rank = self._retention_rank(request)
+        is_sibling = source.server.role is Role.CACHE and source is not endpoint
+        cached_only = self._spares_origin(request, source) or is_sibling
+        request.attempts_sent = number + 1
+        self.state.actions.append(
+            ForwardRequest(
+                request.request.id,
+                endpoint.server.name,
+                self.latency_model.attempt_timeout_ns(request, is_trial, remaining_ns),
+                source.server.name,
+                max_age_ns=self.freshness.max_age_ns(request),
+                retention_rank=rank,
+                coalesce=self.state.settings.coalesces_fills,
+                cached_only=cached_only,
+                refresh_in_background=request.request_class.freshness_lifetime_ns > 0
+                and rank > RetentionRank.ONCE,
+            )
+        )
+
+    def _count_against_budgets(self, request: InFlightRequest, endpoint: Endpoint, source: Endpoint) -> None:
+        touched = [endpoint] if source is endpoint else [endpoint, source]
+        for server in touched:
+            if server.is_ejected:
+                server.outlier_state.record_trial(self.state.now_ns)
+            if server.server.role is not Role.ORIGIN:
+                server.work_sent.add(self.state.now_ns, self.latency_model.budget_cost(request))
+        if source.server.role is Role.PARENT:
+            source.fills_requested += 1
+
+    def _retention_rank(self, request: InFlightRequest) -> RetentionRank:
+        """Return how long the cache should keep the copy: by recent requests of the object, for its size."""
+        if request.request_class.uncacheable:
+            return RetentionRank.DO_NOT_KEEP
+        reuse = self._reuse(request)
+        if reuse >= HOT_REQUEST_COUNT:
+            return RetentionRank.HOT
+        if reuse >= REUSED_REQUEST_COUNT:
+            return RetentionRank.REUSED
+        return RetentionRank.ONCE
+
+    def _reuse(self, request: InFlightRequest) -> float:
+        """Return the requests of an object of late; of one that is larger than the mean, the fewer count."""
+        if request.history is None:
+            return 0.0
+        smallness = 1.0
+        if self.latency_model.has_known_size(request):
+            mean_ns = self.latency_model.transfer_time[request.request_class.name].mean
+            smallness = mean_ns / self.latency_model.expected_transfer_ns(request)
+        return request.history.request_count * smallness
+
+    def _spares_origin(self, request: InFlightRequest, source: Endpoint) -> bool:
+        """Return True if a parent should give only what it holds, as the origin behind it is ejected.
+
+        A trial of that origin goes the whole way.
+        """
+        origin = self.ejection.ejected_origin()
+        if origin is None or source.server.role is not Role.PARENT or request.request_class.uncacheable:
+            return False
+        if self.ejection.is_trial_due(request, origin):
+            origin.outlier_state.record_trial(self.state.now_ns)
+            return False
+        return True
--- /dev/null
+++ b/kelpcroft/decision/freshness.py
@@ -0,0 +1,73 @@
+"""Freshness: which copies are too old after a purge."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Final
+
+from kelpcroft.decision.events import Purged
+from kelpcroft.decision.requests import InFlightRequest
+from kelpcroft.decision.router_state import RouterState
+from kelpcroft.decision.units import MS
+
+PURGE_MARGIN_NS: Final = MS  # an age limit is this much younger than the purge
+
+
+@dataclass(frozen=True, slots=True)
+class Purge:
+    """The latest purge of an object or a group: when it was, and until when it matters."""
+
+    purged_ns: int
+    relevant_until_ns: int
+
+
+class Freshness:
+    """The purges of late, and the age limits that follow from them.
+
+    Attributes:
+        object_purges: Purges of single objects, by object.
+        group_purges: Purges of all objects of a group, by group.
+    """
+
+    def __init__(self, state: RouterState) -> None:
+        self.state = state
+        self.object_purges: dict[int, Purge] = {}
+        self.group_purges: dict[int, Purge] = {}
+
+    def record_purge(self, event: Purged) -> None:
+        """Take in a purge; it matters until no fill that was under way then can land any more."""
+        purged_ns = self.state.now_ns - event.ago_ns
+        until_ns = self.state.now_ns + self.state.settings.rules.purge_retention_ns
+        if event.object_id is None:
+            self._record(self.group_purges, event.purge_group, purged_ns, until_ns)
+        else:
+            self._record(self.object_purges, event.object_id, purged_ns, until_ns)
+
+    def _record(self, purges: dict[int, Purge], key: int, purged_ns: int, until_ns: int) -> None:
+        known = purges.get(key)
+        purges[key] = Purge(max(purged_ns, known.purged_ns if known else 0), until_ns)
+
+    def forget_old_purges(self) -> None:
+        """Forget the purges that no longer matter."""
+        now_ns = self.state.now_ns
+        self.object_purges = {k: p for k, p in self.object_purges.items() if p.relevant_until_ns >= now_ns}
+        self.group_purges = {k: p for k, p in self.group_purges.items() if p.relevant_until_ns >= now_ns}
+
+    def max_age_ns(self, request: InFlightRequest) -> int:
+        """Return the age of the oldest copy that will do for a request; 0 where its class's own limit does.
+
+        While copies from before a purge may be about, only those younger than the purge will do, and the
+        limit is never 0.  That holds past the servers' own sweep too: a copy filled just before the purge may
+        land after it.
+        """
+        object_purge = self.object_purges.get(request.request.object_id)
+        group_purge = self.group_purges.get(request.request.purge_group)
+        purged_ns = max(
+            object_purge.purged_ns if object_purge else 0,
+            group_purge.purged_ns if group_purge else 0,
+        )
+        if not purged_ns:
+            return 0
+        limit = max(PURGE_MARGIN_NS, self.state.now_ns - purged_ns - PURGE_MARGIN_NS)
+        lifetime_ns = request.request_class.freshness_lifetime_ns
+        return min(limit, lifetime_ns) if lifetime_ns else limit
--- a/kelpcroft/decision/requests.py
+++ b/kelpcroft/decision/requests.py
@@ -1,59 +1,94 @@
-"""What the module keeps of a request, its attempts and its object.  Records: nothing is decided here."""
+"""Records of the requests in flight and of their attempts.  Nothing is decided here."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from kelpcroft.decision.endpoint import Endpoint
+from kelpcroft.decision.events import Request, Role
+from kelpcroft.decision.object_history import ObjectHistory
+from kelpcroft.decision.settings import RequestClass
 
-from kelpcroft.decision import interface as api
-from kelpcroft.decision.interface import Role
-
-if TYPE_CHECKING:
-    from kelpcroft.decision.policy import Endpoint
 
+class Attempt:
+    """One attempt that is in flight.
 
-@dataclass(slots=True)
-class ObjectHistory:
-    """What is remembered of one part of an object."""
+    No dataclass: one is made for each request that is sent on, and compiled, a plain class is made faster.
 
-    request_count: float = 0.0  # requests, halving with time
-    requested_ns: int = 0
-    min_response_ns: float = 0.0  # least time an answer took, 0 = none yet
-    known_copies: dict[str, int] = field(default_factory=dict)  # caches shown to hold it, and when
+    Attributes:
+        endpoint: The server that was asked.
+        fill_source: The server from which a miss is filled; ``endpoint`` itself where nothing is filled.
+        sent_ns: When it was sent.
+        is_trial: True if it tries an ejected server.
+    """
 
+    __slots__ = ("endpoint", "fill_source", "is_trial", "sent_ns")
 
-class Attempt:
-    """One attempt that is out."""
+    def __init__(
+        self, endpoint: Endpoint, fill_source: Endpoint, sent_ns: int, is_trial: bool = False
+    ) -> None:
+        self.endpoint = endpoint
+        self.fill_source = fill_source
+        self.sent_ns = sent_ns
+        self.is_trial = is_trial
 
-    # No dataclass: compiled, its annotations would want Node before the module that has it is there.
-    __slots__ = ("node", "source", "sent_ns", "trial")
-
-    def __init__(self, node: Endpoint, source: Endpoint, sent_ns: int, trial: bool = False) -> None:
-        self.node, self.source, self.sent_ns, self.trial = node, source, sent_ns, trial
+    def is_filled(self) -> bool:
+        """Return True if a miss at the server is filled from another one."""
+        return self.fill_source is not self.endpoint
 
     def filling_endpoint(self) -> Endpoint:
-        """Who fills it: the source, or the parent or origin that was asked straight."""
-        return self.source if self.node.server.role is Role.CACHE else self.node
+        """Return who fills it: the fill source, or the parent or origin that was asked directly."""
+        return self.fill_source if self.endpoint.server.role is Role.CACHE else self.endpoint
 
 
 class InFlightRequest:
-    """A request that still owes its answer, or whose attempts are still out."""
+    """A request that is still owed its answer, or whose attempts are still in flight.
+
+    Attributes:
+        request: The request as it came.
+        request_class: Its class as of then: a change of settings leaves it alone.
+        object_hash: What places its object at a cache and a parent.
+        start_ns: When it came.
+        deadline_ns: When its client stops waiting.
+        attempts_in_flight: Its attempts that are out, by their number.
+        attempts_sent: How many were sent.
+        max_attempts: How many were allowed when it came.
+        is_closed: True once it has its final answer; attempts may still be out.
+        response_started: True once a streamed answer has begun.
+        timeliness_recorded: True once the admission controller knows whether it is late.
+        expects_fill: True if no cache is known to hold the object.
+        cache_only: True if there is no room for its fill: only a hit is wanted.
+        bypasses_cache: True if its zone's caches have no room for it: it goes straight to a parent.
+        reset_count: Attempts lost with their connection.
+        retry_count: Attempts sent after one that may have executed.
+        reroute_count: Attempts sent after one that certainly has not.
+        hedge_count: Second attempts sent while another was out.
+        excluded_servers: Names of the servers that it should not be sent to again.
+        excluded_sources: Names of the fill sources that have failed for it.
+        history: What is remembered of the object; None where it can't be cached.
+        possible_execution: The first attempt that may have executed, of any request of its idempotency key.
+    """
 
-    def __init__(self, now: int, request: api.Request, cls: api.RequestClass, key: int, most: int) -> None:
-        self.request, self.request_class, self.object_hash = request, cls, key
-        self.start_ns, self.deadline_ns = now, now + request.time_remaining_ns
+    def __init__(
+        self, now_ns: int, request: Request, request_class: RequestClass, object_hash: int, max_attempts: int
+    ) -> None:
+        self.request = request
+        self.request_class = request_class
+        self.object_hash = object_hash
+        self.start_ns = now_ns
+        self.deadline_ns = now_ns + request.time_remaining_ns
         self.attempts_in_flight: dict[int, Attempt] = {}
-        self.attempts_sent, self.max_attempts = 0, most  # attempts sent; allowed when it came
-        self.is_closed = self.response_started = self.timeliness_recorded = False
-        self.expects_fill = self.cache_only = False  # looks like a fill; only a hit is wanted
-        self.bypasses_cache = False  # its zone's caches have no room for it: straight to a parent
-        self.reset_count = 0  # attempts lost with their connection
-        self.retry_count = self.reroute_count = self.hedge_count = (
-            0  # sends after one that may have run, or had not; copies
-        )
+        self.attempts_sent = 0
+        self.max_attempts = max_attempts
+        self.is_closed = False
+        self.response_started = False
+        self.timeliness_recorded = False
+        self.expects_fill = False
+        self.cache_only = False
+        self.bypasses_cache = False
+        self.reset_count = 0
+        self.retry_count = 0
+        self.reroute_count = 0
+        self.hedge_count = 0
         self.excluded_servers: set[str] = set()
         self.excluded_sources: set[str] = set()
         self.history: ObjectHistory | None = None
-        self.possible_execution = (
-            request.prior_execution
-        )  # first send that may have run, of any request of its key
+        self.possible_execution = request.prior_execution
--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -90,16 +90,16 @@
     ),
     "runs twice": (
         (
-            "kelpcroft/decision/policy.py",
-            "        if held.request_class.idempotency is Idempotency.SAFE or ran is None:\n",
+            "kelpcroft/decision/idempotency.py",
+            "        if is_safe or executed is None:\n",
             "        if True:\n",
         ),
     ),
     "sends to the drained": (
         (
-            "kelpcroft/decision/policy.py",
-            '        return node.is_listed and node.server.state == "in_service"\n',
-            "        return True\n",
+            "kelpcroft/decision/endpoint_directory.py",
+            '    return endpoint.is_listed and endpoint.server.state == "in_service"\n',
+            "    return True\n",
         ),
         (
             "kelpcroft/core/endpoint_list.py",
@@ -109,20 +109,20 @@
     ),
     "floods the cold": (
         (
-            "kelpcroft/decision/policy.py",
-            "        if share >= 1:\n            return True\n",
+            "kelpcroft/decision/slow_start.py",
+            "        if warm_fraction >= 1:\n            return True\n",
             "        return True\n",
         ),
         (
-            "kelpcroft/decision/policy.py",
-            "            weight = node.server.weight * share * node.load_preference(even, least)\n",
-            "            weight = node.server.weight\n",
+            "kelpcroft/decision/cache_selection.py",
+            "            weight = cache.server.weight * warm_fraction * preference\n",
+            "            weight = cache.server.weight\n",
         ),
     ),
     "serves the purged": (
         (
-            "kelpcroft/decision/policy.py",
-            "        limit = max(PURGE_MARGIN_NS, self.now_ns - purged - PURGE_MARGIN_NS)\n",
+            "kelpcroft/decision/freshness.py",
+            "        limit = max(PURGE_MARGIN_NS, self.state.now_ns - purged_ns - PURGE_MARGIN_NS)\n",
             "        return 0\n",
         ),
     ),
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -255,7 +255,7 @@
 
     def purged(self) -> set[int]:
         """Objects of which it remembers a purge."""
-        return {key for key, _ in self.reducer.state.policy.purges if key is not None}
+        return set(self.reducer.state.policy.freshness.object_purges)
 
 
 class Net:
--- a/tests/test_early_limits.py
+++ b/tests/test_early_limits.py
@@ -10,14 +10,9 @@
 from kit import MS, S, ask, end, fetches, policy, servers
 
 from kelpcroft.decision import interface as api
+from kelpcroft.decision.admission import MAX_COST_THRESHOLD, MAX_SOURCE_WAIT_SHARE, AdmissionController
 from kelpcroft.decision.interface import FillResult, Outcome
-from kelpcroft.decision.policy import (
-    MAX_COST_THRESHOLD,
-    MAX_SOURCE_WAIT_SHARE,
-    TICK_TIMER,
-    AdmissionController,
-    RoutingPolicy,
-)
+from kelpcroft.decision.policy import TICK_TIMER, RoutingPolicy
 from kelpcroft.decision.requests import InFlightRequest
 from kelpcroft.decision.statistics import LinearDecay
 
@@ -58,9 +53,9 @@
             if f.server != "c0":
                 end(p, S + 400 * MS, f, Outcome.OK, took=400 * MS, note=FillResult.HIT)
         self.assertGreater(p.endpoints["c0"].requests_in_flight, 8)
-        p.record_failure(p.endpoints["c0"], 3, True)
+        p.ejection.record_failure(p.endpoints["c0"], 3, True)
         self.assertTrue(all(burst(p, S + 500 * MS, 10, 400.0, "after")))
-        self.assertLess(p.admission[False].cache_load.value, 1.0)
+        self.assertLess(p.admission.all_requests.cache_load.value, 1.0)
 
     def test_what_the_caches_have_no_room_for_goes_straight_to_a_parent(self) -> None:
         """A zone had two caches left: two thirds of what it was asked was refused for half a minute, with its
@@ -70,7 +65,7 @@
                 p = policy(allows_cache_bypass=direct)
                 burst(p, S, 60, 400.0)
                 for _ in range(50):
-                    p.admission[True].link_load.record(S, link)
+                    p.admission.fills.link_load.record(S, link)
                 later = [f for n in range(20) for f in fetches(ask(p, S, f"l{n}", 5_000 + n, size_kb=400.0))]
                 self.assertEqual(any(f.server.startswith("p") for f in later), straight)
                 self.assertFalse(any(f.server == "o" for f in later))
@@ -80,7 +75,7 @@
         p = policy(allows_cache_bypass=True)
         burst(p, S, 60, 400.0)
         for name in ("p0", "p1"):
-            p.record_failure(p.endpoints[name], 3, True)
+            p.ejection.record_failure(p.endpoints[name], 3, True)
         later = [f for n in range(20) for f in fetches(ask(p, S, f"l{n}", 5_000 + n, size_kb=400.0))]
         self.assertFalse(any(f.server == "o" for f in later))
 
@@ -133,8 +128,8 @@
             for held in p.requests_in_flight.values():
                 held.expects_fill = False  # copies of them were seen: they look like hits
             p.handle(S + 2_500 * MS, api.TimerExpired(TICK_TIMER))
-            self.assertEqual(p.admission[False].cost_threshold < MAX_COST_THRESHOLD, not passed)
-            self.assertEqual(p.admission[True].cost_threshold < MAX_COST_THRESHOLD, passed)
+            self.assertEqual(p.admission.all_requests.cost_threshold < MAX_COST_THRESHOLD, not passed)
+            self.assertEqual(p.admission.fills.cost_threshold < MAX_COST_THRESHOLD, passed)
 
 
 class ColdBudget(unittest.TestCase):
@@ -155,7 +150,7 @@
                 if f.server in ("c0", "c1", "c2", "c3"):
                     sent = p.endpoints[f.server].work_sent.total
                     self.assertLessEqual(sent, 1.2 * S, "0.02 s and 1.5 s are not alike")
-                    self.assertLess(p.expected_transfer_ns(held), 1.2 * S)
+                    self.assertLess(p.latency_model.expected_transfer_ns(held), 1.2 * S)
         self.assertGreater(
             sum(p.endpoints[f"c{n}"].work_sent.total > 0 for n in range(4)), 2, "small ones go there"
         )
@@ -168,7 +163,7 @@
             for n in range(20)
             for f in fetches(ask(p, now * S + n * 50 * MS, f"{now}/{n}", 20 * now + n, size_kb=2_500.0))
             if f.server.startswith("c")
-            and p.endpoints[f.server].warm_fraction(p.now_ns, p.settings.rules) < 0.3
+            and p.endpoints[f.server].warm_fraction(p.state.now_ns, p.settings.rules) < 0.3
         ]
         self.assertTrue(sent, "a cold zone that is asked for large ones only serves some")
         self.assertEqual(len(sent), len(set(sent)), "two of them in one second")
@@ -257,10 +252,10 @@
         moved = {}
         for weights in ("rough", "off"):
             p = policy(weight_source=weights)
-            homes = [p.ranked_caches(self.held(p, n))[0].server.name for n in range(400)]
+            homes = [p.caches.ranked_caches(self.held(p, n))[0].server.name for n in range(400)]
             for name, busy in (("c0", 0.05), ("c1", 0.5), ("c2", 0.5), ("c3", 0.5)):
-                p.record_load_report(p.endpoints[name], {"utilization": busy})
-            after = [p.ranked_caches(self.held(p, n))[0].server.name for n in range(400)]
+                p.feedback.record_load_report(p.endpoints[name], {"utilization": busy})
+            after = [p.caches.ranked_caches(self.held(p, n))[0].server.name for n in range(400)]
             moved[weights] = sum(a != b for a, b in zip(homes, after, strict=True))
         self.assertLess(moved["rough"], 20)
         self.assertGreater(moved["off"], 60, "where no weights are told the reports tell of capacity")
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -9,8 +9,8 @@
 from kit import MS, S, ask, end, fetches, policy, settings
 
 from kelpcroft.decision import interface as api
+from kelpcroft.decision.admission import MAX_COST_THRESHOLD, MIN_COST_THRESHOLD, AdmissionController
 from kelpcroft.decision.interface import FillResult, Outcome
-from kelpcroft.decision.policy import MAX_COST_THRESHOLD, MIN_COST_THRESHOLD, AdmissionController
 from kelpcroft.simulator_adapter import SimulatorHost
 
 
@@ -82,7 +82,7 @@
 def test_shed_fill_is_looked_for_before_refusal() -> None:
     """Shedding presumed fills also refused objects that the cache held."""
     p = policy()
-    p.admission[True].cost_threshold = 1e-9
+    p.admission.fills.cost_threshold = 1e-9
     (f,) = fetches(ask(p, S, "r", 5, size_kb=100.0))
     assert f.fill_source == f.server
     assert api.Reject("r") in end(p, S + MS, f, Outcome.MISS)
@@ -110,22 +110,22 @@
         if f.server != silent:
             end(p, S + 100 * MS, f, Outcome.OK, note=FillResult.HIT)
     actions = p.handle(10 * S, api.TimerExpired(0))
-    assert p.endpoints[silent].health.is_ejected
+    assert p.endpoints[silent].is_ejected
     assert not any(isinstance(a, api.Cancel) for a in actions)  # large objects went half done
     at = [f for n in range(100) for f in fetches(ask(p, 12 * S + n * MS, f"q{n}", n)) if f.server == silent]
     assert len(at) == 1
     end(p, 12 * S + 200 * MS, at[0], Outcome.OK, note=FillResult.HIT)
-    assert not p.endpoints[silent].health.is_ejected
+    assert not p.endpoints[silent].is_ejected
 
 
 def test_restart_is_cold_before_the_list_tells() -> None:
     p = policy()
     node = p.endpoints["c0"]
-    p.record_failure(node, 2, True)
-    p.record_failure(node, 2, True)
-    assert node.health.is_ejected
-    p.record_success(node)
-    assert node.warm_fraction(p.now_ns, p.settings.rules) == p.settings.rules.cold_capacity_share
+    p.ejection.record_failure(node, 2, True)
+    p.ejection.record_failure(node, 2, True)
+    assert node.is_ejected
+    p.ejection.record_success(node)
+    assert node.warm_fraction(p.state.now_ns, p.settings.rules) == p.settings.rules.cold_capacity_share
 
 
 def test_sibling_that_holds_the_object_is_asked_first() -> None:
@@ -144,7 +144,7 @@
     for n in range(21_000):
         for f in fetches(ask(p, S + n * MS, f"r{n}", n)):
             end(p, S + n * MS, f, Outcome.OK, note=FillResult.HIT)
-    assert len(p.object_histories) <= 20_000 and not p.requests_in_flight
+    assert len(p.state.histories) <= 20_000 and not p.requests_in_flight
 
 
 def test_failed_subscription_is_asked_again_later() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,14 +10,11 @@
 from kit import MS, S, ask, end, fetches, policy, servers
 
 from kelpcroft.decision import interface as api
+from kelpcroft.decision.admission import MIN_COST_THRESHOLD, AdmissionController
+from kelpcroft.decision.endpoint import Endpoint
 from kelpcroft.decision.interface import FillResult, Outcome
-from kelpcroft.decision.policy import (
-    MAX_TRIAL_INTERVAL_NS,
-    MIN_COST_THRESHOLD,
-    AdmissionController,
-    Endpoint,
-    RoutingPolicy,
-)
+from kelpcroft.decision.outlier_state import MAX_TRIAL_INTERVAL_NS
+from kelpcroft.decision.policy import RoutingPolicy
 
 ROUTERS = 60
 
@@ -51,8 +48,8 @@
     """Parents back within a second were toppled by routers that the list had not told of the restart."""
     at, now = 0, 100 * S
     for n, p in enumerate(fleet([x for x in servers() if x.name != "p1"])):
-        p.now_ns = now
-        p.record_failure(p.endpoints["p0"], 3, True)
+        p.state.now_ns = now
+        p.ejection.record_failure(p.endpoints["p0"], 3, True)
         for step in range(4):
             fs = fetches(ask(p, now + 2 * S + step * 250 * MS, f"r{step}", n * 1000 + step, size_kb=300.0))
             at += sum(f.fill_source == "p0" for f in fs)
@@ -63,7 +60,7 @@
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
     (g,) = fetches(end(p, S + MS, f, Outcome.CONNECT_FAILED))
-    assert p.endpoints[f.server].health.is_ejected and g.server != f.server
+    assert p.endpoints[f.server].is_ejected and g.server != f.server
 
 
 def test_lost_connections_tell_nothing_of_a_server() -> None:
@@ -73,20 +70,20 @@
     (g,) = fetches(end(p, S + MS, f, Outcome.RESET))
     (h,) = fetches(end(p, S + 2 * MS, g, Outcome.RESET, 1))
     (i,) = fetches(end(p, S + 3 * MS, h, Outcome.RESET, 2))
-    assert g.server == h.server == f.server != i.server and not p.endpoints[f.server].health.is_ejected
+    assert g.server == h.server == f.server != i.server and not p.endpoints[f.server].is_ejected
 
 
 def test_unreachable_source_is_dead_at_once() -> None:
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
     end(p, S + MS, f, Outcome.FULL, note=FillResult.SOURCE_BROKE)
-    assert p.endpoints[f.fill_source].health.is_ejected and not p.endpoints[f.server].health.is_ejected
+    assert p.endpoints[f.fill_source].is_ejected and not p.endpoints[f.server].is_ejected
 
 
 def test_trials_grow_rarer_up_to_a_limit() -> None:
     p = policy()
-    health = p.endpoints["c0"].health
-    p.record_failure(p.endpoints["c0"], 3, False)
+    health = p.endpoints["c0"].outlier_state
+    p.ejection.record_failure(p.endpoints["c0"], 3, False)
     waits = []
     for _ in range(6):
         now = health.next_trial_ns
@@ -100,9 +97,9 @@
 
 def test_list_corrects_a_guessed_start() -> None:
     p = policy()
-    p.now_ns = 50 * S
-    p.record_failure(p.endpoints["c0"], 3, True)
-    p.record_success(p.endpoints["c0"])
+    p.state.now_ns = 50 * S
+    p.ejection.record_failure(p.endpoints["c0"], 3, True)
+    p.ejection.record_success(p.endpoints["c0"])
     told = replace(servers()[0], started_ns=45 * S)
     p.handle(52 * S, api.ServerList("update", (told,)))
     assert p.endpoints["c0"].started_ns == 45 * S
@@ -221,4 +218,4 @@
     for n in range(20_000):
         for f in fetches(ask(p, S + n * MS, f"r{n}", n, size_kb=1.0)):
             end(p, S + n * MS, f, Outcome.OK, note=FillResult.HIT)
-    assert p.actual_fill_share > 0
+    assert p.admission.actual_fill_share > 0
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -123,7 +123,7 @@
                     20 * MS,
                 ),
             )
-        self.assertFalse(p.endpoints["p0"].health.is_ejected)
+        self.assertFalse(p.endpoints["p0"].is_ejected)
         now = {f.fill_source for n in range(40) for f in fetches(ask(p, 7 * S, f"now{n}", 1000 + n))}
         self.assertEqual(now, {"p1"})
         later = [f.fill_source for n in range(40) for f in fetches(ask(p, 40 * S, f"later{n}", 2000 + n))]
@@ -230,8 +230,8 @@
             node = p.endpoints[f.server]
             node.work_completed.add(100 * S, 4.5 * S)
             node.work_sent.add(100 * S, 1.5 * S)
-            p.record_load_report(node, {"utilization": busy})
-            return p.has_slow_start_budget(node, p.requests_in_flight["r"])
+            p.feedback.record_load_report(node, {"utilization": busy})
+            return p.slow_start.has_budget(node, p.requests_in_flight["r"])
 
         self.assertEqual((admits(0.2), admits(2.0)), (True, False))
 
@@ -278,7 +278,7 @@
                 api.AttemptEnded(f.id, 0, f.server, Outcome.OK, MS, True, FillResult.HIT, 0, report),
             )
         node = p.endpoints[f.server]
-        self.assertEqual((node.utilization, p.admission[True].link_load.value), (0.5, 0.4))
+        self.assertEqual((node.utilization, p.admission.fills.link_load.value), (0.5, 0.4))
         self.assertLess(node.mean_utilization.mean, 1.0)
 
     def test_fills_go_on_once_the_link_is_free(self) -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -195,11 +195,11 @@
         self.assertEqual(
             len(only(effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(again.connection)))), 1
         )
-        self.assertFalse(any(n.health.is_ejected for n in r.state.policy.endpoints.values()))
+        self.assertFalse(any(n.is_ejected for n in r.state.policy.endpoints.values()))
         r = router()
         (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW, inputs.ServerConnectionLost(dial.connection, "ECONNREFUSED", True))
-        self.assertTrue(any(n.health.is_ejected for n in r.state.policy.endpoints.values()))
+        self.assertTrue(any(n.is_ejected for n in r.state.policy.endpoints.values()))
 
     def test_a_quiet_connection_is_given_up(self) -> None:
         """Its answers never came though it stayed open; as the fullest it drew all its server was sent."""
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -60,7 +60,7 @@
             (first.connection, f"{ATTEMPTS_BEFORE_NEW_CONNECTION + 2:016x}"),
         )
         self.assertEqual(r.state.counters["no place"], 1)
-        self.assertFalse(any(n.health.is_ejected for n in r.state.policy.endpoints.values()))
+        self.assertFalse(any(n.is_ejected for n in r.state.policy.endpoints.values()))
         effect_list = r.handle(NOW + 10 * SECOND + 5 * MS, call(40))
         self.assertEqual(
             (
@@ -78,7 +78,7 @@
     def test_one_that_was_not_heard_of_late_is_gone(self) -> None:
         r, _, effect_list = self.crowded(2 * SECOND)
         self.assertEqual(r.state.counters["no place"], 0)
-        self.assertTrue(any(n.health.is_ejected for n in r.state.policy.endpoints.values()))
+        self.assertTrue(any(n.is_ejected for n in r.state.policy.endpoints.values()))
 
     def test_what_must_not_run_twice_does_not_share(self) -> None:
         links = ConnectionPool(64, 32)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -239,11 +239,11 @@
         fresh = api.RequestClass("fresh", latency_objective_ns=200 * MS, deadline_ns=S)
         grown = kit.settings(max_attempts=6, classes=(fresh, kit.UNSAFE))
         p.handle(S + MS, api.SettingsChanged(grown))
-        self.assertIn("safe", p.latency_ratio)  # under way: what is known of its class stays
+        self.assertIn("safe", p.latency_model.latency_ratio)  # under way: what is known of its class stays
         (second,) = kit.fetches(kit.end(p, S + 2 * MS, first, Outcome.ERROR))
         self.assertEqual(kit.fetches(kit.end(p, S + 3 * MS, second, Outcome.ERROR, attempt=1)), [])
         p.handle(S + 4 * MS, api.SettingsChanged(grown))
-        self.assertNotIn("safe", p.latency_ratio)  # no longer held: forgotten
+        self.assertNotIn("safe", p.latency_model.latency_ratio)  # no longer held: forgotten
         (one,) = kit.fetches(kit.ask(p, S + 5 * MS, "r2", cls="fresh", time_remaining_ns=S))
         p.handle(S + 6 * MS, api.SettingsChanged(kit.settings(max_attempts=1, classes=(fresh,))))
         self.assertEqual(kit.fetches(kit.end(p, S + 7 * MS, one, Outcome.ERROR)), [])  # fewer now: it too
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -53,8 +53,8 @@
         p = policy(may_hedge=allowed)
         ask(p, S, "safe")
         ask(p, S, "keyed", cls="keyed")
-        assert p.may_send(p.requests_in_flight["safe"], p.endpoints["c0"]) is allowed
-        assert not p.may_send(p.requests_in_flight["keyed"], p.endpoints["c0"])
+        assert p.idempotency.may_send(p.requests_in_flight["safe"], p.endpoints["c0"]) is allowed
+        assert not p.idempotency.may_send(p.requests_in_flight["keyed"], p.endpoints["c0"])
 
 
 @pytest.mark.parametrize("group", ["zone", "cell"])
--- a/tests/test_untold_failures.py
+++ b/tests/test_untold_failures.py
@@ -7,7 +7,7 @@
 from kit import MS, S, ask, end, fetches, policy
 
 from kelpcroft.decision.interface import FillResult, Outcome, Role
-from kelpcroft.decision.policy import EJECTION_FAILURE_SCORE
+from kelpcroft.decision.outlier_state import EJECTION_FAILURE_SCORE
 
 
 class Untold(unittest.TestCase):
@@ -16,7 +16,7 @@
         p = policy(notes=notes, connect_timeout_ns=400 * MS)
         (f,) = fetches(ask(p, S, "r", 1))
         end(p, S + took, f, Outcome.FULL, took=took, note=note)
-        return p.endpoints[f.fill_source].health.is_ejected, p.endpoints[f.server].health.is_ejected
+        return p.endpoints[f.fill_source].is_ejected, p.endpoints[f.server].is_ejected
 
     def test_a_source_that_was_not_reached_in_a_dials_time_is_dead(self) -> None:
         """Five of twelve parents were silent for five seconds, and nearly all of 200 routers went on naming
@@ -34,16 +34,16 @@
         end(p, 2 * S, f, Outcome.FULL, took=831 * MS)
         node = p.endpoints[f.fill_source]
         self.assertEqual(node.server.role, Role.PARENT)
-        p.record_success(node)
+        p.ejection.record_success(node)
         self.assertEqual(
-            node.warm_fraction(p.now_ns, p.settings.rules), p.settings.rules.parent_cold_capacity_share
+            node.warm_fraction(p.state.now_ns, p.settings.rules), p.settings.rules.parent_cold_capacity_share
         )
 
     def test_a_dials_time_that_is_not_told_tells_nothing(self) -> None:
         p = policy(notes="hit")
         (f,) = fetches(ask(p, S, "r", 1))
         end(p, 2 * S, f, Outcome.FULL, took=831 * MS)
-        self.assertFalse(p.endpoints[f.fill_source].health.is_ejected)
+        self.assertFalse(p.endpoints[f.fill_source].is_ejected)
 
     def test_a_source_that_turns_fills_away_gets_fewer(self) -> None:
         p = policy(notes="hit", connect_timeout_ns=400 * MS)
@@ -55,7 +55,7 @@
         """It was asked for each fill that its parents turned away, 765 a second where 100 fit, and worked off
         for five seconds what nobody waited for any more; no order was taken meanwhile."""
         p = policy(notes="hit", connect_timeout_ns=400 * MS)
-        (origin,) = p.origins
+        (origin,) = p.state.directory.origins
         count = 0
         for n in range(20):
             actions = ask(p, S + n * MS, f"r{n}", n, cls="unsafe")
@@ -63,9 +63,9 @@
                 if f.fill_source == origin.server.name:
                     count += 1
                     end(p, S + n * MS, f, Outcome.FULL, took=MS)
-            if origin.health.is_ejected:
+            if origin.is_ejected:
                 break
-        self.assertTrue(origin.health.is_ejected)
+        self.assertTrue(origin.is_ejected)
         self.assertEqual(count, EJECTION_FAILURE_SCORE)
         (g,) = fetches(ask(p, S + 30 * MS, "fill", 99))
         self.assertTrue(g.cached_only, "parents give what they hold")
