--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -17,7 +17,7 @@
 from kelpcroft.deployment_check import ConfigurationDiagnostic, check_configuration
 from kelpcroft.deployment_check.known_keys import parse_host_port
 from kelpcroft.net.feed_codec import FeedError, parse_watch_response
-from kelpcroft.simulator_adapter import MachineKinds, parse_settings
+from kelpcroft.settings_wire import MachineKinds, parse_settings
 
 NS_PER_MS = 1_000_000
 MAX_CONFIG_FILE_BYTES = 16 << 20  # bytes of a configuration read again
--- a/kelpcroft/core/config_reload.py
+++ b/kelpcroft/core/config_reload.py
@@ -17,7 +17,7 @@
 from kelpcroft.core.messages import TimerKind
 from kelpcroft.core.state import SECOND, State
 from kelpcroft.decision import interface as api
-from kelpcroft.simulator_adapter import parse_settings
+from kelpcroft.settings_wire import parse_settings
 
 LIVE = ("classes", "limits")  # what of the settings changes in service; the rest waits for the next start
 BY_CLASS = ("goes_through", "multi_part", "max_age_ns", "usable_after_ns", "old_copy_worth")  # of family_info
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -265,9 +265,10 @@
             )
 
     def test_every_key_that_is_read_in_settings_is_known(self) -> None:
-        source = (ROOT / "kelpcroft/simulator_adapter.py").read_text()
+        source = (ROOT / "kelpcroft/settings_wire.py").read_text()
         known = {key.path.rpartition(".")[2] for key in deployment_check.known_keys.KEYS}
-        read = set(re.findall(r'(?:options|lim|con|rep|fam|c)(?:\.get\(|\[)"(\w+)"', source))
+        names = "options|limits|contract|report|family|entry"
+        read = set(re.findall(rf'(?:{names})(?:\.get\(|\[)"(\w+)"', source))
         self.assertGreater(len(read), 40)
         self.assertEqual(read - known - {"family_info", "limits", "contract", "report", "classes"}, set())
 
