--- a/kelpcroft/decision/admission.py
+++ b/kelpcroft/decision/admission.py
@@ -26,13 +26,11 @@
 LATE_SHARE_GAIN: Final = 0.2  # weight of one answer in that share
 THRESHOLD_DECREASE: Final = 0.45  # what too many late answers multiply the threshold by
 THRESHOLD_INCREASE: Final = 1.02  # what an answer in time multiplies it by, at the least
-THRESHOLD_INCREASE_PER_SECOND: Final = (
-    1.25  # what a second with answers in time multiplies it by, at the least ...
-)
+# What a second with answers in time multiplies it by, at the least ...
+THRESHOLD_INCREASE_PER_SECOND: Final = 1.25
 THRESHOLD_INCREASE_PER_SECOND_WITH_SLACK: Final = 2.0  # ... or with answers in a third of the objective
-FULL_LOAD_THRESHOLD: Final = (
-    3.0  # threshold, in mean prices, where a gauge shows that what is there just fits ...
-)
+# Threshold, in mean prices, where a gauge shows that what is there just fits ...
+FULL_LOAD_THRESHOLD: Final = 3.0
 OVERLOAD_DECAY: Final = 1.35  # ... which falls by e to so much for each time as much again
 LOAD_SIGNAL_DECAY_NS: Final = SECOND_NS  # an excess that would fill the link once drains in this time
 MAX_SOURCE_WAIT_SHARE: Final = 1 / 3  # of what an answer can spare, a fill source may take this share
--- a/kelpcroft/decision/cache_selection.py
+++ b/kelpcroft/decision/cache_selection.py
@@ -16,9 +16,8 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.slow_start import SlowStart
 
-MAX_LOAD_OVER_MEAN: Final = (
-    1.75  # a cache may hold this many times the zone's mean of requests per weight ...
-)
+# A cache may hold this many times the zone's mean of requests per weight ...
+MAX_LOAD_OVER_MEAN: Final = 1.75
 MIN_REQUESTS_BEFORE_BOUND: Final = 4.0  # ... but always this many of ours, so that chance alone moves nothing
 MIN_COMPARED_UTILIZATION: Final = 0.1  # reported utilisations under this are alike
 MAX_SLOWDOWN_RATIO: Final = 3.0  # a cache this much slower than the zone's quickest gets less ...
--- a/kelpcroft/decision/endpoint.py
+++ b/kelpcroft/decision/endpoint.py
@@ -17,13 +17,11 @@
 from kelpcroft.decision.statistics import DecayingSum, MeanDeviation, SlidingWindowSum, rendezvous_score
 from kelpcroft.decision.units import MS, SECOND_NS
 
-SCORE_HALF_LIFE_NS: Final = (
-    4 * SECOND_NS
-)  # a score not renewed nears the average by half: slow ones are tried again
+# A score not renewed nears the average by half: slow ones are tried again
+SCORE_HALF_LIFE_NS: Final = 4 * SECOND_NS
 UTILIZATION_GAIN: Final = 0.05  # weight of a new load report in the mean utilisation
-MAX_LOAD_PREFERENCE: Final = (
-    4.0  # reports of load move at most so many times the objects to a server, or from it
-)
+# Reports of load move at most so many times the objects to a server, or from it
+MAX_LOAD_PREFERENCE: Final = 4.0
 ENDPOINT_GAIN: Final = 0.3  # weight of a new sample in one server's figures, of which a router sees few
 WORK_SPAN_NS: Final = 4 * SECOND_NS  # offered and completed work fades in this time
 MAX_COLD_UTILIZATION: Final = 0.7  # how busy a cold cache may get by its reports ...
--- a/kelpcroft/decision/fill_sources.py
+++ b/kelpcroft/decision/fill_sources.py
@@ -17,15 +17,12 @@
 from kelpcroft.decision.slow_start import SlowStart
 from kelpcroft.decision.units import SECOND_NS
 
-MAX_PARENT_SCORE_RATIO: Final = (
-    3.0  # parents within this multiple of the best score share fills by object hash
-)
-MIN_ORIGIN_ADVANTAGE: Final = (
-    2.0  # the origin shares them too where the best parent is this many times slower
-)
-KNOWN_COPY_LIFETIME_NS: Final = (
-    10 * SECOND_NS
-)  # a sibling's copy is believed in this long after an answer showed it
+# Parents within this multiple of the best score share fills by object hash
+MAX_PARENT_SCORE_RATIO: Final = 3.0
+# The origin shares them too where the best parent is this many times slower
+MIN_ORIGIN_ADVANTAGE: Final = 2.0
+# A sibling's copy is believed in this long after an answer showed it
+KNOWN_COPY_LIFETIME_NS: Final = 10 * SECOND_NS
 
 
 class FillSources:
--- a/kelpcroft/decision/outlier_ejection.py
+++ b/kelpcroft/decision/outlier_ejection.py
@@ -18,9 +18,8 @@
 from kelpcroft.decision.settings import Idempotency
 from kelpcroft.decision.statistics import MeanDeviation
 
-UNATTRIBUTED_ERROR_SCORE: Final = (
-    0.3  # an error that blames nobody: the server lives, the request may be at fault
-)
+# An error that blames nobody: the server lives, the request may be at fault
+UNATTRIBUTED_ERROR_SCORE: Final = 0.3
 FAILURE_SCORE: Final = 1  # one failure that its server is to blame for
 
 
@@ -48,7 +47,7 @@
         """
         if not endpoint.outlier_state.record_success(self.state.now_ns):
             return
-        self.state.actions.append(Log(f"{endpoint.server.role.value} {endpoint.server.name} is back"))
+        self.state.actions.append(Log(f"endpoint restored: {_label(endpoint)}"))
         if endpoint.outlier_state.process_stopped:
             endpoint.record_restart(self.state.now_ns)
             endpoint.slowdown = MeanDeviation(1.0, ENDPOINT_GAIN)
@@ -57,8 +56,7 @@
     def record_failure(self, endpoint: Endpoint, weight: float, process_stopped: bool) -> None:
         """Record a failure that a server is to blame for, which may eject it."""
         if endpoint.outlier_state.record_failure(self.state.now_ns, weight, process_stopped):
-            name = endpoint.server.name
-            self.state.actions.append(Log(f"{endpoint.server.role.value} {name} is dead: only trials"))
+            self.state.actions.append(Log(f"endpoint ejected, trial requests only: {_label(endpoint)}"))
 
     def record_unattributed_failure(self, attempt: Attempt, weight: int) -> None:
         """Record a failure without a cause: who has answered since the attempt was sent is not to blame."""
@@ -105,3 +103,8 @@
 
     def _took_connect_timeout(self, event: AttemptEnded) -> bool:
         return 0 < self.state.settings.limits.connect_timeout_ns <= event.elapsed_ns
+
+
+def _label(endpoint: Endpoint) -> str:
+    """Return what a log line calls a server."""
+    return f"{endpoint.server.role.value} {endpoint.server.name}"
--- a/kelpcroft/decision/outlier_state.py
+++ b/kelpcroft/decision/outlier_state.py
@@ -12,9 +12,8 @@
 
 from kelpcroft.decision.units import SECOND_NS
 
-EJECTION_FAILURE_SCORE: Final = (
-    3  # failures in a row that eject a server; one refused connection weighs as much
-)
+# Failures in a row that eject a server; one refused connection weighs as much
+EJECTION_FAILURE_SCORE: Final = 3
 MIN_TRIAL_INTERVAL_NS: Final = SECOND_NS  # until an ejected server's first trial request, then doubling ...
 MAX_TRIAL_INTERVAL_NS: Final = 8 * SECOND_NS  # ... up to this
 
--- a/kelpcroft/decision/retries.py
+++ b/kelpcroft/decision/retries.py
@@ -15,9 +15,8 @@
 from kelpcroft.decision.requests import Attempt, InFlightRequest
 from kelpcroft.decision.router_state import RouterState
 
-RETRY_TOKENS_PER_REQUEST: Final = (
-    0.2  # further attempts earned by each request (a retry budget by token bucket) ...
-)
+# Further attempts earned by each request (a retry budget by token bucket) ...
+RETRY_TOKENS_PER_REQUEST: Final = 0.2
 MAX_RETRY_TOKENS: Final = 20.0  # ... and how many may be saved up
 MAX_SAME_SERVER_RESETS: Final = 2  # lost connections after which a request still tries the same server again
 
--- a/kelpcroft/decision/slow_start.py
+++ b/kelpcroft/decision/slow_start.py
@@ -17,12 +17,10 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.statistics import mix64
 
-MAX_COLLAPSE_BUDGET_SHARE: Final = (
-    0.6  # share of the work that would collapse a server: others may guess otherwise
-)
-UNKNOWN_CAPACITY_OVER_LOAD: Final = (
-    0.5  # a peer's capacity over our load on it, which in a jam is over what it can do
-)
+# Share of the work that would collapse a server: others may guess otherwise
+MAX_COLLAPSE_BUDGET_SHARE: Final = 0.6
+# A peer's capacity over our load on it, which in a jam is over what it can do
+UNKNOWN_CAPACITY_OVER_LOAD: Final = 0.5
 TURNS_PER_REQUEST: Final = 3  # routers that take turns: a span touches two turns, and their hashes cluster
 
 
