--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from time import perf_counter
 
-from kelpcroft.rollout.state_machine import RolloutOutcome
+from kelpcroft.rollout.phases import RolloutOutcome
 from testbed.rollouts import Process, S, World, plan_of
 
 Defect = Callable[[World, Process, str], float]
@@ -111,10 +111,10 @@
         spent = [0.0]
         handle = world.rollout.handle
 
-        def timed(now: int, event: object, handle=handle, spent=spent):  # type: ignore[no-untyped-def]
+        def timed(now_ns: int, event: object, handle=handle, spent=spent):  # type: ignore[no-untyped-def]
             began = perf_counter()
             try:
-                return handle(now, event)
+                return handle(now_ns, event)
             finally:
                 spent[0] += perf_counter() - began
 
--- a/benchmarks/rollout_judge.py
+++ b/benchmarks/rollout_judge.py
@@ -15,9 +15,9 @@
 from random import Random
 from time import perf_counter
 
-from kelpcroft.rollout.judge import RegressionJudge, RequestSample, StopCriteria, Verdict
+from kelpcroft.rollout.judge import RegressionJudge, RequestSample, StopCriteria, Verdict, ZoneClass
 
-PLACE = ("zone", "class")
+PLACE = ZoneClass("zone", "class")
 
 
 def poisson(random: Random, mean: float) -> int:
--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -12,19 +12,12 @@
 from concurrent.futures import Future, ThreadPoolExecutor
 from threading import Lock
 
+from kelpcroft.rollout.events import CommandKind, Event, HistoryEntry, OperatorCommand, RouterCommand, Tick
+from kelpcroft.rollout.phases import RolloutOutcome
 from kelpcroft.rollout.plan import RolloutPlan
 from kelpcroft.rollout.router_drivers import RouterDriver, hands_for
 from kelpcroft.rollout.snapshot import from_snapshot, to_snapshot
-from kelpcroft.rollout.state_machine import (
-    CommandKind,
-    Event,
-    HistoryEntry,
-    OperatorCommand,
-    Rollout,
-    RolloutOutcome,
-    RouterCommand,
-    Tick,
-)
+from kelpcroft.rollout.state_machine import Rollout
 from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
 
 THREADS_MOST = 64
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -18,11 +18,12 @@
 from kelpcroft.cli.controller import RolloutController, begin_or_continue_run
 from kelpcroft.operator_file.check import read
 from kelpcroft.operator_file.check import span as words
+from kelpcroft.rollout.events import HistoryEntry
+from kelpcroft.rollout.phases import RolloutOutcome
 from kelpcroft.rollout.placement import Moved, NoHomes, compare
 from kelpcroft.rollout.plan import RolloutPlan, load_plan
 from kelpcroft.rollout.router_drivers import filled
 from kelpcroft.rollout.snapshot import SnapshotError
-from kelpcroft.rollout.state_machine import HistoryEntry, RolloutOutcome
 from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
 
 
--- a/kelpcroft/rollout/router_drivers.py
+++ b/kelpcroft/rollout/router_drivers.py
@@ -17,9 +17,9 @@
 
 import orjson
 
+from kelpcroft.rollout.events import CommandKind, Event, NoAnswer, RouterReport
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
-from kelpcroft.rollout.state_machine import CommandKind, Event, NoAnswer, RouterReport
 
 ANSWER_MOST = 256 * 1024  # bytes of a router's state that are read
 OUTPUT_MOST = 2_000  # characters of a command's output that are kept
--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -1,122 +1,242 @@
 """A rollout as JSON and back, so that another process can go on with it.  Pure.
 
-What is kept: each router's phase, since when, what it was at first, its last report and its figures from
-before; the stage; the bets of the judgement.  What is not: fresh figures of the slice under way, which are
-lost with the process; that is evidence less, never more.
+What is kept: each router's phase, since when, what it was at first, its last report and its baseline; the
+stage; the evidence of the judge.  What is not: requests of the slice under way, which are lost with the
+process; that is evidence less, never more.
+
+The keys are a stored form that earlier and later versions read: they keep their names whatever the code calls
+what they hold.  ``hold_cause``, ``memory`` and ``was`` are missing in snapshots of earlier versions.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Mapping
+from typing import Any, NotRequired, TypedDict
 
-from kelpcroft.rollout.judge import RegressionJudge, RequestSample, SequentialTest, Verdict
+from kelpcroft.rollout.events import RouterReport
+from kelpcroft.rollout.judge import RegressionJudge, RequestSample, SequentialTest, Verdict, ZoneClass
+from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome
 from kelpcroft.rollout.plan import RolloutPlan
-from kelpcroft.rollout.state_machine import HoldCause, Phase, Rollout, RolloutOutcome, Router, RouterReport
+from kelpcroft.rollout.state import RolloutState, RouterState
+from kelpcroft.rollout.state_machine import Rollout
 
 VERSION = 1
 
+StoredSample = list[float]  # request count, requested weight, in-time weight
+StoredSamples = dict[str, StoredSample]  # by class
+
+
+class StoredReport(TypedDict):
+    """A router's last report."""
+
+    instance: str
+    digests: dict[str, str]
+    ready: bool
+    in_service: bool
+    invariants: int
+    classes: StoredSamples
+    memory: NotRequired[int]  # kB
+
+
+class StoredRouter(TypedDict):
+    """One router.  Times are nanoseconds."""
+
+    phase: str
+    since: int
+    heard: int
+    report: StoredReport | None
+    first: dict[str, str]
+    invariants: int
+    before: StoredSamples
+    was: NotRequired[str]
+
+
+class StoredRollout(TypedDict):
+    """A whole snapshot.  Times are nanoseconds.
+
+    ``bets`` holds a row for each test: zone, class, both sides' logarithms of evidence by stake, slices,
+    the sum of differences, the verdict.  ``sides`` holds a row for each side of each comparison: zone,
+    class, whether it is the new one, its baseline.
+    """
+
+    v: int
+    now: int
+    stage: int
+    stage_ns: int
+    outcome: str
+    why: str
+    hold_cause: NotRequired[str]
+    memory: NotRequired[int]
+    harmed: list[str] | None
+    after: int
+    routers: dict[str, StoredRouter]
+    bets: list[list[Any]]
+    sides: list[list[Any]]
+
 
 class SnapshotError(ValueError):
     """A snapshot that cannot be used; the message says why."""
 
 
-def samples(found: dict[str, RequestSample]) -> dict[str, list[float]]:
-    return {cls: [s.request_count, s.requested_weight, s.in_time_weight] for cls, s in found.items()}
+def to_snapshot(rollout: RolloutState) -> StoredRollout:
+    """All that is needed to go on."""
+    place = rollout.regression_place
+    return {
+        "v": VERSION,
+        "now": rollout.now_ns,
+        "stage": rollout.stage_index,
+        "stage_ns": rollout.stage_since_ns,
+        "outcome": rollout.outcome.value,
+        "why": rollout.reason,
+        "hold_cause": rollout.hold_cause.value,
+        "memory": rollout.old_peak_memory_kb,
+        "harmed": list(place) if place else None,
+        "after": rollout.rolled_back_ns,
+        "routers": {name: _router_to_json(router) for name, router in rollout.routers.items()},
+        "bets": [_test_to_json(place, test) for place, test in rollout.judge.tests.items()],
+        "sides": [
+            [*key.place, key.is_new, _sample_to_json(side.baseline)]
+            for key, side in rollout.judge.sides.items()
+        ],
+    }
+
+
+def _sample_to_json(sample: RequestSample) -> StoredSample:
+    return [sample.request_count, sample.requested_weight, sample.in_time_weight]
 
 
-def of_samples(raw: dict[str, list[float]]) -> dict[str, RequestSample]:
-    return {cls: RequestSample(int(a), float(w), float(t)) for cls, (a, w, t) in raw.items()}
+def _samples_to_json(samples: Mapping[str, RequestSample]) -> StoredSamples:
+    return {name: _sample_to_json(sample) for name, sample in samples.items()}
 
 
-def to_snapshot(r: Rollout) -> dict[str, Any]:
-    """All that is needed to go on."""
-    routers = {}
-    for name, x in r.routers.items():
-        told = None
-        if x.report is not None:
-            p = x.report
-            told = {
-                "instance": p.instance,
-                "digests": dict(p.digests),
-                "ready": p.ready,
-                "in_service": p.in_service,
-                "invariants": p.invariant_violations,
-                "classes": samples(dict(p.samples_by_class)),
-                "memory": p.peak_memory_kb,
-            }
-        routers[name] = {
-            "phase": x.phase.value,
-            "since": x.since_ns,
-            "heard": x.last_report_ns,
-            "report": told,
-            "first": dict(x.first),
-            "invariants": x.invariants,
-            "before": samples(x.before),
-            "was": x.was,
-        }
-    bets = [
-        [*place, b.worse, b.fine, b.slice_count, b.total, b.verdict.value]
-        for place, b in r.judge.tests.items()
+def _test_to_json(place: ZoneClass, test: SequentialTest) -> list[Any]:
+    return [
+        place.zone,
+        place.request_class,
+        test.regression_log_evidence,
+        test.no_regression_log_evidence,
+        test.slice_count,
+        test.difference_sum,
+        test.verdict.value,
     ]
-    sides = [[*place, new, samples({"": side.before})[""]] for (place, new), side in r.judge.sides.items()]
+
+
+def _router_to_json(router: RouterState) -> StoredRouter:
+    report = router.last_report
     return {
-        "v": VERSION,
-        "now": r.now,
-        "stage": r.stage,
-        "stage_ns": r.stage_ns,
-        "outcome": r.outcome.value,
-        "why": r.reason,
-        "hold_cause": r.hold_cause.value,
-        "memory": r.memory_kb,
-        "harmed": list(r.harmed) if r.harmed else None,
-        "after": r.after_ns,
-        "routers": routers,
-        "bets": bets,
-        "sides": sides,
+        "phase": router.phase.value,
+        "since": router.phase_since_ns,
+        "heard": router.last_report_ns,
+        "report": None if report is None else _report_to_json(report),
+        "first": dict(router.original_digests),
+        "invariants": router.invariant_baseline,
+        "before": _samples_to_json(router.baseline),
+        "was": router.instance_before_restart,
+    }
+
+
+def _report_to_json(report: RouterReport) -> StoredReport:
+    return {
+        "instance": report.instance,
+        "digests": dict(report.digests),
+        "ready": report.ready,
+        "in_service": report.in_service,
+        "invariants": report.invariant_violations,
+        "classes": _samples_to_json(report.samples_by_class),
+        "memory": report.peak_memory_kb,
     }
 
 
-def from_snapshot(plan: RolloutPlan, raw: dict[str, Any]) -> Rollout:
-    """The rollout as it was left; ``resume`` tells it the time.  Raises SnapshotError."""
+def from_snapshot(plan: RolloutPlan, raw: Mapping[str, Any]) -> Rollout:
+    """The rollout as it was left; ``resume_after_takeover`` tells it the time.
+
+    Args:
+        plan: The plan that the snapshot's rollout carries out.
+        raw: What ``to_snapshot`` gave, by way of JSON; its form is checked here.
+
+    Raises:
+        SnapshotError: It is of another version, of other routers than the plan's, or broken.
+    """
     try:
-        if raw["v"] != VERSION:
-            raise SnapshotError(f"version {raw['v']!r} is not known here; version {VERSION} is")
-        if set(raw["routers"]) != {t.name for t in plan.routers}:
-            raise SnapshotError("it is of other routers than the plan's")
-        r = Rollout(plan, int(raw["now"]))
-        r.stage, r.stage_ns, r.reason = int(raw["stage"]), int(raw["stage_ns"]), str(raw["why"])
-        r.outcome, r.after_ns = RolloutOutcome(raw["outcome"]), int(raw["after"])
-        r.hold_cause = HoldCause(raw.get("hold_cause", ""))
-        r.memory_kb = int(raw.get("memory", 0))
-        r.harmed = (str(raw["harmed"][0]), str(raw["harmed"][1])) if raw["harmed"] else None
-        for name, x in raw["routers"].items():
-            router = r.routers[name] = Router(
-                r.routers[name].target, Phase(x["phase"]), int(x["since"]), int(x["heard"])
-            )
-            router.first, router.invariants = dict(x["first"]), int(x["invariants"])
-            router.before = of_samples(x["before"])
-            if x["report"] is not None:
-                p = x["report"]
-                router.report = RouterReport(
-                    name,
-                    p["instance"],
-                    p["digests"],
-                    p["ready"],
-                    p["in_service"],
-                    p["invariants"],
-                    of_samples(p["classes"]),
-                    int(p.get("memory", 0)),
-                )
-            router.was = str(x.get("was", ""))
-        r.judge = RegressionJudge(plan.rates)
-        for zone, cls, worse, fine, slices, total, verdict in raw["bets"]:
-            bet = r.judge.tests[zone, cls] = SequentialTest(plan.rates)
-            bet.worse, bet.fine, bet.slice_count, bet.total = list(worse), list(fine), slices, total
-            bet.verdict = Verdict(verdict)
-        for zone, cls, new, before in raw["sides"]:
-            r.judge.side((zone, cls), new).before = of_samples({"": before})[""]
+        _check_is_of_plan(plan, raw)
+        return _rollout_from_json(plan, raw)
+    except SnapshotError:
+        raise
     except (KeyError, TypeError, ValueError, IndexError) as error:
-        if isinstance(error, SnapshotError):
-            raise
         raise SnapshotError(f"{type(error).__name__}: {error}") from error
-    return r
+
+
+def _check_is_of_plan(plan: RolloutPlan, raw: Mapping[str, Any]) -> None:
+    if raw["v"] != VERSION:
+        raise SnapshotError(f"version {raw['v']!r} is not known here; version {VERSION} is")
+    if set(raw["routers"]) != {target.name for target in plan.routers}:
+        raise SnapshotError("it is of other routers than the plan's")
+
+
+def _rollout_from_json(plan: RolloutPlan, raw: Mapping[str, Any]) -> Rollout:
+    rollout = Rollout(plan, int(raw["now"]))
+    rollout.stage_index = int(raw["stage"])
+    rollout.stage_since_ns = int(raw["stage_ns"])
+    rollout.reason = str(raw["why"])
+    rollout.outcome = RolloutOutcome(raw["outcome"])
+    rollout.rolled_back_ns = int(raw["after"])
+    rollout.hold_cause = HoldCause(raw.get("hold_cause", ""))
+    rollout.old_peak_memory_kb = int(raw.get("memory", 0))
+    if raw["harmed"]:
+        rollout.regression_place = ZoneClass(str(raw["harmed"][0]), str(raw["harmed"][1]))
+    for name, row in raw["routers"].items():
+        rollout.routers[name] = _router_from_json(rollout.routers[name], row)
+    rollout.judge = _judge_from_json(plan, raw)
+    return rollout
+
+
+def _sample_from_json(row: StoredSample) -> RequestSample:
+    request_count, requested_weight, in_time_weight = row
+    return RequestSample(int(request_count), float(requested_weight), float(in_time_weight))
+
+
+def _samples_from_json(rows: StoredSamples) -> dict[str, RequestSample]:
+    return {name: _sample_from_json(row) for name, row in rows.items()}
+
+
+def _router_from_json(untouched: RouterState, row: StoredRouter) -> RouterState:
+    report = row["report"]
+    return RouterState(
+        untouched.target,
+        phase=Phase(row["phase"]),
+        phase_since_ns=int(row["since"]),
+        last_report_ns=int(row["heard"]),
+        last_report=None if report is None else _report_from_json(untouched.name, report),
+        original_digests=dict(row["first"]),
+        invariant_baseline=int(row["invariants"]),
+        instance_before_restart=str(row.get("was", "")),
+        baseline=_samples_from_json(row["before"]),
+    )
+
+
+def _report_from_json(name: str, row: StoredReport) -> RouterReport:
+    return RouterReport(
+        name,
+        instance=row["instance"],
+        digests=row["digests"],
+        ready=row["ready"],
+        in_service=row["in_service"],
+        invariant_violations=row["invariants"],
+        samples_by_class=_samples_from_json(row["classes"]),
+        peak_memory_kb=int(row.get("memory", 0)),
+    )
+
+
+def _judge_from_json(plan: RolloutPlan, raw: Mapping[str, Any]) -> RegressionJudge:
+    judge = RegressionJudge(plan.rates)
+    for zone, request_class, regression, no_regression, slice_count, difference_sum, verdict in raw["bets"]:
+        test = SequentialTest(plan.rates)
+        test.regression_log_evidence = list(regression)
+        test.no_regression_log_evidence = list(no_regression)
+        test.slice_count = slice_count
+        test.difference_sum = difference_sum
+        test.verdict = Verdict(verdict)
+        judge.tests[ZoneClass(zone, request_class)] = test
+    for zone, request_class, is_new, baseline in raw["sides"]:
+        judge.side(ZoneClass(zone, request_class), is_new).baseline = _sample_from_json(baseline)
+    return judge
--- /dev/null
+++ b/kelpcroft/rollout/stages.py
@@ -0,0 +1,128 @@
+"""The way forward: stage after stage, within the plan's limits of routers that are away.
+
+Nothing goes on without evidence.  A stage ends when every router of it is warm, its least time is over and
+harm is ruled out wherever an old router is left to compare with; past its most time the rollout is held.
+"""
+
+from __future__ import annotations
+
+from kelpcroft.rollout.comparison import Samples, add_samples, control_group, required_comparisons
+from kelpcroft.rollout.events import CommandKind
+from kelpcroft.rollout.judge import RegressionJudge, Verdict, ZoneClass
+from kelpcroft.rollout.observations import (
+    has_recent_report,
+    is_unknown,
+    may_become_unavailable,
+    reports_new_build,
+    unavailable_count,
+)
+from kelpcroft.rollout.phases import Phase, RolloutOutcome
+from kelpcroft.rollout.state import NO_STAGE, RolloutState, RouterState
+
+MAX_NAMES_SHOWN = 5  # routers that a reason names
+
+
+def go_forward(state: RolloutState) -> None:
+    """Begin what the stage wants, and end the stage once all of it is shown to be well."""
+    if state.stage_index == NO_STAGE:
+        if not _has_baselines(state):
+            return
+        begin_stage(state, 0)
+    stage_routers = [state.routers[target.name] for target in state.stages[state.stage_index]]
+    _begin_control_group(state)
+    _begin_changes(state, stage_routers)
+    if all(router.phase is Phase.COMPARED for router in stage_routers):
+        _end_stage_if_decided(state, stage_routers)
+
+
+def _has_baselines(state: RolloutState) -> bool:
+    """Whether every router was heard, and for as long as the slowest signal takes."""
+    waited_ns = state.now_ns - state.stage_since_ns
+    without_report = sorted(name for name, router in state.routers.items() if router.last_report_ns < 0)
+    if without_report:
+        if waited_ns > state.plan.ready_ns:
+            state.hold(f"never heard of {', '.join(without_report[:MAX_NAMES_SHOWN])}")
+        return False
+    return waited_ns >= state.plan.slowest_ns
+
+
+def begin_stage(state: RolloutState, index: int) -> None:
+    """Enter a stage, with a new judge that knows what each side did before."""
+    state.stage_index = index
+    state.stage_since_ns = state.now_ns
+    state.judge = RegressionJudge(state.plan.rates)
+    changing = {target.name for target in state.stages[index]}
+    control_names = {router.name for router in control_group(state)}
+    for name, router in state.routers.items():
+        is_new = name in changing
+        is_compared = not control_names or is_new or name in control_names
+        if router.phase is Phase.WAITING and is_compared:
+            baseline: Samples = {}
+            add_samples(baseline, router, router.baseline)
+            state.judge.add_baseline(is_new, baseline)
+    stage = state.plan.stages[index]
+    state.add_history("stage", f"stage {stage.name!r} begins", routers=sorted(changing))
+
+
+def _begin_control_group(state: RolloutState) -> None:
+    """Take the routers of the control group out of service, to be restarted as they are."""
+    for router in control_group(state):
+        if router.phase is Phase.WAITING and may_become_unavailable(state, router):
+            state.enter(router, Phase.CONTROL_DRAINING)
+            state.send(router, CommandKind.DRAIN)
+            state.add_history(
+                "control", f"{router.name} is restarted as it is, to compare with", router=router.name
+            )
+
+
+def _begin_changes(state: RolloutState, stage_routers: list[RouterState]) -> None:
+    """Take routers of the stage out of service, as many as the limits allow."""
+    if unavailable_count(state) >= state.plan.at_once:
+        return
+    for router in stage_routers:
+        if router.phase is not Phase.WAITING or not may_become_unavailable(state, router):
+            continue
+        if reports_new_build(state, router):
+            state.add_history("already", f"{router.name} is the new already", router=router.name)
+            state.enter(router, Phase.WARMING_UP)
+        else:
+            state.enter(router, Phase.DRAINING)
+            state.send(router, CommandKind.DRAIN)
+            state.add_history("begun", f"{router.name} is changed", router=router.name)
+
+
+def _end_stage_if_decided(state: RolloutState, stage_routers: list[RouterState]) -> None:
+    """Accept the stage if harm is ruled out, or hold it where that has taken too long."""
+    stage = state.plan.stages[state.stage_index]
+    warm_since_ns = max((router.phase_since_ns for router in stage_routers), default=state.now_ns)
+    warm_ns = state.now_ns - warm_since_ns
+    required = required_comparisons(state)
+    verdict, place = state.judge.verdict(required)
+    is_ruled_out = verdict is Verdict.NO_REGRESSION or (not required and verdict is not Verdict.REGRESSION)
+    all_answer = all(
+        has_recent_report(state, router) and not is_unknown(state, router) for router in stage_routers
+    )
+    if warm_ns >= stage.least_ns and is_ruled_out and all_answer:
+        _accept_stage(state, stage_routers, required)
+    elif warm_ns > stage.most_ns:
+        where = f" of class {place.request_class!r} in zone {place.zone!r}" if place else ""
+        state.hold(f"stage {stage.name!r}: not enough evidence{where}")
+
+
+def _accept_stage(
+    state: RolloutState, stage_routers: list[RouterState], required: frozenset[ZoneClass]
+) -> None:
+    """End a stage that is good, and begin the next one if there is one."""
+    stage = state.plan.stages[state.stage_index]
+    uncompared = sorted({router.zone for router in stage_routers} - {place.zone for place in required})
+    remark = f"; nothing was left to compare with in {', '.join(uncompared)}" if uncompared else ""
+    state.add_history("stage-good", f"stage {stage.name!r} is good{remark}", **state.judge.figures())
+    for router in stage_routers:
+        state.enter(router, Phase.ACCEPTED)
+    for router in control_group(state):
+        state.enter(router, Phase.WAITING)
+    if state.stage_index + 1 == len(state.stages):
+        state.outcome = RolloutOutcome.DONE
+        state.add_history("done", f"all {len(state.routers)} routers are changed")
+    else:
+        begin_stage(state, state.stage_index + 1)
--- a/kelpcroft/store/rollouts.py
+++ b/kelpcroft/store/rollouts.py
@@ -9,13 +9,13 @@
 from __future__ import annotations
 
 import sqlite3
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
-from kelpcroft.rollout.state_machine import HistoryEntry
+from kelpcroft.rollout.events import HistoryEntry
 
 SCHEMA = """
 create table if not exists run (
@@ -59,7 +59,7 @@
     def close(self) -> None:
         self.db.close()
 
-    def create_run(self, now: int, plan: bytes, snapshot: dict[str, Any]) -> int:
+    def create_run(self, now: int, plan: bytes, snapshot: Mapping[str, Any]) -> int:
         """A new run.  Raises LeaseLost while another is not over."""
         with Transaction(self.db):
             row = self.db.execute("select id from run where outcome not in ('done', 'taken back')").fetchone()
@@ -94,7 +94,7 @@
         run: int,
         owner: str,
         now: int,
-        snapshot: dict[str, Any],
+        snapshot: Mapping[str, Any],
         outcome: str,
         notes: Iterable[HistoryEntry],
         heard: int = 0,
--- a/testbed/rollouts.py
+++ b/testbed/rollouts.py
@@ -9,20 +9,20 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from kelpcroft.rollout.judge import RequestSample
-from kelpcroft.rollout.plan import RolloutPlan, load_plan
-from kelpcroft.rollout.state_machine import (
+from kelpcroft.rollout.events import (
     CommandKind,
     Event,
     HistoryEntry,
     NoAnswer,
     OperatorCommand,
-    Rollout,
-    RolloutOutcome,
     RouterCommand,
     RouterReport,
     Tick,
 )
+from kelpcroft.rollout.judge import RequestSample
+from kelpcroft.rollout.phases import RolloutOutcome
+from kelpcroft.rollout.plan import RolloutPlan, load_plan
+from kelpcroft.rollout.state_machine import Rollout
 
 S = 10**9
 Harm = Callable[["World", "Process", str], float]  # of a class at a router now, over the usual
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -34,15 +34,9 @@
 from kelpcroft.net import (
     server_codec as server_codec,
 )
+from kelpcroft.rollout.events import CommandKind, Event, HistoryEntry, OperatorCommand, RouterCommand
 from kelpcroft.rollout.snapshot import to_snapshot
-from kelpcroft.rollout.state_machine import (
-    CommandKind,
-    Event,
-    HistoryEntry,
-    OperatorCommand,
-    Rollout,
-    RouterCommand,
-)
+from kelpcroft.rollout.state_machine import Rollout
 from kelpcroft.simulator_adapter import SimulatorHost
 from testbed.deployments import Day, made
 from testbed.rollouts import Process, World, plan_of
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -19,11 +19,12 @@
 
 from kelpcroft.cli import main
 from kelpcroft.cli.controller import RolloutController, begin_or_continue_run
+from kelpcroft.rollout.events import CommandKind, Event, NoAnswer, RouterCommand, Tick
+from kelpcroft.rollout.phases import RolloutOutcome
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget, load_plan
 from kelpcroft.rollout.router_drivers import CommandDriver, LocalProcessDriver, RouterDriver
 from kelpcroft.rollout.snapshot import from_snapshot as restored
 from kelpcroft.rollout.snapshot import to_snapshot
-from kelpcroft.rollout.state_machine import CommandKind, Event, NoAnswer, RolloutOutcome, RouterCommand, Tick
 from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
 from testbed.rollouts import S, World, plan_of
 from testbed.stand_ins import ROOT
--- a/tests/test_golden_stored_data.py
+++ b/tests/test_golden_stored_data.py
@@ -29,6 +29,7 @@
 from kelpcroft.net.feed_codec import FeedError as AnswerError
 from kelpcroft.net.upstream_codec import UpstreamCodec
 from kelpcroft.net.watch_codec import EventsRequest, WatchServerCodec, answered
+from kelpcroft.rollout.events import HistoryEntry, OperatorCommand, RouterReport
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 from kelpcroft.rollout.plan import load_plan as read_plan
@@ -37,7 +38,7 @@
 from kelpcroft.rollout.router_drivers import report_of
 from kelpcroft.rollout.snapshot import from_snapshot as load_snapshot
 from kelpcroft.rollout.snapshot import to_snapshot
-from kelpcroft.rollout.state_machine import HistoryEntry, OperatorCommand, Rollout, RouterReport
+from kelpcroft.rollout.state_machine import Rollout
 from kelpcroft.startup.crash_loop_backoff import decode as decode_starts
 from kelpcroft.startup.crash_loop_backoff import encode as encode_starts
 from kelpcroft.startup.crash_loop_backoff import file_path as path_of_starts
@@ -224,15 +225,15 @@
 ) -> None:
     """Each field of the whole."""
     r = load_snapshot(plan, orjson.loads(golden(f"snapshot_{name}.json")))
-    assert r.now == now_s * SECOND
-    assert r.stage == stage
-    assert r.stage_ns == stage_s * SECOND
+    assert r.now_ns == now_s * SECOND
+    assert r.stage_index == stage
+    assert r.stage_since_ns == stage_s * SECOND
     assert r.outcome.value == outcome
     assert r.reason == why
     assert r.hold_cause.value == hold_cause
-    assert r.harmed == harmed
-    assert r.after_ns == after_ns
-    assert r.memory_kb == 30_720
+    assert r.regression_place == harmed
+    assert r.rolled_back_ns == after_ns
+    assert r.old_peak_memory_kb == 30_720
     assert len(r.routers) == 12
 
 
@@ -253,9 +254,9 @@
         "restarted",
         "control",
     ]
-    assert [x.since_ns for x in r.routers.values()] == [1_000 * SECOND + n for n in range(12)]
-    assert [x.was for x in r.routers.values()] == [f"was-{n}" for n in range(12)]
-    assert r.routers["n0-0"].report is None
+    assert [x.phase_since_ns for x in r.routers.values()] == [1_000 * SECOND + n for n in range(12)]
+    assert [x.instance_before_restart for x in r.routers.values()] == [f"was-{n}" for n in range(12)]
+    assert r.routers["n0-0"].last_report is None
 
 
 def test_a_router_of_a_rollout_is_read(plan: RolloutPlan) -> None:
@@ -263,16 +264,16 @@
     router = load_snapshot(plan, orjson.loads(golden("snapshot_running.json"))).routers["n0-0"]
     assert router.target == RouterTarget("n0-0", "z0", "127.0.0.1:9101")
     assert router.phase.value == "judged"
-    assert router.since_ns == 1_045 * SECOND
+    assert router.phase_since_ns == 1_045 * SECOND
     assert router.last_report_ns == 1_200 * SECOND
-    assert router.first == {"program": "old"}
-    assert router.invariants == 0
-    assert router.was == ""
-    assert router.before == {
+    assert router.original_digests == {"program": "old"}
+    assert router.invariant_baseline == 0
+    assert router.instance_before_restart == ""
+    assert router.baseline == {
         "reads": RequestSample(831, 831.0, 813.0),
         "writes": RequestSample(313, 313.0, 309.0),
     }
-    report = router.report
+    report = router.last_report
     assert report is not None
     assert report.router == "n0-0"
     assert report.instance == "n0-0-2"
@@ -291,22 +292,22 @@
     """Bets by zone and class, and what each side did before."""
     judge = load_snapshot(plan, orjson.loads(golden("snapshot_running.json"))).judge
     assert list(judge.tests) == [("z0", "reads"), ("z0", "writes")]
-    bet = judge.tests["z0", "reads"]
-    assert bet.worse == [-0.2788744566068176, -1.1784762737527568, -3.2742667084917647]
-    assert bet.fine == [1.262360825809707, 4.932609433476921, 11.794103535871887]
-    assert bet.slice_count == 152
-    assert bet.total == 0.7076121874246415
-    assert bet.verdict.value == "fine"
+    test = judge.tests["z0", "reads"]
+    assert test.regression_log_evidence == [-0.2788744566068176, -1.1784762737527568, -3.2742667084917647]
+    assert test.no_regression_log_evidence == [1.262360825809707, 4.932609433476921, 11.794103535871887]
+    assert test.slice_count == 152
+    assert test.difference_sum == 0.7076121874246415
+    assert test.verdict.value == "fine"
     assert judge.tests["z0", "writes"].verdict.value == "open"
     assert len(judge.sides) == 12
-    assert judge.sides[("z0", "reads"), True].before == RequestSample(831, 831.0, 813.0)
+    assert judge.sides[("z0", "reads"), True].baseline == RequestSample(831, 831.0, 813.0)
 
 
 def test_a_verdict_of_harm_is_read(plan: RolloutPlan) -> None:
     """The rollout that is being taken back, with the bet that found the harm."""
     r = load_snapshot(plan, orjson.loads(golden("snapshot_reverting.json")))
     assert r.outcome.value == "reverting"
-    assert r.harmed == ("z0", "reads")
+    assert r.regression_place == ("z0", "reads")
     assert r.judge.tests["z0", "reads"].verdict.value == "worse"
 
 
@@ -318,10 +319,10 @@
         del router["was"], router["report"]["memory"]
     r = load_snapshot(plan, raw)
     assert r.hold_cause.value == ""
-    assert r.memory_kb == 0
-    assert r.routers["n0-0"].was == ""
-    assert r.routers["n0-0"].report is not None
-    assert r.routers["n0-0"].report.peak_memory_kb == 0
+    assert r.old_peak_memory_kb == 0
+    assert r.routers["n0-0"].instance_before_restart == ""
+    assert r.routers["n0-0"].last_report is not None
+    assert r.routers["n0-0"].last_report.peak_memory_kb == 0
 
 
 # Rollout database -------------------------------------------------------------------------------------------
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,19 +12,20 @@
 from hypothesis import strategies as st
 
 from kelpcroft.cli import main
-from kelpcroft.rollout.judge import RegressionJudge, RequestSample, SequentialTest, StopCriteria, Verdict
+from kelpcroft.rollout.events import CommandKind, OperatorCommand, RouterCommand, RouterReport
+from kelpcroft.rollout.judge import (
+    RegressionJudge,
+    RequestSample,
+    SequentialTest,
+    StopCriteria,
+    Verdict,
+    ZoneClass,
+)
+from kelpcroft.rollout.phases import Phase, RolloutOutcome
 from kelpcroft.rollout.plan import load_plan
 from kelpcroft.rollout.snapshot import SnapshotError, to_snapshot
 from kelpcroft.rollout.snapshot import from_snapshot as restored
-from kelpcroft.rollout.state_machine import (
-    CommandKind,
-    OperatorCommand,
-    Phase,
-    Rollout,
-    RolloutOutcome,
-    RouterCommand,
-    RouterReport,
-)
+from kelpcroft.rollout.state_machine import Rollout
 from testbed.rollouts import Process, S, World, plan_of
 from testbed.stand_ins import ROOT
 
@@ -98,16 +99,16 @@
         judge = RegressionJudge(StopCriteria())
         for _ in range(300):
             new = {
-                ("a", "x"): RequestSample(30, 30.0, 29.0),
-                ("a", "y"): RequestSample(30, 30.0, 24.0),
-                ("b", "x"): RequestSample(30, 30.0, 29.0),
+                ZoneClass("a", "x"): RequestSample(30, 30.0, 29.0),
+                ZoneClass("a", "y"): RequestSample(30, 30.0, 24.0),
+                ZoneClass("b", "x"): RequestSample(30, 30.0, 29.0),
             }
             judge.add_slice(new, {place: RequestSample(90, 90.0, 87.0) for place in new})
-        self.assertEqual(judge.verdict(frozenset(new)), (Verdict.REGRESSION, ("a", "y")))
-        self.assertIs(judge.tests["b", "x"].verdict, Verdict.NO_REGRESSION)
+        self.assertEqual(judge.verdict(frozenset(new)), (Verdict.REGRESSION, ZoneClass("a", "y")))
+        self.assertIs(judge.tests[ZoneClass("b", "x")].verdict, Verdict.NO_REGRESSION)
 
     def test_what_strikes_both_sides_or_was_there_before_is_no_harm(self) -> None:
-        judge, place = RegressionJudge(StopCriteria()), ("a", "x")
+        judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
         judge.add_baseline(True, {place: RequestSample(3_000, 3_000.0, 2_400.0)})
         judge.add_baseline(False, {place: RequestSample(9_000, 9_000.0, 8_550.0)})
         for n in range(400):
@@ -119,7 +120,7 @@
         self.assertIs(judge.tests[place].verdict, Verdict.NO_REGRESSION)
 
     def test_few_requests_are_no_evidence(self) -> None:
-        judge, place = RegressionJudge(StopCriteria()), ("a", "x")
+        judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
         judge.add_slice({place: RequestSample(3, 3.0, 0.0)}, {place: RequestSample(900, 900.0, 900.0)})
         self.assertEqual(judge.verdict(frozenset((place,))), (Verdict.UNDECIDED, place))
         self.assertEqual(
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -40,9 +40,10 @@
 from kelpcroft.net.control_codec import reply  # noqa: E402
 from kelpcroft.net.feed_codec import encode_poll  # noqa: E402
 from kelpcroft.net.watch_codec import answered, bad, refused  # noqa: E402
+from kelpcroft.rollout.events import OperatorCommand  # noqa: E402
+from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome  # noqa: E402
 from kelpcroft.rollout.plan import load_plan as read_plan  # noqa: E402
 from kelpcroft.rollout.snapshot import to_snapshot  # noqa: E402
-from kelpcroft.rollout.state_machine import HoldCause, OperatorCommand, Phase, RolloutOutcome  # noqa: E402
 from kelpcroft.startup.crash_loop_backoff import encode as encode_starts  # noqa: E402
 from kelpcroft.store.handover import encode as encode_service  # noqa: E402
 from kelpcroft.store.rollouts import RolloutStore  # noqa: E402
@@ -197,8 +198,9 @@
         phases.second()
     assert len(phases.rollout.routers) == len(Phase)
     for n, (router, phase) in enumerate(zip(phases.rollout.routers.values(), Phase, strict=True)):
-        router.phase, router.since_ns, router.was = phase, 1_000 * SECOND + n, f"was-{n}"
-    next(iter(phases.rollout.routers.values())).report = None
+        router.phase, router.phase_since_ns = phase, 1_000 * SECOND + n
+        router.instance_before_restart = f"was-{n}"
+    next(iter(phases.rollout.routers.values())).last_report = None
     worlds = {
         "running": running,
         "held": held,
