--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -58,7 +58,9 @@
         self.rollout = from_snapshot(self.plan, run.snapshot)
         try:
             led = bool(self.run.owner)  # by another before, or by one that died
-            self.commit(now, self.rollout.resume_after_takeover(now, self.plan.repeat) if led else [], 0)
+            self.commit(
+                now, self.rollout.resume_after_takeover(now, self.plan.commands_repeatable) if led else [], 0
+            )
             while (
                 self.rollout.outcome not in (RolloutOutcome.DONE, RolloutOutcome.ROLLED_BACK)
                 and not self.stopped
@@ -71,7 +73,7 @@
 
     def turn(self) -> None:
         """One turn: what was heard, the step, its commit, its orders."""
-        self.sleep(min(0.25, self.plan.every_ns / 4e9))
+        self.sleep(min(0.25, self.plan.poll_interval_ns / 4e9))
         now, heard = self.clock(), 0
         events: list[Event] = []
         for number, verb in self.store.pending_operator_commands(self.run.id):
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -21,7 +21,8 @@
 from kelpcroft.rollout.events import HistoryEntry
 from kelpcroft.rollout.phases import RolloutOutcome
 from kelpcroft.rollout.placement import Moved, NoHomes, compare
-from kelpcroft.rollout.plan import RolloutPlan, load_plan
+from kelpcroft.rollout.plan import RolloutPlan
+from kelpcroft.rollout.plan_file import load_plan
 from kelpcroft.rollout.router_drivers import filled
 from kelpcroft.rollout.snapshot import SnapshotError
 from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
@@ -68,7 +69,10 @@
     sizes: dict[str, int] = {}
     for router in plan.routers:
         sizes[router.zone] = sizes.get(router.zone, 0) + 1
-    return {zone: round(min(plan.per_zone, plan.at_once, size) / size, 3) for zone, size in sizes.items()}
+    return {
+        zone: round(min(plan.max_unavailable_per_zone, plan.max_unavailable, size) / size, 3)
+        for zone, size in sizes.items()
+    }
 
 
 @rollout.command(epilog="Example:  kelpcroft rollout plan examples/rollout.kdl")
@@ -92,23 +96,23 @@
             {
                 "stage": stage.name,
                 "routers": [r.name for r in routers],
-                "least_s": stage.least_ns / 10**9,
-                "most_s": stage.most_ns / 10**9,
+                "least_s": stage.min_ns / 10**9,
+                "most_s": stage.max_ns / 10**9,
                 "nothing_to_compare_in": sorted({r.zone for r in routers} - left),
             }
         )
     homes, unasked = moved(found)
     shortest = (
-        sum(s.least_ns for s in found.stages)
-        + found.slowest_ns
-        + sum(-(-len(r) // found.at_once) for r in stages) * found.cold_ns
+        sum(s.min_ns for s in found.stages)
+        + found.slowest_signal_ns
+        + sum(-(-len(r) // found.max_unavailable) for r in stages) * found.warm_up_ns
     )
     if form == "json":
         print_json(
             {
                 "file": file,
                 "good": True,
-                "change": dict(found.change),
+                "change": dict(found.changes),
                 "stages": rows,
                 "shortest_s": shortest / 10**9,
                 "longest_s": found.longest_ns() / 10**9,
@@ -118,16 +122,16 @@
                     for zone, m in homes.items()
                 },
                 "homes_unasked": unasked,
-                "then": "take-back" if found.take_back else "hold",
+                "then": "take-back" if found.rolls_back_on_harm else "hold",
             }
         )
         return
-    click.echo("changes " + ", ".join(f"{what} to {digest}" for what, digest in found.change))
+    click.echo("changes " + ", ".join(f"{what} to {digest}" for what, digest in found.changes))
     for row, stage in zip(rows, found.stages, strict=True):
         names = ", ".join(row["routers"])  # type: ignore[arg-type]
         alone = ", ".join(row["nothing_to_compare_in"])  # type: ignore[arg-type]
         click.echo(
-            f"stage {stage.name!r}: {names}; {words(stage.least_ns)} to {words(stage.most_ns)}"
+            f"stage {stage.name!r}: {names}; {words(stage.min_ns)} to {words(stage.max_ns)}"
             + (f"; no old router left to compare with in {alone}" if alone else "")
         )
     click.echo(f"shortest {words(shortest)}, longest {words(found.longest_ns())}")
@@ -142,7 +146,7 @@
         )
     for why in unasked:
         click.echo(f"homes not known: {why}")
-    click.echo("harm is " + ("taken back" if found.take_back else "held for people to decide"))
+    click.echo("harm is " + ("taken back" if found.rolls_back_on_harm else "held for people to decide"))
 
 
 def moved(plan: RolloutPlan) -> tuple[dict[str, Moved], list[str]]:
@@ -150,11 +154,11 @@
     what could not be asked."""
     main = ["-c", "from kelpcroft.cli import main; main()", "homes", "--config", "{config}"]
     ways: list[tuple[Sequence[str], str | None]]
-    if plan.homes:
-        ways = [(words, None) for words in plan.homes]
-    elif plan.local:
-        asks = [sys.executable, *main, "--objects", str(plan.objects), "--format", "json"]
-        ways = [(asks, folder) for folder in plan.local]
+    if plan.placement_commands:
+        ways = [(words, None) for words in plan.placement_commands]
+    elif plan.local_builds:
+        asks = [sys.executable, *main, "--objects", str(plan.placement_object_count), "--format", "json"]
+        ways = [(asks, folder) for folder in plan.local_builds]
     else:
         return {}, []
     found: dict[str, Moved] = {}
@@ -162,10 +166,10 @@
     for target in {r.zone: r for r in plan.routers}.values():
         placed: list[list[str]] = []
         for command, folder in ways:
-            at = replace(target, config=str(Path(target.config).absolute())) if folder else target
+            at = replace(target, config_path=str(Path(target.config_path).absolute())) if folder else target
             try:
                 asked = filled(command, at)
-                limit = plan.act_ns / 1e9
+                limit = plan.command_timeout_ns / 1e9
                 done = subprocess.run(asked, cwd=folder, capture_output=True, timeout=limit, check=True)
                 placed.append([str(x) for x in orjson.loads(done.stdout)["homes"]])
             except (OSError, subprocess.SubprocessError, ValueError, KeyError, TypeError) as error:
@@ -219,8 +223,8 @@
     Exit code 0 for done, 1 for taken back or stopped, 2 where it cannot be led.
     """
     found = planned(file, form)
-    missing = [r.name for r in found.routers if not r.control]
-    if missing or not (found.apply or found.local):
+    missing = [r.name for r in found.routers if not r.control_address]
+    if missing or not (found.apply_command or found.local_builds):
         raise CommandError(
             f"{file}: "
             + (
--- a/kelpcroft/rollout/comparison.py
+++ b/kelpcroft/rollout/comparison.py
@@ -29,7 +29,7 @@
     """
     if state.stage_index == NO_STAGE:
         return []
-    count_per_zone = state.plan.stages[state.stage_index].control
+    count_per_zone = state.plan.stages[state.stage_index].control_count
     if not count_per_zone:
         return []
     changing = {target.name for target in state.stages[state.stage_index]}
@@ -96,7 +96,7 @@
 
     A regression stops the rollout, or the taking back goes on with its verdict.
     """
-    if state.now_ns - state.last_slice_ns < state.plan.every_ns:
+    if state.now_ns - state.last_slice_ns < state.plan.poll_interval_ns:
         return
     state.last_slice_ns = state.now_ns
     new, old = _collect_slice(state)
--- a/kelpcroft/rollout/observations.py
+++ b/kelpcroft/rollout/observations.py
@@ -86,13 +86,13 @@
 def is_unknown(state: RolloutState, router: RouterState) -> bool:
     """Whether nothing was heard of a router for so long that nothing is known of it."""
     since_ns = max(router.last_report_ns, _silence_counts_from_ns(state, router), state.listening_since_ns)
-    return state.now_ns - since_ns > STALE_POLLS * state.plan.every_ns
+    return state.now_ns - since_ns > STALE_POLLS * state.plan.poll_interval_ns
 
 
 def _silence_counts_from_ns(state: RolloutState, router: RouterState) -> int:
     """A process that is being changed is silent for a while, and has until its time-out to speak."""
     if router.phase in BUILD_REPLACED_PHASES:
-        return router.phase_since_ns + state.plan.ready_ns
+        return router.phase_since_ns + state.plan.ready_timeout_ns
     return router.phase_since_ns
 
 
@@ -111,7 +111,7 @@
         for router in state.routers.values()
         if router.phase not in BUILD_REPLACED_PHASES
     )
-    return silent_count <= state.plan.unknown_most
+    return silent_count <= state.plan.max_unknown
 
 
 def reports_new_build(state: RolloutState, router: RouterState) -> bool:
@@ -119,7 +119,7 @@
     if router.last_report is None:
         return False
     digests = router.last_report.digests
-    return all(digests.get(component) == digest for component, digest in state.plan.change)
+    return all(digests.get(change.component) == change.digest for change in state.plan.changes)
 
 
 def reports_old_build(state: RolloutState, router: RouterState) -> bool:
@@ -128,7 +128,9 @@
         return False
     digests = router.last_report.digests
     originals = router.original_digests
-    return all(digests.get(component) == originals.get(component) for component, digest in state.plan.change)
+    return all(
+        digests.get(change.component) == originals.get(change.component) for change in state.plan.changes
+    )
 
 
 def unavailable_count(state: RolloutState, zone: str = "") -> int:
@@ -146,6 +148,6 @@
     return (
         not is_unknown(state, router)
         and has_recent_report(state, router)
-        and unavailable_count(state) < state.plan.at_once
-        and unavailable_count(state, router.zone) < state.plan.per_zone
+        and unavailable_count(state) < state.plan.max_unavailable
+        and unavailable_count(state, router.zone) < state.plan.max_unavailable_per_zone
     )
--- /dev/null
+++ b/kelpcroft/rollout/plan_checks.py
@@ -0,0 +1,144 @@
+"""What a rollout file may say node by node and not as a whole."""
+
+from __future__ import annotations
+
+from kelpcroft.operator_file.diagnostics import DiagnosticCollector, abbreviated, suggestion
+from kelpcroft.rollout.plan import NS_PER_S, RolloutPlan, RouterTarget, Stage
+
+Zones = dict[str, list[RouterTarget]]  # the routers of each
+
+
+def check_plan(plan: RolloutPlan, diagnostics: DiagnosticCollector) -> None:
+    """Add what is wrong with a plan whose nodes are right one by one."""
+    zones = plan.routers_by_zone()
+    for zone in plan.zone_order:
+        if zone not in zones:
+            diagnostics.add(
+                0,
+                "unknown-zone",
+                f"order: no router is of zone {abbreviated(zone)}{suggestion(zone, zones)}",
+            )
+    changed_count = 0  # by the stages so far
+    for stage, routers in zip(plan.stages, plan.routers_by_stage(), strict=True):
+        _check_stage(plan, stage, changed_count, diagnostics)
+        _check_old_routers_remain(stage, routers, zones, diagnostics)
+        if stage.control_count:
+            _check_control_group(plan, stage, routers, zones, diagnostics)
+        changed_count = max(changed_count, stage.changed_count(len(plan.routers)))
+    if plan.local_builds:
+        _check_local(plan, diagnostics)
+    if plan.stages and plan.routers and changed_count < len(plan.routers):
+        diagnostics.add(
+            plan.stages[-1].position,
+            "not-all",
+            f'the last stage reaches {changed_count} of {len(plan.routers)} routers; end with share="100%"',
+        )
+    _check_zone_limits(plan, zones, diagnostics)
+
+
+def _stage_title(stage: Stage) -> str:
+    return f"stage {abbreviated(stage.name)}"
+
+
+def _check_stage(
+    plan: RolloutPlan, stage: Stage, changed_before: int, diagnostics: DiagnosticCollector
+) -> None:
+    """A stage changes some router, and lasts long enough to see harm."""
+    title = _stage_title(stage)
+    changed_count = stage.changed_count(len(plan.routers))
+    if changed_count <= changed_before:
+        diagnostics.add(
+            stage.position,
+            "stage-shrinks",
+            f"{title} reaches {changed_count} routers, where {changed_before} are changed before it; "
+            "each must reach more",
+        )
+    if stage.min_ns < plan.slowest_signal_ns:
+        diagnostics.add(
+            stage.position,
+            "bake-too-short",
+            f"{title} may end after {stage.min_ns / NS_PER_S:g}s, the "
+            f"slowest signal takes {plan.slowest_signal_ns / NS_PER_S:g}s",
+        )
+    if stage.max_ns < stage.min_ns:
+        diagnostics.add(stage.position, "least-over-most", f"{title} has more least than most time")
+
+
+def _check_old_routers_remain(
+    stage: Stage, routers: list[RouterTarget], zones: Zones, diagnostics: DiagnosticCollector
+) -> None:
+    """No stage changes all of a zone's several routers: nothing old would be left to compare with."""
+    changing = {router.name for router in routers}
+    for zone, of_zone in zones.items():
+        if len(of_zone) > 1 and changing.issuperset(router.name for router in of_zone):
+            diagnostics.add(
+                stage.position,
+                "whole-zone",
+                f"{_stage_title(stage)} changes all {len(of_zone)} routers of zone "
+                f"{abbreviated(zone)}: none of the old would be left there to compare with",
+            )
+
+
+def _check_control_group(
+    plan: RolloutPlan,
+    stage: Stage,
+    routers: list[RouterTarget],
+    zones: Zones,
+    diagnostics: DiagnosticCollector,
+) -> None:
+    """A control group is compared from its start on, so it must start beside the new ones, once."""
+    title = _stage_title(stage)
+    router_zones = [router.zone for router in routers]
+    stage_zones = sorted(set(router_zones))
+    out_per_zone = 1 + stage.control_count
+    out_in_all = len(stage_zones) * out_per_zone
+    for zone in stage_zones:
+        changing_count = router_zones.count(zone)
+        if changing_count > 1:
+            diagnostics.add(
+                stage.position,
+                "control-many",
+                f"{title} changes {changing_count} routers of zone {abbreviated(zone)} one after another; a "
+                "control group is for a stage that changes one",
+            )
+        if len(zones[zone]) < out_per_zone:
+            diagnostics.add(
+                stage.position,
+                "control-few",
+                f"{title}: zone {abbreviated(zone)} has {len(zones[zone])} routers, too few for "
+                f"{stage.control_count} beside the new one",
+            )
+        elif plan.max_unavailable_per_zone < out_per_zone or plan.max_unavailable < out_in_all:
+            diagnostics.add(
+                stage.position,
+                "control-room",
+                f"{title}: limits must let {out_per_zone} routers of a zone be out at once, and "
+                f"{out_in_all} in all",
+            )
+    if not plan.restart_command and not plan.local_builds:
+        diagnostics.add(stage.position, "no-restart", f"{title}: a control group wants restart in 'act'")
+
+
+def _check_local(plan: RolloutPlan, diagnostics: DiagnosticCollector) -> None:
+    """Processes of this machine have a configuration each, and only their program changes."""
+    for router in plan.routers:
+        if not router.config_path:
+            diagnostics.add(
+                router.position,
+                "no-config",
+                f"router {abbreviated(router.name)}: a local one wants config, the file that it starts with",
+            )
+    if {change.component for change in plan.changes} != {"program"}:
+        diagnostics.add(0, "local-program", "a local 'act' changes the program, and nothing else")
+
+
+def _check_zone_limits(plan: RolloutPlan, zones: Zones, diagnostics: DiagnosticCollector) -> None:
+    """The limits leave a router in each zone that has several."""
+    for zone, routers in zones.items():
+        if plan.max_unavailable_per_zone >= len(routers) > 1:
+            diagnostics.add(
+                0,
+                "zone-out",
+                f"limits: {plan.max_unavailable_per_zone} routers of zone {abbreviated(zone)} may be out at "
+                f"once, and it has {len(routers)}",
+            )
--- a/kelpcroft/rollout/rollback.py
+++ b/kelpcroft/rollout/rollback.py
@@ -56,7 +56,7 @@
 def _begin_last_comparison(state: RolloutState) -> None:
     """Compare the routers that were taken back with those that were never changed."""
     state.rolled_back_ns = state.now_ns
-    state.judge = RegressionJudge(state.plan.rates)
+    state.judge = RegressionJudge(state.plan.stop_criteria)
     for router in state.routers.values():
         router.uncounted.clear()
         baseline: Samples = {}
@@ -72,7 +72,7 @@
         _end(state, "there was no figure to compare")
         return
     verdict = state.judge.verdict(frozenset((place,))).verdict
-    longest_stage_ns = max((stage.most_ns for stage in state.plan.stages), default=0)
+    longest_stage_ns = max((stage.max_ns for stage in state.plan.stages), default=0)
     is_overdue = state.now_ns - state.rolled_back_ns > longest_stage_ns
     if verdict is not Verdict.UNDECIDED or is_overdue:
         _end(state, FINDINGS[verdict])
--- a/kelpcroft/rollout/router_drivers.py
+++ b/kelpcroft/rollout/router_drivers.py
@@ -68,7 +68,9 @@
 def filled(words: Sequence[str], target: RouterTarget) -> list[str]:
     """A command's words with what stands in braces filled in."""
     return [
-        w.format(router=target.name, zone=target.zone, control=target.control, config=target.config)
+        w.format(
+            router=target.name, zone=target.zone, control=target.control_address, config=target.config_path
+        )
         for w in words
     ]
 
@@ -78,11 +80,11 @@
 
     def __init__(self, plan: RolloutPlan) -> None:
         self.plan = plan
-        self.timeout_s = max(0.2, min(5.0, 2 * plan.every_ns / 1e9))
+        self.timeout_s = max(0.2, min(5.0, 2 * plan.poll_interval_ns / 1e9))
 
     def call_control(self, target: RouterTarget, method: str, verb: str) -> Any:
         """One call on a control address.  Raises OSError, HTTPException or ValueError."""
-        host, _, port = target.control.rpartition(":")
+        host, _, port = target.control_address.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=self.timeout_s)
         try:
             connection.request(method, f"/control/{verb}")
@@ -121,9 +123,9 @@
 
     def change(self, target: RouterTarget, act: CommandKind) -> str:
         found = {
-            CommandKind.APPLY: self.plan.apply,
-            CommandKind.UNDO: self.plan.undo,
-            CommandKind.RESTART: self.plan.restart,
+            CommandKind.APPLY: self.plan.apply_command,
+            CommandKind.UNDO: self.plan.undo_command,
+            CommandKind.RESTART: self.plan.restart_command,
         }[act]
         words = filled(found, target)
         try:
@@ -132,7 +134,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.STDOUT,
-                timeout=self.plan.act_ns / 1e9,
+                timeout=self.plan.command_timeout_ns / 1e9,
                 check=False,
             )
         except (OSError, subprocess.TimeoutExpired) as error:
@@ -149,13 +151,13 @@
 
     def __init__(self, plan: RolloutPlan) -> None:
         super().__init__(plan)
-        assert plan.local is not None
+        assert plan.local_builds is not None
         self.folders = {
-            CommandKind.UNDO: plan.local[0],
-            CommandKind.RESTART: plan.local[0],
-            CommandKind.APPLY: plan.local[1],
+            CommandKind.UNDO: plan.local_builds[0],
+            CommandKind.RESTART: plan.local_builds[0],
+            CommandKind.APPLY: plan.local_builds[1],
         }
-        self.new = dict(plan.change).get("program", "")
+        self.new = dict(plan.changes).get("program", "")
         self.children: list[subprocess.Popen[bytes]] = []
         self.restarted: dict[str, str] = {}  # by router: the instance that was told to end
 
@@ -166,10 +168,10 @@
         except ConnectionRefusedError:
             raw = None  # nothing runs there
         except (OSError, http.client.HTTPException, ValueError) as error:
-            return f"what runs at {target.control} does not say what it is: {error}"
+            return f"what runs at {target.control_address} does not say what it is: {error}"
         if raw is not None:
             if not isinstance(raw, dict) or raw.get("name") != target.name:
-                return f"at {target.control} is another router"
+                return f"at {target.control_address} is another router"
             is_new = raw.get("build") == self.new
             instance = str(raw.get("instance"))
             if act is CommandKind.RESTART:
@@ -191,7 +193,7 @@
         child = next((c for c in self.children if c.pid == number), None)
         try:
             os.kill(number, signal.SIGTERM)
-            until = time.monotonic() + min(END_S, self.plan.act_ns / 1e9)
+            until = time.monotonic() + min(END_S, self.plan.command_timeout_ns / 1e9)
             while time.monotonic() < until:
                 if child is not None and child.poll() is not None:
                     return ""
@@ -207,11 +209,11 @@
 
     def start_process(self, target: RouterTarget, folder: Path) -> str:
         """A process that outlives this one; its log goes beside its configuration."""
-        config = Path(target.config).absolute()
+        config = Path(target.config_path).absolute()
         env = {**os.environ, "ROUTER_CONFIG": str(config), "ROUTER_NAME": target.name}
         env.pop("ROUTER_RULES", None)
-        if target.rules:
-            env["ROUTER_RULES"] = str(Path(target.rules).absolute())
+        if target.rules_path:
+            env["ROUTER_RULES"] = str(Path(target.rules_path).absolute())
         try:
             with config.with_suffix(".log").open("ab") as log:
                 self.children.append(
@@ -232,4 +234,4 @@
 
 def hands_for(plan: RolloutPlan) -> RouterDriver:
     """What a plan names."""
-    return LocalProcessDriver(plan) if plan.local else CommandDriver(plan)
+    return LocalProcessDriver(plan) if plan.local_builds else CommandDriver(plan)
--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -228,9 +228,9 @@
 
 
 def _judge_from_json(plan: RolloutPlan, raw: Mapping[str, Any]) -> RegressionJudge:
-    judge = RegressionJudge(plan.rates)
+    judge = RegressionJudge(plan.stop_criteria)
     for zone, request_class, regression, no_regression, slice_count, difference_sum, verdict in raw["bets"]:
-        test = SequentialTest(plan.rates)
+        test = SequentialTest(plan.stop_criteria)
         test.regression_log_evidence = list(regression)
         test.no_regression_log_evidence = list(no_regression)
         test.slice_count = slice_count
--- a/kelpcroft/rollout/stages.py
+++ b/kelpcroft/rollout/stages.py
@@ -40,17 +40,17 @@
     waited_ns = state.now_ns - state.stage_since_ns
     without_report = sorted(name for name, router in state.routers.items() if router.last_report_ns < 0)
     if without_report:
-        if waited_ns > state.plan.ready_ns:
+        if waited_ns > state.plan.ready_timeout_ns:
             state.hold(f"never heard of {', '.join(without_report[:MAX_NAMES_SHOWN])}")
         return False
-    return waited_ns >= state.plan.slowest_ns
+    return waited_ns >= state.plan.slowest_signal_ns
 
 
 def begin_stage(state: RolloutState, index: int) -> None:
     """Enter a stage, with a new judge that knows what each side did before."""
     state.stage_index = index
     state.stage_since_ns = state.now_ns
-    state.judge = RegressionJudge(state.plan.rates)
+    state.judge = RegressionJudge(state.plan.stop_criteria)
     changing = {target.name for target in state.stages[index]}
     control_names = {router.name for router in control_group(state)}
     for name, router in state.routers.items():
@@ -77,7 +77,7 @@
 
 def _begin_changes(state: RolloutState, stage_routers: list[RouterState]) -> None:
     """Take routers of the stage out of service, as many as the limits allow."""
-    if unavailable_count(state) >= state.plan.at_once:
+    if unavailable_count(state) >= state.plan.max_unavailable:
         return
     for router in stage_routers:
         if router.phase is not Phase.WAITING or not may_become_unavailable(state, router):
@@ -102,9 +102,9 @@
     all_answer = all(
         has_recent_report(state, router) and not is_unknown(state, router) for router in stage_routers
     )
-    if warm_ns >= stage.least_ns and is_ruled_out and all_answer:
+    if warm_ns >= stage.min_ns and is_ruled_out and all_answer:
         _accept_stage(state, stage_routers, required)
-    elif warm_ns > stage.most_ns:
+    elif warm_ns > stage.max_ns:
         where = f" of class {place.request_class!r} in zone {place.zone!r}" if place else ""
         state.hold(f"stage {stage.name!r}: not enough evidence{where}")
 
--- a/kelpcroft/rollout/state.py
+++ b/kelpcroft/rollout/state.py
@@ -94,9 +94,9 @@
         self.outcome = RolloutOutcome.RUNNING
         self.reason = ""
         self.hold_cause = HoldCause.NONE
-        self.judge = RegressionJudge(plan.rates)
-        self.last_poll_ns = now_ns - plan.every_ns
-        self.last_slice_ns = now_ns - plan.every_ns
+        self.judge = RegressionJudge(plan.stop_criteria)
+        self.last_poll_ns = now_ns - plan.poll_interval_ns
+        self.last_slice_ns = now_ns - plan.poll_interval_ns
         self.listening_since_ns = now_ns
         self.old_peak_memory_kb = 0
         self.regression_place: ZoneClass | None = None
@@ -156,7 +156,7 @@
     def stop(self, name: str, reason: str, figures: Mapping[str, object]) -> None:
         """Harm is shown: take the change back, or hold it for people, as the plan says."""
         self.add_history(name, reason, **figures)
-        if self.plan.take_back:
+        if self.plan.rolls_back_on_harm:
             self.start_rollback(reason)
         elif self.outcome is RolloutOutcome.RUNNING:
             self.hold(reason)
--- a/kelpcroft/rollout/state_machine.py
+++ b/kelpcroft/rollout/state_machine.py
@@ -62,7 +62,7 @@
         Returns:
             What is to be done and written, in this order.
         """
-        stood_still = now_ns - self.now_ns > self.plan.every_ns
+        stood_still = now_ns - self.now_ns > self.plan.poll_interval_ns
         self._begin_event(now_ns)
         if stood_still:
             self._listen_anew()
@@ -91,7 +91,7 @@
         """
         left_ns = self.now_ns
         self._begin_event(now_ns)
-        self.last_poll_ns = self.now_ns - self.plan.every_ns
+        self.last_poll_ns = self.now_ns - self.plan.poll_interval_ns
         self.listening_since_ns = self.now_ns
         if self.stage_index == NO_STAGE:
             self.stage_since_ns += self.now_ns - left_ns  # nobody was listened to meanwhile
@@ -117,7 +117,7 @@
         from before the pause: they do not count as heard since, so listening begins behind them.
         """
         self.listening_since_ns = self.now_ns + 1
-        self.last_poll_ns = self.now_ns - self.plan.every_ns
+        self.last_poll_ns = self.now_ns - self.plan.poll_interval_ns
         self.restart_deadlines()
 
     def _obey(self, command: OperatorCommand) -> None:
@@ -137,7 +137,7 @@
 
     def _poll_if_due(self) -> None:
         """Ask every router, once in a polling interval."""
-        if self.now_ns - self.last_poll_ns >= self.plan.every_ns:
+        if self.now_ns - self.last_poll_ns >= self.plan.poll_interval_ns:
             self.last_poll_ns = self.now_ns
             self.effects += [RouterCommand(name, CommandKind.POLL) for name in self.routers]
 
@@ -155,7 +155,7 @@
     def _hold_while_silent(self) -> None:
         """Hold the rollout while more routers are silent than the plan allows."""
         unknown = sorted(name for name, router in self.routers.items() if is_unknown(self, router))
-        if self.outcome is RolloutOutcome.RUNNING and len(unknown) > self.plan.unknown_most:
+        if self.outcome is RolloutOutcome.RUNNING and len(unknown) > self.plan.max_unknown:
             self.hold(
                 f"{len(unknown)} routers do not answer: {', '.join(unknown[:MAX_NAMES_SHOWN])}",
                 HoldCause.SILENCE,
--- a/kelpcroft/rollout/transitions.py
+++ b/kelpcroft/rollout/transitions.py
@@ -35,7 +35,7 @@
 
 def _is_overdue(state: RolloutState, router: RouterState) -> bool:
     """Whether a router has been in its phase for longer than a step may take."""
-    return state.now_ns - router.phase_since_ns > state.plan.ready_ns
+    return state.now_ns - router.phase_since_ns > state.plan.ready_timeout_ns
 
 
 def _has_left_service(report: RouterReport | None) -> bool:
@@ -118,7 +118,7 @@
 def _step_warming_up(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
     """Compare a router once it is warm."""
     silent = is_unknown(state, router)
-    if silent and _silent_ns(state, router) > state.plan.ready_ns:
+    if silent and _silent_ns(state, router) > state.plan.ready_timeout_ns:
         # Dead or out of reach, which no answer tells: people are asked, and the stage does not hang.
         state.escalate(router, "has not answered since its change")
     elif report is None:
@@ -126,7 +126,7 @@
     elif not report.ready:
         if _is_overdue(state, router):
             state.report_harm(router, "not-ready", f"{router.name} is not ready in time in service")
-    elif not silent and state.now_ns - router.phase_since_ns >= state.plan.cold_ns:
+    elif not silent and state.now_ns - router.phase_since_ns >= state.plan.warm_up_ns:
         if not control_group(state):
             router.uncounted.clear()  # of its cold time, which nothing as cold is compared with
         state.enter(router, Phase.COMPARED)
@@ -150,7 +150,7 @@
     """
     if not state.old_peak_memory_kb:
         return
-    limit_kb = int(state.plan.memory * state.old_peak_memory_kb) + SPARE_MEMORY_KB
+    limit_kb = int(state.plan.max_memory_ratio * state.old_peak_memory_kb) + SPARE_MEMORY_KB
     if report.peak_memory_kb > limit_kb:
         state.report_harm(
             router,
--- a/testbed/rollouts.py
+++ b/testbed/rollouts.py
@@ -21,7 +21,8 @@
 )
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.phases import RolloutOutcome
-from kelpcroft.rollout.plan import RolloutPlan, load_plan
+from kelpcroft.rollout.plan import RolloutPlan
+from kelpcroft.rollout.plan_file import load_plan
 from kelpcroft.rollout.state_machine import Rollout
 
 S = 10**9
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -21,7 +21,8 @@
 from kelpcroft.cli.controller import RolloutController, begin_or_continue_run
 from kelpcroft.rollout.events import CommandKind, Event, NoAnswer, RouterCommand, Tick
 from kelpcroft.rollout.phases import RolloutOutcome
-from kelpcroft.rollout.plan import RolloutPlan, RouterTarget, load_plan
+from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
+from kelpcroft.rollout.plan_file import load_plan
 from kelpcroft.rollout.router_drivers import CommandDriver, LocalProcessDriver, RouterDriver
 from kelpcroft.rollout.snapshot import from_snapshot as restored
 from kelpcroft.rollout.snapshot import to_snapshot
--- a/tests/test_golden_stored_data.py
+++ b/tests/test_golden_stored_data.py
@@ -32,7 +32,7 @@
 from kelpcroft.rollout.events import HistoryEntry, OperatorCommand, RouterReport
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
-from kelpcroft.rollout.plan import load_plan as read_plan
+from kelpcroft.rollout.plan_file import load_plan as read_plan
 
 # The program's names, all of them here: a rename touches these lines and the attributes that are read below.
 from kelpcroft.rollout.router_drivers import report_of
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -22,7 +22,7 @@
     ZoneClass,
 )
 from kelpcroft.rollout.phases import Phase, RolloutOutcome
-from kelpcroft.rollout.plan import load_plan
+from kelpcroft.rollout.plan_file import load_plan
 from kelpcroft.rollout.snapshot import SnapshotError, to_snapshot
 from kelpcroft.rollout.snapshot import from_snapshot as restored
 from kelpcroft.rollout.state_machine import Rollout
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -42,7 +42,7 @@
 from kelpcroft.net.watch_codec import answered, bad, refused  # noqa: E402
 from kelpcroft.rollout.events import OperatorCommand  # noqa: E402
 from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome  # noqa: E402
-from kelpcroft.rollout.plan import load_plan as read_plan  # noqa: E402
+from kelpcroft.rollout.plan_file import load_plan as read_plan  # noqa: E402
 from kelpcroft.rollout.snapshot import to_snapshot  # noqa: E402
 from kelpcroft.startup.crash_loop_backoff import encode as encode_starts  # noqa: E402
 from kelpcroft.store.handover import encode as encode_service  # noqa: E402
