--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -15,7 +15,7 @@
 from kelpcroft.rollout.events import CommandKind, Event, HistoryEntry, OperatorCommand, RouterCommand, Tick
 from kelpcroft.rollout.phases import RolloutOutcome
 from kelpcroft.rollout.plan import RolloutPlan
-from kelpcroft.rollout.router_drivers import RouterDriver, hands_for
+from kelpcroft.rollout.router_drivers import RouterDriver, driver_for
 from kelpcroft.rollout.snapshot import from_snapshot, to_snapshot
 from kelpcroft.rollout.state_machine import Rollout
 from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
@@ -39,7 +39,7 @@
     ) -> None:
         self.store, self.run, self.plan, self.tell = store, run, plan, tell
         self.owner = f"{os.getpid()}-{secrets.token_hex(4)}"
-        self.driver = driver or hands_for(plan)
+        self.driver = driver or driver_for(plan)
         self.clock, self.sleep = clock, sleep
         self.targets = {t.name: t for t in plan.routers}
         self.pool = ThreadPoolExecutor(min(THREADS_MOST, 2 * len(self.targets) + 2))
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -20,10 +20,10 @@
 from kelpcroft.operator_file.check import span as words
 from kelpcroft.rollout.events import HistoryEntry
 from kelpcroft.rollout.phases import RolloutOutcome
-from kelpcroft.rollout.placement import Moved, NoHomes, compare
+from kelpcroft.rollout.placement import PlacementDiff, PlacementError, compare_placements
 from kelpcroft.rollout.plan import RolloutPlan
 from kelpcroft.rollout.plan_file import load_plan
-from kelpcroft.rollout.router_drivers import filled
+from kelpcroft.rollout.router_drivers import fill_in
 from kelpcroft.rollout.snapshot import SnapshotError
 from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
 
@@ -118,7 +118,11 @@
                 "longest_s": found.longest_ns() / 10**9,
                 "worst_share_out": worst_out(found),
                 "homes": {
-                    zone: {"objects": m.objects, "moved": m.moved, "share": round(m.share, 4)}
+                    zone: {
+                        "objects": m.object_count,
+                        "moved": m.moved_count,
+                        "share": round(m.moved_share, 4),
+                    }
                     for zone, m in homes.items()
                 },
                 "homes_unasked": unasked,
@@ -141,15 +145,15 @@
     )
     for zone, m in homes.items():
         click.echo(
-            f"zone {zone}: {m.share * 100:.1f}% of objects have another home in the new"
-            + ("; as many of the copies kept there are filled once more" if m.moved else "")
+            f"zone {zone}: {m.moved_share * 100:.1f}% of objects have another home in the new"
+            + ("; as many of the copies kept there are filled once more" if m.moved_count else "")
         )
     for why in unasked:
         click.echo(f"homes not known: {why}")
     click.echo("harm is " + ("taken back" if found.rolls_back_on_harm else "held for people to decide"))
 
 
-def moved(plan: RolloutPlan) -> tuple[dict[str, Moved], list[str]]:
+def moved(plan: RolloutPlan) -> tuple[dict[str, PlacementDiff], list[str]]:
     """By zone, how many objects have another home in the new build, each build asked by its own command; and
     what could not be asked."""
     main = ["-c", "from kelpcroft.cli import main; main()", "homes", "--config", "{config}"]
@@ -161,14 +165,14 @@
         ways = [(asks, folder) for folder in plan.local_builds]
     else:
         return {}, []
-    found: dict[str, Moved] = {}
+    found: dict[str, PlacementDiff] = {}
     faults = []
     for target in {r.zone: r for r in plan.routers}.values():
         placed: list[list[str]] = []
         for command, folder in ways:
             at = replace(target, config_path=str(Path(target.config_path).absolute())) if folder else target
             try:
-                asked = filled(command, at)
+                asked = fill_in(command, at)
                 limit = plan.command_timeout_ns / 1e9
                 done = subprocess.run(asked, cwd=folder, capture_output=True, timeout=limit, check=True)
                 placed.append([str(x) for x in orjson.loads(done.stdout)["homes"]])
@@ -177,8 +181,8 @@
                 break
         if len(placed) == 2:
             try:
-                found[target.zone] = compare(*placed)
-            except NoHomes as error:
+                found[target.zone] = compare_placements(*placed)
+            except PlacementError as error:
                 faults.append(f"zone {target.zone}: {error}")
     return found, faults
 
--- a/kelpcroft/rollout/placement.py
+++ b/kelpcroft/rollout/placement.py
@@ -1,74 +1,119 @@
-"""Where a build's decision module puts objects, and how many have another home in another build or settings.
+"""Where a build's decision code puts objects, and how many have another home in another build or settings.
 
 Each build is asked on its own (``kelpcroft homes``, run in its folder): a fresh instance of its decision
-module gets the list and one request for each of a row of objects, answered at once, and says to which cache
-each went.  What a running router has learned since (loads, slowness, dead caches) moves some more, in both
-alike.
+code gets the list of servers and one request for each of a row of objects, answered at once, and says to
+which cache each went.  What a running router has learned since (loads, slowness, ejected caches) moves some
+more, in both alike.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.policy import RoutingPolicy
 from kelpcroft.decision.statistics import mix64
 
+START_NS = 10**18  # of the virtual clock; any time that is old enough for SETTLED_NS
 STEP_NS = 100 * 10**6  # between two requests: nothing of one is left at the next
-SETTLED_NS = 3_600 * 10**9  # the list is taken to be so old: no cache is cold
+SETTLED_NS = 3_600 * 10**9  # the list is taken to be so old: no cache warms up
+ANSWER_NS = 10**6  # an answer takes so long
+DEFAULT_DEADLINE_NS = 10**9  # of a class that has none
 
 
-class NoHomes(ValueError):
-    """Nothing can be asked; the message says why."""
+class PlacementError(ValueError):
+    """Placements cannot be asked or compared; the message says why."""
 
 
-def homes(settings: api.Settings, servers: Sequence[api.Server], count: int) -> list[str]:
-    """The cache that each of so many objects goes to, "" where none takes it.  The objects are the same in
-    every call.  Raises NoHomes where no class is kept in caches."""
-    cls = next(
-        (c for c in settings.classes if c.idempotency is api.Idempotency.SAFE and not c.uncacheable), None
-    )
-    if cls is None:
-        raise NoHomes("no class is kept in caches")
-    policy, now = RoutingPolicy(settings), 10**18
-    policy.start(now)
-    policy.handle(now, api.ServerList("restored", tuple(servers)))
-    now += SETTLED_NS
-    found = []
+def place_objects(settings: api.Settings, servers: Sequence[api.Server], count: int) -> list[str]:
+    """The home of each object of a row, which is the same row in every call.
+
+    Args:
+        settings: The deployment's.
+        servers: The list of servers, as a router would restore it.
+        count: How many objects.
+
+    Returns:
+        The cache that each object goes to, "" where none takes it.
+
+    Raises:
+        PlacementError: No class is kept in caches.
+    """
+    request_class = _cached_class(settings)
+    deadline_ns = request_class.deadline_ns or DEFAULT_DEADLINE_NS
+    policy = RoutingPolicy(settings)
+    now_ns = START_NS
+    policy.start(now_ns)
+    policy.handle(now_ns, api.ServerList("restored", tuple(servers)))
+    now_ns += SETTLED_NS
+    homes = []
     for n in range(count):
-        now += STEP_NS
-        request = api.Request(str(n), cls.name, cls.deadline_ns or 10**9, mix64(n) >> 1)
-        fetch = next((a for a in policy.handle(now, request) if isinstance(a, api.ForwardRequest)), None)
-        if fetch is None:
-            found.append("")
-            continue
-        found.append(fetch.server)
-        end = api.AttemptEnded(fetch.id, 0, fetch.server, api.Outcome.OK, 10**6, True, api.FillResult.HIT)
-        policy.handle(now + 10**6, end)
-    return found
+        now_ns += STEP_NS
+        request = api.Request(str(n), request_class.name, deadline_ns, mix64(n) >> 1)
+        homes.append(_home_of(policy, now_ns, request))
+    return homes
+
+
+def _cached_class(settings: api.Settings) -> api.RequestClass:
+    """The first class whose answers caches keep."""
+    for request_class in settings.classes:
+        if request_class.idempotency is api.Idempotency.SAFE and not request_class.uncacheable:
+            return request_class
+    raise PlacementError("no class is kept in caches")
+
+
+def _home_of(policy: RoutingPolicy, now_ns: int, request: api.Request) -> str:
+    """The cache that a request is sent to, and answered by at once."""
+    for action in policy.handle(now_ns, request):
+        if isinstance(action, api.ForwardRequest):
+            end = api.AttemptEnded(
+                action.id, 0, action.server, api.Outcome.OK, ANSWER_NS, True, api.FillResult.HIT
+            )
+            policy.handle(now_ns + ANSWER_NS, end)
+            return action.server
+    return ""
+
+
+class ObjectCounts(NamedTuple):
+    """Objects of one cache in two placements."""
+
+    before: int
+    after: int
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
-    """How two placements of the same objects differ."""
+class PlacementDiff:
+    """How two placements of the same objects differ.
+
+    Attributes:
+        object_count: How many objects were placed.
+        moved_count: How many have another home.
+        by_cache: The objects of each cache.
+    """
 
-    objects: int
-    moved: int
-    by_cache: dict[str, tuple[int, int]]  # objects before, after
+    object_count: int
+    moved_count: int
+    by_cache: dict[str, ObjectCounts]
 
     @property
-    def share(self) -> float:
-        return self.moved / self.objects if self.objects else 0.0
+    def moved_share(self) -> float:
+        """The share of objects that have another home; 0 of none."""
+        return self.moved_count / self.object_count if self.object_count else 0.0
+
 
+def compare_placements(old: Sequence[str], new: Sequence[str]) -> PlacementDiff:
+    """Compare two answers to the same question.
 
-def compare(old: Sequence[str], new: Sequence[str]) -> Moved:
-    """Two answers to the same question.  Raises NoHomes where they are of different length."""
+    Raises:
+        PlacementError: They are of different length.
+    """
     if len(old) != len(new):
-        raise NoHomes(f"the old placed {len(old)} objects, the new {len(new)}")
-    names = sorted({*old, *new} - {""})
-    return Moved(
+        raise PlacementError(f"the old placed {len(old)} objects, the new {len(new)}")
+    caches = sorted({*old, *new} - {""})
+    return PlacementDiff(
         len(old),
-        sum(a != b for a, b in zip(old, new, strict=True)),
-        {name: (old.count(name), new.count(name)) for name in names},
+        sum(before != after for before, after in zip(old, new, strict=True)),
+        {cache: ObjectCounts(old.count(cache), new.count(cache)) for cache in caches},
     )
--- a/kelpcroft/rollout/router_drivers.py
+++ b/kelpcroft/rollout/router_drivers.py
@@ -1,7 +1,9 @@
 """What touches routers: their control addresses, and what starts and ends their processes.
 
-One interface, two ways behind it: the operators' own tool (``Commands``), and processes of this machine
-(``Local``: tests, ``./demo``, a single host).  Neither decides anything: the router's own word does."""
+One interface, two ways behind it: the operators' own tool (``CommandDriver``), and processes of this
+machine (``LocalProcessDriver``: tests, ``./demo``, a single host).  Neither decides anything: the router's
+own word does.
+"""
 
 from __future__ import annotations
 
@@ -21,99 +23,136 @@
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 
-ANSWER_MOST = 256 * 1024  # bytes of a router's state that are read
-OUTPUT_MOST = 2_000  # characters of a command's output that are kept
-END_S = 10.0  # a local process has so long to end by itself
-CALLS = {CommandKind.DRAIN: "out-of-service", CommandKind.ENABLE: "in-service"}
-TOLD = {"program": "build", "settings": "settings", "rules": "rules"}
+MAX_ANSWER_BYTES = 256 * 1024  # of a router's state that are read
+MAX_OUTPUT_CHARACTERS = 2_000  # of a command's output that are kept
+MAX_WEIGHT = 1e18  # a router that tells more has lost count
+MIN_CALL_TIMEOUT_S, MAX_CALL_TIMEOUT_S = 0.2, 5.0
+POLLS_PER_CALL_TIMEOUT = 2
+STOP_TIMEOUT_S = 10.0  # a local process has so long to end by itself
+STOP_CHECK_INTERVAL_S = 0.02
+SERVICE_UNAVAILABLE = 503  # a router that is not ready answers with it, and with its state
 
+CALL_ERRORS = (OSError, http.client.HTTPException, ValueError)  # of a call on a control address
+CONTROL_VERBS = {CommandKind.DRAIN: "out-of-service", CommandKind.ENABLE: "in-service"}
+DIGEST_KEYS = {
+    "program": "build",
+    "settings": "settings",
+    "rules": "rules",
+}  # by component, in /control/state
 
-def report_of(target: RouterTarget, raw: Any) -> Event:
-    """A router's answer as an event; one that cannot be read, or is another router's, counts as silence."""
+
+def parse_state(target: RouterTarget, raw: Any) -> Event:
+    """A router's answer as an event.
+
+    Args:
+        target: Who was asked.
+        raw: The JSON of ``GET /control/state``.
+
+    Returns:
+        Its report; ``NoAnswer`` where it cannot be read, is impossible, or is another router's.
+    """
     try:
         if raw["name"] != target.name:
             return NoAnswer(target.name)
-        classes = {
-            str(cls): RequestSample(int(c["asked"]), float(c["worth"]), float(c["in_time"]))
-            for cls, c in raw["classes"].items()
+        samples = {
+            str(name): RequestSample(int(row["asked"]), float(row["worth"]), float(row["in_time"]))
+            for name, row in raw["classes"].items()
         }
-        if any(
-            not 0 <= s.in_time_weight <= s.requested_weight < 1e18 or s.request_count < 0
-            for s in classes.values()
-        ):
+        if not all(_is_possible(sample) for sample in samples.values()):
             return NoAnswer(target.name)
         return RouterReport(
             target.name,
-            str(raw["instance"]),
-            {what: str(raw[key]) for what, key in TOLD.items()},
-            # Taken out of service it is not ready by its own word: one that SIGHUP changes stays so until IN.
-            raw["ready"] is True or raw.get("why") == "out of service",
-            raw["service"] == "in",
-            int(raw["invariants"]),
-            classes,
-            max(0, int(raw.get("memory_kb", 0))),
+            instance=str(raw["instance"]),
+            digests={component: str(raw[key]) for component, key in DIGEST_KEYS.items()},
+            # One that SIGHUP changed while it was out of service says that it is not ready until ENABLE.
+            ready=raw["ready"] is True or raw.get("why") == "out of service",
+            in_service=raw["service"] == "in",
+            invariant_violations=int(raw["invariants"]),
+            samples_by_class=samples,
+            peak_memory_kb=max(0, int(raw.get("memory_kb", 0))),
         )
     except (KeyError, TypeError, ValueError, AttributeError):
         return NoAnswer(target.name)
 
 
-def unreaped(number: int) -> bool:
-    """Whether a process has ended and only waits for who started it to ask how: it still has its number."""
+def _is_possible(sample: RequestSample) -> bool:
+    """Whether a router may have counted so; not a number is impossible too."""
+    return sample.request_count >= 0 and 0 <= sample.in_time_weight <= sample.requested_weight < MAX_WEIGHT
+
+
+def is_zombie(process_id: int) -> bool:
+    """Whether a process has ended and only waits for its parent to ask how: it still has its number."""
     try:
-        return Path(f"/proc/{number}/stat").read_text().rpartition(")")[2].split()[0] == "Z"
+        stat = Path(f"/proc/{process_id}/stat").read_text()
+        return stat.rpartition(")")[2].split()[0] == "Z"
     except (OSError, IndexError):
         return False
 
 
-def filled(words: Sequence[str], target: RouterTarget) -> list[str]:
+def fill_in(words: Sequence[str], target: RouterTarget) -> list[str]:
     """A command's words with what stands in braces filled in."""
     return [
-        w.format(
+        word.format(
             router=target.name, zone=target.zone, control=target.control_address, config=target.config_path
         )
-        for w in words
+        for word in words
     ]
 
 
 class RouterDriver:
-    """What touches routers: their control addresses, and the operators' own tool."""
+    """What a controller needs of routers.  A subclass says how a process is replaced."""
 
     def __init__(self, plan: RolloutPlan) -> None:
         self.plan = plan
-        self.timeout_s = max(0.2, min(5.0, 2 * plan.poll_interval_ns / 1e9))
+        polls_s = POLLS_PER_CALL_TIMEOUT * plan.poll_interval_ns / 1e9
+        self.call_timeout_s = max(MIN_CALL_TIMEOUT_S, min(MAX_CALL_TIMEOUT_S, polls_s))
 
     def call_control(self, target: RouterTarget, method: str, verb: str) -> Any:
-        """One call on a control address.  Raises OSError, HTTPException or ValueError."""
+        """Make one call on a control address.
+
+        Returns:
+            The JSON of the answer.
+
+        Raises:
+            OSError: Nothing answers.
+            HTTPException: What answers speaks no HTTP.
+            ValueError: The answer is refused, too long or no JSON.
+        """
         host, _, port = target.control_address.rpartition(":")
-        connection = http.client.HTTPConnection(host, int(port), timeout=self.timeout_s)
+        connection = http.client.HTTPConnection(host, int(port), timeout=self.call_timeout_s)
         try:
             connection.request(method, f"/control/{verb}")
             answer = connection.getresponse()
-            body = answer.read(ANSWER_MOST + 1)
-            if answer.status >= 400 and answer.status != 503 or len(body) > ANSWER_MOST:
+            body = answer.read(MAX_ANSWER_BYTES + 1)
+            is_refused = answer.status >= 400 and answer.status != SERVICE_UNAVAILABLE
+            if is_refused or len(body) > MAX_ANSWER_BYTES:
                 raise ValueError(f"answered {answer.status} with {len(body)} bytes")
             return orjson.loads(body)
         finally:
             connection.close()
 
     def poll(self, target: RouterTarget) -> Event:
-        """A router's state, or silence."""
+        """A router's report, or that it did not answer."""
         try:
-            return report_of(target, self.call_control(target, "GET", "state"))
-        except (OSError, http.client.HTTPException, ValueError):
+            return parse_state(target, self.call_control(target, "GET", "state"))
+        except CALL_ERRORS:
             return NoAnswer(target.name)
 
     def execute(self, target: RouterTarget, kind: CommandKind) -> str:
-        """Carry an order out: "" or why it failed.  That it did not fail proves nothing: the router tells."""
-        if kind in CALLS:
-            try:
-                self.call_control(target, "PUT", CALLS[kind])
-                return ""
-            except (OSError, http.client.HTTPException, ValueError) as error:
-                return f"{type(error).__name__}: {error}"
-        return self.change(target, kind)
-
-    def change(self, target: RouterTarget, act: CommandKind) -> str:
+        """Carry a command out.
+
+        Returns:
+            "" or why it failed.  That it did not fail proves nothing: the router tells.
+        """
+        if kind not in CONTROL_VERBS:
+            return self.replace_process(target, kind)
+        try:
+            self.call_control(target, "PUT", CONTROL_VERBS[kind])
+        except CALL_ERRORS as error:
+            return f"{type(error).__name__}: {error}"
+        return ""
+
+    def replace_process(self, target: RouterTarget, kind: CommandKind) -> str:
         """Start a router's process anew, of the new build, the old or its own; "" or why it failed."""
         raise NotImplementedError
 
@@ -121,15 +160,19 @@
 class CommandDriver(RouterDriver):
     """The operators' own tool: an argument list from the file, no shell, a time-out, its output kept."""
 
-    def change(self, target: RouterTarget, act: CommandKind) -> str:
-        found = {
-            CommandKind.APPLY: self.plan.apply_command,
-            CommandKind.UNDO: self.plan.undo_command,
-            CommandKind.RESTART: self.plan.restart_command,
-        }[act]
-        words = filled(found, target)
+    def __init__(self, plan: RolloutPlan) -> None:
+        super().__init__(plan)
+        self._commands = {
+            CommandKind.APPLY: plan.apply_command,
+            CommandKind.UNDO: plan.undo_command,
+            CommandKind.RESTART: plan.restart_command,
+        }
+
+    def replace_process(self, target: RouterTarget, kind: CommandKind) -> str:
+        """Run the tool for a router; "" or why it failed, with the end of its output."""
+        words = fill_in(self._commands[kind], target)
         try:
-            done = subprocess.run(
+            ended = subprocess.run(
                 words,
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
@@ -138,100 +181,106 @@
                 check=False,
             )
         except (OSError, subprocess.TimeoutExpired) as error:
-            return f"{words[0]}: {error}"[:OUTPUT_MOST]
-        text = done.stdout[-OUTPUT_MOST:].decode(errors="replace").strip()
-        return f"{words[0]} ended with {done.returncode}: {text}" if done.returncode else ""
+            return f"{words[0]}: {error}"[:MAX_OUTPUT_CHARACTERS]
+        if not ended.returncode:
+            return ""
+        output = ended.stdout[-MAX_OUTPUT_CHARACTERS:].decode(errors="replace").strip()
+        return f"{words[0]} ended with {ended.returncode}: {output}"
 
 
 class LocalProcessDriver(RouterDriver):
     """Processes of this machine, each with the folder of a build, its configuration and its operator's file.
 
-    A router's process is known by its own word (``instance`` begins with its number), asked for right before
-    it is told to end.  What runs as it should is left alone, so that an order may be repeated."""
+    A router's process is known by its own word (``instance`` begins with its number), asked for right
+    before it is told to end.  What runs as it should is left alone, so that a command may be repeated.
+    """
 
     def __init__(self, plan: RolloutPlan) -> None:
         super().__init__(plan)
         assert plan.local_builds is not None
-        self.folders = {
-            CommandKind.UNDO: plan.local_builds[0],
-            CommandKind.RESTART: plan.local_builds[0],
-            CommandKind.APPLY: plan.local_builds[1],
+        self._folders = {
+            CommandKind.UNDO: plan.local_builds.old,
+            CommandKind.RESTART: plan.local_builds.old,
+            CommandKind.APPLY: plan.local_builds.new,
         }
-        self.new = dict(plan.changes).get("program", "")
+        self._new_digest = dict(plan.changes).get("program", "")
         self.children: list[subprocess.Popen[bytes]] = []
-        self.restarted: dict[str, str] = {}  # by router: the instance that was told to end
+        self._restarted_instances: dict[str, str] = {}  # by router: the instance that was told to end
 
-    def change(self, target: RouterTarget, act: CommandKind) -> str:
-        self.children = [c for c in self.children if c.poll() is None]
+    def replace_process(self, target: RouterTarget, kind: CommandKind) -> str:
+        """End what runs at a router's address, unless it is as it should be, and start the build's folder."""
+        self.children = [child for child in self.children if child.poll() is None]
         try:
             raw = self.call_control(target, "GET", "state")
         except ConnectionRefusedError:
             raw = None  # nothing runs there
-        except (OSError, http.client.HTTPException, ValueError) as error:
+        except CALL_ERRORS as error:
             return f"what runs at {target.control_address} does not say what it is: {error}"
-        if raw is not None:
-            if not isinstance(raw, dict) or raw.get("name") != target.name:
-                return f"at {target.control_address} is another router"
-            is_new = raw.get("build") == self.new
-            instance = str(raw.get("instance"))
-            if act is CommandKind.RESTART:
-                if self.restarted.get(target.name) not in (None, instance):
-                    return ""
-                self.restarted[target.name] = instance
-            elif is_new == (act is CommandKind.APPLY):
-                return ""
-            number = instance.partition("-")[0]
-            if not number.isdigit():
-                return f"instance {instance!r} does not begin with a process's number"
-            why = self.stop_process(int(number))
-            if why:
-                return why
-        return self.start_process(target, Path(self.folders[act]))
-
-    def stop_process(self, number: int) -> str:
-        """Ask a process to end, and see that it does."""
-        child = next((c for c in self.children if c.pid == number), None)
+        if raw is None:
+            return self.start_process(target, Path(self._folders[kind]))
+        if not isinstance(raw, dict) or raw.get("name") != target.name:
+            return f"at {target.control_address} is another router"
+        instance = str(raw.get("instance"))
+        if self._is_as_ordered(target, kind, instance, raw.get("build") == self._new_digest):
+            return ""
+        process_id = instance.partition("-")[0]
+        if not process_id.isdigit():
+            return f"instance {instance!r} does not begin with a process's number"
+        why = self.stop_process(int(process_id))
+        return why or self.start_process(target, Path(self._folders[kind]))
+
+    def _is_as_ordered(self, target: RouterTarget, kind: CommandKind, instance: str, is_new: bool) -> bool:
+        """Whether a command has been carried out already; the instance that a restart ends is remembered."""
+        if kind is not CommandKind.RESTART:
+            return is_new == (kind is CommandKind.APPLY)
+        if self._restarted_instances.get(target.name) not in (None, instance):
+            return True
+        self._restarted_instances[target.name] = instance
+        return False
+
+    def stop_process(self, process_id: int) -> str:
+        """Ask a process to end, and see that it does; "" or why it does not."""
+        child = next((child for child in self.children if child.pid == process_id), None)
         try:
-            os.kill(number, signal.SIGTERM)
-            until = time.monotonic() + min(END_S, self.plan.command_timeout_ns / 1e9)
-            while time.monotonic() < until:
+            os.kill(process_id, signal.SIGTERM)
+            deadline_s = time.monotonic() + min(STOP_TIMEOUT_S, self.plan.command_timeout_ns / 1e9)
+            while time.monotonic() < deadline_s:
                 if child is not None and child.poll() is not None:
                     return ""
-                os.kill(number, 0)
-                if unreaped(number):
+                os.kill(process_id, 0)
+                if is_zombie(process_id):
                     return ""
-                time.sleep(0.02)
+                time.sleep(STOP_CHECK_INTERVAL_S)
         except ProcessLookupError:
             return ""
         except PermissionError as error:
-            return f"process {number}: {error.strerror}"
-        return f"process {number} does not end"
+            return f"process {process_id}: {error.strerror}"
+        return f"process {process_id} does not end"
 
     def start_process(self, target: RouterTarget, folder: Path) -> str:
-        """A process that outlives this one; its log goes beside its configuration."""
+        """Start a process that outlives this one; its log goes beside its configuration."""
         config = Path(target.config_path).absolute()
-        env = {**os.environ, "ROUTER_CONFIG": str(config), "ROUTER_NAME": target.name}
-        env.pop("ROUTER_RULES", None)
+        environment = {**os.environ, "ROUTER_CONFIG": str(config), "ROUTER_NAME": target.name}
+        environment.pop("ROUTER_RULES", None)
         if target.rules_path:
-            env["ROUTER_RULES"] = str(Path(target.rules_path).absolute())
+            environment["ROUTER_RULES"] = str(Path(target.rules_path).absolute())
         try:
             with config.with_suffix(".log").open("ab") as log:
-                self.children.append(
-                    subprocess.Popen(
-                        [sys.executable, "-O", "-m", "kelpcroft"],
-                        cwd=folder,
-                        env=env,
-                        stdin=subprocess.DEVNULL,
-                        stdout=log,
-                        stderr=log,
-                        start_new_session=True,
-                    )
+                child = subprocess.Popen(
+                    [sys.executable, "-O", "-m", "kelpcroft"],
+                    cwd=folder,
+                    env=environment,
+                    stdin=subprocess.DEVNULL,
+                    stdout=log,
+                    stderr=log,
+                    start_new_session=True,
                 )
         except OSError as error:
             return f"{folder}: {error.strerror}"
+        self.children.append(child)
         return ""
 
 
-def hands_for(plan: RolloutPlan) -> RouterDriver:
-    """What a plan names."""
+def driver_for(plan: RolloutPlan) -> RouterDriver:
+    """The driver that a plan names."""
     return LocalProcessDriver(plan) if plan.local_builds else CommandDriver(plan)
--- a/tests/test_golden_stored_data.py
+++ b/tests/test_golden_stored_data.py
@@ -35,7 +35,7 @@
 from kelpcroft.rollout.plan_file import load_plan as read_plan
 
 # The program's names, all of them here: a rename touches these lines and the attributes that are read below.
-from kelpcroft.rollout.router_drivers import report_of
+from kelpcroft.rollout.router_drivers import parse_state
 from kelpcroft.rollout.snapshot import from_snapshot as load_snapshot
 from kelpcroft.rollout.snapshot import to_snapshot
 from kelpcroft.rollout.state_machine import Rollout
@@ -460,7 +460,7 @@
 def test_a_controller_reads_the_control_state_of_an_older_build() -> None:
     """Each field that a rollout uses; an answer of another router counts as none."""
     raw = orjson.loads(body_of("control_state.http"))
-    report = report_of(RouterTarget("n1", "z0"), raw)
+    report = parse_state(RouterTarget("n1", "z0"), raw)
     assert isinstance(report, RouterReport)
     assert report.router == "n1"
     assert report.instance == "0123456789abcdef"
@@ -470,7 +470,7 @@
     assert report.invariant_violations == 0
     assert report.samples_by_class == {"page": RequestSample(6, 12.5, 2.5)}
     assert report.peak_memory_kb == 31_744
-    assert not isinstance(report_of(RouterTarget("n2", "z0"), raw), RouterReport)
+    assert not isinstance(parse_state(RouterTarget("n2", "z0"), raw), RouterReport)
 
 
 # Control replicas -------------------------------------------------------------------------------------------
