--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -1,7 +1,8 @@
-"""The process that carries a rollout out: it asks routers, commits each step, and gives the step's orders.
+"""The process that carries a rollout out: polls routers, commits each step, sends the step's commands.
 
-The decisions are ``kelpcroft.rollout``'s.  Orders go out only after the step that they are of was committed
-under this controller's lease; after a restart, what was ordered last at each router is looked at anew."""
+The decisions are ``kelpcroft.rollout``'s.  Commands go out only after the step that they are of was committed
+under this controller's lease; after a restart, what was ordered last at each router is looked at anew.
+"""
 
 from __future__ import annotations
 
@@ -10,134 +11,212 @@
 import time
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
+from dataclasses import dataclass
 from threading import Lock
 
-from kelpcroft.rollout.events import CommandKind, Event, HistoryEntry, OperatorCommand, RouterCommand, Tick
-from kelpcroft.rollout.phases import RolloutOutcome
+from kelpcroft.rollout.events import (
+    CommandKind,
+    Effect,
+    Event,
+    HistoryEntry,
+    OperatorCommand,
+    RouterCommand,
+    Tick,
+)
+from kelpcroft.rollout.phases import FINAL_OUTCOME_VALUES, RolloutOutcome
 from kelpcroft.rollout.plan import RolloutPlan
 from kelpcroft.rollout.router_drivers import RouterDriver, driver_for
 from kelpcroft.rollout.snapshot import from_snapshot, to_snapshot
 from kelpcroft.rollout.state_machine import Rollout
-from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
+from kelpcroft.store.rollouts import LeaseLostError, RolloutStore, StoredRun
 
-THREADS_MOST = 64
-RENEW_NS = 4 * 10**9  # a step is committed this often even if nothing was decided
+MAX_THREADS = 64
+LEASE_RENEWAL_NS = 4 * 10**9  # a step is committed this often even if nothing was decided
+MAX_TURN_S = 0.25
+TURNS_PER_POLL = 4
+STOP_VERB = "stop"  # for the controller itself; the other verbs are the state machine's
+
+
+@dataclass(frozen=True, slots=True)
+class RunningCommand:
+    """A command that was sent, and how it will have ended: "" or why it failed."""
+
+    command: RouterCommand
+    result: Future[str]
 
 
 class RolloutController:
-    """One process's leadership of one run."""
+    """One process's leadership of one run.
+
+    Commands and polls run in threads, at most one command at a time at a router; the state machine and the
+    store are used by the leading thread alone.
+    """
 
     def __init__(
         self,
         store: RolloutStore,
         run: StoredRun,
         plan: RolloutPlan,
-        tell: Callable[[HistoryEntry], None],
+        on_entry: Callable[[HistoryEntry], None],
         driver: RouterDriver | None = None,
         clock: Callable[[], int] = time.time_ns,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
-        self.store, self.run, self.plan, self.tell = store, run, plan, tell
+        """Prepare to lead; nothing is touched yet.
+
+        Args:
+            store: Where the run is.
+            run: The run to lead.
+            plan: What it carries out.
+            on_entry: Is given each entry of the history once it is committed.
+            driver: What touches routers; by default the one that the plan names.
+            clock: The time in Unix nanoseconds.
+            sleep: Waits for so many seconds.
+        """
+        self.store = store
+        self.run = run
+        self.plan = plan
+        self.on_entry = on_entry
         self.owner = f"{os.getpid()}-{secrets.token_hex(4)}"
         self.driver = driver or driver_for(plan)
-        self.clock, self.sleep = clock, sleep
-        self.targets = {t.name: t for t in plan.routers}
-        self.pool = ThreadPoolExecutor(min(THREADS_MOST, 2 * len(self.targets) + 2))
-        self.asked: dict[str, Future[Event]] = {}
-        self.acting: list[tuple[RouterCommand, Future[str]]] = []
-        self.locks = {name: Lock() for name in self.targets}  # one order at a time at a router
+        self.clock = clock
+        self.sleep = sleep
+        self.targets = {target.name: target for target in plan.routers}
+        # Each router may have a poll and a command under way.
+        self.pool = ThreadPoolExecutor(min(MAX_THREADS, 2 * len(self.targets) + 2))
+        self.pending_polls: dict[str, Future[Event]] = {}
+        self.running_commands: list[RunningCommand] = []
+        self.command_locks = {name: Lock() for name in self.targets}
         self.committed_ns = 0
-        self.stopped = False
+        self.is_stopped = False
 
     def lead(self) -> RolloutOutcome:
-        """Until the run is over, or people stop this controller.  Raises LeaseLost."""
-        now = self.clock()
-        self.store.acquire_lease(self.run.id, self.owner, now)
+        """Lead until the run is over, or people stop this controller.
+
+        Returns:
+            Where the run is then.
+
+        Raises:
+            LeaseLostError: Another controller leads it, or this one stood still for too long.
+            SnapshotError: What the store holds cannot be used.
+        """
+        now_ns = self.clock()
+        self.store.acquire_lease(self.run.id, self.owner, now_ns)
         run = self.store.newest_run()  # as it was committed last: another may have led until now
-        assert run is not None and run.id == self.run.id
-        self.rollout = from_snapshot(self.plan, run.snapshot)
+        assert run is not None
+        assert run.id == self.run.id
+        self.rollout: Rollout = from_snapshot(self.plan, run.snapshot)
         try:
-            led = bool(self.run.owner)  # by another before, or by one that died
-            self.commit(
-                now, self.rollout.resume_after_takeover(now, self.plan.commands_repeatable) if led else [], 0
+            was_led = bool(self.run.owner)  # by another before, or by one that died
+            effects = (
+                self.rollout.resume_after_takeover(now_ns, self.plan.commands_repeatable) if was_led else []
             )
-            while (
-                self.rollout.outcome not in (RolloutOutcome.DONE, RolloutOutcome.ROLLED_BACK)
-                and not self.stopped
-            ):
-                self.turn()
+            self._commit(now_ns, effects, last_command_number=0)
+            while not self.rollout.outcome.is_final and not self.is_stopped:
+                self._turn()
             return self.rollout.outcome
         finally:
             self.pool.shutdown(wait=False, cancel_futures=True)
             self.store.release_lease(self.run.id, self.owner)
 
-    def turn(self) -> None:
-        """One turn: what was heard, the step, its commit, its orders."""
-        self.sleep(min(0.25, self.plan.poll_interval_ns / 4e9))
-        now, heard = self.clock(), 0
+    def _turn(self) -> None:
+        """Take one turn: what was heard, the step, its commit, its commands."""
+        self.sleep(min(MAX_TURN_S, self.plan.poll_interval_ns / (TURNS_PER_POLL * 1e9)))
+        now_ns = self.clock()
+        events, last_command_number = self._take_operator_commands()
+        events += self._take_answers()
+        effects: list[Effect] = [*self._take_failures()]
+        for event in (*events, Tick()):
+            effects += self.rollout.handle(now_ns, event)
+        self._commit(now_ns, effects, last_command_number)
+
+    def _take_operator_commands(self) -> tuple[list[Event], int]:
+        """What people have ordered, and the number of their last command; 0 = none."""
         events: list[Event] = []
+        last_command_number = 0
         for number, verb in self.store.pending_operator_commands(self.run.id):
-            heard = number
-            if verb == "stop":
-                self.stopped = True
+            last_command_number = number
+            if verb == STOP_VERB:
+                self.is_stopped = True
             else:
                 events.append(OperatorCommand(verb))
-        for name, future in list(self.asked.items()):
-            if future.done():
-                del self.asked[name]
-                events.append(future.result())
-        effects: list[RouterCommand | HistoryEntry] = []
-        for do, result in [x for x in self.acting if x[1].done()]:
-            self.acting.remove((do, result))
-            if result.result():
-                effects.append(
-                    HistoryEntry("order-failed", f"{do.router}: {do.kind.value}: {result.result()}", {})
-                )
-        for event in (*events, Tick()):
-            effects += self.rollout.handle(now, event)
-        self.commit(now, effects, heard)
-
-    def commit(self, now: int, effects: list[RouterCommand | HistoryEntry], heard: int) -> None:
-        """The step on the disk first; then its orders."""
-        notes = [e for e in effects if isinstance(e, HistoryEntry)]
-        orders = [e for e in effects if isinstance(e, RouterCommand) and e.kind is not CommandKind.POLL]
-        if notes or orders or heard or now - self.committed_ns >= RENEW_NS:
+        return events, last_command_number
+
+    def _take_answers(self) -> list[Event]:
+        """The polls that have ended."""
+        ended = {name: future for name, future in self.pending_polls.items() if future.done()}
+        for name in ended:
+            del self.pending_polls[name]
+        return [future.result() for future in ended.values()]
+
+    def _take_failures(self) -> list[HistoryEntry]:
+        """An entry for each command that has ended and failed."""
+        ended = [running for running in self.running_commands if running.result.done()]
+        failures = []
+        for running in ended:
+            self.running_commands.remove(running)
+            why = running.result.result()
+            if why:
+                command = running.command
+                text = f"{command.router}: {command.kind.value}: {why}"
+                failures.append(HistoryEntry("order-failed", text, {}))
+        return failures
+
+    def _commit(self, now_ns: int, effects: list[Effect], last_command_number: int) -> None:
+        """Commit the step first; then publish its history and send its commands."""
+        entries = [effect for effect in effects if isinstance(effect, HistoryEntry)]
+        sent = [effect for effect in effects if isinstance(effect, RouterCommand)]
+        commands = [command for command in sent if command.kind is not CommandKind.POLL]
+        renewal_due = now_ns - self.committed_ns >= LEASE_RENEWAL_NS
+        if entries or commands or last_command_number or renewal_due:
             self.store.commit_step(
                 self.run.id,
                 self.owner,
                 self.clock(),
                 to_snapshot(self.rollout),
                 self.rollout.outcome.value,
-                notes,
-                heard,
+                entries,
+                last_command_number,
             )
-            self.committed_ns = now
-        for note in notes:
-            self.tell(note)
-        for do in orders:
-            self.acting.append((do, self.pool.submit(self.order, do)))
-        for e in effects:
-            if isinstance(e, RouterCommand) and e.kind is CommandKind.POLL and e.router not in self.asked:
-                self.asked[e.router] = self.pool.submit(self.driver.poll, self.targets[e.router])
+            self.committed_ns = now_ns
+        for entry in entries:
+            self.on_entry(entry)
+        for command in commands:
+            self.running_commands.append(RunningCommand(command, self.pool.submit(self._execute, command)))
+        for command in sent:
+            if command.kind is CommandKind.POLL and command.router not in self.pending_polls:
+                target = self.targets[command.router]
+                self.pending_polls[command.router] = self.pool.submit(self.driver.poll, target)
 
-    def order(self, do: RouterCommand) -> str:
-        with self.locks[do.router]:
-            return self.driver.execute(self.targets[do.router], do.kind)
+    def _execute(self, command: RouterCommand) -> str:
+        """Carry a command out, in a thread of the pool."""
+        with self.command_locks[command.router]:
+            return self.driver.execute(self.targets[command.router], command.kind)
 
 
 def begin_or_continue_run(
     store: RolloutStore, data: bytes, plan: RolloutPlan, clock: Callable[[], int] = time.time_ns
 ) -> StoredRun:
-    """The run to lead: the one that is not over, if it is of this very plan, else a new one."""
-    last = store.newest_run()
-    if last is not None and last.outcome not in (RolloutOutcome.DONE.value, RolloutOutcome.ROLLED_BACK.value):
-        if last.plan != data:
-            raise LeaseLost(
-                f"run {last.id} of another plan is not over; revert it, or go on with its own file"
+    """The run to lead: the one that is not over, if it is of this very plan, else a new one.
+
+    Args:
+        store: Where runs are.
+        data: The bytes of the rollout file.
+        plan: What they say.
+        clock: The time in Unix nanoseconds.
+
+    Raises:
+        LeaseLostError: A run of another plan is not over.
+    """
+    newest = store.newest_run()
+    if newest is not None and newest.outcome not in FINAL_OUTCOME_VALUES:
+        if newest.plan != data:
+            raise LeaseLostError(
+                f"run {newest.id} of another plan is not over; revert it, or go on with its own file"
             )
-        return last
-    now = clock()
-    store.create_run(now, data, to_snapshot(Rollout(plan, now)))
+        return newest
+    now_ns = clock()
+    store.create_run(now_ns, data, to_snapshot(Rollout(plan, now_ns)))
     run = store.newest_run()
     assert run is not None
     return run
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -25,7 +25,7 @@
 from kelpcroft.rollout.plan_file import load_plan
 from kelpcroft.rollout.router_drivers import fill_in
 from kelpcroft.rollout.snapshot import SnapshotError
-from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
+from kelpcroft.store.rollouts import LeaseLostError, RolloutStore, StoredRun
 
 
 @click.group()
@@ -248,7 +248,7 @@
     try:
         run = begin_or_continue_run(store, read(Path(file)), found)
         outcome = RolloutController(store, run, found, tell).lead()
-    except (LeaseLost, SnapshotError) as error:
+    except (LeaseLostError, SnapshotError) as error:
         raise CommandError(str(error)) from error
     except KeyboardInterrupt:
         raise CommandError("left as it stands; start it again to go on") from None
--- a/kelpcroft/store/rollouts.py
+++ b/kelpcroft/store/rollouts.py
@@ -1,9 +1,12 @@
 """Rollouts on a disk: one SQLite file that a controller and those who look share.
 
-A run's snapshot and the notes of a step are one transaction, committed before any of the step's orders goes
-out (write-ahead log, ``synchronous=FULL``: what was committed is there after a power cut).  A controller has
-a lease and renews it with every step; a step is committed only under a lease that has not ended, so of two
-controllers one cannot act.  Times are Unix nanoseconds of the caller.
+A run's snapshot and the history entries of a step are one transaction, committed before any of the step's
+commands goes out (write-ahead log, ``synchronous=FULL``: what was committed is there after a power cut).  A
+controller has a lease and renews it with every step; a step is committed only under a lease that has not
+ended, so of two controllers one cannot act.  Times are Unix nanoseconds of the caller.
+
+Tables, columns and the snapshot's keys are a stored form that earlier and later versions read.  The table
+``word`` holds the commands of people until a controller takes them up.
 """
 
 from __future__ import annotations
@@ -11,11 +14,12 @@
 import sqlite3
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple, TypedDict
 
 import orjson
 
 from kelpcroft.rollout.events import HistoryEntry
+from kelpcroft.rollout.snapshot import StoredRollout
 
 SCHEMA = """
 create table if not exists run (
@@ -28,126 +32,193 @@
     run integer not null references run(id), at integer not null, verb text not null);
 """
 LEASE_NS = 15 * 10**9
+BUSY_TIMEOUT_S = 5.0  # how long a writer waits for another
 
 
-class LeaseLost(RuntimeError):
+class LeaseLostError(RuntimeError):
     """Another controller leads this run, or this one stood still for too long: it may order nothing more."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredRun:
-    """A run as it was last committed."""
+    """A run as it was last committed.
+
+    Attributes:
+        id: Its number in the file.
+        plan: The bytes of its rollout file.
+        began_ns: When it was created.
+        snapshot: Its state machine.
+        outcome: A value of ``RolloutOutcome``.
+        owner: The controller that leads it, or led it last; "" before the first.
+        lease_ns: Until when the owner's lease lasts; 0 = it was given back.
+    """
 
     id: int
     plan: bytes
     began_ns: int
-    snapshot: dict[str, Any]
+    snapshot: StoredRollout
     outcome: str
     owner: str
     lease_ns: int
 
 
+class PendingCommand(NamedTuple):
+    """What people have ordered and no step has heard yet.
+
+    Attributes:
+        number: Grows with each command of a file.
+        verb: A value of ``OperatorCommand``, or ``stop``.
+    """
+
+    number: int
+    verb: str
+
+
+class HistoryRow(TypedDict):
+    """One decision, as ``kelpcroft rollout history --format json`` prints it."""
+
+    at_ns: int
+    name: str
+    text: str
+    figures: dict[str, Any]
+
+
 class RolloutStore:
-    """The file.  One for each process."""
+    """The file.  One for each process; ``close`` it."""
 
     def __init__(self, path: str) -> None:
-        self.db = sqlite3.connect(path, timeout=5.0, isolation_level=None)
-        self.db.execute("pragma journal_mode=wal")
-        self.db.execute("pragma synchronous=full")
-        self.db.executescript(SCHEMA)
+        self.database = sqlite3.connect(path, timeout=BUSY_TIMEOUT_S, isolation_level=None)
+        self.database.execute("pragma journal_mode=wal")
+        self.database.execute("pragma synchronous=full")
+        self.database.executescript(SCHEMA)
 
     def close(self) -> None:
-        self.db.close()
-
-    def create_run(self, now: int, plan: bytes, snapshot: Mapping[str, Any]) -> int:
-        """A new run.  Raises LeaseLost while another is not over."""
-        with Transaction(self.db):
-            row = self.db.execute("select id from run where outcome not in ('done', 'taken back')").fetchone()
+        """Close the file."""
+        self.database.close()
+
+    def create_run(self, now_ns: int, plan: bytes, snapshot: Mapping[str, Any]) -> int:
+        """Add a new run.
+
+        Returns:
+            Its number.
+
+        Raises:
+            LeaseLostError: Another run is not over.
+        """
+        with Transaction(self.database):
+            row = self.database.execute(
+                "select id from run where outcome not in ('done', 'taken back')"
+            ).fetchone()
             if row:
-                raise LeaseLost(f"run {row[0]} is not over")
-            cursor = self.db.execute(
+                raise LeaseLostError(f"run {row[0]} is not over")
+            cursor = self.database.execute(
                 "insert into run (plan, began, snapshot, outcome) values (?, ?, ?, ?)",
-                (plan, now, orjson.dumps(snapshot), "running"),
+                (plan, now_ns, orjson.dumps(snapshot), "running"),
             )
             return int(cursor.lastrowid or 0)
 
     def newest_run(self) -> StoredRun | None:
-        """The newest run."""
-        row = self.db.execute(
+        """The newest run, or None where there is none."""
+        row = self.database.execute(
             "select id, plan, began, snapshot, outcome, owner, lease from run order by id desc limit 1"
         ).fetchone()
-        return (
-            StoredRun(row[0], row[1], row[2], orjson.loads(row[3]), row[4], row[5], row[6]) if row else None
-        )
-
-    def acquire_lease(self, run: int, owner: str, now: int) -> None:
-        """Take a run's lease, if nobody has it or it has ended.  Raises LeaseLost."""
-        done = self.db.execute(
+        if row is None:
+            return None
+        run_id, plan, began_ns, snapshot, outcome, owner, lease_ns = row
+        return StoredRun(run_id, plan, began_ns, orjson.loads(snapshot), outcome, owner, lease_ns)
+
+    def acquire_lease(self, run_id: int, owner: str, now_ns: int) -> None:
+        """Take a run's lease, if nobody has it or it has ended.
+
+        Raises:
+            LeaseLostError: Another controller has it.
+        """
+        updated = self.database.execute(
             "update run set owner = ?, lease = ? where id = ? and (owner = ? or lease < ?)",
-            (owner, now + LEASE_NS, run, owner, now),
+            (owner, now_ns + LEASE_NS, run_id, owner, now_ns),
         )
-        if not done.rowcount:
-            raise LeaseLost(f"run {run} is led by another controller")
+        if not updated.rowcount:
+            raise LeaseLostError(f"run {run_id} is led by another controller")
 
     def commit_step(
         self,
-        run: int,
+        run_id: int,
         owner: str,
-        now: int,
+        now_ns: int,
         snapshot: Mapping[str, Any],
         outcome: str,
-        notes: Iterable[HistoryEntry],
-        heard: int = 0,
+        entries: Iterable[HistoryEntry],
+        last_command_number: int = 0,
     ) -> None:
-        """One step: the snapshot, the notes, the lease, and the words of people that were heard in it (up to
-        this number); or nothing.  Raises LeaseLost; then none of the step's orders may go out."""
-        with Transaction(self.db):
-            done = self.db.execute(
+        """Commit one step as a whole, or nothing of it, and renew the lease.
+
+        Args:
+            run_id: Of the run.
+            owner: Who leads it.
+            now_ns: The time.
+            snapshot: The state machine after the step.
+            outcome: Its outcome.
+            entries: What the history gets.
+            last_command_number: Commands of people up to this number were heard in the step; 0 = none.
+
+        Raises:
+            LeaseLostError: The lease has ended; then none of the step's commands may go out.
+        """
+        with Transaction(self.database):
+            updated = self.database.execute(
                 "update run set snapshot = ?, outcome = ?, lease = ? "
                 "where id = ? and owner = ? and lease >= ?",
-                (orjson.dumps(snapshot), outcome, now + LEASE_NS, run, owner, now),
+                (orjson.dumps(snapshot), outcome, now_ns + LEASE_NS, run_id, owner, now_ns),
             )
-            if not done.rowcount:
-                raise LeaseLost(f"the lease of run {run} has ended")
-            self.db.executemany(
+            if not updated.rowcount:
+                raise LeaseLostError(f"the lease of run {run_id} has ended")
+            self.database.executemany(
                 "insert into history values (?, ?, ?, ?, ?)",
                 [
-                    (run, now, n.name, n.text, orjson.dumps(dict(n.figures), option=orjson.OPT_NON_STR_KEYS))
-                    for n in notes
+                    (run_id, now_ns, entry.name, entry.text, _figures_to_json(entry.figures))
+                    for entry in entries
                 ],
             )
-            self.db.execute("delete from word where run = ? and rowid <= ?", (run, heard))
+            self.database.execute(
+                "delete from word where run = ? and rowid <= ?", (run_id, last_command_number)
+            )
 
-    def release_lease(self, run: int, owner: str) -> None:
+    def release_lease(self, run_id: int, owner: str) -> None:
         """Give the lease back."""
-        self.db.execute("update run set lease = 0 where id = ? and owner = ?", (run, owner))
+        self.database.execute("update run set lease = 0 where id = ? and owner = ?", (run_id, owner))
 
-    def add_operator_command(self, run: int, now: int, verb: str) -> None:
-        """What people order; the controller takes it up in its next turn."""
-        self.db.execute("insert into word values (?, ?, ?)", (run, now, verb))
+    def add_operator_command(self, run_id: int, now_ns: int, verb: str) -> None:
+        """Leave what people order; the controller takes it up in its next turn."""
+        self.database.execute("insert into word values (?, ?, ?)", (run_id, now_ns, verb))
 
-    def pending_operator_commands(self, run: int) -> list[tuple[int, str]]:
-        """What people have ordered and no step has heard yet, each with its number."""
-        return self.db.execute("select rowid, verb from word where run = ? order by rowid", (run,)).fetchall()
+    def pending_operator_commands(self, run_id: int) -> list[PendingCommand]:
+        """What people have ordered and no step has heard yet, in their order."""
+        rows = self.database.execute("select rowid, verb from word where run = ? order by rowid", (run_id,))
+        return [PendingCommand(number, verb) for number, verb in rows]
 
-    def history(self, run: int) -> list[dict[str, Any]]:
-        """Every decision, with the figures that it was made on."""
+    def history(self, run_id: int) -> list[HistoryRow]:
+        """Every decision of a run, with the figures that it was made on."""
+        rows = self.database.execute(
+            "select at, name, text, figures from history where run = ? order by rowid", (run_id,)
+        )
         return [
-            {"at_ns": at, "name": name, "text": text, "figures": orjson.loads(figures)}
-            for at, name, text, figures in self.db.execute(
-                "select at, name, text, figures from history where run = ? order by rowid", (run,)
-            )
+            {"at_ns": at_ns, "name": name, "text": text, "figures": orjson.loads(figures)}
+            for at_ns, name, text, figures in rows
         ]
 
 
+def _figures_to_json(figures: Mapping[str, object]) -> bytes:
+    return orjson.dumps(dict(figures), option=orjson.OPT_NON_STR_KEYS)
+
+
 class Transaction:
     """All or nothing, begun at once so that of two writers the second waits."""
 
-    def __init__(self, db: sqlite3.Connection) -> None:
-        self.db = db
+    def __init__(self, database: sqlite3.Connection) -> None:
+        self.database = database
 
     def __enter__(self) -> None:
-        self.db.execute("begin immediate")
+        self.database.execute("begin immediate")
 
-    def __exit__(self, kind: object, *_: object) -> None:
-        self.db.execute("rollback" if kind else "commit")
+    def __exit__(self, error_type: type[BaseException] | None, *_: object) -> None:
+        self.database.execute("commit" if error_type is None else "rollback")
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -26,7 +26,7 @@
 from kelpcroft.rollout.router_drivers import CommandDriver, LocalProcessDriver, RouterDriver
 from kelpcroft.rollout.snapshot import from_snapshot as restored
 from kelpcroft.rollout.snapshot import to_snapshot
-from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
+from kelpcroft.store.rollouts import LeaseLostError, RolloutStore, StoredRun
 from testbed.rollouts import S, World, plan_of
 from testbed.stand_ins import ROOT
 
@@ -141,7 +141,7 @@
         self.store.dead = False
         last = self.store.newest_run()
         if died and last is not None and last.outcome != "done":
-            with self.assertRaises(LeaseLost):
+            with self.assertRaises(LeaseLostError):
                 self.lead()  # the dead one's lease still runs
             self.sleep(16.0)
             self.assertEqual(self.lead(), RolloutOutcome.DONE, (what, at))
@@ -171,7 +171,7 @@
                 self.assertEqual(self.lead(), RolloutOutcome.DONE)
 
         first.sleep = stand_still
-        with self.assertRaises(LeaseLost):
+        with self.assertRaises(LeaseLostError):
             first.lead()
         self.assertEqual([hands.orders], orders, "nothing after it woke up")
         self.assertEqual({(p.build, p.instance) for p in self.world.processes.values()}, {("beef", 2)})
--- a/tests/test_golden_stored_data.py
+++ b/tests/test_golden_stored_data.py
@@ -400,7 +400,7 @@
 def test_the_same_runs_are_written_with_the_same_rows(store: RolloutStore, tmp_path: Path) -> None:
     """The calls that made the database make the same tables and rows again."""
     history = [HistoryEntry(h["name"], h["text"], h["figures"]) for h in store.history(1)]
-    (taken_back,) = store.db.execute("select snapshot from run where id = 1").fetchone()
+    (taken_back,) = store.database.execute("select snapshot from run where id = 1").fetchone()
     store.close()
     path, text = tmp_path / "again.db", golden("plan.kdl")
     again = RolloutStore(str(path))
