--- /dev/null
+++ b/kelpcroft/cli/rollout_preview.py
@@ -0,0 +1,205 @@
+"""What ``kelpcroft rollout plan`` prints: what a rollout would do.  Nothing is touched."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from collections.abc import Sequence
+from dataclasses import dataclass, replace
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import click
+import orjson
+
+from kelpcroft.operator_file.check import span as format_duration
+from kelpcroft.rollout.placement import PlacementDiff, PlacementError, compare_placements
+from kelpcroft.rollout.plan import RolloutPlan, RouterTarget, Stage
+from kelpcroft.rollout.router_drivers import fill_in
+
+MAX_ERROR_CHARACTERS = 200
+ASK_PLACEMENT = ("-c", "from kelpcroft.cli import main; main()", "homes", "--config", "{config}")
+
+
+class StagePreview(NamedTuple):
+    """One stage.
+
+    Attributes:
+        stage: As the plan says it.
+        router_names: Who is changed in it.
+        uncompared_zones: Where no old router is left to compare with.
+    """
+
+    stage: Stage
+    router_names: list[str]
+    uncompared_zones: list[str]
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutPreview:
+    """What a rollout would do.
+
+    Attributes:
+        plan: The plan.
+        stages: Its stages.
+        max_unavailable_share: By zone, the largest share of its routers that may be out at once.
+        placement_diffs: By zone, how many objects have another home in the new build.
+        placement_errors: Why some placements are not known.
+    """
+
+    plan: RolloutPlan
+    stages: list[StagePreview]
+    max_unavailable_share: dict[str, float]
+    placement_diffs: dict[str, PlacementDiff]
+    placement_errors: list[str]
+
+
+def preview(plan: RolloutPlan) -> RolloutPreview:
+    """What a plan would do; each build is asked for its placements, where the file says how."""
+    diffs, errors = _compare_builds(plan)
+    return RolloutPreview(plan, _preview_stages(plan), _max_unavailable_share(plan), diffs, errors)
+
+
+def _preview_stages(plan: RolloutPlan) -> list[StagePreview]:
+    changed: set[str] = set()
+    previews = []
+    for stage, routers in zip(plan.stages, plan.routers_by_stage(), strict=True):
+        changed |= {router.name for router in routers}
+        zones_with_old = {router.zone for router in plan.routers if router.name not in changed}
+        uncompared_zones = sorted({router.zone for router in routers} - zones_with_old)
+        previews.append(StagePreview(stage, [router.name for router in routers], uncompared_zones))
+    return previews
+
+
+def _max_unavailable_share(plan: RolloutPlan) -> dict[str, float]:
+    shares = {}
+    for zone, routers in plan.routers_by_zone().items():
+        total = len(routers)
+        out = min(plan.max_unavailable_per_zone, plan.max_unavailable, total)
+        shares[zone] = round(out / total, 3)
+    return shares
+
+
+# Placements: each build is asked by its own command --------------------------------------------------------
+
+
+class PlacementQuestion(NamedTuple):
+    """How one build is asked where it puts objects.
+
+    Attributes:
+        words: The command; what stands in braces is filled in for each zone.
+        folder: Where it runs; None = here.
+    """
+
+    words: Sequence[str]
+    folder: str | None
+
+
+def _placement_questions(plan: RolloutPlan) -> list[PlacementQuestion]:
+    """How the old build and the new are asked; none where the file does not say."""
+    if plan.placement_commands:
+        return [PlacementQuestion(words, None) for words in plan.placement_commands]
+    if plan.local_builds:
+        count = str(plan.placement_object_count)
+        words = [sys.executable, *ASK_PLACEMENT, "--objects", count, "--format", "json"]
+        return [PlacementQuestion(words, folder) for folder in plan.local_builds]
+    return []
+
+
+def _compare_builds(plan: RolloutPlan) -> tuple[dict[str, PlacementDiff], list[str]]:
+    """By zone, how many objects have another home in the new build; and why that is not known elsewhere."""
+    diffs: dict[str, PlacementDiff] = {}
+    errors: list[str] = []
+    questions = _placement_questions(plan)
+    if not questions:
+        return diffs, errors
+    one_of_zone = {router.zone: router for router in plan.routers}
+    for zone, target in one_of_zone.items():
+        try:
+            old, new = [_ask_placement(plan, question, target) for question in questions]
+            diffs[zone] = compare_placements(old, new)
+        except PlacementError as error:
+            errors.append(f"zone {zone}: {error}")
+    return diffs, errors
+
+
+def _ask_placement(plan: RolloutPlan, question: PlacementQuestion, target: RouterTarget) -> list[str]:
+    """The home of each object by one build's word.
+
+    Raises:
+        PlacementError: The command cannot be run, fails, takes too long or prints something else.
+    """
+    if question.folder:
+        target = replace(target, config_path=str(Path(target.config_path).absolute()))
+    try:
+        ended = subprocess.run(
+            fill_in(question.words, target),
+            cwd=question.folder,
+            capture_output=True,
+            timeout=plan.command_timeout_ns / 1e9,
+            check=True,
+        )
+        return [str(home) for home in orjson.loads(ended.stdout)["homes"]]
+    except (OSError, subprocess.SubprocessError, ValueError, KeyError, TypeError) as error:
+        raise PlacementError(f"{type(error).__name__}: {str(error)[:MAX_ERROR_CHARACTERS]}") from error
+
+
+# Printing --------------------------------------------------------------------------------------------------
+
+
+def preview_to_json(path: str, found: RolloutPreview) -> dict[str, Any]:
+    """The preview for scripts; the keys are part of the command."""
+    plan = found.plan
+    return {
+        "file": path,
+        "good": True,
+        "change": dict(plan.changes),
+        "stages": [
+            {
+                "stage": row.stage.name,
+                "routers": row.router_names,
+                "least_s": row.stage.min_ns / 10**9,
+                "most_s": row.stage.max_ns / 10**9,
+                "nothing_to_compare_in": row.uncompared_zones,
+            }
+            for row in found.stages
+        ],
+        "shortest_s": plan.shortest_ns() / 10**9,
+        "longest_s": plan.longest_ns() / 10**9,
+        "worst_share_out": found.max_unavailable_share,
+        "homes": {
+            zone: {
+                "objects": diff.object_count,
+                "moved": diff.moved_count,
+                "share": round(diff.moved_share, 4),
+            }
+            for zone, diff in found.placement_diffs.items()
+        },
+        "homes_unasked": found.placement_errors,
+        "then": "take-back" if plan.rolls_back_on_harm else "hold",
+    }
+
+
+def print_preview(found: RolloutPreview) -> None:
+    """Print the preview for people."""
+    plan = found.plan
+    click.echo("changes " + ", ".join(f"{component} to {digest}" for component, digest in plan.changes))
+    for row in found.stages:
+        alone = ", ".join(row.uncompared_zones)
+        click.echo(
+            f"stage {row.stage.name!r}: {', '.join(row.router_names)}; "
+            f"{format_duration(row.stage.min_ns)} to {format_duration(row.stage.max_ns)}"
+            + (f"; no old router left to compare with in {alone}" if alone else "")
+        )
+    shortest, longest = format_duration(plan.shortest_ns()), format_duration(plan.longest_ns())
+    click.echo(f"shortest {shortest}, longest {longest}")
+    shares = (f"{share * 100:g}% of {zone}" for zone, share in found.max_unavailable_share.items())
+    click.echo("out at once at the worst: " + ", ".join(shares))
+    for zone, diff in found.placement_diffs.items():
+        click.echo(
+            f"zone {zone}: {diff.moved_share * 100:.1f}% of objects have another home in the new"
+            + ("; as many of the copies kept there are filled once more" if diff.moved_count else "")
+        )
+    for why in found.placement_errors:
+        click.echo(f"homes not known: {why}")
+    click.echo("harm is " + ("taken back" if plan.rolls_back_on_harm else "held for people to decide"))
