--- a/tests/test_operator_properties.py
+++ b/tests/test_operator_properties.py
@@ -11,6 +11,7 @@
 
 from kelpcroft.operator_file import load
 from kelpcroft.operator_file.diagnostics import DiagnosticCollector, SourceText
+from kelpcroft.operator_file.locator import KdlSyntaxError, NodeLocator
 from kelpcroft.operator_file.model import (
     EFFECT_NAMES,
     RETRYABLE_OUTCOMES,
@@ -24,7 +25,6 @@
     RouteMatch,
     RoutePolicy,
 )
-from kelpcroft.operator_file.locator import KdlSyntaxError, NodeLocator
 from kelpcroft.operator_file.text import parse_nodes
 
 MS = 1_000_000
