--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from benchmarks.capacity import feed, page, replicas, requests
-from testbed.hollow.configuration import Size
+from testbed.hollow.configuration import FleetSize
 from testbed.stand_ins import ROOT
 
 FOLDER = ROOT / "docs/capacity"
@@ -88,42 +88,42 @@
         "routers": (
             "routers",
             {
-                n: lambda n=n: feed.spread(Size(routers=int(n)), RATE, s)  # type: ignore[misc]
+                n: lambda n=n: feed.spread(FleetSize(routers=int(n)), RATE, s)  # type: ignore[misc]
                 for n in at(50, 150, 300, 590)
             },
         ),
         "real": (
             "routers",
             {
-                n: lambda n=n: feed.real(Size(routers=int(n)), RATE, 3 * s, COMPILED)  # type: ignore[misc]
+                n: lambda n=n: feed.real(FleetSize(routers=int(n)), RATE, 3 * s, COMPILED)  # type: ignore[misc]
                 for n in at(8, 24, 60)
             },
         ),
         "hollow": (
             "routers",
             {
-                n: lambda n=n: feed.spread(Size(routers=int(n)), RATE, s)  # type: ignore[misc]
+                n: lambda n=n: feed.spread(FleetSize(routers=int(n)), RATE, s)  # type: ignore[misc]
                 for n in at(8, 24, 60)
             },
         ),
         "purges": (
             "purges_per_s",
             {
-                p: lambda p=p: feed.spread(Size(routers=base), p, s)  # type: ignore[misc]
+                p: lambda p=p: feed.spread(FleetSize(routers=base), p, s)  # type: ignore[misc]
                 for p in at(0.5, 2, 5.1, 10, 20)
             },
         ),
         "servers": (
             "servers",
             {
-                n: lambda n=n: feed.spread(Size(base, int(n)), RATE, s)  # type: ignore[misc]
+                n: lambda n=n: feed.spread(FleetSize(base, int(n)), RATE, s)  # type: ignore[misc]
                 for n in at(30, 80, 150)
             },
         ),
         "zones": (
             "zones",
             {
-                n: lambda n=n: feed.spread(Size(base, 150, int(n)), RATE, s)  # type: ignore[misc]
+                n: lambda n=n: feed.spread(FleetSize(base, 150, int(n)), RATE, s)  # type: ignore[misc]
                 for n in at(1, 6, 19)
             },
         ),
@@ -157,14 +157,14 @@
         "replicas": (
             "routers",
             {
-                n: lambda n=n: replicas.spread(Size(routers=int(n)), RATE, s, 2 if quick else 4)  # type: ignore[misc]
+                n: lambda n=n: replicas.spread(FleetSize(routers=int(n)), RATE, s, 2 if quick else 4)  # type: ignore[misc]
                 for n in at(150, 590)
             },
         ),
         "replicas_one_dead": (
             "routers",
             {
-                n: lambda n=n: replicas.spread(Size(routers=int(n)), RATE, s, 4, 1)  # type: ignore[misc]
+                n: lambda n=n: replicas.spread(FleetSize(routers=int(n)), RATE, s, 4, 1)  # type: ignore[misc]
                 for n in (590,)
             }
             if not quick
@@ -173,7 +173,7 @@
         "replicas_purges": (
             "purges_per_s",
             {
-                p: lambda p=p: replicas.spread(Size(routers=base), p, s, 2)  # type: ignore[misc]
+                p: lambda p=p: replicas.spread(FleetSize(routers=base), p, s, 2)  # type: ignore[misc]
                 for p in (0.5, 5.1, 20)
             }
             if not quick
--- a/benchmarks/capacity/feed.py
+++ b/benchmarks/capacity/feed.py
@@ -8,11 +8,11 @@
 from statistics import median
 from typing import Any
 
-from testbed.hollow.configuration import Size
-from testbed.hollow.processes import Asked, RealRouter, folder, hollow_routers, list_service, wait_for
+from testbed.hollow.configuration import FleetSize
+from testbed.hollow.processes import LineProcess, RealRouter, folder, hollow_routers, list_service, wait_for
 
 SETTLE_S = 3.0  # after the start of all routers, before anything is counted
-ONE = Size(routers=1)
+ONE = FleetSize(routers=1)
 
 
 def quantile(found: list[float], share: float) -> float:
@@ -34,7 +34,7 @@
     return found
 
 
-def counted(size: Size, before: dict[str, Any], after: dict[str, Any], took: float) -> dict[str, Any]:
+def counted(size: FleetSize, before: dict[str, Any], after: dict[str, Any], took: float) -> dict[str, Any]:
     """The list service's figures between two looks."""
     calls = (after["calls"] - before["calls"]) / took
     return {
@@ -50,7 +50,7 @@
     }
 
 
-def spread(size: Size, rate: float, seconds: float, rules: str = "", feed: str = "") -> dict[str, Any]:
+def spread(size: FleetSize, rate: float, seconds: float, rules: str = "", feed: str = "") -> dict[str, Any]:
     """How long purges take until every router has them in force."""
     with list_service(size) as service:
         at = feed or f"127.0.0.1:{service.first['port']}"
@@ -58,7 +58,9 @@
             return watched(service, fleet, size, rate, seconds)
 
 
-def watched(service: Asked, fleet: list[Asked], size: Size, rate: float, seconds: float) -> dict[str, Any]:
+def watched(
+    service: LineProcess, fleet: list[LineProcess], size: FleetSize, rate: float, seconds: float
+) -> dict[str, Any]:
     """Purges at a rate, with what they cost and how long they take to be in force."""
     time.sleep(SETTLE_S)
     for process in fleet:
@@ -96,7 +98,7 @@
     }
 
 
-def real(size: Size, rate: float, seconds: float, program: Path) -> dict[str, Any]:
+def real(size: FleetSize, rate: float, seconds: float, program: Path) -> dict[str, Any]:
     """Routers as `run` starts them under a rate of purges: the same counts and costs as of hollow ones."""
     with ExitStack() as stack:
         service, scratch = stack.enter_context(list_service(size)), stack.enter_context(folder())
@@ -121,7 +123,7 @@
 
 
 def behind(
-    events: int, age_s: float, program: Path, longest_s: float, rules: str = "", size: Size = ONE
+    events: int, age_s: float, program: Path, longest_s: float, rules: str = "", size: FleetSize = ONE
 ) -> dict[str, Any]:
     """One router as `run` starts it, so many events behind: how it gets back into step."""
     with list_service(size) as service, folder() as scratch:
--- a/benchmarks/capacity/replicas.py
+++ b/benchmarks/capacity/replicas.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from benchmarks.capacity.feed import watched
-from testbed.hollow.configuration import Size
+from testbed.hollow.configuration import FleetSize
 from testbed.hollow.processes import (
     ControlReplica,
     RealRouter,
@@ -24,7 +24,7 @@
 MOVED_S = 4.0  # after a replica's death its routers are at others by then
 
 
-def spread(size: Size, rate: float, seconds: float, count: int = 4, dead: int = 0) -> dict[str, Any]:
+def spread(size: FleetSize, rate: float, seconds: float, count: int = 4, dead: int = 0) -> dict[str, Any]:
     """Purges at a rate, told through ``count`` replicas of which ``dead`` are killed before."""
     with ExitStack() as stack:
         service = stack.enter_context(list_service(size))
@@ -81,7 +81,7 @@
 
 def behind(events: int, age_s: float, program: Path, longest_s: float) -> dict[str, Any]:
     """One router as `run` starts it at a replica, stopped while so many events are told, and woken."""
-    size = Size(routers=1)
+    size = FleetSize(routers=1)
     with ExitStack() as stack:
         service = stack.enter_context(list_service(size))
         scratch = stack.enter_context(folder())
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -8,16 +8,16 @@
 from pathlib import Path
 from typing import Any
 
-from testbed.hollow.configuration import Size
-from testbed.hollow.processes import Asked, RealRouter, folder, wait_for
+from testbed.hollow.configuration import FleetSize
+from testbed.hollow.processes import LineProcess, RealRouter, folder, wait_for
 from testbed.stand_ins import ROOT
 
-ONE = Size(routers=1, servers=12, zones=1)
+ONE = FleetSize(routers=1, servers=12, zones=1)
 
 
 def served(rate: float, size_bytes: int, seconds: float, program: Path) -> dict[str, Any]:
     """One router under so many requests a second, each answered with so many bytes."""
-    servers = Asked(["-m", "testbed.hollow.servers", "--bytes", str(size_bytes)])
+    servers = LineProcess(["-m", "testbed.hollow.servers", "--bytes", str(size_bytes)])
     try:
         with folder() as scratch:
             known = {"n": 1, "events": [servers.first["members"]]}
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -22,7 +22,7 @@
 from kelpcroft.core.reducer import Reducer
 from kelpcroft.discovery.schedule import MS, SECOND, DiscoverySchedule
 from kelpcroft.startup.options import StartupOptions
-from testbed.cold_start import START, Fleet, Service
+from testbed.cold_start import START, ColdStartFleet, ListServiceModel
 
 CALLS_PER_S = 50.0
 
@@ -47,20 +47,22 @@
     "fixed": (Fixed, 0.0),
     "exponential": (Exponential, 0.0),
 }
-SERVICES: dict[str, Callable[[], Service]] = {
-    "up": Service,
-    "dead 10 s": lambda: Service(dead_until=START + 10 * SECOND),
-    "slow": lambda: Service(per_s=40.0),
-    "falls, counts anew": lambda: Service(per_s=100.0, most=40, renumbers=True),
+SERVICES: dict[str, Callable[[], ListServiceModel]] = {
+    "up": ListServiceModel,
+    "dead 10 s": lambda: ListServiceModel(down_until_ns=START + 10 * SECOND),
+    "slow": lambda: ListServiceModel(calls_per_s=40.0),
+    "falls, counts anew": lambda: ListServiceModel(
+        calls_per_s=100.0, max_queued_calls=40, renumbers_after_crash=True
+    ),
 }
 
 
-class Played(Fleet):
+class Played(ColdStartFleet):
     """A fleet whose routers begin as the operator's file says, or call in a textbook way."""
 
     way = "none"
 
-    def begin(self, n: int) -> list[Any]:
+    def start_router(self, n: int) -> list[Any]:
         kind, calls = WAYS[self.way]
         router: Reducer = self.routers[n]
         effects = router.start(self.now, StartupOptions(calls and max(calls, self.believed / 4)))
--- a/benchmarks/cold_start_field.py
+++ b/benchmarks/cold_start_field.py
@@ -16,7 +16,7 @@
 from collections import Counter
 from pathlib import Path
 
-from testbed.field import Field, Load
+from testbed.field import ClientLoad, RouterField
 from testbed.field.field import RULES
 from testbed.stand_ins import MS, ROOT
 
@@ -42,19 +42,19 @@
 
 
 def played(count: int, way: str, dead_s: float, seconds: float) -> dict[str, float]:
-    field = Field(max(1, count // 4), min(4, count), {"old": ROOT}, rules=WAYS[way])
-    world = field.world
-    world.down_until = time.monotonic_ns() + int(dead_s * S)
+    field = RouterField(max(1, count // 4), min(4, count), {"old": ROOT}, rules=WAYS[way])
+    world = field.servers
+    world.feed_down_until_ns = time.monotonic_ns() + int(dead_s * S)
     try:
         field.__enter__()
         pids = [n.process.pid for n in field.nodes.values() if n.process]
         began, ready, start_cpu = field.began_ns, time.monotonic_ns(), sum(map(cpu, pids))
-        back = max(world.down_until, ready)
-        world.down_until = back  # dead until all have started, and for as long again as was said
+        back = max(world.feed_down_until_ns, ready)
+        world.feed_down_until_ns = back  # dead until all have started, and for as long again as was said
         heard = 0
-        with Load(field, per_s=2.0) as load:
+        with ClientLoad(field, per_s=2.0) as load:
             while time.monotonic_ns() < began + seconds * S or not heard:
-                ports = {port for at, after, port in list(world.calls) if after >= 0 and at > back}
+                ports = {port for at, after, port in list(world.feed_calls) if after >= 0 and at > back}
                 if len(ports) >= len(pids) and not heard:
                     heard = time.monotonic_ns()
                 if time.monotonic_ns() > back + 60 * S:
@@ -62,10 +62,10 @@
                 time.sleep(0.05)
             cost, held = sum(map(cpu, pids)) - start_cpu, sum(map(memory, pids)) / len(pids)
             span = (time.monotonic_ns() - ready) / S
-        calls = [at for at, _, _ in world.calls]
+        calls = [at for at, _, _ in world.feed_calls]
         shares = []
         for first in (5, 10):
-            asked = [a for a in load.asked if a.at_ns < ready + first * S]
+            asked = [a for a in load.calls if a.at_ns < ready + first * S]
             shares.append(sum(any(k == "served" for _, k in a.answers) for a in asked) / max(1, len(asked)))
         return {
             "routers": len(pids),
--- a/benchmarks/cold_start_plot.py
+++ b/benchmarks/cold_start_plot.py
@@ -15,7 +15,7 @@
 
 from kelpcroft.core import effects
 from kelpcroft.startup import StartupOptions
-from testbed.cold_start import START, Fleet, S
+from testbed.cold_start import START, ColdStartFleet, S
 
 WAYS = (
     ("as ever", StartupOptions(), "tab:red"),
@@ -23,12 +23,12 @@
 )
 
 
-class Played(Fleet):
+class Played(ColdStartFleet):
     """A fleet whose routers begin as a file says."""
 
     begun_with = StartupOptions()
 
-    def begin(self, n: int) -> list[effects.Effect]:
+    def start_router(self, n: int) -> list[effects.Effect]:
         return self.routers[n].start(self.now, self.begun_with)
 
 
@@ -36,17 +36,17 @@
     return Counter((at - START) * 10 // S for at in times)
 
 
-def series(fleet: Fleet, seconds: int) -> dict[str, list[float]]:
+def series(fleet: ColdStartFleet, seconds: int) -> dict[str, list[float]]:
     """By tenth of a second: calls and fetches a second, the share of the worth in time over a second."""
-    calls, store, n = tenths(fleet.service.calls), tenths(fleet.store.asked), seconds * 10
+    calls, store, n = tenths(fleet.service.calls), tenths(fleet.origin.request_times), seconds * 10
     worth = []
     for k in range(n):
-        asked = sum(fleet.asked[j] for j in range(max(0, k - 9), k + 1))
-        worth.append(sum(fleet.good[j] for j in range(max(0, k - 9), k + 1)) / max(1, asked))
+        asked = sum(fleet.weight_asked[j] for j in range(max(0, k - 9), k + 1))
+        worth.append(sum(fleet.weight_in_time[j] for j in range(max(0, k - 9), k + 1)) / max(1, asked))
     return {
         "calls of the list service a second": [10.0 * calls[k] for k in range(n)],
-        "fetches at the store, of what it can do": [10 * store[k] / fleet.store.per_s for k in range(n)],
-        "fills asked of hubs a second": [10.0 * fleet.hub_fills[k] for k in range(n)],
+        "fetches at the store, of what it can do": [10 * store[k] / fleet.origin.per_s for k in range(n)],
+        "fills asked of hubs a second": [10.0 * fleet.parent_fills[k] for k in range(n)],
         "share of the worth in time": worth,
     }
 
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -25,7 +25,7 @@
 
 import msgpack
 
-from testbed.stand_ins import Router, World
+from testbed.stand_ins import RouterProcess, StandInServers
 
 CALLS = 200
 HALF = 32
@@ -55,7 +55,7 @@
 class Load:
     """Clients on kept connections, each with one request out at a time, until stopped or closed on."""
 
-    def __init__(self, router: Router, count: int) -> None:
+    def __init__(self, router: RouterProcess, count: int) -> None:
         self.router, self.stop = router, threading.Event()
         self.served = self.refused = self.failed = self.lost = self.crossed = 0
         self.closed_at: list[float] = []
@@ -119,25 +119,29 @@
 def main() -> None:
     clients = int(sys.argv[1]) if len(sys.argv) > 1 else 16
     rows: dict[str, tuple[float, float, float]] = {}
-    with World() as world, Router(world, release=True, mgmt=True) as router:
-        router.client().ask("page")
+    with StandInServers() as world, RouterProcess(world, release=True, mgmt=True) as router:
+        router.client().request("page")
         pid = router.process.pid
-        rows["idle"] = figures([call(router.mgmt, READY)[0] for _ in range(CALLS)])
+        rows["idle"] = figures([call(router.control_address, READY)[0] for _ in range(CALLS)])
         load = Load(router, clients)
         time.sleep(0.5)
-        rows[f"{clients} busy clients"] = figures([call(router.mgmt, READY)[0] for _ in range(CALLS)])
+        rows[f"{clients} busy clients"] = figures(
+            [call(router.control_address, READY)[0] for _ in range(CALLS)]
+        )
         plain = rss_mb(pid)
-        half = [socket.create_connection(router.mgmt, 5) for _ in range(HALF)]
+        half = [socket.create_connection(router.control_address, 5) for _ in range(HALF)]
         for sock in half:
             sock.sendall(READY[:20])
         time.sleep(0.2)
-        rows[f"and {HALF} half calls"] = figures([call(router.mgmt, READY)[0] for _ in range(CALLS)])
+        rows[f"and {HALF} half calls"] = figures(
+            [call(router.control_address, READY)[0] for _ in range(CALLS)]
+        )
         held = rss_mb(pid)
         for sock in half:
             sock.close()
         served_before = load.served
         began = time.monotonic()
-        took, line = call(router.mgmt, OUT)
+        took, line = call(router.control_address, OUT)
         for thread in load.threads:
             thread.join(10)
         last = max(load.closed_at, default=began) - began
--- a/benchmarks/late_answers.py
+++ b/benchmarks/late_answers.py
@@ -12,7 +12,7 @@
 
 from kelpcroft.core import effects, inputs
 from kelpcroft.decision.interface import FillResult
-from testbed.virtual import FATES, MS, S, Sent, Virtual
+from testbed.virtual import MS, OUTCOME_BY_FATE, AttemptRecord, S, VirtualRouter
 
 LATE, LATE_NS = 0.02, S
 GAP_NS, REQUESTS = 5 * MS, 6_000
@@ -26,16 +26,18 @@
 }
 
 
-class Late(Virtual):
+class Late(VirtualRouter):
     """Answers take 20 to 60 ms, some a second more."""
 
-    def pull(self, e: effects.SendAttempt) -> None:
-        self.stories[e.attempt_id].sends.append(Sent(self.now, self.links[e.connection], "done"))
+    def run_attempt(self, e: effects.SendAttempt) -> None:
+        self.records[e.attempt_id].attempts.append(
+            AttemptRecord(self.now, self.address_by_link[e.connection], "done")
+        )
         took = self.random.randint(20, 60) * MS + (LATE_NS if self.random.random() < LATE else 0)
-        self.at(
+        self.schedule(
             self.now + took,
             inputs.ServerResponse(
-                e.connection, e.attempt_id, FATES["done"], FillResult.HIT, 0, {}, False, b"x"
+                e.connection, e.attempt_id, OUTCOME_BY_FATE["done"], FillResult.HIT, 0, {}, False, b"x"
             ),
         )
 
@@ -43,13 +45,18 @@
 def play(text: str, seed: int) -> tuple[float, float, float]:
     """p50 and p99 in ms, and sends for each request."""
     world = Late(HEAD + text, seed, {"done": 1})
-    stories = [world.ask(n * GAP_NS, "page", 2_500, world.random.randint(0, 400)) for n in range(REQUESTS)]
+    stories = [
+        world.schedule_request(n * GAP_NS, "page", 2_500, world.random.randint(0, 400))
+        for n in range(REQUESTS)
+    ]
     world.run()
     times = sorted(
-        (s.finals[0][0] - s.at) / MS for s in stories if isinstance(s.finals[0][1], effects.SendResponse)
+        (s.final_effects[0][0] - s.arrives_ns) / MS
+        for s in stories
+        if isinstance(s.final_effects[0][1], effects.SendResponse)
     )
     assert len(times) > 0.995 * REQUESTS, f"{REQUESTS - len(times)} were not served"
-    sends = sum(len(s.sends) for s in stories) / REQUESTS
+    sends = sum(len(s.attempts) for s in stories) / REQUESTS
     return times[len(times) // 2], times[len(times) * 99 // 100], sends
 
 
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -17,7 +17,16 @@
 
 from kelpcroft.core import effects, inputs
 from kelpcroft.decision.interface import FillResult
-from testbed.virtual import EXAMPLE, FATES, MS, START, S, Sent, Story, Virtual
+from testbed.virtual import (
+    EXAMPLE,
+    MS,
+    OUTCOME_BY_FATE,
+    START,
+    AttemptRecord,
+    RequestRecord,
+    S,
+    VirtualRouter,
+)
 
 SLOTS, SERVICE_MS = 8, (10, 30)  # of a cache; 20 ms on average
 RATE = 0.8 * 2 * SLOTS / 0.020  # requests a second at two caches
@@ -36,7 +45,7 @@
 }
 
 
-class Storm(Virtual):
+class Storm(VirtualRouter):
     """Servers with slots and queues, which fail half of their answers for a while."""
 
     def __init__(self, rules: str | None, seed: int, aim_ns: int) -> None:
@@ -47,9 +56,9 @@
         self.killed: set[tuple[int, str]] = set()
         self.again: set[str] = set()
 
-    def pull(self, e: effects.SendAttempt) -> None:
-        server = self.links[e.connection]
-        self.stories[e.attempt_id].sends.append(Sent(self.now, server, ""))
+    def run_attempt(self, e: effects.SendAttempt) -> None:
+        server = self.address_by_link[e.connection]
+        self.records[e.attempt_id].attempts.append(AttemptRecord(self.now, server, ""))
         self.killed.discard((e.connection, e.attempt_id))
         if self.busy.get(server, 0) < SLOTS:
             self.serve(server, e)
@@ -62,20 +71,20 @@
         fate = "broke" if failing and self.random.random() < 0.5 else "done"
         done = self.now + self.random.randint(*SERVICE_MS) * MS
         note = FillResult.HIT if fate == "done" else FillResult.NONE
-        self.at(
+        self.schedule(
             done,
             inputs.ServerResponse(
-                e.connection, e.attempt_id, FATES[fate], note, 0, {"server": 0.0}, False, b"x"
+                e.connection, e.attempt_id, OUTCOME_BY_FATE[fate], note, 0, {"server": 0.0}, False, b"x"
             ),
         )
-        self.at(done, server)
+        self.schedule(done, server)
 
-    def freed(self, server: str) -> None:
+    def custom_event(self, server: str) -> None:
         self.busy[server] -= 1
         waiting = self.queue.get(server, deque())
         while waiting:
             e = waiting.popleft()
-            if (e.connection, e.attempt_id) not in self.killed and e.connection in self.links:
+            if (e.connection, e.attempt_id) not in self.killed and e.connection in self.address_by_link:
                 self.serve(server, e)
                 return
 
@@ -85,12 +94,14 @@
             if isinstance(e, effects.CancelAttempt):
                 self.killed.add((e.connection, e.attempt_id))
             elif isinstance(e, (effects.RejectRequest, effects.FailRequest)):
-                story = self.by_call[e.client, e.request_number]
-                left = story.at + 2_500 * MS - self.now
-                if story.call.trace_id not in self.again and left > 100 * MS:
-                    more = self.ask(self.now - START, "page", left // MS, story.call.object_number)
-                    self.again.add(more.call.trace_id)
-                    story.more = more
+                story = self.records_by_call[e.client, e.request_number]
+                left = story.arrives_ns + 2_500 * MS - self.now
+                if story.request.trace_id not in self.again and left > 100 * MS:
+                    more = self.schedule_request(
+                        self.now - START, "page", left // MS, story.request.object_number
+                    )
+                    self.again.add(more.request.trace_id)
+                    story.client_retry = more
 
 
 def play(rules: str | None, seed: int, aim_ns: int) -> dict[str, tuple[float, float]]:
@@ -99,21 +110,21 @@
     arrivals, at = [], 0.0
     while at < END:
         at += world.random.expovariate(RATE) * S
-        arrivals.append(world.ask(int(at), "page", 2_500, world.random.randint(0, 400)))
+        arrivals.append(world.schedule_request(int(at), "page", 2_500, world.random.randint(0, 400)))
     world.run()
     found = {}
     for name, (low, high) in PARTS.items():
-        here = [s for s in arrivals if low <= s.at - START < high]
-        sends = sum(len(s.sends) + (len(s.more.sends) if s.more else 0) for s in here)
+        here = [s for s in arrivals if low <= s.arrives_ns - START < high]
+        sends = sum(len(s.attempts) + (len(s.client_retry.attempts) if s.client_retry else 0) for s in here)
         found[name] = sends / len(here), sum(in_time(s, aim_ns) for s in here) / len(here)
     return found
 
 
-def in_time(story: Story, aim_ns: int) -> bool:
+def in_time(story: RequestRecord, aim_ns: int) -> bool:
     """Whether the client had its answer within the aim, by its own retry if need be."""
-    for one in (story, story.more):
-        if one and one.finals and isinstance(one.finals[0][1], effects.SendResponse):
-            return one.finals[0][0] - story.at <= aim_ns
+    for one in (story, story.client_retry):
+        if one and one.final_effects and isinstance(one.final_effects[0][1], effects.SendResponse):
+            return one.final_effects[0][0] - story.arrives_ns <= aim_ns
     return False
 
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -14,9 +14,9 @@
 from time import perf_counter
 
 from kelpcroft.rollout.state_machine import RolloutOutcome
-from testbed.rollouts import Process, S, World, plan_of
+from testbed.rollouts import S, SimulatedFleet, SimulatedRouter, make_plan
 
-Defect = Callable[[World, Process, str], float]
+Defect = Callable[[SimulatedFleet, SimulatedRouter, str], float]
 SECONDS = 1_500
 
 
@@ -36,47 +36,47 @@
 )
 
 
-def at_once(world: World) -> tuple[float, int, int]:
+def at_once(world: SimulatedFleet) -> tuple[float, int, int]:
     """Every router changed in the first second; people see it after ten minutes and take it back."""
-    for p in world.processes.values():
+    for p in world.routers.values():
         world.start(p, "beef")
     for n in range(SECONDS):
         if n == 600:
-            for p in world.processes.values():
+            for p in world.routers.values():
                 world.start(p, "old")
         quiet(world)
-    return world.harmed, len(world.processes), SECONDS
+    return world.harmed_requests, len(world.routers), SECONDS
 
 
-def one_by_one(world: World) -> tuple[float, int, int]:
+def one_by_one(world: SimulatedFleet) -> tuple[float, int, int]:
     """One router every half minute without judgement; the same people."""
-    names = list(world.processes)
+    names = list(world.routers)
     for n in range(SECONDS):
         if n % 30 == 0 and n // 30 < len(names) and n < 600:
-            world.start(world.processes[names[n // 30]], "beef")
+            world.start(world.routers[names[n // 30]], "beef")
         if n == 600:
-            for p in world.processes.values():
+            for p in world.routers.values():
                 if p.build == "beef":
                     world.start(p, "old")
         quiet(world)
-    return world.harmed, min(len(names), 20), SECONDS
+    return world.harmed_requests, min(len(names), 20), SECONDS
 
 
-def quiet(world: World) -> None:
+def quiet(world: SimulatedFleet) -> None:
     """A second of requests in which no rollout acts."""
     rollout, world.rollout.outcome = world.rollout, RolloutOutcome.DONE
-    world.second()
+    world.run_second()
     world.rollout = rollout
 
 
-def staged(world: World) -> tuple[float, int, int]:
+def staged(world: SimulatedFleet) -> tuple[float, int, int]:
     """In stages, judged; a held one is taken back by people after ten minutes."""
     outcome = world.run(SECONDS)
     seconds = (world.now - 1_000 * S) // S
     if outcome is RolloutOutcome.HELD:
         for _ in range(600):
             quiet(world)
-    return world.harmed, len(world.touched), seconds
+    return world.harmed_requests, len(world.changed_routers), seconds
 
 
 def main(words: list[str]) -> int:
@@ -86,7 +86,7 @@
     for name, harm in DEFECTS:
         cells, costs = [], []
         for way in (at_once, one_by_one, staged):
-            found = [way(World(plan_of(3, 4), seed, harm)) for seed in range(seeds)]
+            found = [way(SimulatedFleet(make_plan(3, 4), seed, harm)) for seed in range(seeds)]
             cost, touched, took = (sum(x[n] for x in found) / seeds for n in range(3))
             costs.append(cost)
             cells.append(f"{cost:.0f}, {touched:.0f}, {took:.0f}")
@@ -107,7 +107,7 @@
             'stage "half" share="50%" least="30s" most="900s"\n'
             'stage "all" share="100%" least="30s" most="900s"\n'
         )
-        world = World(plan_of(zones, each, stages, more), 1, defect(0.0))
+        world = SimulatedFleet(make_plan(zones, each, stages, more), 1, defect(0.0))
         spent = [0.0]
         handle = world.rollout.handle
 
--- a/benchmarks/rollout_field.py
+++ b/benchmarks/rollout_field.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from kelpcroft.store.identity import program_digest
-from testbed.field import Field, Load, build
+from testbed.field import ClientLoad, RouterField, build_program
 from testbed.stand_ins import MS, ROOT
 
 DEFECTS = ("sound", "refuses", "one in twenty", "slow", "one class", "crashes", "breaks an invariant")
@@ -25,23 +25,23 @@
 LONGEST_S = 240.0
 
 
-def harmed(load: Load) -> int:
+def harmed(load: ClientLoad) -> int:
     """Requests that were not served in time."""
     return sum(
-        not any(kind == "served" and at - a.at_ns <= AIM_NS for at, kind in a.answers) for a in load.asked
+        not any(kind == "served" and at - a.at_ns <= AIM_NS for at, kind in a.answers) for a in load.calls
     )
 
 
 def staged(defect: str, folder: Path) -> tuple[int, int, float, str]:
     """Requests harmed, routers touched, seconds, and how it ended."""
-    builds = {"old": ROOT, "new": build(folder / "new", defect)}
-    with Field(2, 3, builds) as field:
-        plan = field.plan(program_digest(builds["new"] / "kelpcroft"))
+    builds = {"old": ROOT, "new": build_program(folder / "new", defect)}
+    with RouterField(2, 3, builds) as field:
+        plan = field.rollout_plan(program_digest(builds["new"] / "kelpcroft"))
         if defect == "one in twenty":
             plan = plan.replace("harm=0.15", "harm=0.05").replace('most="60s"', 'most="140s"')
         (folder / "plan.kdl").write_text(plan)
         words = ["rollout", "start", str(folder / "plan.kdl"), "--store", str(folder / "store.db")]
-        with Load(field, PER_S, orders=5) as load:
+        with ClientLoad(field, PER_S, orders=5) as load:
             began = time.monotonic()
             process = subprocess.Popen(
                 [sys.executable, "-c", f"from kelpcroft.cli import main; main({words!r})"],
@@ -52,20 +52,20 @@
             while process.poll() is None and time.monotonic() - began < LONGEST_S:
                 for node in field.nodes.values():  # a supervisor: what died is started again as it was
                     if node.process and node.process.poll() is not None and defect == "crashes":
-                        node.start(node.starts.pop())
+                        node.start(node.started_builds.pop())
                 time.sleep(0.1)
             process.kill()
             process.wait()
             took = time.monotonic() - began
-        touched = sum("new" in node.starts for node in field.nodes.values())
+        touched = sum("new" in node.started_builds for node in field.nodes.values())
         return harmed(load), touched, took, {0: "done", 1: "taken back"}.get(process.returncode, "not over")
 
 
 def at_once(defect: str, folder: Path, seconds: float) -> int:
     """Requests harmed where every router has it for so long."""
     with (
-        Field(2, 3, {"old": ROOT, "new": build(folder / "again", defect)}) as field,
-        Load(field, PER_S, orders=5) as load,
+        RouterField(2, 3, {"old": ROOT, "new": build_program(folder / "again", defect)}) as field,
+        ClientLoad(field, PER_S, orders=5) as load,
     ):
         time.sleep(2)
         for node in field.nodes.values():
@@ -74,7 +74,7 @@
         while time.monotonic() < until:
             for node in field.nodes.values():
                 if node.process and node.process.poll() is not None:
-                    node.start(node.starts.pop())
+                    node.start(node.started_builds.pop())
             time.sleep(0.1)
         for node in field.nodes.values():
             node.change("old")
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from statistics import median
 
-from testbed.stand_ins import ROOT, Router, World
+from testbed.stand_ins import ROOT, RouterProcess, StandInServers
 
 BEFORE = "fa17234"  # the last commit before routes
 TURNS = 9
@@ -33,13 +33,13 @@
 
 def started(program: Path, rules: str | None) -> tuple[float, float]:
     """Milliseconds until it takes connections, and MB once it has served 200 requests."""
-    with World() as world:
+    with StandInServers() as world:
         began = time.monotonic()
-        with Router(world, rules, program, release=True) as router:
+        with RouterProcess(world, rules, program, release=True) as router:
             client = router.client()
             took = (time.monotonic() - began) * 1000
             for part in range(200):
-                client.ask("page", part=part)
+                client.request("page", part=part)
             pages = int(Path(f"/proc/{router.process.pid}/statm").read_text().split()[1])
             return took, pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
--- a/testbed/cold_start.py
+++ b/testbed/cold_start.py
@@ -41,24 +41,24 @@
 
 
 @dataclass
-class Service:
+class ListServiceModel:
     """The list service: it answers ``per_s`` calls a second; with more than ``most`` waiting it falls
     over."""
 
-    per_s: float = 200.0
-    most: int = 100
+    calls_per_s: float = 200.0
+    max_queued_calls: int = 100
     down_ns: int = 5 * S
-    dead_until: int = 0
-    renumbers: bool = False  # after a fall it counts from 1 again
+    down_until_ns: int = 0
+    renumbers_after_crash: bool = False  # after a fall it counts from 1 again
     free_at: int = 0
-    falls: int = 0
+    crashes: int = 0
     last: int = 2  # its newest event
     calls: list[int] = field(default_factory=list)
     held: dict[int, tuple[int, int, int]] = field(default_factory=dict)  # by router: call, after, until
 
 
 @dataclass
-class Box:
+class ServerModel:
     """A box or a hub: a queue of work, what it can do by now, and which objects it holds."""
 
     weight: float
@@ -67,7 +67,7 @@
     places: int = 10**9
     free_at: float = 0.0
     dead_until: int = 0
-    toppled: int = 0
+    collapses: int = 0
     links: int = 0
     dials: int = 0
     refused: int = 0
@@ -89,7 +89,7 @@
             used = (len(self.sent) - 1) * UNIT_NS / ((2.0 if self.hub else 2.5) * share * self.weight * S)
             self.room = max(self.room, used)
             if used > 1:
-                self.toppled, self.dead_until = self.toppled + 1, now + DOWN_NS
+                self.collapses, self.dead_until = self.collapses + 1, now + DOWN_NS
                 self.started, self.sent = now + DOWN_NS, []
                 self.holds.clear()
                 return -1
@@ -107,16 +107,16 @@
 
 
 @dataclass
-class Store:
+class OriginModel:
     """The one store: so many answers a second, half as many when its queue is full; past that it refuses."""
 
     per_s: float
     free_at: float = 0.0
     refused: int = 0
-    asked: list[int] = field(default_factory=list)
+    request_times: list[int] = field(default_factory=list)
 
     def take(self, now: int) -> int:
-        self.asked.append(now)
+        self.request_times.append(now)
         waiting = max(0.0, self.free_at - now) / QUEUE_NS
         if waiting > 1:
             self.refused += 1
@@ -125,7 +125,7 @@
         return int(self.free_at - now) + FAR_NS
 
 
-class Fleet:
+class ColdStartFleet:
     """All of it."""
 
     def __init__(
@@ -137,7 +137,7 @@
         cold_hubs: bool = True,
         rate: float = 8.0,
         load: float = 0.5,
-        service: Service | None = None,
+        service: ListServiceModel | None = None,
         believed: int = 0,
         places: int = 64,
         dead_boxes: int = 0,
@@ -151,36 +151,36 @@
         self.random, self.now, self.made = Random(seed), START, 0
         self.believed, self.rules, self.change = believed or routers, rules, change
         self.zones, self.rate = -(-routers // ZONE_ROUTERS), rate
-        self.service = service or Service()
+        self.service = service or ListServiceModel()
         self.heap: list[tuple[int, int, int, int, Any]] = []
         weight = max(2.0, ZONE_ROUTERS * rate * UNIT_NS / S / ZONE_BOXES / load)
         fills = routers * rate * (1 - KEPT)
         hubs = max(2, self.zones // ZONE_HUBS)
-        self.boxes = {
-            f"z{z}-b{n}": Box(weight, False, START if cold else 0, places)
+        self.caches = {
+            f"z{z}-b{n}": ServerModel(weight, False, START if cold else 0, places)
             for z in range(self.zones)
             for n in range(ZONE_BOXES)
         }
-        self.hubs = {
-            f"h{n}": Box(fills * UNIT_NS / S / hubs * 1.3, True, START if cold_hubs else 0)
+        self.parents = {
+            f"h{n}": ServerModel(fills * UNIT_NS / S / hubs * 1.3, True, START if cold_hubs else 0)
             for n in range(hubs)
         }
-        for n, box in enumerate(self.boxes.values()):
+        for n, box in enumerate(self.caches.values()):
             if dead_boxes and n % dead_boxes == 1:
                 box.dead_until = START + 10_000 * S
-        self.store = Store((fills * (1 - KEPT) + routers * rate * ORDERS) * 2)
-        self.seeds = {name: mix64(n) for n, name in enumerate([*self.boxes, *self.hubs])}
-        self.listed: dict[int, int] = {}  # by router: when it had heard the service
-        self.asked: Counter[int] = Counter()  # by tenth of a second, as all that follow
-        self.good: Counter[int] = Counter()
+        self.origin = OriginModel((fills * (1 - KEPT) + routers * rate * ORDERS) * 2)
+        self.seeds = {name: mix64(n) for n, name in enumerate([*self.caches, *self.parents])}
+        self.first_answer_ns: dict[int, int] = {}  # by router: when it had heard the service
+        self.weight_asked: Counter[int] = Counter()  # by tenth of a second, as all that follow
+        self.weight_in_time: Counter[int] = Counter()
         self.refused: Counter[int] = Counter()
         self.dials: Counter[int] = Counter()
-        self.hub_fills: Counter[int] = Counter()
+        self.parent_fills: Counter[int] = Counter()
         self.begun: dict[tuple[int, int], tuple[int, float]] = {}  # open calls: when, worth
         self.links: list[dict[int, str]] = [{} for _ in range(routers)]
         self.epoch = [0] * routers  # of each router's process
         self.up = [False] * routers
-        self.ran: Counter[str] = Counter()  # orders, by trace, that the store ran
+        self.order_runs: Counter[str] = Counter()  # orders, by trace, that the store ran
         self.routers: list[Reducer] = [self.router(n) for n in range(routers)]
         for n in range(routers):
             at = START + self.random.randrange(S)
@@ -205,10 +205,10 @@
         s["contract"].update(COLD)
         lines = [
             self.line(name, zones[0], "box", box)
-            for name, box in self.boxes.items()
+            for name, box in self.caches.items()
             if name.startswith(f"z{zone}-")
         ]
-        lines += [self.line(name, "hub", "parent", box) for name, box in self.hubs.items()]
+        lines += [self.line(name, "hub", "parent", box) for name, box in self.parents.items()]
         lines.append(self.line("store", "hub", "origin", None))
         known = {"n": 1, "events": [{"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": lines}}]}
         made = Reducer(parse_config(raw | {"name": f"n{n}", "known": known, "seed": f"{n + 1:x}"}, {}))
@@ -216,14 +216,14 @@
             self.change(made)
         return made
 
-    def line(self, name: str, zone: str, kind: str, box: Box | None) -> dict[str, Any]:
+    def line(self, name: str, zone: str, kind: str, box: ServerModel | None) -> dict[str, Any]:
         return {
             "name": name,
             "address": f"{name}:1",
             "zone": zone,
             "type": kind,
             "status": "active",
-            "weight": box.weight if box else self.store.per_s * UNIT_NS / S,
+            "weight": box.weight if box else self.origin.per_s * UNIT_NS / S,
             "group": 0,
             "since_ms": box.started // MS if box else 0,
         }
@@ -242,7 +242,7 @@
         self.later(self.now + back_ns, n, "start")
         self.later(self.now + back_ns, n, "ask")
 
-    def run(self, seconds: float, faults: dict[int, Callable[[Fleet], None]] | None = None) -> None:
+    def run(self, seconds: float, faults: dict[int, Callable[[ColdStartFleet], None]] | None = None) -> None:
         """``faults``: what happens at a time, in ns after the start."""
         for at, fault in (faults or {}).items():
             self.later(START + at, 0, fault)
@@ -255,7 +255,7 @@
                 continue
             elif event == "start":
                 self.up[n] = True
-                self.carry_out(n, self.begin(n))
+                self.carry_out(n, self.start_router(n))
                 self.carry_out(n, self.routers[n].handle(self.now, inputs.ListenersReady()))
             elif event == "ask":
                 self.ask(n)
@@ -269,7 +269,7 @@
                     self.drop(n, event.connection)
                 self.carry_out(n, self.routers[n].handle(self.now, event))
 
-    def begin(self, n: int) -> list[effects.Effect]:
+    def start_router(self, n: int) -> list[effects.Effect]:
         return self.routers[n].start(self.now)
 
     # Clients ----------------------------------------------------------------------------------------------
@@ -278,7 +278,7 @@
         self.later(self.now + int(self.random.expovariate(self.rate) * S), n, "ask")
         item = int(self.random.paretovariate(TAIL) * 10) % ITEMS
         order = self.random.random() < ORDERS
-        self.asked[self.tenth()] += 3 if order else 1
+        self.weight_asked[self.tenth()] += 3 if order else 1
         self.call(n, item, order, False)
 
     def call(self, n: int, item: int, order: bool, again: bool) -> None:
@@ -306,7 +306,7 @@
     def ended(self, n: int, client: int, served: bool, refused: bool) -> None:
         found = self.begun.pop((n, client), None)
         if found and served and self.now - found[0] <= AIM_NS:
-            self.good[(found[0] - START) * 10 // S] += int(found[1])
+            self.weight_in_time[(found[0] - START) * 10 // S] += int(found[1])
         elif found and refused:
             self.refused[self.tenth()] += int(found[1])
 
@@ -315,13 +315,13 @@
     def poll(self, n: int, after: int, wait_ms: int) -> None:
         s, at = self.service, self.now + MS
         s.calls.append(at)
-        if at < s.dead_until:
+        if at < s.down_until_ns:
             self.later(at + MS, n, inputs.WatchFailed("refused"))
             return
-        s.free_at = max(s.free_at, at) + int(S / s.per_s)
-        if (s.free_at - at) / S * s.per_s > s.most:
-            s.falls, s.dead_until, s.free_at = s.falls + 1, at + s.down_ns, at + s.down_ns
-            s.last = 1 if s.renumbers else s.last
+        s.free_at = max(s.free_at, at) + int(S / s.calls_per_s)
+        if (s.free_at - at) / S * s.calls_per_s > s.max_queued_calls:
+            s.crashes, s.down_until_ns, s.free_at = s.crashes + 1, at + s.down_ns, at + s.down_ns
+            s.last = 1 if s.renumbers_after_crash else s.last
             for other in {*s.held, n}:
                 self.later(at + MS, other, inputs.WatchFailed("reset"))
             s.held.clear()
@@ -336,7 +336,7 @@
             return
         if after != self.service.last or self.now >= until:
             del self.service.held[n]
-            self.listed.setdefault(n, self.now)
+            self.first_answer_ns.setdefault(n, self.now)
             self.later(self.now + MS, n, inputs.WatchResponse(self.service.last, ()))
         else:
             self.later(until, n, ("turn", call))
@@ -345,8 +345,8 @@
 
     def drop(self, n: int, link: int) -> None:
         name = self.links[n].pop(link, None)
-        if name in self.boxes:
-            self.boxes[name].links -= 1
+        if name in self.caches:
+            self.caches[name].links -= 1
 
     def carry_out(self, n: int, effect_list: list[effects.Effect]) -> None:
         for e in effect_list:
@@ -374,7 +374,7 @@
         name = e.address.rpartition(":")[0]
         self.dials[self.tenth()] += 1
         self.links[n][e.connection] = name
-        box = self.boxes.get(name) or self.hubs.get(name)
+        box = self.caches.get(name) or self.parents.get(name)
         if box is None:
             self.later(self.now + FAR_NS, n, inputs.ServerConnected(e.connection))
             return
@@ -390,15 +390,15 @@
         answer = inputs.ServerResponse(
             e.connection, e.attempt_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"x"
         )
-        box = self.boxes.get(name) or self.hubs.get(name)
+        box = self.caches.get(name) or self.parents.get(name)
         if box is None:
-            took = self.store.take(self.now)
+            took = self.origin.take(self.now)
             if took < 0:
                 answer = inputs.ServerResponse(
                     e.connection, e.attempt_id, Outcome.FULL, FillResult.NONE, 0, {}, False, b""
                 )
             elif e.request_class == "order":
-                self.ran[e.attempt_id] += 1
+                self.order_runs[e.attempt_id] += 1
             self.later(self.now + max(took, FAR_NS), n, answer)
             return
         if self.now < box.dead_until:
@@ -442,12 +442,12 @@
         """How long a miss waits for its source, and what is said of it; under 0 where it gets nothing."""
         if not e.source:
             return -1, FillResult.SOURCE_LACKS
-        hub = self.hubs.get(e.source)
+        hub = self.parents.get(e.source)
         if hub is None:
-            if e.source in self.boxes:  # a sibling's copy
-                held = self.boxes[e.source].has(item, self.seeds[e.source])
+            if e.source in self.caches:  # a sibling's copy
+                held = self.caches[e.source].has(item, self.seeds[e.source])
                 return (TRIP_NS, FillResult.FILLED) if held else (-1, FillResult.SOURCE_LACKS)
-            took = self.store.take(self.now)
+            took = self.origin.take(self.now)
             return took, FillResult.FILLED_FROM_ORIGIN if took >= 0 else FillResult.SOURCE_REFUSED
         if self.now < hub.dead_until:
             return -1, FillResult.SOURCE_BROKE
@@ -455,13 +455,13 @@
         if took < 0:
             return -1, FillResult.SOURCE_BROKE
         hub.fills += 1
-        self.hub_fills[self.tenth()] += 1
+        self.parent_fills[self.tenth()] += 1
         wait = took - UNIT_NS + TRIP_NS  # it passes on what it gets, at a higher pace
         if hub.has(item, self.seeds[e.source]):
             return wait, FillResult.FILLED
         if e.cache_only:
             return -1, FillResult.SOURCE_LACKS
-        more = self.store.take(self.now)
+        more = self.origin.take(self.now)
         if more < 0:
             return -1, FillResult.ORIGIN_FAILED
         hub.holds.add(item)
@@ -469,42 +469,50 @@
 
     # Figures ----------------------------------------------------------------------------------------------
 
-    def worth(self, first: int, last: int) -> float:
+    def share_in_time(self, first: int, last: int) -> float:
         """The share of the worth asked for between two seconds that was answered in time."""
         tenths = range(first * 10, last * 10)
-        return sum(self.good[k] for k in tenths) / max(1, sum(self.asked[k] for k in tenths))
+        return sum(self.weight_in_time[k] for k in tenths) / max(1, sum(self.weight_asked[k] for k in tenths))
 
     def to_95(self, seconds: int) -> int:
         """The second from which on three in a row are within 0.95 of the level at the end; the last where
         none is."""
-        level = 0.95 * self.worth(seconds - 5, seconds - 2)
+        level = 0.95 * self.share_in_time(seconds - 5, seconds - 2)
         return next(
-            (n for n in range(seconds - 4) if all(self.worth(k, k + 1) >= level for k in (n, n + 1, n + 2))),
+            (
+                n
+                for n in range(seconds - 4)
+                if all(self.share_in_time(k, k + 1) >= level for k in (n, n + 1, n + 2))
+            ),
             seconds,
         )
 
     def figures(self, seconds: int) -> dict[str, float]:
-        boxes, hubs = list(self.boxes.values()), list(self.hubs.values())
+        boxes, hubs = list(self.caches.values()), list(self.parents.values())
         peak = Counter((at - START) // S for at in self.service.calls)
-        store = Counter((at - START) // S for at in self.store.asked)
-        late = [max(self.listed.values()) - START] if len(self.listed) == len(self.routers) else []
+        store = Counter((at - START) // S for at in self.origin.request_times)
+        late = (
+            [max(self.first_answer_ns.values()) - START]
+            if len(self.first_answer_ns) == len(self.routers)
+            else []
+        )
         return {
             "calls": len(self.service.calls),
             "calls in the worst s": max(peak.values(), default=0),
-            "falls": self.service.falls,
+            "falls": self.service.crashes,
             "all listed s": round(late[0] / S, 1) if late else -1,
-            "boxes toppled": sum(b.toppled for b in boxes),
-            "hubs toppled": sum(b.toppled for b in hubs),
+            "boxes toppled": sum(b.collapses for b in boxes),
+            "hubs toppled": sum(b.collapses for b in hubs),
             "cold room": round(max(b.room for b in boxes), 2),
             "hubs' room": round(max(b.room for b in hubs), 2),
             "dials a box": round(sum(b.dials for b in boxes) / len(boxes), 1),
             "refused": sum(b.refused for b in boxes),
-            "store in the worst s": round(max(store.values(), default=0) / self.store.per_s, 2),
-            "worth 5 s": round(self.worth(0, 5), 3),
-            "10 s": round(self.worth(0, 10), 3),
-            "30 s": round(self.worth(0, min(30, seconds - 2)), 3),
+            "store in the worst s": round(max(store.values(), default=0) / self.origin.per_s, 2),
+            "worth 5 s": round(self.share_in_time(0, 5), 3),
+            "10 s": round(self.share_in_time(0, 10), 3),
+            "30 s": round(self.share_in_time(0, min(30, seconds - 2)), 3),
             "to 95% s": self.to_95(seconds),
-            "orders twice": sum(count > 1 for count in self.ran.values()),
+            "orders twice": sum(count > 1 for count in self.order_runs.values()),
         }
 
 
--- a/testbed/demo.py
+++ b/testbed/demo.py
@@ -7,18 +7,20 @@
 from kelpcroft.cli.common import read_settings
 from kelpcroft.operator_file import load
 from kelpcroft.operator_file.explain import RequestAttributes, find_route
-from testbed.stand_ins import ROOT, Reply, Router, Seen, World
+from testbed.stand_ins import ROOT, RouterProcess, ScriptedReply, ServerCommand, StandInServers
 
 ZONE = "edge-1"
 TROUBLED = "00000000000000aa"  # every first answer for this object is an error
 
 
-def script(server: str, seen: Seen) -> Reply:
+def script(server: str, seen: ServerCommand) -> ScriptedReply:
     """Caches hold pages; orders run at the origin; one object has trouble."""
-    if seen.fields["item"] == TROUBLED and len(SEEN.setdefault(seen.id, [])) == 0:
-        SEEN[seen.id].append(server)
-        return Reply("BROKE")
-    return Reply("DONE", 3, "mem" if server.startswith("cache") else "origin", f"by {server}".encode())
+    if seen.fields["item"] == TROUBLED and len(SEEN.setdefault(seen.request_id, [])) == 0:
+        SEEN[seen.request_id].append(server)
+        return ScriptedReply("BROKE")
+    return ScriptedReply(
+        "DONE", 3, "mem" if server.startswith("cache") else "origin", f"by {server}".encode()
+    )
 
 
 SEEN: dict[str, list[str]] = {}
@@ -33,7 +35,7 @@
         return 1
     classes = {c.name: c for c in read_settings(str(ROOT / "examples/config.json")).classes}
     good = True
-    with World(script) as world, Router(world, text) as router:
+    with StandInServers(script) as world, RouterProcess(world, text) as router:
         print(f"a router on {router.address[0]}:{router.address[1]}, two caches, a parent and the origin\n")
         client = router.client()
         print(f"{'class':8}{'object':20}{'part':>5}  {'route':8}{'answer':9}{'asked':22}{'ms':>6}")
@@ -48,12 +50,14 @@
             route = find_route(
                 file, ZONE, RequestAttributes(classes[cls], item, part, 17, write=cls == "order")
             )
-            trace = client.send(cls, object=item, part=part, body=b"one dish" if cls == "order" else b"")
-            answer = next(client.answers(1))
-            asked = [s.server for s in world.pulls(trace)]
+            trace = client.send_request(
+                cls, object=item, part=part, body=b"one dish" if cls == "order" else b""
+            )
+            answer = next(client.responses(1))
+            asked = [s.server for s in world.requests(trace)]
             print(
                 f"{cls:8}{item:20}{part:>5}  {route.name if route else '-':8}{answer.kind:9}"
-                f"{' then '.join(asked):22}{answer.took_ms:6.1f}"
+                f"{' then '.join(asked):22}{answer.latency_ms:6.1f}"
             )
             # An order that met an error may have run: it fails, and is not sent again.
             broken = cls == "order" and item == TROUBLED
--- a/testbed/demo_rollout.py
+++ b/testbed/demo_rollout.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from kelpcroft.store.identity import program_digest
-from testbed.field import Field, Load, build
+from testbed.field import ClientLoad, RouterField, build_program
 from testbed.stand_ins import ROOT
 
 PATIENCE_S = 180.0
@@ -31,7 +31,7 @@
     return subprocess.run(command(*words), cwd=ROOT, timeout=PATIENCE_S).returncode
 
 
-def killed_once(field: Field, plan: str, store: str) -> int:
+def killed_once(field: RouterField, plan: str, store: str) -> int:
     """A controller that is killed when the second router is changed, and started again."""
     applied = len(field.orders)
     print(f"$ kelpcroft rollout start {plan} --store {store}", flush=True)
@@ -54,11 +54,11 @@
     for defect in ("sound", "refuses"):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            new = build(folder / "new", defect)
-            with Field(2, 3, {"old": ROOT, "new": new}) as field:
+            new = build_program(folder / "new", defect)
+            with RouterField(2, 3, {"old": ROOT, "new": new}) as field:
                 plan, store = str(folder / "rollout.kdl"), str(folder / "rollout.db")
-                Path(plan).write_text(field.plan(program_digest(new / "kelpcroft")))
-                with Load(field) as load:
+                Path(plan).write_text(field.rollout_plan(program_digest(new / "kelpcroft")))
+                with ClientLoad(field) as load:
                     if defect == "sound":
                         say("a good change")
                         run("rollout", "plan", plan)
@@ -67,9 +67,9 @@
                         say("a bad one: the new build refuses one request in three")
                         good &= run("rollout", "start", plan, "--store", store) == 1
                         run("rollout", "history", "--store", store)
-                touched = [n for n, node in field.nodes.items() if "new" in node.starts]
-                print(f"routers touched: {len(touched)}; requests: {dict(load.count)}", flush=True)
-                good &= load.count["lost"] == 0 and len(touched) == (6 if defect == "sound" else 1)
+                touched = [n for n, node in field.nodes.items() if "new" in node.started_builds]
+                print(f"routers touched: {len(touched)}; requests: {dict(load.counts)}", flush=True)
+                good &= load.counts["lost"] == 0 and len(touched) == (6 if defect == "sound" else 1)
     print("\nas it should be" if good else "\nNOT as it should be")
     return 0 if good else 1
 
--- a/testbed/deployments.py
+++ b/testbed/deployments.py
@@ -16,11 +16,11 @@
 
 MS, S = 10**6, 10**9
 START = 1_764_576_000 * S
-ENDS = {"done": Outcome.OK, "lack": Outcome.MISS, "wait": Outcome.FULL, "broke": Outcome.ERROR}
-NEVER_RAN = ("lack", "wait", "refused")
+OUTCOME_BY_FATE = {"done": Outcome.OK, "lack": Outcome.MISS, "wait": Outcome.FULL, "broke": Outcome.ERROR}
+FATES_NOT_EXECUTED = ("lack", "wait", "refused")
 
 
-def made(seed: int) -> dict[str, Any]:
+def generate_configuration(seed: int) -> dict[str, Any]:
     """A configuration: one to five hubs, one to forty boxes, any effects, groups, windows and features."""
     r = Random(seed)
     hubs = [f"h{n}" for n in range(r.randint(1, 5))]
@@ -116,78 +116,80 @@
 
 
 @dataclass
-class Send:
+class AttemptRecord:
     """One attempt on the wire, and how it ended for the router."""
 
-    at: int
-    pull: effects.SendAttempt
+    sent_ns: int
+    command: effects.SendAttempt
     server: str
-    life: int  # of the router: counts its starts
+    router_life: int  # of the router: counts its starts
     fate: str
-    took: int = 0  # time its server takes for it, in ns
-    over: int = 0  # its answer was read, it was killed, or its connection or the router ended
+    service_ns: int = 0  # time its server takes for it, in ns
+    ended_ns: int = 0  # its answer was read, it was killed, or its connection or the router ended
 
 
 @dataclass
-class Ask:
+class RequestRecord:
     """One call of a client and all that came of it."""
 
-    at: int
-    call: inputs.ClientRequest
-    life: int
-    finals: list[tuple[int, effects.Effect]] = field(default_factory=list)
-    gone: int = 0  # the client cancelled, or the router was killed
+    arrived_ns: int
+    request: inputs.ClientRequest
+    router_life: int
+    final_effects: list[tuple[int, effects.Effect]] = field(default_factory=list)
+    gone_ns: int = 0  # the client cancelled, or the router was killed
 
 
-class Day:
+class SimulatedDay:
     """One router at one deployment, its servers, its feed and its clients."""
 
     def __init__(self, seed: int, seconds: int = 12) -> None:
-        self.random, self.raw = Random(seed + 1_000_003), made(seed)
-        self.config = parse_config(self.raw, {})
-        self.endpoints = {e["name"]: dict(e) for e in self.raw["known"]["events"][0]["members"]["endpoints"]}
-        self.classes = {c["name"]: c for c in self.raw["settings"]["classes"]}
+        self.random, self.raw_config = Random(seed + 1_000_003), generate_configuration(seed)
+        self.config = parse_config(self.raw_config, {})
+        self.endpoints = {
+            e["name"]: dict(e) for e in self.raw_config["known"]["events"][0]["members"]["endpoints"]
+        }
+        self.classes = {c["name"]: c for c in self.raw_config["settings"]["classes"]}
         self.silent = self.random.choice([0.0, 0.05, 0.3])
         self.heap: list[tuple[int, int, int, Any]] = []
-        self.made = self.life = 0
+        self.made = self.router_life = 0
         self.now = START
-        self.sends: list[Send] = []
-        self.asks: dict[tuple[int, int], Ask] = {}
-        self.by_trace: dict[str, Ask] = {}
-        self.told: list[tuple[int, str, Any]] = []  # drains, restarts and purges, when the router heard
+        self.attempts: list[AttemptRecord] = []
+        self.requests: dict[tuple[int, int], RequestRecord] = {}
+        self.requests_by_trace: dict[str, RequestRecord] = {}
+        self.notices: list[tuple[int, str, Any]] = []  # drains, restarts and purges, when the router heard
         self.up = True
-        self.begin()
+        self.start_router()
         end = START + seconds * S
         for _ in range(seconds * 25):
-            self.later(START + self.random.randrange(seconds * S), ("ask", "", False, 0))
+            self.schedule(START + self.random.randrange(seconds * S), ("ask", "", False, 0))
         for what, count in (("drain", 2), ("restart", 3), ("purge", 6), ("kill", 1)):
             for _ in range(count):
-                self.later(START + S + self.random.randrange((seconds - 2) * S), (what,))
+                self.schedule(START + S + self.random.randrange((seconds - 2) * S), (what,))
         while self.heap and self.heap[0][0] < end + 8 * S:
             self.now, _, life, event = heapq.heappop(self.heap)
             if isinstance(event, tuple):
                 getattr(self, f"do_{event[0]}")(*event[1:])
-            elif life == self.life and self.up:
-                self.tell(event)
+            elif life == self.router_life and self.up:
+                self.deliver(event)
 
-    def later(self, at: int, event: Any) -> None:
+    def schedule(self, at: int, event: Any) -> None:
         self.made += 1
-        heapq.heappush(self.heap, (at, self.made, self.life, event))
+        heapq.heappush(self.heap, (at, self.made, self.router_life, event))
 
-    def begin(self) -> None:
+    def start_router(self) -> None:
         """A router that knows its list and nothing else."""
-        self.life += 1
+        self.router_life += 1
         self.up = True
         self.links: dict[int, str] = {}
-        self.open: dict[tuple[int, str], Send] = {}  # by link and id
+        self.open: dict[tuple[int, str], AttemptRecord] = {}  # by link and id
         self.reducer = Reducer(self.config)
         self.carry_out(self.reducer.start(self.now))
         gone = [e for e in self.endpoints.values() if e["status"] != "active" or e.get("since_ms")]
         if gone:
             self.members(gone)
-        self.tell(inputs.ListenersReady())
+        self.deliver(inputs.ListenersReady())
 
-    def tell(self, message: inputs.Input) -> None:
+    def deliver(self, message: inputs.Input) -> None:
         if (
             isinstance(message, (inputs.ServerConnected, inputs.ServerConnectionLost, inputs.ServerResponse))
             and message.connection not in self.links
@@ -196,17 +198,17 @@
         if isinstance(message, inputs.ServerConnectionLost):
             del self.links[message.connection]
             for key in [k for k in self.open if k[0] == message.connection]:
-                self.open.pop(key).over = self.now
+                self.open.pop(key).ended_ns = self.now
         if isinstance(message, inputs.ServerResponse):
             sent = self.open.pop((message.connection, message.attempt_id), None)
             if sent is None:
                 return
-            sent.over = self.now
+            sent.ended_ns = self.now
         self.carry_out(self.reducer.handle(self.now, message))
 
     def members(self, rows: list[dict[str, Any]]) -> None:
         states = {"active": "in_service", "leaving": "terminating", "left": "terminated"}
-        self.tell(
+        self.deliver(
             inputs.WatchResponse(
                 9,
                 (
@@ -262,26 +264,28 @@
             idempotency_key=nonce,
             size_kb=r.choice([0.0, 1.0, 200.0, 5_000.0]),
         )
-        ask = self.asks[self.made, 1] = self.by_trace[call.trace_id] = Ask(self.now, call, self.life)
-        self.later(self.now + patience * MS + 51 * MS, ("leave", ask, since or self.now))
-        self.tell(call)
+        ask = self.requests[self.made, 1] = self.requests_by_trace[call.trace_id] = RequestRecord(
+            self.now, call, self.router_life
+        )
+        self.schedule(self.now + patience * MS + 51 * MS, ("leave", ask, since or self.now))
+        self.deliver(call)
 
-    def do_leave(self, ask: Ask, since: int) -> None:
+    def do_leave(self, ask: RequestRecord, since: int) -> None:
         """The client's patience is over; it may come again as its class allows."""
-        cls = self.classes[ask.call.request_class]
-        if not ask.finals and not ask.gone:
-            ask.gone = self.now
-            if ask.life == self.life and self.up:
-                self.tell(inputs.CancelRequest(ask.call.client, 1))
-        refused = any(isinstance(f, effects.RejectRequest) for _, f in ask.finals)
-        served = any(isinstance(f, effects.SendResponse) for _, f in ask.finals)
+        cls = self.classes[ask.request.request_class]
+        if not ask.final_effects and not ask.gone_ns:
+            ask.gone_ns = self.now
+            if ask.router_life == self.router_life and self.up:
+                self.deliver(inputs.CancelRequest(ask.request.client, 1))
+        refused = any(isinstance(f, effects.RejectRequest) for _, f in ask.final_effects)
+        served = any(isinstance(f, effects.SendResponse) for _, f in ask.final_effects)
         again = (
             cls["idempotency"] == "keyed"
             and not served
             and (refused or cls["group"] == "all" and self.now - since < cls["dedup_window_ns"])
         )
         if again and self.random.random() < 0.7:
-            self.later(self.now + 100 * MS, ("ask", ask.call.idempotency_key, True, since))
+            self.schedule(self.now + 100 * MS, ("ask", ask.request.idempotency_key, True, since))
 
     def do_drain(self) -> None:
         self.change("leaving", self.random.choice(["leaving", "left"]))
@@ -289,7 +293,7 @@
     def do_restart(self) -> None:
         name = self.change("active", "active")
         for link in [k for k, at in self.links.items() if name and at == name]:
-            self.tell(inputs.ServerConnectionLost(link, "reset"))
+            self.deliver(inputs.ServerConnectionLost(link, "reset"))
 
     def change(self, what: str, status: str) -> str:
         names = [
@@ -301,47 +305,47 @@
         e["status"] = status
         if what == "active":
             e["since_ms"] = self.now // MS
-        self.told.append((self.now, what, e["name"]))
+        self.notices.append((self.now, what, e["name"]))
         if self.up:
             self.members([e])
         return str(e["name"])
 
     def do_purge(self) -> None:
         item, group = self.random.choice([(7, 0), (8, 0), (None, 3)])
-        self.told.append((self.now, "purge", (item, group, self.now - 50 * MS)))
+        self.notices.append((self.now, "purge", (item, group, self.now - 50 * MS)))
         if self.up:
-            self.tell(inputs.WatchResponse(9, (inputs.Purge(item, group, self.now - 50 * MS),)))
+            self.deliver(inputs.WatchResponse(9, (inputs.Purge(item, group, self.now - 50 * MS),)))
 
     def do_kill(self) -> None:
         """The router dies; its clients' connections end, and it starts again from nothing."""
         self.up = False
         for sent in self.open.values():
-            sent.over = self.now
-        for ask in self.asks.values():
-            if not ask.finals and not ask.gone:
-                ask.gone = self.now
-        self.later(self.now + 300 * MS, ("start",))
+            sent.ended_ns = self.now
+        for ask in self.requests.values():
+            if not ask.final_effects and not ask.gone_ns:
+                ask.gone_ns = self.now
+        self.schedule(self.now + 300 * MS, ("start",))
 
     def do_start(self) -> None:
-        self.told = [t for t in self.told if t[1] != "purge" or self.now - t[0] < 6 * S]
-        self.begin()
-        for at, what, more in list(self.told):
+        self.notices = [t for t in self.notices if t[1] != "purge" or self.now - t[0] < 6 * S]
+        self.start_router()
+        for at, what, more in list(self.notices):
             if what == "purge":  # it is told those of the last seconds at its start
-                self.tell(inputs.WatchResponse(9, (inputs.Purge(more[0], more[1], more[2]),)))
-                self.told.append((self.now, "purge", more))
-                self.told.remove((at, what, more))
+                self.deliver(inputs.WatchResponse(9, (inputs.Purge(more[0], more[1], more[2]),)))
+                self.notices.append((self.now, "purge", more))
+                self.notices.remove((at, what, more))
 
     # What the router does ---------------------------------------------------------------------------------
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
         for e in effect_list:
             if isinstance(e, effects.ScheduleTimer):
-                self.later(max(e.at_ns, self.now), inputs.TimerFired(e.key))
+                self.schedule(max(e.at_ns, self.now), inputs.TimerFired(e.key))
             elif isinstance(e, effects.OpenServerConnection):
                 name = next(n for n, x in self.endpoints.items() if x["address"] == e.address)
                 self.links[e.connection] = name
                 up = self.random.random() > 0.03
-                self.later(
+                self.schedule(
                     self.now + self.random.randint(1, 30) * MS,
                     inputs.ServerConnected(e.connection)
                     if up
@@ -350,15 +354,15 @@
             elif isinstance(e, effects.CloseServerConnection):
                 self.links.pop(e.connection, None)
                 for key in [k for k in self.open if k[0] == e.connection]:
-                    self.open.pop(key).over = self.now
+                    self.open.pop(key).ended_ns = self.now
             elif isinstance(e, effects.CancelAttempt):
                 sent = self.open.pop((e.connection, e.attempt_id), None)
                 if sent:
-                    sent.over = self.now
+                    sent.ended_ns = self.now
             elif isinstance(e, effects.SendAttempt):
                 self.pull(e)
             elif isinstance(e, (effects.SendResponse, effects.RejectRequest, effects.FailRequest)):
-                self.asks[e.client, e.request_number].finals.append((self.now, e))
+                self.requests[e.client, e.request_number].final_effects.append((self.now, e))
 
     def pull(self, e: effects.SendAttempt) -> None:
         r = self.random
@@ -368,12 +372,12 @@
             else r.choices(["done", "lack", "wait", "broke", "reset"], [0.8, 0.05, 0.05, 0.05, 0.02])[0]
         )
         took = int(r.lognormvariate(4, 1)) * MS + MS
-        sent = Send(self.now, e, self.links[e.connection], self.life, fate, took)
-        self.sends.append(sent)
+        sent = AttemptRecord(self.now, e, self.links[e.connection], self.router_life, fate, took)
+        self.attempts.append(sent)
         self.open[e.connection, e.attempt_id] = sent
         took += self.now
         if fate == "reset":
-            self.later(took, inputs.ServerConnectionLost(e.connection, "reset"))
+            self.schedule(took, inputs.ServerConnectionLost(e.connection, "reset"))
         elif fate != "silent":
             report = {k: r.random() for k in self.config.settings.load_report_fields}
             note = (
@@ -381,9 +385,9 @@
                 if fate == "done"
                 else FillResult.NONE
             )
-            self.later(
+            self.schedule(
                 took,
                 inputs.ServerResponse(
-                    e.connection, e.attempt_id, ENDS[fate], note, 5 * MS, report, False, b"x"
+                    e.connection, e.attempt_id, OUTCOME_BY_FATE[fate], note, 5 * MS, report, False, b"x"
                 ),
             )
--- a/testbed/field/__init__.py
+++ b/testbed/field/__init__.py
@@ -1,9 +1,19 @@
 """Many real router processes with faults between them: builds, routers, relays, clients, and a watch."""
 
-from testbed.field.builds import build
-from testbed.field.datagrams import Datagrams, Fate
-from testbed.field.field import Field, Load, Node
-from testbed.field.relay import Mode, Relay
-from testbed.field.watch import Watch
+from testbed.field.builds import build_program
+from testbed.field.datagrams import DatagramFate, DatagramRelay
+from testbed.field.field import ClientLoad, RouterField, RouterNode
+from testbed.field.relay import LinkMode, Relay
+from testbed.field.watch import ContractChecker
 
-__all__ = ["Datagrams", "Fate", "Field", "Load", "Mode", "Node", "Relay", "Watch", "build"]
+__all__ = [
+    "DatagramRelay",
+    "DatagramFate",
+    "RouterField",
+    "ClientLoad",
+    "LinkMode",
+    "RouterNode",
+    "Relay",
+    "ContractChecker",
+    "build_program",
+]
--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -137,7 +137,7 @@
 }
 
 
-def build(folder: Path, defect: str = "sound") -> Path:
+def build_program(folder: Path, defect: str = "sound") -> Path:
     """A copy of the program under ``folder``; raises where a defect no longer fits the sources."""
     for package in ("kelpcroft",):
         shutil.copytree(
--- a/testbed/field/datagrams.py
+++ b/testbed/field/datagrams.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Fate:
+class DatagramFate:
     """What happens to datagrams: shares of them, and the delay of the rest in seconds, up to twice that."""
 
     lost: float = 0.0
@@ -29,10 +29,10 @@
     silent: bool = False  # nothing passes
 
 
-class Datagrams:
+class DatagramRelay:
     """Listens on a port of its own and passes on to a target.  A context manager; its fate may change."""
 
-    def __init__(self, target: tuple[str, int], fate: Fate = Fate(), seed: int = 1) -> None:  # noqa: B008
+    def __init__(self, target: tuple[str, int], fate: DatagramFate = DatagramFate(), seed: int = 1) -> None:  # noqa: B008
         self.target, self.fate, self.random = target, fate, Random(seed)
         self.sock = self.made()
         self.address: tuple[str, int] = self.sock.getsockname()[:2]
@@ -52,7 +52,7 @@
         sock.setblocking(False)
         return sock
 
-    def __enter__(self) -> Datagrams:
+    def __enter__(self) -> DatagramRelay:
         return self
 
     def __exit__(self, *_: object) -> None:
--- a/testbed/field/relay.py
+++ b/testbed/field/relay.py
@@ -16,7 +16,7 @@
 SLOW_S = 0.02
 
 
-class Mode(Enum):
+class LinkMode(Enum):
     """What the link does with bytes and with new connections."""
 
     PASS = "pass"
@@ -47,7 +47,7 @@
     ``share`` says to how many of the connections, by their number, it applies."""
 
     def __init__(self, target: tuple[str, int], delay_s: float = 2.0, seed: int = 1) -> None:
-        self.target, self.delay_s, self.mode, self.share = target, delay_s, Mode.PASS, 1.0
+        self.target, self.delay_s, self.mode, self.share = target, delay_s, LinkMode.PASS, 1.0
         self.random = random.Random(seed)
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=256)
         self.listener.setblocking(False)
@@ -68,10 +68,10 @@
         self.asked.append("stop")
         self.thread.join(5)
 
-    def change(self, mode: Mode, share: float = 1.0) -> None:
+    def change(self, mode: LinkMode, share: float = 1.0) -> None:
         """Another mode from now on."""
         self.share, self.mode = share, mode
-        if mode is Mode.RESET:
+        if mode is LinkMode.RESET:
             self.asked.append("drop")
 
     def drop(self) -> None:
@@ -100,7 +100,7 @@
             for end in list(self.ends):
                 self.write(end, now)
 
-    def strikes(self, end: End, mode: Mode) -> bool:
+    def strikes(self, end: End, mode: LinkMode) -> bool:
         return self.mode is mode and end in self.struck
 
     def accept(self) -> None:
@@ -111,7 +111,7 @@
         self.passed += 1
         hit = (self.passed * 0.618) % 1 < self.share
         near = End(client, False)
-        if self.mode in (Mode.REFUSE, Mode.RESET) and hit:
+        if self.mode in (LinkMode.REFUSE, LinkMode.RESET) and hit:
             self.reset(near)
             return
         try:
@@ -131,7 +131,7 @@
     def read(self, end: End) -> None:
         other = end.other
         assert other is not None
-        if self.strikes(end, Mode.SILENT):
+        if self.strikes(end, LinkMode.SILENT):
             time.sleep(0.001)
             return
         try:
@@ -145,22 +145,22 @@
         if not data:
             other.ending = True
             self.selector.unregister(end.sock)
-        elif end.answers and self.strikes(end, Mode.ONE_WAY):
+        elif end.answers and self.strikes(end, LinkMode.ONE_WAY):
             return
-        elif end.answers and self.strikes(end, Mode.CUT):
+        elif end.answers and self.strikes(end, LinkMode.CUT):
             try:
                 other.sock.sendall(data[: len(data) // 2])
             except OSError:
                 pass
             self.reset(end)
             return
-        elif end.answers and self.strikes(end, Mode.GARBAGE):
+        elif end.answers and self.strikes(end, LinkMode.GARBAGE):
             data = b"\x00garbage\xff" * 8
-        elif self.strikes(end, Mode.DELAY):
+        elif self.strikes(end, LinkMode.DELAY):
             due += self.delay_s * (1 + self.random.random())
             if other.queue:
                 due = max(due, other.queue[-1][0])  # bytes keep their order
-        if data and self.strikes(end, Mode.SLOW):
+        if data and self.strikes(end, LinkMode.SLOW):
             for n in range(0, len(data), SLOW_BYTES):
                 other.queue.append((due + n // SLOW_BYTES * SLOW_S, data[n : n + SLOW_BYTES]))
         elif data:
@@ -168,7 +168,7 @@
         self.write(other, time.monotonic())
 
     def write(self, end: End, now: float) -> None:
-        if end not in self.ends or self.strikes(end, Mode.SILENT):
+        if end not in self.ends or self.strikes(end, LinkMode.SILENT):
             return
         try:
             while end.queue and end.queue[0][0] <= now:
--- a/testbed/field/watch.py
+++ b/testbed/field/watch.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from testbed.stand_ins import MS, Seen, World
+from testbed.stand_ins import MS, ServerCommand, StandInServers
 
 S = 1_000_000_000
 SLACK_NS = 150 * MS  # what a busy machine may add between a wire and a record
 
 
 @dataclass
-class Asked:
+class ClientCall:
     """One call of a client: all its sends and answers."""
 
     trace: str
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Rules:
+class ContractRules:
     """What holds in this deployment, from its settings."""
 
     effects: dict[str, tuple[str, int]]  # class: effect, window in ns
@@ -55,9 +55,9 @@
     hub_multiple: float = 1.0
 
     @staticmethod
-    def of(settings: dict[str, Any], unit_ns: int) -> Rules:
+    def of(settings: dict[str, Any], unit_ns: int) -> ContractRules:
         c, f = settings["contract"], settings["family_info"]
-        return Rules(
+        return ContractRules(
             {x["name"]: (x["idempotency"], x.get("dedup_window_ns", 0)) for x in settings["classes"]},
             c["drain_grace_ns"],
             f["purge_grace_ns"],
@@ -74,14 +74,14 @@
         )
 
 
-class Watch:
+class ContractChecker:
     """All findings over one run.  ``servers``: a stand-in's name, its id in the list and its weight."""
 
     def __init__(
         self,
-        world: World,
-        asked: list[Asked],
-        rules: Rules,
+        world: StandInServers,
+        asked: list[ClientCall],
+        rules: ContractRules,
         servers: dict[str, tuple[str, float]],
         killed: bool = False,
         cut: bool = False,
@@ -91,17 +91,19 @@
         """``killed``: routers died, so what they had taken may be unanswered.  ``cut``: links lost bytes, so
         what a router had given up may look as if it were out.  ``cold``: servers that started with the
         routers, and when: the routers knew it from the first send.  ``hubs``: ids of those that are."""
-        self.rules, self.found, self.killed, self.cut = rules, list[str](), killed, cut
+        self.rules, self.violations, self.killed, self.cut = rules, list[str](), killed, cut
         self.sizes = {a.trace: a.size_kb for a in asked}
         with world.lock:
-            self.seen = [s for s in world.seen if s.word in ("PULL", "KILL")]
-            self.news = {e["n"]: e for e in world.news}
-            self.born = {e["n"]: at for e, at in zip(world.news, world.born, strict=True)}
+            self.seen = [s for s in world.commands if s.verb in ("PULL", "KILL")]
+            self.news = {e["n"]: e for e in world.feed_events}
+            self.born = {
+                e["n"]: at for e, at in zip(world.feed_events, world.feed_event_times_ns, strict=True)
+            }
             self.told = dict[int, int]()  # when the last router then there had heard of it
-            for n, at in world.told:
+            for n, at in world.feed_deliveries:
                 if at < self.born[n] + 2 * S:
                     self.told[n] = max(at, self.told.get(n, 0))
-            self.replies = dict(world.replied)
+            self.replies = dict(world.settled_requests)
         self.hubs = hubs
         self.ids = {name: id for name, (id, _) in servers.items()}
         self.weights = {id: weight for id, weight in servers.values()}
@@ -113,12 +115,12 @@
             self.cold(id, at - SLACK_NS, at)
 
     def say(self, rule: str, what: str) -> None:
-        self.found.append(f"{rule}: {what}")
+        self.violations.append(f"{rule}: {what}")
 
-    def rules_broken(self) -> set[str]:
-        return {line.split(":")[0] for line in self.found}
+    def broken_rules(self) -> set[str]:
+        return {line.split(":")[0] for line in self.violations}
 
-    def answered(self, call: Asked) -> None:
+    def answered(self, call: ClientCall) -> None:
         due = call.at_ns + call.patience_ms * MS + SLACK_NS
         if len(call.answers) > 1:
             self.say("answered", f"{call.trace} has {len(call.answers)} answers")
@@ -131,25 +133,26 @@
 
     def once(self) -> None:
         """Sends of one request, and of one key."""
-        by_id: dict[str, list[Seen]] = defaultdict(list)
+        by_id: dict[str, list[ServerCommand]] = defaultdict(list)
         for seen in self.seen:
-            by_id[seen.id].append(seen)
+            by_id[seen.request_id].append(seen)
         for id, sends in by_id.items():
-            pulls = [s for s in sends if s.word == "PULL"]
+            pulls = [s for s in sends if s.verb == "PULL"]
             effect, window = self.rules.effects.get(pulls[0].fields.get("cls", ""), ("safe", 0))
             for n, pull in enumerate(pulls[1:], 1):
                 before = pulls[n - 1]
-                over = self.replies.get((id, before.server, before.at_ns))
+                over = self.replies.get((id, before.server, before.received_ns))
                 killed = any(
-                    s.word == "KILL" and s.server == before.server and before.at_ns <= s.at_ns for s in sends
+                    s.verb == "KILL" and s.server == before.server and before.received_ns <= s.received_ns
+                    for s in sends
                 )
                 ended, proved = over if over else (0, False)
-                out = not killed and not (ended and ended <= pull.at_ns + SLACK_NS)
+                out = not killed and not (ended and ended <= pull.received_ns + SLACK_NS)
                 if out and not self.cut and not (effect == "safe" and self.rules.copies):
                     self.say("once", f"{id} has two attempts out")
                 if effect == "unsafe" and not proved:
                     self.say("once", f"{id} was sent again, which may have run")
-                if effect == "keyed" and not proved and pull.at_ns - pulls[0].at_ns > window:
+                if effect == "keyed" and not proved and pull.received_ns - pulls[0].received_ns > window:
                     self.say("once", f"{id} was sent past its key's window")
 
     def events(self) -> None:
@@ -174,17 +177,19 @@
             if "purge" in event:
                 self.purged(event["purge"]["key"], told, self.born[n])
 
-    def to(self, id: str) -> list[Seen]:
+    def to(self, id: str) -> list[ServerCommand]:
         """What was sent to a server, or was to be filled from it."""
         return [
             s
             for s in self.seen
-            if s.word == "PULL" and (self.ids.get(s.server) == id or s.fields.get("next") == id)
+            if s.verb == "PULL" and (self.ids.get(s.server) == id or s.fields.get("next") == id)
         ]
 
     def drained(self, id: str, from_ns: int, back_ns: int) -> None:
         """``back_ns``: when it was in service again; 0 = never."""
-        late = [s for s in self.to(id) if s.at_ns > from_ns and (not back_ns or s.at_ns < back_ns)]
+        late = [
+            s for s in self.to(id) if s.received_ns > from_ns and (not back_ns or s.received_ns < back_ns)
+        ]
         if late:
             self.say("drained", f"{id} was sent {len(late)} requests past the grace")
 
@@ -194,18 +199,18 @@
         if id in self.hubs:
             low, span, multiple = r.hub_from, r.hub_ns, r.hub_multiple
         # What was on its way when the routers heard of it is excused, as with a drain.
-        sends = [s for s in self.to(id) if told + SLACK_NS <= s.at_ns < started + span]
+        sends = [s for s in self.to(id) if told + SLACK_NS <= s.received_ns < started + span]
         for n, last in enumerate(sends):
-            window = [s for s in sends[: n + 1] if s.at_ns > last.at_ns - r.fall_ns]
+            window = [s for s in sends[: n + 1] if s.received_ns > last.received_ns - r.fall_ns]
             work = [self.work(s) for s in window]
-            share = low + (1 - low) * (last.at_ns - started) / span
+            share = low + (1 - low) * (last.received_ns - started) / span
             room = multiple * share * self.weights[id] * r.fall_ns
             if sum(work) - max(work) > room:
                 self.say("cold", f"{id} was sent {sum(work) / S:.2f} s of work where {room / S:.2f} s fit")
                 return
 
-    def work(self, seen: Seen) -> float:
-        size = self.sizes.get(seen.id, 0.0)
+    def work(self, seen: ServerCommand) -> float:
+        size = self.sizes.get(seen.request_id, 0.0)
         pace = self.rules.pace_kb_per_s
         return size / pace * S if size and pace else self.rules.unit_ns
 
@@ -214,10 +219,10 @@
         late = [
             s
             for s in self.seen
-            if s.word == "PULL"
+            if s.verb == "PULL"
             and s.fields["item"] == item
-            and told + self.rules.purge_grace_ns + SLACK_NS < s.at_ns < told + 4 * S
-            and not 0 < int(s.fields.get("agelim", 0)) * MS <= s.at_ns - born
+            and told + self.rules.purge_grace_ns + SLACK_NS < s.received_ns < told + 4 * S
+            and not 0 < int(s.fields.get("agelim", 0)) * MS <= s.received_ns - born
         ]
         if late:
             self.say("purged", f"{len(late)} requests for what was purged allow an old copy")
--- a/testbed/fleet.py
+++ b/testbed/fleet.py
@@ -15,23 +15,23 @@
 
 MS, S = 10**6, 10**9
 # Time to the end in ns, how it ends, the note and the report.
-Reply = tuple[int, Outcome, FillResult, dict[str, float]]
+ScriptedResult = tuple[int, Outcome, FillResult, dict[str, float]]
 
 
-class Fleet:
+class PolicyFleet:
     """Many routers in virtual time; ``reply`` says when and how an attempt ends, or is None: never."""
 
     def __init__(
-        self, routers: list[RoutingPolicy], reply: Callable[[int, api.ForwardRequest], Reply | None]
+        self, routers: list[RoutingPolicy], reply: Callable[[int, api.ForwardRequest], ScriptedResult | None]
     ) -> None:
         self.routers, self.reply = routers, reply
         self.heap: list[tuple[int, int, int, api.Event]] = []
         self.made = 0
-        self.sent: list[tuple[int, api.ForwardRequest]] = []
-        self.ended: list[tuple[int, api.Action]] = []
-        self.tries: dict[tuple[int, str], int] = {}
+        self.attempts: list[tuple[int, api.ForwardRequest]] = []
+        self.unserved: list[tuple[int, api.Action]] = []
+        self.attempt_counts: dict[tuple[int, str], int] = {}
 
-    def at(self, when: int, router: int, event: api.Event) -> None:
+    def schedule(self, when: int, router: int, event: api.Event) -> None:
         """An event to come to one router."""
         self.made += 1
         heapq.heappush(self.heap, (when, self.made, router, event))
@@ -42,18 +42,18 @@
             now, _, n, event = heapq.heappop(self.heap)
             for a in self.routers[n].handle(now, event):
                 if isinstance(a, api.SetTimer):
-                    self.at(a.at_ns, n, api.TimerExpired(a.label))
+                    self.schedule(a.at_ns, n, api.TimerExpired(a.label))
                 elif isinstance(a, api.ForwardRequest):
-                    self.sent.append((now, a))
-                    number = self.tries.get((n, a.id), 0)
-                    self.tries[n, a.id] = number + 1
+                    self.attempts.append((now, a))
+                    number = self.attempt_counts.get((n, a.id), 0)
+                    self.attempt_counts[n, a.id] = number + 1
                     took, outcome, note, report = self.reply(now, a) or (
                         a.timeout_ns,
                         Outcome.TIMEOUT,
                         FillResult.NONE,
                         {},
                     )
-                    self.at(
+                    self.schedule(
                         now + took,
                         n,
                         api.AttemptEnded(
@@ -69,13 +69,17 @@
                         ),
                     )
                 elif isinstance(a, (api.Reject, api.Fail)):
-                    self.ended.append((now, a))
+                    self.unserved.append((now, a))
 
-    def ask(self, start: int, end: int, each_ns: int, random: Random, objects: int = 10**6) -> None:
+    def schedule_requests(
+        self, start: int, end: int, each_ns: int, random: Random, objects: int = 10**6
+    ) -> None:
         """Requests to every router, one in ``each_ns`` on average, for objects drawn at random."""
         for n in range(len(self.routers)):
             now = start
             while now < end:
                 now += int(random.expovariate(1) * each_ns)
                 self.made += 1
-                self.at(now, n, api.Request(f"{n}-{self.made}", "safe", 3 * S, random.randrange(objects)))
+                self.schedule(
+                    now, n, api.Request(f"{n}-{self.made}", "safe", 3 * S, random.randrange(objects))
+                )
--- a/testbed/hollow/configuration.py
+++ b/testbed/hollow/configuration.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class FleetSize:
     """How much of everything there is."""
 
     routers: int = 590
@@ -46,7 +46,7 @@
     }
 
 
-def endpoints(size: Size) -> list[dict[str, Any]]:
+def endpoints(size: FleetSize) -> list[dict[str, Any]]:
     """The whole list: caches over the zones, parents, and the origin."""
     caches = max(size.zones, size.servers - PARENTS - 1)
     lines = [endpoint(f"s-{n:04x}", f"z{n % size.zones}", "box", n) for n in range(caches)]
@@ -54,7 +54,7 @@
     return [*lines, endpoint("origin", "hub", "origin", caches + PARENTS)]
 
 
-def configuration(size: Size, router: int, feed: str, listen: str, mgmt: str) -> dict[str, Any]:
+def configuration(size: FleetSize, router: int, feed: str, listen: str, mgmt: str) -> dict[str, Any]:
     """One router's configuration."""
     raw: dict[str, Any] = json.loads((ROOT / "examples/config.json").read_text())
     zones = [*size.zone_names(), "hub"]
--- a/testbed/hollow/field.py
+++ b/testbed/hollow/field.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from testbed.field.relay import Relay
-from testbed.hollow.configuration import Size
-from testbed.hollow.processes import Asked, ControlReplica, hollow_routers, list_service, wait_for
+from testbed.hollow.configuration import FleetSize
+from testbed.hollow.processes import ControlReplica, LineProcess, hollow_routers, list_service, wait_for
 
 LONGEST_S = 20.0  # who is not in step by then never will be
 
@@ -18,7 +18,7 @@
     """Replicas r0, r1, ...: before each one a relay to its watchers, and one between it and upstream.  A
     context manager."""
 
-    def __init__(self, size: Size, replicas: int = 2, services: int = 1, more: str = "") -> None:
+    def __init__(self, size: FleetSize, replicas: int = 2, services: int = 1, more: str = "") -> None:
         """``services``: list services that know nothing of each other; replica n watches the n-th."""
         self.size, self.count, self.services, self.more = size, replicas, services, more
         self.stack = ExitStack()
@@ -55,16 +55,16 @@
         rules = self.folder / "rules.kdl"
         rules.write_text(f"kelpcroft version=1\nreplicas {addresses}\n")
         fleet = hollow_routers(self.size, "127.0.0.1:1", str(rules), self.size.routers)
-        self.routers: Asked = self.stack.enter_context(fleet)[0]
+        self.routers: LineProcess = self.stack.enter_context(fleet)[0]
 
     def __exit__(self, *_: object) -> None:
         self.stack.close()
 
-    def tell(self, service: Asked | None = None, **order: Any) -> int:
+    def order_service(self, service: LineProcess | None = None, **order: Any) -> int:
         """An order to the list service: the number of the last event."""
         return int((service or self.service).ask(**order)["n"])
 
-    def in_step(self, number: int, servers: int, longest_s: float = LONGEST_S) -> bool:
+    def is_caught_up(self, number: int, servers: int, longest_s: float = LONGEST_S) -> bool:
         """Whether in time all routers have an event in force, and use so many servers."""
 
         def found() -> bool:
--- a/testbed/hollow/processes.py
+++ b/testbed/hollow/processes.py
@@ -16,14 +16,14 @@
 from pathlib import Path
 from typing import Any
 
-from testbed.hollow.configuration import Size, configuration
+from testbed.hollow.configuration import FleetSize, configuration
 from testbed.stand_ins import ROOT
 
 EACH_PROCESS = 100  # hollow routers in one process
 TICK_S = os.sysconf("SC_CLK_TCK")
 
 
-class Asked:
+class LineProcess:
     """A process that answers each line on its standard input by a line of JSON."""
 
     def __init__(self, words: list[str], cwd: Path = ROOT) -> None:
@@ -63,9 +63,9 @@
 
 
 @contextmanager
-def list_service(size: Size) -> Iterator[Asked]:
+def list_service(size: FleetSize) -> Iterator[LineProcess]:
     """The list service of a fleet."""
-    service = Asked(
+    service = LineProcess(
         ["-m", "testbed.hollow.service", "--servers", str(size.servers), "--zones", str(size.zones)]
     )
     try:
@@ -75,7 +75,9 @@
 
 
 @contextmanager
-def hollow_routers(size: Size, feed: str, rules: str = "", each: int = EACH_PROCESS) -> Iterator[list[Asked]]:
+def hollow_routers(
+    size: FleetSize, feed: str, rules: str = "", each: int = EACH_PROCESS
+) -> Iterator[list[LineProcess]]:
     """All routers of a fleet, some in each process."""
     with ExitStack() as stack:
         found = []
@@ -97,7 +99,7 @@
                 "--feed",
                 feed,
             ]
-            found.append(Asked([*words, *(["--rules", rules] if rules else [])]))
+            found.append(LineProcess([*words, *(["--rules", rules] if rules else [])]))
             stack.callback(found[-1].end)
         yield found
 
@@ -118,7 +120,7 @@
         upstreams: list[str],
         peers: list[str] | None = None,
         more: str = "",
-        size: Size | None = None,
+        size: FleetSize | None = None,
     ) -> None:
         """``upstreams`` and ``peers`` as HOST:PORT; ``more``: further lines of its file."""
         self.name, self.port = name, free_port()
@@ -128,7 +130,7 @@
             if found:
                 lines.append(f"{node} " + " ".join(f'"{x}"' for x in found))
         self.file.write_text("\n".join([*lines, more]) + "\n")
-        raw = configuration(size or Size(), 0, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2")
+        raw = configuration(size or FleetSize(), 0, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2")
         self.config.write_text(json.dumps(raw))
         self.process: subprocess.Popen[bytes] | None = None
 
@@ -184,7 +186,7 @@
 
     def __init__(
         self,
-        size: Size,
+        size: FleetSize,
         number: int,
         feed: str,
         program: Path,
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -25,7 +25,7 @@
 from kelpcroft.net.clock import Clock
 from kelpcroft.net.event_loop import EventLoop
 from kelpcroft.operator_file.service import load_at_start, reload_steps
-from testbed.hollow.configuration import Size, configuration
+from testbed.hollow.configuration import FleetSize, configuration
 
 LOOK_S = 0.05  # loops with a wake-up that is due are looked for this often at the least
 
@@ -33,7 +33,7 @@
 class Hollow:
     """One router's loop, run when it has something to do."""
 
-    def __init__(self, size: Size, number: int, feed: str, rules: str) -> None:
+    def __init__(self, size: FleetSize, number: int, feed: str, rules: str) -> None:
         host = f"127.2.{number // 250}.{number % 250 + 1}"
         raw = configuration(size, number, feed, f"{host}:7000", f"{host}:7001")
         config = parse_config(raw, {})
@@ -60,7 +60,7 @@
 class Fleet:
     """The routers of this process."""
 
-    def __init__(self, size: Size, first: int, count: int, feed: str, rules: str) -> None:
+    def __init__(self, size: FleetSize, first: int, count: int, feed: str, rules: str) -> None:
         self.routers = [Hollow(size, number, feed, rules) for number in range(first, first + count)]
         self.selector = selectors.DefaultSelector()
         for router in self.routers:
@@ -114,7 +114,7 @@
     parser.add_argument("--feed", required=True)
     parser.add_argument("--rules", default="")
     options = parser.parse_args()
-    size = Size(options.routers, options.servers, options.zones)
+    size = FleetSize(options.routers, options.servers, options.zones)
     fleet = Fleet(size, options.first, options.count, options.feed, options.rules)
     gc.freeze()
     print(json.dumps({"routers": len(fleet.routers)}), flush=True)
--- a/testbed/hollow/servers.py
+++ b/testbed/hollow/servers.py
@@ -11,7 +11,7 @@
 import json
 import sys
 
-from testbed.stand_ins import Reply, Seen, World
+from testbed.stand_ins import ScriptedReply, ServerCommand, StandInServers
 
 
 def main() -> None:
@@ -20,19 +20,21 @@
     parser.add_argument("--bytes", type=int, default=20_000)
     body = b"x" * parser.parse_args().bytes
 
-    def script(name: str, seen: Seen) -> Reply:
-        return Reply(body=body)
+    def script(name: str, seen: ServerCommand) -> ScriptedReply:
+        return ScriptedReply(body=body)
 
-    with World(script) as world:
-        world.seen = Nothing()
-        print(json.dumps({"feed": world.at("feed"), "members": world.members()}), flush=True)
+    with StandInServers(script) as world:
+        world.commands = Nothing()
+        print(
+            json.dumps({"feed": world.address_of("feed"), "members": world.endpoint_snapshot()}), flush=True
+        )
         sys.stdin.read()
 
 
-class Nothing(list[Seen]):
+class Nothing(list[ServerCommand]):
     """Requests are not written down: there are too many."""
 
-    def append(self, one: Seen) -> None:
+    def append(self, one: ServerCommand) -> None:
         """Nothing."""
 
 
--- a/testbed/hollow/service.py
+++ b/testbed/hollow/service.py
@@ -27,7 +27,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from testbed.hollow.configuration import Size, endpoints
+from testbed.hollow.configuration import FleetSize, endpoints
 
 QUERY = re.compile(rb"GET /v1/events\?SUB=(\d+)&wait=(\d+)")
 READ_SIZE = 1 << 16
@@ -50,7 +50,7 @@
 class ListService:
     """Events, and those who watch them."""
 
-    def __init__(self, size: Size, port: int = 0) -> None:
+    def __init__(self, size: FleetSize, port: int = 0) -> None:
         self.lines = {line["name"]: line for line in endpoints(size)}
         self.events: list[bytes] = []  # encoded, numbered from 2
         self.born: list[int] = []  # Unix ns of each
@@ -271,7 +271,7 @@
     parser.add_argument("--zones", type=int, default=19)
     parser.add_argument("--port", type=int, default=0)
     options = parser.parse_args()
-    service = ListService(Size(servers=options.servers, zones=options.zones), options.port)
+    service = ListService(FleetSize(servers=options.servers, zones=options.zones), options.port)
     ended: list[bool] = []
 
     def order() -> None:
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -23,7 +23,7 @@
 from kelpcroft.net.feed_codec import parse_watch_response
 from kelpcroft.net.upstream_codec import UpstreamCodec
 from kelpcroft.operator_file.model import ControlReplicas, OperatorFile
-from testbed.hollow.configuration import Size, configuration, endpoints
+from testbed.hollow.configuration import FleetSize, configuration, endpoints
 
 MS = 10**6
 SECOND = 10**9
@@ -56,7 +56,7 @@
 class Service:
     """The list service: the true state, and a log of it that may begin anew."""
 
-    net: Net
+    net: VirtualNetwork
     lines: dict[str, dict[str, Any]]
     up: bool = True
     starts: int = 1
@@ -108,7 +108,7 @@
 class ReplicaNode:
     """One control replica over all its processes."""
 
-    def __init__(self, net: Net, number: int, options: ReplicaOptions, skew_ns: int) -> None:
+    def __init__(self, net: VirtualNetwork, number: int, options: ReplicaOptions, skew_ns: int) -> None:
         self.net, self.number, self.options, self.skew_ns = net, number, options, skew_ns
         self.name, self.up, self.starts = f"replica-{number}", False, 0
         self.watches: dict[int, Call] = {}
@@ -193,7 +193,9 @@
 class RouterNode:
     """One router over all its processes."""
 
-    def __init__(self, net: Net, number: int, size: Size, replicas: ControlReplicas, skew_ns: int) -> None:
+    def __init__(
+        self, net: VirtualNetwork, number: int, size: FleetSize, replicas: ControlReplicas, skew_ns: int
+    ) -> None:
         self.net, self.number, self.size, self.replicas, self.skew_ns = net, number, size, replicas, skew_ns
         self.name, self.starts, self.calls = f"router-{number}", 0, 0
         self.start()
@@ -258,10 +260,10 @@
         return {key for key, _ in self.reducer.state.policy.purges if key is not None}
 
 
-class Net:
+class VirtualNetwork:
     """All of them, and the time."""
 
-    def __init__(self, size: Size, replicas: list[ReplicaOptions], skews_ns: list[int]) -> None:
+    def __init__(self, size: FleetSize, replicas: list[ReplicaOptions], skews_ns: list[int]) -> None:
         self.now, self.made = START, 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.cut: set[frozenset[str]] = set()
--- a/testbed/rollouts.py
+++ b/testbed/rollouts.py
@@ -25,10 +25,12 @@
 )
 
 S = 10**9
-Harm = Callable[["World", "Process", str], float]  # of a class at a router now, over the usual
+Harm = Callable[
+    ["SimulatedFleet", "SimulatedRouter", str], float
+]  # of a class at a router now, over the usual
 
 
-def plan_of(zones: int, each: int, stages: str = "", more: str = "") -> RolloutPlan:
+def make_plan(zones: int, each: int, stages: str = "", more: str = "") -> RolloutPlan:
     """A plan for so many zones of so many routers; one stage of one router, one of a half, and the rest."""
     names = [(f"n{z}-{n}", f"z{z}") for z in range(zones) for n in range(each)]
     text = 'rollout version=1\nchange { program build="beef"; }\n' + "".join(
@@ -48,7 +50,7 @@
 
 
 @dataclass
-class Process:
+class SimulatedRouter:
     """One router."""
 
     name: str
@@ -60,13 +62,13 @@
     ready_at: int = 0
     started: int = 0
     alive: bool = True
-    silent_until: int = 0
+    silent_until_ns: int = 0
     invariants: int = 0
     memory_mb: float = 30.0
     classes: dict[str, RequestSample] = field(default_factory=dict)
 
 
-class World:
+class SimulatedFleet:
     """All routers of a plan, and the rollout that changes them."""
 
     def __init__(
@@ -75,36 +77,36 @@
         self.plan, self.random, self.harm = plan, Random(seed), harm
         self.rate, self.usual = rate, usual
         self.now = 1_000 * S
-        self.processes = {t.name: Process(t.name, t.zone) for t in plan.routers}
+        self.routers = {t.name: SimulatedRouter(t.name, t.zone) for t in plan.routers}
         self.rollout = Rollout(plan, self.now)
-        self.notes: list[HistoryEntry] = []
-        self.orders: list[tuple[int, str, CommandKind]] = []
-        self.most_away: dict[str, int] = {}
-        self.touched: set[str] = set()
-        self.harmed = 0.0  # requests that the change cost
-        self.lost_orders = 0.0  # share of orders that never arrive
-        self.never_ready = False  # of the new build
-        self.crash_after = 0  # of the new build, in ns
+        self.history: list[HistoryEntry] = []
+        self.commands: list[tuple[int, str, CommandKind]] = []
+        self.max_unavailable: dict[str, int] = {}
+        self.changed_routers: set[str] = set()
+        self.harmed_requests = 0.0  # requests that the change cost
+        self.lost_command_share = 0.0  # share of orders that never arrive
+        self.new_build_never_ready = False  # of the new build
+        self.new_build_crash_after_ns = 0  # of the new build, in ns
         self.wander = 0.0
         self.later: list[Event] = []  # answers of this second, told behind its tick
 
-    def tell(self, event: Event) -> None:
+    def deliver(self, event: Event) -> None:
         for effect in self.rollout.handle(self.now, event):
             if isinstance(effect, HistoryEntry):
-                self.notes.append(effect)
+                self.history.append(effect)
             elif effect.kind is CommandKind.POLL:
-                self.ask(self.processes[effect.router])
+                self.ask(self.routers[effect.router])
             else:
-                self.orders.append((self.now, effect.router, effect.kind))
-                if self.random.random() >= self.lost_orders:
-                    self.order(effect)
+                self.commands.append((self.now, effect.router, effect.kind))
+                if self.random.random() >= self.lost_command_share:
+                    self.carry_out(effect)
 
-    def ask(self, p: Process) -> None:
+    def ask(self, p: SimulatedRouter) -> None:
         self.later.append(self.answer(p))
 
-    def answer(self, p: Process) -> Event:
+    def answer(self, p: SimulatedRouter) -> Event:
         """What a router says of itself now."""
-        if not p.alive or self.now < p.silent_until or self.now < p.ready_at and p.started == self.now:
+        if not p.alive or self.now < p.silent_until_ns or self.now < p.ready_at and p.started == self.now:
             return NoAnswer(p.name)
         ready = self.now >= p.ready_at
         return RouterReport(
@@ -118,8 +120,8 @@
             round(p.memory_mb * 1024),
         )
 
-    def order(self, do: RouterCommand) -> None:
-        p = self.processes[do.router]
+    def carry_out(self, do: RouterCommand) -> None:
+        p = self.routers[do.router]
         if do.kind is CommandKind.DRAIN:
             p.in_service = False
         elif do.kind is CommandKind.ENABLE:
@@ -128,26 +130,26 @@
             self.start(p, p.build)
         else:
             build = "beef" if do.kind is CommandKind.APPLY else "old"
-            self.touched.add(p.name)
+            self.changed_routers.add(p.name)
             if p.build != build:
                 self.start(p, build)
 
-    def start(self, p: Process, build: str) -> None:
+    def start(self, p: SimulatedRouter, build: str) -> None:
         p.build, p.instance, p.started, p.classes, p.invariants = build, p.instance + 1, self.now, {}, 0
         p.alive, p.memory_mb = True, 30.0
-        p.ready_at = 1 << 80 if build == "beef" and self.never_ready else self.now + 2 * S
+        p.ready_at = 1 << 80 if build == "beef" and self.new_build_never_ready else self.now + 2 * S
 
-    def second(self) -> None:
+    def run_second(self) -> None:
         """One second: requests, then the rollout's turn."""
         self.now += S
         self.later = []
         self.wander = 0.95 * self.wander + self.random.gauss(0, 0.01)
-        for p in self.processes.values():
+        for p in self.routers.values():
             if (
                 p.build == "beef"
-                and self.crash_after
+                and self.new_build_crash_after_ns
                 and p.alive
-                and self.now - p.started >= self.crash_after
+                and self.now - p.started >= self.new_build_crash_after_ns
             ):
                 self.start(p, "beef")  # the platform starts it again
             if not p.alive or not p.in_service or self.now < p.ready_at:
@@ -159,29 +161,33 @@
                 share = min(1.0, max(0.0, self.usual + self.wander + more))
                 spread = math.sqrt(asked * share * (1 - share))
                 bad = min(asked, max(0, round(self.random.gauss(asked * share, spread))))
-                self.harmed += asked * more if p.build == "beef" else 0.0
+                self.harmed_requests += asked * more if p.build == "beef" else 0.0
                 p.classes[cls] = p.classes.get(cls, RequestSample()) + RequestSample(
                     asked, float(asked), float(asked - bad)
                 )
-        self.tell(Tick())
+        self.deliver(Tick())
         for event in self.later:
-            self.tell(event)
+            self.deliver(event)
         away: dict[str, int] = {"": 0}
-        for p in self.processes.values():
+        for p in self.routers.values():
             if not p.alive or not p.in_service or self.now < p.ready_at:
                 away[""] += 1
                 away[p.zone] = away.get(p.zone, 0) + 1
         for zone, count in away.items():
-            self.most_away[zone] = max(count, self.most_away.get(zone, 0))
+            self.max_unavailable[zone] = max(count, self.max_unavailable.get(zone, 0))
 
-    def run(self, seconds: int = 4_000, orders: dict[int, OperatorCommand] | None = None) -> RolloutOutcome:
+    def run(
+        self, seconds: int = 4_000, operator_commands: dict[int, OperatorCommand] | None = None
+    ) -> RolloutOutcome:
         """Until it is over or held."""
         for n in range(seconds):
-            if orders and n in orders:
-                self.tell(orders[n])
-            self.second()
+            if operator_commands and n in operator_commands:
+                self.deliver(operator_commands[n])
+            self.run_second()
             if self.rollout.outcome in (RolloutOutcome.DONE, RolloutOutcome.ROLLED_BACK):
                 break
-            if self.rollout.outcome is RolloutOutcome.HELD and not (orders and any(at > n for at in orders)):
+            if self.rollout.outcome is RolloutOutcome.HELD and not (
+                operator_commands and any(at > n for at in operator_commands)
+            ):
                 break
         return self.rollout.outcome
--- a/testbed/stand_ins.py
+++ b/testbed/stand_ins.py
@@ -28,9 +28,9 @@
 import msgpack
 
 ROOT = Path(__file__).parent.parent
-PROGRAM = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: what `run` starts
+PROGRAM_DIR = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: what `run` starts
 MS = 1_000_000
-WAIT_S = 20.0  # whoever waits so long has failed
+MAX_WAIT_S = 20.0  # whoever waits so long has failed
 SERVERS = {
     "cache1": ("s-c1", "edge-1", "box"),
     "cache2": ("s-c2", "edge-1", "box"),
@@ -40,58 +40,62 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class ServerCommand:
     """One command that a server got."""
 
     server: str
-    word: str  # PULL or KILL
-    id: str
+    verb: str  # PULL or KILL
+    request_id: str
     fields: dict[str, str]
-    at_ns: int
+    received_ns: int
 
 
 @dataclass(frozen=True)
-class Reply:
+class ScriptedReply:
     """What a server does with a request: answers after a time, says nothing, or breaks the connection."""
 
-    word: str = "DONE"  # DONE, LACK, WAIT, BROKE, PAST; "silent"; "reset"; "cut": half an answer
-    after_ms: float = 0.0
-    tell: str = "mem"
+    fate: str = "DONE"  # DONE, LACK, WAIT, BROKE, PAST; "silent"; "reset"; "cut": half an answer
+    delay_ms: float = 0.0
+    cache_status: str = "mem"
     body: bytes = b""
 
 
-Script = Callable[[str, Seen], Reply]
+ServerScript = Callable[[str, ServerCommand], ScriptedReply]
 
 
-def well(server: str, seen: Seen) -> Reply:
+def answer_at_once(server: str, seen: ServerCommand) -> ScriptedReply:
     """Everything is answered at once."""
-    return Reply(body=f"by {server}".encode())
+    return ScriptedReply(body=f"by {server}".encode())
 
 
-class World:
+class StandInServers:
     """The servers and the feed.  A context manager."""
 
-    def __init__(self, script: Script = well, servers: tuple[str, ...] = tuple(SERVERS)) -> None:
+    def __init__(
+        self, script: ServerScript = answer_at_once, servers: tuple[str, ...] = tuple(SERVERS)
+    ) -> None:
         self.script = script
-        self.seen: list[Seen] = []
-        self.names = servers
+        self.commands: list[ServerCommand] = []
+        self.server_names = servers
         self.selector = selectors.DefaultSelector()
         self.listeners = {n: socket.create_server(("127.0.0.1", 0)) for n in (*servers, "feed")}
         self.heap: list[tuple[int, int, socket.socket, bytes]] = []
         self.buffers: dict[socket.socket, bytes] = {}
-        self.news: list[dict[str, Any]] = []  # events of the feed, numbered from 2
+        self.feed_events: list[dict[str, Any]] = []  # events of the feed, numbered from 2
         self.polls: dict[socket.socket, tuple[int, int]] = {}  # that wait: after which event, until when
-        self.born: list[int] = []  # when each came to be
-        self.told: list[tuple[int, int]] = []  # which event went out to somebody, and when
-        self.replied: dict[tuple[str, str, int], tuple[int, bool]] = {}  # how a PULL ended: when, never ran
-        self.waiting: dict[socket.socket, set[tuple[str, str, int]]] = {}  # PULLs that have not
+        self.feed_event_times_ns: list[int] = []  # when each came to be
+        self.feed_deliveries: list[tuple[int, int]] = []  # which event went out to somebody, and when
+        self.settled_requests: dict[
+            tuple[str, str, int], tuple[int, bool]
+        ] = {}  # how a PULL ended: when, never ran
+        self.unanswered_requests: dict[socket.socket, set[tuple[str, str, int]]] = {}  # PULLs that have not
         # Of the feed: when, after which event (-1 = turned away), and from which port.
-        self.calls: list[tuple[int, int, int]] = []
+        self.feed_calls: list[tuple[int, int, int]] = []
         self.ports: dict[socket.socket, int] = {}  # from which each connection comes
-        self.bears = 0  # calls of the feed in one second; with more it falls over; 0 = any
-        self.down_until = 0  # it resets whoever comes
-        self.falls = 0
-        self.before = 0  # events that it had when it last began to count anew
+        self.max_feed_calls_per_s = 0  # calls of the feed in one second; with more it falls over; 0 = any
+        self.feed_down_until_ns = 0  # it resets whoever comes
+        self.feed_crashes = 0
+        self.events_before_restart = 0  # events that it had when it last began to count anew
         self.made = 0
         self.stop = threading.Event()
         self.lock = threading.Lock()
@@ -100,29 +104,29 @@
             self.selector.register(listener, selectors.EVENT_READ, name)
         self.thread = threading.Thread(target=self.run, daemon=True)
 
-    def __enter__(self) -> World:
+    def __enter__(self) -> StandInServers:
         self.thread.start()
         return self
 
     def __exit__(self, *_: object) -> None:
         self.stop.set()
-        self.thread.join(WAIT_S)
+        self.thread.join(MAX_WAIT_S)
         for sock in (*self.listeners.values(), *self.buffers):
             sock.close()
         self.selector.close()
 
-    def at(self, name: str) -> str:
+    def address_of(self, name: str) -> str:
         """The address of a server or the feed."""
         return f"127.0.0.1:{self.listeners[name].getsockname()[1]}"
 
-    def tell(self, **event: Any) -> int:
+    def publish(self, **event: Any) -> int:
         """An event of the feed, to all who poll from now on: its number."""
         with self.lock:
-            self.news.append({"n": len(self.news) + 2, **event})
-            self.born.append(time.monotonic_ns())
-            return len(self.news) + 1
+            self.feed_events.append({"n": len(self.feed_events) + 2, **event})
+            self.feed_event_times_ns.append(time.monotonic_ns())
+            return len(self.feed_events) + 1
 
-    def close(self, name: str) -> None:
+    def refuse_connections(self, name: str) -> None:
         """A server that refuses connections from now on.  Before the world has started."""
         self.selector.unregister(self.listeners[name])
         port = self.listeners[name].getsockname()[1]
@@ -130,42 +134,48 @@
         self.listeners[name] = held = socket.socket()
         held.bind(("127.0.0.1", port))  # bound and not listening: nobody else gets the port
 
-    def pulls(self, id: str | None = None, server: str | None = None) -> list[Seen]:
+    def requests(self, id: str | None = None, server: str | None = None) -> list[ServerCommand]:
         """Requests that came, of one id or at one server if so wanted."""
         with self.lock:
             return [
-                s for s in self.seen if s.word == "PULL" and id in (None, s.id) and server in (None, s.server)
+                s
+                for s in self.commands
+                if s.verb == "PULL" and id in (None, s.request_id) and server in (None, s.server)
             ]
 
-    def members(self) -> dict[str, Any]:
+    def endpoint_snapshot(self) -> dict[str, Any]:
         """The list of servers as an event."""
         endpoints = [
             {
                 "name": SERVERS[n][0],
-                "address": self.at(n),
+                "address": self.address_of(n),
                 "zone": SERVERS[n][1],
                 "type": SERVERS[n][2],
                 "status": "active",
                 "weight": 1,
             }
-            for n in self.names
+            for n in self.server_names
         ]
         return {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": endpoints}}
 
-    def fall(self, down_s: float) -> None:
+    def crash_feed(self, down_s: float) -> None:
         """The feed is gone for a while, and counts from 1 when it is back."""
-        self.falls, self.before = self.falls + 1, len(self.news)
-        self.down_until = time.monotonic_ns() + int(down_s * 1e9)
+        self.feed_crashes, self.events_before_restart = self.feed_crashes + 1, len(self.feed_events)
+        self.feed_down_until_ns = time.monotonic_ns() + int(down_s * 1e9)
         for sock in list(self.polls):
             self.drop(sock, True)
 
     def called(self, after: int, port: int) -> None:
         """One call of the feed; too many in a second push it over."""
         now = time.monotonic_ns()
-        self.calls.append((now, after, port))
-        late = [a for at, a, _ in self.calls[-4 * self.bears :] if a >= 0 and at > now - 1_000 * MS]
-        if self.bears and len(late) > self.bears:
-            self.fall(3.0)
+        self.feed_calls.append((now, after, port))
+        late = [
+            a
+            for at, a, _ in self.feed_calls[-4 * self.max_feed_calls_per_s :]
+            if a >= 0 and at > now - 1_000 * MS
+        ]
+        if self.max_feed_calls_per_s and len(late) > self.max_feed_calls_per_s:
+            self.crash_feed(3.0)
 
     def run(self) -> None:
         """The thread."""
@@ -189,14 +199,18 @@
         """What is new to those who poll, or nothing once they have waited long enough."""
         now = time.monotonic_ns()
         with self.lock:
-            last = len(self.news) - self.before + 1
+            last = len(self.feed_events) - self.events_before_restart + 1
             for sock, (after, until) in list(self.polls.items()):
                 if after != last or until <= now:
                     del self.polls[sock]
-                    found = self.news[self.before + max(0, after - 1) :] if after <= last else []
-                    self.told += [(e["n"], now) for e in found]
-                    anew = [{**e, "n": e["n"] - self.before} for e in found]
-                    whole = [self.members()] if after < 1 else []
+                    found = (
+                        self.feed_events[self.events_before_restart + max(0, after - 1) :]
+                        if after <= last
+                        else []
+                    )
+                    self.feed_deliveries += [(e["n"], now) for e in found]
+                    anew = [{**e, "n": e["n"] - self.events_before_restart} for e in found]
+                    whole = [self.endpoint_snapshot()] if after < 1 else []
                     body = json.dumps({"n": last, "events": [*whole, *anew]}).encode()
                     self.later(
                         0, sock, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
@@ -211,8 +225,8 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.buffers[sock] = b""
         self.selector.register(sock, selectors.EVENT_READ, name)
-        if name == "feed" and time.monotonic_ns() < self.down_until:
-            self.calls.append((time.monotonic_ns(), -1, 0))
+        if name == "feed" and time.monotonic_ns() < self.feed_down_until_ns:
+            self.feed_calls.append((time.monotonic_ns(), -1, 0))
             self.drop(sock, True)
 
     def drop(self, sock: socket.socket, reset: bool = False) -> None:
@@ -221,8 +235,8 @@
             self.polls.pop(sock, None)
             self.ports.pop(sock, None)
             with self.lock:
-                for key in self.waiting.pop(sock, ()):
-                    self.replied[key] = time.monotonic_ns(), False
+                for key in self.unanswered_requests.pop(sock, ()):
+                    self.settled_requests[key] = time.monotonic_ns(), False
             self.selector.unregister(sock)
             if reset:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -266,28 +280,28 @@
 
     def command(self, sock: socket.socket, name: str, words: list[bytes]) -> None:
         fields = dict(pair.split("=", 1) for pair in words[2].decode().split(",")) if len(words) > 2 else {}
-        seen = Seen(name, words[0].decode(), words[1].decode(), fields, time.monotonic_ns())
+        seen = ServerCommand(name, words[0].decode(), words[1].decode(), fields, time.monotonic_ns())
         with self.lock:
-            self.seen.append(seen)
-        if seen.word != "PULL":
+            self.commands.append(seen)
+        if seen.verb != "PULL":
             return
         reply = self.script(name, seen)
-        after = int(reply.after_ms * MS)
-        key = seen.id, name, seen.at_ns
-        if reply.word in ("DONE", "LACK", "WAIT", "BROKE", "PAST"):
+        after = int(reply.delay_ms * MS)
+        key = seen.request_id, name, seen.received_ns
+        if reply.fate in ("DONE", "LACK", "WAIT", "BROKE", "PAST"):
             with self.lock:
-                self.replied[key] = seen.at_ns + after, reply.word in ("LACK", "WAIT", "PAST")
+                self.settled_requests[key] = seen.received_ns + after, reply.fate in ("LACK", "WAIT", "PAST")
         else:
-            self.waiting.setdefault(sock, set()).add(key)
-        if reply.word == "reset":
+            self.unanswered_requests.setdefault(sock, set()).add(key)
+        if reply.fate == "reset":
             self.later(after, sock, b"reset")
-        elif reply.word != "silent":
-            body = reply.body if reply.word in ("DONE", "BROKE") else b""
-            told = f"sum=4be0c1927d55a6f3,t0={time.time_ns() // MS},tell={reply.tell}".encode()
-            word = "DONE" if reply.word == "cut" else reply.word
+        elif reply.fate != "silent":
+            body = reply.body if reply.fate in ("DONE", "BROKE") else b""
+            told = f"sum=4be0c1927d55a6f3,t0={time.time_ns() // MS},tell={reply.cache_status}".encode()
+            word = "DONE" if reply.fate == "cut" else reply.fate
             parts = (words[1], word.encode(), told if word == "DONE" else b"-", body)
             data = b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
-            self.later(after, sock, data[: len(data) // 2] if reply.word == "cut" else data)
+            self.later(after, sock, data[: len(data) // 2] if reply.fate == "cut" else data)
 
     def later(self, after_ns: int, sock: socket.socket, data: bytes) -> None:
         self.made += 1
@@ -310,17 +324,17 @@
 
 
 @dataclass
-class Answer:
+class ClientResponse:
     """A final answer as a client sees it."""
 
     kind: str  # served, refused or failed
     body: bytes
     fields: dict[str, str]
-    took_ms: float
+    latency_ms: float
 
 
 @dataclass
-class Client:
+class RouterClient:
     """One connection to a router.  Not for several threads."""
 
     sock: socket.socket
@@ -328,7 +342,7 @@
     calls: int = 0
     sent_ns: dict[int, int] = field(default_factory=dict)
 
-    def send(
+    def send_request(
         self,
         cls: str,
         patience_ms: int = 2_400,
@@ -356,15 +370,15 @@
         self.sock.sendall(msgpack.packb([0, self.calls, cls, [fields, body]]))
         return trace
 
-    def answers(self, count: int) -> Iterator[Answer]:
+    def responses(self, count: int) -> Iterator[ClientResponse]:
         """So many answers as they come."""
         while count:
             for _, call, error, result in self.unpacker:
                 took = (time.monotonic_ns() - self.sent_ns.pop(call)) / MS
                 if error is None:
-                    yield Answer("served", bytes(result[0]), result[1], took)
+                    yield ClientResponse("served", bytes(result[0]), result[1], took)
                 else:
-                    yield Answer("refused" if error[0] == "Shed" else "failed", b"", error[1], took)
+                    yield ClientResponse("refused" if error[0] == "Shed" else "failed", b"", error[1], took)
                 count -= 1
                 if not count:
                     return
@@ -373,20 +387,20 @@
                 raise ConnectionError("the router has closed the connection")
             self.unpacker.feed(data)
 
-    def ask(self, cls: str, **more: Any) -> Answer:
+    def request(self, cls: str, **more: Any) -> ClientResponse:
         """One request and its answer."""
-        self.send(cls, **more)
-        return next(self.answers(1))
+        self.send_request(cls, **more)
+        return next(self.responses(1))
 
 
-class Router:
+class RouterProcess:
     """A router process against a world.  A context manager."""
 
     def __init__(
         self,
-        world: World,
+        world: StandInServers,
         rules: str | None = None,
-        program: Path = PROGRAM,
+        program: Path = PROGRAM_DIR,
         release: bool = False,
         settings: dict[str, Any] | None = None,
         mgmt: bool = False,
@@ -397,16 +411,16 @@
         self.log_path = Path(self.folder.name) / "log"
         example = json.loads((ROOT / "examples/config.json").read_bytes())
         with socket.create_server(("127.0.0.1", 0)) as free, socket.create_server(("127.0.0.1", 0)) as other:
-            self.address, self.mgmt = free.getsockname()[:2], other.getsockname()[:2]
+            self.address, self.control_address = free.getsockname()[:2], other.getsockname()[:2]
         config = {
             **example,
             "listen": f"127.0.0.1:{self.address[1]}",
-            "feed": world.at("feed"),
-            "known": {"n": 1, "events": [world.members()]},
+            "feed": world.address_of("feed"),
+            "known": {"n": 1, "events": [world.endpoint_snapshot()]},
         }
         config["settings"] = {**config["settings"], **(settings or {})}
         if mgmt:
-            config["mgmt"] = f"127.0.0.1:{self.mgmt[1]}"
+            config["mgmt"] = f"127.0.0.1:{self.control_address[1]}"
         (Path(self.folder.name) / "config.json").write_text(json.dumps(config))
         env = {**os.environ, "ROUTER_CONFIG": f"{self.folder.name}/config.json", "ROUTER_LOG": "json"}
         env.pop("ROUTER_RULES", None)
@@ -422,7 +436,7 @@
                 stdout=log,
             )
 
-    def __enter__(self) -> Router:
+    def __enter__(self) -> RouterProcess:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -430,32 +444,32 @@
         self.process.wait()
         self.folder.cleanup()
 
-    def log(self) -> list[dict[str, Any]]:
+    def log_events(self) -> list[dict[str, Any]]:
         """The events that it has logged."""
         return [json.loads(line) for line in self.log_path.read_text().splitlines() if line.startswith("{")]
 
-    def reload(self, rules: str) -> dict[str, Any]:
+    def reload_rules(self, rules: str) -> dict[str, Any]:
         """Another operator's file, SIGHUP, and what the log says of it."""
-        before = len(self.told())
+        before = len(self.rules_events())
         self.rules.write_text(rules)
         self.process.send_signal(signal.SIGHUP)
-        until = time.monotonic() + WAIT_S
+        until = time.monotonic() + MAX_WAIT_S
         while time.monotonic() < until:
-            told = self.told()
+            told = self.rules_events()
             if len(told) > before:
                 return told[-1]
             time.sleep(0.01)
         raise TimeoutError("the operator's file was not read")
 
-    def told(self) -> list[dict[str, Any]]:
-        return [line for line in self.log() if line["event"].startswith("rules.")]
+    def rules_events(self) -> list[dict[str, Any]]:
+        return [line for line in self.log_events() if line["event"].startswith("rules.")]
 
-    def client(self) -> Client:
+    def client(self) -> RouterClient:
         """A connection, once it takes some."""
-        until = time.monotonic() + WAIT_S
+        until = time.monotonic() + MAX_WAIT_S
         while self.process.poll() is None and time.monotonic() < until:
             try:
-                return Client(socket.create_connection(self.address, WAIT_S))
+                return RouterClient(socket.create_connection(self.address, MAX_WAIT_S))
             except ConnectionRefusedError:
                 time.sleep(0.01)
         raise RuntimeError(f"the router does not serve: {self.log_path.read_text()}")
--- a/testbed/virtual.py
+++ b/testbed/virtual.py
@@ -18,38 +18,38 @@
 MS, S = 10**6, 10**9
 START = 1_764_576_000 * S
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_bytes())
-FATES = {
+OUTCOME_BY_FATE = {
     "done": Outcome.OK,
     "lack": Outcome.MISS,
     "wait": Outcome.FULL,
     "broke": Outcome.ERROR,
     "past": Outcome.MOOT,
 }
-NOT_RUN = ("lack", "wait", "past")
+FATES_NOT_EXECUTED = ("lack", "wait", "past")
 
 
 @dataclass
-class Sent:
+class AttemptRecord:
     """One attempt on the wire."""
 
-    at: int
+    sent_ns: int
     server: str
     fate: str
-    killed: int = 0
+    cancelled_ns: int = 0
 
 
 @dataclass
-class Story:
+class RequestRecord:
     """All that happened to one request."""
 
-    call: inputs.ClientRequest
-    at: int
-    sends: list[Sent] = field(default_factory=list)
-    finals: list[tuple[int, effects.Effect]] = field(default_factory=list)
-    more: Story | None = None  # the client's own retry, where a world has one
+    request: inputs.ClientRequest
+    arrives_ns: int
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    final_effects: list[tuple[int, effects.Effect]] = field(default_factory=list)
+    client_retry: RequestRecord | None = None  # the client's own retry, where a world has one
 
 
-class Virtual:
+class VirtualRouter:
     """One router and its servers."""
 
     def __init__(
@@ -61,7 +61,7 @@
         settings: dict[str, Any] | None = None,
     ) -> None:
         self.random = Random(seed)
-        self.fates, self.slow_ns = fates, slow_ns
+        self.fates, self.max_service_ns = fates, slow_ns
         endpoints = [
             {
                 "name": name,
@@ -79,39 +79,39 @@
         )
         self.reducer = Reducer(self.config)
         self.heap: list[tuple[int, int, inputs.Input | str]] = []
-        self.made, self.now = 0, START
-        self.stories: dict[str, Story] = {}
-        self.by_call: dict[tuple[int, int], Story] = {}
-        self.links: dict[int, str] = {}
+        self.sequence, self.now = 0, START
+        self.records: dict[str, RequestRecord] = {}
+        self.records_by_call: dict[tuple[int, int], RequestRecord] = {}
+        self.address_by_link: dict[int, str] = {}
         self.log: list[effects.LogEvent] = []
         self.carry_out(self.reducer.start(self.now))
-        self.tell(inputs.ListenersReady())
+        self.deliver(inputs.ListenersReady())
         if rules is not None:
-            self.rules(rules)
+            self.apply_rules(rules)
 
-    def rules(self, text: str) -> None:
+    def apply_rules(self, text: str) -> None:
         """An operator's file, held against this deployment."""
         file, faults = load(text.encode())
         assert not faults and not (faults := check(file, self.config.settings)), [
             f.format_for("") for f in faults
         ]
-        self.tell(inputs.OperatorFileRead(file))
+        self.deliver(inputs.OperatorFileRead(file))
 
-    def at(self, when: int, message: inputs.Input | str) -> None:
-        self.made += 1
-        heapq.heappush(self.heap, (when, self.made, message))
+    def schedule(self, when: int, message: inputs.Input | str) -> None:
+        self.sequence += 1
+        heapq.heappush(self.heap, (when, self.sequence, message))
 
-    def freed(self, server: str) -> None:
+    def custom_event(self, server: str) -> None:
         """What a world of its own asked to be told of with ``at``."""
 
-    def tell(self, message: inputs.Input) -> None:
+    def deliver(self, message: inputs.Input) -> None:
         self.carry_out(self.reducer.handle(self.now, message))
 
-    def ask(
+    def schedule_request(
         self, when: int, cls: str, patience_ms: int, object: int = 7, part: int = 0, group: int = 17
-    ) -> Story:
+    ) -> RequestRecord:
         """A request to come."""
-        number = len(self.stories) + 1
+        number = len(self.records) + 1
         call = inputs.ClientRequest(
             number,
             1,
@@ -127,8 +127,10 @@
             "",
             b"order" if cls == "order" else b"",
         )
-        story = self.stories[call.trace_id] = self.by_call[number, 1] = Story(call, START + when)
-        self.at(START + when, call)
+        story = self.records[call.trace_id] = self.records_by_call[number, 1] = RequestRecord(
+            call, START + when
+        )
+        self.schedule(START + when, call)
         return story
 
     def run(self, until: int = 10**18) -> None:
@@ -136,18 +138,18 @@
         while self.heap and self.heap[0][0] <= START + until:
             self.now, _, message = heapq.heappop(self.heap)
             if isinstance(message, str):
-                self.freed(message)
+                self.custom_event(message)
                 continue
             if (
                 isinstance(
                     message, (inputs.ServerResponse, inputs.ServerConnectionLost, inputs.ServerConnected)
                 )
-                and message.connection not in self.links
+                and message.connection not in self.address_by_link
             ):
                 continue
             if isinstance(message, inputs.ServerConnectionLost):
-                del self.links[message.connection]
-            self.tell(message)
+                del self.address_by_link[message.connection]
+            self.deliver(message)
             if not self.reducer.state.requests and not any(
                 isinstance(x[2], inputs.ClientRequest) for x in self.heap
             ):
@@ -156,43 +158,45 @@
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
         for e in effect_list:
             if isinstance(e, effects.ScheduleTimer):
-                self.at(e.at_ns, inputs.TimerFired(e.key))
+                self.schedule(e.at_ns, inputs.TimerFired(e.key))
             elif isinstance(e, effects.OpenServerConnection):
-                self.links[e.connection] = e.address
+                self.address_by_link[e.connection] = e.address
                 refused = self.random.random() < self.fates.get("refuse", 0)
                 took = self.now + self.random.randint(1, 3) * MS
-                self.at(
+                self.schedule(
                     took,
                     inputs.ServerConnectionLost(e.connection, "refused", True)
                     if refused
                     else inputs.ServerConnected(e.connection),
                 )
             elif isinstance(e, effects.CloseServerConnection):
-                self.links.pop(e.connection, None)
+                self.address_by_link.pop(e.connection, None)
             elif isinstance(e, effects.SendAttempt):
-                self.pull(e)
+                self.run_attempt(e)
             elif isinstance(e, effects.CancelAttempt):
-                for sent in self.stories[e.attempt_id].sends:
-                    sent.killed = sent.killed or self.now
+                for sent in self.records[e.attempt_id].attempts:
+                    sent.cancelled_ns = sent.cancelled_ns or self.now
             elif isinstance(e, (effects.SendResponse, effects.RejectRequest, effects.FailRequest)):
-                self.by_call[e.client, e.request_number].finals.append((self.now, e))
+                self.records_by_call[e.client, e.request_number].final_effects.append((self.now, e))
             elif isinstance(e, effects.LogEvent):
                 self.log.append(e)
 
-    def pull(self, e: effects.SendAttempt) -> None:
+    def run_attempt(self, e: effects.SendAttempt) -> None:
         names = [f for f in self.fates if f != "refuse"]
         fate = self.random.choices(names, [self.fates[f] for f in names])[0]
-        self.stories[e.attempt_id].sends.append(Sent(self.now, self.links[e.connection], fate))
-        took = self.now + self.random.randint(1, self.slow_ns // MS) * MS
+        self.records[e.attempt_id].attempts.append(
+            AttemptRecord(self.now, self.address_by_link[e.connection], fate)
+        )
+        took = self.now + self.random.randint(1, self.max_service_ns // MS) * MS
         if fate == "reset":
-            self.at(took, inputs.ServerConnectionLost(e.connection, "reset"))
-        elif fate in FATES:
-            self.at(
+            self.schedule(took, inputs.ServerConnectionLost(e.connection, "reset"))
+        elif fate in OUTCOME_BY_FATE:
+            self.schedule(
                 took,
                 inputs.ServerResponse(
                     e.connection,
                     e.attempt_id,
-                    FATES[fate],
+                    OUTCOME_BY_FATE[fate],
                     FillResult.HIT if fate == "done" else FillResult.NONE,
                     0,
                     {},
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -44,9 +44,9 @@
     RouterCommand,
 )
 from kelpcroft.simulator_adapter import SimulatorHost
-from testbed.deployments import Day, made
-from testbed.rollouts import Process, World, plan_of
-from testbed.virtual import START, Virtual
+from testbed.deployments import SimulatedDay, generate_configuration
+from testbed.rollouts import SimulatedFleet, SimulatedRouter, make_plan
+from testbed.virtual import START, VirtualRouter
 
 ROOT = Path(__file__).parent.parent.parent
 MS, S = 10**6, 10**9
@@ -169,7 +169,7 @@
 # A router -------------------------------------------------------------------------------------------------
 
 
-class RecordedDay(Day):
+class RecordedDay(SimulatedDay):
     """A day in a generated deployment."""
 
     def __init__(self, seed: int) -> None:
@@ -184,10 +184,10 @@
 class OperatedDay(RecordedDay):
     """The same with calls on the control address, health checks and a planned end."""
 
-    def begin(self) -> None:
-        super().begin()
-        self.tell(inputs.ProcessIdentity("0123456789abcdef", f"process-{self.life}"))
-        self.tell(inputs.ClientConnected(10**6))
+    def start_router(self) -> None:
+        super().start_router()
+        self.deliver(inputs.ProcessIdentity("0123456789abcdef", f"process-{self.router_life}"))
+        self.deliver(inputs.ClientConnected(10**6))
         calls = (
             inputs.ControlVerb.READY,
             inputs.ControlVerb.STATE,
@@ -198,14 +198,14 @@
             inputs.ControlVerb.STATE,
         )
         for n, verb in enumerate(calls, 1):
-            self.later(self.now + n * 700 * MS, inputs.ControlRequest(n, verb))
-            self.later(self.now + n * 700 * MS + MS, inputs.HealthRequest(10**6, n))
-        self.later(self.now + 6 * S, inputs.WatchFailed("reset", 2 * S))
-        self.later(self.now + 7 * S, inputs.ClientDisconnected(10**6))
-        self.later(START + 14 * S, inputs.ShutdownRequested())
+            self.schedule(self.now + n * 700 * MS, inputs.ControlRequest(n, verb))
+            self.schedule(self.now + n * 700 * MS + MS, inputs.HealthRequest(10**6, n))
+        self.schedule(self.now + 6 * S, inputs.WatchFailed("reset", 2 * S))
+        self.schedule(self.now + 7 * S, inputs.ClientDisconnected(10**6))
+        self.schedule(START + 14 * S, inputs.ShutdownRequested())
 
 
-class RecordedVirtual(Virtual):
+class RecordedVirtual(VirtualRouter):
     """A router at the deployment of examples/config.json."""
 
     def __init__(self, rules: str | None, seed: int, fates: dict[str, float]) -> None:
@@ -246,17 +246,17 @@
     )
     for n in range(500):
         cls = random.choice(["page", "page", "page", "order"])
-        world.ask(
+        world.schedule_request(
             n * 12 * MS, cls, random.choice([300, 900, 2_400]), random.randrange(30), random.randrange(12)
         )
     for n in range(1, 6):
-        world.at(
+        world.schedule(
             START + n * S,
             inputs.WatchResponse(
                 n + 1, (inputs.Purge(n, 17, START + n * S - 20 * MS),), log_fingerprint=f"m{n}"
             ),
         )
-    world.at(START + 2 * S, inputs.WatchFailed("reset", 0))
+    world.schedule(START + 2 * S, inputs.WatchFailed("reset", 0))
     world.run()
     return world.digest
 
@@ -267,7 +267,7 @@
 class RecordedRollout(Rollout):
     """Every command, and the stored state behind each turn."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulatedFleet) -> None:
         super().__init__(world.plan, world.now)
         self.digest, self.history = Digest(), Digest()
 
@@ -291,13 +291,13 @@
     """A rollout of ``testbed.rollouts``; its troubles go by the seed."""
     odds = {1: 0.0, 2: 0.3, 3: 0.08, 4: 0.3, 5: 0.0, 6: 0.0}[seed]
 
-    def harm(_: World, p: Process, cls: str) -> float:
+    def harm(_: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
         return odds if p.build == "beef" and (seed != 4 or cls == "writes") else 0.0
 
-    world = World(plan_of(2, 3), seed, harm)
+    world = SimulatedFleet(make_plan(2, 3), seed, harm)
     world.rollout = recorded = RecordedRollout(world)
     if seed == 5:
-        world.lost_orders = 0.02
+        world.lost_command_share = 0.02
     orders = (
         {40: OperatorCommand.HOLD, 60: OperatorCommand.RESUME}
         if seed == 1
@@ -308,9 +308,9 @@
     if seed == 6:  # two routers are silent for a while in a later stage, then new processes crash
         world.run(150)
         for name in ("n1-0", "n0-2"):
-            world.processes[name].silent_until = world.now + 12 * S
+            world.routers[name].silent_until_ns = world.now + 12 * S
         world.run(100, {99: OperatorCommand.RESUME})
-        world.crash_after = 20 * S
+        world.new_build_crash_after_ns = 20 * S
     outcome = world.run(2_000, orders)
     recorded.digest.add(world.now, "outcome", 0, fields(outcome.value))
     return recorded
@@ -336,7 +336,7 @@
         self.random, self.digest, self.now = Random(seed), Digest(), S
         self.out = io.StringIO()
         self.host = SimulatorHost(self.out)
-        raw = made(seed)
+        raw = generate_configuration(seed)
         self.options: dict[str, Any] = raw["settings"]
         self.options["limits"]["probing"] = True
         self.options["limits"]["dial_timeout_ns"] = 400 * MS
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -25,7 +25,7 @@
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.policy import RoutingPolicy
 from kelpcroft.startup import RestartOverlap
-from testbed.stand_ins import PROGRAM, SERVERS, WAIT_S, Client, World
+from testbed.stand_ins import MAX_WAIT_S, PROGRAM_DIR, SERVERS, RouterClient, StandInServers
 
 COLD = 100 * S
 
@@ -149,11 +149,11 @@
         )
 
 
-class Cold(World):
+class Cold(StandInServers):
     """Stand-ins whose list tells weights, and that one cache has just started."""
 
-    def members(self) -> dict[str, object]:
-        found = super().members()
+    def endpoint_snapshot(self) -> dict[str, object]:
+        found = super().endpoint_snapshot()
         for e in found["members"]["endpoints"]:
             e["weight"] = 2
             if e["name"] == SERVERS["cache1"][0]:
@@ -168,7 +168,7 @@
         with (folder / "log").open("a") as log:
             return subprocess.Popen(
                 [sys.executable, "-O", "-m", "kelpcroft"],
-                cwd=PROGRAM,
+                cwd=PROGRAM_DIR,
                 stdout=log,
                 stderr=log,
                 pass_fds=(listener.fileno(),),
@@ -190,9 +190,9 @@
             raw = {
                 **EXAMPLE,
                 "listen": "127.0.0.1:1",
-                "feed": world.at("feed"),
+                "feed": world.address_of("feed"),
                 "mgmt": None,
-                "known": {"n": 1, "events": [world.members()]},
+                "known": {"n": 1, "events": [world.endpoint_snapshot()]},
             }
             raw.pop("mgmt")
             info = {**raw["settings"]["family_info"], "pace_kb_per_s": 1_000.0}
@@ -218,10 +218,12 @@
                 client, made = None, 0
                 while not stop.is_set():
                     try:
-                        client = client or Client(socket.create_connection(listener.getsockname()[:2], 2))
+                        client = client or RouterClient(
+                            socket.create_connection(listener.getsockname()[:2], 2)
+                        )
                         client.sock.settimeout(3)
                         made += 1
-                        answer = client.ask("page", object=f"{number:08x}{made:08x}", more={"size": "20"})
+                        answer = client.request("page", object=f"{number:08x}{made:08x}", more={"size": "20"})
                         served[0] += answer.kind == "served"
                         if made % 5 == 0:
                             raise ConnectionError("another connection, maybe to the other process")
@@ -235,21 +237,21 @@
             try:
                 for thread in threads:
                     thread.start()
-                until = time.monotonic() + WAIT_S
+                until = time.monotonic() + MAX_WAIT_S
                 while not served[0] and time.monotonic() < until:
                     time.sleep(0.02)
                 processes.append(self.start(folder, listener, config))
-                before = len(world.pulls(server="cache1"))
+                before = len(world.requests(server="cache1"))
                 time.sleep(3)
                 old.send_signal(signal.SIGTERM)
-                self.assertEqual(old.wait(WAIT_S), 0)
+                self.assertEqual(old.wait(MAX_WAIT_S), 0)
                 time.sleep(2.5)
             finally:
                 stop.set()
                 for process in processes:
                     process.kill()
                     process.wait()
-            pulls = [s.at_ns for s in world.pulls(server="cache1")]
+            pulls = [s.received_ns for s in world.requests(server="cache1")]
             self.assertGreater(len(pulls), before, "the cold cache is used")
             self.assertGreater(served[0], 200)
             # 0.02 s of work each; 2.0 * 0.21 * 2 = 0.83 s of it in any second push it over.
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,7 @@
 from kelpcroft.core.effects import LogEvent
 from kelpcroft.log import MAX_LINES_PER_EVENT, RATE_WINDOW_NS, EventLog
 from testbed import demo
-from testbed.stand_ins import ROOT, Router, World
+from testbed.stand_ins import ROOT, RouterProcess, StandInServers
 
 CONFIG = str(ROOT / "examples/config.json")
 EXAMPLE = str(ROOT / "examples/operator.kdl")
@@ -97,7 +97,11 @@
             self.assertEqual(run(*words).exit_code, 2)
 
     def test_serve_is_the_router_itself(self) -> None:
-        with World() as world, Router(world) as other, tempfile.TemporaryDirectory() as folder:
+        with (
+            StandInServers() as world,
+            RouterProcess(world) as other,
+            tempfile.TemporaryDirectory() as folder,
+        ):
             other.process.terminate()  # its configuration and its port are taken over
             other.process.wait(20)
             log = Path(folder) / "log"
@@ -119,7 +123,7 @@
                     stderr=stream,
                     env={**os.environ, "PYTHONPATH": str(ROOT)},
                 )
-            self.assertEqual(other.client().ask("page").kind, "served")
+            self.assertEqual(other.client().request("page").kind, "served")
             modules = Path(f"/proc/{other.process.pid}/cmdline").read_bytes().split(b"\0")
             self.assertEqual(modules[1:3], [b"-m", b"kelpcroft"], "nothing of the command line stays")
             other.process.terminate()
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from testbed.field import Field, Load, Mode
+from testbed.field import ClientLoad, LinkMode, RouterField
 from testbed.field.field import RULES
-from testbed.stand_ins import MS, ROOT, WAIT_S, World
+from testbed.stand_ins import MAX_WAIT_S, MS, ROOT, StandInServers
 
 ZONES, EACH = 6, 4
 ALL = ZONES * EACH
@@ -30,7 +30,7 @@
 }
 
 
-def until(found: Callable[[], bool], seconds: float = WAIT_S) -> bool:
+def until(found: Callable[[], bool], seconds: float = MAX_WAIT_S) -> bool:
     """Whether it comes to be in time."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -40,19 +40,19 @@
     return False
 
 
-def calls(world: World, from_ns: int, to_ns: int) -> int:
+def calls(world: StandInServers, from_ns: int, to_ns: int) -> int:
     """Calls of the list service, answered or not."""
-    return sum(from_ns <= at < to_ns for at, _, _ in list(world.calls))
+    return sum(from_ns <= at < to_ns for at, _, _ in list(world.feed_calls))
 
 
-def informed(world: World, last: int, since: int = 0) -> int:
+def informed(world: StandInServers, last: int, since: int = 0) -> int:
     """Connections that have asked since then for what comes after that event: routers that have heard it."""
-    return len({port for at, after, port in list(world.calls) if after == last and at > since})
+    return len({port for at, after, port in list(world.feed_calls) if after == last and at > since})
 
 
 class ColdStart(unittest.TestCase):
-    def field(self, **more: Any) -> Field:
-        made = Field(ZONES, EACH, {"old": ROOT}, **more)
+    def field(self, **more: Any) -> RouterField:
+        made = RouterField(ZONES, EACH, {"old": ROOT}, **more)
         self.addCleanup(made.__exit__)
         return made
 
@@ -61,57 +61,61 @@
         """Dead for 6 s: a bounded number of calls from all routers, then all of them out of step; what it has
         told meanwhile reaches everyone.  Then it falls, and its numbers begin at 1 again."""
         field = self.field(rules=BUDGET)
-        world = field.world
-        world.bears, world.down_until = 40, time.monotonic_ns() + 6 * S
+        world = field.servers
+        world.max_feed_calls_per_s, world.feed_down_until_ns = 40, time.monotonic_ns() + 6 * S
         field.__enter__()
-        with Load(field, per_s=4.0) as load:
+        with ClientLoad(field, per_s=4.0) as load:
             last = world.change("cache-z0", "leaving")
-            began, back = field.began_ns, world.down_until
+            began, back = field.began_ns, world.feed_down_until_ns
             self.assertTrue(until(lambda: informed(world, last) >= ALL), informed(world, last))
             heard = time.monotonic_ns()
             self.assertLess(heard - back, (1.5 * CYCLE_S + 6) * S, "all have the list")
             dead = calls(world, began, back)
             self.assertLess(dead, ALL + 1.5 * CALLS * (back - began) / S, "while it was dead")
             self.assertGreater(dead, ALL // 2, "they went on asking")
-            self.assertEqual(world.falls, 0, "40 calls in a second push it over")
-            world.fall(2.0)
-            back = world.down_until
+            self.assertEqual(world.feed_crashes, 0, "40 calls in a second push it over")
+            world.crash_feed(2.0)
+            back = world.feed_down_until_ns
             # A drain that is told while some are not back yet is heard late by them: what the budget costs.
-            self.assertTrue(until(lambda: len({p for at, _, p in world.calls if p and at > back}) >= ALL))
-            self.assertTrue(any(after == 0 for at, after, _ in world.calls if at > back), "numbers went back")
-            last = world.change("cache-z1", "leaving") - world.before
+            self.assertTrue(
+                until(lambda: len({p for at, _, p in world.feed_calls if p and at > back}) >= ALL)
+            )
+            self.assertTrue(
+                any(after == 0 for at, after, _ in world.feed_calls if at > back), "numbers went back"
+            )
+            last = world.change("cache-z1", "leaving") - world.events_before_restart
             since = time.monotonic_ns()
             self.assertTrue(until(lambda: informed(world, last, since) >= ALL))
-            self.assertEqual(world.falls, 1)
-        self.assertEqual((field.watch(load).found, load.count["lost"]), ([], 0), load.count)
-        self.assertGreater(load.count["served"], 100, load.count)
+            self.assertEqual(world.feed_crashes, 1)
+        self.assertEqual((field.check_contract(load).violations, load.counts["lost"]), ([], 0), load.counts)
+        self.assertGreater(load.counts["served"], 100, load.counts)
 
     def test_without_a_budget_a_dead_one_hears_far_more(self) -> None:
         """What the bound is for: as ever, each router calls every 0.4 s."""
         field = self.field()
-        field.world.down_until = time.monotonic_ns() + 6 * S
+        field.servers.feed_down_until_ns = time.monotonic_ns() + 6 * S
         field.__enter__()
         began = time.monotonic_ns()
         self.assertTrue(until(lambda: time.monotonic_ns() > began + 2 * S))
-        self.assertGreater(calls(field.world, began, began + 2 * S), 2 * 1.5 * CALLS * 2)
+        self.assertGreater(calls(field.servers, began, began + 2 * S), 2 * 1.5 * CALLS * 2)
 
     def test_cold_boxes_half_of_them_dead_a_hub_lost_and_a_zone_silent(self) -> None:
         """No box is pushed over, no order runs twice, every request has its answer in time."""
         field = self.field(boxes=2, hubs=2, relayed=True, cold=True, rules=BUDGET, settings=QUICK, weight=2.0)
-        relays = field.world.relays
+        relays = field.servers.relays
         for n in range(0, ZONES, 2):
-            relays[f"cache-z{n}-1"].change(Mode.RESET)
-        relays["parent1"].change(Mode.RESET)
+            relays[f"cache-z{n}-1"].change(LinkMode.RESET)
+        relays["parent1"].change(LinkMode.RESET)
         for name in (f"cache-z{ZONES - 1}", f"cache-z{ZONES - 1}-1"):
-            relays[name].change(Mode.SILENT)
+            relays[name].change(LinkMode.SILENT)
         field.__enter__()
-        with Load(field, per_s=6.0, orders=10) as load:
+        with ClientLoad(field, per_s=6.0, orders=10) as load:
             self.assertTrue(until(lambda: time.monotonic_ns() > field.began_ns + 10 * S))
             for relay in relays.values():
-                relay.change(Mode.PASS)
-        self.assertEqual(field.watch(load, cut=True).found, [])
-        self.assertEqual(load.count["lost"], 0, load.count)
-        self.assertGreater(load.count["served"], 100, load.count)
+                relay.change(LinkMode.PASS)
+        self.assertEqual(field.check_contract(load, cut=True).violations, [])
+        self.assertEqual(load.counts["lost"], 0, load.counts)
+        self.assertGreater(load.counts["served"], 100, load.counts)
 
     def test_a_third_killed_twice_and_some_that_wake_into_an_old_world(self) -> None:
         """Killed when they have just begun to serve, started again, killed again; others stand still while a
@@ -119,7 +123,7 @@
         field = self.field(boxes=2, cold=True, rules=BUDGET, settings=QUICK)
         field.__enter__()
         nodes = list(field.nodes.values())
-        with Load(field, per_s=6.0, orders=10) as load:
+        with ClientLoad(field, per_s=6.0, orders=10) as load:
             for _ in range(2):
                 for node in nodes[::3]:
                     node.end(signal.SIGKILL)
@@ -127,37 +131,39 @@
                 for node in nodes[::3]:
                     field.wait_ready(node)
             killed_ns = time.monotonic_ns()
-            self.assertTrue(until(lambda: informed(field.world, 1, killed_ns) >= ALL), "all wait for news")
+            self.assertTrue(until(lambda: informed(field.servers, 1, killed_ns) >= ALL), "all wait for news")
             stopped = [node.process for node in nodes[1::6] if node.process]
             for process in stopped:
                 process.send_signal(signal.SIGSTOP)
-            last = field.world.change("cache-z1", "leaving")
+            last = field.servers.change("cache-z1", "leaving")
             since = time.monotonic_ns()
             others = ALL - len(stopped)
-            self.assertTrue(until(lambda: informed(field.world, last, since) >= others))
+            self.assertTrue(until(lambda: informed(field.servers, last, since) >= others))
             for process in stopped:
                 process.send_signal(signal.SIGCONT)
-            self.assertTrue(until(lambda: informed(field.world, last, since) >= ALL))
+            self.assertTrue(until(lambda: informed(field.servers, last, since) >= ALL))
             self.assertTrue(until(lambda: time.monotonic_ns() > field.began_ns + 9 * S))
-        self.assertEqual(field.watch(load, killed=True).found, [])
-        self.assertGreater(load.count["served"], 100, load.count)
+        self.assertEqual(field.check_contract(load, killed=True).violations, [])
+        self.assertGreater(load.counts["served"], 100, load.counts)
 
     @pytest.mark.long  # on a busy machine the feed may take longer than it is waited for
     def test_one_that_stood_still_asks_before_it_sends(self) -> None:
         """Its call is answered with nothing while it stands still; then a box drains, which counts as told.
         What waits in its sockets must not go there when it wakes: the answer it finds is from before."""
-        field = Field(1, 2, {"old": ROOT}, boxes=2)
+        field = RouterField(1, 2, {"old": ROOT}, boxes=2)
         self.addCleanup(field.__exit__)
         field.__enter__()
-        world, (node, _) = field.world, field.nodes.values()
+        world, (node, _) = field.servers, field.nodes.values()
         assert node.process is not None
-        with Load(field, per_s=60.0) as load:
+        with ClientLoad(field, per_s=60.0) as load:
             for n in range(6):
-                self.assertTrue(until(lambda: informed(world, len(world.news) + 1) >= 2))
+                self.assertTrue(until(lambda: informed(world, len(world.feed_events) + 1) >= 2))
                 node.process.send_signal(signal.SIGSTOP)
                 # Two calls of the other one: whatever this one had asked has been answered, with nothing.
                 stopped = time.monotonic_ns()
-                self.assertTrue(until(lambda at=stopped: sum(x > at for x, _, _ in list(world.calls)) >= 2))
+                self.assertTrue(
+                    until(lambda at=stopped: sum(x > at for x, _, _ in list(world.feed_calls)) >= 2)
+                )
                 name = ("cache-z0", "cache-z0-1")[n % 2]
                 last, told = world.change(name, "leaving"), time.monotonic_ns()
                 self.assertTrue(until(lambda at=told, last=last: informed(world, last, at) >= 1))
@@ -165,33 +171,40 @@
                 node.process.send_signal(signal.SIGCONT)
                 self.assertTrue(until(lambda at=told, last=last: informed(world, last, at) >= 2))
                 world.change(name)
-        self.assertEqual([x for x in field.watch(load).found if x.startswith("drained")], [])
-        self.assertGreater(load.count["served"], 300, load.count)
+        self.assertEqual([x for x in field.check_contract(load).violations if x.startswith("drained")], [])
+        self.assertGreater(load.counts["served"], 300, load.counts)
 
     @pytest.mark.long
     def test_links_to_the_list_service_in_every_mode(self) -> None:
         """Slow, cut in the middle of answers, garbage, silent: what was known serves, calls stay bounded, and
         all hear of a drain once the link is well."""
-        for mode in (Mode.SLOW, Mode.CUT, Mode.GARBAGE, Mode.SILENT, Mode.ONE_WAY, Mode.DELAY):
+        for mode in (
+            LinkMode.SLOW,
+            LinkMode.CUT,
+            LinkMode.GARBAGE,
+            LinkMode.SILENT,
+            LinkMode.ONE_WAY,
+            LinkMode.DELAY,
+        ):
             with self.subTest(mode=mode.value):
                 self.link(mode)
 
-    def link(self, mode: Mode) -> None:
+    def link(self, mode: LinkMode) -> None:
         field = self.field(rules=BUDGET)
-        field.world.relay(["feed"], 2.0)
-        relay = field.world.relays["feed"]
+        field.servers.relay(["feed"], 2.0)
+        relay = field.servers.relays["feed"]
         relay.change(mode)
         field.__enter__()
-        with Load(field, per_s=4.0) as load:
+        with ClientLoad(field, per_s=4.0) as load:
             self.assertTrue(until(lambda: time.monotonic_ns() > field.began_ns + 6 * S))
             self.assertLess(relay.passed, 2 * ALL + 1.5 * CALLS * 6)
-            relay.change(Mode.PASS)
+            relay.change(LinkMode.PASS)
             relay.drop()
-            last = field.world.change("cache-z0", "leaving")
+            last = field.servers.change("cache-z0", "leaving")
             since = time.monotonic_ns()
-            self.assertTrue(until(lambda: informed(field.world, last, since) >= ALL))
-        self.assertEqual(load.count["lost"], 0, load.count)
-        self.assertGreater(load.count["served"], 300, load.count)
+            self.assertTrue(until(lambda: informed(field.servers, last, since) >= ALL))
+        self.assertEqual(load.counts["lost"], 0, load.counts)
+        self.assertGreater(load.counts["served"], 300, load.counts)
 
 
 if __name__ == "__main__":
--- a/tests/test_control_field.py
+++ b/tests/test_control_field.py
@@ -10,14 +10,14 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from testbed.field import Field, Load, Mode, build
+from testbed.field import ClientLoad, LinkMode, RouterField, build_program
 from testbed.field.field import RULES
-from testbed.hollow.configuration import Size
+from testbed.hollow.configuration import FleetSize
 from testbed.hollow.field import ControlField
 from testbed.hollow.processes import ControlReplica, wait_for
-from testbed.stand_ins import PROGRAM
+from testbed.stand_ins import PROGRAM_DIR
 
-SIZE = Size(routers=12, servers=40, zones=3)
+SIZE = FleetSize(routers=12, servers=40, zones=3)
 LEASE = 'lease "2s"'
 CALLS_MOST = 6  # of one router in a second: one each batch of 400 ms, and moves
 
@@ -28,18 +28,18 @@
         field.__enter__()
         self.addCleanup(field.__exit__)
         self.drained = 0
-        self.assertTrue(field.in_step(1, SIZE.servers), "at the start")
+        self.assertTrue(field.is_caught_up(1, SIZE.servers), "at the start")
         return field
 
     def news(self, field: ControlField) -> int:
         """A purge and a drain are told: the number of the drain, and how many servers are left."""
-        field.tell(do="history", purges=1, age_s=0)
+        field.order_service(do="history", purges=1, age_s=0)
         self.drained += 1
-        return field.tell(do="status", server=f"s-{self.drained:04x}", status="leaving")
+        return field.order_service(do="status", server=f"s-{self.drained:04x}", status="leaving")
 
     def assert_in_step(self, field: ControlField, what: str) -> None:
         number = self.news(field)
-        self.assertTrue(field.in_step(number, SIZE.servers - self.drained), what)
+        self.assertTrue(field.is_caught_up(number, SIZE.servers - self.drained), what)
 
     def assert_calls_bounded(self, field: ControlField, over_s: float = 3.0) -> None:
         """Over some seconds no replica hears more calls than its watchers may make."""
@@ -77,11 +77,11 @@
     def test_a_replica_cut_from_upstream(self) -> None:
         """It goes on answering, and says that it is stale: its watchers leave it."""
         field = self.field()
-        field.upstream_relays[0].change(Mode.SILENT)
+        field.upstream_relays[0].change(LinkMode.SILENT)
         self.assert_in_step(field, "one of two is cut off")
         self.assertTrue(wait_for(lambda: (field.replicas[0].state() or {}).get("stale"), 10), "it says so")
         self.assertTrue(wait_for(lambda: field.watchers()[0] == 0, 10), "its watchers have left")
-        field.upstream_relays[0].change(Mode.PASS)
+        field.upstream_relays[0].change(LinkMode.PASS)
         field.upstream_relays[0].drop()
         self.assertTrue(wait_for(lambda: not (field.replicas[0].state() or {}).get("stale", True), 10))
         self.assert_in_step(field, "it is back")
@@ -89,12 +89,12 @@
     def test_links_to_watchers_that_lie(self) -> None:
         """Silent, garbage, answers broken off, late: routers leave the replica behind such a link."""
         field = self.field()
-        for mode in (Mode.SILENT, Mode.GARBAGE, Mode.CUT, Mode.DELAY, Mode.ONE_WAY):
+        for mode in (LinkMode.SILENT, LinkMode.GARBAGE, LinkMode.CUT, LinkMode.DELAY, LinkMode.ONE_WAY):
             with self.subTest(mode=mode.value):
                 field.watcher_relays[0].change(mode)
                 self.assert_in_step(field, mode.value)
                 self.assert_calls_bounded(field, 1.0)
-                field.watcher_relays[0].change(Mode.PASS)
+                field.watcher_relays[0].change(LinkMode.PASS)
                 field.watcher_relays[0].drop()
                 self.assert_in_step(field, f"after {mode.value}")
 
@@ -102,7 +102,7 @@
         field = self.field()
         self.assert_in_step(field, "before")
         self.assert_in_step(field, "before")
-        field.tell(do="restart")
+        field.order_service(do="restart")
         self.assert_in_step(field, "numbers are lower than they were")
         self.assert_in_step(field, "and grow past them")
         self.assert_calls_bounded(field)
@@ -111,7 +111,7 @@
         """Its upstream link takes 0.3 to 0.6 s there and back: a drain is known everywhere all the same, and
         routers that move between the two go neither back nor twice over the same."""
         field = self.field()
-        field.upstream_relays[0].change(Mode.DELAY)
+        field.upstream_relays[0].change(LinkMode.DELAY)
         for _ in range(3):
             self.assert_in_step(field, "one lags")
         field.watcher_relays[1].drop()  # those of the quick one try another
@@ -122,12 +122,12 @@
         """Each watches a list service of its own, and one knows of drains that the other does not."""
         field = self.field(services=2)
         one, other = field.service_list
-        field.tell(one, do="status", server="s-0001", status="leaving")
-        field.tell(other, do="status", server="s-0002", status="leaving")
+        field.order_service(one, do="status", server="s-0001", status="leaving")
+        field.order_service(other, do="status", server="s-0002", status="leaving")
         self.assertTrue(wait_for(lambda: set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, 10))
         field.replicas[0].end()
-        number = field.tell(other, do="status", server="s-0003", status="leaving")
-        self.assertTrue(field.in_step(number, SIZE.servers - 2), "all are of the second's mind by now")
+        number = field.order_service(other, do="status", server="s-0003", status="leaving")
+        self.assertTrue(field.is_caught_up(number, SIZE.servers - 2), "all are of the second's mind by now")
 
     def test_upstream_dead_for_the_whole_time(self) -> None:
         """Routers keep what they know, and calls at the replicas stay bounded."""
@@ -146,11 +146,11 @@
         hears with its routers and the batch; none of it with the other.  Counts only, no times."""
         purges, rate = 30, 10.0
         with ControlField(SIZE, 2) as field:
-            self.assertTrue(field.in_step(1, SIZE.servers))
+            self.assertTrue(field.is_caught_up(1, SIZE.servers))
             before = field.service.ask(do="stats")
             states = [replica.state() or {} for replica in field.replicas]
             field.service.ask(do="purge", rate=rate, seconds=purges / rate)
-            self.assertTrue(field.in_step(purges + 1, SIZE.servers))
+            self.assertTrue(field.is_caught_up(purges + 1, SIZE.servers))
             after = field.service.ask(do="stats")
             now = [replica.state() or {} for replica in field.replicas]
             took_s = (after["now_ns"] - before["now_ns"]) / 1e9
@@ -173,17 +173,19 @@
         killed."""
         folder = TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        builds = {"old": PROGRAM, "new": build(Path(folder.name) / "new", "sound")}
-        field = Field(2, 2, builds, boxes=3)
-        replicas = [ControlReplica(Path(folder.name), f"r{n}", [field.world.at("feed")]) for n in range(2)]
+        builds = {"old": PROGRAM_DIR, "new": build_program(Path(folder.name) / "new", "sound")}
+        field = RouterField(2, 2, builds, boxes=3)
+        replicas = [
+            ControlReplica(Path(folder.name), f"r{n}", [field.servers.address_of("feed")]) for n in range(2)
+        ]
         field.node_rules = RULES + "replicas " + " ".join(f'"{r.address}"' for r in replicas) + "\n"
         for replica in replicas:
             self.addCleanup(replica.end)
             replica.start()
         field.__enter__()
         self.addCleanup(field.__exit__)
-        with Load(field) as load:
-            self.assertTrue(wait_for(lambda: load.count["served"] > 200, 30), load.count)
+        with ClientLoad(field) as load:
+            self.assertTrue(wait_for(lambda: load.counts["served"] > 200, 30), load.counts)
             watched: list[int] = []
 
             def all_watch() -> bool:
@@ -193,13 +195,13 @@
             self.assertTrue(wait_for(all_watch, 20), "all routers watch replicas")
             dead = watched.index(max(watched))
             replicas[dead].end()
-            number = field.world.change("cache-z0", "leaving")
+            number = field.servers.change("cache-z0", "leaving")
             other = replicas[1 - dead]
             self.assertTrue(wait_for(lambda: (other.state() or {}).get("last", 0) >= number, 20))
-            served = load.count["served"]
-            self.assertTrue(wait_for(lambda: load.count["served"] > served + 200, 30), load.count)
-        self.assertEqual(load.count["lost"], 0, load.count)
-        self.assertEqual(field.watch(load).found, [])
+            served = load.counts["served"]
+            self.assertTrue(wait_for(lambda: load.counts["served"] > served + 200, 30), load.counts)
+        self.assertEqual(load.counts["lost"], 0, load.counts)
+        self.assertEqual(field.check_contract(load).violations, [])
 
 
 if __name__ == "__main__":
--- a/tests/test_control_log.py
+++ b/tests/test_control_log.py
@@ -29,7 +29,7 @@
 from kelpcroft.core import effects, inputs, messages
 from kelpcroft.core.reducer import Reducer
 from kelpcroft.operator_file.model import ControlReplicas, OperatorFile
-from testbed.hollow.configuration import Size, configuration
+from testbed.hollow.configuration import FleetSize, configuration
 
 MS, SECOND = 10**6, 10**9
 NOW = 1_764_576_000 * SECOND
@@ -261,7 +261,7 @@
 class AtARouter(unittest.TestCase):
     def test_replicas_are_taken_up_and_left_when_the_file_is_read_again(self) -> None:
         """Numbers of the feed and of replicas do not go together: the whole list is asked for."""
-        raw = configuration(Size(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
+        raw = configuration(FleetSize(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
         reducer = Reducer(parse_config(raw, {}))
         reducer.start(NOW)
         known = set(reducer.state.endpoints)
@@ -285,7 +285,7 @@
         self.assertEqual(set(reducer.state.endpoints), known, "what is known stays meanwhile")
 
     def test_a_replica_that_answers_at_once_with_nothing_is_left(self) -> None:
-        raw = configuration(Size(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
+        raw = configuration(FleetSize(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
         reducer = Reducer(parse_config(raw, {}))
         addresses = (("10.0.0.1", 1), ("10.0.0.2", 1))
         effect_list, now, polls = reducer.start(NOW, None, 0, ControlReplicas(addresses)), NOW, 0
--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -12,10 +12,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from kelpcroft.control_log.replica import ReplicaOptions
-from testbed.hollow.configuration import Size
-from testbed.hollow.virtual import MS, SECOND, Net, address_of
+from testbed.hollow.configuration import FleetSize
+from testbed.hollow.virtual import MS, SECOND, VirtualNetwork, address_of
 
-SIZE = Size(routers=4, servers=12, zones=2)
+SIZE = FleetSize(routers=4, servers=12, zones=2)
 SKEWS_NS = [0, 400 * MS, -400 * MS]
 SERVICE = address_of(0)
 HEALED_NS = 12 * SECOND  # a lease, the moves past all replicas, and a clock's difference twice
@@ -23,12 +23,12 @@
 PURGE_SPAN_NS = 66 * SECOND  # of the example's settings
 
 
-def fleet() -> Net:
+def fleet() -> VirtualNetwork:
     """Two replicas that watch the list service, and one that watches these."""
     first = ReplicaOptions((SERVICE,), purge_span_ns=PURGE_SPAN_NS)
     peers = (address_of(1), address_of(2))
     behind = ReplicaOptions(peers, frozenset(peers), batch_ns=200 * MS, purge_span_ns=PURGE_SPAN_NS)
-    return Net(SIZE, [first, first, behind], SKEWS_NS)
+    return VirtualNetwork(SIZE, [first, first, behind], SKEWS_NS)
 
 
 class ControlMachine(RuleBasedStateMachine):
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -25,7 +25,7 @@
 from kelpcroft.rollout.snapshot import to_snapshot
 from kelpcroft.rollout.state_machine import CommandKind, Event, NoAnswer, RolloutOutcome, RouterCommand, Tick
 from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
-from testbed.rollouts import S, World, plan_of
+from testbed.rollouts import S, SimulatedFleet, make_plan
 from testbed.stand_ins import ROOT
 
 QUICK = (
@@ -52,10 +52,10 @@
         pass
 
 
-class Routers(World):
+class Routers(SimulatedFleet):
     """The routers of a plan, without a rollout of their own."""
 
-    def tell(self, event: Event) -> None:
+    def deliver(self, event: Event) -> None:
         pass
 
 
@@ -67,13 +67,13 @@
         self.world, self.dies_at, self.orders = world, dies_at, 0
 
     def poll(self, target: RouterTarget) -> Event:
-        return self.world.answer(self.world.processes[target.name])
+        return self.world.answer(self.world.routers[target.name])
 
     def execute(self, target: RouterTarget, kind: CommandKind) -> str:
         self.orders += 1
         if self.orders == self.dies_at:
             raise Dead
-        self.world.order(RouterCommand(target.name, kind))
+        self.world.carry_out(RouterCommand(target.name, kind))
         return ""
 
 
@@ -99,7 +99,7 @@
 
 class InVirtualTime(unittest.TestCase):
     def setUp(self) -> None:
-        self.plan = plan_of(2, 3, *QUICK)
+        self.plan = make_plan(2, 3, *QUICK)
         self.world = Routers(self.plan, 1, lambda *_: 0.0, rate=60.0)
         self.store = Mortal()
         self.addCleanup(self.store.close)
@@ -112,7 +112,7 @@
             self.fail(f"not over: {run.snapshot['why'] if run else ''}: {self.store.history(1)[-6:]}")
         while self.owed >= 1:
             self.owed -= 1
-            self.world.second()
+            self.world.run_second()
 
     def controller(self, hands: RouterDriver, run: StoredRun | None = None) -> RolloutController:
         run = run or begin_or_continue_run(self.store, b"plan", self.plan, lambda: self.world.now)
@@ -143,7 +143,7 @@
                 self.lead()  # the dead one's lease still runs
             self.sleep(16.0)
             self.assertEqual(self.lead(), RolloutOutcome.DONE, (what, at))
-        for p in self.world.processes.values():
+        for p in self.world.routers.values():
             self.assertEqual((p.build, p.instance, p.in_service), ("beef", 2, True), (what, at, p.name))
         names = [row["name"] for row in self.store.history(1)]
         self.assertEqual((names.count("done"), names.count("begun")), (1, 6), (what, at))
@@ -172,7 +172,7 @@
         with self.assertRaises(LeaseLost):
             first.lead()
         self.assertEqual([hands.orders], orders, "nothing after it woke up")
-        self.assertEqual({(p.build, p.instance) for p in self.world.processes.values()}, {("beef", 2)})
+        self.assertEqual({(p.build, p.instance) for p in self.world.routers.values()}, {("beef", 2)})
 
     def test_a_third_of_the_links_is_late_or_cut(self) -> None:
         """More silent routers than ``unknown`` hold it and are named; it goes on when people say so."""
@@ -201,7 +201,7 @@
 
         controller.sleep = sleep
         self.assertEqual(controller.lead(), RolloutOutcome.DONE)
-        self.assertEqual({p.instance for p in self.world.processes.values()}, {2})
+        self.assertEqual({p.instance for p in self.world.routers.values()}, {2})
 
 
 class Touching(unittest.TestCase):
@@ -376,30 +376,30 @@
         'watch every="1s" slowest="30s" ready="10s" cold="60s" unknown=1\n'
     )
 
-    def run_with(self, harm: Any) -> World:
-        world = World(plan_of(2, 4, self.STAGES, self.MORE), 1, harm)
+    def run_with(self, harm: Any) -> SimulatedFleet:
+        world = SimulatedFleet(make_plan(2, 4, self.STAGES, self.MORE), 1, harm)
         world.run()
         return world
 
     def test_a_cold_start_as_such_is_no_harm_and_a_worse_one_is(self) -> None:
-        def cold(world: World, p: Any, cls: str) -> float:
+        def cold(world: SimulatedFleet, p: Any, cls: str) -> float:
             return 0.3 if p.instance > 1 and world.now - p.started < 50 * S else 0.0
 
         world = self.run_with(cold)
         self.assertEqual(world.rollout.outcome, RolloutOutcome.DONE, world.rollout.reason)
-        restarted = [name for _, name, act in world.orders if act is CommandKind.RESTART]
+        restarted = [name for _, name, act in world.commands if act is CommandKind.RESTART]
         self.assertEqual(len(restarted), 1)
-        self.assertTrue(all(p.in_service and p.build == "beef" for p in world.processes.values()))
+        self.assertTrue(all(p.in_service and p.build == "beef" for p in world.routers.values()))
 
-        def colder(world: World, p: Any, cls: str) -> float:
+        def colder(world: SimulatedFleet, p: Any, cls: str) -> float:
             return 0.6 if p.build == "beef" and world.now - p.started < 50 * S else cold(world, p, cls)
 
         world = self.run_with(colder)
         self.assertEqual(world.rollout.outcome, RolloutOutcome.ROLLED_BACK)
-        self.assertIn("worse", [n.name for n in world.notes])
-        self.assertEqual({p.build for p in world.processes.values()}, {"old"})
-        self.assertTrue(all(p.in_service for p in world.processes.values()))
-        self.assertLessEqual(max(world.most_away.get(f"z{n}", 0) for n in range(2)), 2)
+        self.assertIn("worse", [n.name for n in world.history])
+        self.assertEqual({p.build for p in world.routers.values()}, {"old"})
+        self.assertTrue(all(p.in_service for p in world.routers.values()))
+        self.assertLessEqual(max(world.max_unavailable.get(f"z{n}", 0) for n in range(2)), 2)
 
     def test_its_limits_are_checked(self) -> None:
         good = f'rollout version=1\nchange {{ program build="beef"; }}\n{self.STAGES}{self.MORE}' + "".join(
@@ -417,10 +417,10 @@
 
     def test_a_leak_is_seen_and_a_larger_process_is_none(self) -> None:
         for growth, due in ((0.5, RolloutOutcome.ROLLED_BACK), (0.0, RolloutOutcome.DONE)):
-            world = World(plan_of(2, 3), 1, lambda *_: 0.0)
+            world = SimulatedFleet(make_plan(2, 3), 1, lambda *_: 0.0)
             for _ in range(3_000):
-                world.second()
-                for p in world.processes.values():
+                world.run_second()
+                for p in world.routers.values():
                     if p.build == "beef":
                         p.memory_mb = max(p.memory_mb, 40.0) + growth
                 if world.rollout.outcome in (
@@ -430,23 +430,23 @@
                 ):
                     break
             self.assertEqual(world.rollout.outcome, due, world.rollout.reason)
-            self.assertEqual("memory" in [n.name for n in world.notes], growth > 0)
+            self.assertEqual("memory" in [n.name for n in world.history], growth > 0)
             if growth:
-                self.assertEqual(len(world.touched), 1)
+                self.assertEqual(len(world.changed_routers), 1)
 
     def test_it_goes_on_after_a_restart_in_the_middle_of_a_control_group(self) -> None:
-        world = World(plan_of(2, 4, self.STAGES, self.MORE), 1, lambda *_: 0.0)
+        world = SimulatedFleet(make_plan(2, 4, self.STAGES, self.MORE), 1, lambda *_: 0.0)
         for n in range(3_000):
             if n % 11 == 10:
                 raw = json.loads(json.dumps(to_snapshot(world.rollout)))
                 world.rollout = restored(world.plan, raw)
                 for effect in world.rollout.resume_after_takeover(world.now, True):
                     if isinstance(effect, RouterCommand) and effect.kind is not CommandKind.RESTART:
-                        world.order(effect)
-            world.second()
+                        world.carry_out(effect)
+            world.run_second()
             if world.rollout.outcome is not RolloutOutcome.RUNNING:
                 break
-        world.tell(Tick())
+        world.deliver(Tick())
         self.assertEqual(world.rollout.outcome, RolloutOutcome.DONE, world.rollout.reason)
 
 
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -5,17 +5,17 @@
 import socket
 import unittest
 
-from testbed.field.datagrams import Datagrams, Fate
+from testbed.field.datagrams import DatagramFate, DatagramRelay
 
 
 class Relayed(unittest.TestCase):
     def setUp(self) -> None:
-        self.target = Datagrams.made()
+        self.target = DatagramRelay.made()
         self.target.settimeout(0.3)
         self.addCleanup(self.target.close)
 
-    def relay(self, fate: Fate, seed: int = 1) -> Datagrams:
-        made = Datagrams(self.target.getsockname(), fate, seed)
+    def relay(self, fate: DatagramFate, seed: int = 1) -> DatagramRelay:
+        made = DatagramRelay(self.target.getsockname(), fate, seed)
         self.addCleanup(made.__exit__)
         return made
 
@@ -27,7 +27,7 @@
             except TimeoutError:
                 return found
 
-    def said(self, relay: Datagrams, count: int) -> list[bytes]:
+    def said(self, relay: DatagramRelay, count: int) -> list[bytes]:
         """What comes of so many datagrams, sent one after another was taken."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for n in range(count):
@@ -37,7 +37,7 @@
         return self.heard()
 
     def test_they_pass_and_answers_come_back(self) -> None:
-        relay = self.relay(Fate())
+        relay = self.relay(DatagramFate())
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.settimeout(2)
             sock.sendto(b"ask", relay.address)
@@ -46,19 +46,19 @@
             self.assertEqual(sock.recvfrom(2_048), (b"ask back", relay.address))
 
     def test_half_are_lost_the_same_ones_each_time(self) -> None:
-        first = self.said(self.relay(Fate(lost=0.5)), 100)
+        first = self.said(self.relay(DatagramFate(lost=0.5)), 100)
         self.assertTrue(30 < len(first) < 70, len(first))
-        self.assertEqual(self.said(self.relay(Fate(lost=0.5)), 100), first)
-        self.assertNotEqual(self.said(self.relay(Fate(lost=0.5), seed=2), 100), first)
+        self.assertEqual(self.said(self.relay(DatagramFate(lost=0.5)), 100), first)
+        self.assertNotEqual(self.said(self.relay(DatagramFate(lost=0.5), seed=2), 100), first)
 
     def test_repeated_overtaken_and_silent(self) -> None:
-        twice = self.said(self.relay(Fate(repeated=0.5)), 50)
+        twice = self.said(self.relay(DatagramFate(repeated=0.5)), 50)
         self.assertTrue(60 < len(twice) < 90, len(twice))
         self.assertEqual(len(set(twice)), 50)
-        late = self.said(self.relay(Fate(late=0.3, late_s=0.1)), 50)
+        late = self.said(self.relay(DatagramFate(late=0.3, late_s=0.1)), 50)
         self.assertEqual(len(late), 50)
         self.assertNotEqual(late, sorted(late, key=int), "some came behind those that followed them")
-        self.assertEqual(self.said(self.relay(Fate(silent=True)), 10), [])
+        self.assertEqual(self.said(self.relay(DatagramFate(silent=True)), 10), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -20,7 +20,7 @@
     FeedError,
     parse_watch_response,
 )
-from testbed.stand_ins import Router, World
+from testbed.stand_ins import RouterProcess, StandInServers
 
 AT_MS = 1_764_576_000_000
 JSON_VALUES = st.recursive(
@@ -169,56 +169,61 @@
             self.assertLess(time.monotonic(), until, what)
             time.sleep(0.02)
 
-    def last_calls(self, world: World) -> list[int]:
-        return [after for _, after, _ in world.calls[-3:]]
+    def last_calls(self, world: StandInServers) -> list[int]:
+        return [after for _, after, _ in world.feed_calls[-3:]]
 
     def test_a_router_100_000_events_behind_is_back_in_step(self) -> None:
         """Purges of hours, a drain among the last: in a few calls it knows all of it."""
         now = time.time_ns() // 10**6
-        with World() as world:
-            world.tell(purge={"key": "1" * 16, "at": now})
-            with Router(world, release=True) as router:
+        with StandInServers() as world:
+            world.publish(purge={"key": "1" * 16, "at": now})
+            with RouterProcess(world, release=True) as router:
                 self.wait(lambda: 2 in self.last_calls(world), "it calls")
                 with world.lock:  # 5.1 purges a second for 5.4 hours
-                    world.news += [purge(n, now - (100_002 - n) * 196) for n in range(3, 100_002)]
-                    world.news += [
+                    world.feed_events += [purge(n, now - (100_002 - n) * 196) for n in range(3, 100_002)]
+                    world.feed_events += [
                         {
                             "n": 100_002,
                             "members": {
                                 "snapshot": False,
                                 "endpoints": [
-                                    {**world.members()["members"]["endpoints"][0], "status": "leaving"}
+                                    {
+                                        **world.endpoint_snapshot()["members"]["endpoints"][0],
+                                        "status": "leaving",
+                                    }
                                 ],
                             },
                         }
                     ]
-                    before = len(world.calls)
+                    before = len(world.feed_calls)
                 self.wait(lambda: 100_002 in self.last_calls(world), "it is in step")
-                self.assertLess(len(world.calls) - before, 8, "a few calls")
+                self.assertLess(len(world.feed_calls) - before, 8, "a few calls")
                 client = router.client()
-                served = {client.ask("page", object=f"{n:016x}").body for n in range(40)}
+                served = {client.request("page", object=f"{n:016x}").body for n in range(40)}
                 self.assertEqual(served, {b"by cache2"}, "the drain is in force")
-                events = [line["event"] for line in router.log()]
+                events = [line["event"] for line in router.log_events()]
                 self.assertEqual((events.count("feed.behind"), events.count("feed.lost")), (1, 0))
-                told = next(line for line in router.log() if line["event"] == "feed.pieces")
+                told = next(line for line in router.log_events() if line["event"] == "feed.pieces")
                 self.assertEqual((told["events"], told["to"]), (100_000, 100_002))
                 self.assertGreater(told["past"], 99_000, "purges that no longer matter")
 
     def test_a_feed_that_is_too_long_for_ever_is_asked_seldom(self) -> None:
         """Its answers bring nothing and never end well: a megabyte each, of which no event can be had."""
-        with World() as world:
-            with Router(world, release=True) as router:
-                self.wait(lambda: len(world.calls) >= 1, "it calls")
+        with StandInServers() as world:
+            with RouterProcess(world, release=True) as router:
+                self.wait(lambda: len(world.feed_calls) >= 1, "it calls")
                 with world.lock:
-                    world.news.append({"n": 1, "filler": "x" * (3 * MAX_EVENT_BYTES)})
-                self.wait(lambda: any(line["event"] == "feed.lost" for line in router.log()), "it is refused")
+                    world.feed_events.append({"n": 1, "filler": "x" * (3 * MAX_EVENT_BYTES)})
+                self.wait(
+                    lambda: any(line["event"] == "feed.lost" for line in router.log_events()), "it is refused"
+                )
                 client = router.client()
-                before, lines = len(world.calls), len(router.log())
+                before, lines = len(world.feed_calls), len(router.log_events())
                 for part in range(60):  # it goes on serving by what it knows
-                    self.assertEqual(client.ask("page", part=part).kind, "served")
+                    self.assertEqual(client.request("page", part=part).kind, "served")
                     time.sleep(0.05)
-                self.assertLessEqual(len(world.calls) - before, 1, "calls in 3 s")
-                self.assertLessEqual(sum(x["event"] == "feed.lost" for x in router.log()[lines:]), 1)
+                self.assertLessEqual(len(world.feed_calls) - before, 1, "calls in 3 s")
+                self.assertLessEqual(sum(x["event"] == "feed.lost" for x in router.log_events()[lines:]), 1)
 
 
 if __name__ == "__main__":
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -10,9 +10,9 @@
 import unittest
 from pathlib import Path
 
-from testbed.field import Field, Load, Mode, Relay, Watch, build
+from testbed.field import ClientLoad, ContractChecker, LinkMode, Relay, RouterField, build_program
 from testbed.field.builds import DEFECTS
-from testbed.stand_ins import MS, Reply, Seen
+from testbed.stand_ins import MS, ScriptedReply, ServerCommand
 
 SHORT = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
 BROKEN = {
@@ -24,9 +24,9 @@
 }
 
 
-def orders_break(server: str, seen: Seen) -> Reply:
+def orders_break(server: str, seen: ServerCommand) -> ScriptedReply:
     """Every order breaks off after it may have run; all else is answered."""
-    return Reply("BROKE" if seen.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
+    return ScriptedReply("BROKE" if seen.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
 
 
 class Links(unittest.TestCase):
@@ -79,30 +79,30 @@
     def test_each_mode(self) -> None:
         sock = self.connect()
         self.assertEqual(self.said(sock), b"hello")
-        self.relay.change(Mode.DELAY)
+        self.relay.change(LinkMode.DELAY)
         began = time.monotonic()
         self.assertEqual(self.said(sock), b"hello")
         self.assertGreater(time.monotonic() - began, 0.4, "both ways")
-        self.relay.change(Mode.SLOW)
+        self.relay.change(LinkMode.SLOW)
         began = time.monotonic()
         self.assertEqual(self.said(sock, b"x" * 640), b"x" * 640)
         self.assertGreater(time.monotonic() - began, 0.15)
-        self.relay.change(Mode.GARBAGE)
+        self.relay.change(LinkMode.GARBAGE)
         self.assertIn(b"garbage", self.said(sock, b"hello"))
-        self.relay.change(Mode.PASS)
+        self.relay.change(LinkMode.PASS)
         sock = self.connect()
-        self.relay.change(Mode.ONE_WAY)
+        self.relay.change(LinkMode.ONE_WAY)
         self.assertEqual(self.said(sock), b"")
-        self.relay.change(Mode.SILENT)
+        self.relay.change(LinkMode.SILENT)
         sock = self.connect()
         self.assertEqual(self.said(sock), b"", "nothing passes")
-        self.relay.change(Mode.PASS)
+        self.relay.change(LinkMode.PASS)
         self.assertEqual(sock.recv(16), b"hello", "and nothing was lost")
-        self.relay.change(Mode.CUT)
+        self.relay.change(LinkMode.CUT)
         self.assertEqual(self.said(sock, b"0123456789"), b"01234")
-        self.relay.change(Mode.REFUSE)
+        self.relay.change(LinkMode.REFUSE)
         self.assertEqual(self.said(self.connect()), b"")
-        self.relay.change(Mode.PASS)
+        self.relay.change(LinkMode.PASS)
         sock = self.connect()
         self.assertEqual(self.said(sock), b"hello")
         self.relay.drop()
@@ -111,7 +111,7 @@
         self.assertEqual(self.said(self.connect()), b"hello")
 
     def test_a_share_of_the_connections(self) -> None:
-        self.relay.change(Mode.REFUSE, 0.5)
+        self.relay.change(LinkMode.REFUSE, 0.5)
         got = [self.said(self.connect()) for _ in range(20)]
         self.assertTrue(6 <= got.count(b"hello") <= 14, got)
 
@@ -131,41 +131,41 @@
         with tempfile.TemporaryDirectory() as name:
             for number, defect in enumerate(DEFECTS):
                 with self.subTest(defect=defect):
-                    build(Path(name) / str(number), defect)
+                    build_program(Path(name) / str(number), defect)
 
 
 class Judged(unittest.TestCase):
     """Real routers, and what a feed may tell in a few seconds."""
 
-    def day(self, defect: str, faults: bool = False) -> tuple[Watch, Load]:
+    def day(self, defect: str, faults: bool = False) -> tuple[ContractChecker, ClientLoad]:
         with tempfile.TemporaryDirectory() as name:
-            builds = {"old": build(Path(name) / "old", defect)}
-            with Field(1, 2, builds, orders_break, 3, 2, True, 1.5, SHORT) as field:
-                relays = field.world.relays
-                with Load(field, per_s=60.0, orders=10) as load:
+            builds = {"old": build_program(Path(name) / "old", defect)}
+            with RouterField(1, 2, builds, orders_break, 3, 2, True, 1.5, SHORT) as field:
+                relays = field.servers.relays
+                with ClientLoad(field, per_s=60.0, orders=10) as load:
                     time.sleep(0.8)
                     purged = {"key": f"{0:08x}{7:08x}", "group": 0, "at": time.time_ns() // MS}
-                    field.world.tell(purge=purged)
-                    field.world.change("cache-z0", "leaving")
-                    field.world.change("cache-z0-1", "active", time.time_ns() // MS)
+                    field.servers.publish(purge=purged)
+                    field.servers.change("cache-z0", "leaving")
+                    field.servers.change("cache-z0-1", "active", time.time_ns() // MS)
                     if faults:
                         self.break_links(field)
                     else:
                         time.sleep(3.0)
                     killed = faults
                     for relay in relays.values():
-                        relay.change(Mode.PASS)
-                return field.watch(load, killed=killed, cut=faults), load
+                        relay.change(LinkMode.PASS)
+                return field.check_contract(load, killed=killed, cut=faults), load
 
-    def break_links(self, field: Field) -> None:
+    def break_links(self, field: RouterField) -> None:
         """All modes in turn at a hub, the store and a cache; a router that stops, and one that dies."""
         nodes = list(field.nodes.values())
-        for mode in Mode:
+        for mode in LinkMode:
             for name in ("parent", "cache-z0-2", "origin"):
-                field.world.relays[name].change(mode, 0.5 if name == "origin" else 1.0)
+                field.servers.relays[name].change(mode, 0.5 if name == "origin" else 1.0)
             time.sleep(0.5)
-        for relay in field.world.relays.values():
-            relay.change(Mode.PASS)
+        for relay in field.servers.relays.values():
+            relay.change(LinkMode.PASS)
             relay.drop()
         assert nodes[0].process and nodes[1].process
         nodes[0].process.send_signal(signal.SIGSTOP)
@@ -179,13 +179,13 @@
         for defect, rule in BROKEN.items():
             with self.subTest(defect=defect):
                 watch, _ = self.day(defect)
-                self.assertEqual(watch.rules_broken(), {rule}, watch.found[:5])
+                self.assertEqual(watch.broken_rules(), {rule}, watch.violations[:5])
 
     def test_a_sound_one_is_not_accused_under_any_fault(self) -> None:
         for faults in (False, True):
             watch, load = self.day("sound", faults)
-            self.assertEqual(watch.found, [])
-            self.assertGreater(load.count["served"], 150, load.count)
+            self.assertEqual(watch.violations, [])
+            self.assertGreater(load.counts["served"], 150, load.counts)
 
 
 if __name__ == "__main__":
