--- a/tests/test_fleet_counts.py
+++ b/tests/test_fleet_counts.py
@@ -12,7 +12,7 @@
 
 from kelpcroft.core.effects import LogEvent
 from kelpcroft.log import EventLog
-from testbed.virtual import Virtual
+from testbed.virtual import VirtualRouter
 
 TOOL = Path(__file__).parent.parent / "tools/fleet_counts.py"
 
@@ -23,12 +23,12 @@
 
 class Counts(unittest.TestCase):
     def test_a_router_in_virtual_time_is_counted(self) -> None:
-        world = Virtual(None, 3, {"done": 1.0})
+        world = VirtualRouter(None, 3, {"done": 1.0})
         world.reducer.state.is_tracing = True
         for n in range(20):
-            world.ask(n * 100_000_000, "page", 2000, object=n)
+            world.schedule_request(n * 100_000_000, "page", 2000, object=n)
         world.run()
-        self.assertTrue(all(len(s.finals) == 1 for s in world.stories.values()))
+        self.assertTrue(all(len(s.final_effects) == 1 for s in world.records.values()))
         text = io.StringIO()
         log = EventLog("n0", text, "json")
         for n, line in enumerate(world.log):
@@ -42,8 +42,8 @@
         self.assertIn("hit OK/HIT 20", out.stdout)
 
     def test_nothing_is_traced_unless_asked_for(self) -> None:
-        world = Virtual(None, 3, {"done": 1.0})
-        world.ask(0, "page", 2000)
+        world = VirtualRouter(None, 3, {"done": 1.0})
+        world.schedule_request(0, "page", 2000)
         world.run()
         self.assertFalse([x for x in world.log if x.event.startswith("trace.")])
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -15,7 +15,7 @@
 from kelpcroft.core import effects, inputs
 from kelpcroft.core.idempotency_keys import IdempotencyKeys
 from kelpcroft.decision import interface as api
-from testbed.virtual import EXAMPLE, MS, START, S, Virtual
+from testbed.virtual import EXAMPLE, MS, START, S, VirtualRouter
 
 CLS = api.RequestClass("order", api.Idempotency.KEYED, dedup_window_ns=3 * S, deadline_ns=5 * S)
 STEPS = st.sampled_from(["sent", "not run", "wait"])
@@ -59,18 +59,18 @@
         self.assertEqual(len(keys.entries), 2)
 
 
-def world(group: str, fates: dict[str, float], seed: int = 1, window: int = 3 * S) -> Virtual:
+def world(group: str, fates: dict[str, float], seed: int = 1, window: int = 3 * S) -> VirtualRouter:
     classes = [dict(c) for c in EXAMPLE["settings"]["classes"]]
     classes[1].update(idempotency="keyed", group=group, dedup_window_ns=window)
-    return Virtual(None, seed, fates, settings={"classes": classes})
+    return VirtualRouter(None, seed, fates, settings={"classes": classes})
 
 
 def order(
-    v: Virtual, when: int, nonce: str, patience_ms: int = 900, retry: bool = False
+    v: VirtualRouter, when: int, nonce: str, patience_ms: int = 900, retry: bool = False
 ) -> inputs.ClientRequest:
     """One request for an order; its story is under its trace id."""
-    story = v.ask(when, "order", patience_ms)
-    c = story.call
+    story = v.schedule_request(when, "order", patience_ms)
+    c = story.request
     call = inputs.ClientRequest(
         c.client,
         c.request_number,
@@ -90,13 +90,13 @@
     for n, (at, made, message) in enumerate(v.heap):
         if message is c:
             v.heap[n] = (at, made, call)
-    story.call = call
+    story.request = call
     return call
 
 
 class Retries(unittest.TestCase):
-    def sends(self, v: Virtual) -> list[tuple[int, str, str]]:
-        return sorted((x.at, x.server, x.fate) for s in v.stories.values() for x in s.sends)
+    def sends(self, v: VirtualRouter) -> list[tuple[int, str, str]]:
+        return sorted((x.sent_ns, x.server, x.fate) for s in v.records.values() for x in s.attempts)
 
     def test_a_retry_goes_to_the_group_of_the_first_within_its_window(self) -> None:
         """Each request was judged alone: a retry went to any cache, a second after another zone's or cell's
@@ -128,16 +128,16 @@
             v = world(group, {"silent": 1.0}, window=S)
             first, late = order(v, 0, "k"), order(v, 2 * S, "k")
             v.run(10 * S)
-            self.assertEqual(len(v.stories[first.trace_id].sends), 1)
-            self.assertEqual(v.stories[late.trace_id].sends, [])
-            self.assertIsInstance(v.stories[late.trace_id].finals[0][1], due)
+            self.assertEqual(len(v.records[first.trace_id].attempts), 1)
+            self.assertEqual(v.records[late.trace_id].attempts, [])
+            self.assertIsInstance(v.records[late.trace_id].final_effects[0][1], due)
 
     def test_what_certainly_did_not_run_binds_nothing(self) -> None:
         v = world("zone", {"wait": 1.0}, window=S)
         order(v, 0, "k")
         late = order(v, 2 * S, "k")
         v.run(10 * S)
-        self.assertTrue(v.stories[late.trace_id].sends)
+        self.assertTrue(v.records[late.trace_id].attempts)
 
     def test_a_retry_of_a_key_not_seen_here_is_sent_once(self) -> None:
         """Its first try was another process's: the router was upgraded, or killed, in between.  Where and
@@ -149,10 +149,10 @@
                     v = world(group, {"broke": 0.8, "wait": 0.2}, seed)
                     call = order(v, 0, "k", retry=retry)
                     v.run(10 * S)
-                    ran = [x for x in v.stories[call.trace_id].sends if x.fate == "broke"]
+                    ran = [x for x in v.records[call.trace_id].attempts if x.fate == "broke"]
                     sends = max(sends, len(ran))
                     if retry and ran:
-                        self.assertIsInstance(v.stories[call.trace_id].finals[0][1], due)
+                        self.assertIsInstance(v.records[call.trace_id].final_effects[0][1], due)
                 (self.assertEqual if retry else self.assertGreaterEqual)(sends, least, group)
 
     def test_two_of_one_key_are_never_out_together(self) -> None:
@@ -160,9 +160,9 @@
             v = world(group, {"silent": 1.0})
             first, second = order(v, 0, "k"), order(v, 100 * MS, "k")
             v.run(10 * S)
-            self.assertEqual(len(v.stories[first.trace_id].sends), 1)
-            self.assertEqual(v.stories[second.trace_id].sends, [])
-            self.assertIsInstance(v.stories[second.trace_id].finals[0][1], due)
+            self.assertEqual(len(v.records[first.trace_id].attempts), 1)
+            self.assertEqual(v.records[second.trace_id].attempts, [])
+            self.assertIsInstance(v.records[second.trace_id].final_effects[0][1], due)
 
     def test_tables_are_empty_after_a_storm(self) -> None:
         v, random = world("all", {"silent": 0.3, "done": 0.5, "broke": 0.2}), Random(4)
@@ -177,13 +177,13 @@
 class Retuned(unittest.TestCase):
     """SIGHUP while keys are about: what was sent before it binds what comes after."""
 
-    def retuned(self, v: Virtual, when: int, **change: object) -> None:
+    def retuned(self, v: VirtualRouter, when: int, **change: object) -> None:
         raw = copy.deepcopy(v.config.raw)
         raw["settings"]["classes"][1].update(change)
-        v.at(START + when, inputs.ConfigFileRead("config.json", orjson.dumps(raw)))
+        v.schedule(START + when, inputs.ConfigFileRead("config.json", orjson.dumps(raw)))
 
-    def finals(self, v: Virtual, call: inputs.ClientRequest) -> list[type]:
-        return [type(f) for _, f in v.stories[call.trace_id].finals]
+    def finals(self, v: VirtualRouter, call: inputs.ClientRequest) -> list[type]:
+        return [type(f) for _, f in v.records[call.trace_id].final_effects]
 
     def test_a_class_that_becomes_keyed_takes_clients_with_and_without_a_key(self) -> None:
         """Those who did not know the new file yet were failed at once."""
@@ -203,7 +203,7 @@
         self.retuned(v, 10 * S, idempotency="keyed", dedup_window_ns=S)
         first, again = order(v, 11 * S, "k"), order(v, 12_500 * MS, "k")
         v.run(20 * S)
-        self.assertEqual([len(v.stories[c.trace_id].sends) for c in (first, again)], [1, 0])
+        self.assertEqual([len(v.records[c.trace_id].attempts) for c in (first, again)], [1, 0])
         self.assertEqual(
             self.finals(v, again), [effects.FailRequest], "a refusal would let the client run it elsewhere"
         )
@@ -215,7 +215,9 @@
             self.retuned(v, 1_500 * MS, dedup_window_ns=window)
             again = order(v, 2 * S, "k")
             v.run(20 * S)
-            self.assertEqual([len(v.stories[c.trace_id].sends) for c in (first, again)], [1, sends], window)
+            self.assertEqual(
+                [len(v.records[c.trace_id].attempts) for c in (first, again)], [1, sends], window
+            )
 
     def test_a_class_that_goes_and_comes_back_remembers_its_keys(self) -> None:
         v = world("all", {"silent": 1.0}, window=S)
@@ -224,11 +226,11 @@
         raw["settings"]["classes"][1] = {**raw["settings"]["classes"][0], **raw["settings"]["classes"][1]}
         gone = copy.deepcopy(raw)
         del gone["settings"]["classes"][1]
-        v.at(START + 10 * MS, inputs.ConfigFileRead("config.json", orjson.dumps(gone)))
-        v.at(START + 2_200 * MS, inputs.ConfigFileRead("config.json", orjson.dumps(raw)))
+        v.schedule(START + 10 * MS, inputs.ConfigFileRead("config.json", orjson.dumps(gone)))
+        v.schedule(START + 2_200 * MS, inputs.ConfigFileRead("config.json", orjson.dumps(raw)))
         late = order(v, 2_500 * MS, "k")
         v.run(20 * S)
-        self.assertEqual(v.stories[late.trace_id].sends, [])
+        self.assertEqual(v.records[late.trace_id].attempts, [])
         self.assertEqual(self.finals(v, late), [effects.RejectRequest])
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -12,8 +12,8 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.decision.policy import RoutingPolicy
 from kelpcroft.net.feed_codec import FeedError, parse_watch_response
-from testbed.fleet import Fleet, Reply
-from testbed.virtual import EXAMPLE, Virtual
+from testbed.fleet import PolicyFleet, ScriptedResult
+from testbed.virtual import EXAMPLE, VirtualRouter
 
 
 def answer(
@@ -58,18 +58,20 @@
         random = Random(1)
         bad_from = 10 * S
 
-        def reply(now: int, f: api.ForwardRequest) -> Reply | None:
+        def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
             if f.fill_source == "p0" and now >= bad_from and random.random() < 0.7:
                 return None
             return int(random.lognormvariate(0, 0.8) * 250 * MS), Outcome.OK, FillResult.FILLED, {}
 
-        fleet = Fleet([policy(**THIN, router_index=n) for n in range(40)], reply)
-        fleet.ask(2 * S, 18 * S, 250 * MS, random)
+        fleet = PolicyFleet([policy(**THIN, router_index=n) for n in range(40)], reply)
+        fleet.schedule_requests(2 * S, 18 * S, 250 * MS, random)
         fleet.run(22 * S)
 
         def share(start: int, end: int) -> float:
             found = [
-                f.fill_source for at, f in fleet.sent if start <= at < end and f.fill_source in ("p0", "p1")
+                f.fill_source
+                for at, f in fleet.attempts
+                if start <= at < end and f.fill_source in ("p0", "p1")
             ]
             return found.count("p0") / len(found)
 
@@ -79,7 +81,7 @@
     def test_the_origin_shares_fills_when_the_only_parent_is_far_slower(self) -> None:
         random = Random(2)
 
-        def reply(now: int, f: api.ForwardRequest) -> Reply | None:
+        def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
             took = 2500 * MS if f.fill_source == "p0" and now > 4 * S else 300 * MS
             return (
                 took,
@@ -89,14 +91,16 @@
             )
 
         lines = [x for x in EVEN if x.name != "p1"]
-        fleet = Fleet([policy(lines, **THIN, router_index=n) for n in range(40)], reply)
+        fleet = PolicyFleet([policy(lines, **THIN, router_index=n) for n in range(40)], reply)
         for n in range(40):  # writes run at the origin, which is how its time is known
             for k in range(5):
-                fleet.at(S + k * 100 * MS, n, api.Request(f"w{n}-{k}", "unsafe", 3 * S, k, is_write=True))
-        fleet.ask(2 * S, 14 * S, 250 * MS, random)
+                fleet.schedule(
+                    S + k * 100 * MS, n, api.Request(f"w{n}-{k}", "unsafe", 3 * S, k, is_write=True)
+                )
+        fleet.schedule_requests(2 * S, 14 * S, 250 * MS, random)
         fleet.run(18 * S)
-        before = [f.fill_source for at, f in fleet.sent if 2 * S < at < 4 * S]
-        after = [f.fill_source for at, f in fleet.sent if at > 9 * S]
+        before = [f.fill_source for at, f in fleet.attempts if 2 * S < at < 4 * S]
+        after = [f.fill_source for at, f in fleet.attempts if at > 9 * S]
         self.assertEqual(before.count("o"), 0)
         self.assertGreater(after.count("o") / len(after), 0.3)
 
@@ -139,7 +143,7 @@
         capacity = {"c0": 7.0, "c1": 7.0, "c2": 15.0, "c3": 15.0}
         sends: dict[str, list[int]] = {name: [] for name in capacity}
 
-        def reply(now: int, f: api.ForwardRequest) -> Reply | None:
+        def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
             if f.server not in sends:
                 return 250 * MS, Outcome.OK, FillResult.FILLED, {}
             sends[f.server].append(now)
@@ -147,8 +151,8 @@
             busy = round(lately / capacity[f.server], 3)
             return 250 * MS, Outcome.OK, FillResult.HIT, {"utilization": busy, "x0": 0.7, "x1": 0.3}
 
-        fleet = Fleet([policy(EVEN, **THIN, zone_instances=8, router_index=n) for n in range(8)], reply)
-        fleet.ask(2 * S, 20 * S, 100 * MS, random, 300)
+        fleet = PolicyFleet([policy(EVEN, **THIN, zone_instances=8, router_index=n) for n in range(8)], reply)
+        fleet.schedule_requests(2 * S, 20 * S, 100 * MS, random, 300)
         fleet.run(24 * S)
         late = {name: sum(at > 12 * S for at in found) / capacity[name] for name, found in sends.items()}
         self.assertLess(max(late.values()) / min(late.values()), 1.7, late)
@@ -167,11 +171,11 @@
 
     ROUTERS, CAPACITY, UNIT = 9, 12.0, 0.25
 
-    def fleet(self, told: bool) -> tuple[Fleet, int]:
+    def fleet(self, told: bool) -> tuple[PolicyFleet, int]:
         start, random = 100 * S, Random(3)
         work: dict[str, list[int]] = {}
 
-        def reply(now: int, f: api.ForwardRequest) -> Reply | None:
+        def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
             sends = work.setdefault(f.server, [])
             sends.append(now)
             if f.server not in ("c0", "c1", "c2", "c3"):
@@ -183,7 +187,7 @@
             return took, Outcome.OK, FillResult.FILLED, {"utilization": busy, "x0": 0.01, "x1": 0.5}
 
         lines = [replace(x, started_ns=start) if told and x.role is api.Role.CACHE else x for x in EVEN]
-        fleet = Fleet(
+        fleet = PolicyFleet(
             [
                 policy(
                     lines,
@@ -197,14 +201,14 @@
             ],
             reply,
         )
-        fleet.ask(start, start + 20 * S, 100 * MS, random)
+        fleet.schedule_requests(start, start + 20 * S, 100 * MS, random)
         fleet.run(start + 24 * S)
         return fleet, start
 
-    def check(self, fleet: Fleet, start: int, since: int) -> None:
+    def check(self, fleet: PolicyFleet, start: int, since: int) -> None:
         """The rule over all routers, in every window of two seconds; and that the caches are put to use."""
         for name in ("c0", "c1", "c2", "c3"):
-            sends = [at - start for at, f in fleet.sent if f.server == name]
+            sends = [at - start for at, f in fleet.attempts if f.server == name]
             for step in range(since // (100 * MS), 130):
                 at = step * 100 * MS
                 share = 0.2 + 0.8 * at / (15 * S)
@@ -219,7 +223,7 @@
         """No router had an answer of them yet, and their turns came once in half a minute."""
         fleet, start = self.fleet(told=True)
         for name in ("c0", "c1", "c2", "c3"):
-            early = sum(2 * S <= at - start < 4 * S for at, f in fleet.sent if f.server == name)
+            early = sum(2 * S <= at - start < 4 * S for at, f in fleet.attempts if f.server == name)
             self.assertGreater(early, 2, name)
 
     def test_a_cold_cache_that_reports_little_load_gets_more(self) -> None:
@@ -347,9 +351,9 @@
         for bad, field in self.BAD:
             with self.subTest(field=field, bad=bad):
                 event = {"n": 2, **bad} if isinstance(bad, dict) else bad
-                world = Virtual(None, 1, {"done": 1.0})
+                world = VirtualRouter(None, 1, {"done": 1.0})
                 before = dict(world.reducer.state.endpoints)
-                world.tell(parse_watch_response({"n": 3, "events": [event, good]}))
+                world.deliver(parse_watch_response({"n": 3, "events": [event, good]}))
                 self.assertEqual(world.reducer.state.endpoints, before)
                 self.assertEqual(world.reducer.state.counters["purges"], 1)
                 self.assertEqual(world.reducer.endpoint_list.last_event, 3)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -17,7 +17,7 @@
 from kelpcroft.core.state import MS, SECOND
 from kelpcroft.decision.interface import FillResult, Outcome
 from testbed import cold_start
-from testbed.cold_start import Fleet
+from testbed.cold_start import ColdStartFleet
 
 
 class Refused(unittest.TestCase):
@@ -107,12 +107,12 @@
         """Forty routers, boxes with 32 places: a refusal made a box dead to who was refused."""
         before, cold_start.ZONE_ROUTERS = cold_start.ZONE_ROUTERS, 40
         try:
-            fleet = Fleet(40, rate=4.0, places=32, cold=False, cold_hubs=False)
+            fleet = ColdStartFleet(40, rate=4.0, places=32, cold=False, cold_hubs=False)
             fleet.run(12)
         finally:
             cold_start.ZONE_ROUTERS = before
         self.assertGreater(sum(r.state.counters["no place"] for r in fleet.routers), 10)
-        self.assertGreater(fleet.worth(0, 10), 0.9)
+        self.assertGreater(fleet.share_in_time(0, 10), 0.9)
 
 
 if __name__ == "__main__":
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -27,7 +27,7 @@
 from kelpcroft.core.state import MS, SECOND
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.interface import Outcome
-from testbed.stand_ins import Router, World
+from testbed.stand_ins import RouterProcess, StandInServers
 
 
 def variant(change: Any) -> dict[str, Any]:
@@ -263,15 +263,15 @@
             'kelpcroft version=1\nroute "fresh" {{ match class="{}"; attempts most=1; }}\n'
             'route "rest" {{ match; }}\n'
         )
-        with World() as world, Router(world, rules.format("page")) as router:
-            router.client().ask("page")
+        with StandInServers() as world, RouterProcess(world, rules.format("page")) as router:
+            router.client().request("page")
             config = Path(router.folder.name) / "config.json"
             raw = orjson.loads(config.read_bytes())
             raw["settings"]["classes"].append({**raw["settings"]["classes"][0], "name": "fresh"})
             config.write_bytes(orjson.dumps(raw))
-            told = router.reload(rules.format("fresh"))
+            told = router.reload_rules(rules.format("fresh"))
             self.assertEqual(told["event"], "rules.taken", told)
-            self.assertEqual(router.client().ask("fresh").kind, "served")
+            self.assertEqual(router.client().request("fresh").kind, "served")
 
 
 if __name__ == "__main__":
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -25,7 +25,7 @@
     RouterCommand,
     RouterReport,
 )
-from testbed.rollouts import Process, S, World, plan_of
+from testbed.rollouts import S, SimulatedFleet, SimulatedRouter, make_plan
 from testbed.stand_ins import ROOT
 
 HEAD = "rollout version=1\n"
@@ -136,12 +136,12 @@
                 StopCriteria(**wrong)
 
 
-def sound(world: World, p: Process, cls: str) -> float:
+def sound(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
     return 0.0
 
 
 def harmful(share: float, cls: str = "", zone: str = "") -> object:
-    def harm(world: World, p: Process, found: str) -> float:
+    def harm(world: SimulatedFleet, p: SimulatedRouter, found: str) -> float:
         return share if p.build == "beef" and cls in ("", found) and zone in ("", p.zone) else 0.0
 
     return harm
@@ -150,22 +150,22 @@
 class Runs(unittest.TestCase):
     """Twelve routers in three zones."""
 
-    def world(self, harm: object, seed: int = 1) -> World:
-        return World(plan_of(3, 4), seed, harm)  # type: ignore[arg-type]
+    def world(self, harm: object, seed: int = 1) -> SimulatedFleet:
+        return SimulatedFleet(make_plan(3, 4), seed, harm)  # type: ignore[arg-type]
 
     def test_a_sound_change_is_done_within_the_limits(self) -> None:
         for seed in range(4):
             world = self.world(sound, seed)
             self.assertEqual(world.run(), RolloutOutcome.DONE, world.rollout.reason)
-            self.assertEqual({p.build for p in world.processes.values()}, {"beef"})
+            self.assertEqual({p.build for p in world.routers.values()}, {"beef"})
             self.assertEqual(
-                [a for _, _, a in world.orders].count(CommandKind.APPLY), 12, "none is changed twice"
+                [a for _, _, a in world.commands].count(CommandKind.APPLY), 12, "none is changed twice"
             )
-            self.assertLessEqual(world.most_away[""], 3)
-            self.assertLessEqual(max(world.most_away[f"z{n}"] for n in range(3)), 1)
+            self.assertLessEqual(world.max_unavailable[""], 3)
+            self.assertLessEqual(max(world.max_unavailable[f"z{n}"] for n in range(3)), 1)
 
     def test_a_trouble_of_a_whole_zone_stops_nothing(self) -> None:
-        def hub_lost(world: World, p: Process, cls: str) -> float:
+        def hub_lost(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
             return 0.4 if p.zone == "z0" and 60 <= world.now / S - 1_000 < 120 else 0.0
 
         world = self.world(hub_lost)
@@ -180,77 +180,77 @@
         ):
             world = self.world(harm)
             self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK, world.rollout.reason)
-            self.assertLessEqual(len(world.touched), most)
-            self.assertEqual({p.build for p in world.processes.values()}, {"old"})
-            self.assertIn("the harm is gone", world.notes[-1].text)
-            self.assertTrue(all(p.in_service for p in world.processes.values()))
+            self.assertLessEqual(len(world.changed_routers), most)
+            self.assertEqual({p.build for p in world.routers.values()}, {"old"})
+            self.assertIn("the harm is gone", world.history[-1].text)
+            self.assertTrue(all(p.in_service for p in world.routers.values()))
 
     def test_signs_that_need_no_statistics(self) -> None:
-        def crash(w: World) -> None:
-            w.crash_after = 5 * S
+        def crash(w: SimulatedFleet) -> None:
+            w.new_build_crash_after_ns = 5 * S
 
-        def never(w: World) -> None:
-            w.never_ready = True
+        def never(w: SimulatedFleet) -> None:
+            w.new_build_never_ready = True
 
         for defect, due in ((crash, "crash"), (never, "not-ready")):
             world = self.world(sound)
             defect(world)
             self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK)
-            self.assertIn(due, [n.name for n in world.notes])
-            self.assertEqual(len(world.touched), 1)
+            self.assertIn(due, [n.name for n in world.history])
+            self.assertEqual(len(world.changed_routers), 1)
 
     def test_a_broken_invariant_and_another_build(self) -> None:
         for change, due in (({"invariants": 1}, "invariant"), ({"build": "cafe"}, "wrong-digest")):
             world = self.world(sound)
             for _ in range(400):
-                world.second()
-                for p in world.processes.values():
+                world.run_second()
+                for p in world.routers.values():
                     if p.build == "beef" and world.rollout.routers[p.name].phase is Phase.COMPARED:
                         for key, value in change.items():
                             setattr(p, key, value)
                 if world.rollout.outcome is not RolloutOutcome.RUNNING:
                     break
-            self.assertIn(due, [n.name for n in world.notes])
+            self.assertIn(due, [n.name for n in world.history])
 
     def test_harm_that_stays_is_not_the_changes(self) -> None:
-        def broken_place(world: World, p: Process, cls: str) -> float:
-            began = next((at for at, _, act in world.orders if act is CommandKind.APPLY), 0)
+        def broken_place(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
+            began = next((at for at, _, act in world.commands if act is CommandKind.APPLY), 0)
             return 0.3 if p.name == "n0-0" and began and world.now > began else 0.0
 
         world = self.world(broken_place)
         self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK)
-        self.assertIn("not the change's", world.notes[-1].text)
+        self.assertIn("not the change's", world.history[-1].text)
 
     def test_no_evidence_holds_and_says_what_is_missing(self) -> None:
-        world = World(plan_of(3, 4), 1, sound, rate=0.3)
+        world = SimulatedFleet(make_plan(3, 4), 1, sound, rate=0.3)
         self.assertEqual(world.run(), RolloutOutcome.HELD)
         self.assertIn("not enough evidence of class", world.rollout.reason)
-        self.assertEqual(len(world.touched), 1)
+        self.assertEqual(len(world.changed_routers), 1)
 
     def test_a_new_router_that_nobody_asks_is_not_good(self) -> None:
         """Clients that went to its neighbours stayed there: a harmful build went through every stage."""
 
-        class Unasked(World):
-            def second(self) -> None:
-                for p in self.processes.values():
+        class Unasked(SimulatedFleet):
+            def run_second(self) -> None:
+                for p in self.routers.values():
                     if p.build == "beef":
                         p.classes = {}
-                super().second()
-                for p in self.processes.values():
+                super().run_second()
+                for p in self.routers.values():
                     if p.build == "beef":
                         p.classes = {}
 
         for rate in (30.0, 0.0):
-            world = Unasked(plan_of(3, 4), 1, sound, rate=rate)
+            world = Unasked(make_plan(3, 4), 1, sound, rate=rate)
             self.assertEqual(world.run(), RolloutOutcome.HELD)
             self.assertIn("not enough evidence", world.rollout.reason)
-            self.assertEqual(len(world.touched), 1)
+            self.assertEqual(len(world.changed_routers), 1)
 
     def test_another_process_goes_on_at_any_instant(self) -> None:
         """Taken over after any step, with the orders of that step lost: no router is changed twice or
         forgotten.  Once the silence while nobody asked counted as the routers', and held it at once."""
         for every in (7, 23, 61):
-            world = World(plan_of(2, 3), 3, sound)
+            world = SimulatedFleet(make_plan(2, 3), 3, sound)
             for n in range(3_000):
                 if n % every == every - 1:
                     raw = json.loads(json.dumps(to_snapshot(world.rollout)))
@@ -258,15 +258,15 @@
                     world.rollout = restored(world.plan, raw)
                     for effect in world.rollout.resume_after_takeover(world.now, True):
                         if isinstance(effect, RouterCommand):
-                            world.order(effect)
-                world.second()
+                            world.carry_out(effect)
+                world.run_second()
                 if world.rollout.outcome is not RolloutOutcome.RUNNING:
                     break
             self.assertEqual(world.rollout.outcome, RolloutOutcome.DONE, (every, world.rollout.reason))
-            self.assertEqual({p.instance for p in world.processes.values()}, {2}, "each changed once")
+            self.assertEqual({p.instance for p in world.routers.values()}, {2}, "each changed once")
 
     def test_a_snapshot_that_cannot_be_used_says_why(self) -> None:
-        world = World(plan_of(2, 3), 1, sound)
+        world = SimulatedFleet(make_plan(2, 3), 1, sound)
         good = to_snapshot(world.rollout)
         for change in ({"v": 9}, {"routers": {}}, {"outcome": "lost"}, {"bets": [[1]]}, {"stage": "x"}):
             with self.assertRaises(SnapshotError):
@@ -274,10 +274,10 @@
 
     def test_silent_routers_hold_it_and_are_never_good(self) -> None:
         world = self.world(sound)
-        for n, p in enumerate(world.processes.values()):
-            p.silent_until = (1_050 + 100) * S if n < 5 else 0
+        for n, p in enumerate(world.routers.values()):
+            p.silent_until_ns = (1_050 + 100) * S if n < 5 else 0
         while world.now < 1_045 * S:
-            world.second()
+            world.run_second()
         self.assertEqual(world.rollout.outcome, RolloutOutcome.HELD)
         self.assertIn("do not answer", world.rollout.reason)
         world.run(200, {150: OperatorCommand.RESUME})
@@ -288,21 +288,21 @@
         for ordered in (False, True):
             with self.subTest(ordered=ordered):
                 world = self.world(sound)
-                for n, p in enumerate(world.processes.values()):
-                    p.silent_until = 1_150 * S if n < 5 else 0
+                for n, p in enumerate(world.routers.values()):
+                    p.silent_until_ns = 1_150 * S if n < 5 else 0
                 while world.now < 1_045 * S:
-                    world.second()
+                    world.run_second()
                 self.assertEqual(world.rollout.outcome, RolloutOutcome.HELD)
                 world.rollout = restored(
                     world.plan, to_snapshot(world.rollout)
                 )  # the cause outlives the process
-                begun = sum(note.name == "begun" for note in world.notes)
+                begun = sum(note.name == "begun" for note in world.history)
                 if ordered:
-                    world.tell(OperatorCommand.HOLD)
+                    world.deliver(OperatorCommand.HOLD)
                 while world.now < 1_150 * S:
-                    world.second()
+                    world.run_second()
                     self.assertEqual(world.rollout.outcome, RolloutOutcome.HELD)
-                self.assertEqual(sum(note.name == "begun" for note in world.notes), begun)
+                self.assertEqual(sum(note.name == "begun" for note in world.history), begun)
                 due = RolloutOutcome.HELD if ordered else RolloutOutcome.DONE
                 self.assertEqual(world.run(4_000, {10_000: OperatorCommand.HOLD}), due, world.rollout.reason)
 
@@ -312,48 +312,48 @@
         world = self.world(sound)
         pauses = 0
         while world.rollout.outcome is RolloutOutcome.RUNNING and world.now < 5_000 * S:
-            world.second()
+            world.run_second()
             if pauses < 20 and world.now % (7 * S) == 0:
                 pauses += 1
                 world.now += 20 * S
         self.assertEqual((world.rollout.outcome, pauses), (RolloutOutcome.DONE, 20), world.rollout.reason)
-        self.assertNotIn("held", [note.name for note in world.notes])
+        self.assertNotIn("held", [note.name for note in world.history])
 
     def test_one_that_dies_in_its_change_is_taken_back(self) -> None:
         """Nothing answers there, so it never said that it was out of service, and the taking back hung."""
 
-        class Dying(World):
-            def start(self, p: Process, build: str) -> None:
+        class Dying(SimulatedFleet):
+            def start(self, p: SimulatedRouter, build: str) -> None:
                 super().start(p, build)
                 p.alive = build != "beef"
 
-        world = Dying(plan_of(3, 4), 1, sound)
+        world = Dying(make_plan(3, 4), 1, sound)
         self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK, world.rollout.reason)
-        self.assertIn("not-ready", [n.name for n in world.notes])
-        self.assertEqual(len(world.touched), 1)
-        self.assertEqual({(p.build, p.alive) for p in world.processes.values()}, {("old", True)})
+        self.assertIn("not-ready", [n.name for n in world.history])
+        self.assertEqual(len(world.changed_routers), 1)
+        self.assertEqual({(p.build, p.alive) for p in world.routers.values()}, {("old", True)})
 
     def test_one_that_dies_once_it_was_ready_holds_it(self) -> None:
         """It was neither judged nor missed: the stage waited for it for good."""
 
-        class Dying(World):
-            def second(self) -> None:
-                super().second()
-                for p in self.processes.values():
+        class Dying(SimulatedFleet):
+            def run_second(self) -> None:
+                super().run_second()
+                for p in self.routers.values():
                     if p.build == "beef" and self.rollout.routers[p.name].phase is Phase.WARMING_UP:
                         p.alive = False
 
-        world = Dying(plan_of(3, 4), 1, sound)
+        world = Dying(make_plan(3, 4), 1, sound)
         self.assertEqual(world.run(300), RolloutOutcome.HELD)
         self.assertIn("n0-0 has not answered since its change", world.rollout.reason)
-        world.tell(OperatorCommand.REVERT)
+        world.deliver(OperatorCommand.REVERT)
         self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK)
-        self.assertEqual({(p.build, p.alive) for p in world.processes.values()}, {("old", True)})
+        self.assertEqual({(p.build, p.alive) for p in world.routers.values()}, {("old", True)})
 
     def test_lost_orders_hold_and_change_nobody_twice(self) -> None:
         for seed in range(4):
             world = self.world(sound, seed)
-            world.lost_orders = 0.2
+            world.lost_command_share = 0.2
             world.run(3_000)
             self.assertIn(
                 world.rollout.outcome,
@@ -364,9 +364,9 @@
                     RolloutOutcome.ROLLING_BACK,
                 ),
             )
-            starts = {p.name: p.instance for p in world.processes.values()}
+            starts = {p.name: p.instance for p in world.routers.values()}
             self.assertLessEqual(max(starts.values()), 3, "changed once, and taken back once at most")
-            self.assertLessEqual(world.most_away[""], 4, "three, and one whose order to go in was lost")
+            self.assertLessEqual(world.max_unavailable[""], 4, "three, and one whose order to go in was lost")
 
     def test_people_hold_resume_and_revert(self) -> None:
         world = self.world(sound)
@@ -376,10 +376,10 @@
             ),
             RolloutOutcome.ROLLED_BACK,
         )
-        self.assertEqual({p.build for p in world.processes.values()}, {"old"})
+        self.assertEqual({p.build for p in world.routers.values()}, {"old"})
 
     def test_contradictions_and_strangers_are_named_and_not_used(self) -> None:
-        rollout = Rollout(plan_of(1, 4), 0)
+        rollout = Rollout(make_plan(1, 4), 0)
         digests = {"program": "old"}
         rollout.handle(
             S, RouterReport("n0-0", "i", digests, True, True, 0, {"x": RequestSample(50, 50.0, 50.0)})
@@ -407,15 +407,17 @@
     def test_whatever_happens(self, seed: int, faults: list[tuple[int, str, int]]) -> None:
         """Limits hold for what the rollout itself takes away, and what has ended stays ended."""
         defect = [0.0]
-        world = World(plan_of(3, 4), seed, lambda w, p, c: defect[0] if p.build == "beef" else 0.0, rate=10.0)
-        names = list(world.processes)
+        world = SimulatedFleet(
+            make_plan(3, 4), seed, lambda w, p, c: defect[0] if p.build == "beef" else 0.0, rate=10.0
+        )
+        names = list(world.routers)
         for second in range(700):
             for at, what, who in faults:
                 if at != second:
                     continue
-                p = world.processes[names[who]]
+                p = world.routers[names[who]]
                 if what == "silent":
-                    p.silent_until = world.now + 20 * S
+                    p.silent_until_ns = world.now + 20 * S
                 elif what == "crash":
                     world.start(p, p.build)
                 elif what == "kill":
@@ -423,9 +425,9 @@
                 elif what == "defect":
                     defect[0] = 0.4
                 else:
-                    world.tell(OperatorCommand(what))
+                    world.deliver(OperatorCommand(what))
             before = world.rollout.outcome
-            world.second()
+            world.run_second()
             phases = [r.phase for r in world.rollout.routers.values()]
             under_way = sum(
                 x
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -18,8 +18,8 @@
 from test_rollout_field import Controller, Rollouts
 
 from kelpcroft.store.identity import settings_digest
-from testbed.field import Field, Load, Mode, Relay
-from testbed.field.field import Node
+from testbed.field import ClientLoad, LinkMode, Relay, RouterField
+from testbed.field.field import RouterNode
 from testbed.stand_ins import ROOT
 
 
@@ -27,16 +27,16 @@
     """What the tests here share."""
 
     def stopped(
-        self, field: Field, plan: str, due: str, most: int = 1, per_s: float = 40.0, orders: int = 0
-    ) -> Load:
+        self, field: RouterField, plan: str, due: str, most: int = 1, per_s: float = 40.0, orders: int = 0
+    ) -> ClientLoad:
         """A defective change: said to be ``due``, at so many routers at the most, and taken back."""
         controller = self.controller(plan)
-        with Load(field, per_s, orders) as load:
+        with ClientLoad(field, per_s, orders) as load:
             self.assertEqual(self.finish(controller.start(), controller), 1, controller.said())
         self.assertIn(due, controller.said())
-        touched = [name for name, node in field.nodes.items() if "new" in node.starts]
+        touched = [name for name, node in field.nodes.items() if "new" in node.started_builds]
         self.assertLessEqual(len(touched), most, controller.said())
-        self.assertEqual({node.starts[-1] for node in field.nodes.values()}, {"old"})
+        self.assertEqual({node.started_builds[-1] for node in field.nodes.values()}, {"old"})
         for node in field.nodes.values():
             assert node.process is not None
             self.assertIsNone(node.process.poll(), f"{node.name} does not run")
@@ -49,9 +49,9 @@
         """Twelve routers in three zones: connections dropped, a box late, another crashed, a hub lost, each
         on an event of the rollout.  It ends in done, no request is lost and no rule is broken."""
         field, digest = self.field("sound", 3, 4, boxes=2, hubs=2, relayed=True)
-        relays, events = field.world.relays, [0]
+        relays, events = field.servers.relays, [0]
 
-        def fault(node: Node) -> None:
+        def fault(node: RouterNode) -> None:
             """One more with each change."""
             events[0] += 1
             for relay in relays.values():
@@ -59,24 +59,24 @@
             if events[0] < 2:
                 return
             {
-                2: lambda: relays["cache-z0"].change(Mode.DELAY),
-                3: lambda: relays["cache-z1"].change(Mode.RESET),
-                4: lambda: relays["parent1"].change(Mode.SILENT),
-                7: lambda: relays["cache-z1"].change(Mode.PASS),
-                9: lambda: relays["parent1"].change(Mode.PASS),
-                10: lambda: relays["cache-z0"].change(Mode.PASS),
+                2: lambda: relays["cache-z0"].change(LinkMode.DELAY),
+                3: lambda: relays["cache-z1"].change(LinkMode.RESET),
+                4: lambda: relays["parent1"].change(LinkMode.SILENT),
+                7: lambda: relays["cache-z1"].change(LinkMode.PASS),
+                9: lambda: relays["parent1"].change(LinkMode.PASS),
+                10: lambda: relays["cache-z0"].change(LinkMode.PASS),
             }.get(events[0], lambda: None)()
 
         field.on_order["apply"] = fault
-        plan = field.plan(digest).replace("at-once=2", "at-once=3")
+        plan = field.rollout_plan(digest).replace("at-once=2", "at-once=3")
         controller = self.controller(plan)
-        with Load(field, per_s=15.0) as load:
+        with ClientLoad(field, per_s=15.0) as load:
             self.assertEqual(self.finish(controller.start(), controller), 0, controller.said())
         self.assertEqual(events[0], 12)
-        self.assertEqual({tuple(n.starts) for n in field.nodes.values()}, {("old", "new")})
-        self.assertEqual(field.watch(load, cut=True).found, [])
-        self.assertEqual(load.count["lost"], 0, load.count)
-        self.assertGreater(load.count["served"], 2_000, load.count)
+        self.assertEqual({tuple(n.started_builds) for n in field.nodes.values()}, {("old", "new")})
+        self.assertEqual(field.check_contract(load, cut=True).violations, [])
+        self.assertEqual(load.counts["lost"], 0, load.counts)
+        self.assertGreater(load.counts["served"], 2_000, load.counts)
 
     @pytest.mark.long
     def test_a_settings_file_that_harms_and_one_that_is_broken(self) -> None:
@@ -94,66 +94,68 @@
             found["settings"]["classes"][0]["give_up_ns"] = 20_000_000
             return found
 
-        whole = Node.write
+        whole = RouterNode.write
 
-        def half(node: Node, config: dict[str, Any]) -> None:
+        def half(node: RouterNode, config: dict[str, Any]) -> None:
             whole(node, config)
             if config is not node.config:
                 path = node.folder / "config.json"
                 path.write_text(path.read_text()[:200])
 
-        field.changed = harmful  # type: ignore[method-assign]
-        field.carry = field.retune
+        field.changed_config = harmful  # type: ignore[method-assign]
+        field.order_action = field.reload_config
         if broken:
-            Node.write = half  # type: ignore[method-assign]
-            self.addCleanup(setattr, Node, "write", whole)
+            RouterNode.write = half  # type: ignore[method-assign]
+            self.addCleanup(setattr, RouterNode, "write", whole)
         node = next(iter(field.nodes.values()))
         digest = settings_digest(harmful(node.config)["settings"])
-        plan = field.plan(digest, what='settings digest="{}"').replace('ready="15s"', 'ready="4s"')
+        plan = field.rollout_plan(digest, what='settings digest="{}"').replace('ready="15s"', 'ready="4s"')
         load = self.stopped(field, plan, due)
-        self.assertGreater(load.count["served"], 300)
+        self.assertGreater(load.counts["served"], 300)
 
     def test_a_build_that_leaks(self) -> None:
         field, digest = self.field("leaks", 1, 3)
-        self.stopped(field, field.plan(digest).replace('least="3s"', 'least="8s"'), "memory", per_s=80.0)
+        self.stopped(
+            field, field.rollout_plan(digest).replace('least="3s"', 'least="8s"'), "memory", per_s=80.0
+        )
 
     def test_upgrades_on_inherited_sockets(self) -> None:
         """Old and new side by side on each socket: no request is lost and no rule is broken."""
         field, load = self.upgraded("sound")
-        self.assertEqual({tuple(n.starts) for n in field.nodes.values()}, {("old", "new")})
-        self.assertEqual((load.count["lost"], field.watch(load).found), (0, []), load.count)
-        self.assertGreater(load.count["served"], 300, load.count)
+        self.assertEqual({tuple(n.started_builds) for n in field.nodes.values()}, {("old", "new")})
+        self.assertEqual((load.counts["lost"], field.check_contract(load).violations), (0, []), load.counts)
+        self.assertGreater(load.counts["served"], 300, load.counts)
 
-    def upgraded(self, defect: str, due: int = 0, **strikes: Any) -> tuple[Field, Load]:
+    def upgraded(self, defect: str, due: int = 0, **strikes: Any) -> tuple[RouterField, ClientLoad]:
         """A rollout by upgrades, struck at a step of the first: its field and load, once it has ended so."""
         field, digest = self.field(defect, 1, 3, inherited=True)
         struck: list[str] = []
 
         def once(strike: Any) -> Any:
-            def at(node: Node, old: Any, new: Any) -> None:
+            def at(node: RouterNode, old: Any, new: Any) -> None:
                 if not struck:
                     struck.append(node.name)
                     strike(node, old, new)
 
             return at
 
-        field.on_step = {step: once(strike) for step, strike in strikes.items()}
-        plan = field.plan(digest).replace('ready="15s"', 'ready="6s"')
+        field.on_upgrade_step = {step: once(strike) for step, strike in strikes.items()}
+        plan = field.rollout_plan(digest).replace('ready="15s"', 'ready="6s"')
         controller = self.controller(plan)
-        with Load(field) as load:
+        with ClientLoad(field) as load:
             self.assertEqual(self.finish(controller.start(), controller), due, controller.said())
         self.assertEqual(len(struck), len(strikes))
-        self.assertEqual({n.starts[-1] for n in field.nodes.values()}, {"old" if due else "new"})
+        self.assertEqual({n.started_builds[-1] for n in field.nodes.values()}, {"old" if due else "new"})
         return field, load
 
     def test_a_controller_that_is_stopped_and_woken_holds_nothing(self) -> None:
         """Its pause is not the routers' silence: on an event of the rollout it is stopped for longer than any
         router may be silent, woken within its lease, and the rollout ends without a hold."""
         field, digest = self.field("sound", 1, 3)
-        controller = self.controller(field.plan(digest))
+        controller = self.controller(field.rollout_plan(digest))
         stopped: list[str] = []
 
-        def pause(node: Node) -> None:
+        def pause(node: RouterNode) -> None:
             stopped.append(node.name)
             process = controller.processes[-1]
             process.send_signal(signal.SIGSTOP)
@@ -161,7 +163,7 @@
             process.send_signal(signal.SIGCONT)
 
         field.on_order["apply"] = pause
-        with Load(field):
+        with ClientLoad(field):
             self.assertEqual(self.finish(controller.start(), controller), 0, controller.said())
         self.assertEqual(len(stopped), 3)
         self.assertNotIn("held", [row["name"] for row in controller.history()], controller.said())
@@ -174,8 +176,8 @@
             with self.subTest(step=step):
                 self.setUp()
                 field, load = self.upgraded("sound", **{step: lambda _, old, new: (old.kill(), old.wait())})
-                self.assertEqual(field.watch(load, killed=True).found, [])
-                self.assertLess(load.count["lost"], 10, load.count)
+                self.assertEqual(field.check_contract(load, killed=True).violations, [])
+                self.assertLess(load.counts["lost"], 10, load.counts)
 
     @pytest.mark.long
     def test_a_new_one_killed_as_soon_as_the_old_one_has_gone(self) -> None:
@@ -184,16 +186,16 @@
         field, digest = self.field("sound", 1, 3, inherited=True)
         killed: list[str] = []
 
-        def kill(node: Node, old: Any, new: Any) -> None:
+        def kill(node: RouterNode, old: Any, new: Any) -> None:
             if not killed:
                 killed.append(node.name)
                 new.kill()
                 new.wait()
 
-        field.on_step["gone"] = kill
-        controller = self.controller(field.plan(digest).replace('ready="15s"', 'ready="4s"'))
+        field.on_upgrade_step["gone"] = kill
+        controller = self.controller(field.rollout_plan(digest).replace('ready="15s"', 'ready="4s"'))
         store = ["--store", str(self.folder / "store.db")]
-        with Load(field) as load:
+        with ClientLoad(field) as load:
             process = controller.start()
             until = time.monotonic() + 90
             while "held" not in controller.verb("status", *store) and time.monotonic() < until:
@@ -202,10 +204,10 @@
             self.assertRegex(controller.verb("status", *store), "has not answered|not enough evidence")
             controller.verb("revert", *store)
             self.assertEqual(self.finish(process, controller), 1, controller.said())
-        self.assertEqual(sum("new" in n.starts for n in field.nodes.values()), 1)
-        self.assertEqual({n.starts[-1] for n in field.nodes.values()}, {"old"})
+        self.assertEqual(sum("new" in n.started_builds for n in field.nodes.values()), 1)
+        self.assertEqual({n.started_builds[-1] for n in field.nodes.values()}, {"old"})
         # Who connected while nobody served the socket has no answer; every other rule holds.
-        found = field.watch(load, killed=True).found
+        found = field.check_contract(load, killed=True).violations
         self.assertEqual([x for x in found if not x.startswith("answered")], [])
 
     @pytest.mark.long
@@ -220,31 +222,31 @@
 
         killed: list[str] = []
 
-        def retune(node: Node, verb: str) -> None:
-            field.retune(node, verb)
+        def retune(node: RouterNode, verb: str) -> None:
+            field.reload_config(node, verb)
             if not killed:
                 killed.append(node.name)
                 assert node.process is not None
                 node.process.kill()
                 node.process.wait()
-                node.start(node.starts.pop(), keep=True)
+                node.start(node.started_builds.pop(), keep=True)
 
-        field.changed = longer  # type: ignore[method-assign]
-        field.carry = retune
+        field.changed_config = longer  # type: ignore[method-assign]
+        field.order_action = retune
         digest = settings_digest(longer(next(iter(field.nodes.values())).config)["settings"])
-        controller = self.controller(field.plan(digest, what='settings digest="{}"'))
-        with Load(field) as load:
+        controller = self.controller(field.rollout_plan(digest, what='settings digest="{}"'))
+        with ClientLoad(field) as load:
             code = self.finish(controller.start(), controller)
         self.assertEqual(code, 0, controller.said() + "".join(n.log()[-900:] for n in field.nodes.values()))
         self.assertEqual(len(killed), 1)
-        self.assertEqual(field.watch(load, killed=True).found, [])
+        self.assertEqual(field.check_contract(load, killed=True).violations, [])
 
     @pytest.mark.long
     def test_local_processes_of_one_machine(self) -> None:
         """Four routers that the controller ends and starts itself, no tool between: each is changed once, no
         request is lost, and the new processes outlive it."""
         field, digest = self.field("sound", 2, 2)
-        plan = field.plan(digest)
+        plan = field.rollout_plan(digest)
         plan = plan[: plan.index("act timeout")] + (
             f'act local=#true {{ old "{ROOT}"; new "{self.folder / "new"}" }}\n'
         )
@@ -253,20 +255,20 @@
             plan = plan.replace(f'router "{name}"', f'router "{name}" {own}')
         self.addCleanup(self.end_all, field)
         controller = self.controller(plan)
-        with Load(field) as load:
+        with ClientLoad(field) as load:
             self.assertEqual(self.finish(controller.start(), controller), 0, controller.said())
         told = [self.state(node) for node in field.nodes.values()]
         self.assertEqual([t["build"] for t in told], [digest] * 4)
-        self.assertEqual(load.count["lost"], 0, load.count)
-        self.assertEqual(field.watch(load).found, [])
+        self.assertEqual(load.counts["lost"], 0, load.counts)
+        self.assertEqual(field.check_contract(load).violations, [])
 
-    def state(self, node: Node) -> dict[str, Any]:
-        url = f"http://{node.mgmt[0]}:{node.mgmt[1]}/control/state"
+    def state(self, node: RouterNode) -> dict[str, Any]:
+        url = f"http://{node.control_address[0]}:{node.control_address[1]}/control/state"
         with urllib.request.urlopen(url, timeout=5) as answer:
             found: dict[str, Any] = json.loads(answer.read())
             return found
 
-    def end_all(self, field: Field) -> None:
+    def end_all(self, field: RouterField) -> None:
         """Processes that the controller left running."""
         for node in field.nodes.values():
             try:
@@ -276,26 +278,26 @@
 
     def test_a_build_that_breaks_an_invariant(self) -> None:
         field, digest = self.field("breaks an invariant", 1, 3)
-        self.stopped(field, field.plan(digest), "broken invariants")
+        self.stopped(field, field.rollout_plan(digest), "broken invariants")
 
     @pytest.mark.long
     def test_a_router_killed_in_its_drain(self) -> None:
         """The order to change it comes when it is out of service: it dies there.  The rollout is done."""
         field, digest = self.field("sound", 1, 3)
-        controller = self.controller(field.plan(digest))
+        controller = self.controller(field.rollout_plan(digest))
         killed: list[str] = []
 
-        def kill_first(node: Node) -> None:
+        def kill_first(node: RouterNode) -> None:
             if not killed:
                 killed.append(node.name)
                 node.end(signal.SIGKILL)
 
         field.on_order["apply"] = kill_first
-        with Load(field) as load:
+        with ClientLoad(field) as load:
             self.assertEqual(self.finish(controller.start(), controller), 0, controller.said())
         self.assertEqual(len(killed), 1)
-        self.assertEqual({n.starts[-1] for n in field.nodes.values()}, {"new"})
-        self.assertEqual(field.watch(load, killed=True).found, [])
+        self.assertEqual({n.started_builds[-1] for n in field.nodes.values()}, {"new"})
+        self.assertEqual(field.check_contract(load, killed=True).violations, [])
 
 
 @pytest.mark.long
@@ -314,23 +316,27 @@
                 field, digest = self.field(defect, 2, 3)
                 if defect == "crashes":  # the platform starts it again
                     self.again(field)
-                self.stopped(field, field.plan(digest), due, most, 60.0, 3 if defect == "one class" else 0)
+                self.stopped(
+                    field, field.rollout_plan(digest), due, most, 60.0, 3 if defect == "one class" else 0
+                )
 
     def test_one_in_twenty_refused(self) -> None:
         """Harm of 0.05: as much as the plan must find, at the stated rates."""
         field, digest = self.field("one in twenty", 1, 3)
-        plan = field.plan(digest).replace("harm=0.15", "harm=0.05").replace('most="60s"', 'most="140s"')
+        plan = (
+            field.rollout_plan(digest).replace("harm=0.15", "harm=0.05").replace('most="60s"', 'most="140s"')
+        )
         self.stopped(field, plan, "does worse in zone", 1, per_s=100.0)
 
-    def again(self, field: Field) -> None:
+    def again(self, field: RouterField) -> None:
         """A supervisor: what died is started again as it was."""
 
         def look() -> None:
             while field.agent.fileno() >= 0:
                 for node in field.nodes.values():
-                    if node.process and node.process.poll() is not None and node.starts:
-                        node.start(node.starts[-1])
-                        node.starts.pop()
+                    if node.process and node.process.poll() is not None and node.started_builds:
+                        node.start(node.started_builds[-1])
+                        node.started_builds.pop()
                 time.sleep(0.1)
 
         threading.Thread(target=look, daemon=True).start()
@@ -338,41 +344,46 @@
     def test_links_of_the_controller(self) -> None:
         """To a third of the routers: cut, 2 s late, garbage.  It is held, says who does not answer, changes
         nothing meanwhile, and goes on to the end by itself when they are back."""
-        for mode in (Mode.RESET, Mode.DELAY, Mode.GARBAGE):
+        for mode in (LinkMode.RESET, LinkMode.DELAY, LinkMode.GARBAGE):
             with self.subTest(mode=mode.value):
                 self.setUp()
                 field, digest = self.field("sound", 2, 3)
-                with Relay(field.nodes["z0-1"].mgmt) as a, Relay(field.nodes["z1-1"].mgmt) as b:
+                with (
+                    Relay(field.nodes["z0-1"].control_address) as a,
+                    Relay(field.nodes["z1-1"].control_address) as b,
+                ):
                     self.cut(field, digest, mode, a, b)
 
-    def cut(self, field: Field, digest: str, mode: Mode, a: Relay, b: Relay) -> None:
-        controller = self.controller(field.plan(digest, control={"z0-1": a.address, "z1-1": b.address}))
+    def cut(self, field: RouterField, digest: str, mode: LinkMode, a: Relay, b: Relay) -> None:
+        controller = self.controller(
+            field.rollout_plan(digest, control={"z0-1": a.address, "z1-1": b.address})
+        )
         store = ["--store", str(self.folder / "store.db")]
         begun: list[str] = []
 
-        def strike(node: Node) -> None:
+        def strike(node: RouterNode) -> None:
             if not begun:
                 begun.append(node.name)
                 a.change(mode)
                 b.change(mode)
 
         field.on_order["apply"] = strike
-        with Load(field):
+        with ClientLoad(field):
             process = controller.start()
             self.until(lambda: "held" in controller.verb("status", *store), controller)
             self.assertIn("do not answer: z0-1, z1-1", controller.verb("status", *store))
             held = len(field.orders)
             time.sleep(3)
             self.assertEqual(len(field.orders), held)
-            a.change(Mode.PASS)
-            b.change(Mode.PASS)
+            a.change(LinkMode.PASS)
+            b.change(LinkMode.PASS)
             self.assertEqual(self.finish(process, controller), 0, controller.said())
 
     def test_a_controller_that_is_stopped_for_thirty_seconds(self) -> None:
         """Another takes over after the lease; the first wakes up and may do nothing more."""
         field, digest = self.field("sound", 1, 3)
-        controller = self.controller(field.plan(digest))
-        with Load(field):
+        controller = self.controller(field.rollout_plan(digest))
+        with ClientLoad(field):
             first = controller.start()
             self.until(lambda: len(field.orders) >= 1, controller)
             first.send_signal(signal.SIGSTOP)
@@ -382,7 +393,7 @@
             first.send_signal(signal.SIGCONT)
             self.assertEqual(self.finish(first, controller), 2, controller.said())
             self.assertEqual(self.finish(second, controller), 0, controller.said())
-        self.assertEqual({tuple(n.starts) for n in field.nodes.values()}, {("old", "new")})
+        self.assertEqual({tuple(n.started_builds) for n in field.nodes.values()}, {("old", "new")})
 
     def until(self, found: Any, controller: Controller) -> None:
         for _ in range(300):
--- a/tests/test_rollout_field.py
+++ b/tests/test_rollout_field.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 from kelpcroft.store.identity import program_digest
-from testbed.field import Field, Load, Relay, build
-from testbed.field.relay import Mode
-from testbed.stand_ins import PROGRAM, ROOT
+from testbed.field import ClientLoad, Relay, RouterField, build_program
+from testbed.field.relay import LinkMode
+from testbed.stand_ins import PROGRAM_DIR, ROOT
 
 LONGEST_S = 150.0  # a run that takes so long has failed
 
@@ -80,9 +80,9 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def field(self, defect: str, zones: int = 2, each: int = 3, **more: Any) -> tuple[Field, str]:
-        builds = {"old": PROGRAM, "new": build(self.folder / "new", defect)}
-        field = Field(zones, each, builds, **more)
+    def field(self, defect: str, zones: int = 2, each: int = 3, **more: Any) -> tuple[RouterField, str]:
+        builds = {"old": PROGRAM_DIR, "new": build_program(self.folder / "new", defect)}
+        field = RouterField(zones, each, builds, **more)
         field.__enter__()
         self.addCleanup(field.__exit__)
         return field, program_digest(builds["new"] / "kelpcroft")
@@ -104,7 +104,7 @@
         """Killed when the third router is being changed, and again when the fifth is: each router is changed
         once, no request is lost, and the history has every decision."""
         field, digest = self.field("sound")
-        controller = self.controller(field.plan(digest))
+        controller = self.controller(field.rollout_plan(digest))
         killed: list[int] = []
 
         def kill(node: object) -> None:
@@ -114,7 +114,7 @@
                 controller.processes[-1].send_signal(signal.SIGKILL)
 
         field.on_order["apply"] = kill
-        with Load(field) as load:
+        with ClientLoad(field) as load:
             code = -signal.SIGKILL
             while code == -signal.SIGKILL and len(controller.processes) < 4:
                 code = self.finish(controller.start(), controller)
@@ -125,24 +125,25 @@
         self.assertEqual(code, 0, controller.said())
         self.assertEqual(killed, [3, 5])
         self.assertEqual(
-            {n: node.starts for n, node in field.nodes.items()}, dict.fromkeys(field.nodes, ["old", "new"])
+            {n: node.started_builds for n, node in field.nodes.items()},
+            dict.fromkeys(field.nodes, ["old", "new"]),
         )
-        self.assertEqual(load.count["lost"], 0, load.count)
-        self.assertGreater(load.count["served"], 1_000)
+        self.assertEqual(load.counts["lost"], 0, load.counts)
+        self.assertGreater(load.counts["served"], 1_000)
         names = Counter(row["name"] for row in controller.history())
         self.assertEqual((names["begun"], names["stage-good"], names["done"], names["resumed"]), (6, 3, 1, 2))
 
     def test_a_build_that_refuses_is_taken_back_after_one_router(self) -> None:
         field, digest = self.field("refuses")
-        controller = self.controller(field.plan(digest))
-        with Load(field) as load:
+        controller = self.controller(field.rollout_plan(digest))
+        with ClientLoad(field) as load:
             self.assertEqual(self.finish(controller.start(), controller), 1, controller.said())
-        touched = [name for name, node in field.nodes.items() if "new" in node.starts]
+        touched = [name for name, node in field.nodes.items() if "new" in node.started_builds]
         self.assertEqual(len(touched), 1)
-        self.assertEqual(field.nodes[touched[0]].starts, ["old", "new", "old"])
+        self.assertEqual(field.nodes[touched[0]].started_builds, ["old", "new", "old"])
         self.assertIn("does worse in zone", controller.said())
         self.assertIn("the harm is gone", controller.said())
-        self.assertEqual(load.count["lost"], 0, load.count)
+        self.assertEqual(load.counts["lost"], 0, load.counts)
         worse = next(row for row in controller.history() if row["name"] == "worse")
         self.assertTrue(any(x["verdict"] == "worse" and x["mean"] > 0.1 for x in worse["figures"].values()))
 
@@ -150,19 +151,21 @@
         """A build that is never ready is taken back; the link to another router answers garbage meanwhile,
         which is never taken for good or bad."""
         field, digest = self.field("never-ready")
-        with Relay(field.nodes["z1-2"].mgmt) as relay:
-            plan = field.plan(digest, control={"z1-2": relay.address}).replace('ready="15s"', 'ready="4s"')
+        with Relay(field.nodes["z1-2"].control_address) as relay:
+            plan = field.rollout_plan(digest, control={"z1-2": relay.address}).replace(
+                'ready="15s"', 'ready="4s"'
+            )
             controller = self.controller(plan)
-            field.on_order["apply"] = lambda node: relay.change(Mode.GARBAGE)
+            field.on_order["apply"] = lambda node: relay.change(LinkMode.GARBAGE)
             self.assertEqual(self.finish(controller.start(), controller), 1, controller.said())
         self.assertIn("not-ready", controller.said())
-        self.assertEqual(sum("new" in node.starts for node in field.nodes.values()), 1)
-        self.assertEqual({node.starts[-1] for node in field.nodes.values()}, {"old"})
+        self.assertEqual(sum("new" in node.started_builds for node in field.nodes.values()), 1)
+        self.assertEqual({node.started_builds[-1] for node in field.nodes.values()}, {"old"})
 
     def test_two_controllers_and_people(self) -> None:
         """The second cannot lead; hold, status and revert do what they say."""
         field, digest = self.field("sound", zones=1, each=3)
-        controller = self.controller(field.plan(digest).replace('least="3s"', 'least="20s"'))
+        controller = self.controller(field.rollout_plan(digest).replace('least="3s"', 'least="20s"'))
         first = controller.start()
         store = ["--store", str(self.folder / "store.db")]
         while not any(row["name"] == "begun" for row in controller.history()):
@@ -176,5 +179,5 @@
             time.sleep(0.2)
         controller.verb("revert", *store)
         self.assertEqual(self.finish(first, controller), 1)
-        self.assertEqual({node.starts[-1] for node in field.nodes.values()}, {"old"})
+        self.assertEqual({node.started_builds[-1] for node in field.nodes.values()}, {"old"})
         self.assertIn("is over", controller.verb("hold", *store))
--- a/tests/test_routes_loopback.py
+++ b/tests/test_routes_loopback.py
@@ -9,7 +9,15 @@
 import unittest
 from collections.abc import Callable
 
-from testbed.stand_ins import MS, Answer, Reply, Router, Seen, World, well
+from testbed.stand_ins import (
+    MS,
+    ClientResponse,
+    RouterProcess,
+    ScriptedReply,
+    ServerCommand,
+    StandInServers,
+    answer_at_once,
+)
 
 HEAD = 'kelpcroft version=1\nroute "orders" { match class="order"; timeout "1.5s"; attempts most=1; }\n'
 ONE = ("cache1", "parent", "origin")
@@ -36,29 +44,29 @@
 }
 
 
-def always(word: str, after_ms: float = 0.0) -> Callable[[str, Seen], Reply]:
-    return lambda server, seen: Reply(word, after_ms, tell="")
+def always(word: str, after_ms: float = 0.0) -> Callable[[str, ServerCommand], ScriptedReply]:
+    return lambda server, seen: ScriptedReply(word, after_ms, cache_status="")
 
 
 class Loopback(unittest.TestCase):
-    def start(self, world: World, rules: str) -> Router:
+    def start(self, world: StandInServers, rules: str) -> RouterProcess:
         world.__enter__()
         self.addCleanup(world.__exit__)
-        router = Router(world, HEAD + rules, settings=SETTINGS)
+        router = RouterProcess(world, HEAD + rules, settings=SETTINGS)
         router.__enter__()
         self.addCleanup(router.__exit__)
         return router
 
     def ask(
         self,
-        script: Callable[[str, Seen], Reply],
+        script: Callable[[str, ServerCommand], ScriptedReply],
         rules: str,
         cls: str = "page",
         servers: tuple[str, ...] = ("cache1", "cache2", "parent", "origin"),
-    ) -> tuple[World, Answer]:
-        world = World(script, servers)
+    ) -> tuple[StandInServers, ClientResponse]:
+        world = StandInServers(script, servers)
         router = self.start(world, rules)
-        return world, router.client().ask(cls, patience_ms=LONG, body=b"dish" if cls == "order" else b"")
+        return world, router.client().request(cls, patience_ms=LONG, body=b"dish" if cls == "order" else b"")
 
     def test_errors_are_tried_again_as_often_as_declared(self) -> None:
         for most in (1, 2):
@@ -67,19 +75,19 @@
                     always("BROKE"), f'route "rest" {{ match; attempts most={most}; pause "120ms"; }}'
                 )
                 self.assertEqual((answer.kind, answer.fields), ("refused", {"pause": "120"}))
-                self.assertEqual(len(world.pulls()), most)
+                self.assertEqual(len(world.requests()), most)
 
     def test_an_outcome_that_is_not_named_is_not_tried_again(self) -> None:
         world, answer = self.ask(
             always("BROKE"), 'route "rest" { match; attempts most=3 on="timeout,reset"; }'
         )
-        self.assertEqual((answer.kind, len(world.pulls())), ("refused", 1))
+        self.assertEqual((answer.kind, len(world.requests())), ("refused", 1))
 
     def test_resets_and_cut_answers_count_as_attempts(self) -> None:
         for word in ("reset", "cut"):
             with self.subTest(word=word):
                 world, answer = self.ask(always(word), 'route "rest" { match; attempts most=2; }')
-                self.assertEqual((answer.kind, len(world.pulls())), ("refused", 2))
+                self.assertEqual((answer.kind, len(world.requests())), ("refused", 2))
 
     def test_misses_and_full_servers_are_moves(self) -> None:
         for word in ("LACK", "WAIT", "PAST"):
@@ -87,38 +95,40 @@
                 with self.subTest(word=word, most=most):
                     rules = f'route "rest" {{ match; attempts most=1; moves most={most}; }}'
                     world, answer = self.ask(always(word), rules)
-                    self.assertEqual((answer.kind, len(world.pulls())), ("refused", 1 + most))
+                    self.assertEqual((answer.kind, len(world.requests())), ("refused", 1 + most))
 
     def test_a_refused_connection_is_a_move(self) -> None:
         for most, kind in ((0, "refused"), (4, "served")):
             with self.subTest(most=most):
-                world = World(well, ONE)
-                world.close("cache1")
+                world = StandInServers(answer_at_once, ONE)
+                world.refuse_connections("cache1")
                 router = self.start(world, f'route "rest" {{ match; attempts most=1; moves most={most}; }}')
-                self.assertEqual(router.client().ask("page", patience_ms=LONG).kind, kind)
+                self.assertEqual(router.client().request("page", patience_ms=LONG).kind, kind)
 
     def test_a_silent_server_costs_an_attempts_time(self) -> None:
         world, answer = self.ask(
             always("silent"), 'route "rest" { match; attempt timeout="150ms"; attempts most=2; }'
         )
-        first, second = world.pulls()
-        self.assertGreaterEqual(second.at_ns - first.at_ns, 145 * MS)
+        first, second = world.requests()
+        self.assertGreaterEqual(second.received_ns - first.received_ns, 145 * MS)
         self.assertEqual(answer.kind, "refused")
-        self.assertTrue(300 <= answer.took_ms < LONG / 2, answer)
+        self.assertTrue(300 <= answer.latency_ms < LONG / 2, answer)
         self.assertLessEqual(int(first.fields["limit"]), 150, "the server is told the attempt's time")
 
     def test_an_answer_that_comes_late_is_nobodys(self) -> None:
         """Attempts end at their time-out; what comes after it ends neither this request nor the next."""
-        world = World(lambda server, seen: Reply("DONE", 300 if seen.fields["chunk"] == "1" else 0))
+        world = StandInServers(
+            lambda server, seen: ScriptedReply("DONE", 300 if seen.fields["chunk"] == "1" else 0)
+        )
         router = self.start(world, 'route "rest" { match; attempt timeout="100ms"; attempts most=1; }')
         client = router.client()
-        late = client.ask("page", patience_ms=LONG, part=1)
+        late = client.request("page", patience_ms=LONG, part=1)
         self.assertEqual(late.kind, "refused")
-        kinds = [client.ask("page", patience_ms=LONG, part=n).kind for n in range(2, 60)]
+        kinds = [client.request("page", patience_ms=LONG, part=n).kind for n in range(2, 60)]
         self.assertEqual(set(kinds), {"served"})
         with world.lock:
-            self.assertEqual([s.word for s in world.seen if s.fields.get("chunk") == "1"], ["PULL"])
-            self.assertEqual(sum(s.word == "KILL" for s in world.seen), 1)
+            self.assertEqual([s.verb for s in world.commands if s.fields.get("chunk") == "1"], ["PULL"])
+            self.assertEqual(sum(s.verb == "KILL" for s in world.commands), 1)
 
     def test_the_whole_wait_ends_before_the_client_does(self) -> None:
         for timeout in ("400ms", "4%"):
@@ -127,71 +137,77 @@
                     always("silent"), f'route "rest" {{ match; timeout "{timeout}"; pause "90ms"; }}'
                 )
                 self.assertEqual((answer.kind, answer.fields), ("refused", {"pause": "90"}))
-                self.assertTrue(395 <= answer.took_ms < LONG / 2, answer)
+                self.assertTrue(395 <= answer.latency_ms < LONG / 2, answer)
 
     def test_back_off_lies_between_attempts(self) -> None:
         world, answer = self.ask(
             always("BROKE"), 'route "rest" { match; attempts most=2; backoff first="200ms"; }'
         )
-        first, second = world.pulls()
-        self.assertGreaterEqual(second.at_ns - first.at_ns, 195 * MS)
+        first, second = world.requests()
+        self.assertGreaterEqual(second.received_ns - first.received_ns, 195 * MS)
 
     def test_a_copy_is_sent_after_its_time_and_answers_first(self) -> None:
-        def script(server: str, seen: Seen) -> Reply:
-            return Reply(body=server.encode()) if len(world.pulls()) > 1 else Reply("silent")
+        def script(server: str, seen: ServerCommand) -> ScriptedReply:
+            return (
+                ScriptedReply(body=server.encode()) if len(world.requests()) > 1 else ScriptedReply("silent")
+            )
 
-        world = World(script)
+        world = StandInServers(script)
         router = self.start(world, 'route "rest" { match; copies most=1 after="200ms"; }')
-        answer = router.client().ask("page", patience_ms=LONG)
-        first, second = world.pulls()
+        answer = router.client().request("page", patience_ms=LONG)
+        first, second = world.requests()
         self.assertEqual((answer.kind, answer.body.decode()), ("served", second.server))
         self.assertNotEqual(first.server, second.server)
-        self.assertGreaterEqual(second.at_ns - first.at_ns, 195 * MS)
-        self.assertGreaterEqual(answer.took_ms, 195)
+        self.assertGreaterEqual(second.received_ns - first.received_ns, 195 * MS)
+        self.assertGreaterEqual(answer.latency_ms, 195)
 
     def test_a_copy_after_a_quantile_waits_for_its_least(self) -> None:
         """Answers take 5 ms; what is silent gets a copy, and not before 'least'."""
 
-        def script(server: str, seen: Seen) -> Reply:
-            same = [s for s in world.pulls(seen.id)]
-            return Reply("silent") if seen.fields["chunk"] == "99" and len(same) < 2 else Reply("DONE", 5)
+        def script(server: str, seen: ServerCommand) -> ScriptedReply:
+            same = [s for s in world.requests(seen.request_id)]
+            return (
+                ScriptedReply("silent")
+                if seen.fields["chunk"] == "99" and len(same) < 2
+                else ScriptedReply("DONE", 5)
+            )
 
-        world = World(script)
+        world = StandInServers(script)
         router = self.start(world, 'route "rest" { match; copies most=1 after="p95" least="120ms"; }')
         client = router.client()
         for part in range(60):
-            self.assertEqual(client.ask("page", patience_ms=LONG, part=part).kind, "served")
-        trace = client.send("page", patience_ms=LONG, part=99)
-        (answer,) = client.answers(1)
-        first, second = world.pulls(trace)
+            self.assertEqual(client.request("page", patience_ms=LONG, part=part).kind, "served")
+        trace = client.send_request("page", patience_ms=LONG, part=99)
+        (answer,) = client.responses(1)
+        first, second = world.requests(trace)
         self.assertEqual(answer.kind, "served")
-        self.assertGreaterEqual(second.at_ns - first.at_ns, 115 * MS)
+        self.assertGreaterEqual(second.received_ns - first.received_ns, 115 * MS)
 
     def test_a_budget_denies_at_once(self) -> None:
-        world = World(always("BROKE"))
+        world = StandInServers(always("BROKE"))
         router = self.start(
             world,
             'budget "b" ratio=0.0 burst=2\nroute "rest" { match; attempts most=2 budget="b"; pause "80ms"; }',
         )
         client = router.client()
-        answers = [client.ask("page", patience_ms=LONG, object=f"{n:016x}") for n in range(5)]
-        self.assertEqual(len(world.pulls()), 5 + 2, "two further attempts were in store")
+        answers = [client.request("page", patience_ms=LONG, object=f"{n:016x}") for n in range(5)]
+        self.assertEqual(len(world.requests()), 5 + 2, "two further attempts were in store")
         self.assertEqual({(a.kind, a.fields["pause"]) for a in answers}, {("refused", "80")})
 
     def test_a_limit_refuses_what_is_over_it(self) -> None:
-        world = World(always("DONE", 400))
+        world = StandInServers(always("DONE", 400))
         router = self.start(world, 'route "rest" { match; limit open=3; pause "70ms"; }')
         client = router.client()
         for part in range(8):
-            client.send("page", patience_ms=LONG, part=part)
-        kinds = [a.kind for a in client.answers(8)]
+            client.send_request("page", patience_ms=LONG, part=part)
+        kinds = [a.kind for a in client.responses(8)]
         self.assertEqual(sorted(kinds), ["refused"] * 5 + ["served"] * 3)
         self.assertEqual(kinds[:5], ["refused"] * 5, "at once: before the first that is served")
-        self.assertEqual(len(world.pulls()), 3)
-        self.assertEqual(client.ask("page", patience_ms=LONG).kind, "served", "places are given back")
+        self.assertEqual(len(world.requests()), 3)
+        self.assertEqual(client.request("page", patience_ms=LONG).kind, "served", "places are given back")
 
     def test_each_request_is_treated_as_its_route_says(self) -> None:
-        world = World(always("BROKE"))
+        world = StandInServers(always("BROKE"))
         router = self.start(
             world,
             'route "tails" { match part="8.."; attempts most=1; pause "11ms"; }\n'
@@ -205,24 +221,24 @@
             ({"object": "0" * 16}, "33"),
             ({"group": 3}, "33"),
         ):
-            self.assertEqual(client.ask("page", patience_ms=LONG, **more).fields["pause"], pause, more)
+            self.assertEqual(client.request("page", patience_ms=LONG, **more).fields["pause"], pause, more)
 
     def test_an_order_reaches_the_store_once_at_most(self) -> None:
         """Under every fault, also with the file read again while it is out."""
         for word in ("silent", "BROKE", "reset", "cut", "LACK", "WAIT", "PAST", "DONE"):
             with self.subTest(word=word):
-                world = World(always(word, 60))
+                world = StandInServers(always(word, 60))
                 router = self.start(
                     world, 'route "rest" { match; attempts most=3; copies most=1 after="30ms"; }'
                 )
                 client = router.client()
-                trace = client.send("order", patience_ms=2_000, body=b"dish")
-                told = router.reload(
+                trace = client.send_request("order", patience_ms=2_000, body=b"dish")
+                told = router.reload_rules(
                     HEAD.replace("1.5s", "1.2s") + 'route "rest" { match; attempts most=4; }'
                 )
                 self.assertEqual(told["event"], "rules.taken")
-                (answer,) = client.answers(1)
-                runs = [s for s in world.pulls(trace) if word not in ("LACK", "WAIT", "PAST")]
+                (answer,) = client.responses(1)
+                runs = [s for s in world.requests(trace) if word not in ("LACK", "WAIT", "PAST")]
                 self.assertLessEqual(len(runs), 1)
                 self.assertEqual(
                     answer.kind,
@@ -234,24 +250,28 @@
                 )
 
     def test_a_file_read_again_binds_what_comes_after(self) -> None:
-        world = World(always("BROKE"))
+        world = StandInServers(always("BROKE"))
         router = self.start(world, 'route "rest" { match; attempts most=1; pause "10ms"; }')
         client = router.client()
-        self.assertEqual(client.ask("page", patience_ms=LONG).fields, {"pause": "10"})
-        told = router.reload(HEAD + 'route "rest" { match; attempts most=1; pause "20"; limit open=0; }')
+        self.assertEqual(client.request("page", patience_ms=LONG).fields, {"pause": "10"})
+        told = router.reload_rules(
+            HEAD + 'route "rest" { match; attempts most=1; pause "20"; limit open=0; }'
+        )
         self.assertEqual((told["event"], told["faults"]), ("rules.refused", 2))
         self.assertIn("rules.kdl:3:", told["first"])
         self.assertIn("bad-duration", told["first"])
-        self.assertEqual(client.ask("page", patience_ms=LONG).fields, {"pause": "10"}, "nothing has changed")
         self.assertEqual(
-            router.reload(HEAD + 'route "rest" { match; attempts most=1; pause "20ms"; }')["routes"], 2
+            client.request("page", patience_ms=LONG).fields, {"pause": "10"}, "nothing has changed"
+        )
+        self.assertEqual(
+            router.reload_rules(HEAD + 'route "rest" { match; attempts most=1; pause "20ms"; }')["routes"], 2
         )
-        self.assertEqual(client.ask("page", patience_ms=LONG).fields, {"pause": "20"})
+        self.assertEqual(client.request("page", patience_ms=LONG).fields, {"pause": "20"})
 
     def test_a_router_does_not_start_with_a_faulty_file(self) -> None:
         with (
-            World() as world,
-            Router(world, HEAD + 'route "rest" { match; attempts most=0; moves; }') as router,
+            StandInServers() as world,
+            RouterProcess(world, HEAD + 'route "rest" { match; attempts most=0; moves; }') as router,
         ):
             self.assertEqual(router.process.wait(20), 2)
             lines = router.log_path.read_text().splitlines()
--- a/tests/test_routes_rules.py
+++ b/tests/test_routes_rules.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from kelpcroft.core import effects
-from testbed.virtual import MS, NOT_RUN, START, S, Story, Virtual
+from testbed.virtual import FATES_NOT_EXECUTED, MS, START, RequestRecord, S, VirtualRouter
 
 ORDERS = (
     'route "orders" {{ match class="order"; timeout "{wait}ms"; attempts most=1; moves most={moves}; }}\n'
@@ -64,24 +64,26 @@
 
 
 class Rules(unittest.TestCase):
-    def hold(self, story: Story, text: str) -> None:
+    def hold(self, story: RequestRecord, text: str) -> None:
         """One request against what its route declares."""
-        said = declared(text, story.call.request_class)
-        self.assertEqual(len(story.finals), 1, "one final answer")
-        end, final = story.finals[0]
-        until = story.at + min(said["wait"], story.call.remaining_time_ns)
+        said = declared(text, story.request.request_class)
+        self.assertEqual(len(story.final_effects), 1, "one final answer")
+        end, final = story.final_effects[0]
+        until = story.arrives_ns + min(said["wait"], story.request.remaining_time_ns)
         self.assertLessEqual(end, until)
-        times = [sent.at for sent in story.sends]
+        times = [sent.sent_ns for sent in story.attempts]
         self.assertTrue(all(at < until for at in times), "never a send after the wait")
         self.assertTrue(all(at <= end for at in times), "never a send after the answer")
         self.assertLessEqual(len(times), min(6, said["attempts"] + said["moves"] + said["copies"]))
-        ran = [sent for sent in story.sends if sent.fate not in NOT_RUN]
+        ran = [sent for sent in story.attempts if sent.fate not in FATES_NOT_EXECUTED]
         self.assertLessEqual(len(ran), said["attempts"] + said["copies"])
-        if story.call.request_class == "order":
+        if story.request.request_class == "order":
             self.assertLessEqual(len(ran), 1, "an order runs once")
             for before in ran:
-                self.assertFalse(any(at > before.at for at in times), "nothing is sent after it may have run")
-        if isinstance(final, effects.RejectRequest) and story.call.request_class == "page":
+                self.assertFalse(
+                    any(at > before.sent_ns for at in times), "nothing is sent after it may have run"
+                )
+        if isinstance(final, effects.RejectRequest) and story.request.request_class == "page":
             self.assertEqual(final.retry_after_ns, 70 * MS)
 
     @settings(max_examples=150, deadline=None, derandomize=True)
@@ -89,13 +91,14 @@
     def test_never_more_than_declared(
         self, text: str, odds: dict[str, float], seed: int, gap: int, again: bool
     ) -> None:
-        world = Virtual(text, seed, odds)
+        world = VirtualRouter(text, seed, odds)
         stories = [
-            world.ask(n * gap * MS, "order" if n % 5 == 0 else "page", 2_400, n % 7) for n in range(60)
+            world.schedule_request(n * gap * MS, "order" if n % 5 == 0 else "page", 2_400, n % 7)
+            for n in range(60)
         ]
         if again:  # the same file in the middle: what is open and earned lives on
             world.run(30 * gap * MS)
-            world.rules(text)
+            world.apply_rules(text)
         world.run()
         for story in stories:
             self.hold(story, text)
@@ -103,11 +106,15 @@
         assert routes is not None
         spent = routes.budgets["b"].spent
         burst = int(text.split("burst=")[1].split("\n")[0])
-        pages = sum(story.call.request_class == "page" for story in stories)
+        pages = sum(story.request.request_class == "page" for story in stories)
         self.assertLessEqual(
             spent, burst + 0.1 * pages + (world.now - START) / S, "a budget is never overdrawn"
         )
-        extra = sum(len([x for x in s.sends if x.fate not in NOT_RUN]) - 1 for s in stories if s.sends)
+        extra = sum(
+            len([x for x in s.attempts if x.fate not in FATES_NOT_EXECUTED]) - 1
+            for s in stories
+            if s.attempts
+        )
         self.assertLessEqual(max(0, extra), spent)
         self.assertEqual(
             [lane.open_requests for lane in routes.routes], [0, 0], "what was open is given back"
@@ -115,47 +122,48 @@
 
     def test_one_seed_replays_to_the_byte(self) -> None:
         def play() -> list[object]:
-            world = Virtual(file(3, 3, 1, 1_000, 25, 20, 5), 11, {"done": 1, "broke": 1, "silent": 0.3})
-            stories = [world.ask(n * 20 * MS, "page", 2_000, n) for n in range(40)]
+            world = VirtualRouter(file(3, 3, 1, 1_000, 25, 20, 5), 11, {"done": 1, "broke": 1, "silent": 0.3})
+            stories = [world.schedule_request(n * 20 * MS, "page", 2_000, n) for n in range(40)]
             world.run()
-            return [(s.sends, s.finals) for s in stories]
+            return [(s.attempts, s.final_effects) for s in stories]
 
         self.assertEqual(play(), play())
 
     def test_open_requests_keep_the_bounds_they_came_with(self) -> None:
-        world = Virtual(file(1, 0, 0, 2_000, 0, 30, 5), 1, {"silent": 1})
-        old = world.ask(0, "page", 2_400)
+        world = VirtualRouter(file(1, 0, 0, 2_000, 0, 30, 5), 1, {"silent": 1})
+        old = world.schedule_request(0, "page", 2_400)
         world.run(100 * MS)
-        world.rules(file(1, 0, 0, 600, 0, 30, 5))
-        new = world.ask(200 * MS, "page", 2_400)
+        world.apply_rules(file(1, 0, 0, 600, 0, 30, 5))
+        new = world.schedule_request(200 * MS, "page", 2_400)
         world.run()
         # An attempt's time-out is half of the wait in these files, and there is one attempt.
-        self.assertEqual([s.finals[0][0] - s.at for s in (old, new)], [1_000 * MS, 300 * MS])
+        self.assertEqual([s.final_effects[0][0] - s.arrives_ns for s in (old, new)], [1_000 * MS, 300 * MS])
 
     def test_a_limit_refuses_at_once_and_forgets(self) -> None:
-        world = Virtual(file(1, 0, 0, 1_000, 0, 3, 5), 1, {"silent": 1})
-        stories = [world.ask(n * MS, "page", 2_400, n) for n in range(5)]
-        later = world.ask(1_500 * MS, "page", 2_400)
+        world = VirtualRouter(file(1, 0, 0, 1_000, 0, 3, 5), 1, {"silent": 1})
+        stories = [world.schedule_request(n * MS, "page", 2_400, n) for n in range(5)]
+        later = world.schedule_request(1_500 * MS, "page", 2_400)
         world.run()
         for story in stories[3:]:
             self.assertEqual(
-                story.finals[0], (story.at, effects.RejectRequest(story.call.client, 1, 70 * MS))
+                story.final_effects[0],
+                (story.arrives_ns, effects.RejectRequest(story.request.client, 1, 70 * MS)),
             )
-            self.assertEqual(story.sends, [])
-        self.assertEqual([len(s.sends) for s in (*stories[:3], later)], [1, 1, 1, 1])
+            self.assertEqual(story.attempts, [])
+        self.assertEqual([len(s.attempts) for s in (*stories[:3], later)], [1, 1, 1, 1])
 
     def test_a_wait_that_outlasts_the_client_is_given_up_at_once(self) -> None:
         text = (
             'kelpcroft version=1\nroute "orders" { match class="order"; }\nroute "rest" { match; '
             'timeout "1s"; attempts most=2; backoff first="300ms"; pause "70ms"; }\n'
         )
-        world = Virtual(text, 1, {"broke": 1}, slow_ns=MS)
-        short, long = world.ask(0, "page", 250), world.ask(0, "page", 2_400, 3)
+        world = VirtualRouter(text, 1, {"broke": 1}, slow_ns=MS)
+        short, long = world.schedule_request(0, "page", 250), world.schedule_request(0, "page", 2_400, 3)
         world.run()
-        self.assertEqual(len(short.sends), 1)
-        self.assertLess(short.finals[0][0] - short.at, 100 * MS)
-        self.assertEqual(len(long.sends), 2)
-        gaps = [b.at - a.at for a, b in zip(long.sends, long.sends[1:], strict=False)]
+        self.assertEqual(len(short.attempts), 1)
+        self.assertLess(short.final_effects[0][0] - short.arrives_ns, 100 * MS)
+        self.assertEqual(len(long.attempts), 2)
+        gaps = [b.sent_ns - a.sent_ns for a, b in zip(long.attempts, long.attempts[1:], strict=False)]
         self.assertTrue(all(gap >= 300 * MS for gap in gaps), gaps)
 
     def test_a_copy_goes_elsewhere_after_its_time_and_the_first_answer_counts(self) -> None:
@@ -163,30 +171,33 @@
             'kelpcroft version=1\nroute "orders" { match class="order"; }\n'
             'route "rest" { match; copies most=1 after="150ms"; }\n'
         )
-        world = Virtual(text, 5, {"silent": 1})
-        story = world.ask(0, "page", 2_000)
+        world = VirtualRouter(text, 5, {"silent": 1})
+        story = world.schedule_request(0, "page", 2_000)
         world.run()
-        first, second = story.sends
+        first, second = story.attempts
         self.assertNotEqual(first.server, second.server)
-        self.assertGreaterEqual(second.at - story.at, 150 * MS)
-        self.assertLess(second.at - story.at, 160 * MS)
-        world = Virtual(text, 5, {"done": 1}, slow_ns=MS)
-        story = world.ask(0, "page", 2_000)
+        self.assertGreaterEqual(second.sent_ns - story.arrives_ns, 150 * MS)
+        self.assertLess(second.sent_ns - story.arrives_ns, 160 * MS)
+        world = VirtualRouter(text, 5, {"done": 1}, slow_ns=MS)
+        story = world.schedule_request(0, "page", 2_000)
         world.run()
-        self.assertEqual(len(story.sends), 1)
+        self.assertEqual(len(story.attempts), 1)
 
     def test_no_budget_no_second_attempt(self) -> None:
         text = (
             'kelpcroft version=1\nbudget "b" ratio=0 burst=1\nroute "orders" { match class="order"; }\n'
             'route "rest" { match; attempts most=5 budget="b"; pause "70ms"; }\n'
         )
-        world = Virtual(text, 5, {"broke": 1}, slow_ns=MS)
-        one, two = world.ask(0, "page", 2_000), world.ask(500 * MS, "page", 2_000, 3)
+        world = VirtualRouter(text, 5, {"broke": 1}, slow_ns=MS)
+        one, two = (
+            world.schedule_request(0, "page", 2_000),
+            world.schedule_request(500 * MS, "page", 2_000, 3),
+        )
         world.run()
-        self.assertEqual([len(one.sends), len(two.sends)], [2, 1])
-        at, final = two.finals[0]
+        self.assertEqual([len(one.attempts), len(two.attempts)], [2, 1])
+        at, final = two.final_effects[0]
         self.assertIsInstance(final, effects.RejectRequest)
-        self.assertLess(at - two.at, 20 * MS, "denied is given up at once")
+        self.assertLess(at - two.arrives_ns, 20 * MS, "denied is given up at once")
 
 
 if __name__ == "__main__":
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -31,7 +31,7 @@
 from kelpcroft.startup import StartupOptions, crash_loop_backoff
 from kelpcroft.startup.fleet_size import FleetSizeEstimator
 from kelpcroft.startup.origin_concurrency import OriginConcurrencyLimit
-from testbed.cold_start import START, Fleet, Service
+from testbed.cold_start import START, ColdStartFleet, ListServiceModel
 
 S = SECOND
 EVENTS = st.lists(st.sampled_from(["fail", "retry", "answer", "news", "empty"]), max_size=60)
@@ -391,8 +391,8 @@
             fleet = Counting(24, believed=240, cold_hubs=False)
             fleet.begun_with = StartupOptions(estimate_fleet_size=count)
             fleet.run(16)
-            worth[count] = fleet.worth(5, 14)
-            self.assertEqual(sum(b.toppled for b in fleet.boxes.values()), 0)
+            worth[count] = fleet.share_in_time(5, 14)
+            self.assertEqual(sum(b.collapses for b in fleet.caches.values()), 0)
         self.assertGreater(worth[True], 1.5 * worth[False], worth)
 
 
@@ -466,17 +466,17 @@
             fleet = Counting(40)
             fleet.begun_with = StartupOptions(limit_origin_fetches=store)
             fleet.run(14)
-            worth[store], refused[store] = fleet.worth(0, 12), fleet.store.refused
-            self.assertFalse(any(count > 1 for count in fleet.ran.values()), "an order ran twice")
+            worth[store], refused[store] = fleet.share_in_time(0, 12), fleet.origin.refused
+            self.assertFalse(any(count > 1 for count in fleet.order_runs.values()), "an order ran twice")
         self.assertGreater(worth[True], 1.5 * worth[False], worth)
         self.assertGreater(refused[False], 50)
         self.assertEqual(refused[True], 0)
 
 
-class Counting(Fleet):
+class Counting(ColdStartFleet):
     begun_with = StartupOptions()
 
-    def begin(self, n: int) -> list[effects.Effect]:
+    def start_router(self, n: int) -> list[effects.Effect]:
         return self.routers[n].start(self.now, self.begun_with)
 
 
@@ -548,11 +548,11 @@
 
     def test_a_start_in_one_second_topples_it_without_a_budget_and_not_with_one(self) -> None:
         for way, falls in (("none", True), ("budget", False)):
-            fleet = Played(200, rate=0.2, service=Service(), cold=False, cold_hubs=False)
+            fleet = Played(200, rate=0.2, service=ListServiceModel(), cold=False, cold_hubs=False)
             fleet.way = way
             fleet.run(12)
-            self.assertEqual(fleet.service.falls > 0, falls, way)
-            self.assertEqual(len(fleet.listed) == 200, not falls, way)
+            self.assertEqual(fleet.service.crashes > 0, falls, way)
+            self.assertEqual(len(fleet.first_answer_ns) == 200, not falls, way)
 
     def test_dead_for_ten_seconds_and_counting_anew(self) -> None:
         fleet = Played(
@@ -560,13 +560,18 @@
             rate=0.2,
             cold=False,
             cold_hubs=False,
-            service=Service(dead_until=START + 10 * S, per_s=100.0, most=40, renumbers=True),
+            service=ListServiceModel(
+                down_until_ns=START + 10 * S,
+                calls_per_s=100.0,
+                max_queued_calls=40,
+                renumbers_after_crash=True,
+            ),
         )
         fleet.way = "budget"
         fleet.run(20)
-        self.assertEqual((fleet.service.falls, len(fleet.listed)), (0, 120))
+        self.assertEqual((fleet.service.crashes, len(fleet.first_answer_ns)), (0, 120))
         self.assertLess(
-            max(fleet.listed.values()),
+            max(fleet.first_answer_ns.values()),
             START + 10 * S + fleet.routers[0].endpoint_list.schedule.max_delay_ns + S,
         )
         self.assertTrue(all(r.state.endpoints for r in fleet.routers))
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -18,14 +18,14 @@
 from kelpcroft.core.request_statistics import MAX_CLASSES, OTHER_CLASSES, RequestStatistics
 from kelpcroft.net.memory import peak_kb
 from kelpcroft.store.identity import files_digest, settings_digest
-from testbed.stand_ins import ROOT, Reply, Router, Seen, World
+from testbed.stand_ins import ROOT, RouterProcess, ScriptedReply, ServerCommand, StandInServers
 
 ON = 'kelpcroft version=1\ncontrol state=#true\nroute "rest" { match; }\n'
 OFF = 'kelpcroft version=1\nroute "rest" { match; }\n'
 
 
-def state(router: Router) -> tuple[int, dict[str, Any]]:
-    url = f"http://{router.mgmt[0]}:{router.mgmt[1]}/control/state"
+def state(router: RouterProcess) -> tuple[int, dict[str, Any]]:
+    url = f"http://{router.control_address[0]}:{router.control_address[1]}/control/state"
     try:
         with urllib.request.urlopen(url, timeout=20) as answer:
             return answer.status, json.loads(answer.read())
@@ -33,12 +33,14 @@
         return error.code, json.loads(error.read())
 
 
-def mixed(server: str, seen: Seen) -> Reply:
+def mixed(server: str, seen: ServerCommand) -> ScriptedReply:
     """By object: served, served late, an error, or nothing."""
     item = seen.fields["item"][-1]
-    return {"a": Reply(body=b"x"), "b": Reply(body=b"x", after_ms=1_100), "c": Reply("BROKE")}.get(
-        item, Reply("silent")
-    )
+    return {
+        "a": ScriptedReply(body=b"x"),
+        "b": ScriptedReply(body=b"x", delay_ms=1_100),
+        "c": ScriptedReply("BROKE"),
+    }.get(item, ScriptedReply("silent"))
 
 
 class Memory(unittest.TestCase):
@@ -64,11 +66,11 @@
 
 class OnSockets(unittest.TestCase):
     def test_it_tells_what_became_of_each_class(self) -> None:
-        with World(mixed) as world, Router(world, ON, mgmt=True) as router:
+        with StandInServers(mixed) as world, RouterProcess(world, ON, mgmt=True) as router:
             client = router.client()
             for item, patience in (("a", 2_000), ("a", 2_000), ("b", 2_400), ("d", 300)):
-                client.ask("page", object="0" * 15 + item, patience_ms=patience)
-            client.ask("order", object="0" * 15 + "c", body=b"x")
+                client.request("page", object="0" * 15 + item, patience_ms=patience)
+            client.request("order", object="0" * 15 + "c", body=b"x")
             code, told = state(router)
             self.assertEqual(code, 200)
             page, order = told["classes"]["page"], told["classes"]["order"]
@@ -86,7 +88,11 @@
             )
 
     def test_two_processes_of_one_build_differ_in_their_instance_alone(self) -> None:
-        with World() as world, Router(world, ON, mgmt=True) as one, Router(world, ON, mgmt=True) as two:
+        with (
+            StandInServers() as world,
+            RouterProcess(world, ON, mgmt=True) as one,
+            RouterProcess(world, ON, mgmt=True) as two,
+        ):
             one.client(), two.client()
             a, b = state(one)[1], state(two)[1]
             self.assertEqual(
@@ -95,25 +101,25 @@
             self.assertNotEqual(a["instance"], b["instance"])
 
     def test_off_the_path_is_unknown_and_a_file_read_again_switches_it(self) -> None:
-        with World() as world, Router(world, OFF, mgmt=True) as router:
+        with StandInServers() as world, RouterProcess(world, OFF, mgmt=True) as router:
             router.client()
             self.assertEqual(state(router)[0], 404)
             self.assertNotIn("GET /control/state", state(router)[1]["calls"])
-            self.assertEqual(router.reload(ON)["event"], "rules.taken")
+            self.assertEqual(router.reload_rules(ON)["event"], "rules.taken")
             code, told = state(router)
             self.assertEqual((code, told["classes"]), (200, {}))
             first = told["rules"]
-            router.reload(ON + "// another\n")
+            router.reload_rules(ON + "// another\n")
             self.assertNotEqual(state(router)[1]["rules"], first)
-            router.reload(OFF)
+            router.reload_rules(OFF)
             self.assertEqual(state(router)[0], 404)
 
     def test_a_crowd_of_callers_takes_nothing_from_requests(self) -> None:
-        with World() as world, Router(world, ON, mgmt=True) as router:
+        with StandInServers() as world, RouterProcess(world, ON, mgmt=True) as router:
             client = router.client()
             for _ in range(100):
                 state(router)
-                self.assertEqual(client.ask("page").kind, "served")
+                self.assertEqual(client.request("page").kind, "served")
 
 
 class Pure(unittest.TestCase):
--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -11,7 +11,7 @@
 import unittest
 from typing import Any
 
-from testbed.stand_ins import ROOT, Reply, Router, Seen, World
+from testbed.stand_ins import ROOT, RouterProcess, ScriptedReply, ServerCommand, StandInServers
 
 S, MS = 10**9, 10**6
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_text())["settings"]
@@ -79,16 +79,16 @@
 }
 
 
-def broken_once(word: str) -> tuple[World, list[Seen]]:
+def broken_once(word: str) -> tuple[StandInServers, list[ServerCommand]]:
     """Servers of which the first to get a request ends it so, and the others serve it."""
-    seen: list[Seen] = []
+    seen: list[ServerCommand] = []
 
-    def script(server: str, one: Seen) -> Reply:
-        first = not any(s.id == one.id for s in seen)
+    def script(server: str, one: ServerCommand) -> ScriptedReply:
+        first = not any(s.request_id == one.request_id for s in seen)
         seen.append(one)
-        return Reply(word) if first else Reply("DONE", body=b"fine")
+        return ScriptedReply(word) if first else ScriptedReply("DONE", body=b"fine")
 
-    return World(script), seen
+    return StandInServers(script), seen
 
 
 class Sites(unittest.TestCase):
@@ -100,19 +100,19 @@
         for name, settings in SITES.items():
             with (
                 self.subTest(site=name),
-                World() as world,
-                Router(world, self.file, settings=settings) as router,
+                StandInServers() as world,
+                RouterProcess(world, self.file, settings=settings) as router,
             ):
                 client = router.client()
                 for cls in settings["classes"]:
                     more = {"nonce": "k-1"} if cls["idempotency"] == "keyed" else {}
-                    answer = client.ask(
+                    answer = client.request(
                         cls["name"], patience_ms=900, body=b"x", more={**more, "size": "40.5"}
                     )
                     self.assertEqual(answer.kind, "served", (name, cls["name"]))
-                    (pull,) = world.pulls()[-1:]
+                    (pull,) = world.requests()[-1:]
                     self.assertEqual(pull.fields.get("nonce"), more.get("nonce"))
-                lacks = next(line for line in router.log() if line["event"] == "deployment.lacks")
+                lacks = next(line for line in router.log_events() if line["event"] == "deployment.lacks")
                 self.assertEqual("weights" in lacks["lacks"], settings["weight_source"] == "off")
                 self.assertEqual("second copies" in lacks["lacks"], not settings["limits"]["second_copies"])
 
@@ -123,12 +123,12 @@
                 with (
                     self.subTest(site=name, word=word),
                     world,
-                    Router(world, self.file, settings=settings) as router,
+                    RouterProcess(world, self.file, settings=settings) as router,
                 ):
                     client = router.client()
                     for cls in settings["classes"]:
                         more = {"nonce": f"key-of-{cls['name']}"} if cls["idempotency"] == "keyed" else {}
-                        answer = client.ask(cls["name"], patience_ms=900, body=b"x", more=more)
+                        answer = client.request(cls["name"], patience_ms=900, body=b"x", more=more)
                         mine = [s for s in seen if s.fields["cls"] == cls["name"]]
                         if cls["idempotency"] == "unsafe":
                             self.assertEqual((answer.kind, len(mine)), ("failed", 1), cls["name"])
@@ -140,21 +140,21 @@
         """The old process serves what it has taken; the client's retry reaches the new one under its key."""
         settings = SITES["parts and keyed writes"]
         world, seen = broken_once("silent")
-        with world, Router(world, self.file, settings=settings) as router:
+        with world, RouterProcess(world, self.file, settings=settings) as router:
             client = router.client()
-            client.send("sheet", patience_ms=600, body=b"x", more={"nonce": "k"})
+            client.send_request("sheet", patience_ms=600, body=b"x", more={"nonce": "k"})
             while not seen:
                 time.sleep(0.01)
-            with Router(world, self.file, settings=settings) as other:
+            with RouterProcess(world, self.file, settings=settings) as other:
                 router.process.terminate()
-                self.assertEqual(next(client.answers(1)).kind, "failed")
-                world.script = lambda server, one: (seen.append(one), Reply("DONE"))[1]
-                answer = other.client().ask(
+                self.assertEqual(next(client.responses(1)).kind, "failed")
+                world.script = lambda server, one: (seen.append(one), ScriptedReply("DONE"))[1]
+                answer = other.client().request(
                     "sheet", patience_ms=900, body=b"x", retry=True, more={"nonce": "k"}
                 )
                 self.assertEqual(answer.kind, "served")
                 self.assertEqual(router.process.wait(20), 0)
-            self.assertEqual({s.fields["nonce"] for s in seen if s.word == "PULL"}, {"k"})
+            self.assertEqual({s.fields["nonce"] for s in seen if s.verb == "PULL"}, {"k"})
 
 
 if __name__ == "__main__":
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -46,7 +46,7 @@
 from kelpcroft.startup.crash_loop_backoff import encode as encode_starts  # noqa: E402
 from kelpcroft.store.handover import encode as encode_service  # noqa: E402
 from kelpcroft.store.rollouts import RolloutStore  # noqa: E402
-from testbed.rollouts import Process, World  # noqa: E402
+from testbed.rollouts import SimulatedFleet, SimulatedRouter  # noqa: E402
 
 FOLDER = ROOT / "tests/golden/stored"
 RECORDED = ("tests/exchanges", "tests/faulty", "tests/valid")
@@ -162,39 +162,39 @@
     }
 
 
-def rollouts() -> tuple[dict[str, bytes], World]:
+def rollouts() -> tuple[dict[str, bytes], SimulatedFleet]:
     """Snapshots of a rollout under way, held, taken back, and with a router in every phase."""
 
-    def harm(world: World, p: Process, cls: str) -> float:
+    def harm(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
         return 0.3 if p.build == "beef" else 0.0
 
     plan, faults = read_plan(PLAN.encode())
     assert not faults, faults
-    running = World(plan, 1, lambda world, p, cls: 0.0)
+    running = SimulatedFleet(plan, 1, lambda world, p, cls: 0.0)
     for _ in range(200):
-        running.second()
+        running.run_second()
     assert running.rollout.outcome is RolloutOutcome.RUNNING and running.rollout.judge.tests
-    held = World(plan, 2, lambda world, p, cls: 0.0)
+    held = SimulatedFleet(plan, 2, lambda world, p, cls: 0.0)
     for _ in range(60):
-        held.second()
-    held.tell(OperatorCommand.HOLD)
-    silent = World(plan, 5, lambda world, p, cls: 0.0)
+        held.run_second()
+    held.deliver(OperatorCommand.HOLD)
+    silent = SimulatedFleet(plan, 5, lambda world, p, cls: 0.0)
     for name in ("n1-1", "n2-1"):
-        silent.processes[name].silent_until = 1 << 80
+        silent.routers[name].silent_until_ns = 1 << 80
     for _ in range(60):
-        silent.second()
+        silent.run_second()
     assert silent.rollout.outcome is RolloutOutcome.HELD and silent.rollout.hold_cause is HoldCause.SILENCE
-    done = World(plan, 6, lambda world, p, cls: 0.0)
+    done = SimulatedFleet(plan, 6, lambda world, p, cls: 0.0)
     assert done.run() is RolloutOutcome.DONE
-    back = World(plan, 3, harm)
+    back = SimulatedFleet(plan, 3, harm)
     while back.rollout.outcome is RolloutOutcome.RUNNING:
-        back.second()
+        back.run_second()
     reverting = orjson.dumps(to_snapshot(back.rollout))
     assert back.rollout.outcome is RolloutOutcome.ROLLING_BACK
     assert back.run() is RolloutOutcome.ROLLED_BACK
-    phases = World(plan, 4, lambda world, p, cls: 0.0)
+    phases = SimulatedFleet(plan, 4, lambda world, p, cls: 0.0)
     for _ in range(20):
-        phases.second()
+        phases.run_second()
     assert len(phases.rollout.routers) == len(Phase)
     for n, (router, phase) in enumerate(zip(phases.rollout.routers.values(), Phase, strict=True)):
         router.phase, router.since_ns, router.was = phase, 1_000 * SECOND + n, f"was-{n}"
@@ -213,7 +213,7 @@
     return {"plan.kdl": PLAN.encode(), "snapshot_reverting.json": reverting, **files}, back
 
 
-def write_database(path: Path, back: World, running: dict[str, Any]) -> None:
+def write_database(path: Path, back: SimulatedFleet, running: dict[str, Any]) -> None:
     """A run that was taken back with its history, and one under way with a lease and three orders."""
     store = RolloutStore(str(path))
     plan = PLAN.encode()
@@ -225,7 +225,7 @@
         NOW + 2 * SECOND,
         to_snapshot(back.rollout),
         back.rollout.outcome.value,
-        back.notes,
+        back.history,
     )
     store.release_lease(first, "4711-00c0ffee")
     second = store.create_run(NOW + 60 * SECOND, plan, running)
