--- a/testbed/virtual.py
+++ b/testbed/virtual.py
@@ -1,4 +1,8 @@
-"""The reducer in virtual time, against servers that do as chance says.  A seed replays a run to the byte."""
+"""One router's reducer in virtual time, against servers that do as chance says.
+
+Start at ``VirtualRouter``: schedule requests, ``run``, then read ``records``. A seed replays a run to the
+byte.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,7 @@
 import json
 from dataclasses import dataclass, field
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 from kelpcroft.config import parse_config
 from kelpcroft.core import effects, inputs
@@ -17,6 +21,8 @@
 
 MS, S = 10**6, 10**9
 START = 1_764_576_000 * S
+FIRST_PORT = 9_000
+FOREVER = 10**18
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_bytes())
 OUTCOME_BY_FATE = {
     "done": Outcome.OK,
@@ -26,14 +32,18 @@
     "past": Outcome.MOOT,
 }
 FATES_NOT_EXECUTED = ("lack", "wait", "past")
+REFUSE = "refuse"  # a fate of connections, the others are of attempts
+RESET = "reset"
+FROM_SERVERS = (inputs.ServerResponse, inputs.ServerConnectionLost, inputs.ServerConnected)
+FINAL_EFFECTS = (effects.SendResponse, effects.RejectRequest, effects.FailRequest)
 
 
 @dataclass
 class AttemptRecord:
-    """One attempt on the wire."""
+    """One attempt on the wire; ``fate`` is a key of ``OUTCOME_BY_FATE``, "reset" or "silent"."""
 
     sent_ns: int
-    server: str
+    server: str  # its address
     fate: str
     cancelled_ns: int = 0
 
@@ -45,12 +55,35 @@
     request: inputs.ClientRequest
     arrives_ns: int
     attempts: list[AttemptRecord] = field(default_factory=list)
-    final_effects: list[tuple[int, effects.Effect]] = field(default_factory=list)
-    client_retry: RequestRecord | None = None  # the client's own retry, where a world has one
+    final_effects: list[tuple[int, effects.Effect]] = field(default_factory=list)  # with their times
+    client_retry: RequestRecord | None = None  # the client's own, where a subclass has one
+
+
+class Scheduled(NamedTuple):
+    """A message to come, or a word of a subclass's own."""
+
+    at_ns: int
+    sequence: int  # breaks ties, so that messages are never compared
+    message: inputs.Input | str
+
+
+def listed_endpoints() -> list[dict[str, Any]]:
+    """The stand-ins as lines of the list service."""
+    return [
+        {
+            "name": name,
+            "address": f"127.0.0.1:{port}",
+            "zone": zone,
+            "type": kind,
+            "status": "active",
+            "weight": 4,
+        }
+        for port, (name, zone, kind) in enumerate(SERVERS.values(), FIRST_PORT)
+    ]
 
 
 class VirtualRouter:
-    """One router and its servers."""
+    """One router at the deployment of examples/config.json, and its servers."""
 
     def __init__(
         self,
@@ -60,29 +93,28 @@
         slow_ns: int = 200 * MS,
         settings: dict[str, Any] | None = None,
     ) -> None:
+        """Start the router.
+
+        Args:
+            rules: The operator's file; None for none.
+            seed: Of all that is left to chance.
+            fates: Weights of what becomes of an attempt; "refuse" is the share of connections refused.
+            slow_ns: The longest that a server takes.
+            settings: Other values for keys of the settings.
+        """
         self.random = Random(seed)
-        self.fates, self.max_service_ns = fates, slow_ns
-        endpoints = [
-            {
-                "name": name,
-                "address": f"127.0.0.1:{n}",
-                "zone": zone,
-                "type": kind,
-                "status": "active",
-                "weight": 4,
-            }
-            for n, (name, zone, kind) in enumerate(SERVERS.values(), 9_000)
-        ]
-        known = {"n": 1, "events": [{"n": 1, "members": {"snapshot": True, "endpoints": endpoints}}]}
-        self.config = parse_config(
-            {**EXAMPLE, "known": known, "settings": {**EXAMPLE["settings"], **(settings or {})}}, {}
-        )
+        self.fates = fates
+        self.max_service_ns = slow_ns
+        known = {"n": 1, "events": [{"n": 1, "members": {"snapshot": True, "endpoints": listed_endpoints()}}]}
+        changed = {**EXAMPLE["settings"], **(settings or {})}
+        self.config = parse_config({**EXAMPLE, "known": known, "settings": changed}, {})
         self.reducer = Reducer(self.config)
-        self.heap: list[tuple[int, int, inputs.Input | str]] = []
-        self.sequence, self.now = 0, START
-        self.records: dict[str, RequestRecord] = {}
-        self.records_by_call: dict[tuple[int, int], RequestRecord] = {}
-        self.address_by_link: dict[int, str] = {}
+        self.heap: list[Scheduled] = []
+        self.sequence = 0
+        self.now = START
+        self.records: dict[str, RequestRecord] = {}  # by trace id
+        self.records_by_call: dict[tuple[int, int], RequestRecord] = {}  # by client and request number
+        self.address_by_link: dict[int, str] = {}  # of the connections that stand
         self.log: list[effects.LogEvent] = []
         self.carry_out(self.reducer.start(self.now))
         self.deliver(inputs.ListenersReady())
@@ -90,29 +122,36 @@
             self.apply_rules(rules)
 
     def apply_rules(self, text: str) -> None:
-        """An operator's file, held against this deployment."""
+        """Give the router an operator's file, which must be sound for this deployment."""
         file, faults = load(text.encode())
-        assert not faults and not (faults := check(file, self.config.settings)), [
-            f.format_for("") for f in faults
-        ]
+        faults = faults or check(file, self.config.settings)
+        assert not faults, [fault.format_for("") for fault in faults]
         self.deliver(inputs.OperatorFileRead(file))
 
     def schedule(self, when: int, message: inputs.Input | str) -> None:
+        """Deliver a message at a time; a word goes to ``custom_event`` instead."""
         self.sequence += 1
-        heapq.heappush(self.heap, (when, self.sequence, message))
+        heapq.heappush(self.heap, Scheduled(when, self.sequence, message))
 
     def custom_event(self, server: str) -> None:
-        """What a world of its own asked to be told of with ``at``."""
+        """What a subclass asked to be told of with ``schedule``."""
 
     def deliver(self, message: inputs.Input) -> None:
+        """Hand the reducer a message now and carry out what it asks for."""
         self.carry_out(self.reducer.handle(self.now, message))
 
     def schedule_request(
-        self, when: int, cls: str, patience_ms: int, object: int = 7, part: int = 0, group: int = 17
+        self,
+        when: int,
+        cls: str,
+        patience_ms: int,
+        object: int = 7,  # noqa: A002 - the word of the request's field
+        part: int = 0,
+        group: int = 17,
     ) -> RequestRecord:
-        """A request to come."""
+        """Schedule a client's request, ``when`` ns after the start."""
         number = len(self.records) + 1
-        call = inputs.ClientRequest(
+        request = inputs.ClientRequest(
             number,
             1,
             cls,
@@ -127,80 +166,80 @@
             "",
             b"order" if cls == "order" else b"",
         )
-        story = self.records[call.trace_id] = self.records_by_call[number, 1] = RequestRecord(
-            call, START + when
-        )
-        self.schedule(START + when, call)
-        return story
-
-    def run(self, until: int = 10**18) -> None:
-        """All that comes, up to a time after the start."""
-        while self.heap and self.heap[0][0] <= START + until:
-            self.now, _, message = heapq.heappop(self.heap)
-            if isinstance(message, str):
-                self.custom_event(message)
+        record = RequestRecord(request, START + when)
+        self.records[request.trace_id] = record
+        self.records_by_call[number, 1] = record
+        self.schedule(START + when, request)
+        return record
+
+    def run(self, until: int = FOREVER) -> None:
+        """Play until nothing is open, or up to a time after the start."""
+        while self.heap and self.heap[0].at_ns <= START + until:
+            due = heapq.heappop(self.heap)
+            self.now = due.at_ns
+            if isinstance(due.message, str):
+                self.custom_event(due.message)
                 continue
-            if (
-                isinstance(
-                    message, (inputs.ServerResponse, inputs.ServerConnectionLost, inputs.ServerConnected)
-                )
-                and message.connection not in self.address_by_link
-            ):
+            if self._is_of_closed_connection(due.message):
                 continue
-            if isinstance(message, inputs.ServerConnectionLost):
-                del self.address_by_link[message.connection]
-            self.deliver(message)
-            if not self.reducer.state.requests and not any(
-                isinstance(x[2], inputs.ClientRequest) for x in self.heap
-            ):
+            if isinstance(due.message, inputs.ServerConnectionLost):
+                del self.address_by_link[due.message.connection]
+            self.deliver(due.message)
+            if self._is_done():
                 return
 
+    def _is_of_closed_connection(self, message: inputs.Input) -> bool:
+        return isinstance(message, FROM_SERVERS) and message.connection not in self.address_by_link
+
+    def _is_done(self) -> bool:
+        """Whether no request is open or to come."""
+        return not self.reducer.state.requests and not any(
+            isinstance(event.message, inputs.ClientRequest) for event in self.heap
+        )
+
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
+        """Carry out what the reducer asks for, in its order."""
         for e in effect_list:
             if isinstance(e, effects.ScheduleTimer):
                 self.schedule(e.at_ns, inputs.TimerFired(e.key))
             elif isinstance(e, effects.OpenServerConnection):
-                self.address_by_link[e.connection] = e.address
-                refused = self.random.random() < self.fates.get("refuse", 0)
-                took = self.now + self.random.randint(1, 3) * MS
-                self.schedule(
-                    took,
-                    inputs.ServerConnectionLost(e.connection, "refused", True)
-                    if refused
-                    else inputs.ServerConnected(e.connection),
-                )
+                self._connect(e)
             elif isinstance(e, effects.CloseServerConnection):
                 self.address_by_link.pop(e.connection, None)
             elif isinstance(e, effects.SendAttempt):
                 self.run_attempt(e)
             elif isinstance(e, effects.CancelAttempt):
-                for sent in self.records[e.attempt_id].attempts:
-                    sent.cancelled_ns = sent.cancelled_ns or self.now
-            elif isinstance(e, (effects.SendResponse, effects.RejectRequest, effects.FailRequest)):
-                self.records_by_call[e.client, e.request_number].final_effects.append((self.now, e))
+                for attempt in self.records[e.attempt_id].attempts:
+                    attempt.cancelled_ns = attempt.cancelled_ns or self.now
+            elif isinstance(e, FINAL_EFFECTS):
+                record = self.records_by_call[e.client, e.request_number]
+                record.final_effects.append((self.now, e))
             elif isinstance(e, effects.LogEvent):
                 self.log.append(e)
 
+    def _connect(self, e: effects.OpenServerConnection) -> None:
+        self.address_by_link[e.connection] = e.address
+        is_refused = self.random.random() < self.fates.get(REFUSE, 0)
+        known_ns = self.now + self.random.randint(1, 3) * MS
+        if is_refused:
+            self.schedule(known_ns, inputs.ServerConnectionLost(e.connection, "refused", True))
+        else:
+            self.schedule(known_ns, inputs.ServerConnected(e.connection))
+
     def run_attempt(self, e: effects.SendAttempt) -> None:
-        names = [f for f in self.fates if f != "refuse"]
-        fate = self.random.choices(names, [self.fates[f] for f in names])[0]
-        self.records[e.attempt_id].attempts.append(
-            AttemptRecord(self.now, self.address_by_link[e.connection], fate)
-        )
-        took = self.now + self.random.randint(1, self.max_service_ns // MS) * MS
-        if fate == "reset":
-            self.schedule(took, inputs.ServerConnectionLost(e.connection, "reset"))
+        """Draw an attempt's fate and its time; benchmarks put other servers here."""
+        names = [fate for fate in self.fates if fate != REFUSE]
+        fate = self.random.choices(names, [self.fates[name] for name in names])[0]
+        record = AttemptRecord(self.now, self.address_by_link[e.connection], fate)
+        self.records[e.attempt_id].attempts.append(record)
+        ends_ns = self.now + self.random.randint(1, self.max_service_ns // MS) * MS
+        if fate == RESET:
+            self.schedule(ends_ns, inputs.ServerConnectionLost(e.connection, "reset"))
         elif fate in OUTCOME_BY_FATE:
+            note = FillResult.HIT if fate == "done" else FillResult.NONE
             self.schedule(
-                took,
+                ends_ns,
                 inputs.ServerResponse(
-                    e.connection,
-                    e.attempt_id,
-                    OUTCOME_BY_FATE[fate],
-                    FillResult.HIT if fate == "done" else FillResult.NONE,
-                    0,
-                    {},
-                    False,
-                    b"x",
+                    e.connection, e.attempt_id, OUTCOME_BY_FATE[fate], note, 0, {}, False, b"x"
                 ),
             )
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -87,9 +87,9 @@
         b"order",
         idempotency_key=nonce,
     )
-    for n, (at, made, message) in enumerate(v.heap):
-        if message is c:
-            v.heap[n] = (at, made, call)
+    for n, event in enumerate(v.heap):
+        if event.message is c:
+            v.heap[n] = event._replace(message=call)
     story.request = call
     return call
 
