--- a/testbed/deployments.py
+++ b/testbed/deployments.py
@@ -1,118 +1,56 @@
-"""Deployments made by chance, and a day in one of them: the core in virtual time through restarts of servers
-and of the router, drains, purges, lost answers and clients that retry.  What went over the wires is written
-down for a watch that knows the rules and nothing of the router.  A seed replays a day to the byte."""
+"""A day in a deployment made by chance: the reducer in virtual time, through all that may happen to it.
+
+Servers restart and drain, purges are told, answers are lost, clients retry, and the router is killed. What
+went over the wires is written down for a checker that knows the rules and nothing of the router. A seed
+replays a day to the byte: start at ``SimulatedDay``, whose constructor plays it.
+"""
 
 from __future__ import annotations
 
 import heapq
+from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 from kelpcroft.config import parse_config
 from kelpcroft.core import effects, inputs
 from kelpcroft.core.reducer import Reducer
 from kelpcroft.decision.interface import FillResult, Outcome
+from testbed.generated_configuration import MS, S, generate_configuration
+
+__all__ = [
+    "FATES_NOT_EXECUTED",
+    "MS",
+    "START",
+    "AttemptRecord",
+    "RequestRecord",
+    "S",
+    "SimulatedDay",
+    "generate_configuration",
+]
 
-MS, S = 10**6, 10**9
 START = 1_764_576_000 * S
 OUTCOME_BY_FATE = {"done": Outcome.OK, "lack": Outcome.MISS, "wait": Outcome.FULL, "broke": Outcome.ERROR}
 FATES_NOT_EXECUTED = ("lack", "wait", "refused")
-
-
-def generate_configuration(seed: int) -> dict[str, Any]:
-    """A configuration: one to five hubs, one to forty boxes, any effects, groups, windows and features."""
-    r = Random(seed)
-    hubs = [f"h{n}" for n in range(r.randint(1, 5))]
-    edges = [f"e{n}" for n in range(r.randint(1, 3))]
-    classes, write = [], []
-    for _ in range(r.randint(1, 4)):
-        effect = r.choice(["safe", "keyed", "unsafe"])
-        deadline = r.choice([800, 2_000, 5_000]) * MS
-        classes.append(
-            {
-                "name": f"class-{r.getrandbits(16):04x}",
-                "idempotency": effect,
-                "credit": r.choice([1, 2, 5]),
-                "group": r.choice(["all", "zone", "cell"]),
-                "dedup_window_ns": r.choice([300, 1_500, 5_000]) * MS,
-                "aim_ns": deadline // r.choice([3, 8]),
-                "aim_stretch": r.choice([0, 2]),
-                "give_up_ns": deadline,
-            }
-        )
-        write.append(effect != "safe" and r.random() < 0.7)
-    boxes = [(f"b{n}", r.choice(edges), "box") for n in range(r.randint(1, 40))]
-    boxes += [(f"p{n}", r.choice(hubs), "hub") for n in range(r.randint(0, 3))]
-    boxes.append(("store", hubs[0], "store"))
-    told = r.choice(["off", "nominal", "rough"])
-    endpoints = [
-        {
-            "name": name,
-            "address": f"127.0.0.1:{9_000 + n}",
-            "zone": zone,
-            "type": kind,
-            "status": "active",
-            "group": n // 3,
-            "weight": 1 if told == "off" else r.choice([4, 9.5, 40]),
-        }
-        for n, (name, zone, kind) in enumerate(boxes)
-    ]
-    fields = r.sample(["outstanding", "utilization", "x0", "x1"], r.randint(0, 4))
-    return {
-        "name": "n",
-        "listen": "127.0.0.1:9",
-        "feed": "127.0.0.1:8",
-        "seed": f"{seed:x}",
-        "limits": {"sockets": r.choice([64, 128, 1_024]), "memory_mb": 64},
-        "known": {"n": 1, "events": [{"n": 1, "members": {"snapshot": True, "endpoints": endpoints}}]},
-        "settings": {
-            "az": edges[0],
-            "dcs": hubs + edges,
-            "classes": classes,
-            "instances": 1,
-            "self_index": 0,
-            "machine_types": ["box", "hub", "store"],
-            "weight_source": told,
-            "tick_ns": r.choice([1, 2 * MS]),
-            "report": {"how": "inline" if fields else "off", "fields": fields},
-            "limits": {
-                "most_tries": r.randint(1, 8),
-                "may_cancel": r.random() < 0.8,
-                "max_streams": r.choice([1, 32]),
-                "second_copies": r.random() < 0.5,
-                "retry_after": r.random() < 0.5,
-                "max_open": r.choice([0, 5, 1_000]),
-                "max_retry_after_ns": 2 * S,
-            },
-            "contract": {
-                "drain_grace_ns": r.choice([0, 250, 500]) * MS,
-                "cold_from": r.choice([0.1, 0.5, 1]),
-                "cold_ns": 15 * S,
-                "fall_multiple": 2.5,
-                "fall_ns": r.choice([1, 2]) * S,
-            },
-            "family_info": {
-                "goes_through": write,
-                "max_age_ns": [r.choice([0, 8 * S]) for _ in classes],
-                "hub_of": [r.randrange(len(hubs)) for _ in hubs + edges],
-                "master_kind": 2,
-                "shield_kind": 1,
-                "instances_by_zone": [0] * len(hubs) + [1] + [0] * (len(edges) - 1),
-                "zone_link_kb_per_s": [r.choice([0, 9_000])] * len(hubs + edges),
-                "pace_kb_per_s": r.choice([0, 1_000]),
-                "may_pass_by": r.random() < 0.7,
-                "sideways": r.choice(["off", "location"]),
-                "merges_fills": r.random() < 0.5,
-                "notes_given": r.choice(["all", "hit", "off"]),
-                "parent_cold_from": 0.1,
-                "parent_warms_in_ns": 15 * S,
-                "parent_fall_multiple": 2.0,
-                "purge_grace_ns": r.choice([0, 300, 500]) * MS,
-                "purge_takes_ns": 6 * S,
-            },
-        },
-    }
+FATE_WEIGHTS = {"done": 0.8, "lack": 0.05, "wait": 0.05, "broke": 0.05, "reset": 0.02}
+SILENT = "silent"
+LIST_STATES = {"active": "in_service", "leaving": "terminating", "left": "terminated"}
+ORIGIN = "store"
+REQUESTS_PER_S = 25
+EVENT_COUNTS = (("drain", 2), ("restart", 3), ("purge", 6), ("kill", 1))
+AFTER_LAST_REQUEST_NS = 8 * S  # played on for what is still open
+CLIENT_SLACK_NS = 51 * MS  # a client waits so much longer than it says
+RETRY_SHARE = 0.7
+RETRY_AFTER_NS = 100 * MS
+REFUSED_CONNECTIONS_SHARE = 0.03
+RESTART_NS = 300 * MS  # from the router's death to its next start
+PURGES_TOLD_AT_START_NS = 6 * S  # as old as purges may be that a new router is told
+PURGE_AGE_NS = 50 * MS  # when it is told
+EVENT_NUMBER = 9  # of every list event; the numbers play no part here
+FROM_SERVERS = (inputs.ServerConnected, inputs.ServerConnectionLost, inputs.ServerResponse)
+FINAL_EFFECTS = (effects.SendResponse, effects.RejectRequest, effects.FailRequest)
 
 
 @dataclass
@@ -122,272 +60,326 @@
     sent_ns: int
     command: effects.SendAttempt
     server: str
-    router_life: int  # of the router: counts its starts
+    router_life: int  # counts the router's starts
     fate: str
-    service_ns: int = 0  # time its server takes for it, in ns
-    ended_ns: int = 0  # its answer was read, it was killed, or its connection or the router ended
+    service_ns: int = 0  # time its server takes for it
+    ended_ns: int = 0  # its answer was read, it was cancelled, or its connection or the router ended
 
 
 @dataclass
 class RequestRecord:
-    """One call of a client and all that came of it."""
+    """One request of a client and all that came of it."""
 
     arrived_ns: int
     request: inputs.ClientRequest
     router_life: int
-    final_effects: list[tuple[int, effects.Effect]] = field(default_factory=list)
+    final_effects: list[tuple[int, effects.Effect]] = field(default_factory=list)  # with their times
     gone_ns: int = 0  # the client cancelled, or the router was killed
 
 
+class Notice(NamedTuple):
+    """What the router was told, and when: a drain, a restart or a purge."""
+
+    at_ns: int
+    kind: str  # leaving, active or purge
+    subject: Any  # a server's name, or a purge's object, group and time
+
+
+class Scheduled(NamedTuple):
+    """A message to the router, or a step of the day."""
+
+    at_ns: int
+    sequence: int  # breaks ties, so that events are never compared
+    router_life: int
+    event: inputs.Input | Callable[[], None]
+
+
 class SimulatedDay:
     """One router at one deployment, its servers, its feed and its clients."""
 
     def __init__(self, seed: int, seconds: int = 12) -> None:
-        self.random, self.raw_config = Random(seed + 1_000_003), generate_configuration(seed)
+        """Play a day of so many seconds."""
+        self.random = Random(seed + 1_000_003)
+        self.raw_config = generate_configuration(seed)
         self.config = parse_config(self.raw_config, {})
-        self.endpoints = {
-            e["name"]: dict(e) for e in self.raw_config["known"]["events"][0]["members"]["endpoints"]
+        listed = self.raw_config["known"]["events"][0]["members"]["endpoints"]
+        self.endpoints = {line["name"]: dict(line) for line in listed}
+        self.classes: dict[str, dict[str, Any]] = {
+            c["name"]: c for c in self.raw_config["settings"]["classes"]
         }
-        self.classes = {c["name"]: c for c in self.raw_config["settings"]["classes"]}
-        self.silent = self.random.choice([0.0, 0.05, 0.3])
-        self.heap: list[tuple[int, int, int, Any]] = []
-        self.made = self.router_life = 0
+        self.silent_share = self.random.choice([0.0, 0.05, 0.3])
+        self._heap: list[Scheduled] = []
+        self._sequence = 0  # of events and of clients
+        self.router_life = 0
         self.now = START
         self.attempts: list[AttemptRecord] = []
-        self.requests: dict[tuple[int, int], RequestRecord] = {}
+        self.requests: dict[tuple[int, int], RequestRecord] = {}  # by client and request number
         self.requests_by_trace: dict[str, RequestRecord] = {}
-        self.notices: list[tuple[int, str, Any]] = []  # drains, restarts and purges, when the router heard
-        self.up = True
+        self.notices: list[Notice] = []
+        self.is_up = True
         self.start_router()
-        end = START + seconds * S
-        for _ in range(seconds * 25):
-            self.schedule(START + self.random.randrange(seconds * S), ("ask", "", False, 0))
-        for what, count in (("drain", 2), ("restart", 3), ("purge", 6), ("kill", 1)):
+        self._schedule_day(seconds)
+        self._play(START + seconds * S + AFTER_LAST_REQUEST_NS)
+
+    def _schedule_day(self, seconds: int) -> None:
+        """All that comes to the router from outside."""
+        steps = {
+            "drain": self._drain_server,
+            "restart": self._restart_server,
+            "purge": self._purge,
+            "kill": self._kill_router,
+        }
+        for _ in range(seconds * REQUESTS_PER_S):
+            at_ns = START + self.random.randrange(seconds * S)
+            self.schedule(at_ns, self._send_request)
+        for name, count in EVENT_COUNTS:
             for _ in range(count):
-                self.schedule(START + S + self.random.randrange((seconds - 2) * S), (what,))
-        while self.heap and self.heap[0][0] < end + 8 * S:
-            self.now, _, life, event = heapq.heappop(self.heap)
-            if isinstance(event, tuple):
-                getattr(self, f"do_{event[0]}")(*event[1:])
-            elif life == self.router_life and self.up:
-                self.deliver(event)
-
-    def schedule(self, at: int, event: Any) -> None:
-        self.made += 1
-        heapq.heappush(self.heap, (at, self.made, self.router_life, event))
+                self.schedule(START + S + self.random.randrange((seconds - 2) * S), steps[name])
+
+    def _play(self, end_ns: int) -> None:
+        while self._heap and self._heap[0].at_ns < end_ns:
+            due = heapq.heappop(self._heap)
+            self.now = due.at_ns
+            if callable(due.event):
+                due.event()
+            elif due.router_life == self.router_life and self.is_up:
+                self.deliver(due.event)
+
+    def schedule(self, at: int, event: inputs.Input | Callable[[], None]) -> None:
+        """Deliver a message to this life of the router at a time, or take a step of the day then."""
+        self._sequence += 1
+        heapq.heappush(self._heap, Scheduled(at, self._sequence, self.router_life, event))
+
+    # The router's lives -----------------------------------------------------------------------------------
 
     def start_router(self) -> None:
-        """A router that knows its list and nothing else."""
+        """Start a router that knows its first list and nothing else, and tell it what has changed."""
         self.router_life += 1
-        self.up = True
-        self.links: dict[int, str] = {}
-        self.open: dict[tuple[int, str], AttemptRecord] = {}  # by link and id
+        self.is_up = True
+        self._server_by_connection: dict[int, str] = {}
+        self._open_attempts: dict[tuple[int, str], AttemptRecord] = {}  # by connection and attempt id
         self.reducer = Reducer(self.config)
         self.carry_out(self.reducer.start(self.now))
-        gone = [e for e in self.endpoints.values() if e["status"] != "active" or e.get("since_ms")]
-        if gone:
-            self.members(gone)
+        changed = [e for e in self.endpoints.values() if e["status"] != "active" or e.get("since_ms")]
+        if changed:
+            self._tell_endpoints(changed)
         self.deliver(inputs.ListenersReady())
 
+    def _kill_router(self) -> None:
+        """The router dies; its clients' connections end, and it starts again from nothing."""
+        self.is_up = False
+        for attempt in self._open_attempts.values():
+            attempt.ended_ns = self.now
+        for record in self.requests.values():
+            if not record.final_effects and not record.gone_ns:
+                record.gone_ns = self.now
+        self.schedule(self.now + RESTART_NS, self._restart_router)
+
+    def _restart_router(self) -> None:
+        """A new router is told the purges of the last seconds."""
+        self.notices = [
+            notice
+            for notice in self.notices
+            if notice.kind != "purge" or self.now - notice.at_ns < PURGES_TOLD_AT_START_NS
+        ]
+        self.start_router()
+        for notice in list(self.notices):
+            if notice.kind == "purge":
+                self.deliver(inputs.WatchResponse(EVENT_NUMBER, (inputs.Purge(*notice.subject),)))
+                self.notices.append(Notice(self.now, "purge", notice.subject))
+                self.notices.remove(notice)
+
+    # What the router is told ------------------------------------------------------------------------------
+
     def deliver(self, message: inputs.Input) -> None:
-        if (
-            isinstance(message, (inputs.ServerConnected, inputs.ServerConnectionLost, inputs.ServerResponse))
-            and message.connection not in self.links
-        ):
+        """Hand the reducer a message, unless it is of a connection or an attempt that has ended."""
+        if isinstance(message, FROM_SERVERS) and message.connection not in self._server_by_connection:
             return
         if isinstance(message, inputs.ServerConnectionLost):
-            del self.links[message.connection]
-            for key in [k for k in self.open if k[0] == message.connection]:
-                self.open.pop(key).ended_ns = self.now
+            del self._server_by_connection[message.connection]
+            self._end_attempts_on(message.connection)
         if isinstance(message, inputs.ServerResponse):
-            sent = self.open.pop((message.connection, message.attempt_id), None)
-            if sent is None:
+            attempt = self._open_attempts.pop((message.connection, message.attempt_id), None)
+            if attempt is None:
                 return
-            sent.ended_ns = self.now
+            attempt.ended_ns = self.now
         self.carry_out(self.reducer.handle(self.now, message))
 
-    def members(self, rows: list[dict[str, Any]]) -> None:
-        states = {"active": "in_service", "leaving": "terminating", "left": "terminated"}
-        self.deliver(
-            inputs.WatchResponse(
-                9,
-                (
-                    inputs.EndpointUpdate(
-                        False,
-                        tuple(
-                            inputs.EndpointRecord(
-                                e["name"],
-                                e["address"],
-                                e["zone"],
-                                e["type"],
-                                e["group"],
-                                states[e["status"]],
-                                e["weight"],
-                                e.get("since_ms", 0) * MS,
-                            )
-                            for e in rows
-                        ),
-                    ),
-                ),
+    def _end_attempts_on(self, connection: int) -> None:
+        for key in [key for key in self._open_attempts if key[0] == connection]:
+            self._open_attempts.pop(key).ended_ns = self.now
+
+    def _tell_endpoints(self, lines: list[dict[str, Any]]) -> None:
+        """A list event with these servers' lines."""
+        records = tuple(
+            inputs.EndpointRecord(
+                line["name"],
+                line["address"],
+                line["zone"],
+                line["type"],
+                line["group"],
+                LIST_STATES[line["status"]],
+                line["weight"],
+                line.get("since_ms", 0) * MS,
             )
+            for line in lines
         )
+        self.deliver(inputs.WatchResponse(EVENT_NUMBER, (inputs.EndpointUpdate(False, records),)))
 
-    # What happens -----------------------------------------------------------------------------------------
+    def _drain_server(self) -> None:
+        self._change_server("leaving", self.random.choice(["leaving", "left"]))
 
-    def do_ask(self, nonce: str, retry: bool, since: int) -> None:
-        r = self.random
-        if not self.up:
+    def _restart_server(self) -> None:
+        """A server starts anew, cold, and its connections are reset."""
+        name = self._change_server("active", "active")
+        for connection in [c for c, server in self._server_by_connection.items() if name and server == name]:
+            self.deliver(inputs.ServerConnectionLost(connection, "reset"))
+
+    def _change_server(self, kind: str, status: str) -> str:
+        """Give some server in service another status: its name, or "" where none is in service."""
+        names = [
+            line["name"]
+            for line in self.endpoints.values()
+            if line["status"] == "active" and line["name"] != ORIGIN
+        ]
+        if not names:
+            return ""
+        line = self.endpoints[self.random.choice(names)]
+        line["status"] = status
+        if kind == "active":
+            line["since_ms"] = self.now // MS
+        self.notices.append(Notice(self.now, kind, line["name"]))
+        if self.is_up:
+            self._tell_endpoints([line])
+        return str(line["name"])
+
+    def _purge(self) -> None:
+        item, group = self.random.choice([(7, 0), (8, 0), (None, 3)])
+        purged_ns = self.now - PURGE_AGE_NS
+        self.notices.append(Notice(self.now, "purge", (item, group, purged_ns)))
+        if self.is_up:
+            self.deliver(inputs.WatchResponse(EVENT_NUMBER, (inputs.Purge(item, group, purged_ns),)))
+
+    # Clients ----------------------------------------------------------------------------------------------
+
+    def _send_request(self, retry_key: str = "", since_ns: int = 0) -> None:
+        """A client's request; ``retry_key``: again with this key, first sent at ``since_ns``."""
+        if not self.is_up:
             return
-        cls = self.classes[r.choice(sorted(self.classes))] if not retry else self.classes[nonce.split("/")[0]]
-        keyed = cls["idempotency"] == "keyed"
-        nonce = nonce or (f"{cls['name']}/{self.made}" if keyed else "")
-        left = cls["give_up_ns"] - (self.now - since if retry else 0)
-        patience = int(left * r.uniform(0.5, 1.0)) // MS
-        if patience < 1:
+        cls = self._class_of(retry_key)
+        is_keyed = cls["idempotency"] == "keyed"
+        key = retry_key or (f"{cls['name']}/{self._sequence}" if is_keyed else "")
+        left_ns = cls["give_up_ns"] - (self.now - since_ns if retry_key else 0)
+        patience_ms = int(left_ns * self.random.uniform(0.5, 1.0)) // MS
+        if patience_ms < 1:
             return
-        self.made += 1
-        item = r.choice([7, 8, 9, r.randrange(10**6)])
-        call = inputs.ClientRequest(
-            self.made,
+        request = self._make_request(cls, key, patience_ms, is_retry=bool(retry_key))
+        record = RequestRecord(self.now, request, self.router_life)
+        self.requests[request.client, 1] = record
+        self.requests_by_trace[request.trace_id] = record
+        gives_up_ns = self.now + patience_ms * MS + CLIENT_SLACK_NS
+        self.schedule(gives_up_ns, partial(self._give_up, record, since_ns or self.now))
+        self.deliver(request)
+
+    def _class_of(self, retry_key: str) -> dict[str, Any]:
+        """The class that a key names, else one by chance."""
+        if retry_key:
+            return self.classes[retry_key.split("/")[0]]
+        return self.classes[self.random.choice(sorted(self.classes))]
+
+    def _make_request(
+        self, cls: dict[str, Any], key: str, patience_ms: int, *, is_retry: bool
+    ) -> inputs.ClientRequest:
+        self._sequence += 1
+        client = self._sequence
+        item = self.random.choice([7, 8, 9, self.random.randrange(10**6)])
+        return inputs.ClientRequest(
+            client,
             1,
             cls["name"],
-            f"{self.made:016x}",
-            patience * MS,
+            f"{client:016x}",
+            patience_ms * MS,
             f"{item:016x}",
             "0",
             item,
             0,
             item % 4,
-            retry,
+            is_retry,
             "",
             b"x" if cls["idempotency"] != "safe" else b"",
-            idempotency_key=nonce,
-            size_kb=r.choice([0.0, 1.0, 200.0, 5_000.0]),
-        )
-        ask = self.requests[self.made, 1] = self.requests_by_trace[call.trace_id] = RequestRecord(
-            self.now, call, self.router_life
+            idempotency_key=key,
+            size_kb=self.random.choice([0.0, 1.0, 200.0, 5_000.0]),
         )
-        self.schedule(self.now + patience * MS + 51 * MS, ("leave", ask, since or self.now))
-        self.deliver(call)
 
-    def do_leave(self, ask: RequestRecord, since: int) -> None:
+    def _give_up(self, record: RequestRecord, since_ns: int) -> None:
         """The client's patience is over; it may come again as its class allows."""
-        cls = self.classes[ask.request.request_class]
-        if not ask.final_effects and not ask.gone_ns:
-            ask.gone_ns = self.now
-            if ask.router_life == self.router_life and self.up:
-                self.deliver(inputs.CancelRequest(ask.request.client, 1))
-        refused = any(isinstance(f, effects.RejectRequest) for _, f in ask.final_effects)
-        served = any(isinstance(f, effects.SendResponse) for _, f in ask.final_effects)
-        again = (
-            cls["idempotency"] == "keyed"
-            and not served
-            and (refused or cls["group"] == "all" and self.now - since < cls["dedup_window_ns"])
-        )
-        if again and self.random.random() < 0.7:
-            self.schedule(self.now + 100 * MS, ("ask", ask.request.idempotency_key, True, since))
-
-    def do_drain(self) -> None:
-        self.change("leaving", self.random.choice(["leaving", "left"]))
-
-    def do_restart(self) -> None:
-        name = self.change("active", "active")
-        for link in [k for k, at in self.links.items() if name and at == name]:
-            self.deliver(inputs.ServerConnectionLost(link, "reset"))
-
-    def change(self, what: str, status: str) -> str:
-        names = [
-            e["name"] for e in self.endpoints.values() if e["status"] == "active" and e["name"] != "store"
-        ]
-        if not names:
-            return ""
-        e = self.endpoints[self.random.choice(names)]
-        e["status"] = status
-        if what == "active":
-            e["since_ms"] = self.now // MS
-        self.notices.append((self.now, what, e["name"]))
-        if self.up:
-            self.members([e])
-        return str(e["name"])
-
-    def do_purge(self) -> None:
-        item, group = self.random.choice([(7, 0), (8, 0), (None, 3)])
-        self.notices.append((self.now, "purge", (item, group, self.now - 50 * MS)))
-        if self.up:
-            self.deliver(inputs.WatchResponse(9, (inputs.Purge(item, group, self.now - 50 * MS),)))
-
-    def do_kill(self) -> None:
-        """The router dies; its clients' connections end, and it starts again from nothing."""
-        self.up = False
-        for sent in self.open.values():
-            sent.ended_ns = self.now
-        for ask in self.requests.values():
-            if not ask.final_effects and not ask.gone_ns:
-                ask.gone_ns = self.now
-        self.schedule(self.now + 300 * MS, ("start",))
-
-    def do_start(self) -> None:
-        self.notices = [t for t in self.notices if t[1] != "purge" or self.now - t[0] < 6 * S]
-        self.start_router()
-        for at, what, more in list(self.notices):
-            if what == "purge":  # it is told those of the last seconds at its start
-                self.deliver(inputs.WatchResponse(9, (inputs.Purge(more[0], more[1], more[2]),)))
-                self.notices.append((self.now, "purge", more))
-                self.notices.remove((at, what, more))
+        cls = self.classes[record.request.request_class]
+        if not record.final_effects and not record.gone_ns:
+            record.gone_ns = self.now
+            if record.router_life == self.router_life and self.is_up:
+                self.deliver(inputs.CancelRequest(record.request.client, 1))
+        was_refused = any(isinstance(e, effects.RejectRequest) for _, e in record.final_effects)
+        was_served = any(isinstance(e, effects.SendResponse) for _, e in record.final_effects)
+        within_window = cls["group"] == "all" and self.now - since_ns < cls["dedup_window_ns"]
+        may_retry = cls["idempotency"] == "keyed" and not was_served and (was_refused or within_window)
+        if may_retry and self.random.random() < RETRY_SHARE:
+            retry = partial(self._send_request, record.request.idempotency_key, since_ns)
+            self.schedule(self.now + RETRY_AFTER_NS, retry)
 
     # What the router does ---------------------------------------------------------------------------------
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
+        """Carry out what the reducer asks for, in its order."""
         for e in effect_list:
             if isinstance(e, effects.ScheduleTimer):
                 self.schedule(max(e.at_ns, self.now), inputs.TimerFired(e.key))
             elif isinstance(e, effects.OpenServerConnection):
-                name = next(n for n, x in self.endpoints.items() if x["address"] == e.address)
-                self.links[e.connection] = name
-                up = self.random.random() > 0.03
-                self.schedule(
-                    self.now + self.random.randint(1, 30) * MS,
-                    inputs.ServerConnected(e.connection)
-                    if up
-                    else inputs.ServerConnectionLost(e.connection, "refused", True),
-                )
+                self._connect(e)
             elif isinstance(e, effects.CloseServerConnection):
-                self.links.pop(e.connection, None)
-                for key in [k for k in self.open if k[0] == e.connection]:
-                    self.open.pop(key).ended_ns = self.now
+                self._server_by_connection.pop(e.connection, None)
+                self._end_attempts_on(e.connection)
             elif isinstance(e, effects.CancelAttempt):
-                sent = self.open.pop((e.connection, e.attempt_id), None)
-                if sent:
-                    sent.ended_ns = self.now
+                attempt = self._open_attempts.pop((e.connection, e.attempt_id), None)
+                if attempt:
+                    attempt.ended_ns = self.now
             elif isinstance(e, effects.SendAttempt):
-                self.pull(e)
-            elif isinstance(e, (effects.SendResponse, effects.RejectRequest, effects.FailRequest)):
+                self._run_attempt(e)
+            elif isinstance(e, FINAL_EFFECTS):
                 self.requests[e.client, e.request_number].final_effects.append((self.now, e))
 
-    def pull(self, e: effects.SendAttempt) -> None:
-        r = self.random
-        fate = (
-            "silent"
-            if r.random() < self.silent
-            else r.choices(["done", "lack", "wait", "broke", "reset"], [0.8, 0.05, 0.05, 0.05, 0.02])[0]
-        )
-        took = int(r.lognormvariate(4, 1)) * MS + MS
-        sent = AttemptRecord(self.now, e, self.links[e.connection], self.router_life, fate, took)
-        self.attempts.append(sent)
-        self.open[e.connection, e.attempt_id] = sent
-        took += self.now
+    def _connect(self, e: effects.OpenServerConnection) -> None:
+        name = next(name for name, line in self.endpoints.items() if line["address"] == e.address)
+        self._server_by_connection[e.connection] = name
+        is_up = self.random.random() > REFUSED_CONNECTIONS_SHARE
+        known_ns = self.now + self.random.randint(1, 30) * MS
+        if is_up:
+            self.schedule(known_ns, inputs.ServerConnected(e.connection))
+        else:
+            self.schedule(known_ns, inputs.ServerConnectionLost(e.connection, "refused", True))
+
+    def _run_attempt(self, e: effects.SendAttempt) -> None:
+        """Draw what becomes of an attempt, and when."""
+        fate = self._draw_fate()
+        service_ns = int(self.random.lognormvariate(4, 1)) * MS + MS
+        server = self._server_by_connection[e.connection]
+        attempt = AttemptRecord(self.now, e, server, self.router_life, fate, service_ns)
+        self.attempts.append(attempt)
+        self._open_attempts[e.connection, e.attempt_id] = attempt
+        ends_ns = self.now + service_ns
         if fate == "reset":
-            self.schedule(took, inputs.ServerConnectionLost(e.connection, "reset"))
-        elif fate != "silent":
-            report = {k: r.random() for k in self.config.settings.load_report_fields}
-            note = (
-                r.choice([FillResult.HIT, FillResult.FILLED, FillResult.FILLED_FROM_ORIGIN])
-                if fate == "done"
-                else FillResult.NONE
-            )
-            self.schedule(
-                took,
-                inputs.ServerResponse(
-                    e.connection, e.attempt_id, OUTCOME_BY_FATE[fate], note, 5 * MS, report, False, b"x"
-                ),
-            )
+            self.schedule(ends_ns, inputs.ServerConnectionLost(e.connection, "reset"))
+        elif fate != SILENT:
+            self.schedule(ends_ns, self._response(e, fate))
+
+    def _draw_fate(self) -> str:
+        if self.random.random() < self.silent_share:
+            return SILENT
+        return self.random.choices(list(FATE_WEIGHTS), list(FATE_WEIGHTS.values()))[0]
+
+    def _response(self, e: effects.SendAttempt, fate: str) -> inputs.ServerResponse:
+        report = {name: self.random.random() for name in self.config.settings.load_report_fields}
+        note = FillResult.NONE
+        if fate == "done":
+            note = self.random.choice([FillResult.HIT, FillResult.FILLED, FillResult.FILLED_FROM_ORIGIN])
+        outcome = OUTCOME_BY_FATE[fate]
+        return inputs.ServerResponse(e.connection, e.attempt_id, outcome, note, 5 * MS, report, False, b"x")
