--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -25,7 +25,8 @@
 
 import msgpack
 
-from testbed.stand_ins import RouterProcess, StandInServers
+from testbed.router_process import RouterProcess
+from testbed.stand_ins import StandInServers
 
 CALLS = 200
 HALF = 32
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 from statistics import median
 
-from testbed.stand_ins import ROOT, RouterProcess, StandInServers
+from testbed.router_process import RouterProcess
+from testbed.stand_ins import ROOT, StandInServers
 
 BEFORE = "fa17234"  # the last commit before routes
 TURNS = 9
--- a/testbed/demo.py
+++ b/testbed/demo.py
@@ -7,7 +7,8 @@
 from kelpcroft.cli.common import read_settings
 from kelpcroft.operator_file import load
 from kelpcroft.operator_file.explain import RequestAttributes, find_route
-from testbed.stand_ins import ROOT, RouterProcess, ScriptedReply, ServerCommand, StandInServers
+from testbed.router_process import RouterProcess
+from testbed.stand_ins import ROOT, ScriptedReply, ServerCommand, StandInServers
 
 ZONE = "edge-1"
 TROUBLED = "00000000000000aa"  # every first answer for this object is an error
--- a/testbed/field/field.py
+++ b/testbed/field/field.py
@@ -25,16 +25,8 @@
 
 from testbed.field.relay import Relay
 from testbed.field.watch import SLACK_NS, ClientCall, ContractChecker, ContractRules
-from testbed.stand_ins import (
-    MAX_WAIT_S,
-    MS,
-    ROOT,
-    SERVERS,
-    RouterClient,
-    ServerScript,
-    StandInServers,
-    answer_at_once,
-)
+from testbed.router_process import RouterClient
+from testbed.stand_ins import MAX_WAIT_S, MS, ROOT, SERVERS, ServerScript, StandInServers, answer_at_once
 
 PACE_KB_PER_S = 1_000.0
 SIZE_KB = 20.0  # of every page that Load asks for
--- a/testbed/field/watch.py
+++ b/testbed/field/watch.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from testbed.stand_ins import MS, ServerCommand, StandInServers
+from testbed.stand_ins import MS, RequestKey, ServerCommand, StandInServers
 
 S = 1_000_000_000
 SLACK_NS = 150 * MS  # what a busy machine may add between a wire and a record
@@ -141,7 +141,7 @@
             effect, window = self.rules.effects.get(pulls[0].fields.get("cls", ""), ("safe", 0))
             for n, pull in enumerate(pulls[1:], 1):
                 before = pulls[n - 1]
-                over = self.replies.get((id, before.server, before.received_ns))
+                over = self.replies.get(RequestKey(id, before.server, before.received_ns))
                 killed = any(
                     s.verb == "KILL" and s.server == before.server and before.received_ns <= s.received_ns
                     for s in sends
--- /dev/null
+++ b/testbed/router_process.py
@@ -0,0 +1,218 @@
+"""A router as a process of its own against stand-ins, and a client of it."""
+
+from __future__ import annotations
+
+import json
+import os
+import secrets
+import signal
+import socket
+import subprocess
+import sys
+import tempfile
+import time
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+import msgpack
+
+from testbed.stand_ins import MAX_WAIT_S, MS, PROGRAM_DIR, ROOT, StandInServers
+
+READ_BYTES = 1 << 16
+RETRY_S = 0.01
+
+
+@dataclass
+class ClientResponse:
+    """A final answer as a client sees it."""
+
+    kind: str  # served, refused or failed
+    body: bytes
+    fields: dict[str, str]
+    latency_ms: float
+
+
+@dataclass
+class RouterClient:
+    """One connection to a router, for one thread at a time."""
+
+    sock: socket.socket
+    unpacker: Any = field(default_factory=lambda: msgpack.Unpacker(raw=False))
+    calls: int = 0
+    sent_ns: dict[int, int] = field(default_factory=dict)
+
+    def send_request(
+        self,
+        cls: str,
+        patience_ms: int = 2_400,
+        object: str = "7f3a9c21e0b4d655",  # noqa: A002 - the word of the request's field
+        part: int = 0,
+        group: int = 17,
+        retry: bool = False,
+        body: bytes = b"",
+        trace: str = "",
+        more: dict[str, str] | None = None,
+    ) -> str:
+        """Send a request.
+
+        Args:
+            cls: Its class.
+            patience_ms: How long the client waits.
+            object: The object's id, 16 hexadecimal digits.
+            part: The number of its part.
+            group: The number of its group.
+            retry: Whether the client says that it has asked before.
+            body: What is to be written.
+            trace: The trace id; by default one by chance.
+            more: Further fields, such as nonce and size.
+
+        Returns:
+            The trace id.
+        """
+        self.calls += 1
+        trace = trace or secrets.token_hex(8)
+        fields = {
+            "trace": trace,
+            "patience": str(patience_ms),
+            "entity": object,
+            "block": str(part),
+            "family": str(group),
+            **({"redo": "1"} if retry else {}),
+            **(more or {}),
+        }
+        self.sent_ns[self.calls] = time.monotonic_ns()
+        self.sock.sendall(msgpack.packb([0, self.calls, cls, [fields, body]]))
+        return trace
+
+    def responses(self, count: int) -> Iterator[ClientResponse]:
+        """Yield so many answers as they come.
+
+        Raises:
+            ConnectionError: The router has closed the connection.
+        """
+        while count:
+            for _, call, error, result in self.unpacker:
+                latency_ms = (time.monotonic_ns() - self.sent_ns.pop(call)) / MS
+                if error is None:
+                    yield ClientResponse("served", bytes(result[0]), result[1], latency_ms)
+                else:
+                    kind = "refused" if error[0] == "Shed" else "failed"
+                    yield ClientResponse(kind, b"", error[1], latency_ms)
+                count -= 1
+                if not count:
+                    return
+            data = self.sock.recv(READ_BYTES)
+            if not data:
+                raise ConnectionError("the router has closed the connection")
+            self.unpacker.feed(data)
+
+    def request(self, cls: str, **more: Any) -> ClientResponse:
+        """Send one request and wait for its answer; arguments as of ``send_request``."""
+        self.send_request(cls, **more)
+        return next(self.responses(1))
+
+
+class RouterProcess:
+    """A router process against stand-ins. A context manager."""
+
+    def __init__(
+        self,
+        world: StandInServers,
+        rules: str | None = None,
+        program: Path = PROGRAM_DIR,
+        release: bool = False,
+        settings: dict[str, Any] | None = None,
+        mgmt: bool = False,
+    ) -> None:
+        """Start the process.
+
+        Args:
+            world: Its servers and its feed.
+            rules: The operator's file; None for none.
+            program: Where the program lies.
+            release: Start it as `run` does, without assertions.
+            settings: Other values for keys of the example's settings.
+            mgmt: Give it a control address, at ``self.control_address``.
+        """
+        self._directory = tempfile.TemporaryDirectory()
+        folder = Path(self._directory.name)
+        self.rules_path = folder / "rules.kdl"
+        self.config_path = folder / "config.json"
+        self.log_path = folder / "log"
+        with socket.create_server(("127.0.0.1", 0)) as free, socket.create_server(("127.0.0.1", 0)) as other:
+            self.address = free.getsockname()[:2]
+            self.control_address = other.getsockname()[:2]
+        config = self._configuration(world, settings or {})
+        if mgmt:
+            config["mgmt"] = f"127.0.0.1:{self.control_address[1]}"
+        self.config_path.write_text(json.dumps(config))
+        env = {**os.environ, "ROUTER_CONFIG": str(self.config_path), "ROUTER_LOG": "json"}
+        env.pop("ROUTER_RULES", None)
+        if rules is not None:
+            self.rules_path.write_text(rules)
+            env["ROUTER_RULES"] = str(self.rules_path)
+        options = ["-O"] if release else []
+        with self.log_path.open("w") as log:
+            self.process = subprocess.Popen(
+                [sys.executable, *options, "-m", "kelpcroft"], cwd=program, env=env, stderr=log, stdout=log
+            )
+
+    def _configuration(self, world: StandInServers, settings: dict[str, Any]) -> dict[str, Any]:
+        """The example's configuration, with these stand-ins in it."""
+        example = json.loads((ROOT / "examples/config.json").read_bytes())
+        return {
+            **example,
+            "listen": f"127.0.0.1:{self.address[1]}",
+            "feed": world.address_of("feed"),
+            "known": {"n": 1, "events": [world.endpoint_snapshot()]},
+            "settings": {**example["settings"], **settings},
+        }
+
+    def __enter__(self) -> RouterProcess:
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        self.process.kill()
+        self.process.wait()
+        self._directory.cleanup()
+
+    def log_events(self) -> list[dict[str, Any]]:
+        """The events that it has logged."""
+        return [json.loads(line) for line in self.log_path.read_text().splitlines() if line.startswith("{")]
+
+    def reload_rules(self, rules: str) -> dict[str, Any]:
+        """Give it another operator's file and SIGHUP: what the log says of it.
+
+        Raises:
+            TimeoutError: The log says nothing.
+        """
+        before = len(self.rules_events())
+        self.rules_path.write_text(rules)
+        self.process.send_signal(signal.SIGHUP)
+        until = time.monotonic() + MAX_WAIT_S
+        while time.monotonic() < until:
+            events = self.rules_events()
+            if len(events) > before:
+                return events[-1]
+            time.sleep(RETRY_S)
+        raise TimeoutError("the operator's file was not read")
+
+    def rules_events(self) -> list[dict[str, Any]]:
+        """What it has logged of the operator's file."""
+        return [line for line in self.log_events() if line["event"].startswith("rules.")]
+
+    def client(self) -> RouterClient:
+        """A connection, once it takes some.
+
+        Raises:
+            RuntimeError: It has ended, or takes none.
+        """
+        until = time.monotonic() + MAX_WAIT_S
+        while self.process.poll() is None and time.monotonic() < until:
+            try:
+                return RouterClient(socket.create_connection(self.address, MAX_WAIT_S))
+            except ConnectionRefusedError:
+                time.sleep(RETRY_S)
+        raise RuntimeError(f"the router does not serve: {self.log_path.read_text()}")
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -25,7 +25,8 @@
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.policy import RoutingPolicy
 from kelpcroft.startup import RestartOverlap
-from testbed.stand_ins import MAX_WAIT_S, PROGRAM_DIR, SERVERS, RouterClient, StandInServers
+from testbed.router_process import RouterClient
+from testbed.stand_ins import MAX_WAIT_S, PROGRAM_DIR, SERVERS, StandInServers
 
 COLD = 100 * S
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,8 @@
 from kelpcroft.core.effects import LogEvent
 from kelpcroft.log import MAX_LINES_PER_EVENT, RATE_WINDOW_NS, EventLog
 from testbed import demo
-from testbed.stand_ins import ROOT, RouterProcess, StandInServers
+from testbed.router_process import RouterProcess
+from testbed.stand_ins import ROOT, StandInServers
 
 CONFIG = str(ROOT / "examples/config.json")
 EXAMPLE = str(ROOT / "examples/operator.kdl")
@@ -108,7 +109,7 @@
             words = [
                 "serve",
                 "--config",
-                str(other.rules.with_name("config.json")),
+                str(other.config_path),
                 "--file",
                 EXAMPLE,
                 "--name",
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -20,7 +20,8 @@
     FeedError,
     parse_watch_response,
 )
-from testbed.stand_ins import RouterProcess, StandInServers
+from testbed.router_process import RouterProcess
+from testbed.stand_ins import StandInServers
 
 AT_MS = 1_764_576_000_000
 JSON_VALUES = st.recursive(
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -27,7 +27,8 @@
 from kelpcroft.core.state import MS, SECOND
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.interface import Outcome
-from testbed.stand_ins import RouterProcess, StandInServers
+from testbed.router_process import RouterProcess
+from testbed.stand_ins import StandInServers
 
 
 def variant(change: Any) -> dict[str, Any]:
@@ -265,7 +266,7 @@
         )
         with StandInServers() as world, RouterProcess(world, rules.format("page")) as router:
             router.client().request("page")
-            config = Path(router.folder.name) / "config.json"
+            config = router.config_path
             raw = orjson.loads(config.read_bytes())
             raw["settings"]["classes"].append({**raw["settings"]["classes"][0], "name": "fresh"})
             config.write_bytes(orjson.dumps(raw))
--- a/tests/test_routes_loopback.py
+++ b/tests/test_routes_loopback.py
@@ -9,15 +9,8 @@
 import unittest
 from collections.abc import Callable
 
-from testbed.stand_ins import (
-    MS,
-    ClientResponse,
-    RouterProcess,
-    ScriptedReply,
-    ServerCommand,
-    StandInServers,
-    answer_at_once,
-)
+from testbed.router_process import ClientResponse, RouterProcess
+from testbed.stand_ins import MS, ScriptedReply, ServerCommand, StandInServers, answer_at_once
 
 HEAD = 'kelpcroft version=1\nroute "orders" { match class="order"; timeout "1.5s"; attempts most=1; }\n'
 ONE = ("cache1", "parent", "origin")
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -18,7 +18,8 @@
 from kelpcroft.core.request_statistics import MAX_CLASSES, OTHER_CLASSES, RequestStatistics
 from kelpcroft.net.memory import peak_kb
 from kelpcroft.store.identity import files_digest, settings_digest
-from testbed.stand_ins import ROOT, RouterProcess, ScriptedReply, ServerCommand, StandInServers
+from testbed.router_process import RouterProcess
+from testbed.stand_ins import ROOT, ScriptedReply, ServerCommand, StandInServers
 
 ON = 'kelpcroft version=1\ncontrol state=#true\nroute "rest" { match; }\n'
 OFF = 'kelpcroft version=1\nroute "rest" { match; }\n'
--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -11,7 +11,8 @@
 import unittest
 from typing import Any
 
-from testbed.stand_ins import ROOT, RouterProcess, ScriptedReply, ServerCommand, StandInServers
+from testbed.router_process import RouterProcess
+from testbed.stand_ins import ROOT, ScriptedReply, ServerCommand, StandInServers
 
 S, MS = 10**9, 10**6
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_text())["settings"]
