--- a/kelpcroft/cli/rollout_preview.py
+++ b/kelpcroft/cli/rollout_preview.py
@@ -12,7 +12,7 @@
 import click
 import orjson
 
-from kelpcroft.operator_file.values import format_duration as format_duration
+from kelpcroft.operator_file.values import format_duration
 from kelpcroft.rollout.placement import PlacementDiff, PlacementError, compare_placements
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget, Stage
 from kelpcroft.rollout.router_drivers import fill_in
