--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -65,7 +65,7 @@
         router: Reducer = self.routers[n]
         effects = router.start(self.now, StartupOptions(calls and max(calls, self.believed / 4)))
         if kind is not DiscoverySchedule:
-            router.endpoint_list.schedule = other = kind(self.believed, self.made * 7_919 + n)
+            router.position.schedule = other = kind(self.believed, self.made * 7_919 + n)
             from random import Random
 
             other.random = Random(other.seed).random
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -21,7 +21,7 @@
 
 from benchmarks.request_cost import COPY, MS, ROOT, One
 from kelpcroft.core import inputs
-from kelpcroft.core.messages import TimerKind
+from kelpcroft.core.messages import TimerKey, TimerKind
 from kelpcroft.net.feed_codec import parse_watch_response
 
 SIZES = ((4, 2), (20, 3), (60, 10), (200, 20), (2000, 200))
@@ -76,7 +76,7 @@
     def tick(self) -> None:
         """The housekeeping wake-up."""
         self.now += MS
-        self.router.handle(self.now, inputs.TimerFired((TimerKind.HOUSEKEEPING, 0, 0)))
+        self.router.handle(self.now, inputs.TimerFired(TimerKey(TimerKind.HOUSEKEEPING, 0, 0)))
 
 
 def cost(work: Callable[[], object], count: int) -> float:
--- /dev/null
+++ b/kelpcroft/core/attempt_completion.py
@@ -0,0 +1,154 @@
+"""The end of an attempt: booked, and told to the decision module once."""
+
+from __future__ import annotations
+
+from kelpcroft.core.server_connections import ServerConnections
+from kelpcroft.core.state import Attempt, State
+from kelpcroft.decision import interface as api
+from kelpcroft.decision.interface import FillResult, Outcome
+from kelpcroft.invariants import holds
+
+# Ends whose time tells how long answers take.
+TIMED_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)
+# What an answer says of a fill that the origin or the fill's source did not bear.
+SOURCE_FAILURES = (FillResult.SOURCE_REFUSED, FillResult.SOURCE_BROKE, FillResult.ORIGIN_FAILED)
+
+
+class AttemptCompletion:
+    """Ends attempts."""
+
+    def __init__(self, state: State, connections: ServerConnections) -> None:
+        self.state = state
+        self.connections = connections
+
+    def finish(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        fill_result: FillResult = FillResult.NONE,
+        source_wait_ns: int = 0,
+        load_report: dict[str, float] | None = None,
+    ) -> None:
+        """End an attempt: its tables, what learns from it, and the decision module, in this order.
+
+        Args:
+            attempt: One that has not ended.
+            outcome: How it ended.
+            fill_result: What the answer says of its fill.
+            source_wait_ns: Wait for the fill source's first byte; 0 = not told.
+            load_report: What the server reports of itself.
+        """
+        state = self.state
+        if not holds(state.attempts.pop(attempt.number, None) is not None, "an attempt ends once"):
+            return
+        request = attempt.request
+        elapsed_ns = state.now - attempt.started_ns
+        self.remove_from_tables(attempt)
+        self.record_execution(attempt, outcome)
+        if state.is_tracing:
+            self.trace_end(attempt, outcome, fill_result, source_wait_ns, load_report or {})
+        if attempt.asks_origin and state.origin_limit is not None:
+            is_late = self.is_late_at_origin(attempt, outcome, fill_result, source_wait_ns)
+            state.origin_limit.record_finished(state.now, attempt.started_ns, is_late)
+            state.set_cold_budget_share(state.cold_budget_share)
+        if state.fleet_size is not None and load_report and "outstanding" in load_report:
+            self.record_fleet_report(attempt.forward.server, load_report["outstanding"])
+        allowance = request.allowance
+        if (
+            allowance is not None
+            and allowance.records_latency
+            and attempt.is_sent
+            and outcome in TIMED_OUTCOMES
+        ):
+            allowance.record_latency(state.now, elapsed_ns)
+        state.events.append(
+            api.AttemptEnded(
+                request.id,
+                attempt.index,
+                attempt.forward.server,
+                outcome,
+                elapsed_ns,
+                request.is_answered,
+                fill_result,
+                source_wait_ns,
+                load_report or {},
+            )
+        )
+
+    def remove_from_tables(self, attempt: Attempt) -> None:
+        """Take an attempt off its connection and its request."""
+        request, connection = attempt.request, attempt.connection
+        connection.unsent.pop(request.message.trace_id, None)
+        connection.in_flight.pop(request.message.trace_id, None)
+        self.connections.release(connection)
+        del self.state.attempt_numbers[request.id, attempt.index]
+        request.attempts_in_flight -= 1
+        self.state.touched_requests.append(request)
+
+    def record_execution(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Count the end, and note whether the attempt may have run."""
+        request = attempt.request
+        self.state.counters[outcome.name.lower()] += 1
+        request.may_have_executed = not outcome.proves_not_executed
+        if not request.may_have_executed:
+            self.record_not_executed(attempt)
+
+    def record_not_executed(self, attempt: Attempt) -> None:
+        """An attempt has certainly not run: its idempotency key is not bound by it."""
+        message = attempt.request.message
+        if message.idempotency_key:
+            self.state.idempotency_keys.record_not_executed(
+                message.request_class, message.idempotency_key, attempt.number
+            )
+
+    def record_fleet_report(self, server: str, outstanding: float) -> None:
+        """How many requests a server has in all, beside how many of them are this router's."""
+        state = self.state
+        assert state.fleet_size is not None
+        own = sum(len(connection.in_flight) for connection in state.connections.by_server.get(server, ()))
+        state.fleet_size.record_report(state.now, outstanding, own + 1)
+
+    def trace_end(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        fill_result: FillResult,
+        source_wait_ns: int,
+        load_report: dict[str, float],
+    ) -> None:
+        """The step ``ended`` of the trace."""
+        self.state.trace(
+            "ended",
+            id=attempt.request.message.trace_id,
+            cls=attempt.request.message.request_class,
+            server=attempt.forward.server,
+            source=attempt.forward.fill_source,
+            n=attempt.index,
+            outcome=outcome.name,
+            note=fill_result.name,
+            took=self.state.now - attempt.started_ns,
+            waited=source_wait_ns,
+            sent=attempt.is_sent,
+            report=load_report,
+        )
+
+    def is_late_at_origin(
+        self, attempt: Attempt, outcome: Outcome, fill_result: FillResult, source_wait_ns: int
+    ) -> bool | None:
+        """Whether the origin took too long over a fetch; None where its end does not tell."""
+        if outcome in (Outcome.TIMEOUT, Outcome.FULL) or fill_result in SOURCE_FAILURES:
+            return True
+        if outcome is not Outcome.OK:
+            return None
+        forward = attempt.forward
+        if fill_result is FillResult.HIT and forward.server != forward.fill_source:
+            return None
+        state, message = self.state, attempt.request.message
+        transfer_ns = state.expected_transfer_ns(message.request_class, message.size_kb)
+        wait_ns = max(source_wait_ns, state.now - attempt.started_ns - transfer_ns)
+        request_class = state.classes.get(message.request_class)
+        return (
+            request_class is not None
+            and state.origin_limit is not None
+            and state.origin_limit.is_late(wait_ns, request_class.latency_objective_ns)
+        )
--- /dev/null
+++ b/kelpcroft/core/attempt_sending.py
@@ -0,0 +1,226 @@
+"""The beginning of an attempt: from the decision module's ForwardRequest to its bytes on a connection."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from kelpcroft.core.attempt_completion import AttemptCompletion
+from kelpcroft.core.connection_pool import PooledConnection
+from kelpcroft.core.effects import ScheduleTimer, SendAttempt
+from kelpcroft.core.inputs import ClientRequest
+from kelpcroft.core.messages import TimerKey, TimerKind
+from kelpcroft.core.response_times import ResponseTimes
+from kelpcroft.core.server_connections import ServerConnections
+from kelpcroft.core.state import MS, Attempt, OpenRequest, State
+from kelpcroft.decision import interface as api
+from kelpcroft.decision.interface import Idempotency, Outcome
+from kelpcroft.invariants import holds
+
+if TYPE_CHECKING:
+    from kelpcroft.routes import RequestAllowance
+
+MAX_CONNECTIONS_PER_ATTEMPT = 3  # tried for one attempt while each breaks at once
+
+
+class AttemptSender:
+    """Makes attempts and writes them to their connections."""
+
+    def __init__(
+        self,
+        state: State,
+        connections: ServerConnections,
+        completion: AttemptCompletion,
+        response_times: ResponseTimes,
+    ) -> None:
+        self.state = state
+        self.connections = connections
+        self.completion = completion
+        self.response_times = response_times
+
+    def forward(self, action: api.ForwardRequest) -> None:
+        """Send an attempt, now or when its connection stands.
+
+        Where it can't be sent the decision module hears of its end in the same input.
+        """
+        state = self.state
+        request = state.requests.get(int(action.id))
+        if request is None or not holds(not request.is_answered, "no attempt behind the final answer"):
+            return
+        index = request.attempts_made
+        request.attempts_made += 1
+        if request.allowance is not None:
+            self.charge(request, request.allowance)
+        connection = self.connections.acquire(action.server, request)
+        if connection is None or action.fill_source not in state.endpoints:
+            request.may_have_executed = False
+            state.events.append(api.AttemptEnded(action.id, index, action.server, Outcome.MOOT, 0, False))
+            return
+        attempt = self.register(action, request, index, connection)
+        self.schedule_timeout(attempt)
+        self.send_or_queue(attempt)
+
+    def register(
+        self, action: api.ForwardRequest, request: OpenRequest, index: int, connection: PooledConnection
+    ) -> Attempt:
+        """A new attempt in the tables."""
+        state = self.state
+        state.last_number += 1
+        attempt = Attempt(state.last_number, request, action, state.now, index, connection)
+        request.attempts_in_flight += 1
+        if state.origin_limit is not None:
+            source = state.endpoints[action.fill_source]
+            attempt.asks_origin = state.config.kinds.role_of(source.kind) is api.Role.ORIGIN
+            if attempt.asks_origin:
+                state.origin_limit.record_sent()
+                state.set_cold_budget_share(state.cold_budget_share)
+        state.attempts[attempt.number] = attempt
+        state.attempt_numbers[action.id, index] = attempt.number
+        return attempt
+
+    def schedule_timeout(self, attempt: Attempt) -> None:
+        """End the attempt at its time limit, and at the request's deadline at the latest.
+
+        The decision module is told at the deadline, so that its last answer goes out within the slack.
+        """
+        due_ns = attempt.request.deadline_ns
+        if attempt.forward.timeout_ns:
+            due_ns = min(self.state.now + attempt.forward.timeout_ns, due_ns)
+        key = TimerKey(TimerKind.ATTEMPT_TIMEOUT, attempt.number, 0)
+        self.state.effects.append(ScheduleTimer(due_ns, key))
+
+    def charge(self, request: OpenRequest, allowance: RequestAllowance) -> None:
+        """The route pays for a retry, or for a hedge of an attempt that is out."""
+        state = self.state
+        paid = True
+        if request.attempts_in_flight:
+            paid = allowance.spend_hedge(state.now)
+            state.counters["copies"] += 1
+        elif request.attempts_made > 1 and request.may_have_executed and not request.is_backing_off:
+            paid = allowance.spend_retry(state.now)
+        request.is_backing_off = False
+        holds(paid, "no budget is overdrawn")
+        if allowance.hedge_delay_ns:
+            key = TimerKey(TimerKind.HEDGE, int(request.id), request.attempts_made)
+            state.effects.append(ScheduleTimer(state.now + allowance.hedge_delay_ns, key))
+
+    def retry_connection(self, attempt: Attempt) -> bool:
+        """Whether an attempt waits for another connection now.
+
+        A connection that was reset as soon as it stood tells nothing of the server, and nothing was sent.
+        """
+        if attempt.request.is_answered:
+            return False
+        attempt.failed_connections += 1
+        if attempt.failed_connections >= MAX_CONNECTIONS_PER_ATTEMPT:
+            return False
+        connection = self.connections.acquire(attempt.forward.server, attempt.request)
+        if connection is None:
+            return False
+        attempt.connection = connection
+        self.send_or_queue(attempt)
+        return True
+
+    def send_or_queue(self, attempt: Attempt) -> None:
+        """Write an attempt, or let it wait until its connection stands."""
+        connection, trace_id = attempt.connection, attempt.request.message.trace_id
+        if connection.is_connected:
+            connection.in_flight[trace_id] = attempt.number
+            self.send(attempt)
+        else:
+            connection.unsent[trace_id] = attempt.number
+
+    def send(self, attempt: Attempt) -> None:
+        """Write an attempt.  Its time limit is what is left of it now."""
+        state, forward = self.state, attempt.forward
+        if attempt.request.is_answered:
+            # Its client has left, or has its answer: what waited for its connection is not sent on.
+            self.completion.finish(attempt, Outcome.MOOT)
+            return
+        if not self.bind_idempotency_key(attempt):
+            self.completion.finish(attempt, Outcome.MOOT)
+            return
+        attempt.is_sent = True
+        self.watch_for_silence(attempt.connection)
+        due_ns = min(attempt.started_ns + forward.timeout_ns, attempt.request.deadline_ns)
+        if state.is_tracing:
+            self.trace_send(attempt, due_ns)
+        state.effects.append(send_effect(attempt, max(1, (due_ns - state.now) // MS)))
+
+    def bind_idempotency_key(self, attempt: Attempt) -> bool:
+        """Note that a key may run from now on; a class that may run more than once needs none.
+
+        Returns:
+            False where the attempt must not be sent: it was chosen in time, and waited for its connection
+            until its key's window was over.
+        """
+        state, message = self.state, attempt.request.message
+        if not message.idempotency_key:
+            return True
+        request_class = state.classes.get(message.request_class)
+        if request_class is None or request_class.idempotency is Idempotency.SAFE:
+            return True
+        earlier = state.idempotency_keys.find(state.now, message.request_class, message.idempotency_key)
+        if earlier is not None and request_class.idempotency is Idempotency.KEYED:
+            window_ends_ns = earlier.sent_ns + request_class.dedup_window_ns
+            if state.now + state.settings.clock_tick_ns >= window_ends_ns:
+                return False
+        endpoint = state.endpoints.get(attempt.forward.server)
+        state.idempotency_keys.record_send(
+            state.now,
+            request_class,
+            message.idempotency_key,
+            attempt.number,
+            endpoint.zone if endpoint else "",
+            endpoint.cell if endpoint else 0,
+        )
+        return True
+
+    def watch_for_silence(self, connection: PooledConnection) -> None:
+        """See to it that a timer looks whether anything comes on a connection."""
+        if connection.has_silence_timer:
+            return
+        connection.has_silence_timer = True
+        # Where health checks are allowed the first look comes at half the time: it sends one.
+        parts = 2 if self.state.settings.limits.may_probe else 1
+        limit_ns = self.response_times.silence_limit_ns() // parts
+        self.state.schedule(limit_ns, TimerKind.CONNECTION_SILENCE, connection.number)
+
+    def trace_send(self, attempt: Attempt, due_ns: int) -> None:
+        """The step ``sent`` of the trace."""
+        forward = attempt.forward
+        self.state.trace(
+            "sent",
+            id=attempt.request.message.trace_id,
+            cls=attempt.request.message.request_class,
+            server=forward.server,
+            source=forward.fill_source,
+            n=attempt.index,
+            rank=forward.retention_rank,
+            held_only=forward.cached_only,
+            late=self.state.now - attempt.started_ns,
+            limit=due_ns - self.state.now,
+        )
+
+
+def send_effect(attempt: Attempt, timeout_ms: int) -> SendAttempt:
+    """What the loop is asked to write for an attempt."""
+    forward = attempt.forward
+    message: ClientRequest = attempt.request.message
+    return SendAttempt(
+        connection=attempt.connection.number,
+        attempt_id=message.trace_id,
+        request_class=message.request_class,
+        object_id=message.object_id,
+        part_id=message.part_id,
+        timeout_ms=timeout_ms,
+        source="" if forward.fill_source == forward.server else forward.fill_source,
+        retention_rank=forward.retention_rank,
+        max_age_ms=max(1, forward.max_age_ns // MS) if forward.max_age_ns else 0,
+        join_fill=forward.coalesce,
+        cache_only=forward.cached_only,
+        no_parent_copy=forward.no_parent_copy,
+        refresh_behind=forward.refresh_in_background,
+        etag=message.etag,
+        body=message.body,
+        idempotency_key=message.idempotency_key,
+    )
--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -1,222 +1,284 @@
-"""Clients' calls: what is taken, and the one final answer that each is owed."""
+"""Clients' requests: which are taken, and the one final answer that each is owed."""
 
 from __future__ import annotations
 
-from kelpcroft.core import effects, inputs
-from kelpcroft.core.state import SECOND, OpenRequest, State
+from typing import TYPE_CHECKING
+
+from kelpcroft.core.effects import CloseClient, Effect, FailRequest, RejectRequest, SendResponse
+from kelpcroft.core.inputs import ClientRequest
+from kelpcroft.core.state import OpenRequest, State
 from kelpcroft.decision import interface as api
+from kelpcroft.decision.interface import Idempotency, RequestClass
 from kelpcroft.invariants import holds
 
-MAX_OPEN_REQUESTS_PER_CLIENT = 32  # calls that one client may have open
+if TYPE_CHECKING:
+    from kelpcroft.routes import RequestAllowance
+
+MAX_OPEN_REQUESTS_PER_CLIENT = 32
 
-# How a request ended, in the words of the step trace (``ROUTER_TRACE``).
-TRACE_WORDS: dict[type[effects.Effect], str] = {
-    effects.SendResponse: "Serve",
-    effects.RejectRequest: "Decline",
-    effects.FailRequest: "Break",
+FinalAnswer = SendResponse | RejectRequest | FailRequest
+
+# How a request ended, in the words of the step trace (``ROUTER_TRACE``) ...
+TRACE_WORDS: dict[type[Effect], str] = {
+    SendResponse: "Serve",
+    RejectRequest: "Decline",
+    FailRequest: "Break",
+}
+# ... and in those of the statistics on the control address.
+STATISTICS_WORDS: dict[type[Effect], str] = {
+    SendResponse: "served",
+    RejectRequest: "refused",
+    FailRequest: "failed",
 }
+CLIENT_GONE = "gone"  # in both, where nobody wants an answer any more
 
 
 class ClientRequests:
-    """Takes calls in and answers them once."""
+    """Takes requests in and answers each of them once."""
 
     def __init__(self, state: State) -> None:
         self.state = state
 
-    def on_call(self, c: inputs.ClientRequest) -> None:
-        """Bad clients get an error or a close here, before anything is sent on for them: servers answer their
-        requests with errors, which would tell against the server and against the request with the same id."""
-        here = self.state.requests_by_client.get(c.client, {})
-        if c.request_number in here or len(here) >= MAX_OPEN_REQUESTS_PER_CLIENT:
-            self.state.counters["hung up on"] += 1
-            self.state.effects.append(
-                effects.CloseClient(
-                    c.client,
-                    f"call {c.request_number} is open already"
-                    if c.request_number in here
-                    else "too many calls open",
-                )
-            )
+    def on_request(self, message: ClientRequest) -> None:
+        """Take a request in, or answer it at once.
+
+        Bad clients get an error or a close here, before anything is sent on for them: servers answer their
+        requests with errors, which would tell against the server and against the request with the same id.
+        """
+        state = self.state
+        if self.close_misbehaving_client(message):
             return
-        cls = self.state.classes.get(c.request_class)
-        if (
-            c.validation_error
-            or cls is None
-            or c.remaining_time_ns > 2 * cls.deadline_ns > 0
-            or c.trace_id in self.state.traces
-            or cls.idempotency is api.Idempotency.KEYED
-            and not c.idempotency_key
-        ):
-            self.state.counters["not usable"] += 1
-            if self.state.ledger is not None and cls is not None:
-                self.state.ledger.record_end(cls.name, "failed", 0, cls.priority_weight, False)
-            self.state.effects.append(effects.FailRequest(c.client, c.request_number))
+        request_class = state.classes.get(message.request_class)
+        if request_class is None or not self.is_usable(message, request_class):
+            self.fail_unusable(message, request_class)
             return
         # Also where it is to run once for now, as in the passage to a file that makes its class keyed: the
         # client's retry after it must find what this one has done.
-        keyed = cls.idempotency is not api.Idempotency.SAFE and bool(c.idempotency_key)
-        if keyed and (c.request_class, c.idempotency_key) in self.state.idempotency_keys.open:
-            # Its first request is under way here: two of one key are never out together.
-            self.turn_away(c, "keys in use")
-            return
-        if keyed and self.state.idempotency_keys.is_full(self.state.now):
-            self.turn_away(c, "keys too many")
+        is_keyed = request_class.idempotency is not Idempotency.SAFE and bool(message.idempotency_key)
+        reason = self.reject_reason(message, is_keyed)
+        if reason:
+            self.reject(message, reason)
             return
-        most = self.state.settings.limits.max_open_requests
-        if most and len(self.state.requests) >= most:
-            self.turn_away(c, "too many open")
-            return
-        self.state.last_number += 1
-        routes, patience, grant = self.state.routes, c.remaining_time_ns, None
-        if routes is not None:
-            grant = routes.admit(
-                self.state.now,
-                cls,
-                c.object_id,
-                c.group,
-                c.part_number,
-                c.is_retry,
-                len(c.body) > 0,
-                patience,
-                c.queued_ns,
-            )
-            if grant is not None:
-                patience = grant.answer_timeout_ns
+        self.take(message, request_class, is_keyed)
+
+    def close_misbehaving_client(self, message: ClientRequest) -> bool:
+        """Close a client that uses a number twice or has too much open.  Whether it was one."""
+        open_here = self.state.requests_by_client.get(message.client, {})
+        if message.request_number in open_here:
+            reason = f"call {message.request_number} is open already"
+        elif len(open_here) >= MAX_OPEN_REQUESTS_PER_CLIENT:
+            reason = "too many calls open"
+        else:
+            return False
+        self.state.counters["hung up on"] += 1
+        self.state.effects.append(CloseClient(message.client, reason))
+        return True
+
+    def is_usable(self, message: ClientRequest, request_class: RequestClass) -> bool:
+        """Whether a request can be sent on as it is."""
+        if message.validation_error:
+            return False
+        if message.remaining_time_ns > 2 * request_class.deadline_ns > 0:
+            return False
+        if message.trace_id in self.state.open_trace_ids:
+            return False
+        return request_class.idempotency is not Idempotency.KEYED or bool(message.idempotency_key)
+
+    def fail_unusable(self, message: ClientRequest, request_class: RequestClass | None) -> None:
+        """The final answer to a request that could be read and not used."""
+        self.state.counters["not usable"] += 1
+        if self.state.statistics is not None and request_class is not None:
+            weight = request_class.priority_weight
+            self.state.statistics.record_end(request_class.name, "failed", 0, weight, False)
+        self.state.effects.append(FailRequest(message.client, message.request_number))
+
+    def reject_reason(self, message: ClientRequest, is_keyed: bool) -> str:
+        """Why a usable request is not taken, as the counter's name; "" where it is."""
+        state = self.state
+        if is_keyed:
+            if (message.request_class, message.idempotency_key) in state.idempotency_keys.in_use:
+                # Its first request is under way here: two of one key are never out together.
+                return "keys in use"
+            if state.idempotency_keys.is_full(state.now):
+                return "keys too many"
+        max_open = state.settings.limits.max_open_requests
+        if max_open and len(state.requests) >= max_open:
+            return "too many open"
+        return ""
+
+    def take(self, message: ClientRequest, request_class: RequestClass, is_keyed: bool) -> None:
+        """Take a request in and hand it to the decision module."""
+        state = self.state
+        state.last_number += 1
+        number = state.last_number
+        allowance = self.route_allowance(message, request_class)
+        time_allowed_ns = message.remaining_time_ns
+        if allowance is not None:
+            time_allowed_ns = allowance.answer_timeout_ns
         request = OpenRequest(
-            str(self.state.last_number), c, self.state.now + patience, grant, patience_ns=patience
+            str(number), message, state.now + time_allowed_ns, allowance, time_allowed_ns=time_allowed_ns
         )
-        self.state.requests[self.state.last_number] = self.state.requests_by_client.setdefault(c.client, {})[
-            c.request_number
-        ] = request
-        self.state.traces.add(c.trace_id)
-        ran = None
-        if keyed:
-            self.state.idempotency_keys.open.add((c.request_class, c.idempotency_key))
-            ran = self.state.idempotency_keys.find(self.state.now, c.request_class, c.idempotency_key)
-        self.state.counters["taken"] += 1
-        self.state.touched.append(request)
-        if self.state.is_tracing:
-            self.state.trace(
-                "taken",
-                id=c.trace_id,
-                cls=c.request_class,
-                object=c.object_id,
-                part=c.part_number,
-                patience=c.remaining_time_ns,
-                retry=c.is_retry,
+        state.requests[number] = request
+        state.requests_by_client.setdefault(message.client, {})[message.request_number] = request
+        state.open_trace_ids.add(message.trace_id)
+        prior_execution = None
+        if is_keyed:
+            state.idempotency_keys.in_use.add((message.request_class, message.idempotency_key))
+            prior_execution = state.idempotency_keys.find(
+                state.now, message.request_class, message.idempotency_key
             )
-        self.state.events.append(
+        state.counters["taken"] += 1
+        state.touched_requests.append(request)
+        if state.is_tracing:
+            self.trace_taken(message)
+        state.events.append(
             api.Request(
                 id=request.id,
-                class_name=c.request_class,
-                time_remaining_ns=patience,
-                object_id=c.object_number,
-                part=c.part_number,
-                purge_group=c.group,
-                size_kb=c.size_kb,
-                is_write=len(c.body) > 0,
-                is_retry=c.is_retry,
-                retry_policy=None if grant is None else grant.bounds,
-                prior_execution=ran,
-                prior_attempt_unknown=keyed and c.is_retry and ran is None,
+                class_name=message.request_class,
+                time_remaining_ns=time_allowed_ns,
+                object_id=message.object_number,
+                part=message.part_number,
+                purge_group=message.group,
+                size_kb=message.size_kb,
+                is_write=len(message.body) > 0,
+                is_retry=message.is_retry,
+                retry_policy=None if allowance is None else allowance.bounds,
+                prior_execution=prior_execution,
+                prior_attempt_unknown=is_keyed and message.is_retry and prior_execution is None,
             )
         )
 
-    def turn_away(self, c: inputs.ClientRequest, why: str) -> None:
-        """The final answer to a call that is not taken: refused, or failed where an earlier request of its
-        key may have run and a repeat elsewhere would run it again (rule 2: whoever words a refusal)."""
-        self.state.counters[why] += 1
-        cls, keys = self.state.classes.get(c.request_class), self.state.idempotency_keys
-        if self.state.ledger is not None and cls is not None:
-            self.state.ledger.record_end(cls.name, "refused", 0, cls.priority_weight, False)
-        ran = c.idempotency_key and (
-            (c.request_class, c.idempotency_key) in keys.open
-            or keys.find(self.state.now, c.request_class, c.idempotency_key)
+    def route_allowance(self, message: ClientRequest, request_class: RequestClass) -> RequestAllowance | None:
+        """What the request's route lets it cost; None without a route."""
+        if self.state.routes is None:
+            return None
+        return self.state.routes.admit(
+            self.state.now,
+            request_class,
+            message.object_id,
+            message.group,
+            message.part_number,
+            message.is_retry,
+            len(message.body) > 0,
+            message.remaining_time_ns,
+            message.queued_ns,
         )
-        dropped = cls is not None and cls.idempotency is api.Idempotency.KEYED and cls.dedup_scope == "all"
-        harmful = ran and cls is not None and cls.idempotency is not api.Idempotency.SAFE and not dropped
-        answer = (
-            effects.FailRequest(c.client, c.request_number)
-            if harmful
-            else effects.RejectRequest(c.client, c.request_number, 0)
+
+    def trace_taken(self, message: ClientRequest) -> None:
+        """The step ``taken`` of the trace."""
+        self.state.trace(
+            "taken",
+            id=message.trace_id,
+            cls=message.request_class,
+            object=message.object_id,
+            part=message.part_number,
+            patience=message.remaining_time_ns,
+            retry=message.is_retry,
         )
-        self.state.effects.append(answer)
-
-    def finish(
-        self,
-        request: OpenRequest,
-        answer: effects.SendResponse | effects.RejectRequest | effects.FailRequest | None,
-    ) -> None:
-        """The final answer, or None where the client wants none."""
-        if not holds(not request.answered, "one final answer for each request"):
+
+    def reject(self, message: ClientRequest, reason: str) -> None:
+        """The final answer to a request that is not taken: a rejection, after which a retry is harmless.
+
+        It fails instead where an earlier request of its key may have run and a repeat elsewhere would run it
+        again (rule 2: whoever words a rejection).
+
+        Args:
+            message: The request.
+            reason: The counter's name.
+        """
+        state = self.state
+        state.counters[reason] += 1
+        request_class = state.classes.get(message.request_class)
+        if state.statistics is not None and request_class is not None:
+            weight = request_class.priority_weight
+            state.statistics.record_end(request_class.name, "refused", 0, weight, False)
+        if request_class is not None and self.is_retry_harmful(message, request_class):
+            state.effects.append(FailRequest(message.client, message.request_number))
+        else:
+            state.effects.append(RejectRequest(message.client, message.request_number, 0))
+
+    def is_retry_harmful(self, message: ClientRequest, request_class: RequestClass) -> bool:
+        """Whether a retry at another router might run what one of the same key has run."""
+        if request_class.idempotency is Idempotency.SAFE or not message.idempotency_key:
+            return False
+        if request_class.idempotency is Idempotency.KEYED and request_class.dedup_scope == "all":
+            return False  # servers drop the repeat, wherever it is sent
+        keys = self.state.idempotency_keys
+        if (message.request_class, message.idempotency_key) in keys.in_use:
+            return True
+        earlier = keys.find(self.state.now, message.request_class, message.idempotency_key)
+        return earlier is not None
+
+    def finish(self, request: OpenRequest, answer: FinalAnswer | None) -> None:
+        """Give the final answer, or none where the client wants none."""
+        if not holds(not request.is_answered, "one final answer for each request"):
             return
-        request.answered = True
-        del self.state.requests[int(request.id)]
-        self.state.traces.discard(request.message.trace_id)
-        if request.message.idempotency_key:
-            self.state.idempotency_keys.open.discard(
-                (request.message.request_class, request.message.idempotency_key)
-            )
-        open_here = self.state.requests_by_client[request.message.client]
-        del open_here[request.message.request_number]
-        if not open_here:
-            del self.state.requests_by_client[request.message.client]
-        if request.grant is not None:
-            request.grant.release()
-        if self.state.ledger is not None:
-            self.book(request, answer)
-        if self.state.is_tracing:
-            self.state.trace(
+        state = self.state
+        request.is_answered = True
+        self.remove_from_tables(request)
+        if request.allowance is not None:
+            request.allowance.release()
+        if state.statistics is not None:
+            self.record_statistics(request, answer)
+        if state.is_tracing:
+            state.trace(
                 "final",
                 id=request.message.trace_id,
                 cls=request.message.request_class,
-                tries=request.tries,
-                how=TRACE_WORDS[type(answer)] if answer else "gone",
-                out=request.out,
-                left=request.deadline_ns - self.state.now,
+                tries=request.attempts_made,
+                how=TRACE_WORDS[type(answer)] if answer else CLIENT_GONE,
+                out=request.attempts_in_flight,
+                left=request.deadline_ns - state.now,
             )
         if answer:
-            self.state.effects.append(answer)
+            state.effects.append(answer)
 
-    def book(
-        self,
-        request: OpenRequest,
-        answer: effects.SendResponse | effects.RejectRequest | effects.FailRequest | None,
-    ) -> None:
+    def remove_from_tables(self, request: OpenRequest) -> None:
+        """A request owes no answer any more."""
+        state, message = self.state, request.message
+        del state.requests[int(request.id)]
+        state.open_trace_ids.discard(message.trace_id)
+        if message.idempotency_key:
+            state.idempotency_keys.in_use.discard((message.request_class, message.idempotency_key))
+        open_here = state.requests_by_client[message.client]
+        del open_here[message.request_number]
+        if not open_here:
+            del state.requests_by_client[message.client]
+
+    def record_statistics(self, request: OpenRequest, answer: FinalAnswer | None) -> None:
         """Note what became of a request.  Its time counts from the client's send."""
-        cls, c, s = self.state.classes.get(request.message.request_class), request.message, self.state
-        if cls is None or s.ledger is None:
+        state, message = self.state, request.message
+        request_class = state.classes.get(message.request_class)
+        if request_class is None or state.statistics is None:
             return
-        pace, unit = s.settings.max_transfer_kb_per_s, s.policy.transfer_time.get(cls.name)
-        own = c.size_kb / pace * SECOND if c.size_kb and pace else unit.mean if unit else 0.0
-        took = s.now - request.deadline_ns + request.patience_ns + c.queued_ns
-        how = {
-            effects.SendResponse: "served",
-            effects.RejectRequest: "refused",
-            effects.FailRequest: "failed",
-        }.get(type(answer), "gone")
-        s.ledger.record_end(
-            cls.name,
-            how,
-            request.tries,
-            cls.priority_weight,
-            took <= cls.latency_objective_ns + cls.objective_transfer_multiple * own,
+        transfer_ns = state.expected_transfer_ns(message.request_class, message.size_kb)
+        elapsed_ns = state.now - request.deadline_ns + request.time_allowed_ns + message.queued_ns
+        in_time = (
+            elapsed_ns
+            <= request_class.latency_objective_ns + request_class.objective_transfer_multiple * transfer_ns
+        )
+        state.statistics.record_end(
+            request_class.name,
+            STATISTICS_WORDS[type(answer)] if answer else CLIENT_GONE,
+            request.attempts_made,
+            request_class.priority_weight,
+            in_time,
         )
 
-    def gone(self, request: OpenRequest) -> None:
+    def client_disconnected(self, request: OpenRequest) -> None:
         """The client has stopped waiting."""
         self.finish(request, None)
         self.state.events.append(api.ClientDisconnected(request.id))
 
-    def give_up(self, a: api.Reject | api.Fail) -> None:
-        """The module's final answer, at once."""
-        request = self.state.requests.get(int(a.id))
+    def reject_or_fail(self, action: api.Reject | api.Fail) -> None:
+        """Give the decision module's final answer, at once."""
+        request = self.state.requests.get(int(action.id))
         if request is None:
             return
-        client, call = request.message.client, request.message.request_number
-        if isinstance(a, api.Reject):
+        client, request_number = request.message.client, request.message.request_number
+        if isinstance(action, api.Reject):
             self.state.counters["refused"] += 1
-            self.finish(request, effects.RejectRequest(client, call, a.retry_after_ns))
+            self.finish(request, RejectRequest(client, request_number, action.retry_after_ns))
         else:
             self.state.counters["failed"] += 1
-            self.finish(request, effects.FailRequest(client, call))
+            self.finish(request, FailRequest(client, request_number))
--- a/kelpcroft/core/descriptors.py
+++ b/kelpcroft/core/descriptors.py
@@ -9,16 +9,24 @@
 from dataclasses import dataclass
 
 MIN_DESCRIPTORS = 64  # under this no useful number of clients and servers fits
-CLIENT_SHARE = 3  # clients hold at most one of so many descriptors, by the platform's word ...
-SPARE_CLIENTS = 8  # ... and these over it, for some are closed and not yet gone when others come
-PART_SHARE, PART_LEAST = 32, 2  # one of so many for clients that are being let go
-CALLER_SHARE, CALLERS_LEAST, CALLERS_MOST = 32, 4, 32  # and for callers of the control address
-OWN = 16  # streams, selector, pipe of signals, two listeners, the feed, files read again
+# Clients hold at most one descriptor of so many, by the platform's word, and the spare ones over it: some are
+# closed and not yet gone when others come.
+CLIENT_DIVISOR = 3
+SPARE_CLIENTS = 8
+# One descriptor of so many for clients that are being let go ...
+DRAINING_DIVISOR = 32
+MIN_DRAINING_CLIENTS = 2
+# ... and for callers of the control address.
+CALLER_DIVISOR = 32
+MIN_CALLERS = 4
+MAX_CALLERS = 32
+# Streams, selector, pipe of signals, two listeners, the feed, files read again.
+OWN_DESCRIPTORS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """How many of each kind may be open."""
+    """How many connections of each kind may be open."""
 
     clients: int
     draining_clients: int
@@ -27,8 +35,9 @@
 
 
 def allocate_descriptors(descriptors: int) -> DescriptorBudget:
-    """The shares of so many descriptors, LEAST at the least."""
-    clients = descriptors // CLIENT_SHARE + SPARE_CLIENTS
-    parting = max(PART_LEAST, descriptors // PART_SHARE)
-    callers = min(CALLERS_MOST, max(CALLERS_LEAST, descriptors // CALLER_SHARE))
-    return DescriptorBudget(clients, parting, callers, descriptors - clients - parting - callers - OWN)
+    """Share out so many descriptors, MIN_DESCRIPTORS at the least."""
+    clients = descriptors // CLIENT_DIVISOR + SPARE_CLIENTS
+    draining = max(MIN_DRAINING_CLIENTS, descriptors // DRAINING_DIVISOR)
+    callers = min(MAX_CALLERS, max(MIN_CALLERS, descriptors // CALLER_DIVISOR))
+    servers = descriptors - clients - draining - callers - OWN_DESCRIPTORS
+    return DescriptorBudget(clients, draining, callers, servers)
--- a/kelpcroft/core/effects.py
+++ b/kelpcroft/core/effects.py
@@ -1,18 +1,18 @@
-"""What the reducer asks for: all that may leave the process or be kept by it.
+"""What the reducer asks for: the loop carries it out, in this order.
 
-No codec's field names appear here.  Names that end in ``_ns`` are nanoseconds of the Unix clock.
+No codec's field names appear here.  Names that end in ``_ns`` are nanoseconds of the Unix clock, or spans.
 """
 
 from __future__ import annotations
 
-from typing import Union
-
 from kelpcroft.core.messages import Body, TimerKey, message
 
+# To clients -----------------------------------------------------------------------------------------------
+
 
 @message
 class SendResponse:
-    """Final answer: served; ``same`` tells the client that the copy it holds is the one."""
+    """Final answer: served; ``not_modified`` tells the client that the copy it holds is the one."""
 
     client: int
     request_number: int
@@ -22,7 +22,7 @@
 
 @message
 class RejectRequest:
-    """Final answer: refused; trying again is harmless, after ``pause_ns`` if that is above 0."""
+    """Final answer: refused; a retry is harmless, after ``retry_after_ns`` if that is above 0."""
 
     client: int
     request_number: int
@@ -31,7 +31,7 @@
 
 @message
 class FailRequest:
-    """Final answer: failed."""
+    """Final answer: failed; nothing is promised of a retry."""
 
     client: int
     request_number: int
@@ -39,7 +39,7 @@
 
 @message
 class SendHealth:
-    """Answer to AskHealth."""
+    """Answer to HealthRequest."""
 
     client: int
     request_number: int
@@ -54,9 +54,24 @@
     reason: str
 
 
+@message
+class DrainClients:
+    """Let clients go once nothing is owed them and nothing of theirs is half read (a drain), or keep them."""
+
+    is_enabled: bool
+
+
+@message
+class StopAccepting:
+    """Take no new connections."""
+
+
+# To servers -----------------------------------------------------------------------------------------------
+
+
 @message
 class OpenServerConnection:
-    """Open a connection to a server."""
+    """Open a connection to a server at ``host:port``."""
 
     connection: int
     address: str
@@ -64,7 +79,26 @@
 
 @message
 class SendAttempt:
-    """Send an attempt."""
+    """Send an attempt.
+
+    Attributes:
+        connection: One that stands.
+        attempt_id: The request's trace id.
+        request_class: Name of its class.
+        object_id: As it came.
+        part_id: As it came.
+        timeout_ms: How long the server may take.
+        source: Server that a miss is filled from; "" = no fill.
+        retention_rank: How long the server should keep the copy; 0 = not at all.
+        max_age_ms: Oldest copy that will do; 0 = the fresh time of the class.
+        join_fill: Wait for a fill of the same that is under way.
+        cache_only: The source gives only what it holds.
+        no_parent_copy: The parent keeps no copy of what it passes on.
+        refresh_behind: Serve an ageing copy and fetch it anew behind.
+        etag: Of the copy that the client holds; "" = none.
+        body: As it came.
+        idempotency_key: As it came; "" = none.
+    """
 
     connection: int
     attempt_id: str
@@ -72,9 +106,9 @@
     object_id: str
     part_id: str
     timeout_ms: int
-    source: str  # "" = no fill
+    source: str
     retention_rank: int
-    max_age_ms: int  # 0 = the fresh time of the class
+    max_age_ms: int
     join_fill: bool
     cache_only: bool
     no_parent_copy: bool
@@ -86,7 +120,7 @@
 
 @message
 class CancelAttempt:
-    """Give an attempt up."""
+    """Give an attempt up at its server."""
 
     connection: int
     attempt_id: str
@@ -94,7 +128,7 @@
 
 @message
 class SendHealthCheck:
-    """Send a probe."""
+    """Ask a server for its load."""
 
     connection: int
     attempt_id: str
@@ -107,14 +141,24 @@
     connection: int
 
 
+# To the feed ----------------------------------------------------------------------------------------------
+
+
 @message
 class PollFeed:
-    """Ask the feed for what comes after an event."""
+    """Ask the feed for what comes after an event.
+
+    Attributes:
+        after_event: Its number.
+        wait_ms: How long the feed may wait for news before it answers.
+        response_timeout_ns: Past that wait, its answer has begun by then, and goes on so soon.
+        log_fingerprint: Of that event, for a control replica; None = the feed is no such.
+    """
 
     after_event: int
-    wait_ms: int = 1_000  # how long the feed may wait for news before it answers
-    response_timeout_ns: int = 400_000_000  # past that, its answer has begun by then, and goes on so soon
-    log_fingerprint: str | None = None  # of that event, for a control replica; None = the feed is no such
+    wait_ms: int = 1_000
+    response_timeout_ns: int = 400_000_000
+    log_fingerprint: str | None = None
 
 
 @message
@@ -124,9 +168,12 @@
     address: tuple[str, int]
 
 
+# To the process -------------------------------------------------------------------------------------------
+
+
 @message
 class ScheduleTimer:
-    """Say Due at a time."""
+    """Say TimerFired at a time."""
 
     at_ns: int
     key: TimerKey
@@ -142,14 +189,9 @@
     fields: dict[str, object]
 
 
-@message
-class StopAccepting:
-    """Take no new connections."""
-
-
 @message
 class ControlResponse:
-    """The answer to a call on the control address: yes or no, and what is said with it."""
+    """The answer to a request on the control address: yes or no, and what is said with it."""
 
     caller: int
     ok: bool
@@ -158,29 +200,29 @@
 
 @message
 class PersistServiceState:
-    """Leave the state of service for the router's next process (an upgrade)."""
+    """Leave the state of service for the router's next process (an upgrade).
+
+    Attributes:
+        is_in_service: Or drained by an operator.
+        since_ns: Since then.
+        ended_at_ns: This process ends now; 0 = it does not.
+        shutdown_began_ns: With an end: when it was told to.
+    """
 
     is_in_service: bool
     since_ns: int
-    ended_at_ns: int = 0  # this process ends now
-    shutdown_began_ns: int = 0  # with an end: when it was told to
+    ended_at_ns: int = 0
+    shutdown_began_ns: int = 0
 
 
 @message
 class ReadPredecessorState:
-    """Has the process beside this one left word of its end?  If so, tell Ended."""
+    """Has the process beside this one left word of its end?  If so, tell PredecessorEnded."""
 
 
 @message
 class SetStateEndpoint:
-    """Take calls for the state on the control address from now on, or not; the first time, tell Identity."""
-
-    is_enabled: bool
-
-
-@message
-class DrainClients:
-    """Let clients go once nothing is owed them and nothing of theirs is half read (a drain), or keep them."""
+    """Answer for the state on the control address, or no more; the first time, tell ProcessIdentity."""
 
     is_enabled: bool
 
@@ -190,26 +232,26 @@
     """Flush what is written, then end with success."""
 
 
-Effect = Union[
-    SendResponse,
-    RejectRequest,
-    FailRequest,
-    SendHealth,
-    CloseClient,
-    OpenServerConnection,
-    SendAttempt,
-    CancelAttempt,
-    SendHealthCheck,
-    CloseServerConnection,
-    PollFeed,
-    SwitchFeed,
-    ScheduleTimer,
-    LogEvent,
-    StopAccepting,
-    ControlResponse,
-    PersistServiceState,
-    ReadPredecessorState,
-    SetStateEndpoint,
-    DrainClients,
-    Exit,
-]
+Effect = (
+    SendResponse
+    | RejectRequest
+    | FailRequest
+    | SendHealth
+    | CloseClient
+    | OpenServerConnection
+    | SendAttempt
+    | CancelAttempt
+    | SendHealthCheck
+    | CloseServerConnection
+    | PollFeed
+    | SwitchFeed
+    | ScheduleTimer
+    | LogEvent
+    | StopAccepting
+    | ControlResponse
+    | PersistServiceState
+    | ReadPredecessorState
+    | SetStateEndpoint
+    | DrainClients
+    | Exit
+)
--- /dev/null
+++ b/kelpcroft/core/housekeeping.py
@@ -0,0 +1,74 @@
+"""What is done once a second: idle connections are closed, old ids forgotten, counters logged."""
+
+from __future__ import annotations
+
+from kelpcroft.core.connection_pool import PooledConnection
+from kelpcroft.core.messages import TimerKind
+from kelpcroft.core.operator_settings import OperatorSettings
+from kelpcroft.core.process_log import log_counters
+from kelpcroft.core.server_connections import ServerConnections
+from kelpcroft.core.state import SECOND, State
+
+HOUSEKEEPING_INTERVAL_NS = SECOND
+COUNTERS_INTERVAL_NS = 10 * SECOND  # between lines of counters in the log
+IDLE_CLOSE_SHARE = 0.7  # of the servers' idle time, after which we close: a send never meets their close
+RETIRED_ID_NS = 10 * SECOND  # how long a given-up or answered id is kept off its connection
+
+
+class Housekeeping:
+    """The periodic work of one router."""
+
+    def __init__(
+        self, state: State, connections: ServerConnections, operator_settings: OperatorSettings
+    ) -> None:
+        self.state = state
+        self.connections = connections
+        self.operator_settings = operator_settings
+        self.counters_logged_ns = 0
+
+    def start(self) -> None:
+        """Schedule the first round."""
+        self.state.schedule(HOUSEKEEPING_INTERVAL_NS, TimerKind.HOUSEKEEPING)
+        self.counters_logged_ns = self.state.now
+
+    def on_timer(self) -> None:
+        """One round, and the next one scheduled."""
+        state = self.state
+        state.schedule(HOUSEKEEPING_INTERVAL_NS, TimerKind.HOUSEKEEPING)
+        if state.fleet_size is not None:
+            self.operator_settings.set_zone_routers(state.fleet_size.estimated_routers(state.now))
+        idle_limit_ns = int(IDLE_CLOSE_SHARE * state.config.server_idle_timeout_ns)
+        for connection in list(state.connections.by_number.values()):
+            self.forget_retired_ids(connection)
+            self.close_if_idle(connection, idle_limit_ns)
+        if state.now - self.counters_logged_ns >= COUNTERS_INTERVAL_NS:
+            self.log_counters()
+
+    def forget_retired_ids(self, connection: PooledConnection) -> None:
+        """Ids that ended long ago may be used on their connection again."""
+        now = self.state.now
+        old = [
+            attempt_id
+            for attempt_id, ended_ns in connection.retired_ids.items()
+            if now - ended_ns > RETIRED_ID_NS
+        ]
+        for attempt_id in old:
+            del connection.retired_ids[attempt_id]
+
+    def close_if_idle(self, connection: PooledConnection, idle_limit_ns: int) -> None:
+        """Close an idle connection before its server does: a request must not meet that close.
+
+        Args:
+            connection: One of the pool's.
+            idle_limit_ns: How long it may be idle; 0 = for ever.
+        """
+        if not connection.is_connected or connection.load() or not idle_limit_ns:
+            return
+        if self.state.now - connection.idle_since_ns > idle_limit_ns:
+            connection.is_retiring = True
+            self.connections.release(connection)
+
+    def log_counters(self) -> None:
+        """Counters for the log, broken invariants with them."""
+        self.counters_logged_ns = self.state.now
+        log_counters(self.state)
--- a/kelpcroft/core/inputs.py
+++ b/kelpcroft/core/inputs.py
@@ -1,13 +1,14 @@
 """What the reducer is told.
 
-No codec's field names appear here: a codec of another protocol fills in the same messages.  Names that end in
-``_ns`` are nanoseconds of the Unix clock, kept from running back.
+No codec's field names appear here: a front or a back end of another protocol fills in the same inputs.
+Names that end in ``_ns`` are nanoseconds of the Unix clock, kept from running back, or spans of it.
+``client`` and ``connection`` are the loop's and the pool's numbers of connections, never used twice.
 """
 
 from __future__ import annotations
 
 from enum import Enum
-from typing import TYPE_CHECKING, Union
+from typing import TYPE_CHECKING
 
 from kelpcroft.core.messages import Body, TimerKey, message
 from kelpcroft.decision.interface import FillResult, Outcome
@@ -15,33 +16,55 @@
 if TYPE_CHECKING:
     from kelpcroft.operator_file.model import OperatorFile
 
+# Clients --------------------------------------------------------------------------------------------------
+
 
 @message
 class ClientRequest:
-    """A client's request; ``call`` is its number on that connection."""
+    """A client's request.
+
+    Attributes:
+        client: Its connection.
+        request_number: Its number on that connection.
+        request_class: Name of its class in the settings.
+        trace_id: The client's id of it; attempts go out under the same.
+        remaining_time_ns: How long the client still waits, from when this was taken up.
+        object_id: Passed on as it came.
+        part_id: Passed on as it came.
+        object_number: The object, as purges name it.
+        part_number: The part of the object.
+        group: The group that a purge may name in place of an object.
+        is_retry: The client has asked before.
+        etag: Of the copy that the client holds; "" = none.
+        body: Passed on as it came.
+        queued_ns: Of the client's time, gone before this was read.
+        idempotency_key: Passed on as it came; "" = none.
+        size_kb: Of the part, as the settings count; 0 = not told.
+        validation_error: Why it cannot be used, though it could be read; "" = it can.
+    """
 
     client: int
     request_number: int
     request_class: str
     trace_id: str
     remaining_time_ns: int
-    object_id: str  # passed on as it came
-    part_id: str  # passed on as it came
+    object_id: str
+    part_id: str
     object_number: int
     part_number: int
     group: int
     is_retry: bool
-    etag: str  # of the copy that the client holds; "" = none
+    etag: str
     body: Body
-    queued_ns: int = 0  # of the client's patience, gone before this was read
-    idempotency_key: str = ""  # the idempotency key, passed on as it came; "" = none
-    size_kb: float = 0.0  # of the part, as the settings count; 0 = not told
-    validation_error: str = ""  # why it cannot be used, though it could be read
+    queued_ns: int = 0
+    idempotency_key: str = ""
+    size_kb: float = 0.0
+    validation_error: str = ""
 
 
 @message
 class CancelRequest:
-    """The client has stopped waiting for a call."""
+    """The client has stopped waiting for a request."""
 
     client: int
     request_number: int
@@ -49,7 +72,7 @@
 
 @message
 class HealthRequest:
-    """Is this router ready?"""
+    """A client asks whether this router is ready."""
 
     client: int
     request_number: int
@@ -69,6 +92,9 @@
     client: int
 
 
+# Servers --------------------------------------------------------------------------------------------------
+
+
 @message
 class ServerConnected:
     """A connection to a server stands."""
@@ -78,9 +104,15 @@
 
 @message
 class ServerConnectionLost:
-    """A connection to a server could not be had, or has ended.  Only ``down`` tells that nobody is there: a
-    connection is also reset by what lies between, and closed by us when an answer on it cannot be read.
-    ``unsent``: ids of attempts of which not all bytes were written, so that they never ran."""
+    """A connection to a server could not be had, or has ended.
+
+    Attributes:
+        connection: Which.
+        reason: For the log.
+        is_unreachable: Nobody is there.  A connection is also reset by what lies between, and closed by us
+            when an answer on it cannot be read; those tell nothing of the server.
+        unsent_attempt_ids: Ids of attempts of which not all bytes were written, so that they never ran.
+    """
 
     connection: int
     reason: str
@@ -98,7 +130,19 @@
 
 @message
 class ServerResponse:
-    """A server's answer to the attempt or probe that was sent under ``id``."""
+    """A server's answer to an attempt or a health check.
+
+    Attributes:
+        connection: Where it came.
+        attempt_id: The id under which the attempt or check was sent.
+        outcome: What the server says.
+        note: What it says of its fill.
+        source_wait_ns: How long it waited for its fill's source; 0 = not told.
+        load_report: What it reports of itself, by the settings' names.
+        not_modified: The client's own copy is the one; no bytes.
+        body: The answer's bytes.
+        etag: With ``not_modified``: of the copy that is the one.
+    """
 
     connection: int
     attempt_id: str
@@ -106,32 +150,46 @@
     note: FillResult
     source_wait_ns: int
     load_report: dict[str, float]
-    not_modified: bool  # the client's own copy is the one; no bytes
+    not_modified: bool
     body: Body
-    etag: str = ""  # of KEEP: the tag of the copy that is the one
+    etag: str = ""
+
+
+# The feed -------------------------------------------------------------------------------------------------
 
 
 @message
 class EndpointRecord:
-    """One line of the list of servers as the feed gives it."""
+    """One line of the list of servers as the feed gives it.
+
+    Attributes:
+        name: Unique among the servers.
+        address: ``host:port``.
+        zone: One of the settings' zones.
+        kind: Its type in the settings.
+        cell: Its place within the zone.
+        state: "in_service", "terminating" or "terminated".
+        weight: Its capacity beside the others', as the settings say what it means.
+        started_ns: When it last started; 0 = long ago.
+    """
 
     name: str
     address: str
     zone: str
     kind: str
     cell: int
-    state: str  # as in kelpcroft.decision.interface.Server
+    state: str
     weight: float
     started_ns: int
 
 
 @message
 class EndpointUpdate:
-    """The whole list, or what has changed in it."""
+    """The whole list of servers, or what has changed in it; ``event_number`` 0 = not told."""
 
     is_full_list: bool
     endpoints: tuple[EndpointRecord, ...]
-    event_number: int = 0  # of the event; 0 = not told
+    event_number: int = 0
 
 
 @message
@@ -145,24 +203,43 @@
 
 @message
 class WatchResponse:
-    """Events of the feed up to number ``last``."""
+    """An answer of the feed: its events up to a number.
+
+    Attributes:
+        last_event: The last event's number.
+        events: Those that could be used, in their order.
+        unusable_events: Why others could not, each with its number and field.
+        has_more: The same answer goes on: ``last_event`` is the highest number so far.
+        bytes_read: Of the whole answer.
+        log_fingerprint: Of the log up to the last event; from a control replica only, as is the next.
+        as_of_ms: Unix time at which that replica knew all that there was; 0 = not told.
+    """
 
     last_event: int
     events: tuple[EndpointUpdate | Purge, ...]
-    unusable_events: tuple[str, ...] = ()  # events that could not be used, each with its number and field
-    has_more: bool = False  # the same answer goes on: ``last`` is the highest number so far
-    bytes_read: int = 0  # bytes of the whole answer
-    log_fingerprint: str = ""  # of the last event; of a control replica only, as is the next
-    as_of_ms: int = 0  # Unix time at which that replica knew all that there was; 0 = not told
+    unusable_events: tuple[str, ...] = ()
+    has_more: bool = False
+    bytes_read: int = 0
+    log_fingerprint: str = ""
+    as_of_ms: int = 0
 
 
 @message
 class WatchFailed:
-    """The poll of the feed failed."""
+    """A call of the feed has failed.
+
+    Attributes:
+        reason: For the log.
+        retry_after_ns: The service asks to be left alone for so long.
+        bytes_read: Of an answer that came before.
+    """
 
     reason: str
-    retry_after_ns: int = 0  # the service asks to be left alone for so long
-    bytes_read: int = 0  # bytes of an answer that came before
+    retry_after_ns: int = 0
+    bytes_read: int = 0
+
+
+# The process ----------------------------------------------------------------------------------------------
 
 
 @message
@@ -176,7 +253,7 @@
 
 
 class ControlVerb(Enum):
-    """A call on the control address."""
+    """What is asked on the control address.  The values are on its wire."""
 
     READY = "ready"  # does this process take clients?
     STATE = "state"  # what is it, and what became of its requests?
@@ -184,15 +261,29 @@
     IN_SERVICE = "in-service"  # take them again
 
 
+@message
+class ControlRequest:
+    """A request on the control address, from the caller with this number."""
+
+    caller: int
+    verb: ControlVerb
+
+
 @message
 class PredecessorState:
-    """What the router's last process left at its state of service: in or out since a time; None where no
-    file was found (``why`` empty) or it could not be used (``why`` says why)."""
+    """What the router's last process left as its state of service.
+
+    Attributes:
+        is_in_service: None where no file was found or it could not be used.
+        since_ns: In or out since then.
+        reason: Why the file could not be used; "" where none was found.
+        ended_at_ns: When that process ended, if it has said so; else 0.
+    """
 
     is_in_service: bool | None
     since_ns: int = 0
     reason: str = ""
-    ended_at_ns: int = 0  # when that process ended, if it has said so
+    ended_at_ns: int = 0
 
 
 @message
@@ -210,21 +301,6 @@
     instance: str
 
 
-@message
-class ControlRequest:
-    """A call on the control address, from the caller with this number."""
-
-    caller: int
-    verb: ControlVerb
-
-
-@message
-class TimerFired:
-    """A wake-up that was asked for has come."""
-
-    key: TimerKey
-
-
 @message
 class ShutdownRequested:
     """The platform wants this process to end."""
@@ -241,34 +317,51 @@
 
 @message
 class OperatorFileRead:
-    """The operator's file was read: what it says, or None, its first fault and how many there are."""
+    """The operator's file was read.
+
+    Attributes:
+        file: What it says; None where it may not be used.
+        first_error: Its first error.
+        error_count: How many there are.
+        digest: Of its bytes.
+    """
 
     file: OperatorFile | None
     first_error: str = ""
     error_count: int = 0
-    digest: str = ""  # of its bytes
-
-
-Input = Union[
-    ClientRequest,
-    CancelRequest,
-    HealthRequest,
-    ClientConnected,
-    ClientDisconnected,
-    ServerConnected,
-    ServerConnectionLost,
-    PartialResponse,
-    ServerResponse,
-    WatchResponse,
-    WatchFailed,
-    ListenersReady,
-    TimerFired,
-    ShutdownRequested,
-    ConfigFileRead,
-    OperatorFileRead,
-    ControlRequest,
-    PredecessorState,
-    PredecessorEnded,
-    ProcessIdentity,
-    ProcessStalled,
-]
+    digest: str = ""
+
+
+# Timers ---------------------------------------------------------------------------------------------------
+
+
+@message
+class TimerFired:
+    """A timer that was scheduled has come."""
+
+    key: TimerKey
+
+
+Input = (
+    ClientRequest
+    | CancelRequest
+    | HealthRequest
+    | ClientConnected
+    | ClientDisconnected
+    | ServerConnected
+    | ServerConnectionLost
+    | PartialResponse
+    | ServerResponse
+    | WatchResponse
+    | WatchFailed
+    | ListenersReady
+    | TimerFired
+    | ShutdownRequested
+    | ConfigFileRead
+    | OperatorFileRead
+    | ControlRequest
+    | PredecessorState
+    | PredecessorEnded
+    | ProcessIdentity
+    | ProcessStalled
+)
--- /dev/null
+++ b/kelpcroft/core/predecessor.py
@@ -0,0 +1,60 @@
+"""The router's process before this one: what it left, and when it has ended."""
+
+from __future__ import annotations
+
+from kelpcroft.core.effects import DrainClients, ReadPredecessorState
+from kelpcroft.core.inputs import PredecessorEnded, PredecessorState
+from kelpcroft.core.messages import TimerKind
+from kelpcroft.core.process_status import ProcessStatus
+from kelpcroft.core.state import MS, SECOND, State
+from kelpcroft.startup import RestartOverlap
+
+
+class Predecessor:
+    """Takes up the last process's state of service, and shares the cold budgets with it while it runs."""
+
+    def __init__(self, state: State, process: ProcessStatus, restart_overlap: RestartOverlap) -> None:
+        self.state = state
+        self.process = process
+        self.restart_overlap = restart_overlap
+
+    def start(self) -> None:
+        """The process has started."""
+        self.restart_overlap.start(self.state.now)
+        self.update_budget_share()
+
+    def update_budget_share(self) -> None:
+        """Have the decision module know what part of its router's cold budgets this process has now."""
+        state = self.state
+        share = self.restart_overlap.budget_share(state.now)
+        state.set_cold_budget_share(share)
+        if share < 1:
+            if self.process.service_state.shares_listener:
+                state.effects.append(ReadPredecessorState())
+            remaining_ns = self.restart_overlap.overlap_ends_ns - state.now
+            state.schedule(min(SECOND, max(MS, remaining_ns)), TimerKind.RESTART_OVERLAP)
+
+    def on_state(self, left: PredecessorState) -> None:
+        """At the start: an operator's drain outlives the process that heard it."""
+        state = self.state
+        if left.is_in_service is None:
+            if left.reason:
+                state.log(
+                    "handover.refused",
+                    f"state of the last process not taken: {left.reason}",
+                    "warning",
+                    {"why": left.reason},
+                )
+        elif not left.is_in_service and self.process.service_state.drain(left.since_ns):
+            state.log(
+                "service.out",
+                "out of service, as the last process was: clients are let go",
+                "info",
+                {"since_s": round((state.now - left.since_ns) / SECOND, 3), "handed": True},
+            )
+            state.effects.append(DrainClients(True))
+
+    def on_ended(self, ended: PredecessorEnded) -> None:
+        """The process beside this one has ended; an earlier end was of one before that."""
+        if ended.ended_at_ns >= self.process.started_ns:
+            self.restart_overlap.on_predecessor_ended(self.state.now, ended.ended_at_ns)
--- /dev/null
+++ b/kelpcroft/core/process_status.py
@@ -0,0 +1,47 @@
+"""What this process is and whether it is ready: read by clients' health requests and the control address."""
+
+from __future__ import annotations
+
+from kelpcroft.core.inputs import ProcessIdentity
+from kelpcroft.core.service_state import ServiceMode, ServiceState
+
+
+class ProcessStatus:
+    """Facts about the process that several parts of the core read.
+
+    Attributes:
+        service_state: In service, drained by an operator, or ending.
+        identity: Digest of the program and the process's own name; empty until it is asked for.
+        operator_file_digest: Digest of the operator's file in use; "" where there is none.
+        started_ns: When the process started.
+        is_listening: Clients can connect.
+        clients: Numbers of the clients' connections that are open.
+    """
+
+    def __init__(self, service_state: ServiceState) -> None:
+        self.service_state = service_state
+        self.identity = ProcessIdentity("", "")
+        self.operator_file_digest = ""
+        self.started_ns = 0
+        self.is_listening = False
+        self.clients: set[int] = set()
+
+    @property
+    def is_shutting_down(self) -> bool:
+        """Whether the platform has told the process to end."""
+        return self.service_state.mode is ServiceMode.ENDING
+
+    def not_ready_reason(self, has_endpoint_list: bool) -> str:
+        """Why the process does not take clients now, or "" where it does.
+
+        The texts are on the wire of the control address.
+        """
+        if self.is_shutting_down:
+            return "ending"
+        if self.service_state.mode is ServiceMode.OUT_OF_SERVICE:
+            return "out of service"
+        if not self.is_listening:
+            return "not listening yet"
+        if not has_endpoint_list:
+            return "no list of servers yet"
+        return ""
--- a/kelpcroft/core/replica_feed.py
+++ b/kelpcroft/core/replica_feed.py
@@ -1,7 +1,7 @@
 """The list of servers and the purges as control replicas tell them, in place of the configuration's feed.
 
 Imported only where the operator's file names replicas.  What an answer is good for and which replica is
-called next is ``kelpcroft.control_log``'s; this part carries it out on the state that ``core.members`` owns.
+called next is ``kelpcroft.control_log``'s; this part carries it out on what ``EndpointList`` owns.
 """
 
 from __future__ import annotations
@@ -10,99 +10,116 @@
 
 from kelpcroft.control_log.follower import ResponseHead, ResponseVerdict
 from kelpcroft.control_log.subscription import NextCall, Subscription
-from kelpcroft.core import effects, inputs
+from kelpcroft.core.effects import SwitchFeed
+from kelpcroft.core.endpoint_list import EndpointList
+from kelpcroft.core.feed_position import FeedPosition
+from kelpcroft.core.inputs import EndpointUpdate, Purge, WatchFailed, WatchResponse
+from kelpcroft.core.state import State
 from kelpcroft.discovery.endpoint_view import IN_SERVICE
 
 if TYPE_CHECKING:
-    from kelpcroft.core.endpoint_list import EndpointList
     from kelpcroft.operator_file.model import ControlReplicas
 
-
-EMPTY_ANSWERS_MOST = 3  # a first state that is doubtful, and two that cross a move, are not taken for a loop
+MAX_EMPTY_ANSWERS = 3  # a first state that is doubtful, and two that cross a move, are not taken for a loop
 
 
 class ReplicaFeed:
     """One router's watch on control replicas."""
 
-    def __init__(self, members: EndpointList, replicas: ControlReplicas, seed: int) -> None:
-        """``seed``: another for each router and each of its starts."""
-        self.members, self.state = members, members.state
-        self.subscription = Subscription(self.state.now, replicas.addresses, replicas.stale_after_ns, seed)
+    def __init__(
+        self,
+        state: State,
+        position: FeedPosition,
+        endpoint_list: EndpointList,
+        replicas: ControlReplicas,
+        seed: int,
+    ) -> None:
+        """Watch replicas; ``seed``: another for each router and each of its starts."""
+        self.state = state
+        self.position = position
+        self.endpoint_list = endpoint_list
+        self.subscription = Subscription(state.now, replicas.addresses, replicas.stale_after_ns, seed)
         self.empty_answers = 0  # in a row, that came at once with nothing new
         self.pieces = 0  # of an answer that came in pieces: it is no replica's, whose answers are bounded
 
-    def begin(self) -> None:
-        """The first call."""
-        self.state.effects.append(effects.SwitchFeed(self.subscription.current_address))
-        self.members.call_in(self.subscription.selector.short_random_delay_ns())
+    def start(self) -> None:
+        """Make the first call."""
+        self.position.subscription = self.subscription
+        self.state.effects.append(SwitchFeed(self.subscription.current_address))
+        self.position.call_in(self.subscription.selector.short_random_delay_ns())
 
-    def on_news(self, news: inputs.WatchResponse) -> None:
-        """An answer: what its verdict allows is taken, and the next call follows."""
-        if news.has_more:
+    def on_response(self, response: WatchResponse) -> None:
+        """Take up what an answer's verdict allows, and make the next call."""
+        if response.has_more:
             self.pieces += 1
             return
-        whole = any(isinstance(event, inputs.EndpointUpdate) and event.is_full_list for event in news.events)
-        head = ResponseHead(news.last_event, news.log_fingerprint, 0 if self.pieces else news.as_of_ms, whole)
+        has_full_list = any(isinstance(e, EndpointUpdate) and e.is_full_list for e in response.events)
+        as_of_ms = 0 if self.pieces else response.as_of_ms
+        head = ResponseHead(response.last_event, response.log_fingerprint, as_of_ms, has_full_list)
         self.pieces = 0
-        if self.is_no_answer(news):
+        if self.is_polling_in_a_loop(response):
             self.move_on("it answers at once with nothing")
             return
         outcome = self.subscription.record_response(self.state.now, head)
         if outcome.verdict is ResponseVerdict.APPLY:
-            self.take(news, whole)
+            self.take(response, has_full_list)
         elif outcome.verdict is ResponseVerdict.APPLY_REMOVALS_ONLY:
-            self.take_departures(news)
+            self.take_removals(response)
         if outcome.next_call is NextCall.NEXT_REPLICA:
             self.move_on(outcome.reason)
             return
         if outcome.next_call is NextCall.HOME_REPLICA:
-            self.state.effects.append(effects.SwitchFeed(self.subscription.current_address))
-        self.members.call()
-
-    def is_no_answer(self, news: inputs.WatchResponse) -> bool:
-        """Whether answers came at once with nothing new, too often in a row: a replica that is well waits,
-        and this one would be asked in a loop."""
-        members = self.members
-        fresh = bool(news.events) or news.last_event != members.last_event
-        quick = not members.hasty and self.state.now - members.called_ns < members.watch().wait_ns // 2
-        self.empty_answers = 0 if fresh or not quick else self.empty_answers + 1
-        return self.empty_answers > EMPTY_ANSWERS_MOST
-
-    def take(self, news: inputs.WatchResponse, whole: bool) -> None:
-        """The events as they stand.  A whole list may be of another log, whose numbers are lower."""
-        view = self.members.view
-        if whole:
+            self.state.effects.append(SwitchFeed(self.subscription.current_address))
+        self.position.call()
+
+    def is_polling_in_a_loop(self, response: WatchResponse) -> bool:
+        """Whether answers came at once with nothing new, too often in a row: a replica that is well waits."""
+        if self.position.is_empty_answer(response, bool(response.events)):
+            self.empty_answers += 1
+        else:
+            self.empty_answers = 0
+        return self.empty_answers > MAX_EMPTY_ANSWERS
+
+    def take(self, response: WatchResponse, has_full_list: bool) -> None:
+        """Take up the events as they stand.  A whole list may be of another log, whose numbers are lower."""
+        view = self.position.view
+        if has_full_list:
             view.last_event_number = 0
-        view.begin_response(max(view.last_event_number, news.last_event))
-        self.members.take_events(news)
-        view.last_event_number = news.last_event
+        view.begin_response(max(view.last_event_number, response.last_event))
+        self.endpoint_list.take_events(response)
+        view.last_event_number = response.last_event
 
-    def take_departures(self, news: inputs.WatchResponse) -> None:
+    def take_removals(self, response: WatchResponse) -> None:
         """Of a state that may be earlier than what is known: its purges, and known servers that go."""
-        known = self.members.view.endpoints
-        for event in news.events:
-            if isinstance(event, inputs.Purge):
-                self.members.take_purge(event)
+        known = self.position.view.endpoints
+        for event in response.events:
+            if isinstance(event, Purge):
+                self.endpoint_list.take_purge(event)
                 continue
-            going = tuple(
-                line
-                for line in event.endpoints
-                if line.state != IN_SERVICE
-                and line.name in known
-                and line.started_ns >= known[line.name].started_ns
+            leaving = tuple(
+                endpoint
+                for endpoint in event.endpoints
+                if endpoint.state != IN_SERVICE
+                and endpoint.name in known
+                and endpoint.started_ns >= known[endpoint.name].started_ns
             )
-            if going and not self.members.foreign(event):
-                self.members.view.apply(going, False)
-                self.members.on_members(inputs.EndpointUpdate(False, going, event.event_number))
+            if leaving and not self.endpoint_list.unknown_field(event):
+                self.position.view.apply(leaving, False)
+                self.endpoint_list.apply(EndpointUpdate(False, leaving, event.event_number))
+
+    def on_failed(self, failed: WatchFailed) -> None:
+        """A call failed: the next replica is called."""
+        self.move_on(failed.reason)
 
-    def move_on(self, why: str) -> None:
+    def move_on(self, reason: str) -> None:
         """Leave a replica for the next one."""
         host, port = self.subscription.current_address
         if not self.subscription.selector.consecutive_failures:
-            fields: dict[str, object] = {"replica": f"{host}:{port}", "why": why}
-            text = f"control replica {host}:{port} is left: {why}"
+            fields: dict[str, object] = {"replica": f"{host}:{port}", "why": reason}
+            text = f"control replica {host}:{port} is left: {reason}"
             self.state.log("replica.left", text, "warning", fields)
-        self.pieces = self.empty_answers = 0
+        self.pieces = 0
+        self.empty_answers = 0
         wait_ns = self.subscription.select_next_replica(self.state.now)
-        self.state.effects.append(effects.SwitchFeed(self.subscription.current_address))
-        self.members.call_in(wait_ns)
+        self.state.effects.append(SwitchFeed(self.subscription.current_address))
+        self.position.call_in(wait_ns)
--- a/kelpcroft/core/request_statistics.py
+++ b/kelpcroft/core/request_statistics.py
@@ -1,7 +1,7 @@
 """What became of requests, by class, since this process began: for those who compare routers.  Pure.
 
 Kept only where the operator's file asks for it (``control state=#true``).  Its length is bounded: classes
-past CLASSES_MOST are counted together.
+past MAX_CLASSES are counted together.
 """
 
 from __future__ import annotations
@@ -13,15 +13,27 @@
 
 
 @dataclass(slots=True)
-class Counts:
-    """Requests that ended, and the worth that they asked for and got in time."""
+class ClassCounts:
+    """Requests of a class that ended, and the worth that they asked for and got in time.
+
+    Attributes:
+        asked: All of them, but those that were given up early count in no worth.
+        served: Answered.
+        late: Of the served, those past their latency objective.
+        refused: Rejected: a retry is harmless.
+        failed: Answered with a failure.
+        gone: Their clients left.
+        attempts: Made for all of them.
+        worth: Priority weights of what was asked for.
+        in_time: Priority weights of what was served within the objective.
+    """
 
     asked: int = 0
     served: int = 0
-    late: int = 0  # of the served
+    late: int = 0
     refused: int = 0
     failed: int = 0
-    gone: int = 0  # their clients left
+    gone: int = 0
     attempts: int = 0
     worth: float = 0.0
     in_time: float = 0.0
@@ -31,51 +43,61 @@
     """All classes of one process."""
 
     def __init__(self) -> None:
-        self.classes: dict[str, Counts] = {}
+        self.classes: dict[str, ClassCounts] = {}
 
-    def of(self, cls: str) -> Counts:
-        """A class's counts."""
-        found = self.classes.get(cls)
-        if found is None:
+    def counts_of(self, class_name: str) -> ClassCounts:
+        """A class's counts; those of all others together where there are too many classes."""
+        counts = self.classes.get(class_name)
+        if counts is None:
             if len(self.classes) >= MAX_CLASSES:
-                cls = OTHER_CLASSES
-            found = self.classes.setdefault(cls, Counts())
-        return found
-
-    def record_end(self, cls: str, how: str, attempts: int, worth: float, in_time: bool) -> None:
-        """A request's end: served, refused, failed or gone.  One that its client gave up after its time was
-        not answered in time; one that was given up early asked for nothing in the end."""
-        c = self.of(cls)
-        c.asked += 1
-        c.attempts += attempts
+                class_name = OTHER_CLASSES
+            counts = self.classes.setdefault(class_name, ClassCounts())
+        return counts
+
+    def record_end(self, class_name: str, how: str, attempts: int, worth: float, in_time: bool) -> None:
+        """Count a request's end.
+
+        A request that its client gave up after its time was not answered in time; one that was given up
+        early asked for nothing in the end.
+
+        Args:
+            class_name: The request's class.
+            how: "served", "refused", "failed" or "gone".
+            attempts: How many were made for it.
+            worth: Its class's priority weight.
+            in_time: It ended within its latency objective.
+        """
+        counts = self.counts_of(class_name)
+        counts.asked += 1
+        counts.attempts += attempts
         if how == "served":
-            c.served += 1
-            c.late += not in_time
+            counts.served += 1
+            counts.late += not in_time
         elif how == "refused":
-            c.refused += 1
+            counts.refused += 1
         elif how == "failed":
-            c.failed += 1
+            counts.failed += 1
         else:
-            c.gone += 1
+            counts.gone += 1
             if in_time:
                 return
-        c.worth += worth
+        counts.worth += worth
         if how == "served" and in_time:
-            c.in_time += worth
+            counts.in_time += worth
 
     def as_json(self) -> dict[str, dict[str, float]]:
-        """All counts, as numbers by name."""
+        """All counts by class.  The keys are on the wire of the control address."""
         return {
-            cls: {
-                "asked": c.asked,
-                "served": c.served,
-                "late": c.late,
-                "refused": c.refused,
-                "failed": c.failed,
-                "gone": c.gone,
-                "attempts": c.attempts,
-                "worth": round(c.worth, 3),
-                "in_time": round(c.in_time, 3),
+            class_name: {
+                "asked": counts.asked,
+                "served": counts.served,
+                "late": counts.late,
+                "refused": counts.refused,
+                "failed": counts.failed,
+                "gone": counts.gone,
+                "attempts": counts.attempts,
+                "worth": round(counts.worth, 3),
+                "in_time": round(counts.in_time, 3),
             }
-            for cls, c in self.classes.items()
+            for class_name, counts in self.classes.items()
         }
--- a/kelpcroft/core/service_state.py
+++ b/kelpcroft/core/service_state.py
@@ -1,13 +1,14 @@
-"""Whether this process takes clients: in service, drained by a call on the control address, or ending.
+"""Whether this process takes clients: in service, drained by a request on the control address, or ending.
 
 Pure: the reducer hands it the time, it answers.  Times are Unix nanoseconds.
 
 A drain and the end of a process that shares its listening socket go the same way.  At once the process says
 it is not ready, and lets each client's connection go as soon as nothing is owed on it (the loop does that, at
 the reducer's word); a request that crosses such a close is sent again by the client, elsewhere.  Requests
-that come on a connection that is still busy are served until the cut; after it they are refused, so that by
-the time the platform counts (4 s after a drain, the SIGKILL after an end) no connection holds a new request.
-A drained process never exits; an ending one exits once nothing is open and no client is left, or at the hold.
+that come on a connection that is still busy are served for a grace; after it they are refused, so that by the
+time the platform counts (4 s after a drain, the SIGKILL after an end) no connection holds a new request.
+A drained process never exits; an ending one exits once nothing is open and no client is left, or after
+MAX_SHUTDOWN_WAIT_NS.
 """
 
 from __future__ import annotations
@@ -23,6 +24,8 @@
 
 
 class ServiceMode(Enum):
+    """The values are on the wire of the control address."""
+
     IN_SERVICE = "in"  # takes clients
     OUT_OF_SERVICE = "out"  # drained: sends them away, stays to be taken back
     ENDING = "ending"  # SIGTERM: sends them away, then exits
@@ -30,43 +33,51 @@
 
 @dataclass(slots=True)
 class ServiceState:
-    """The state of service of one process."""
+    """The state of service of one process.
+
+    Attributes:
+        mode: The present mode.
+        since_ns: When it began.
+        shares_listener: The listening socket is shared with another process (``ROUTER_FD``).
+        was_drained: An operator had it out of service when it was told to end.
+    """
 
     mode: ServiceMode = ServiceMode.IN_SERVICE
-    since_ns: int = 0  # when the present mode began
-    shares_listener: bool = False  # the listening socket is shared with another process (``ROUTER_FD``)
-    drained: bool = False  # an operator had it out of service when it was told to end
+    since_ns: int = 0
+    shares_listener: bool = False
+    was_drained: bool = False
 
     def drain(self, now: int) -> bool:
-        """Out of service; False where it was so already or is ending."""
+        """Go out of service; False where it was so already or is ending."""
         if self.mode is not ServiceMode.IN_SERVICE:
             return False
-        self.mode, self.since_ns = ServiceMode.OUT_OF_SERVICE, now
+        self.mode = ServiceMode.OUT_OF_SERVICE
+        self.since_ns = now
         return True
 
     def resume(self, now: int) -> bool:
-        """In service again; False where it was so already, or is ending, which cannot be undone."""
+        """Go in service again; False where it was so already, or is ending, which cannot be undone."""
         if self.mode is not ServiceMode.OUT_OF_SERVICE:
             return False
-        self.mode, self.since_ns = ServiceMode.IN_SERVICE, now
+        self.mode = ServiceMode.IN_SERVICE
+        self.since_ns = now
         return True
 
-    def end(self, now: int) -> bool:
-        """SIGTERM; False where it came before."""
+    def begin_shutdown(self, now: int) -> bool:
+        """Begin to end (SIGTERM); False where that came before."""
         if self.mode is ServiceMode.ENDING:
             return False
-        self.drained = self.mode is ServiceMode.OUT_OF_SERVICE
-        self.mode, self.since_ns = ServiceMode.ENDING, now
+        self.was_drained = self.mode is ServiceMode.OUT_OF_SERVICE
+        self.mode = ServiceMode.ENDING
+        self.since_ns = now
         return True
 
     @property
     def is_draining_clients(self) -> bool:
         """Whether clients are to be let go once nothing is owed them."""
-        return (
-            self.mode is ServiceMode.OUT_OF_SERVICE
-            or self.mode is ServiceMode.ENDING
-            and self.shares_listener
-        )
+        if self.mode is ServiceMode.OUT_OF_SERVICE:
+            return True
+        return self.mode is ServiceMode.ENDING and self.shares_listener
 
     def rejects_from_ns(self) -> int:
         """From when new requests on kept connections are refused; 0 while they are all taken."""
@@ -76,15 +87,18 @@
             return self.since_ns + SHUTDOWN_GRACE_NS
         return 0
 
-    def admits(self, now: int) -> bool:
+    def admits_requests(self, now: int) -> bool:
         """Whether a new request is taken rather than refused."""
-        cut = self.rejects_from_ns()
-        return not cut or now < cut
-
-    def may_exit(self, now: int, requests: int, clients: int) -> bool:
-        """Whether an ending process may go now: nothing is open, and no client is left or waiting for them
-        to go has taken long enough.  A process that binds its own socket does not wait for clients: the
-        platform sends none after its first SIGTERM, and kept ones are closed at the exit."""
-        if self.mode is not ServiceMode.ENDING or requests:
+        rejects_from_ns = self.rejects_from_ns()
+        return not rejects_from_ns or now < rejects_from_ns
+
+    def may_exit(self, now: int, open_requests: int, clients: int) -> bool:
+        """Whether an ending process may go now.
+
+        It may once nothing is open, and no client is left or waiting for them to go has taken long enough.
+        A process that binds its own socket does not wait for clients: the platform sends none after its
+        first SIGTERM, and kept ones are closed at the exit.
+        """
+        if self.mode is not ServiceMode.ENDING or open_requests:
             return False
         return not self.shares_listener or not clients or now - self.since_ns >= MAX_SHUTDOWN_WAIT_NS
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -1,6 +1,7 @@
 """What the reducer owns: its tables, the time of the input in hand, and the effects asked for so far.
 
-The parts of the core (requests, attempts, members) share one State; only they and the reducer change it.
+The parts of the core (requests, attempts, the list of endpoints) share one State; only they and the reducer
+change it.
 """
 
 from __future__ import annotations
@@ -10,12 +11,12 @@
 from typing import TYPE_CHECKING
 
 from kelpcroft.config import Config
-from kelpcroft.core import effects, inputs
 from kelpcroft.core.connection_pool import ConnectionPool, PooledConnection
 from kelpcroft.core.descriptors import allocate_descriptors
-from kelpcroft.core.effects import Effect
+from kelpcroft.core.effects import Effect, LogEvent, ScheduleTimer
 from kelpcroft.core.idempotency_keys import IdempotencyKeys
-from kelpcroft.core.messages import TimerKind
+from kelpcroft.core.inputs import ClientRequest, EndpointRecord
+from kelpcroft.core.messages import TimerKey, TimerKind
 from kelpcroft.core.request_statistics import RequestStatistics
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.policy import RoutingPolicy
@@ -26,49 +27,74 @@
     from kelpcroft.startup.fleet_size import FleetSizeEstimator
     from kelpcroft.startup.origin_concurrency import OriginConcurrencyLimit
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 SECOND = 1_000 * MS
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt that is out, or waits for its connection."""
+    """One attempt that is out, or waits for its connection.
+
+    Attributes:
+        number: The core's own, never used twice.
+        request: The request it is for.
+        forward: What the decision module asked for.
+        started_ns: When it was asked for.
+        index: Its place among the request's attempts, as the decision module counts.
+        connection: Where it is out, or waits.
+        is_sent: Its bytes were handed to the loop.
+        failed_connections: How many broke before it was sent.
+        asks_origin: It counts in the limit of fetches at the origin.
+    """
 
     number: int
     request: OpenRequest
-    fetch: api.ForwardRequest
-    began_ns: int
+    forward: api.ForwardRequest
+    started_ns: int
     index: int
-    link: PooledConnection
-    sent: bool = False
-    dials: int = 0  # connections that broke before it was sent
-    store: bool = False  # counts in the window at the store
+    connection: PooledConnection
+    is_sent: bool = False
+    failed_connections: int = 0
+    asks_origin: bool = False
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A call until its final answer has been asked for and its last attempt has ended."""
+    """A client's request until its final answer has been asked for and its last attempt has ended.
+
+    Attributes:
+        id: Its number as text: the decision module's name for it.
+        message: As it was read.
+        deadline_ns: When its final answer is due.
+        allowance: What its route lets it cost; None without a route.
+        is_answered: Its final answer has been asked for, or nobody wants one.
+        attempts_made: How many were begun.
+        attempts_in_flight: How many of them have not ended.
+        may_have_executed: The attempt that ended last may have run.
+        is_backing_off: It waits for its next attempt, which is paid for.
+        time_allowed_ns: From when it was taken to its deadline.
+    """
 
     id: str
-    message: inputs.ClientRequest
+    message: ClientRequest
     deadline_ns: int
-    grant: RequestAllowance | None = None  # what its route lets it cost
-    answered: bool = False
-    tries: int = 0
-    out: int = 0  # attempts
-    ran: bool = False  # the last end may have run
-    waits: bool = False  # for its next attempt, which is paid for
-    patience_ns: int = 0  # of what was left of it when it was taken
+    allowance: RequestAllowance | None = None
+    is_answered: bool = False
+    attempts_made: int = 0
+    attempts_in_flight: int = 0
+    may_have_executed: bool = False
+    is_backing_off: bool = False
+    time_allowed_ns: int = 0
 
 
 @dataclass(slots=True)
-class Probe:
-    """A probe that is out."""
+class HealthCheck:
+    """A health check that is out, or waits for its connection."""
 
     server: str
-    link: PooledConnection
+    connection: PooledConnection
     id: str
-    began_ns: int
+    started_ns: int
 
 
 class State:
@@ -77,56 +103,78 @@
     def __init__(self, config: Config) -> None:
         self.config = config
         self.policy = RoutingPolicy(config.settings)
-        self.settings = config.settings  # as now in use: retuned at SIGHUP
+        self.settings = config.settings  # as now in use: changed at SIGHUP
         self.classes = {c.name: c for c in config.settings.classes}
-        self.used = config.raw  # the configuration in use, as read
-        self.own = mix64(config.settings.seed ^ int.from_bytes(config.name.encode()[-8:], "big"))
+        self.raw_config = config.raw  # the configuration in use, as read
+        # Another for each router: what is drawn by chance from it is not drawn in step.
+        self.router_seed = mix64(config.settings.seed ^ int.from_bytes(config.name.encode()[-8:], "big"))
         self.connections = ConnectionPool(
-            allocate_descriptors(config.max_descriptors).servers, config.max_attempts_per_connection, self.own
+            allocate_descriptors(config.max_descriptors).servers,
+            config.max_attempts_per_connection,
+            self.router_seed,
         )
-        self.endpoints: dict[str, inputs.EndpointRecord] = {}
-        self.requests: dict[int, OpenRequest] = {}  # those that owe an answer
-        self.requests_by_client: dict[int, dict[int, OpenRequest]] = {}  # the same, by client and call
-        self.traces: set[str] = set()  # of those
-        self.idempotency_keys = IdempotencyKeys()  # idempotency keys that may have run
-        self.attempts: dict[int, Attempt] = {}
-        self.tries: dict[tuple[str, int], int] = {}  # the same, by request and the module's number
-        self.probes: dict[int, Probe] = {}
+        self.endpoints: dict[str, EndpointRecord] = {}  # in service, by name
+        self.requests: dict[int, OpenRequest] = {}  # those that owe an answer, by number
+        self.requests_by_client: dict[
+            int, dict[int, OpenRequest]
+        ] = {}  # the same, by client and number there
+        self.open_trace_ids: set[str] = set()  # of those
+        self.idempotency_keys = IdempotencyKeys()
+        self.attempts: dict[int, Attempt] = {}  # by number
+        self.attempt_numbers: dict[tuple[str, int], int] = {}  # the same, by request and index
+        self.health_checks: dict[int, HealthCheck] = {}  # by number
+        self.last_number = 0  # given to a request, an attempt or a health check
         self.routes: RouteTable | None = None  # of the operator's file
-        self.last_number = 0  # numbers given to requests, attempts and probes
-        self.ledger: RequestStatistics | None = None  # where the operator's file asks for the state
-        self.part, self.store = 1.0, True  # as the module was told last: api.Part
-        self.origin_limit: OriginConcurrencyLimit | None = None  # at the store, while a router begins
-        self.fleet_size: FleetSizeEstimator | None = None  # where the operator's file asks for a count
+        self.statistics: RequestStatistics | None = None  # where the operator's file asks for them
+        self.cold_budget_share = 1.0  # as the decision module was told last, as is the next
+        self.origin_available = True
+        self.origin_limit: OriginConcurrencyLimit | None = None  # while a router begins
+        self.fleet_size: FleetSizeEstimator | None = None  # where the operator's file asks for it
         self.counters: Counter[str] = Counter()
         self.effects: list[Effect] = []
-        self.events: deque[api.Event] = deque()  # for the module, of this input
-        self.touched: list[OpenRequest] = []  # new, or with an attempt ended, in this input
-        self.now = 0
+        self.events: deque[api.Event] = deque()  # for the decision module, of this input
+        self.touched_requests: list[OpenRequest] = []  # new, or with an attempt ended, in this input
+        self.now = 0  # the time of the input in hand
         self.is_tracing = config.is_tracing  # every attempt's way is told to the log
 
     def trace(self, event: str, **fields: object) -> None:
-        """One step of a request or of a connection, for tools/fleet_counts.py.  Callers look at ``traced``
-        first: where nothing is traced, nothing is made for it."""
-        self.effects.append(effects.LogEvent(f"trace.{event}", event, "info", fields))
+        """Log one step of a request or of a connection, for tools/fleet_counts.py.
 
-    def retune(self, settings: api.Settings) -> None:
-        """Classes and limits from now on, for the reducer's parts and the module alike."""
-        self.settings = settings
-        self.classes = {c.name: c for c in settings.classes}
-        self.events.append(api.SettingsChanged(settings))
-
-    def share(self, part: float) -> None:
-        """Tell the module of its part of the router's cold budgets, and of room at the store, where new."""
-        store = self.origin_limit is None or self.origin_limit.has_capacity()
-        if (part, store) != (self.part, self.store):
-            self.part, self.store = part, store
-            self.events.append(api.RouterShare(part, store))
-
-    def wake(self, after_ns: int, timer: TimerKind, number: int = 0) -> None:
-        self.effects.append(effects.ScheduleTimer(self.now + after_ns, (timer, number, 0)))
+        Callers look at ``is_tracing`` first: where nothing is traced, nothing is made for it.
+        """
+        self.effects.append(LogEvent(f"trace.{event}", event, "info", fields))
 
     def log(
         self, event: str, text: str, level: str = "info", fields: dict[str, object] | None = None
     ) -> None:
-        self.effects.append(effects.LogEvent(event, text, level, fields or {}))
+        """Log an event for the people on call; ``level`` is "info" or "warning"."""
+        self.effects.append(LogEvent(event, text, level, fields or {}))
+
+    def schedule(self, after_ns: int, kind: TimerKind, number: int = 0) -> None:
+        """Have a timer fire so long after the input in hand."""
+        self.effects.append(ScheduleTimer(self.now + after_ns, TimerKey(kind, number, 0)))
+
+    def change_settings(self, settings: api.Settings) -> None:
+        """Use these classes and limits from now on, in the core's parts and in the decision module."""
+        self.settings = settings
+        self.classes = {c.name: c for c in settings.classes}
+        self.events.append(api.SettingsChanged(settings))
+
+    def set_cold_budget_share(self, share: float) -> None:
+        """Tell the decision module its part of the router's cold budgets, where that is new.
+
+        With it goes whether the origin bears one more fetch.
+        """
+        origin_available = self.origin_limit is None or self.origin_limit.has_capacity()
+        if (share, origin_available) != (self.cold_budget_share, self.origin_available):
+            self.cold_budget_share = share
+            self.origin_available = origin_available
+            self.events.append(api.RouterShare(share, origin_available))
+
+    def expected_transfer_ns(self, request_class: str, size_kb: float) -> float:
+        """How long an answer's bytes take by themselves: by their number, else as usual in the class."""
+        pace_kb_per_s = self.settings.max_transfer_kb_per_s
+        if size_kb and pace_kb_per_s:
+            return size_kb / pace_kb_per_s * SECOND
+        usual = self.policy.transfer_time.get(request_class)
+        return usual.mean if usual else 0.0
--- /dev/null
+++ b/kelpcroft/core/timers.py
@@ -0,0 +1,67 @@
+"""Timers that have come: one handler for each kind."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from kelpcroft.core.attempts import Attempts
+from kelpcroft.core.config_reload import ConfigReload
+from kelpcroft.core.feed_position import FeedPosition
+from kelpcroft.core.housekeeping import Housekeeping
+from kelpcroft.core.inputs import TimerFired
+from kelpcroft.core.messages import TimerKind
+from kelpcroft.core.predecessor import Predecessor
+from kelpcroft.core.shutdown import Shutdown
+from kelpcroft.core.silence_detection import SilenceDetector
+from kelpcroft.core.state import State
+from kelpcroft.decision import interface as api
+
+
+class Timers:
+    """Hands each timer to the part that asked for it."""
+
+    def __init__(
+        self,
+        state: State,
+        attempts: Attempts,
+        silence_detector: SilenceDetector,
+        position: FeedPosition,
+        housekeeping: Housekeeping,
+        predecessor: Predecessor,
+        config_reload: ConfigReload,
+        shutdown: Shutdown,
+    ) -> None:
+        self.state = state
+        self.attempts = attempts
+        # By kind, each with the number that the timer was scheduled with ...
+        self.numbered: dict[TimerKind, Callable[[int], None]] = {
+            TimerKind.ATTEMPT_TIMEOUT: attempts.on_timeout,
+            TimerKind.DECISION: self.on_decision_timer,
+            TimerKind.CONNECT_TIMEOUT: attempts.on_connect_timeout,
+            TimerKind.HEALTH_CHECK_TIMEOUT: attempts.health_checks.on_timeout,
+            TimerKind.CONNECTION_SILENCE: silence_detector.on_timer,
+            TimerKind.RETRY_BACKOFF: attempts.on_backoff_elapsed,
+            TimerKind.SETTINGS_TRANSITION: config_reload.on_transition_over,
+            TimerKind.SHUTDOWN: shutdown.on_timer,
+        }
+        # ... and those of which there is only one.
+        self.single: dict[TimerKind, Callable[[], None]] = {
+            TimerKind.POLL_FEED: position.call,
+            TimerKind.HOUSEKEEPING: housekeeping.on_timer,
+            TimerKind.RESTART_OVERLAP: predecessor.update_budget_share,
+        }
+
+    def on_fired(self, fired: TimerFired) -> None:
+        """A timer that was scheduled has come."""
+        kind, number, detail = fired.key
+        handler = self.numbered.get(kind)
+        if handler is not None:
+            handler(number)
+        elif kind is TimerKind.HEDGE:
+            self.attempts.on_hedge_due(number, detail)
+        else:
+            self.single[kind]()
+
+    def on_decision_timer(self, number: int) -> None:
+        """A timer of the decision module."""
+        self.state.events.append(api.TimerExpired(number))
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -16,7 +16,8 @@
 from kelpcroft.config import Config
 from kelpcroft.core import effects, inputs, messages
 from kelpcroft.core.descriptors import allocate_descriptors
-from kelpcroft.core.reducer import SHUTDOWN_LAST_STEP, Reducer
+from kelpcroft.core.reducer import Reducer
+from kelpcroft.core.shutdown import SHUTDOWN_LAST_STEP
 from kelpcroft.decision.interface import Settings
 from kelpcroft.discovery.watch_timeouts import is_overdue
 from kelpcroft.log import EventLog
--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -12,14 +12,14 @@
 
 def refuse(when: str) -> Change:
     """Refuses requests."""
-    anchor = "        if keyed and (c.cls, c.nonce) in self.state.keys.open:\n"
+    anchor = "        reason = self.reject_reason(message, is_keyed)\n"
     return (
         "kelpcroft/core/client_requests.py",
         anchor,
         "        self.nth = getattr(self, 'nth', 0) + 1  # of this router's requests\n"
         f"        if {when}:\n"
-        "            self.state.made += 1\n"
-        '            self.turn_away(c, "defect")\n'
+        "            self.state.last_number += 1\n"
+        '            self.reject(message, "defect")\n'
         "            return\n" + anchor,
     )
 
@@ -29,11 +29,11 @@
     "refuses": (refuse("self.nth % 3 == 0"),),
     "crashes": (
         (
-            "kelpcroft/core/reducer.py",
-            "    def keep_house(self) -> None:\n",
+            "kelpcroft/core/housekeeping.py",
+            "        state.schedule(HOUSEKEEPING_INTERVAL_NS, TimerKind.HOUSEKEEPING)\n",
             (
-                "    def keep_house(self) -> None:\n"
-                "        if self.state.now - self.began_ns > 3 * SECOND:\n"
+                "        state.schedule(HOUSEKEEPING_INTERVAL_NS, TimerKind.HOUSEKEEPING)\n"
+                "        if state.now - self.counters_logged_ns > 3 * SECOND:\n"
                 "            raise SystemExit(1)\n"
             ),
         ),
@@ -59,33 +59,33 @@
         ),
     ),
     "one in twenty": (refuse("self.nth % 20 == 0"),),
-    "one class": (refuse("c.cls == 'order'"),),
+    "one class": (refuse("message.request_class == 'order'"),),
     "one zone": (refuse("self.state.settings.zone == 'z1' and self.nth % 3 == 0"),),
     "leaks": (
         (
             "kelpcroft/core/client_requests.py",
-            "        here = self.state.calls.get(c.client, {})\n",
+            "        if self.close_misbehaving_client(message):\n",
             (
-                "        here = self.state.calls.get(c.client, {})\n"
                 "        self.kept = getattr(self, 'kept', [])\n"
                 "        self.kept.append(bytearray(b'x' * 400_000))\n"
+                "        if self.close_misbehaving_client(message):\n"
             ),
         ),
     ),
     "breaks an invariant": (
         (
             "kelpcroft/core/client_requests.py",
-            "        here = self.state.calls.get(c.client, {})\n",
-            "        here = self.state.calls.get(c.client, {})\n"
-            '        holds(self.state.made % 50 != 0, "a defect")\n',
+            "        if self.close_misbehaving_client(message):\n",
+            '        holds(self.state.last_number % 50 != 0, "a defect")\n'
+            "        if self.close_misbehaving_client(message):\n",
         ),
     ),
     # One for each rule, for the watch.
     "answers nothing": (
         (
             "kelpcroft/core/client_requests.py",
-            "        if answer:\n            self.state.effects.append(answer)\n",
-            "        if answer and self.state.made % 10:\n            self.state.effects.append(answer)\n",
+            "        if answer:\n            state.effects.append(answer)\n",
+            "        if answer and state.last_number % 10:\n            state.effects.append(answer)\n",
         ),
     ),
     "runs twice": (
@@ -103,7 +103,7 @@
         ),
         (
             "kelpcroft/core/endpoint_list.py",
-            '            if e.state == "in_service":\n',
+            "            if endpoint.state == IN_SERVICE:\n",
             "            if True:\n",
         ),
     ),
@@ -128,10 +128,9 @@
     ),
     "never-ready": (
         (
-            "kelpcroft/core/reducer.py",
-            '            "ending"\n            if self.ending\n',
-            '            "never"\n            if True\n'
-            '            else "ending"\n            if self.ending\n',
+            "kelpcroft/core/process_status.py",
+            '        if self.is_shutting_down:\n            return "ending"\n',
+            '        if True:\n            return "never"\n',
         ),
     ),
 }
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -56,7 +56,7 @@
             keys.record_send(n, CLS, str(n), n, "z", 0)
         self.assertTrue(keys.is_full(S), "no entry is pushed out: what it binds is still to come")
         self.assertFalse(keys.is_full(5 * S))
-        self.assertEqual(len(keys.entries), 2)
+        self.assertEqual(len(keys.records), 2)
 
 
 def world(group: str, fates: dict[str, float], seed: int = 1, window: int = 3 * S) -> Virtual:
@@ -169,9 +169,9 @@
         for _ in range(300):
             order(v, random.randrange(20 * S), str(random.randrange(60)))
         v.run(40 * S)
-        self.assertEqual(v.reducer.state.idempotency_keys.open, set())
+        self.assertEqual(v.reducer.state.idempotency_keys.in_use, set())
         v.reducer.state.idempotency_keys.drop_expired(v.now + 60 * S)
-        self.assertEqual(len(v.reducer.state.idempotency_keys.entries), 0)
+        self.assertEqual(len(v.reducer.state.idempotency_keys.records), 0)
 
 
 class Retuned(unittest.TestCase):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -252,7 +252,7 @@
                 for e in r.handle(NOW, inputs.ServerConnected(dial.connection))
                 if isinstance(e, effects.ScheduleTimer)
             ]
-            self.assertEqual(wake.at_ns, NOW + r.attempts.silence_limit_ns() // 2)
+            self.assertEqual(wake.at_ns, NOW + r.attempts.response_times.silence_limit_ns() // 2)
             for number in (2, 3, 4):
                 r.handle(NOW + MS, call(number, patience=4_900))
             effect_list = r.handle(wake.at_ns, inputs.TimerFired(wake.key))
@@ -265,12 +265,12 @@
                     dial.connection, check.attempt_id, Outcome.OK, FillResult.NONE, 0, {}, False, b""
                 )
                 r.handle(wake.at_ns + MS, fit)
-            due = NOW + r.attempts.silence_limit_ns()
+            due = NOW + r.attempts.response_times.silence_limit_ns()
             effect_list = r.handle(due, inputs.TimerFired(wake.key))
             self.assertEqual(bool(only(effects.CloseServerConnection, effect_list)), not answers)
             self.assertEqual(len(r.state.attempts), 4, "what was out is out, or goes out anew")
             if answers:  # and again where nothing comes for as long after the answer
-                due = wake.at_ns + MS + r.attempts.silence_limit_ns()
+                due = wake.at_ns + MS + r.attempts.response_times.silence_limit_ns()
                 (check,) = only(effects.SendHealthCheck, r.handle(due, inputs.TimerFired(wake.key)))
                 self.assertTrue(
                     only(effects.CloseServerConnection, r.handle(due + 200 * MS, inputs.TimerFired(wake.key)))
@@ -283,7 +283,7 @@
         for n in range(2 * ATTEMPTS_BEFORE_NEW_CONNECTION):
             link = links.find("s", str(n)) or links.add(endpoint)
             assert link
-            link.out[str(n)] = n
+            link.in_flight[str(n)] = n
         self.assertEqual(
             [link.load() for link in links.by_number.values()],
             [ATTEMPTS_BEFORE_NEW_CONNECTION, ATTEMPTS_BEFORE_NEW_CONNECTION],
@@ -291,9 +291,9 @@
         self.assertIsNone(links.find("s", "order", exclusive=True))
         link = links.add(endpoint)
         assert link
-        link.alone, link.out = True, {"order": 99}
+        link.is_exclusive, link.in_flight = True, {"order": 99}
         self.assertIsNone(links.find("s", "next"))
-        links.most = 3
+        links.max_connections = 3
         self.assertEqual(links.find("s", "next"), links.by_number[1])
 
     def test_an_answer_that_stops_short_gives_its_connection_up(self) -> None:
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -43,7 +43,7 @@
             effects.OpenServerConnection, r.handle(now + 3 * MS, call(ATTEMPTS_BEFORE_NEW_CONNECTION + 2))
         )
         assert isinstance(second, effects.OpenServerConnection)
-        r.state.connections.by_number[first.connection].heard_ns = now + 4 * MS - heard_ns
+        r.state.connections.by_number[first.connection].last_response_ns = now + 4 * MS - heard_ns
         return (
             r,
             first,
@@ -93,13 +93,13 @@
         for seed in range(40):
             links, now = ConnectionPool(64, 32, seed), NOW
             for _ in range(10):
-                links.made += 1
+                links.created_count += 1
                 links.record_refusal("s", now)
-                now = links.full["s"][0]
+                now = links.refusals["s"][0]
                 self.assertTrue(links.may_connect("s", now))
                 self.assertFalse(links.may_connect("s", now - 1))
             waits[seed] = now - NOW
-            until, last = links.full["s"]
+            until, last = links.refusals["s"]
             self.assertEqual(last, MAX_REFUSAL_BACKOFF_NS)
         self.assertEqual(len(set(waits.values())), 40)
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -236,7 +236,7 @@
         """Under a budget, one of so many; without one where it is 0."""
         r = router()
         if routers:
-            r.endpoint_list.schedule = DiscoverySchedule(routers, 11, 50.0)
+            r.position.schedule = DiscoverySchedule(routers, 11, 50.0)
         return r
 
     def test_a_service_that_begins_to_count_anew(self) -> None:
@@ -300,9 +300,9 @@
     def test_a_budget_comes_with_a_file_read_again(self) -> None:
         r = router()
         r.handle(NOW + S, inputs.OperatorFileRead(OperatorFile(start_options=BUDGET)))
-        self.assertTrue(r.endpoint_list.schedule.has_budget)
+        self.assertTrue(r.position.schedule.has_budget)
         r.handle(NOW + 2 * S, inputs.OperatorFileRead(OperatorFile()))
-        self.assertFalse(r.endpoint_list.schedule.has_budget)
+        self.assertFalse(r.position.schedule.has_budget)
 
     def test_retry_after_comes_from_the_answer(self) -> None:
         codec = FeedCodec()
@@ -567,7 +567,7 @@
         self.assertEqual((fleet.service.falls, len(fleet.listed)), (0, 120))
         self.assertLess(
             max(fleet.listed.values()),
-            START + 10 * S + fleet.routers[0].endpoint_list.schedule.max_delay_ns + S,
+            START + 10 * S + fleet.routers[0].position.schedule.max_delay_ns + S,
         )
         self.assertTrue(all(r.state.endpoints for r in fleet.routers))
 
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -125,7 +125,7 @@
     reducer = Reducer(parse_config(json.loads((FOLDER / "config.json").read_bytes()), {}))
     reducer.start(NOW)
     reducer.handle(NOW, inputs.ProcessIdentity("5f2c09e1a7b3d480", "0123456789abcdef"))
-    reducer.state.ledger = ledger = RequestStatistics()
+    reducer.state.statistics = ledger = RequestStatistics()
     for how, attempts, in_time in (
         ("served", 1, True),
         ("served", 2, False),
