--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -95,11 +95,11 @@
             for _ in range(10):
                 links.created_count += 1
                 links.record_refusal("s", now)
-                now = links.refusals["s"][0]
+                now = links.refusals["s"].until_ns
                 self.assertTrue(links.may_connect("s", now))
                 self.assertFalse(links.may_connect("s", now - 1))
             waits[seed] = now - NOW
-            until, last = links.refusals["s"]
+            last = links.refusals["s"].backoff_ns
             self.assertEqual(last, MAX_REFUSAL_BACKOFF_NS)
         self.assertEqual(len(set(waits.values())), 40)
 
