--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -200,21 +200,12 @@
         name=name,
         listen_address=parse_overridden_address("listen", "ROUTER_LISTEN", raw, environ),
         feed_address=parse_address("feed", raw.get("feed")),
-        max_descriptors=require_number(
-            "limits.sockets", limits.get("sockets"), MIN_DESCRIPTORS, DEFAULT_MAX_DESCRIPTORS
-        ),
-        memory_mb=require_number("limits.memory_mb", limits.get("memory_mb"), 1, DEFAULT_MEMORY_MB),
-        max_attempts_per_connection=require_number(
-            "settings.limits.max_streams", server_limits.get("max_streams"), 1, 1
-        ),
-        server_idle_timeout_ns=require_number(
-            "settings.limits.conn_idle_ns", server_limits.get("conn_idle_ns"), 0, 0
-        ),
-        connect_timeout_ns=require_number(
-            "settings.limits.dial_timeout_ns",
-            server_limits.get("dial_timeout_ns"),
-            1,
-            DEFAULT_CONNECT_TIMEOUT_NS,
+        max_descriptors=limit("limits", limits, "sockets", MIN_DESCRIPTORS, DEFAULT_MAX_DESCRIPTORS),
+        memory_mb=limit("limits", limits, "memory_mb", 1, DEFAULT_MEMORY_MB),
+        max_attempts_per_connection=limit("settings.limits", server_limits, "max_streams", 1, 1),
+        server_idle_timeout_ns=limit("settings.limits", server_limits, "conn_idle_ns", 0, 0),
+        connect_timeout_ns=limit(
+            "settings.limits", server_limits, "dial_timeout_ns", 1, DEFAULT_CONNECT_TIMEOUT_NS
         ),
         settings=settings,
         kinds=kinds,
@@ -227,6 +218,11 @@
     )
 
 
+def limit(place: str, limits: dict[str, Any], key: str, least: int, default: int) -> int:
+    """One number of a table of limits; ``place`` names the table in the error."""
+    return require_number(f"{place}.{key}", limits.get(key), least, default)
+
+
 def parse_seed(raw: dict[str, Any]) -> int:
     """The seed, a hexadecimal number; 0 where there is none."""
     try:
--- a/kelpcroft/core/attempt_completion.py
+++ b/kelpcroft/core/attempt_completion.py
@@ -47,20 +47,7 @@
         self.record_execution(attempt, outcome)
         if state.is_tracing:
             self.trace_end(attempt, outcome, fill_result, source_wait_ns, load_report or {})
-        if attempt.asks_origin and state.origin_limit is not None:
-            is_late = self.is_late_at_origin(attempt, outcome, fill_result, source_wait_ns)
-            state.origin_limit.record_finished(state.now, attempt.started_ns, is_late)
-            state.set_cold_budget_share(state.cold_budget_share)
-        if state.fleet_size is not None and load_report and "outstanding" in load_report:
-            self.record_fleet_report(attempt.forward.server, load_report["outstanding"])
-        allowance = request.allowance
-        if (
-            allowance is not None
-            and allowance.records_latency
-            and attempt.is_sent
-            and outcome in TIMED_OUTCOMES
-        ):
-            allowance.record_latency(state.now, elapsed_ns)
+        self.learn(attempt, outcome, fill_result, source_wait_ns, load_report)
         state.events.append(
             api.AttemptEnded(
                 request.id,
@@ -75,6 +62,31 @@
             )
         )
 
+    def learn(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        fill_result: FillResult,
+        source_wait_ns: int,
+        load_report: dict[str, float] | None,
+    ) -> None:
+        """What the limit at the origin, the fleet's size and the route learn from an end."""
+        state = self.state
+        if attempt.asks_origin and state.origin_limit is not None:
+            is_late = self.is_late_at_origin(attempt, outcome, fill_result, source_wait_ns)
+            state.origin_limit.record_finished(state.now, attempt.started_ns, is_late)
+            state.set_cold_budget_share(state.cold_budget_share)
+        if state.fleet_size is not None and load_report and "outstanding" in load_report:
+            self.record_fleet_report(attempt.forward.server, load_report["outstanding"])
+        allowance = attempt.request.allowance
+        if (
+            allowance is not None
+            and allowance.records_latency
+            and attempt.is_sent
+            and outcome in TIMED_OUTCOMES
+        ):
+            allowance.record_latency(state.now, state.now - attempt.started_ns)
+
     def remove_from_tables(self, attempt: Attempt) -> None:
         """Take an attempt off its connection and its request."""
         request, connection = attempt.request, attempt.connection
--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -131,22 +131,8 @@
         state.touched_requests.append(request)
         if state.is_tracing:
             self.trace_taken(message)
-        state.events.append(
-            api.Request(
-                id=request.id,
-                class_name=message.request_class,
-                time_remaining_ns=time_allowed_ns,
-                object_id=message.object_number,
-                part=message.part_number,
-                purge_group=message.group,
-                size_kb=message.size_kb,
-                is_write=len(message.body) > 0,
-                is_retry=message.is_retry,
-                retry_policy=None if allowance is None else allowance.bounds,
-                prior_execution=prior_execution,
-                prior_attempt_unknown=is_keyed and message.is_retry and prior_execution is None,
-            )
-        )
+        prior_attempt_unknown = is_keyed and message.is_retry and prior_execution is None
+        state.events.append(decision_request(request, prior_execution, prior_attempt_unknown))
 
     def route_allowance(self, message: ClientRequest, request_class: RequestClass) -> RequestAllowance | None:
         """What the request's route lets it cost; None without a route."""
@@ -282,3 +268,30 @@
         else:
             self.state.counters["failed"] += 1
             self.finish(request, FailRequest(client, request_number))
+
+
+def decision_request(
+    request: OpenRequest, prior_execution: api.PossibleExecution | None, prior_attempt_unknown: bool
+) -> api.Request:
+    """A request as the decision module is told of it.
+
+    Args:
+        request: One that was taken.
+        prior_execution: What an earlier request of its key may have done.
+        prior_attempt_unknown: It is a retry of a key that this router has not seen.
+    """
+    message = request.message
+    return api.Request(
+        id=request.id,
+        class_name=message.request_class,
+        time_remaining_ns=request.time_allowed_ns,
+        object_id=message.object_number,
+        part=message.part_number,
+        purge_group=message.group,
+        size_kb=message.size_kb,
+        is_write=len(message.body) > 0,
+        is_retry=message.is_retry,
+        retry_policy=None if request.allowance is None else request.allowance.bounds,
+        prior_execution=prior_execution,
+        prior_attempt_unknown=prior_attempt_unknown,
+    )
--- a/kelpcroft/core/connection_pool.py
+++ b/kelpcroft/core/connection_pool.py
@@ -126,7 +126,8 @@
         Returns:
             None where one more is to be opened, or none has room.
         """
-        best = least_loaded = None
+        best: PooledConnection | None = None
+        least_loaded: PooledConnection | None = None
         connections = self.by_server.get(server, ())
         for connection in connections:
             if not connection.can_carry(attempt_id, self.max_attempts_per_connection, exclusive):
--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from functools import partial
 
 from kelpcroft.core.attempts import Attempts
+from kelpcroft.core.decision_loop import DecisionLoop
 from kelpcroft.core.feed_position import FeedPosition
 from kelpcroft.core.inputs import EndpointRecord, EndpointUpdate, Purge, WatchResponse
 from kelpcroft.core.state import Attempt, State
@@ -24,12 +25,12 @@
     """
 
     def __init__(
-        self, state: State, position: FeedPosition, attempts: Attempts, run_decisions: Callable[[], None]
+        self, state: State, position: FeedPosition, attempts: Attempts, decisions: DecisionLoop
     ) -> None:
         self.state = state
         self.position = position
         self.attempts = attempts
-        self.run_decisions = run_decisions
+        self.decisions = decisions
         self.has_list = False
         self.events_of_long_answer = 0
         self.purges_left_out = 0
@@ -74,7 +75,7 @@
             return
         state.counters["purges"] += 1
         state.events.append(api.Purged(purge.object_number, purge.group, ago_ns))
-        self.run_decisions()
+        self.decisions.run()
         self.attempts.cancel_matching(partial(asks_for_purged, purge))
 
     def unknown_field(self, update: EndpointUpdate) -> str:
@@ -101,7 +102,7 @@
             else:
                 self.retire(endpoint.name)
         self.state.events.append(api.ServerList(form, tuple(map(self.server_of, update.endpoints))))
-        self.run_decisions()
+        self.decisions.run()
         self.attempts.cancel_matching(self.asks_unlisted)
 
     def form_of(self, update: EndpointUpdate) -> str:
