--- a/kelpcroft/net/clock.py
+++ b/kelpcroft/net/clock.py
@@ -10,9 +10,10 @@
     """Unix nanoseconds that never run back."""
 
     def __init__(self, source: Callable[[], int] = time.time_ns) -> None:
-        self.source, self.last = source, 0
+        self.source = source
+        self.latest_ns = 0
 
     def now(self) -> int:
-        """The time, or the latest that was told."""
-        self.last = max(self.last, self.source())
-        return self.last
+        """The time, or the latest that was told where the source has run back."""
+        self.latest_ns = max(self.latest_ns, self.source())
+        return self.latest_ns
--- a/kelpcroft/net/control_codec.py
+++ b/kelpcroft/net/control_codec.py
@@ -1,12 +1,14 @@
-"""The control address: HTTP/1.1, one call per connection.  Bytes in, one call or one refusal out; answers as
-bytes.  No socket here.
+"""The control address: HTTP/1.1, one call per connection.  No socket here.
+
+Bytes in, one call or one refusal out; answers as bytes.
 
     GET /control/ready            200 if this process takes clients, else 503
+    GET /control/state            200: what this process is and did, where the operator's file asks for it
     PUT /control/out-of-service   200: clients are sent away (a drain)
     PUT /control/in-service       200: clients are taken again
 
-What is not such a call is answered here, before the reducer hears of it: a head over ``HEAD_MOST`` bytes
-431, a body over ``BODY_MOST`` 413, an unknown path 404, a known path with another method 405, anything else
+What is not such a call is answered here, before the reducer hears of it: a head over ``MAX_HEAD_BYTES`` 431,
+a body over ``MAX_BODY_BYTES`` 413, an unknown path 404, a known path with another method 405, anything else
 that HTTP/1.1 does not allow 400.  Every answer closes the connection.
 """
 
@@ -14,144 +16,176 @@
 
 from collections.abc import Mapping
 from http import HTTPStatus
+from typing import Final, NamedTuple
 
 import httptools
 import orjson
 
 from kelpcroft.core.inputs import ControlVerb
 
-MAX_HEAD_BYTES = 4_096  # bytes of the request line and headers together
-MAX_BODY_BYTES = 1_024  # bytes of a body, which is not used
-READ_SIZE = 4_096  # the one buffer of each connection
-CALLS: dict[bytes, tuple[bytes, ControlVerb]] = {
-    b"/control/ready": (b"GET", ControlVerb.READY),
-    b"/control/state": (b"GET", ControlVerb.STATE),
-    b"/control/out-of-service": (b"PUT", ControlVerb.OUT_OF_SERVICE),
-    b"/control/in-service": (b"PUT", ControlVerb.IN_SERVICE),
+MAX_HEAD_BYTES: Final = 4_096  # the request line and headers together
+MAX_BODY_BYTES: Final = 1_024  # of a body, which is not used
+READ_BYTES: Final = 4_096  # the one buffer of each connection
+MAX_ERROR_CHARS: Final = 200  # of a parser's error in an answer
+
+
+class Call(NamedTuple):
+    """What is known at a path."""
+
+    method: bytes
+    verb: ControlVerb
+
+
+CALLS = {
+    b"/control/ready": Call(b"GET", ControlVerb.READY),
+    b"/control/state": Call(b"GET", ControlVerb.STATE),
+    b"/control/out-of-service": Call(b"PUT", ControlVerb.OUT_OF_SERVICE),
+    b"/control/in-service": Call(b"PUT", ControlVerb.IN_SERVICE),
 }
 
 
+class _LimitExceededError(Exception):
+    """Raised by a callback, out of the parser; ``ControlCodec.exceeded_limit`` says which limit."""
+
+
 class ControlCodec:
-    """One caller's connection: ``feed`` until it returns a verb or an answer; nothing more is read then."""
+    """One caller's connection: ``receive_data`` until it returns a verb or an answer.
+
+    Nothing more is read then.  Its ``on_...`` methods are called by httptools while it parses.
+    """
 
-    def __init__(self, state: bool = False) -> None:
-        self.state = state  # the operator's file asks for /control/state
+    def __init__(self, serves_state: bool = False) -> None:
+        """``serves_state``: the operator's file asks for /control/state."""
+        self.serves_state = serves_state
         self.parser = httptools.HttpRequestParser(self)
-        self.head_bytes = self.body = 0  # bytes of each so far
+        self.head_bytes = 0  # so far
+        self.body_bytes = 0  # so far
         self.url = b""
-        self.headed = self.complete = False
-        self.done = False  # a verb or an answer has been given
+        self.has_head = False
+        self.is_complete = False
+        self.is_done = False  # a verb or an answer has been given
         self.head_only = False  # HEAD: the answer has no body
-        self.fault: HTTPStatus | None = None  # found by a callback, which can only raise
-
-    # Callbacks of httptools -----------------------------------------------------------------------------
+        self.exceeded_limit: HTTPStatus | None = None  # found by a callback, which can only raise
 
     def on_url(self, url: bytes) -> None:
+        """A part of the target."""
         self.url += url
         if len(self.url) > MAX_HEAD_BYTES:
-            self.fault = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-            raise _Fault()
+            self._exceed(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header."""
         if name.lower() == b"content-length" and value.strip().isdigit() and int(value) > MAX_BODY_BYTES:
-            self.fault = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
-            raise _Fault()
+            self._exceed(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        self.headed = True
+        """The head is all there."""
+        self.has_head = True
 
     def on_body(self, body: bytes) -> None:
-        self.body += len(body)
-        if self.body > MAX_BODY_BYTES:
-            self.fault = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
-            raise _Fault()
+        """Some bytes of the body."""
+        self.body_bytes += len(body)
+        if self.body_bytes > MAX_BODY_BYTES:
+            self._exceed(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
-        self.complete = True
+        """The call is all there."""
+        self.is_complete = True
 
-    # ---------------------------------------------------------------------------------------------------
+    def _exceed(self, status: HTTPStatus) -> None:
+        self.exceeded_limit = status
+        raise _LimitExceededError
 
     def receive_data(self, data: bytes | memoryview) -> ControlVerb | bytes | None:
-        """What these bytes complete: a verb for the reducer, an answer to write and close with, or None for
-        more to come.  Each byte of the head is counted before the parser may keep it."""
-        if self.done:
+        """What these bytes complete.
+
+        Each byte of the head is counted before the parser may keep it.
+
+        Returns:
+            A verb for the reducer, an answer to write and close with, or None for more to come.
+        """
+        if self.is_done:
             return None
         data = bytes(data)
-        if not self.headed:
-            end = data.find(b"\r\n\r\n")
-            within = len(data) if end < 0 else end + 4
-            if self.head_bytes + within > MAX_HEAD_BYTES:
-                return self.finish(
-                    answer(
-                        HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
-                        {"error": f"the head is over {MAX_HEAD_BYTES} bytes"},
-                    )
-                )
-            self.head_bytes += within
+        result = self._refuse_long_head(data) or self._parse(data)
+        self.is_done = result is not None
+        return result
+
+    def _refuse_long_head(self, data: bytes) -> bytes | None:
+        """Counts the bytes of the head; the answer where they are too many."""
+        if self.has_head:
+            return None
+        end = data.find(b"\r\n\r\n")
+        head_bytes = len(data) if end < 0 else end + 4
+        if self.head_bytes + head_bytes > MAX_HEAD_BYTES:
+            return _encode_error(
+                HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"the head is over {MAX_HEAD_BYTES} bytes"
+            )
+        self.head_bytes += head_bytes
+        return None
+
+    def _parse(self, data: bytes) -> ControlVerb | bytes | None:
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            return self.finish(answer(HTTPStatus.BAD_REQUEST, {"error": "no upgrade is offered here"}))
-        except (httptools.HttpParserError, _Fault) as error:
-            if self.fault is HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE:
-                why = f"the head is over {MAX_HEAD_BYTES} bytes"
-            elif self.fault is HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
-                why = f"a body is not used; this one is over {MAX_BODY_BYTES} bytes"
-            else:
-                why = f"not HTTP/1.1: {error}"[:200]
-            return self.finish(answer(self.fault or HTTPStatus.BAD_REQUEST, {"error": why}))
-        if not self.complete:
-            return None
-        return self.finish(self.call())
+            return _encode_error(HTTPStatus.BAD_REQUEST, "no upgrade is offered here")
+        except (httptools.HttpParserError, _LimitExceededError) as error:
+            return self._refuse(error)
+        return self._result() if self.is_complete else None
+
+    def _refuse(self, error: Exception) -> bytes:
+        """The answer to bytes that the parser, or a callback of it, does not take."""
+        if self.exceeded_limit is HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE:
+            return _encode_error(self.exceeded_limit, f"the head is over {MAX_HEAD_BYTES} bytes")
+        if self.exceeded_limit is HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
+            return _encode_error(
+                self.exceeded_limit, f"a body is not used; this one is over {MAX_BODY_BYTES} bytes"
+            )
+        return _encode_error(HTTPStatus.BAD_REQUEST, f"not HTTP/1.1: {error}"[:MAX_ERROR_CHARS])
 
-    def call(self) -> ControlVerb | bytes:
+    def _result(self) -> ControlVerb | bytes:
         """The whole request: which call it is, or why it is none."""
         try:
             path = httptools.parse_url(self.url).path
         except httptools.HttpParserInvalidURLError:
-            return answer(HTTPStatus.BAD_REQUEST, {"error": "the target is not a path"})
+            return _encode_error(HTTPStatus.BAD_REQUEST, "the target is not a path")
+        calls = {
+            known: call
+            for known, call in CALLS.items()
+            if self.serves_state or call.verb is not ControlVerb.STATE
+        }
+        call = calls.get(path.rstrip(b"/") if len(path) > 1 else path)
+        if call is None:
+            names = [f"{known.method.decode()} {name.decode()}" for name, known in calls.items()]
+            return _encode_answer(HTTPStatus.NOT_FOUND, {"error": "no such call", "calls": names})
         method = self.parser.get_method()
-        calls = {p: call for p, call in CALLS.items() if self.state or call[1] is not ControlVerb.STATE}
-        known = calls.get(path.rstrip(b"/") if len(path) > 1 else path)
-        if known is None:
-            return answer(
-                HTTPStatus.NOT_FOUND,
-                {
-                    "error": "no such call",
-                    "calls": [f"{m.decode()} {p.decode()}" for p, (m, _) in calls.items()],
-                },
-            )
-        wanted, verb = known
-        if method != wanted and not (method == b"HEAD" and wanted == b"GET"):
-            why = {"error": f"{path.decode()} takes {wanted.decode()}"}
-            return answer(
-                HTTPStatus.METHOD_NOT_ALLOWED,
-                why,
-                (b"Allow", wanted + (b", HEAD" if wanted == b"GET" else b"")),
-                head_only=method == b"HEAD",
-            )
         self.head_only = method == b"HEAD"
-        return verb
-
-    def finish(self, result: ControlVerb | bytes) -> ControlVerb | bytes:
-        self.done = True
-        return result
+        if method == call.method or (self.head_only and call.method == b"GET"):
+            return call.verb
+        allowed = call.method + (b", HEAD" if call.method == b"GET" else b"")
+        return _encode_answer(
+            HTTPStatus.METHOD_NOT_ALLOWED,
+            {"error": f"{path.decode()} takes {call.method.decode()}"},
+            (b"Allow", allowed),
+            head_only=self.head_only,
+        )
 
     def has_partial_message(self) -> bool:
         """Whether a call has begun and not ended."""
-        return self.head_bytes > 0 and not self.done
-
-
-class _Fault(Exception):
-    """A callback found a bound passed; ``fault`` says which."""
+        return self.head_bytes > 0 and not self.is_done
 
 
 def reply(ok: bool, fields: Mapping[str, object], head_only: bool = False) -> bytes:
     """The answer to a call that the reducer took: 200, or 503 for a no."""
-    return answer(HTTPStatus.OK if ok else HTTPStatus.SERVICE_UNAVAILABLE, fields, head_only=head_only)
+    status = HTTPStatus.OK if ok else HTTPStatus.SERVICE_UNAVAILABLE
+    return _encode_answer(status, fields, head_only=head_only)
+
+
+def _encode_error(status: HTTPStatus, reason: str) -> bytes:
+    return _encode_answer(status, {"error": reason})
 
 
-def answer(
+def _encode_answer(
     status: HTTPStatus, fields: Mapping[str, object], *headers: tuple[bytes, bytes], head_only: bool = False
 ) -> bytes:
     """A whole answer that closes the connection, with a JSON body."""
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -792,7 +792,7 @@
     def hear(self, caller: ControlConnection) -> None:
         """What a caller sent: a whole call goes to the reducer; what is no call is answered here."""
         try:
-            data = caller.sock.recv(control_codec.READ_SIZE)
+            data = caller.sock.recv(control_codec.READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
--- a/kelpcroft/net/memory.py
+++ b/kelpcroft/net/memory.py
@@ -13,7 +13,8 @@
 
     From the system's own page on the process (``VmHWM``, proc(5)).  ``ru_maxrss`` begins at what the process
     that started this one had at its peak: under a large supervisor it hides any growth, so it stands in only
-    where that page cannot be read."""
+    where that page cannot be read.
+    """
     try:
         for line in status.read_text().splitlines():
             if line.startswith("VmHWM:"):
--- a/kelpcroft/net/server_codec.py
+++ b/kelpcroft/net/server_codec.py
@@ -1,7 +1,8 @@
-"""Shelves' RESP: commands as bytes, and answers from bytes.  No socket here.
+"""Servers' RESP: commands as bytes, and responses from bytes.  No socket here.
 
 Own code, as hiredis' reader allocates a list of whatever length an array's head claims: a dozen bytes from a
-broken peer made it ask for 7 GB (docs/architecture.md).  Answers have four strings, so little is lost.
+broken peer made it ask for 7 GB (docs/architecture.md).  Responses have four strings, so little is lost:
+the attempt's id, a word for its outcome, fields and the body.
 """
 
 from __future__ import annotations
@@ -9,21 +10,28 @@
 import re
 from functools import lru_cache
 from itertools import product
+from typing import Final
 
 from kelpcroft.core.effects import CancelAttempt, SendAttempt, SendHealthCheck
 from kelpcroft.core.inputs import ServerResponse
 from kelpcroft.core.messages import Body
 from kelpcroft.decision.interface import FillResult, Outcome
+from kelpcroft.net.errors import ProtocolError
 
-NS_PER_MS = 1_000_000
-HEAD_MOST = 4_096  # bytes of an answer without its body
-HEAD_LINES = 8  # line ends in them
-START = b"*4\r\n$"
+NS_PER_MS: Final = 1_000_000
+
+MAX_HEAD_BYTES: Final = 4_096  # of a response without its body
+MAX_HEAD_LINES: Final = 8
+MAX_BODY_BYTES: Final = 262_144  # an object has 240,000 at most
+MAX_COPIED_BYTES: Final = 1_024  # a longer last word of a command stays a piece of its own
+MAX_CACHED_REPORTS: Final = 256
+
+HEAD_START = b"*4\r\n$"
 HEAD = re.compile(rb"\*4\r\n" + rb"\$(\d{1,6})\r\n([^\r\n]*)\r\n" * 3 + rb"\$(\d{1,6})\r\n")
-BODY_MOST = 262_144  # an object has 240,000 at most
-ENDS = {
+NOT_MODIFIED_WORD: Final = "KEEP"  # the copy that the client holds is the one
+OUTCOMES = {
     "DONE": Outcome.OK,
-    "KEEP": Outcome.OK,
+    NOT_MODIFIED_WORD: Outcome.OK,
     "LACK": Outcome.MISS,
     "WAIT": Outcome.FULL,
     "BROKE": Outcome.ERROR,
@@ -31,7 +39,7 @@
     "FIT": Outcome.OK,
     "UNFIT": Outcome.ERROR,
 }
-NOTES = {
+FILL_RESULTS = {
     "mem": FillResult.HIT,
     "parent": FillResult.FILLED,
     "origin": FillResult.FILLED_FROM_ORIGIN,
@@ -43,155 +51,193 @@
     "crowded": FillResult.NO_FILL_PLACE,
     "behind": FillResult.ORIGIN_FAILED,
 }
-WAYS = {
-    on: "+".join(w for w, x in zip("jhnr", on, strict=True) if x) for on in product((False, True), repeat=4)
+# An attempt's options on the wire, by join_fill, cache_only, no_parent_copy and refresh_behind.
+OPTIONS = {
+    flags: "+".join(letter for letter, flag in zip("jhnr", flags, strict=True) if flag)
+    for flags in product((False, True), repeat=4)
 }
 
 
-class ServerProtocolError(ValueError):
-    """Bytes that are no answer of this protocol."""
+class ServerProtocolError(ProtocolError):
+    """Bytes that are no response of this protocol."""
 
 
-def command(*words: Body) -> list[Body]:
-    """A RESP array; the last word stays a piece of its own, so that its bytes are not copied."""
-    head = b"*%d\r\n" % len(words)
-    for word in words[:-1]:
-        head += b"$%d\r\n%s\r\n" % (len(word), word)
-    last = words[-1]
-    head += b"$%d\r\n" % len(last)
-    return [head, last, b"\r\n"] if len(last) > 1_024 else [head + last + b"\r\n"]
+# Commands -------------------------------------------------------------------------------------------------
 
 
-def encode_attempt(p: SendAttempt) -> list[Body]:
-    """An attempt."""
-    fields = [f"cls={p.request_class}", f"item={p.object_id}", f"chunk={p.part_id}", f"limit={p.timeout_ms}"]
-    if p.idempotency_key:
-        fields.append(f"nonce={p.idempotency_key}")
-    if p.source:
-        fields.append(f"next={p.source}")
-    if p.retention_rank:
-        fields.append(f"admit={p.retention_rank}")
-    if p.max_age_ms:
-        fields.append(f"agelim={p.max_age_ms}")
-    ways = WAYS[p.join_fill, p.cache_only, p.no_parent_copy, p.refresh_behind]
-    if ways:
-        fields.append(f"ways={ways}")
-    if p.etag:
-        fields.append(f"cached={p.etag}")
-    return command(b"PULL", p.attempt_id.encode(), ",".join(fields).encode(), p.body)
+def encode_attempt(attempt: SendAttempt) -> list[Body]:
+    """The command that sends an attempt."""
+    fields = [
+        f"cls={attempt.request_class}",
+        f"item={attempt.object_id}",
+        f"chunk={attempt.part_id}",
+        f"limit={attempt.timeout_ms}",
+    ]
+    if attempt.idempotency_key:
+        fields.append(f"nonce={attempt.idempotency_key}")
+    if attempt.source:
+        fields.append(f"next={attempt.source}")
+    if attempt.retention_rank:
+        fields.append(f"admit={attempt.retention_rank}")
+    if attempt.max_age_ms:
+        fields.append(f"agelim={attempt.max_age_ms}")
+    options = OPTIONS[attempt.join_fill, attempt.cache_only, attempt.no_parent_copy, attempt.refresh_behind]
+    if options:
+        fields.append(f"ways={options}")
+    if attempt.etag:
+        fields.append(f"cached={attempt.etag}")
+    return _command(b"PULL", attempt.attempt_id.encode(), ",".join(fields).encode(), attempt.body)
 
 
-def encode_cancel(k: CancelAttempt) -> list[Body]:
-    """An attempt is given up."""
-    return command(b"KILL", k.attempt_id.encode())
+def encode_cancel(cancel: CancelAttempt) -> list[Body]:
+    """The command that gives an attempt up."""
+    return _command(b"KILL", cancel.attempt_id.encode())
 
 
-def encode_health_check(c: SendHealthCheck) -> list[Body]:
-    """A probe."""
-    return command(b"METER", c.attempt_id.encode())
+def encode_health_check(health_check: SendHealthCheck) -> list[Body]:
+    """The command that asks a server how it is."""
+    return _command(b"METER", health_check.attempt_id.encode())
 
 
-def fields_of(text: str) -> dict[str, str]:
-    """``name=value,name=value`` or ``-``."""
-    if text in ("-", ""):
-        return {}
-    pairs = [pair.partition("=") for pair in text.split(",")]
-    if not all(name and equals for name, equals, _ in pairs):
-        raise ServerProtocolError(f"fields: {text[:80]!r}")
-    return {name: value for name, _, value in pairs}
+def _command(*words: Body) -> list[Body]:
+    """A RESP array; a long last word stays a piece of its own, so that its bytes are not copied."""
+    head = b"*%d\r\n" % len(words)
+    for word in words[:-1]:
+        head += b"$%d\r\n%s\r\n" % (len(word), word)
+    last = words[-1]
+    head += b"$%d\r\n" % len(last)
+    return [head, last, b"\r\n"] if len(last) > MAX_COPIED_BYTES else [head + last + b"\r\n"]
 
 
-@lru_cache(maxsize=256)
-def report_of(text: str) -> dict[str, float]:
-    """``inflight:7;util:0.61``.  A server's report is the same for some hundred milliseconds."""
-    pairs = (pair.partition(":") for pair in text.split(";") if pair)
-    return {name: float(value) for name, _, value in pairs}
+# Responses ------------------------------------------------------------------------------------------------
 
 
 class ServerCodec:
-    """Answers on one connection."""
-
-    def __init__(self, link: int) -> None:
-        self.link = link
-        self.head = b""  # of an answer, not all there yet
-        self.words = ("", "", "")  # id, word and fields of the answer whose body is being filled
+    """The responses on one connection."""
+
+    def __init__(self, connection: int) -> None:
+        """``connection``: its number, which goes into each response."""
+        self.connection = connection
+        self.head = b""  # of a response, not all there yet
+        # Id, word and fields of the response whose body is being filled.
+        self.words = ("", "", "")
         self.body: bytearray | None = None  # its line end included
-        self.filled = 0
+        self.filled_bytes = 0  # of the body
         self.error = ""  # why nothing more can be read
 
     def receive_data(self, data: memoryview) -> list[ServerResponse]:
-        """The answers that these bytes complete.  Those ahead of bytes that are none are good; ``fault`` then
-        says why the connection is of no further use."""
-        found: list[ServerResponse] = []
+        """The responses that these bytes complete.
+
+        Those ahead of bytes that are none are good; ``error`` then says why the connection is of no further
+        use.
+        """
+        responses: list[ServerResponse] = []
         try:
-            self.take(data, found)
+            self._decode(data, responses)
         except ServerProtocolError as error:
             self.error = str(error)
-        return found
+        return responses
 
     def has_partial_message(self) -> bool:
-        """Whether an answer has begun and not ended."""
+        """Whether a response has begun and not ended."""
         return self.body is not None or bool(self.head)
 
-    def take(self, data: memoryview, found: list[ServerResponse]) -> None:
+    def _decode(self, data: memoryview, responses: list[ServerResponse]) -> None:
+        """Adds the responses that these bytes complete to the list, also before it raises."""
         at = 0
         while at < len(data):
             body = self.body
             if body is None:
-                at += self.begin(data[at : at + HEAD_MOST])
+                at += self._read_head(data[at : at + MAX_HEAD_BYTES])
                 continue
-            take = min(len(data) - at, len(body) - self.filled)
-            body[self.filled : self.filled + take] = data[at : at + take]
-            self.filled += take
-            at += take
-            if self.filled == len(body):
+            count = min(len(data) - at, len(body) - self.filled_bytes)
+            body[self.filled_bytes : self.filled_bytes + count] = data[at : at + count]
+            self.filled_bytes += count
+            at += count
+            if self.filled_bytes == len(body):
                 # What follows at once is looked at too: a body said to be four bytes longer than it is takes
-                # them from the next answer's head, and ends as a body should.
+                # them from the next response's head, and ends as a body should.
                 if not body.endswith(b"\r\n") or bytes(data[at : at + 1]) not in (b"", b"*"):
                     raise ServerProtocolError("a body does not end where it should")
                 del body[-2:]
-                id, word, text = self.words
-                found.append(self.answer(id, word, text, body))
+                responses.append(self._response(body))
                 self.body = None
 
-    def begin(self, data: memoryview) -> int:
-        """An answer's head, up to its body: how many of these bytes belong to it."""
-        before = len(self.head)
+    def _read_head(self, data: memoryview) -> int:
+        """Reads a response's head, up to its body; returns how many of these bytes belong to it."""
+        bytes_before = len(self.head)
         self.head += bytes(data)
         match = HEAD.match(self.head)
         if match is None:
-            if (
-                len(self.head) >= HEAD_MOST
-                or self.head.count(b"\r\n") >= HEAD_LINES
-                or not (self.head.startswith(START) or START.startswith(self.head))
-            ):
+            if not self._may_become_head():
                 raise ServerProtocolError(f"not an answer: {self.head[:60]!r}")
             return len(data)
-        words, sizes = match.group(2, 4, 6), match.group(1, 3, 5)
+        words = match.group(2, 4, 6)
+        sizes = match.group(1, 3, 5)
         if any(len(word) != int(size) for word, size in zip(words, sizes, strict=True)):
             raise ServerProtocolError(f"a word's length is not what it says: {self.head[:60]!r}")
         size = int(match.group(7))
-        if size > BODY_MOST:
+        if size > MAX_BODY_BYTES:
             raise ServerProtocolError(f"a body of {size} bytes")
         try:
-            id, word, text = words
-            self.words = id.decode(), word.decode(), text.decode()
+            attempt_id, word, fields = words
+            self.words = attempt_id.decode(), word.decode(), fields.decode()
         except UnicodeDecodeError as error:
             raise ServerProtocolError(str(error)) from error
-        self.body, self.filled, self.head = bytearray(size + 2), 0, b""
-        return match.end() - before
-
-    def answer(self, id: str, word: str, text: str, body: bytearray) -> ServerResponse:
+        self.body = bytearray(size + 2)
+        self.filled_bytes = 0
+        self.head = b""
+        return match.end() - bytes_before
+
+    def _may_become_head(self) -> bool:
+        """Whether more bytes may make a response's head of what is there."""
+        return (
+            len(self.head) < MAX_HEAD_BYTES
+            and self.head.count(b"\r\n") < MAX_HEAD_LINES
+            and (self.head.startswith(HEAD_START) or HEAD_START.startswith(self.head))
+        )
+
+    def _response(self, body: bytearray) -> ServerResponse:
         """The four strings as a message."""
-        outcome = ENDS.get(word)
+        attempt_id, word, field_text = self.words
+        outcome = OUTCOMES.get(word)
         if outcome is None:
             raise ServerProtocolError(f"{word[:40]!r} is not an answer's word")
-        fields = fields_of(text)
+        fields = _parse_fields(field_text)
         try:
-            waited = int(float(fields.get("slow") or 0) * NS_PER_MS)
-            report = report_of(fields.get("meter", ""))
+            source_wait_ns = int(float(fields.get("slow") or 0) * NS_PER_MS)
+            load_report = _parse_load_report(fields.get("meter", ""))
         except (ValueError, OverflowError) as error:
             raise ServerProtocolError(str(error)) from error
-        note = NOTES.get(fields.get("tell", ""), FillResult.NONE)  # a note of a later day says nothing here
-        named = fields.get("sum", "") if word == "KEEP" else ""
-        return ServerResponse(self.link, id, outcome, note, waited, report, word == "KEEP", body, named)
+        # A word of a later day says nothing here.
+        fill_result = FILL_RESULTS.get(fields.get("tell", ""), FillResult.NONE)
+        not_modified = word == NOT_MODIFIED_WORD
+        etag = fields.get("sum", "") if not_modified else ""
+        return ServerResponse(
+            self.connection,
+            attempt_id,
+            outcome,
+            fill_result,
+            source_wait_ns,
+            load_report,
+            not_modified,
+            body,
+            etag,
+        )
+
+
+def _parse_fields(text: str) -> dict[str, str]:
+    """``name=value,name=value`` or ``-``."""
+    if text in ("-", ""):
+        return {}
+    pairs = [pair.partition("=") for pair in text.split(",")]
+    if not all(name and equals for name, equals, _ in pairs):
+        raise ServerProtocolError(f"fields: {text[:80]!r}")
+    return {name: value for name, _, value in pairs}
+
+
+@lru_cache(maxsize=MAX_CACHED_REPORTS)
+def _parse_load_report(text: str) -> dict[str, float]:
+    """``inflight:7;util:0.61``.  A server's report is the same for some hundred milliseconds."""
+    pairs = (pair.partition(":") for pair in text.split(";") if pair)
+    return {name: float(value) for name, _, value in pairs}
