--- /dev/null
+++ b/kelpcroft/net/connector.py
@@ -0,0 +1,41 @@
+"""Outgoing connections, also when no descriptor is left."""
+
+from __future__ import annotations
+
+import errno
+import socket
+
+from kelpcroft.config import Address
+from kelpcroft.net.client_acceptor import ClientAcceptor
+from kelpcroft.net.transport import OUT_OF_DESCRIPTORS
+
+
+class Connector:
+    """Begins to open connections to servers and to the feed."""
+
+    def __init__(self, acceptor: ClientAcceptor) -> None:
+        self.acceptor = acceptor
+
+    def connect(self, address: Address) -> socket.socket:
+        """A non-blocking socket whose connection is under way.
+
+        Where no descriptor is left, an idle client's is taken: the shares of descriptors were reckoned from a
+        limit that no longer holds.
+
+        Raises:
+            OSError: not even that could be had.
+        """
+        family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+        try:
+            sock = socket.socket(family, socket.SOCK_STREAM)
+        except OSError as error:
+            if error.errno not in OUT_OF_DESCRIPTORS or not self.acceptor.free_descriptor():
+                raise
+            sock = socket.socket(family, socket.SOCK_STREAM)
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        code = sock.connect_ex(address)
+        if code not in (0, errno.EINPROGRESS):
+            sock.close()
+            raise OSError(code, errno.errorcode.get(code, "?"))
+        return sock
--- /dev/null
+++ b/kelpcroft/net/server_connections.py
@@ -0,0 +1,153 @@
+"""Connections to servers: caches, parents and the origin."""
+
+from __future__ import annotations
+
+import socket
+from collections import deque
+from typing import Final
+
+from kelpcroft.core import effects, inputs, messages
+from kelpcroft.net import server_codec
+from kelpcroft.net.connector import Connector
+from kelpcroft.net.transport import SECOND, WRITABLE, Connection, ConnectionHandler, Transport
+
+RESTED_NS: Final = SECOND // 50  # a connection is read before a write after so long a rest
+PARTIAL_RESPONSE_TIMEOUT_NS: Final = SECOND // 5  # the rest of a response follows sooner, or does not come
+WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that takes nothing for so long is closed
+
+
+class ServerConnection(Connection):
+    """A connection to one server.
+
+    Its number is the reducer's: ``OpenServerConnection`` names it.
+    """
+
+    def __init__(self, handler: ServerConnections, number: int, sock: socket.socket, now: int) -> None:
+        super().__init__(handler, sock, now)
+        self.number = number
+        self.codec = server_codec.ServerCodec(number)
+        self.last_read_ns = now  # when bytes last came
+        self.queued_bytes = 0  # handed over to be written, in all
+        # Attempts of which not all is written: up to which of the queued bytes each goes, and its id.
+        self.unsent_attempts: deque[tuple[int, str]] = deque()
+        self.has_partial_response = False  # as the reducer was last told
+
+
+class ServerConnections(ConnectionHandler[ServerConnection]):
+    """All connections to servers, by the numbers that the reducer gave them."""
+
+    def __init__(self, transport: Transport, connector: Connector) -> None:
+        super().__init__(transport)
+        self.connector = connector
+        self.open: dict[int, ServerConnection] = {}
+
+    # Effects ----------------------------------------------------------------------------------------------
+
+    def open_connection(self, effect: effects.OpenServerConnection) -> None:
+        """Begins to open a connection; the reducer hears when it stands or has failed."""
+        host, _, port = effect.address.rpartition(":")
+        now = self.transport.clock.now()
+        try:
+            sock = self.connector.connect((host, int(port)))
+        except OSError as error:
+            # Reported once what asked for it is carried out.  Nothing was opened, so nothing is to be closed.
+            self.transport.failed_opens.append(inputs.ServerConnectionLost(effect.connection, str(error)))
+            return
+        connection = ServerConnection(self, effect.connection, sock, now)
+        self.open[effect.connection] = connection
+        self.transport.set_interest(connection, WRITABLE)
+
+    def close_connection(self, effect: effects.CloseServerConnection) -> None:
+        """Closes a connection, with all that is out on it."""
+        connection = self.open.get(effect.connection)
+        if connection is not None:
+            self.close(connection)
+
+    def send_attempt(self, effect: effects.SendAttempt) -> None:
+        """Sends an attempt."""
+        self.send(effect.connection, server_codec.encode_attempt(effect), effect.attempt_id)
+
+    def cancel_attempt(self, effect: effects.CancelAttempt) -> None:
+        """Sends the cancel of an attempt."""
+        self.send(effect.connection, server_codec.encode_cancel(effect))
+
+    def send_health_check(self, effect: effects.SendHealthCheck) -> None:
+        """Sends a health check."""
+        self.send(effect.connection, server_codec.encode_health_check(effect))
+
+    def send(self, number: int, pieces: list[messages.Body], attempt_id: str = "") -> None:
+        """Queues bytes for a server; with ``attempt_id`` they are an attempt."""
+        connection = self.open.get(number)
+        if connection is None:
+            return
+        connection.queued_bytes += sum(map(len, pieces))
+        if attempt_id:
+            connection.unsent_attempts.append((connection.queued_bytes, attempt_id))
+        self.transport.queue_write(connection, pieces)
+
+    # Events of a connection -------------------------------------------------------------------------------
+
+    def connected(self, connection: ServerConnection) -> None:
+        """A connection stands: the reducer hears of it."""
+        self.transport.handle_input(inputs.ServerConnected(connection.number))
+
+    def before_write(self, connection: ServerConnection) -> None:
+        """Reads a connection that rested: its server may have ended it since the selector was asked."""
+        if connection.unsent_attempts and connection.is_connected and connection.is_open():
+            last_active_ns = max(connection.last_read_ns, connection.last_progress_ns)
+            if self.transport.clock.now() - last_active_ns > RESTED_NS:
+                self.read(connection)
+
+    def bytes_written(self, connection: ServerConnection) -> None:
+        """Forgets the attempts that are written by now."""
+        unsent = connection.unsent_attempts
+        while unsent and unsent[0][0] <= connection.write_buffer.sent_bytes:
+            unsent.popleft()
+
+    def receive(self, connection: ServerConnection, data: memoryview) -> None:
+        """Tells the reducer the responses that these bytes complete, and when one has begun."""
+        codec = connection.codec
+        connection.last_read_ns = self.transport.clock.now()
+        for response in codec.receive_data(data):
+            self.transport.handle_input(response)
+        if codec.error:
+            self.connection_failed(connection, f"malformed: {codec.error}")
+        elif connection.has_partial_response != codec.has_partial_message():
+            connection.has_partial_response = not connection.has_partial_response
+            self.transport.handle_input(
+                inputs.PartialResponse(connection.number, connection.has_partial_response)
+            )
+
+    def connection_failed(
+        self, connection: ServerConnection, reason: str, is_unreachable: bool = False
+    ) -> None:
+        """Closes a connection and tells the reducer, with the attempts that cannot have run."""
+        if connection.number not in self.open:
+            return
+        sent_bytes = connection.write_buffer.sent_bytes
+        unsent = frozenset(attempt_id for end, attempt_id in connection.unsent_attempts if end > sent_bytes)
+        self.close(connection)
+        self.transport.handle_input(
+            inputs.ServerConnectionLost(
+                connection.number, reason or "closed by the server", is_unreachable, unsent
+            )
+        )
+
+    def close(self, connection: ServerConnection) -> None:
+        """Closes a connection and forgets it."""
+        self.transport.close(connection)
+        self.open.pop(connection.number, None)
+
+    def sweep(self, now: int) -> None:
+        """Gives connections up that take nothing any more, or whose response has stopped short."""
+        for connection in list(self.open.values()):
+            if (
+                connection.write_buffer.stored_bytes()
+                and now - connection.last_progress_ns > WRITE_STALL_TIMEOUT_NS
+            ):
+                self.connection_failed(connection, "takes nothing any more")
+            elif (
+                connection.codec.has_partial_message()
+                and now - connection.last_read_ns > PARTIAL_RESPONSE_TIMEOUT_NS
+            ):
+                self.connection_failed(connection, "an answer has stopped short")
--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -40,21 +40,26 @@
     ),
     "slow": (  # servers' answers are heard 200 ms late
         (
-            "kelpcroft/net/event_loop.py",
-            "            for answer in peer.codec.feed(data):\n                self.tell(answer)\n",
+            "kelpcroft/net/server_connections.py",
+            (
+                "        for response in codec.receive_data(data):\n"
+                "            self.transport.handle_input(response)\n"
+            ),
             (
-                "            self.late = getattr(self, 'late', [])\n"
-                "            due = self.clock.now() + 200_000_000\n"
-                "            self.late += [(due, answer) for answer in peer.codec.feed(data)]\n"
+                "        self.late = getattr(self, 'late', [])\n"
+                "        due = self.transport.clock.now() + 200_000_000\n"
+                "        self.late += [(due, response) for response in codec.receive_data(data)]\n"
             ),
         ),
         (
             "kelpcroft/net/event_loop.py",
-            "        ready = self.selector.select(min(wait, 1.0))\n",
+            "        reported = self.transport.selector.select(wait_s)\n",
             (
-                "        ready = self.selector.select(min(wait, 0.005))\n"
-                "        while getattr(self, 'late', None) and self.late[0][0] <= self.clock.now():\n"
-                "            self.tell(self.late.pop(0)[1])\n"
+                "        wait_s = min(wait_s, 0.005)\n"
+                "        reported = self.transport.selector.select(wait_s)\n"
+                "        late = getattr(self.servers, 'late', [])\n"
+                "        while late and late[0][0] <= self.clock.now():\n"
+                "            self.transport.handle_input(late.pop(0)[1])\n"
             ),
         ),
     ),
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -9,13 +9,9 @@
 from turns import MS, SECOND, Turns, call, done
 
 from kelpcroft.core import effects, messages
-from kelpcroft.net.event_loop import (
-    IDLE_CLIENT_TIMEOUT_NS,
-    LINGERING_CLOSE_MAX_BYTES,
-    LINGERING_CLOSE_TIMEOUT_NS,
-    SHUTDOWN_LINGER_NS,
-    SILENT_CLIENT_TIMEOUT_NS,
-)
+from kelpcroft.net.client_connections import IDLE_CLIENT_TIMEOUT_NS, SILENT_CLIENT_TIMEOUT_NS
+from kelpcroft.net.event_loop import SHUTDOWN_LINGER_NS
+from kelpcroft.net.lingering_close import LINGERING_CLOSE_MAX_BYTES, LINGERING_CLOSE_TIMEOUT_NS
 
 
 class Closing(unittest.TestCase):
@@ -26,7 +22,7 @@
         t.selector.hidden.add(t.socket_of(client))
         client.send(call(2))
         t.turn(IDLE_CLIENT_TIMEOUT_NS + SECOND)
-        self.assertEqual(len(t.loop.clients), 1)
+        self.assertEqual(len(t.loop.clients.open), 1)
         t.selector.hidden.clear()
         t.until(lambda: len(cache.pulls()) == 2, "it is sent on")
         cache.send(done(cache.pulls()[1]))
@@ -38,20 +34,20 @@
         t = Turns(self)
         client, cache = t.served()
         t.turn(IDLE_CLIENT_TIMEOUT_NS + SECOND)
-        self.assertEqual((len(t.loop.clients), len(t.loop.parting)), (0, 1))
+        self.assertEqual((len(t.loop.clients.open), len(t.loop.clients.lingering.clients)), (0, 1))
         client.send(call(2))
         t.turn(turns=3)
         client.read()
         self.assertTrue(client.ended and not client.reset)
         self.assertEqual(len(cache.pulls()), 1)
         client.close()
-        t.until(lambda: not t.loop.parting, "the client's close ends it")
+        t.until(lambda: not t.loop.clients.lingering.clients, "the client's close ends it")
 
     def test_a_client_that_never_ends_goes_after_its_time_or_its_bytes(self) -> None:
         t = Turns(self)
         rests, floods = t.client(), t.client()
         t.turn(SILENT_CLIENT_TIMEOUT_NS + 200 * MS)
-        self.assertEqual(len(t.loop.parting), 2)
+        self.assertEqual(len(t.loop.clients.lingering.clients), 2)
 
         def flood() -> bool:
             try:
@@ -60,19 +56,22 @@
                 pass
             except OSError:
                 return True
-            return len(t.loop.parting) == 1
+            return len(t.loop.clients.lingering.clients) == 1
 
         t.until(flood, f"it is over {LINGERING_CLOSE_MAX_BYTES} bytes")
         self.assertFalse(rests.reset)
         t.turn(LINGERING_CLOSE_TIMEOUT_NS + 200 * MS)
-        self.assertEqual(t.loop.parting, {})
+        self.assertEqual(t.loop.clients.lingering.clients, {})
 
     def test_those_that_are_let_go_have_a_bound(self) -> None:
         t = Turns(self, limits={"sockets": 64})
-        for _ in range(t.loop.shares.draining_clients + 3):
+        for _ in range(t.loop.clients.lingering.max_clients + 3):
             t.client().send(b"\xc1")
         t.turn(turns=3)
-        self.assertEqual((len(t.loop.clients), len(t.loop.parting)), (0, t.loop.shares.draining_clients))
+        self.assertEqual(
+            (len(t.loop.clients.open), len(t.loop.clients.lingering.clients)),
+            (0, t.loop.clients.lingering.max_clients),
+        )
 
     def test_an_answer_on_its_way_outlives_what_is_malformed_behind_it(self) -> None:
         """The close over unread bytes reset the connection, and the system threw the answer away unread."""
@@ -95,7 +94,7 @@
         t.until(push, "the answer is on its way")
         t.until(lambda: not t.loop.reducer.state.requests, "it is answered")
         client.send(b"\xc1" + b"\x00" * 10_000)
-        t.until(lambda: t.loop.parting, "it is let go")
+        t.until(lambda: t.loop.clients.lingering.clients, "it is let go")
         client.send(b"\x00" * 10_000)
         t.until(lambda: client.read() and client.ended, "all of it and the end")
         self.assertFalse(client.reset)
@@ -140,7 +139,7 @@
         client.send(call(2))
         t.turn(790 * MS)
         for late in range(1, 60):
-            t.loop.perform_effects(
+            t.loop.transport.perform_effects(
                 [effects.ScheduleTimer(t.now + late * MS, (messages.TimerKind.DECISION, 0, 0))]
             )
         numbers = [entry[1] for entry in t.loop.timers]
@@ -162,15 +161,15 @@
         """The listening socket closed over a full queue: each in it was reset with its request unread."""
         t = Turns(self)
         _, cache = t.served()
-        assert t.loop.listener is not None
-        t.selector.hidden.add(t.loop.listener)
+        assert t.loop.acceptor.listener.sock is not None
+        t.selector.hidden.add(t.loop.acceptor.listener.sock)
         waits = [socket.create_connection(t.address) for _ in range(3)]
         for n, sock in enumerate(waits):
             self.addCleanup(sock.close)
             sock.sendall(call(1, trace=f"{n + 7:016x}"))
         self.ending(t)
         t.turn(600 * MS)
-        self.assertIsNone(t.loop.listener)
+        self.assertIsNone(t.loop.acceptor.listener.sock)
         t.until(lambda: len(cache.pulls()) == 4, "all are sent on")
 
     def test_a_request_behind_the_last_look_is_not_sent_on(self) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -85,11 +85,13 @@
     def test_the_list_is_asked_for_again_once_there_is_one(self) -> None:
         """``poll`` did the same as ``dial``."""
         t = Turns(self, feed=False)
-        t.until(lambda: t.loop.feed is None and not t.loop.undialled, "nobody listens")
+        t.until(
+            lambda: t.loop.feed.connection is None and not t.loop.transport.failed_opens, "nobody listens"
+        )
         with t.no_descriptors():
             for _ in range(5):
                 t.turn(500 * MS, turns=3)  # called again and again, without a socket
-        self.assertIsNone(t.loop.feed)
+        self.assertIsNone(t.loop.feed.connection)
         host, port = t.loop.feed_address
         t.listeners["feed"] = back = socket.create_server((host, port))
         self.addCleanup(back.close)
@@ -106,8 +108,8 @@
         waits = socket.create_connection(t.address, WAIT_S)
         self.addCleanup(waits.close)
         with t.no_descriptors():
-            t.until(lambda: t.loop.listener not in t.loop.heeded, "it is left alone")
+            t.until(lambda: not t.loop.acceptor.listener.is_listening, "it is left alone")
             t.turn(turns=20)
             self.assertEqual(len([log for log in t.logged if log.event == "accept.failed"]), 1)
         t.turn(200 * MS)
-        t.until(lambda: len(t.loop.clients) == 2, "it is tried again")
+        t.until(lambda: len(t.loop.clients.open) == 2, "it is tried again")
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -7,20 +7,25 @@
 from turns import MS, Peer, Turns, call, done
 
 from kelpcroft.net.client_codec import MAX_OPEN_CALLS_PER_CLIENT
-from kelpcroft.net.event_loop import PARTIAL_RESPONSE_TIMEOUT_NS
+from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS
 
 
 class Floods(unittest.TestCase):
     def settled(self, t: Turns) -> None:
         """Nothing is kept of anyone."""
         self.assertEqual(
-            (t.loop.pool.in_use, t.loop.untaken, t.loop.reducer.state.requests_by_client), (0, {}, {})
+            (
+                t.loop.transport.pool.in_use,
+                t.loop.clients.with_pending,
+                t.loop.reducer.state.requests_by_client,
+            ),
+            (0, {}, {}),
         )
 
     def dialled(self, t: Turns) -> list[str]:
         """Servers to which a connection is open."""
         ports = {sock.getsockname()[1]: name for name, sock in t.listeners.items()}
-        return [ports[s.sock.getpeername()[1]] for s in t.loop.servers.values()]
+        return [ports[s.sock.getpeername()[1]] for s in t.loop.servers.open.values()]
 
     def served(self, t: Turns, client: Peer, cache: Peer, number: int) -> None:
         """Somebody else's request, as ever."""
@@ -98,5 +103,5 @@
         half.close(reset=True)
         t.turn(MS, turns=3)
         self.served(t, other, cache, 2)
-        self.assertEqual(len(t.loop.clients), 1)
+        self.assertEqual(len(t.loop.clients.open), 1)
         self.settled(t)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -7,9 +7,9 @@
 import msgpack
 from turns import MS, SECOND, Peer, Turns, call, done
 
-from kelpcroft.net.connections import Connection as Ours
-from kelpcroft.net.connections import ServerConnection
 from kelpcroft.net.event_loop import CLIENT_REQUESTS_TURN_NS, LONG_TURN_FLUSH_INTERVAL_NS
+from kelpcroft.net.server_connections import ServerConnection
+from kelpcroft.net.transport import Connection as Ours
 
 
 def cancel(number: int) -> bytes:
@@ -52,7 +52,7 @@
         caches = [t.taken("cache1"), t.taken("cache2")]
         t.until(lambda: sum(len(c.pulls()) for c in caches) == 8, "all are out")
         (mine,) = [c for c in caches if f"{1:016x}" in c.pulls()]
-        serve, read = t.loop.serve, []
+        serve, read = t.loop.handle_ready, []
 
         def slow(peer: Ours, events: int) -> None:
             if isinstance(peer, ServerConnection) and not read:
@@ -61,9 +61,9 @@
             read.append(peer)
             serve(peer, events)
 
-        t.loop.serve = slow  # type: ignore[method-assign]
-        (late,) = [s for s in t.loop.servers.values() if s.sock.getpeername() == mine.sock.getsockname()]
-        (early,) = [s for s in t.loop.servers.values() if s is not late]
+        t.loop.handle_ready = slow  # type: ignore[method-assign]
+        (late,) = [s for s in t.loop.servers.open.values() if s.sock.getpeername() == mine.sock.getsockname()]
+        (early,) = [s for s in t.loop.servers.open.values() if s is not late]
         for cache in caches:
             for id in cache.pulls():
                 cache.send(done(id, b"", b"LACK", b"-") if id == f"{1:016x}" else done(id))
@@ -99,7 +99,7 @@
             with self.subTest(may_cancel=may):
                 t = Turns(self, allowed={"may_cancel": may})
                 client = t.client()
-                watch = t.loop.watch
+                watch = t.loop.transport.set_interest
 
                 def hide(
                     peer: Ours,
@@ -111,14 +111,15 @@
                         t.selector.hidden.add(peer.sock)
                     watch(peer, events)
 
-                t.loop.watch = hide  # type: ignore[method-assign]
+                t.loop.transport.set_interest = hide  # type: ignore[method-assign]
                 client.send(call(1))
                 cache = t.taken("cache1")
                 client.send(cancel(1))
                 t.until(lambda t=t: not t.loop.reducer.state.requests, "it is gone")
                 t.selector.hidden.clear()
                 t.until(
-                    lambda t=t: all(s.is_connected for s in t.loop.servers.values()), "the connection stands"
+                    lambda t=t: all(s.is_connected for s in t.loop.servers.open.values()),
+                    "the connection stands",
                 )
                 t.turn(turns=3)
                 self.assertEqual(cache.read(), b"")
@@ -129,9 +130,9 @@
         client, cache = self.asked(t)
         t.tick_ns = 2 * CLIENT_REQUESTS_TURN_NS  # every look at the clock: nothing is taken in its turn
         client.send(call(2))
-        t.until(lambda: t.loop.untaken, "it is read")
+        t.until(lambda: t.loop.clients.with_pending, "it is read")
         client.send(cancel(2))
-        t.until(lambda: not any(c.pending_messages for c in t.loop.clients.values()), "it is cancelled")
+        t.until(lambda: not any(c.pending_messages for c in t.loop.clients.open.values()), "it is cancelled")
         t.tick_ns = 0
         t.turn(200 * MS)
         self.assertEqual((len(cache.pulls()), t.loop.reducer.state.counters["taken"]), (1, 1))
@@ -142,11 +143,11 @@
         """Patience counts from the client's send, wherever the request waits."""
         t = Turns(self)
         client, cache = self.asked(t)
-        (ours,) = t.loop.clients.values()
+        (ours,) = t.loop.clients.open.values()
         client.send(call(2, patience=900))
-        t.loop.hear_leavers([(ours, 1)], t.now)
+        t.loop.read_disconnects([(ours, 1)], t.now)
         self.assertEqual(len(ours.pending_messages), 1)
         t.now += 200 * MS
-        t.loop.take(ours)
+        t.loop.clients.dispatch_pending(ours)
         (_, second) = t.loop.reducer.state.requests.values()
         self.assertEqual(second.message.remaining_time_ns, 700 * MS)
--- a/tests/test_link_ends.py
+++ b/tests/test_link_ends.py
@@ -39,7 +39,7 @@
             with self.subTest(reset=reset):
                 t = Turns(self)
                 client, cache = self.rested(t)
-                t.selector.hidden |= {s.sock for s in t.loop.servers.values()}
+                t.selector.hidden |= {s.sock for s in t.loop.servers.open.values()}
                 cache.read()
                 cache.close(reset)
                 self.order(t, client, 2)
@@ -51,12 +51,14 @@
         t.listeners["cache1"].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         client = t.client()
         self.order(t, client, 1, b"x" * 47_000)
-        t.until(lambda: t.loop.servers, "it is dialled")
-        for ours in t.loop.servers.values():
+        t.until(lambda: t.loop.servers.open, "it is dialled")
+        for ours in t.loop.servers.open.values():
             ours.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         first = t.taken("cache1")
         t.until(
-            lambda: any(s.unsent_attempts and s.backlog.sent_bytes for s in t.loop.servers.values()),
+            lambda: any(
+                s.unsent_attempts and s.write_buffer.sent_bytes for s in t.loop.servers.open.values()
+            ),
             "a part is written",
         )
         t.turn(turns=3)
@@ -73,25 +75,25 @@
         t = Turns(self)
         client = t.client()
         self.order(t, client, 1)
-        t.until(lambda: t.loop.servers, "it is dialled")
-        (ours,) = t.loop.servers.values()
+        t.until(lambda: t.loop.servers.open, "it is dialled")
+        (ours,) = t.loop.servers.open.values()
         ours.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         cache = t.taken("cache1")
         t.until(cache.pulls, "the order comes")
         for n in range(40):
-            t.loop.send(ours.number, [b"x" * 8_000], f"{n:016x}")
+            t.loop.servers.send(ours.number, [b"x" * 8_000], f"{n:016x}")
             t.turn()
             if n % 2:
                 cache.read()
-        self.assertTrue(ours.backlog.size())
-        t.until(lambda: cache.read() and not ours.backlog.size(), "all is written")
+        self.assertTrue(ours.write_buffer.stored_bytes())
+        t.until(lambda: cache.read() and not ours.write_buffer.stored_bytes(), "all is written")
         self.assertEqual(len(ours.unsent_attempts), 0)
-        sent = ours.backlog.sent_bytes
-        t.loop.send(ours.number, [b"x" * 2_000_000], "a")
-        t.loop.send(ours.number, [b"x" * 2_000_000], "b")
+        sent = ours.write_buffer.sent_bytes
+        t.loop.servers.send(ours.number, [b"x" * 2_000_000], "a")
+        t.loop.servers.send(ours.number, [b"x" * 2_000_000], "b")
         t.turn()
-        ours.backlog.sent_bytes = sent + 2_000_000  # as if just the first had been taken
-        t.loop.write(ours)
+        ours.write_buffer.sent_bytes = sent + 2_000_000  # as if just the first had been taken
+        t.loop.transport.write(ours)
         self.assertEqual([id for _, id in ours.unsent_attempts], ["b"])
 
     def test_what_was_all_written_may_have_run(self) -> None:
@@ -160,12 +162,12 @@
         client = t.client()
         client.send(call(1))
         cache = t.taken("cache1")
-        t.selector.hidden |= {s.sock for s in t.loop.servers.values() if not s.is_connected}
+        t.selector.hidden |= {s.sock for s in t.loop.servers.open.values() if not s.is_connected}
         t.turn(SECOND)
         t.selector.hidden.clear()
         t.turn(turns=5)
         self.assertLessEqual(len(cache.pulls()), 1)
-        self.assertEqual(len(t.loop.servers), len(t.loop.reducer.state.connections.by_number))
+        self.assertEqual(len(t.loop.servers.open), len(t.loop.reducer.state.connections.by_number))
 
     def test_a_copy_that_no_server_named_is_not_called_current(self) -> None:
         """KEEP for a copy that the client did not name, or for another one, was passed on."""
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -17,16 +17,15 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.net.buffers import BUFFER_BYTES, BufferPool, WriteBuffer
 from kelpcroft.net.client_codec import ClientCodec, ClientProtocolError
-from kelpcroft.net.clock import Clock
-from kelpcroft.net.connections import ClientConnection, ServerConnection
-from kelpcroft.net.event_loop import (
-    CLIENT_REQUESTS_TURN_NS,
+from kelpcroft.net.client_connections import (
     IDLE_CLIENT_TIMEOUT_NS,
-    PARTIAL_RESPONSE_TIMEOUT_NS,
     SILENT_CLIENT_TIMEOUT_NS,
-    EventLoop,
+    ClientConnection,
 )
+from kelpcroft.net.clock import Clock
+from kelpcroft.net.event_loop import CLIENT_REQUESTS_TURN_NS, EventLoop
 from kelpcroft.net.server_codec import ServerCodec
+from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS, ServerConnection
 
 TRACE = "00000000000000ab"
 GOOD = b"*4\r\n$1\r\ng\r\n$4\r\nDONE\r\n$1\r\n-\r\n$2\r\nby\r\n"
@@ -117,21 +116,21 @@
             (3, True, SILENT_CLIENT_TIMEOUT_NS),
             (4, True, 0),
         ):
-            client = ClientConnection(number, socket.socket(), loop.pool, NOW - age - MS)
-            loop.clients[number] = client
+            client = ClientConnection(loop.clients, number, socket.socket(), NOW - age - MS)
+            loop.clients.open[number] = client
             client.has_sent_message = said
             self.addCleanup(client.sock.close)
-        loop.clients[3].partial_since_ns = NOW - MS
-        loop.clean(NOW)
-        self.assertEqual(list(loop.clients), [3, 4])
+        loop.clients.open[3].partial_since_ns = NOW - MS
+        loop.sweep(NOW)
+        self.assertEqual(list(loop.clients.open), [3, 4])
         loop.reducer.handle(NOW, call(1, client=3))
-        self.assertFalse(loop.make_room(), "one is served, the other was heard just now")
+        self.assertFalse(loop.acceptor.evict_idle_client(), "one is served, the other was heard just now")
         loop.reducer.handle(NOW, inputs.CancelRequest(3, 1))
-        self.assertTrue(loop.make_room())
-        self.assertEqual(list(loop.clients), [4])
-        loop.clients[4].partial_since_ns = NOW - SILENT_CLIENT_TIMEOUT_NS - MS
-        loop.clean(NOW)
-        self.assertEqual(list(loop.clients), [], "half a message, and then nothing")
+        self.assertTrue(loop.acceptor.evict_idle_client())
+        self.assertEqual(list(loop.clients.open), [4])
+        loop.clients.open[4].partial_since_ns = NOW - SILENT_CLIENT_TIMEOUT_NS - MS
+        loop.sweep(NOW)
+        self.assertEqual(list(loop.clients.open), [], "half a message, and then nothing")
 
     def test_requests_are_read_for_a_bounded_time(self) -> None:
         """All clients were read before the feed was looked at again; turns grew longer than the purge rule
@@ -140,11 +139,11 @@
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: next(ticks)))
         self.addCleanup(loop.selector.close)
         served: list[int] = []
-        loop.serve = lambda peer, events: served.append(peer.number)  # type: ignore[method-assign]
-        peers = [ClientConnection(n, socket.socket(), loop.pool, NOW) for n in range(6)]
+        loop.handle_ready = lambda peer, events: served.append(peer.number)  # type: ignore[method-assign]
+        peers = [ClientConnection(loop.clients, n, socket.socket(), NOW) for n in range(6)]
         for peer in peers:
             self.addCleanup(peer.sock.close)
-        loop.take_requests([(peer, 1) for peer in peers], NOW - 5)
+        loop.dispatch_requests([(peer, 1) for peer in peers], NOW - 5)
         self.assertTrue(0 < len(served) < 6)
         self.assertTrue(all(p.unread_since_ns == NOW - 5 for p in peers[len(served) :]))
 
@@ -302,13 +301,13 @@
         self.addCleanup(loop.selector.close)
         for number, data in ((1, GOOD), (2, GOOD[:9])):
             server = ServerConnection(
-                number, socket.socket(), loop.pool, NOW - PARTIAL_RESPONSE_TIMEOUT_NS - MS
+                loop.servers, number, socket.socket(), NOW - PARTIAL_RESPONSE_TIMEOUT_NS - MS
             )
-            loop.servers[number] = server
+            loop.servers.open[number] = server
             self.addCleanup(server.sock.close)
             server.codec.receive_data(memoryview(data))
-        loop.clean(NOW)
-        self.assertEqual(list(loop.servers), [1])
+        loop.sweep(NOW)
+        self.assertEqual(list(loop.servers.open), [1])
 
     def test_a_small_age_limit_is_never_none(self) -> None:
         """0 on the wire means the fresh time: a limit under a millisecond would have allowed any copy."""
@@ -370,7 +369,7 @@
             got += theirs.recv(1 << 20)
             self.assertTrue(backlog.write(ours))
         self.assertEqual(got, b"".join(sent))
-        self.assertEqual((pool.in_use, backlog.size()), (0, 0))
+        self.assertEqual((pool.in_use, backlog.stored_bytes()), (0, 0))
 
 
 if __name__ == "__main__":
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -14,9 +14,10 @@
 from kelpcroft.discovery.schedule import MAX_RETRY_DELAY_NS, SECOND_RETRY_DELAY_NS
 from kelpcroft.net.buffers import BUFFER_BYTES
 from kelpcroft.net.client_codec import ClientCodec
+from kelpcroft.net.client_connections import MAX_UNREAD_BYTES_PER_CLIENT, ClientConnection
 from kelpcroft.net.clock import Clock
-from kelpcroft.net.connections import ClientConnection, ServerConnection
-from kelpcroft.net.event_loop import MAX_UNREAD_BYTES_PER_CLIENT, EventLoop
+from kelpcroft.net.event_loop import EventLoop
+from kelpcroft.net.server_connections import ServerConnection
 
 
 def pair(case: unittest.TestCase, size: int = 0) -> tuple[socket.socket, socket.socket]:
@@ -57,13 +58,13 @@
         """Answers owed to clients that read nothing took every pooled buffer; the next server to answer
         lost its connection for want of a buffer to read into, and all that was out on it."""
         loop = self.loop()
-        while loop.pool.acquire() is not None:
+        while loop.transport.pool.acquire() is not None:
             pass
         ours, theirs = pair(self)
-        server = loop.servers[1] = ServerConnection(1, ours, loop.pool, NOW)
+        server = loop.servers.open[1] = ServerConnection(loop.servers, 1, ours, NOW)
         theirs.sendall(GOOD)
-        loop.read(server)
-        self.assertIn(1, loop.servers)
+        loop.servers.read(server)
+        self.assertIn(1, loop.servers.open)
         self.assertEqual(server.codec.error, "")
 
     def test_a_client_read_at_a_megabyte_a_second_holds_a_bounded_backlog(self) -> None:
@@ -71,15 +72,15 @@
         SLOW_BYTES nothing more is read from it, and as it reads, the buffers go back."""
         loop = self.loop()
         ours, theirs = pair(self, 64 * 1024)
-        client = loop.clients[1] = ClientConnection(1, ours, loop.pool, NOW)
+        client = loop.clients.open[1] = ClientConnection(loop.clients, 1, ours, NOW)
         owed = 8 * 240_000
         for n in range(8):
-            loop.answer(1, (bytes([n]) * 240_000,))
+            loop.clients.send(1, (bytes([n]) * 240_000,))
         loop.flush()
-        most = loop.pool.in_use
+        most = loop.transport.pool.in_use
         self.assertLessEqual(most * BUFFER_BYTES, owed + BUFFER_BYTES)
-        self.assertGreater(client.backlog.size(), MAX_UNREAD_BYTES_PER_CLIENT)
-        self.assertEqual(loop.wanted(client) & 1, 0, "not read while it holds so much")
+        self.assertGreater(client.write_buffer.stored_bytes(), MAX_UNREAD_BYTES_PER_CLIENT)
+        self.assertEqual(loop.clients.interest_of(client) & 1, 0, "not read while it holds so much")
         got = b""
         tick = 0
         while len(got) < owed:
@@ -88,11 +89,11 @@
                 got += theirs.recv(64 * 1024, socket.MSG_DONTWAIT)
             except BlockingIOError:
                 pass
-            loop.write(client)
-            self.assertLessEqual(loop.pool.in_use, most)
+            loop.transport.write(client)
+            self.assertLessEqual(loop.transport.pool.in_use, most)
         self.assertEqual(got, b"".join(bytes([n]) * 240_000 for n in range(8)))
-        self.assertEqual((loop.pool.in_use, client.backlog.size()), (0, 0))
-        self.assertEqual(loop.wanted(client), 1, "read again")
+        self.assertEqual((loop.transport.pool.in_use, client.write_buffer.stored_bytes()), (0, 0))
+        self.assertEqual(loop.clients.interest_of(client), 1, "read again")
         self.assertLess(tick, 4 * owed // (64 * 1024))
 
 
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -157,9 +157,9 @@
         self.raw = raw
         self.logged: list[effects.LogEvent] = []
         self.loop = EventLoop(parse_config(raw, {}), Clock(self.clock))
-        self.loop.selector.close()
-        self.loop.selector = self.selector = Unblocked()
-        self.loop.events.write = lambda now, log: self.logged.append(log)  # type: ignore[method-assign]
+        self.loop.transport.selector.close()
+        self.loop.transport.selector = self.selector = Unblocked()
+        self.loop.transport.event_log.write = lambda now, log: self.logged.append(log)  # type: ignore[method-assign]
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         self.address = listener.getsockname()
@@ -177,13 +177,13 @@
     def end(self) -> None:
         loop = self.loop
         for peer in [
-            *loop.clients.values(),
-            *loop.servers.values(),
-            *loop.callers.values(),
-            *([loop.feed] if loop.feed else []),
+            *loop.clients.open.values(),
+            *loop.servers.open.values(),
+            *loop.control.callers.values(),
+            *([loop.feed.connection] if loop.feed.connection else []),
         ]:
             peer.sock.close()
-        for sock in (loop.listener, loop.mgmt):
+        for sock in (loop.acceptor.listener.sock, loop.control.listener.sock):
             if sock is not None:
                 sock.close()
         loop.selector.close()
@@ -212,7 +212,7 @@
         here = peer.sock.getsockname()
         self.until(
             lambda: any(
-                c.sock.fileno() >= 0 and c.sock.getpeername() == here for c in self.loop.clients.values()
+                c.sock.fileno() >= 0 and c.sock.getpeername() == here for c in self.loop.clients.open.values()
             ),
             "a client is taken",
         )
@@ -221,7 +221,7 @@
     def socket_of(self, peer: Peer) -> socket.socket:
         """The router's end of a client's connection."""
         here = peer.sock.getsockname()
-        (found,) = [c.sock for c in self.loop.clients.values() if c.sock.getpeername() == here]
+        (found,) = [c.sock for c in self.loop.clients.open.values() if c.sock.getpeername() == here]
         return found
 
     def served(self, number: int = 1) -> tuple[Peer, Peer]:
--- a/tools/compile.py
+++ b/tools/compile.py
@@ -34,7 +34,15 @@
     "kelpcroft/net/client_codec.py",
     "kelpcroft/net/server_codec.py",
     "kelpcroft/net/buffers.py",
-    "kelpcroft/net/connections.py",
+    "kelpcroft/net/transport.py",
+    "kelpcroft/net/client_connections.py",
+    "kelpcroft/net/lingering_close.py",
+    "kelpcroft/net/client_acceptor.py",
+    "kelpcroft/net/client_responses.py",
+    "kelpcroft/net/connector.py",
+    "kelpcroft/net/server_connections.py",
+    "kelpcroft/net/feed_client.py",
+    "kelpcroft/net/control_endpoint.py",
     "kelpcroft/net/event_loop.py",
 )
 # Compiled apart: what is compiled together is loaded together, and these are wanted only with a file.
