--- a/kelpcroft/net/__init__.py
+++ b/kelpcroft/net/__init__.py
@@ -1,1 +1,11 @@
-"""Sockets and codecs.  Nothing here decides anything: see kelpcroft/reducer.py."""
+"""Sockets, their codecs, and the event loop that runs one router in one thread.
+
+Owns every socket, the selector, write buffers and timers, and the files that one process of a router leaves
+for the next.  Decides nothing: what comes in becomes an input of the reducer (``kelpcroft.core``), and what
+the reducer asks for is carried out here.  May import all of the program but ``cli``; the codecs
+(``..._codec``, ``event_stream``) hold no socket.
+
+Start reading at ``event_loop`` (the order of a turn), then ``transport`` (what all kinds of connection share)
+and the module of a kind: ``client_connections``, ``server_connections``, ``feed_client``,
+``control_endpoint``.  ``control_replica_server`` is the other program's loop.
+"""
--- a/kelpcroft/net/client_acceptor.py
+++ b/kelpcroft/net/client_acceptor.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from kelpcroft.core import effects, inputs
-from kelpcroft.net.client_connections import ClientConnection, ClientConnections, has_unread_input
+from kelpcroft.net.client_connections import ClientConnection, ClientConnections
 from kelpcroft.net.listeners import LISTEN_QUEUE_LENGTH, Listener, bind_listener, listening_address
 from kelpcroft.net.transport import MAX_ACCEPTS_PER_TURN, OUT_OF_DESCRIPTORS, READABLE, SECOND, Transport
 
@@ -68,7 +68,7 @@
             return False
         return True  # the one that waited has gone
 
-    def stop_accepting(self, effect: effects.StopAccepting) -> None:  # noqa: ARG002 - as all handlers of effects
+    def stop_accepting(self, _effect: effects.StopAccepting) -> None:
         """Closes the listening socket.
 
         Whoever waits on one of our own has connected: the close would reset them, so they are taken first.
@@ -96,7 +96,7 @@
             and self.clients.is_idle(client)
         ]
         for client in sorted(idle, key=_eviction_order):
-            if not has_unread_input(client):
+            if not client.has_unread_input():
                 self.clients.close_gracefully(client)
                 return True
         return False
--- a/kelpcroft/net/client_connections.py
+++ b/kelpcroft/net/client_connections.py
@@ -30,7 +30,7 @@
 IDLE_CLIENT_TIMEOUT_NS: Final = 5 * SECOND  # with nothing open; usual ones go by themselves after 4 s
 NEW_CLIENT_GRACE_NS: Final = SECOND  # in a drain, a client that has said nothing is let go after so long
 WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that takes nothing for so long is closed
-MAX_LOST_LOGS_PER_SWEEP: Final = 2  # lines about bad clients between sweeps: they come in hundreds
+MAX_LOGGED_LOSSES_PER_SWEEP: Final = 2  # lines about bad clients between sweeps: they come in hundreds
 
 
 class ClientConnection(Connection):
@@ -50,6 +50,27 @@
         self.closing_since_ns = 0
         self.discarded_bytes = 0  # read since then and thrown away
 
+    def cancel_pending(self, request_number: int) -> bool:
+        """Drops a request that the reducer was not told yet; returns whether there was one."""
+        others = [pending for pending in self.pending_messages if pending[1].request_number != request_number]
+        was_pending = len(others) < len(self.pending_messages)
+        self.pending_messages = deque(others)
+        return was_pending
+
+    def is_silent(self, now: int) -> bool:
+        """Whether it says nothing for long: in the middle of a message, or before its first."""
+        silent_since_ns = self.partial_since_ns
+        if not silent_since_ns and not self.has_sent_message:
+            silent_since_ns = self.last_message_ns
+        return bool(silent_since_ns) and now - silent_since_ns > SILENT_CLIENT_TIMEOUT_NS
+
+    def has_unread_input(self) -> bool:
+        """Whether something that it sent waits to be read."""
+        try:
+            return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+        except OSError:
+            return False
+
 
 class ClientConnections(ConnectionHandler[ClientConnection]):
     """All clients' connections, by numbers given here."""
@@ -64,7 +85,7 @@
         self.with_pending: dict[ClientConnection, None] = {}  # with messages not told to the reducer yet
         self.decided_closes: list[tuple[ClientConnection, str]] = []  # by the reducer, and why
         self.is_draining = False  # clients go once nothing is owed them
-        self.lost_logs = 0  # lines about bad clients since the last sweep
+        self.logged_losses = 0  # lines about bad clients since the last sweep
         self.unread_ns = 0  # the longest that what is being read may have waited in the socket
 
     # Effects ----------------------------------------------------------------------------------------------
@@ -118,22 +139,13 @@
             connection.partial_since_ns = now
         for message in messages:
             if isinstance(message, inputs.CancelRequest):
-                self._cancel(connection, message)
+                # A request that was not told yet is never sent on, and nothing is owed.
+                if not connection.cancel_pending(message.request_number):
+                    self.transport.handle_input(message)
             else:
                 connection.pending_messages.append((now, message))
                 self.with_pending[connection] = None
 
-    def _cancel(self, client: ClientConnection, cancel: inputs.CancelRequest) -> None:
-        """Cancels a request; one that the reducer was not told yet is never sent on, and nothing is owed."""
-        kept = [
-            pending
-            for pending in client.pending_messages
-            if pending[1].request_number != cancel.request_number
-        ]
-        if len(kept) == len(client.pending_messages):
-            self.transport.handle_input(cancel)
-        client.pending_messages = deque(kept)
-
     def dispatch_pending(self, client: ClientConnection) -> None:
         """Tells the reducer what a client has sent, in its order.
 
@@ -184,7 +196,7 @@
         self.with_pending.pop(client, None)
         del self.open[client.number]
         self.listener.set_listening(True)
-        self._log_lost(client, reason)
+        self._log_loss(client, reason)
         self.lingering.add(client)
         self.lingering.end_output(client)
         self.transport.handle_input(inputs.ClientDisconnected(client.number))
@@ -209,7 +221,7 @@
         age_ns = self.transport.clock.now() - client.last_message_ns
         if not client.has_sent_message and age_ns < NEW_CLIENT_GRACE_NS:
             return  # new: its first request is on the way
-        if self.is_idle(client) and not has_unread_input(client):  # else it is read soon, then let go
+        if self.is_idle(client) and not client.has_unread_input():  # else it is read soon, then let go
             self.close_gracefully(client)
 
     def _close_idle(self) -> None:
@@ -225,16 +237,16 @@
         """Closes a connection that the client has ended; the reducer hears of one that was in use."""
         if connection.number in self.open:
             self.close(connection)
-            self._log_lost(connection, reason)
+            self._log_loss(connection, reason)
             self.transport.handle_input(inputs.ClientDisconnected(connection.number))
         elif connection.number in self.lingering.clients:
             self.close(connection)
 
-    def _log_lost(self, client: ClientConnection, reason: str) -> None:
+    def _log_loss(self, client: ClientConnection, reason: str) -> None:
         """Writes to the log why a client's connection has ended, a few times between sweeps."""
-        if not reason or self.lost_logs >= MAX_LOST_LOGS_PER_SWEEP:
+        if not reason or self.logged_losses >= MAX_LOGGED_LOSSES_PER_SWEEP:
             return
-        self.lost_logs += 1
+        self.logged_losses += 1
         fields: dict[str, object] = {"client": client.number, "why": reason}
         self.transport.log("client.lost", f"client {client.number}: {reason}", fields, "warning")
 
@@ -263,29 +275,14 @@
 
         Some clients keep their connection for good, and would hold every place.
         """
-        self.lost_logs = 0
+        self.logged_losses = 0
         self.lingering.sweep(now)
         if self.is_draining:
             self._close_idle()
         for client in list(self.open.values()):
             if client.write_buffer.stored_bytes() and now - client.last_progress_ns > WRITE_STALL_TIMEOUT_NS:
                 self.connection_failed(client, "takes nothing any more")
-            elif not client.unread_since_ns and self._is_stale(client, now) and not has_unread_input(client):
-                self.close_gracefully(client)
-
-    def _is_stale(self, client: ClientConnection, now: int) -> bool:
-        """Whether a client is silent in the middle of a message, has never sent one, or is idle for long."""
-        silent_since_ns = client.partial_since_ns
-        if not silent_since_ns and not client.has_sent_message:
-            silent_since_ns = client.last_message_ns
-        if silent_since_ns and now - silent_since_ns > SILENT_CLIENT_TIMEOUT_NS:
-            return True
-        return now - client.last_message_ns > IDLE_CLIENT_TIMEOUT_NS and self.is_idle(client)
-
-
-def has_unread_input(client: ClientConnection) -> bool:
-    """Whether something that a client sent waits to be read."""
-    try:
-        return bool(client.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
-    except OSError:
-        return False
+            elif not client.unread_since_ns:
+                is_idle = now - client.last_message_ns > IDLE_CLIENT_TIMEOUT_NS and self.is_idle(client)
+                if (client.is_silent(now) or is_idle) and not client.has_unread_input():
+                    self.close_gracefully(client)
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -9,23 +9,19 @@
 from __future__ import annotations
 
 import heapq
-import os
 import selectors
-import signal
 import socket
-from collections.abc import Callable, Iterator
-from contextlib import suppress
+from collections.abc import Callable
 from typing import Any, Final
 
 from kelpcroft.config import Config
 from kelpcroft.core import effects, inputs, messages
 from kelpcroft.core.descriptors import allocate_descriptors
 from kelpcroft.core.reducer import SHUTDOWN_LAST_STEP
-from kelpcroft.decision.interface import Settings
 from kelpcroft.log import EventLog
 from kelpcroft.net.buffers import BUFFER_BYTES
 from kelpcroft.net.client_acceptor import ClientAcceptor
-from kelpcroft.net.client_connections import ClientConnection, ClientConnections, has_unread_input
+from kelpcroft.net.client_connections import ClientConnection, ClientConnections
 from kelpcroft.net.client_responses import ClientResponses
 from kelpcroft.net.clock import Clock
 from kelpcroft.net.connector import Connector
@@ -34,10 +30,10 @@
 from kelpcroft.net.listeners import Listener
 from kelpcroft.net.predecessor_files import PredecessorFiles
 from kelpcroft.net.server_connections import ServerConnection, ServerConnections
+from kelpcroft.net.signals import ReadConfig, ReadOperatorFile, Signals
 from kelpcroft.net.transport import SECOND, Connection, Transport
 
 MAX_WAIT_S: Final = 1.0  # one turn waits so long at most
-OPERATOR_FILE_TURN_NS: Final = 3_000_000  # the operator's file is read for so long in one turn
 CLIENT_REQUESTS_TURN_NS: Final = 20_000_000  # new requests are taken for so long in one turn
 # In a long turn, what is decided is written and disconnects are read so often.
 LONG_TURN_FLUSH_INTERVAL_NS: Final = 25_000_000
@@ -48,6 +44,7 @@
 SHUTDOWN_RETRY_NS: Final = SHUTDOWN_DRAIN_TIMEOUT_NS // 100  # and the end is tried again so often
 SHUTDOWN_LINGER_NS: Final = SECOND // 5  # at the end, for clients to read what was written
 
+Timer = tuple[int, int, messages.TimerKey]  # when, a number of its own, what for: the order of the heap
 ReadyConnection = tuple[Connection, int]  # and the selector's events
 
 
@@ -76,8 +73,8 @@
         self,
         config: Config,
         clock: Clock,
-        reload: Callable[[], inputs.ConfigFileRead] | None = None,
-        rules: Callable[[Settings], Iterator[inputs.OperatorFileRead | None]] | None = None,
+        reload: ReadConfig | None = None,
+        rules: ReadOperatorFile | None = None,
         events: EventLog | None = None,
     ) -> None:
         """Builds the loop; nothing is opened before ``start``.
@@ -90,9 +87,6 @@
             events: the log; standard error by default.
         """
         self.clock = clock
-        self.reload = reload or _no_config_file
-        self.read_operator_file = rules
-        self.operator_file_steps: Iterator[inputs.OperatorFileRead | None] | None = None  # being read
         self.transport = Transport(config, clock, events or EventLog(config.name))
         self.reducer = self.transport.reducer
         budget = allocate_descriptors(config.max_descriptors)
@@ -104,16 +98,14 @@
         self.feed = FeedClient(self.transport, connector)
         self.control = ControlEndpoint(self.transport, self.acceptor, budget.control_callers)
         self.predecessor = PredecessorFiles(self.transport)
+        self.signals = Signals(self.transport, reload, rules)
         self.transport.effect_handlers = self._effect_handlers()
-        self.timers: list[
-            tuple[int, int, messages.TimerKey]
-        ] = []  # a heap: when, a number of its own, what for
+        self.timers: list[Timer] = []  # a heap
         self.is_stopping = False
         self.last_flush_ns = 0  # in this turn, when disconnects were last read
         self.shutdown_put_off_until_ns = 0  # at most, for requests that wait unread
         self.last_sweep_ns = 0
         self.last_select_ns = clock.now()
-        self.signal_fd: int | None = None  # the reading end of the pipe that signals write to
 
     def _effect_handlers(self) -> dict[type, Callable[[Any], None]]:
         """Who carries out which effect of the reducer."""
@@ -138,7 +130,7 @@
             effects.SetStateEndpoint: self.control.set_state_endpoint,
             effects.PersistServiceState: self.predecessor.persist_service_state,
             effects.ReadPredecessorState: self.predecessor.read_predecessor_state,
-            effects.LogEvent: self._write_log_event,
+            effects.LogEvent: self.transport.write_log_event,
             effects.Exit: self._exit,
         }
 
@@ -175,7 +167,7 @@
                 and again.
         """
         transport = self.transport
-        self.signal_fd = signals
+        self.signals.fd = signals
         if signals is not None:
             transport.selector.register(signals, selectors.EVENT_READ, None)
         start_options, replicas = None, None
@@ -232,8 +224,8 @@
         """
         started_ns = self.clock.now()
         wait_s = self._wait_s(started_ns)
-        if self.operator_file_steps is not None:
-            self._read_operator_file_on(started_ns + OPERATOR_FILE_TURN_NS)
+        if self.signals.is_reading_operator_file():
+            self.signals.read_operator_file_on(started_ns)
             wait_s = 0.0
         reported = self.transport.selector.select(wait_s)
         previous_ns = self.last_select_ns  # input that is found now came after this
@@ -284,9 +276,8 @@
                 self.acceptor.accept()
             elif key.fileobj is self.control.listener.sock:
                 self.control.accept()
-            elif self.signal_fd is not None:
-                with suppress(BlockingIOError):
-                    self.handle_signals(os.read(self.signal_fd, BUFFER_BYTES))
+            else:
+                self.signals.read()
         return ready
 
     def handle_ready(self, connection: Connection, events: int) -> None:
@@ -371,15 +362,12 @@
         self.clients.sweep(now)
         self.servers.sweep(now)
 
-    # Timers and signals -----------------------------------------------------------------------------------
+    # Timers -----------------------------------------------------------------------------------------------
 
     def schedule_timer(self, effect: effects.ScheduleTimer) -> None:
         """Lets the reducer know at a time."""
-        self._add_timer(effect.at_ns, effect.key)
-
-    def _add_timer(self, at_ns: int, key: messages.TimerKey) -> None:
         # The number keeps two entries of the heap from being compared by their keys.
-        heapq.heappush(self.timers, (at_ns, self.transport.next_number(), key))
+        heapq.heappush(self.timers, (effect.at_ns, self.transport.next_number(), effect.key))
 
     def _fire_timers(self, now: int) -> None:
         """Tells the reducer of the timers that are due; the end is put off for requests that wait unread."""
@@ -387,7 +375,7 @@
             key = heapq.heappop(self.timers)[2]
             is_the_end = key[0] is messages.TimerKind.SHUTDOWN and key[1] == SHUTDOWN_LAST_STEP
             if is_the_end and self._has_unread_requests(now):
-                self._add_timer(now + SHUTDOWN_RETRY_NS, key)
+                self.schedule_timer(effects.ScheduleTimer(now + SHUTDOWN_RETRY_NS, key))
             else:
                 self.transport.handle_input(inputs.TimerFired(key))
                 self._flush_in_long_turn()
@@ -403,44 +391,16 @@
             self.shutdown_put_off_until_ns = now + SHUTDOWN_DRAIN_TIMEOUT_NS
         if now >= self.shutdown_put_off_until_ns:
             return False
-        return bool(self.clients.with_pending) or any(map(has_unread_input, self.clients.open.values()))
-
-    def handle_signals(self, numbers: bytes) -> None:
-        """SIGHUP has the configuration read again, the others end the program."""
-        if signal.SIGHUP in numbers:
-            self.transport.handle_input(self.reload())
-            # Checked against the classes now in use: those of a configuration just read are among them.
-            if self.read_operator_file is not None:
-                self.operator_file_steps = self.read_operator_file(self.reducer.state.settings)
-            else:
-                self.operator_file_steps = None
-        if any(number != signal.SIGHUP for number in numbers):
-            self.transport.handle_input(inputs.ShutdownRequested())
-
-    def _read_operator_file_on(self, until_ns: int) -> None:
-        """Reads a part of the operator's file: a large one takes a second, and drains and purges come."""
-        for operator_file in self.operator_file_steps or ():
-            if operator_file is not None:
-                self.operator_file_steps = None
-                self.transport.handle_input(operator_file)
-                return
-            if self.clock.now() > until_ns:
-                return
-
-    # Effects of the loop itself ---------------------------------------------------------------------------
-
-    def _write_log_event(self, effect: effects.LogEvent) -> None:
-        self.transport.event_log.write(self.clock.now(), effect)
+        return bool(self.clients.with_pending) or any(
+            client.has_unread_input() for client in self.clients.open.values()
+        )
 
-    def _exit(self, _: effects.Exit) -> None:
+    def _exit(self, _effect: effects.Exit) -> None:
+        """Writes what is left of this turn; ``run`` ends after it."""
         self.flush()
         self.is_stopping = True
 
 
-def _no_config_file() -> inputs.ConfigFileRead:
-    return inputs.ConfigFileRead("", None, "there is no file")
-
-
 def _has_ended(client: ClientConnection) -> bool:
     """Whether a client has ended its side, or its connection is lost; what it sent is thrown away."""
     try:
--- a/kelpcroft/net/listeners.py
+++ b/kelpcroft/net/listeners.py
@@ -88,16 +88,16 @@
         self.sock = sock
         self.set_listening(True)
 
-    def set_listening(self, is_wanted: bool) -> None:
+    def set_listening(self, is_on: bool) -> None:
         """Watches the socket, or leaves it alone.
 
         One on which connections wait that cannot be accepted is ready in every turn, and the loop would spin
         on it.  The sweep tries it again.
         """
-        if self.sock is None or is_wanted == self.is_listening:
+        if self.sock is None or is_on == self.is_listening:
             return
-        self.is_listening = is_wanted
-        if is_wanted:
+        self.is_listening = is_on
+        if is_on:
             self.transport.selector.register(self.sock, selectors.EVENT_READ, None)
         else:
             self.transport.selector.unregister(self.sock)
--- a/kelpcroft/net/predecessor_files.py
+++ b/kelpcroft/net/predecessor_files.py
@@ -37,7 +37,7 @@
                 "warning",
             )
 
-    def read_predecessor_state(self, _: effects.ReadPredecessorState) -> None:
+    def read_predecessor_state(self, _effect: effects.ReadPredecessorState) -> None:
         """Tells the reducer if the process beside this one has left word of its end."""
         config = self.transport.config
         left = read_handover(config.state_dir, config.name)
--- a/kelpcroft/net/transport.py
+++ b/kelpcroft/net/transport.py
@@ -162,10 +162,10 @@
         """Tells the reducer one input, and carries out what it asks for."""
         self.perform_effects(self.reducer.handle(self.clock.now(), message))
 
-    def perform_effects(self, wanted: list[effects.Effect]) -> None:
+    def perform_effects(self, requested: list[effects.Effect]) -> None:
         """Carries out what the reducer asked for, in its order."""
         handlers = self.effect_handlers
-        for effect in wanted:
+        for effect in requested:
             handlers[type(effect)](effect)
 
     def next_number(self) -> int:
@@ -173,6 +173,10 @@
         self.last_number += 1
         return self.last_number
 
+    def write_log_event(self, effect: effects.LogEvent) -> None:
+        """Writes an event of the reducer to the log."""
+        self.event_log.write(self.clock.now(), effect)
+
     def log(self, event: str, text: str, fields: dict[str, object], level: str = "info") -> None:
         """Writes an event of the transport's own to the log."""
         self.event_log.write(self.clock.now(), effects.LogEvent(event, text, level, fields))
@@ -222,7 +226,7 @@
         """Writes what the socket takes; a failure is reported by ``report_failures``."""
         stored_before = connection.write_buffer.stored_bytes()
         try:
-            has_room = connection.write_buffer.write(connection.sock)
+            is_stored = connection.write_buffer.write(connection.sock)
         except OSError as error:
             self.failed_writes.append((connection, f"write: {error.strerror}"))
             return
@@ -230,7 +234,7 @@
         if not stored or stored < stored_before:
             connection.last_progress_ns = self.clock.now()
         connection.handler.bytes_written(connection)
-        if not has_room:
+        if not is_stored:
             self.failed_writes.append((connection, "no buffers left for what it does not read"))
             return
         self.set_interest(connection, connection.handler.interest_of(connection))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -112,7 +112,7 @@
 
 class Ending(unittest.TestCase):
     def ending(self, t: Turns) -> None:
-        t.loop.handle_signals(bytes([signal.SIGTERM]))
+        t.loop.signals.handle(bytes([signal.SIGTERM]))
 
     def test_a_request_that_waits_unread_puts_the_end_off(self) -> None:
         """A router short of CPU ended with requests in its sockets: nothing was open, as nothing was read."""
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -21,7 +21,9 @@
         file read again is the one in use."""
         t = Turns(self)
         if good:
-            t.loop.reload = lambda: inputs.ConfigFileRead("config.json", json.dumps(t.raw).encode())
+            t.loop.signals.read_config = lambda: inputs.ConfigFileRead(
+                "config.json", json.dumps(t.raw).encode()
+            )
         client = Peer(socket.create_connection(t.address))
         self.addCleanup(client.close)
         client.send(call(1))
@@ -29,7 +31,7 @@
         answered: set[tuple[int, str]] = set()
         for step in range(3 * STEPS):
             if step == at:
-                t.loop.handle_signals(bytes(signals))
+                t.loop.signals.handle(bytes(signals))
             t.turn()
             for name in ("cache1", "parent", "origin"):
                 try:
--- a/tools/compile.py
+++ b/tools/compile.py
@@ -43,6 +43,7 @@
     "kelpcroft/net/server_connections.py",
     "kelpcroft/net/feed_client.py",
     "kelpcroft/net/control_endpoint.py",
+    "kelpcroft/net/signals.py",
     "kelpcroft/net/event_loop.py",
 )
 # Compiled apart: what is compiled together is loaded together, and these are wanted only with a file.
