--- a/kelpcroft/core/feed_watch.py
+++ b/kelpcroft/core/feed_watch.py
@@ -92,7 +92,7 @@
         else:
             self.configured.on_failed(failed)
 
-    def on_stalled(self, _: ProcessStalled) -> None:
+    def on_stalled(self, _message: ProcessStalled) -> None:
         """The process stood still: what it knows is as old as that."""
         self.position.call_after_stall()
 
--- a/kelpcroft/core/reducer.py
+++ b/kelpcroft/core/reducer.py
@@ -163,7 +163,7 @@
         if connection is not None:
             connection.has_partial_response = message.is_incomplete
 
-    def on_listeners_ready(self, _: inputs.ListenersReady) -> None:
+    def on_listeners_ready(self, _message: inputs.ListenersReady) -> None:
         """Clients can connect."""
         self.process.is_listening = True
         self.restart_overlap.on_serving(self.state.now)
--- a/kelpcroft/core/request_statistics.py
+++ b/kelpcroft/core/request_statistics.py
@@ -17,7 +17,7 @@
     """Requests of a class that ended, and the worth that they asked for and got in time.
 
     Attributes:
-        asked: All of them, but those that were given up early count in no worth.
+        asked: All of them; those that were given up early count in no worth.
         served: Answered.
         late: Of the served, those past their latency objective.
         refused: Rejected: a retry is harmless.
--- a/kelpcroft/core/shutdown.py
+++ b/kelpcroft/core/shutdown.py
@@ -25,7 +25,7 @@
         self.housekeeping = housekeeping
         self.began_ns = 0
 
-    def on_requested(self, _: ShutdownRequested) -> None:
+    def on_requested(self, _message: ShutdownRequested) -> None:
         """The platform wants the process to end; a second word to that effect changes nothing.
 
         Connections and requests go on coming for a while.
