--- a/kelpcroft/cli/common.py
+++ b/kelpcroft/cli/common.py
@@ -105,7 +105,7 @@
 def diagnose_file(path: str, settings: api.Settings | None) -> tuple[OperatorFile, list[Diagnostic]]:
     """An operator's file and all that is wrong with it, in a deployment if one is given."""
     try:
-        data = read_bytes(Path(path))
+        data = read_bytes(path)
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}") from error
     file, diagnostics = load(data)
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -39,7 +39,7 @@
 def usable_plan(path: str, form: str) -> RolloutPlan:
     """A rollout file that may be used; its faults and exit code 1 where it may not."""
     try:
-        plan, diagnostics = load_plan(read(Path(path)))
+        plan, diagnostics = load_plan(read(path))
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}") from error
     if diagnostics:
@@ -150,7 +150,7 @@
     check_can_be_led(file, found)
     store = open_store(path, must_exist=False)
     try:
-        run = begin_or_continue_run(store, read(Path(file)), found)
+        run = begin_or_continue_run(store, read(file), found)
         outcome = RolloutController(store, run, found, entry_printer(form)).lead()
     except (LeaseLostError, SnapshotError) as error:
         raise CommandError(str(error)) from error
--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -6,7 +6,6 @@
 import sys
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
-from pathlib import Path
 from typing import Any
 
 import orjson
@@ -126,7 +125,8 @@
     if not path:
         raise ConfigError("ROUTER_CONFIG: is not set")
     try:
-        raw = orjson.loads(Path(path).read_bytes())
+        with open(path, "rb") as file:
+            raw = orjson.loads(file.read())
     except OSError as error:
         raise ConfigError(f"ROUTER_CONFIG: {path}: {error.strerror}") from error
     except orjson.JSONDecodeError as error:
@@ -174,7 +174,7 @@
     """The file's bytes once more, for the reducer to check; MAX_CONFIG_FILE_BYTES of them at most."""
     path = environ.get("ROUTER_CONFIG", "")
     try:
-        with Path(path).open("rb") as file:
+        with open(path, "rb") as file:
             data = file.read(MAX_CONFIG_FILE_BYTES + 1)
     except OSError as error:
         return ConfigFileRead(path, None, f"{path}: {error.strerror}")
--- a/kelpcroft/net/control_endpoint.py
+++ b/kelpcroft/net/control_endpoint.py
@@ -4,7 +4,6 @@
 
 import os
 import socket
-from pathlib import Path
 from typing import Final
 
 from kelpcroft.core import effects, inputs
@@ -113,6 +112,8 @@
         """
         self.serves_state = effect.is_enabled
         if effect.is_enabled and not self.has_told_identity:
+            from pathlib import Path
+
             from kelpcroft.store.identity import program_digest
 
             self.has_told_identity = True
--- a/kelpcroft/net/memory.py
+++ b/kelpcroft/net/memory.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
+import os
 import resource
-from pathlib import Path
 
-STATUS = Path("/proc/self/status")
+STATUS = "/proc/self/status"
 
 
-def peak_kb(status: Path = STATUS) -> int:
+def peak_kb(status: str | os.PathLike[str] = STATUS) -> int:
     """The most resident memory of this process since it began, kB.
 
     From the system's own page on the process (``VmHWM``, proc(5)).  ``ru_maxrss`` begins at what the process
@@ -16,7 +16,9 @@
     where that page cannot be read.
     """
     try:
-        for line in status.read_text().splitlines():
+        with open(status) as page:
+            lines = page.read().splitlines()
+        for line in lines:
             if line.startswith("VmHWM:"):
                 return int(line.split()[1])
     except (OSError, ValueError, IndexError):
--- a/kelpcroft/net/predecessor_files.py
+++ b/kelpcroft/net/predecessor_files.py
@@ -8,7 +8,6 @@
 
 import os
 import time
-from pathlib import Path
 
 from kelpcroft.core import effects, inputs
 from kelpcroft.net.transport import Transport
@@ -104,12 +103,13 @@
 
 def _read(path: str) -> bytes:
     """What lies there, up to one byte more than is taken."""
-    with Path(path).open("rb") as file:
+    with open(path, "rb") as file:
         return file.read(handover.MAX_FILE_BYTES + 1)
 
 
 def _replace(path: str, data: bytes) -> None:
     """Writes a file whole under another name, then puts it in place."""
-    scratch = Path(f"{path}.{os.getpid()}")
-    scratch.write_bytes(data)
-    scratch.replace(path)
+    scratch = f"{path}.{os.getpid()}"
+    with open(scratch, "wb") as file:
+        file.write(data)
+    os.replace(scratch, path)
--- a/kelpcroft/operator_file/check.py
+++ b/kelpcroft/operator_file/check.py
@@ -11,7 +11,6 @@
 import gc
 from collections.abc import Generator, Iterable
 from contextlib import contextmanager, suppress
-from pathlib import Path
 from typing import TypeVar
 
 from kelpcroft.core.inputs import OperatorFileRead
@@ -73,13 +72,13 @@
             return result
 
 
-def read_bytes(path: Path) -> bytes:
+def read_bytes(path: str) -> bytes:
     """A file's bytes, one more than may be at the most.  Raises OSError."""
-    with path.open("rb") as stream:
+    with open(path, "rb") as stream:
         return stream.read(MAX_FILE_BYTES + 1)
 
 
-def read_steps(path: Path, settings: api.Settings) -> Steps[OperatorFileRead]:
+def read_steps(path: str, settings: api.Settings) -> Steps[OperatorFileRead]:
     """A file on disk in steps, as what the reducer is told of it: the file itself where it may be used."""
     try:
         data = read_bytes(path)
@@ -89,7 +88,7 @@
     if not diagnostics:
         diagnostics = yield from check_steps(file, settings)
     if diagnostics:
-        return OperatorFileRead(None, diagnostics[0].format_for(str(path)), len(diagnostics))
+        return OperatorFileRead(None, diagnostics[0].format_for(path), len(diagnostics))
     return OperatorFileRead(file, digest=hex_digest(data) if file.exposes_state else "")
 
 
--- a/kelpcroft/operator_file/service.py
+++ b/kelpcroft/operator_file/service.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from pathlib import Path
 
 from kelpcroft.config import ConfigError
 from kelpcroft.core.inputs import OperatorFileRead
@@ -20,7 +19,7 @@
             bounds it was given.
     """
     try:
-        data = read_bytes(Path(path))
+        data = read_bytes(path)
     except OSError as error:
         raise ConfigError(f"ROUTER_RULES: {path}: {error.strerror}") from error
     file, diagnostics = load(data)
@@ -32,5 +31,5 @@
 
 def reload_steps(path: str, settings: api.Settings) -> Iterator[OperatorFileRead | None]:
     """A file that is read again: None for each step, then what came of it."""
-    file_read = yield from read_steps(Path(path), settings)
+    file_read = yield from read_steps(path, settings)
     yield file_read
--- a/kelpcroft/store/identity.py
+++ b/kelpcroft/store/identity.py
@@ -7,11 +7,13 @@
 
 from collections.abc import Iterable
 from hashlib import blake2b
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 DIGEST_BYTES = 8
 NAME_LENGTH_BYTES = 4
 SIZE_BYTES = 8
