--- a/kelpcroft/control_log/watchers.py
+++ b/kelpcroft/control_log/watchers.py
@@ -145,15 +145,13 @@
         """
         if self._lease.is_stale:
             return True
-        position = request.position
-        if not request.knows_fingerprints:
-            return position.event_number != self._log.last_event_number
-        if position.event_number > self._log.last_event_number:
+        number = request.position.event_number
+        last = self._log.last_event_number
+        if not request.knows_fingerprints or number < last:
+            return number != last
+        if number > last:
             return False
-        return (
-            position.event_number != self._log.last_event_number
-            or position.fingerprint != self._log.last_fingerprint
-        )
+        return request.position.fingerprint != self._log.last_fingerprint
 
     def _answer(self, now: int, request: WatchRequest) -> None:
         """Tell a watcher what comes after its position."""
