--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -10,7 +10,8 @@
 again.  Ways of calling the list service: none (no budget, today's default), the budget of ``start
 list-calls=50`` (or a quarter of the routers, where that is more: a fleet at rest calls so often), and two
 textbook ways, a second with fixed jitter and exponential back-off with full jitter and no budget.  All is of
-one seed and the same every time."""
+one seed and the same every time.
+"""
 
 from __future__ import annotations
 
--- a/testbed/demo_rollout.py
+++ b/testbed/demo_rollout.py
@@ -1,5 +1,7 @@
-"""What `./demo --rollout` runs: six routers under load, a good change whose controller dies on the
-way, and a bad one that is taken back."""
+"""What `./demo --rollout` runs: two rollouts over six routers under load.
+
+A good change whose controller dies on the way, and a bad one that is taken back.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +21,17 @@
 
 
 def command(*words: str) -> list[str]:
+    """The program's command with these words."""
     return [sys.executable, "-c", f"from kelpcroft.cli import main; main({list(words)!r})"]
 
 
 def say(text: str) -> None:
+    """Print what comes next."""
     print(f"\n== {text}", flush=True)
 
 
 def run(*words: str) -> int:
+    """Run the command where the reader sees it: its exit code."""
     print(f"$ kelpcroft {' '.join(words)}", flush=True)
     return subprocess.run(command(*words), cwd=ROOT, timeout=PATIENCE_S).returncode
 
--- a/testbed/field/__init__.py
+++ b/testbed/field/__init__.py
@@ -1,19 +1,24 @@
-"""Many real router processes with faults between them: builds, routers, relays, clients, and a watch."""
+"""Many real router processes with faults between them: builds, routers, relays, clients, and a checker.
+
+Start at ``RouterField``; may import the testbed and the standard library, and of the program nothing.
+"""
 
 from testbed.field.builds import build_program
 from testbed.field.datagrams import DatagramFate, DatagramRelay
-from testbed.field.field import ClientLoad, RouterField, RouterNode
+from testbed.field.field import RouterField
+from testbed.field.load import ClientLoad
+from testbed.field.node import RouterNode
 from testbed.field.relay import LinkMode, Relay
 from testbed.field.watch import ContractChecker
 
 __all__ = [
-    "DatagramRelay",
-    "DatagramFate",
-    "RouterField",
     "ClientLoad",
+    "ContractChecker",
+    "DatagramFate",
+    "DatagramRelay",
     "LinkMode",
-    "RouterNode",
     "Relay",
-    "ContractChecker",
+    "RouterField",
+    "RouterNode",
     "build_program",
 ]
--- a/testbed/field/datagrams.py
+++ b/testbed/field/datagrams.py
@@ -1,8 +1,9 @@
 """A link for datagrams between routers that can be broken: a UDP relay on loopback, in one thread.
 
 Each datagram is lost, repeated, kept for longer than the next or delayed as a seed says, by its number: the
-same datagrams in the same order meet the same fate.  Answers go back the way their requests came, as each
-sender gets a socket of its own towards the target."""
+same datagrams in the same order meet the same fate. Answers go back the way their requests came, as each
+sender gets a socket of its own towards the target.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +12,14 @@
 import socket
 import threading
 import time
+from contextlib import suppress
 from dataclasses import dataclass
 from random import Random
+from typing import NamedTuple
 
-SENDERS_MOST = 256  # sockets towards the target; the oldest goes for another
+MAX_SENDERS = 256  # sockets towards the target; the oldest goes for another
+TURN_S = 0.005
+MAX_DATAGRAM_BYTES = 65_536
 
 
 @dataclass(frozen=True)
@@ -29,80 +34,108 @@
     silent: bool = False  # nothing passes
 
 
+class TimedDatagram(NamedTuple):
+    """A datagram on its way."""
+
+    due_s: float
+    number: int  # breaks ties, so that sockets are never compared
+    sock: socket.socket
+    to: tuple[str, int]
+    data: bytes
+
+
 class DatagramRelay:
-    """Listens on a port of its own and passes on to a target.  A context manager; its fate may change."""
-
-    def __init__(self, target: tuple[str, int], fate: DatagramFate = DatagramFate(), seed: int = 1) -> None:  # noqa: B008
-        self.target, self.fate, self.random = target, fate, Random(seed)
-        self.sock = self.made()
-        self.address: tuple[str, int] = self.sock.getsockname()[:2]
-        self.selector = selectors.DefaultSelector()
-        self.selector.register(self.sock, selectors.EVENT_READ, None)
-        self.senders: dict[tuple[str, int], socket.socket] = {}
-        self.heap: list[tuple[float, int, socket.socket, tuple[str, int], bytes]] = []
-        self.seen = self.passed = self.number = 0
-        self.stopping = threading.Event()
-        self.thread = threading.Thread(target=self.run, daemon=True)
-        self.thread.start()
-
-    @staticmethod
-    def made() -> socket.socket:
-        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        sock.bind(("127.0.0.1", 0))
-        sock.setblocking(False)
-        return sock
+    """Listens on a port of its own and passes on to a target. A context manager; its fate may change.
+
+    ``seen`` counts datagrams that came, ``passed`` those that went out.
+    """
+
+    def __init__(
+        self,
+        target: tuple[str, int],
+        fate: DatagramFate = DatagramFate(),
+        seed: int = 1,
+    ) -> None:
+        """Listen, and start the thread."""
+        self.target = target
+        self.fate = fate
+        self.seen = 0
+        self.passed = 0
+        self._random = Random(seed)
+        self._sock = open_socket()
+        self.address: tuple[str, int] = self._sock.getsockname()[:2]
+        self._selector = selectors.DefaultSelector()
+        self._selector.register(self._sock, selectors.EVENT_READ, None)
+        self._senders: dict[tuple[str, int], socket.socket] = {}
+        self._heap: list[TimedDatagram] = []
+        self._number = 0
+        self._stop = threading.Event()
+        self._thread = threading.Thread(target=self._run, daemon=True)
+        self._thread.start()
 
     def __enter__(self) -> DatagramRelay:
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.stopping.set()
-        self.thread.join(5)
-        for sock in (self.sock, *self.senders.values()):
+        self._stop.set()
+        self._thread.join(5)
+        for sock in (self._sock, *self._senders.values()):
             sock.close()
-        self.selector.close()
+        self._selector.close()
 
-    def run(self) -> None:
-        while not self.stopping.is_set():
-            for key, _ in self.selector.select(0.005):
+    def _run(self) -> None:
+        while not self._stop.is_set():
+            for key, _ in self._selector.select(TURN_S):
                 sock = key.fileobj
                 assert isinstance(sock, socket.socket)
                 try:
-                    data, sender = sock.recvfrom(65_536)
+                    data, sender = sock.recvfrom(MAX_DATAGRAM_BYTES)
                 except OSError:
                     continue
                 if key.data is None:
-                    self.pass_on(self.towards(sender), self.target, data)
+                    self._pass_on(self._socket_for(sender), self.target, data)
                 else:
-                    self.pass_on(self.sock, key.data, data)
-            now = time.monotonic()
-            while self.heap and self.heap[0][0] <= now:
-                _, _, sock, to, data = heapq.heappop(self.heap)
-                try:
-                    sock.sendto(data, to)
-                    self.passed += 1
-                except OSError:
-                    continue
+                    self._pass_on(self._sock, key.data, data)
+            self._send_due(time.monotonic())
+
+    def _send_due(self, now_s: float) -> None:
+        while self._heap and self._heap[0].due_s <= now_s:
+            due = heapq.heappop(self._heap)
+            with suppress(OSError):
+                due.sock.sendto(due.data, due.to)
+                self.passed += 1
 
-    def towards(self, sender: tuple[str, int]) -> socket.socket:
+    def _socket_for(self, sender: tuple[str, int]) -> socket.socket:
         """The socket on which this sender's datagrams go to the target."""
-        if sender not in self.senders:
-            if len(self.senders) >= SENDERS_MOST:
-                old = self.senders.pop(next(iter(self.senders)))
-                self.selector.unregister(old)
-                old.close()
-            self.senders[sender] = sock = self.made()
-            self.selector.register(sock, selectors.EVENT_READ, sender)
-        return self.senders[sender]
-
-    def pass_on(self, sock: socket.socket, to: tuple[str, int], data: bytes) -> None:
+        if sender not in self._senders:
+            if len(self._senders) >= MAX_SENDERS:
+                oldest = self._senders.pop(next(iter(self._senders)))
+                self._selector.unregister(oldest)
+                oldest.close()
+            sock = open_socket()
+            self._senders[sender] = sock
+            self._selector.register(sock, selectors.EVENT_READ, sender)
+        return self._senders[sender]
+
+    def _pass_on(self, sock: socket.socket, to: tuple[str, int], data: bytes) -> None:
+        """Let a datagram meet its fate; four draws for each, whatever becomes of it."""
         self.seen += 1
-        f, r = self.fate, self.random
-        lost, repeated, late = r.random() < f.lost, r.random() < f.repeated, r.random() < f.late
-        delay = f.delay_s * (1 + r.random())
-        if lost or f.silent:
+        fate = self.fate
+        is_lost = self._random.random() < fate.lost
+        is_repeated = self._random.random() < fate.repeated
+        is_late = self._random.random() < fate.late
+        delay_s = fate.delay_s * (1 + self._random.random())
+        if is_lost or fate.silent:
             return
-        for again in range(1 + repeated):
-            self.number += 1
-            due = time.monotonic() + delay + again * f.late_s + late * f.late_s
-            heapq.heappush(self.heap, (due, self.number, sock, to, data))
+        for repeat in range(1 + is_repeated):
+            self._number += 1
+            due_s = time.monotonic() + delay_s + repeat * fate.late_s + is_late * fate.late_s
+            heapq.heappush(self._heap, TimedDatagram(due_s, self._number, sock, to, data))
+
+
+def open_socket() -> socket.socket:
+    """A socket on a free port of loopback that does not block."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.bind(("127.0.0.1", 0))
+    sock.setblocking(False)
+    return sock
--- /dev/null
+++ b/testbed/field/load.py
@@ -0,0 +1,141 @@
+"""Clients of a field's routers."""
+
+from __future__ import annotations
+
+import secrets
+import socket
+import threading
+import time
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from testbed.field.watch import SLACK_NS, ClientCall
+from testbed.router_process import RouterClient
+from testbed.stand_ins import MAX_WAIT_S
+
+if TYPE_CHECKING:
+    from testbed.field.field import RouterField
+    from testbed.field.node import RouterNode
+
+SIZE_KB = 20.0  # of every page
+PATIENCE_MS = 2_000
+ANSWER_TIMEOUT_S = 5
+CONNECT_TIMEOUT_S = 2
+OBJECTS_PER_CLIENT = 50
+NO_ROUTER_S = 0.1  # before a client that found no router looks again
+CALLS_BEFORE_RETURN = 10  # a client at another router looks for its own after so many calls
+
+
+class ClientLoad:
+    """Clients of every router, who go to another of its zone while theirs is away. A context manager.
+
+    ``counts`` has their answers by kind. Its ``lost`` counts requests that a router had taken and never
+    answered: connections that ended with one open, but for those that crossed the close and were answered
+    when they were sent again on a new one.
+    """
+
+    def __init__(self, field: RouterField, per_s: float = 25.0, orders: int = 0) -> None:
+        """Make the clients.
+
+        Args:
+            field: Whose routers they ask.
+            per_s: Calls a second of each, if answers took no time.
+            orders: One in so many requests is one that must not run twice; 0 = none.
+        """
+        self.field = field
+        self.every_s = 1 / per_s
+        self.orders = orders
+        self.calls: list[ClientCall] = []
+        self.counts: Counter[str] = Counter()
+        self._crossed: list[ClientCall] = []
+        self._stop = threading.Event()
+        self._threads = [
+            threading.Thread(target=self._drive, args=(node, n), daemon=True)
+            for n, node in enumerate(field.nodes.values())
+        ]
+
+    def __enter__(self) -> ClientLoad:
+        for thread in self._threads:
+            thread.start()
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        self._stop.set()
+        for thread in self._threads:
+            thread.join(MAX_WAIT_S)
+        # A call that crossed a close and was answered when it was sent again was never taken.  By one thread:
+        # while one looks for its own, another's removal would move it on.
+        crossed = set(map(id, self._crossed))
+        self.calls = [call for call in self.calls if id(call) not in crossed]
+
+    def _connect(self, node: RouterNode) -> tuple[RouterClient | None, bool]:
+        """A connection to this router, or to another of its zone; and whether it is this one's."""
+        others = [n for n in self.field.nodes.values() if n.zone == node.zone and n is not node]
+        for candidate in (node, *others):
+            try:
+                sock = socket.create_connection(candidate.address, CONNECT_TIMEOUT_S)
+            except OSError:
+                continue
+            return RouterClient(sock), candidate is node
+        return None, False
+
+    def _drive(self, node: RouterNode, number: int) -> None:
+        """One client's thread."""
+        client: RouterClient | None = None
+        is_own = False
+        made = 0
+        while not self._stop.is_set():
+            if client is None or (not is_own and made % CALLS_BEFORE_RETURN == 0):
+                if client:
+                    client.sock.close()
+                client, is_own = self._connect(node)
+            if client is None:
+                self.counts["no router"] += 1
+                time.sleep(NO_ROUTER_S)
+                continue
+            made += 1
+            cls = "order" if self.orders and made % self.orders == 0 else "page"
+            item = f"{number:08x}{made % OBJECTS_PER_CLIENT:08x}"
+            client, is_own = self._ask(node, client, is_own, cls, item)
+            time.sleep(self.every_s)
+
+    def _ask(
+        self, node: RouterNode, client: RouterClient, is_own: bool, cls: str, item: str
+    ) -> tuple[RouterClient | None, bool]:
+        """Send one request, and once more on a new connection where the first ends: the connection since."""
+        current: RouterClient | None = client
+        for is_retry in (False, True):
+            assert current is not None
+            call = ClientCall(secrets.token_hex(8), cls, item, time.monotonic_ns(), PATIENCE_MS, SIZE_KB)
+            self.calls.append(call)
+            try:
+                self._exchange(current, call, is_retry=is_retry)
+                break
+            except TimeoutError:
+                self.counts["lost"] += 1
+                return None, is_own
+            except OSError:
+                call.gave_up = True
+                current, is_own = self._connect(node)
+                if is_retry or current is None:
+                    self.counts["lost"] += 1
+                    break
+                if time.monotonic_ns() - call.at_ns < SLACK_NS:
+                    self._crossed.append(call)
+        return current, is_own
+
+    def _exchange(self, client: RouterClient, call: ClientCall, *, is_retry: bool) -> None:
+        """Send a call and write its answer down."""
+        client.sock.settimeout(ANSWER_TIMEOUT_S)
+        client.send_request(
+            call.cls,
+            call.patience_ms,
+            call.object,
+            retry=is_retry,
+            trace=call.trace,
+            body=b"x" if call.cls == "order" else b"",
+            more={"size": f"{call.size_kb:g}"},
+        )
+        answer = next(client.responses(1))
+        call.answers.append((time.monotonic_ns(), answer.kind))
+        self.counts[answer.kind] += 1
--- /dev/null
+++ b/testbed/field/node.py
@@ -0,0 +1,201 @@
+"""One router of a field, over all its processes."""
+
+from __future__ import annotations
+
+import http.client
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import time
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from testbed.field.relay import Relay
+from testbed.stand_ins import MAX_WAIT_S, MS, ROOT
+
+if TYPE_CHECKING:
+    from testbed.field.field import RouterField
+
+PACE_KB_PER_S = 1_000.0
+LATENCY_OBJECTIVE_NS = 150 * MS
+DRAIN_S = 3.7  # past the longest deadline; an old process that is still there is killed
+HOSTS_PER_NETWORK = 250
+POLL_S = 0.02
+
+
+def free_address(host: str) -> tuple[str, int]:
+    """A port that is free there, now and later: nothing goes out from an address that is one node's own."""
+    with socket.create_server((host, 0)) as sock:
+        return host, int(sock.getsockname()[1])
+
+
+class RouterNode:
+    """One router, over all its processes; it keeps its addresses and its folder."""
+
+    def __init__(self, field: RouterField, name: str, zone: str) -> None:
+        """Write its configuration; ``start`` starts its first process."""
+        self.field = field
+        self.name = name
+        self.zone = zone
+        self.folder = Path(field.folder.name) / name
+        self.folder.mkdir()
+        number = len(field.nodes)
+        self.host = f"127.1.{number // HOSTS_PER_NETWORK}.{number % HOSTS_PER_NETWORK + 1}"
+        self.address = free_address(self.host)
+        self.control_address = free_address(self.host)
+        self.listener: socket.socket | None = None  # which all its processes inherit
+        self.control_relay: Relay | None = None  # to the control address of the newest process
+        if field.inherited:
+            self.listener = socket.create_server((self.host, 0), backlog=128)
+            self.address = self.listener.getsockname()[:2]
+            self.control_relay = Relay(self.control_address)
+        self.started_builds: list[str] = []  # in the order in which they were started
+        self.process: subprocess.Popen[bytes] | None = None
+        self.config = self._configuration()
+        self.write(self.config)
+        (self.folder / "rules.kdl").write_text(field.node_rules)
+
+    def _configuration(self) -> dict[str, Any]:
+        """The example's configuration, in this field."""
+        field = self.field
+        raw = json.loads((ROOT / "examples/config.json").read_text())
+        return {
+            **raw,
+            "name": self.name,
+            "listen": f"{self.host}:{self.address[1]}",
+            "mgmt": f"{self.host}:{self.control_address[1]}",
+            "feed": field.servers.feed_address(),
+            "known": {"n": 1, "events": [field.servers.endpoint_snapshot()]},
+            "settings": self._settings(raw["settings"]),
+        }
+
+    def _settings(self, example: dict[str, Any]) -> dict[str, Any]:
+        """The example's settings with this field's zones, its size, and what the field changes."""
+        field = self.field
+        number = field.zones.index(self.zone) * field.each + int(self.name.rpartition("-")[2])
+        settings = {
+            **example,
+            "az": self.zone,
+            "dcs": [*field.zones, "hub"],
+            "family_info": {
+                **example["family_info"],
+                "hub_of": [len(field.zones)] * (len(field.zones) + 1),
+                "instances_by_zone": [field.each] * len(field.zones) + [0],
+                "pace_kb_per_s": PACE_KB_PER_S,
+            },
+            "instances": field.each * len(field.zones),
+            "self_index": number,
+            "weight_source": "nominal",
+            "classes": [{**c, "aim_ns": LATENCY_OBJECTIVE_NS} for c in example["classes"]],
+            "limits": {**example["limits"], "probing": True},
+        }
+        for key, value in field.settings.items():
+            settings[key] = {**settings[key], **value} if isinstance(value, dict) else value
+        return settings
+
+    def write(self, config: dict[str, Any]) -> None:
+        """Put a configuration where the next process, or this one at SIGHUP, reads it."""
+        (self.folder / "config.json").write_text(json.dumps(config))
+
+    def log(self) -> str:
+        """What all its processes have logged."""
+        return (self.folder / "log").read_text()
+
+    def start(self, build: str, keep: bool = False) -> None:
+        """Start a process of this build; the one before has ended, or takes clients on the same socket.
+
+        Args:
+            build: Its name in the field.
+            keep: With the configuration as it lies there; by default with the list as it is by now.
+        """
+        self.started_builds.append(build)
+        self.config["known"]["events"] = [self.field.servers.endpoint_snapshot()]
+        if len(self.started_builds) > 1 and not keep:
+            self.write(self.config)
+        with (self.folder / "log").open("a") as log:
+            self.process = subprocess.Popen(
+                [sys.executable, "-O", "-m", "kelpcroft"],
+                cwd=self.field.builds[build],
+                env=self._environment(),
+                stdout=log,
+                stderr=log,
+                pass_fds=(self.listener.fileno(),) if self.listener else (),
+            )
+
+    def _environment(self) -> dict[str, str]:
+        env = {
+            **os.environ,
+            "ROUTER_CONFIG": str(self.folder / "config.json"),
+            "ROUTER_RULES": str(self.folder / "rules.kdl"),
+            "ROUTER_LOG": "json",
+            "TMPDIR": str(self.folder),
+        }
+        if self.listener:
+            env["ROUTER_FD"] = str(self.listener.fileno())
+            env["ROUTER_MGMT"] = f"{self.host}:{self.control_address[1]}"
+        return env
+
+    def is_running(self) -> bool:
+        """Whether its newest process has not ended."""
+        return self.process is not None and self.process.poll() is None
+
+    def serves(self) -> bool:
+        """Whether the newest process says that it takes clients, or would if it were in service."""
+        connection = http.client.HTTPConnection(*self.control_address, timeout=2)
+        try:
+            connection.request("GET", "/control/state")
+            state = json.loads(connection.getresponse().read())
+            return bool(state["ready"] or state["why"] == "out of service")
+        except (OSError, http.client.HTTPException, ValueError):
+            return False
+        finally:
+            connection.close()
+
+    def upgrade(self, build: str) -> None:
+        """Start the new process beside the old on one socket.
+
+        The old is told to end once the new one serves, and killed past the longest deadline.
+        ``field.on_upgrade_step`` may strike between any two of these.
+        """
+        old = self.process
+        if self.is_running() and self.started_builds[-1] == build:
+            return
+        self.control_address = free_address(self.host)
+        self.start(build)
+        new = self.process
+        until = time.monotonic() + MAX_WAIT_S
+        while new and new.poll() is None and not self.serves() and time.monotonic() < until:
+            time.sleep(POLL_S)
+        assert self.control_relay is not None
+        self.control_relay.target = self.control_address
+        self.field.strike("ready", self, old, new)
+        if old and old.poll() is None:
+            old.send_signal(signal.SIGTERM)
+            self.field.strike("told", self, old, new)
+            wait_or_kill(old, DRAIN_S)
+        self.field.strike("gone", self, old, new)
+
+    def end(self, number: int = signal.SIGTERM) -> None:
+        """Ask the process to end, and wait for it; one that does not is killed."""
+        if self.process and self.process.poll() is None:
+            self.process.send_signal(number)
+            wait_or_kill(self.process, MAX_WAIT_S)
+
+    def change(self, build: str) -> None:
+        """Do what an apply or undo does: nothing where that build runs already."""
+        is_build = bool(self.started_builds) and self.started_builds[-1] == build
+        if not is_build or not self.is_running():
+            self.end()
+            self.start(build)
+
+
+def wait_or_kill(process: subprocess.Popen[bytes], longest_s: float) -> None:
+    """Wait for a process to end; kill it where it does not."""
+    try:
+        process.wait(longest_s)
+    except subprocess.TimeoutExpired:
+        process.kill()
+        process.wait()
--- a/testbed/field/relay.py
+++ b/testbed/field/relay.py
@@ -9,11 +9,18 @@
 import threading
 import time
 from collections import deque
+from contextlib import suppress
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
-SLOW_BYTES = 64  # passed at once in Mode.SLOW, every SLOW_S
+SLOW_BYTES = 64  # passed at once in LinkMode.SLOW, every SLOW_S
 SLOW_S = 0.02
+TURN_S = 0.01
+READ_BYTES = 65_536
+CONNECT_TIMEOUT_S = 5
+GARBAGE = b"\x00garbage\xff" * 8
+GOLDEN_RATIO = 0.618  # its multiples spread the share evenly over connections
 
 
 class LinkMode(Enum):
@@ -30,179 +37,209 @@
     GARBAGE = "garbage"  # answers are replaced
 
 
+class Order(Enum):
+    """What other threads want of the relay's own."""
+
+    DROP = "drop"
+    STOP = "stop"
+
+
+class TimedBytes(NamedTuple):
+    """Bytes to be written, and when at the earliest (``time.monotonic``)."""
+
+    due_s: float
+    data: bytes
+
+
 @dataclass(eq=False)
 class End:
     """One side of one connection through the relay."""
 
     sock: socket.socket
-    answers: bool  # what is read here goes to the client
+    is_server: bool  # what is read here goes to the client
     other: End | None = None
-    queue: deque[tuple[float, bytes]] = field(default_factory=deque)  # what is to be written, and when
-    ending: bool = False  # the other side has said its last ...
-    said: bool = False  # ... and was passed on
+    queue: deque[TimedBytes] = field(default_factory=deque)
+    is_ending: bool = False  # the other side has said its last ...
+    has_ended: bool = False  # ... and it was passed on
 
 
 class Relay:
-    """Listens on a port of its own and passes on to a target.  A context manager; its mode may change, and
-    ``share`` says to how many of the connections, by their number, it applies."""
+    """Listens on a port of its own and passes on to a target. A context manager.
+
+    Its mode may change, and ``share`` says to how many of the connections, by their number, it applies.
+    ``passed`` counts connections that came. ``target`` may be set to another address for new connections.
+    """
 
     def __init__(self, target: tuple[str, int], delay_s: float = 2.0, seed: int = 1) -> None:
-        self.target, self.delay_s, self.mode, self.share = target, delay_s, LinkMode.PASS, 1.0
-        self.random = random.Random(seed)
-        self.listener = socket.create_server(("127.0.0.1", 0), backlog=256)
-        self.listener.setblocking(False)
-        self.address: tuple[str, int] = self.listener.getsockname()[:2]
-        self.selector = selectors.DefaultSelector()
-        self.selector.register(self.listener, selectors.EVENT_READ, None)
-        self.ends: set[End] = set()
-        self.struck: set[End] = set()  # to which the mode applies
-        self.passed = 0  # connections that reached the target
-        self.asked: deque[str] = deque()  # what other threads want: modes, drops, the end
-        self.thread = threading.Thread(target=self.run, daemon=True)
-        self.thread.start()
+        """Listen, and start the thread; ``delay_s`` is that of ``LinkMode.DELAY``."""
+        self.target = target
+        self.delay_s = delay_s
+        self.mode = LinkMode.PASS
+        self.share = 1.0
+        self.passed = 0
+        self._random = random.Random(seed)
+        self._listener = socket.create_server(("127.0.0.1", 0), backlog=256)
+        self._listener.setblocking(False)
+        self.address: tuple[str, int] = self._listener.getsockname()[:2]
+        self._selector = selectors.DefaultSelector()
+        self._selector.register(self._listener, selectors.EVENT_READ, None)
+        self._ends: set[End] = set()
+        self._struck: set[End] = set()  # to which the mode applies
+        self._orders: deque[Order] = deque()
+        self._thread = threading.Thread(target=self._run, daemon=True)
+        self._thread.start()
 
     def __enter__(self) -> Relay:
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.asked.append("stop")
-        self.thread.join(5)
+        self._orders.append(Order.STOP)
+        self._thread.join(5)
 
     def change(self, mode: LinkMode, share: float = 1.0) -> None:
-        """Another mode from now on."""
-        self.share, self.mode = share, mode
+        """Set another mode from now on."""
+        self.share = share
+        self.mode = mode
         if mode is LinkMode.RESET:
-            self.asked.append("drop")
+            self.drop()
 
     def drop(self) -> None:
         """Reset what stands; new connections pass."""
-        self.asked.append("drop")
+        self._orders.append(Order.DROP)
 
     # In the thread ----------------------------------------------------------------------------------------
 
-    def run(self) -> None:
-        while True:
-            while self.asked:
-                if self.asked.popleft() == "stop":
-                    for end in list(self.ends):
-                        self.reset(end)
-                    self.listener.close()
-                    self.selector.close()
-                    return
-                for end in list(self.ends):
-                    self.reset(end)
-            for key, _ in self.selector.select(0.01):
+    def _run(self) -> None:
+        while not self._carry_out_orders():
+            for key, _ in self._selector.select(TURN_S):
                 if key.data is None:
-                    self.accept()
-                elif key.data in self.ends:
-                    self.read(key.data)
+                    self._accept()
+                elif key.data in self._ends:
+                    self._read(key.data)
             now = time.monotonic()
-            for end in list(self.ends):
-                self.write(end, now)
-
-    def strikes(self, end: End, mode: LinkMode) -> bool:
-        return self.mode is mode and end in self.struck
-
-    def accept(self) -> None:
+            for end in list(self._ends):
+                self._write(end, now)
+        self._listener.close()
+        self._selector.close()
+
+    def _carry_out_orders(self) -> bool:
+        """Do what other threads want; whether that was to stop."""
+        while self._orders:
+            order = self._orders.popleft()
+            for end in list(self._ends):
+                self._close(end)
+            if order is Order.STOP:
+                return True
+        return False
+
+    def _applies(self, mode: LinkMode, end: End) -> bool:
+        return self.mode is mode and end in self._struck
+
+    def _accept(self) -> None:
         try:
-            client, _ = self.listener.accept()
+            client, _ = self._listener.accept()
         except OSError:
             return
         self.passed += 1
-        hit = (self.passed * 0.618) % 1 < self.share
-        near = End(client, False)
-        if self.mode in (LinkMode.REFUSE, LinkMode.RESET) and hit:
-            self.reset(near)
+        is_struck = (self.passed * GOLDEN_RATIO) % 1 < self.share
+        near = End(client, is_server=False)
+        if self.mode in (LinkMode.REFUSE, LinkMode.RESET) and is_struck:
+            self._close(near)
             return
         try:
-            far = End(socket.create_connection(self.target, 5), True)
+            far = End(socket.create_connection(self.target, CONNECT_TIMEOUT_S), is_server=True)
         except OSError:
-            self.reset(near)
+            self._close(near)
             return
-        near.other, far.other = far, near
+        near.other = far
+        far.other = near
         for end in (near, far):
             end.sock.setblocking(False)
             end.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.ends.add(end)
-            if hit:
-                self.struck.add(end)
-            self.selector.register(end.sock, selectors.EVENT_READ, end)
-
-    def read(self, end: End) -> None:
-        other = end.other
-        assert other is not None
-        if self.strikes(end, LinkMode.SILENT):
-            time.sleep(0.001)
+            self._ends.add(end)
+            if is_struck:
+                self._struck.add(end)
+            self._selector.register(end.sock, selectors.EVENT_READ, end)
+
+    def _read(self, end: End) -> None:
+        if self._applies(LinkMode.SILENT, end):
+            time.sleep(0.001)  # the socket stays readable, and the loop would spin
             return
         try:
-            data = end.sock.recv(65_536)
+            data = end.sock.recv(READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
-            self.reset(end)
+            self._close(end)
             return
-        due = time.monotonic()
-        if not data:
-            other.ending = True
-            self.selector.unregister(end.sock)
-        elif end.answers and self.strikes(end, LinkMode.ONE_WAY):
+        other = end.other
+        assert other is not None
+        if data:
+            self._pass_on(end, other, data)
+        else:
+            other.is_ending = True
+            self._selector.unregister(end.sock)
+        self._write(other, time.monotonic())
+
+    def _pass_on(self, end: End, other: End, data: bytes) -> None:
+        """Queue what was read at one end for the other, as the mode says."""
+        due_s = time.monotonic()
+        if end.is_server and self._applies(LinkMode.ONE_WAY, end):
             return
-        elif end.answers and self.strikes(end, LinkMode.CUT):
-            try:
+        if end.is_server and self._applies(LinkMode.CUT, end):
+            with suppress(OSError):
                 other.sock.sendall(data[: len(data) // 2])
-            except OSError:
-                pass
-            self.reset(end)
+            self._close(end)
             return
-        elif end.answers and self.strikes(end, LinkMode.GARBAGE):
-            data = b"\x00garbage\xff" * 8
-        elif self.strikes(end, LinkMode.DELAY):
-            due += self.delay_s * (1 + self.random.random())
+        if end.is_server and self._applies(LinkMode.GARBAGE, end):
+            data = GARBAGE
+        elif self._applies(LinkMode.DELAY, end):
+            due_s += self.delay_s * (1 + self._random.random())
             if other.queue:
-                due = max(due, other.queue[-1][0])  # bytes keep their order
-        if data and self.strikes(end, LinkMode.SLOW):
+                due_s = max(due_s, other.queue[-1].due_s)  # bytes keep their order
+        if self._applies(LinkMode.SLOW, end):
             for n in range(0, len(data), SLOW_BYTES):
-                other.queue.append((due + n // SLOW_BYTES * SLOW_S, data[n : n + SLOW_BYTES]))
-        elif data:
-            other.queue.append((due, data))
-        self.write(other, time.monotonic())
+                other.queue.append(TimedBytes(due_s + n // SLOW_BYTES * SLOW_S, data[n : n + SLOW_BYTES]))
+        else:
+            other.queue.append(TimedBytes(due_s, data))
 
-    def write(self, end: End, now: float) -> None:
-        if end not in self.ends or self.strikes(end, LinkMode.SILENT):
+    def _write(self, end: End, now_s: float) -> None:
+        """Write what is due at an end."""
+        if end not in self._ends or self._applies(LinkMode.SILENT, end):
             return
         try:
-            while end.queue and end.queue[0][0] <= now:
-                due, data = end.queue.popleft()
+            while end.queue and end.queue[0].due_s <= now_s:
+                due_s, data = end.queue[0]
                 sent = end.sock.send(data)
                 if sent < len(data):
-                    end.queue.appendleft((due, data[sent:]))
+                    end.queue[0] = TimedBytes(due_s, data[sent:])
                     return
-            if end.ending and not end.queue:
-                end.ending = False
-                end.sock.shutdown(socket.SHUT_WR)
-                end.said = True
-                if end.other and end.other.said:
-                    self.reset(end, False)  # both have said their last
+                end.queue.popleft()
+            if end.is_ending and not end.queue:
+                self._pass_end_on(end)
         except BlockingIOError:
-            end.queue.appendleft((due, data))
+            return  # what was not taken stands in the queue
         except OSError:
-            self.reset(end)
-
-    def reset(self, end: End, hard: bool = True) -> None:
-        """Both sides of a connection, at once."""
-        for one in (end, end.other):
-            if one is None:
+            self._close(end)
+
+    def _pass_end_on(self, end: End) -> None:
+        end.is_ending = False
+        end.sock.shutdown(socket.SHUT_WR)
+        end.has_ended = True
+        if end.other and end.other.has_ended:
+            self._close(end, reset=False)  # both have said their last
+
+    def _close(self, end: End, *, reset: bool = True) -> None:
+        """Close both sides of a connection, at once."""
+        for side in (end, end.other):
+            if side is None:
                 continue
-            self.struck.discard(one)
-            if one in self.ends:
-                self.ends.discard(one)
-                try:
-                    self.selector.unregister(one.sock)
-                except KeyError:
-                    pass
-            try:
-                if hard:
-                    one.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                one.sock.close()
-            except OSError:
-                pass
+            self._struck.discard(side)
+            if side in self._ends:
+                self._ends.discard(side)
+                with suppress(KeyError):
+                    self._selector.unregister(side.sock)
+            with suppress(OSError):
+                if reset:
+                    side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                side.sock.close()
--- /dev/null
+++ b/testbed/field/servers.py
@@ -0,0 +1,77 @@
+"""Stand-ins of several zones, each of which may be listed behind a relay."""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+from testbed.field.relay import Relay
+from testbed.stand_ins import FEED, SERVERS, ServerScript, StandInServers, answer_at_once
+
+
+class ServerRow(NamedTuple):
+    """One stand-in: its own name, and its id, zone and type in the list."""
+
+    name: str
+    server_id: str
+    zone: str
+    kind: str
+
+
+class ZonedServers(StandInServers):
+    """Stand-ins with caches in every zone, parents and the origin."""
+
+    def __init__(
+        self,
+        zones: tuple[str, ...],
+        script: ServerScript = answer_at_once,
+        boxes: int = 1,
+        hubs: int = 1,
+    ) -> None:
+        """Listen for ``boxes`` caches a zone, ``hubs`` parents, the origin and the feed."""
+        caches = []
+        for zone in zones:
+            for n in range(boxes):
+                suffix = f"-{n}" if n else ""
+                caches.append(ServerRow(f"cache-{zone}{suffix}", f"s-{zone}{suffix}", zone, "box"))
+        parents = [ServerRow(f"parent{n or ''}", f"s-p{n or ''}", "hub", "parent") for n in range(hubs)]
+        self.rows = [*caches, *parents, ServerRow("origin", *SERVERS["origin"])]
+        super().__init__(script, tuple(row.name for row in self.rows))
+        self.zones = zones
+        self.relays: dict[str, Relay] = {}  # by stand-in's name, or "feed"
+        self.weight = 1.0
+        self.lines_told: dict[str, dict[str, Any]] = {}  # of servers that have changed, as last told
+
+    def line(self, name: str, status: str = "active", since_ms: int = 0) -> dict[str, Any]:
+        """A server's line of the list."""
+        row = next(row for row in self.rows if row.name == name)
+        relay = self.relays.get(name)
+        return {
+            "name": row.server_id,
+            "address": f"127.0.0.1:{relay.address[1]}" if relay else self.address_of(name),
+            "zone": row.zone,
+            "type": row.kind,
+            "status": status,
+            "weight": self.weight,
+            "since_ms": since_ms,
+        }
+
+    def feed_address(self) -> str:
+        """Where routers reach the feed: its relay, if it has one."""
+        relay = self.relays.get(FEED)
+        return f"127.0.0.1:{relay.address[1]}" if relay else self.address_of(FEED)
+
+    def endpoint_snapshot(self) -> dict[str, Any]:
+        """The list of servers as it is by now, as an event of the feed."""
+        lines = [self.lines_told.get(row.name) or self.line(row.name) for row in self.rows]
+        return {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": lines}}
+
+    def change(self, name: str, status: str = "active", since_ms: int = 0) -> int:
+        """Let the feed tell of one server: the event's number."""
+        line = self.lines_told[name] = self.line(name, status, since_ms)
+        return self.publish(members={"index": 2, "snapshot": False, "endpoints": [line]})
+
+    def relay(self, names: list[str], delay_s: float) -> None:
+        """Put a relay before each of these, before any router starts."""
+        for name in names:
+            port = self.listeners[name].getsockname()[1]
+            self.relays[name] = Relay(("127.0.0.1", port), delay_s, seed=len(self.relays))
--- a/testbed/field/watch.py
+++ b/testbed/field/watch.py
@@ -1,7 +1,7 @@
-"""Judges the five rules from what passed at clients and stand-ins.  Knows nothing of the router's own code.
+"""Judges the five rules from what passed at clients and stand-ins; knows nothing of the router's own code.
 
-What is judged is a World's record of commands and of the feed's answers, and the clients' record of calls.
-Times are of one monotonic clock, in ns.  Each finding names its rule first:
+What is judged is the stand-ins' record of commands and of the feed's answers, and the clients' record of
+calls. Times are of one monotonic clock, in ns. Each violation names its rule first:
 
     answered  one final answer to what was taken, before its client gave up
     once      what must not run twice is sent once, a key within its window; of one request one attempt is out
@@ -14,12 +14,15 @@
 
 from collections import defaultdict
 from dataclasses import dataclass, field
-from typing import Any
+from itertools import pairwise
+from typing import Any, NamedTuple
 
-from testbed.stand_ins import MS, RequestKey, ServerCommand, StandInServers
+from testbed.stand_ins import MS, RequestEnd, RequestKey, ServerCommand, StandInServers
 
 S = 1_000_000_000
 SLACK_NS = 150 * MS  # what a busy machine may add between a wire and a record
+CONNECTED_NS = 2 * S  # a router that hears an event later was not there when it came to be
+PURGE_CHECKED_NS = 4 * S  # after a purge was told, requests are held against it for so long
 
 
 @dataclass
@@ -32,50 +35,53 @@
     at_ns: int
     patience_ms: int
     size_kb: float = 0.0
-    answers: list[tuple[int, str]] = field(default_factory=list)
+    answers: list[tuple[int, str]] = field(default_factory=list)  # when, and served, refused or failed
     gave_up: bool = False  # its connection ended first, or it was told to stop
 
 
+class WarmUpContract(NamedTuple):
+    """What a server bears after its start."""
+
+    cold_share: float  # of its capacity, at the start
+    warm_up_ns: int
+    collapse_multiple: float  # of its capacity, within the collapse's time
+
+
 @dataclass(frozen=True)
 class ContractRules:
     """What holds in this deployment, from its settings."""
 
-    effects: dict[str, tuple[str, int]]  # class: effect, window in ns
+    effects: dict[str, tuple[str, int]]  # by class: idempotency, and its window in ns
     drain_grace_ns: int
     purge_grace_ns: int
-    cold_from: float
-    cold_ns: int
-    fall_multiple: float
-    fall_ns: int
+    cold_cache: WarmUpContract
+    cold_parent: WarmUpContract
+    collapse_ns: int
     unit_ns: int  # work of one request, where sizes are not told
     pace_kb_per_s: float
-    copies: bool  # second copies are allowed
-    hub_from: float = 1.0  # as cold_from, cold_ns and fall_multiple, of hubs
-    hub_ns: int = 0
-    hub_multiple: float = 1.0
+    allows_hedging: bool
 
     @staticmethod
     def of(settings: dict[str, Any], unit_ns: int) -> ContractRules:
-        c, f = settings["contract"], settings["family_info"]
+        """Read them from the settings of a router's configuration."""
+        contract, family = settings["contract"], settings["family_info"]
         return ContractRules(
-            {x["name"]: (x["idempotency"], x.get("dedup_window_ns", 0)) for x in settings["classes"]},
-            c["drain_grace_ns"],
-            f["purge_grace_ns"],
-            c["cold_from"],
-            c["cold_ns"],
-            c["fall_multiple"],
-            c["fall_ns"],
-            unit_ns,
-            f.get("pace_kb_per_s", 0.0),
-            bool(settings["limits"].get("second_copies")),
-            f["parent_cold_from"],
-            f["parent_warms_in_ns"],
-            f["parent_fall_multiple"],
+            effects={c["name"]: (c["idempotency"], c.get("dedup_window_ns", 0)) for c in settings["classes"]},
+            drain_grace_ns=contract["drain_grace_ns"],
+            purge_grace_ns=family["purge_grace_ns"],
+            cold_cache=WarmUpContract(contract["cold_from"], contract["cold_ns"], contract["fall_multiple"]),
+            cold_parent=WarmUpContract(
+                family["parent_cold_from"], family["parent_warms_in_ns"], family["parent_fall_multiple"]
+            ),
+            collapse_ns=contract["fall_ns"],
+            unit_ns=unit_ns,
+            pace_kb_per_s=family.get("pace_kb_per_s", 0.0),
+            allows_hedging=bool(settings["limits"].get("second_copies")),
         )
 
 
 class ContractChecker:
-    """All findings over one run.  ``servers``: a stand-in's name, its id in the list and its weight."""
+    """All violations over one run, in ``violations``."""
 
     def __init__(
         self,
@@ -88,141 +94,186 @@
         cold: dict[str, int] | None = None,
         hubs: frozenset[str] = frozenset(),
     ) -> None:
-        """``killed``: routers died, so what they had taken may be unanswered.  ``cut``: links lost bytes, so
-        what a router had given up may look as if it were out.  ``cold``: servers that started with the
-        routers, and when: the routers knew it from the first send.  ``hubs``: ids of those that are."""
-        self.rules, self.violations, self.killed, self.cut = rules, list[str](), killed, cut
-        self.sizes = {a.trace: a.size_kb for a in asked}
-        with world.lock:
-            self.seen = [s for s in world.commands if s.verb in ("PULL", "KILL")]
-            self.news = {e["n"]: e for e in world.feed_events}
-            self.born = {
-                e["n"]: at for e, at in zip(world.feed_events, world.feed_event_times_ns, strict=True)
-            }
-            self.told = dict[int, int]()  # when the last router then there had heard of it
-            for n, at in world.feed_deliveries:
-                if at < self.born[n] + 2 * S:
-                    self.told[n] = max(at, self.told.get(n, 0))
-            self.replies = dict(world.settled_requests)
-        self.hubs = hubs
-        self.ids = {name: id for name, (id, _) in servers.items()}
-        self.weights = {id: weight for id, weight in servers.values()}
+        """Judge a run.
+
+        Args:
+            world: The stand-ins and what they wrote down.
+            asked: The clients' calls.
+            rules: What holds.
+            servers: By a stand-in's name, its id in the list and its weight.
+            killed: Routers died, so what they had taken may be unanswered.
+            cut: Links lost bytes, so what a router had given up may look as if it were out.
+            cold: Servers that started with the routers, and when: the routers knew it from the first send.
+            hubs: Ids of the parents.
+        """
+        self.rules = rules
+        self.violations: list[str] = []
+        self.routers_died = killed
+        self.links_were_cut = cut
+        self.parents = hubs
+        self._ids = {name: server_id for name, (server_id, _) in servers.items()}
+        self._weights = dict(servers.values())
+        self._sizes_kb = {call.trace: call.size_kb for call in asked}
+        self._read(world)
         for call in asked:
-            self.answered(call)
-        self.once()
-        self.events()
-        for id, at in (cold or {}).items():
-            self.cold(id, at - SLACK_NS, at)
+            self._check_answered(call)
+        self._check_attempts()
+        self._check_events()
+        for server_id, started_ns in (cold or {}).items():
+            self._check_cold(server_id, started_ns - SLACK_NS, started_ns)
 
-    def say(self, rule: str, what: str) -> None:
-        self.violations.append(f"{rule}: {what}")
+    def _read(self, world: StandInServers) -> None:
+        """Copy what the stand-ins wrote down so far."""
+        with world.lock:
+            self._commands = [c for c in world.commands if c.verb in ("PULL", "KILL")]
+            self._requests = [c for c in self._commands if c.verb == "PULL"]
+            self._events = {event["n"]: event for event in world.feed_events}
+            times = zip(world.feed_events, world.feed_event_times_ns, strict=True)
+            self._born_ns = {event["n"]: at_ns for event, at_ns in times}
+            self._told_ns: dict[int, int] = {}  # when the last router then there had heard of an event
+            for number, at_ns in world.feed_deliveries:
+                if at_ns < self._born_ns[number] + CONNECTED_NS:
+                    self._told_ns[number] = max(at_ns, self._told_ns.get(number, 0))
+            self._ends: dict[RequestKey, RequestEnd] = dict(world.settled_requests)
 
     def broken_rules(self) -> set[str]:
+        """The names of the rules that were broken."""
         return {line.split(":")[0] for line in self.violations}
 
-    def answered(self, call: ClientCall) -> None:
-        due = call.at_ns + call.patience_ms * MS + SLACK_NS
+    def _report(self, rule: str, what: str) -> None:
+        self.violations.append(f"{rule}: {what}")
+
+    # Answers and attempts ---------------------------------------------------------------------------------
+
+    def _check_answered(self, call: ClientCall) -> None:
+        due_ns = call.at_ns + call.patience_ms * MS + SLACK_NS
         if len(call.answers) > 1:
-            self.say("answered", f"{call.trace} has {len(call.answers)} answers")
-        elif call.answers and call.answers[0][0] > due:
-            self.say("answered", f"{call.trace} is {(call.answers[0][0] - due) / MS:.0f} ms late")
+            self._report("answered", f"{call.trace} has {len(call.answers)} answers")
+        elif call.answers and call.answers[0][0] > due_ns:
+            late_ms = (call.answers[0][0] - due_ns) / MS
+            self._report("answered", f"{call.trace} is {late_ms:.0f} ms late")
         elif not call.answers and not call.gave_up:
-            self.say("answered", f"{call.trace} has no answer")
-        elif not call.answers and not self.killed:
-            self.say("answered", f"{call.trace} was taken and its connection ended")
+            self._report("answered", f"{call.trace} has no answer")
+        elif not call.answers and not self.routers_died:
+            self._report("answered", f"{call.trace} was taken and its connection ended")
 
-    def once(self) -> None:
+    def _check_attempts(self) -> None:
         """Sends of one request, and of one key."""
         by_id: dict[str, list[ServerCommand]] = defaultdict(list)
-        for seen in self.seen:
-            by_id[seen.request_id].append(seen)
-        for id, sends in by_id.items():
-            pulls = [s for s in sends if s.verb == "PULL"]
-            effect, window = self.rules.effects.get(pulls[0].fields.get("cls", ""), ("safe", 0))
-            for n, pull in enumerate(pulls[1:], 1):
-                before = pulls[n - 1]
-                over = self.replies.get(RequestKey(id, before.server, before.received_ns))
-                killed = any(
-                    s.verb == "KILL" and s.server == before.server and before.received_ns <= s.received_ns
-                    for s in sends
-                )
-                ended, proved = over if over else (0, False)
-                out = not killed and not (ended and ended <= pull.received_ns + SLACK_NS)
-                if out and not self.cut and not (effect == "safe" and self.rules.copies):
-                    self.say("once", f"{id} has two attempts out")
-                if effect == "unsafe" and not proved:
-                    self.say("once", f"{id} was sent again, which may have run")
-                if effect == "keyed" and not proved and pull.received_ns - pulls[0].received_ns > window:
-                    self.say("once", f"{id} was sent past its key's window")
-
-    def events(self) -> None:
+        for command in self._commands:
+            by_id[command.request_id].append(command)
+        for commands in by_id.values():
+            attempts = [c for c in commands if c.verb == "PULL"]
+            first = attempts[0]  # a KILL without a PULL is a fault of the record
+            for before, attempt in pairwise(attempts):
+                self._check_next_attempt(commands, first, before, attempt)
+
+    def _check_next_attempt(
+        self,
+        commands: list[ServerCommand],
+        first: ServerCommand,
+        before: ServerCommand,
+        attempt: ServerCommand,
+    ) -> None:
+        """Whether a request may be sent again, by how the attempt before ended."""
+        request_id = attempt.request_id
+        effect, window_ns = self.rules.effects.get(first.fields.get("cls", ""), ("safe", 0))
+        end = self._ends.get(RequestKey(request_id, before.server, before.received_ns), RequestEnd(0, False))
+        was_cancelled = any(
+            c.verb == "KILL" and c.server == before.server and before.received_ns <= c.received_ns
+            for c in commands
+        )
+        had_ended = bool(end.ended_ns) and end.ended_ns <= attempt.received_ns + SLACK_NS
+        may_hedge = effect == "safe" and self.rules.allows_hedging
+        if not was_cancelled and not had_ended and not self.links_were_cut and not may_hedge:
+            self._report("once", f"{request_id} has two attempts out")
+        if effect == "unsafe" and not end.proves_not_executed:
+            self._report("once", f"{request_id} was sent again, which may have run")
+        is_past_window = attempt.received_ns - first.received_ns > window_ns
+        if effect == "keyed" and not end.proves_not_executed and is_past_window:
+            self._report("once", f"{request_id} was sent past its key's window")
+
+    # The feed's events ------------------------------------------------------------------------------------
+
+    def _check_events(self) -> None:
         """Drains, starts and purges, each from when the feed had told it to whoever heard it last."""
-        for n, event in self.news.items():
-            told = self.told.get(n)
-            if told is None:
+        for number, event in self._events.items():
+            told_ns = self._told_ns.get(number)
+            if told_ns is None:
                 continue
             for line in event.get("members", {}).get("endpoints", ()):
                 if line["status"] != "active":
-                    back = [
-                        self.born[k]
-                        for k, e in self.news.items()
-                        if k > n
-                        for other in e.get("members", {}).get("endpoints", ())
-                        if other["name"] == line["name"] and other["status"] == "active"
-                    ]
-                    late = told + self.rules.drain_grace_ns + SLACK_NS
-                    self.drained(line["name"], late, min(back, default=0))
+                    self._check_drained(line["name"], number, told_ns)
                 elif line.get("since_ms"):
-                    self.cold(line["name"], told, self.born[n])
+                    self._check_cold(line["name"], told_ns, self._born_ns[number])
             if "purge" in event:
-                self.purged(event["purge"]["key"], told, self.born[n])
+                self._check_purged(event["purge"]["key"], told_ns, self._born_ns[number])
 
-    def to(self, id: str) -> list[ServerCommand]:
+    def _sent_to(self, server_id: str) -> list[ServerCommand]:
         """What was sent to a server, or was to be filled from it."""
         return [
-            s
-            for s in self.seen
-            if s.verb == "PULL" and (self.ids.get(s.server) == id or s.fields.get("next") == id)
+            c
+            for c in self._requests
+            if self._ids.get(c.server) == server_id or c.fields.get("next") == server_id
+        ]
+
+    def _back_in_service_ns(self, server_id: str, number: int) -> int:
+        """When a server was first in service again after an event; 0 = never."""
+        back_ns = [
+            self._born_ns[later]
+            for later, event in self._events.items()
+            if later > number
+            for line in event.get("members", {}).get("endpoints", ())
+            if line["name"] == server_id and line["status"] == "active"
         ]
+        return min(back_ns, default=0)
 
-    def drained(self, id: str, from_ns: int, back_ns: int) -> None:
-        """``back_ns``: when it was in service again; 0 = never."""
+    def _check_drained(self, server_id: str, number: int, told_ns: int) -> None:
+        from_ns = told_ns + self.rules.drain_grace_ns + SLACK_NS
+        back_ns = self._back_in_service_ns(server_id, number)
         late = [
-            s for s in self.to(id) if s.received_ns > from_ns and (not back_ns or s.received_ns < back_ns)
+            c
+            for c in self._sent_to(server_id)
+            if c.received_ns > from_ns and (not back_ns or c.received_ns < back_ns)
         ]
         if late:
-            self.say("drained", f"{id} was sent {len(late)} requests past the grace")
+            self._report("drained", f"{server_id} was sent {len(late)} requests past the grace")
 
-    def cold(self, id: str, told: int, started: int) -> None:
-        r = self.rules
-        low, span, multiple = r.cold_from, r.cold_ns, r.fall_multiple
-        if id in self.hubs:
-            low, span, multiple = r.hub_from, r.hub_ns, r.hub_multiple
+    def _check_cold(self, server_id: str, told_ns: int, started_ns: int) -> None:
+        contract = self.rules.cold_parent if server_id in self.parents else self.rules.cold_cache
+        low = contract.cold_share
         # What was on its way when the routers heard of it is excused, as with a drain.
-        sends = [s for s in self.to(id) if told + SLACK_NS <= s.received_ns < started + span]
+        sends = [
+            c
+            for c in self._sent_to(server_id)
+            if told_ns + SLACK_NS <= c.received_ns < started_ns + contract.warm_up_ns
+        ]
         for n, last in enumerate(sends):
-            window = [s for s in sends[: n + 1] if s.received_ns > last.received_ns - r.fall_ns]
-            work = [self.work(s) for s in window]
-            share = low + (1 - low) * (last.received_ns - started) / span
-            room = multiple * share * self.weights[id] * r.fall_ns
+            since_ns = last.received_ns - self.rules.collapse_ns
+            work = [self._work_ns(c) for c in sends[: n + 1] if c.received_ns > since_ns]
+            warm_fraction = low + (1 - low) * (last.received_ns - started_ns) / contract.warm_up_ns
+            room = (
+                contract.collapse_multiple * warm_fraction * self._weights[server_id] * self.rules.collapse_ns
+            )
             if sum(work) - max(work) > room:
-                self.say("cold", f"{id} was sent {sum(work) / S:.2f} s of work where {room / S:.2f} s fit")
+                sent_s, room_s = sum(work) / S, room / S
+                self._report("cold", f"{server_id} was sent {sent_s:.2f} s of work where {room_s:.2f} s fit")
                 return
 
-    def work(self, seen: ServerCommand) -> float:
-        size = self.sizes.get(seen.request_id, 0.0)
+    def _work_ns(self, command: ServerCommand) -> float:
+        size_kb = self._sizes_kb.get(command.request_id, 0.0)
         pace = self.rules.pace_kb_per_s
-        return size / pace * S if size and pace else self.rules.unit_ns
+        return size_kb / pace * S if size_kb and pace else self.rules.unit_ns
 
-    def purged(self, item: str, told: int, born: int) -> None:
-        """``born``: when the feed had it.  An age limit of 0 on the wire allows any fresh copy."""
+    def _check_purged(self, item: str, told_ns: int, born_ns: int) -> None:
+        """Hold requests against a purge; an age limit of 0 on the wire allows any fresh copy."""
+        from_ns = told_ns + self.rules.purge_grace_ns + SLACK_NS
         late = [
-            s
-            for s in self.seen
-            if s.verb == "PULL"
-            and s.fields["item"] == item
-            and told + self.rules.purge_grace_ns + SLACK_NS < s.received_ns < told + 4 * S
-            and not 0 < int(s.fields.get("agelim", 0)) * MS <= s.received_ns - born
+            c
+            for c in self._requests
+            if c.fields["item"] == item
+            and from_ns < c.received_ns < told_ns + PURGE_CHECKED_NS
+            and not 0 < int(c.fields.get("agelim", 0)) * MS <= c.received_ns - born_ns
         ]
         if late:
-            self.say("purged", f"{len(late)} requests for what was purged allow an old copy")
+            self._report("purged", f"{len(late)} requests for what was purged allow an old copy")
--- a/testbed/hollow/field.py
+++ b/testbed/hollow/field.py
@@ -15,8 +15,10 @@
 
 
 class ControlField:
-    """Replicas r0, r1, ...: before each one a relay to its watchers, and one between it and upstream.  A
-    context manager."""
+    """Replicas r0, r1, ...: before each one a relay to its watchers, and one between it and upstream.
+
+    A context manager.
+    """
 
     def __init__(self, size: FleetSize, replicas: int = 2, services: int = 1, more: str = "") -> None:
         """``services``: list services that know nothing of each other; replica n watches the n-th."""
--- a/testbed/hollow/processes.py
+++ b/testbed/hollow/processes.py
@@ -1,5 +1,7 @@
-"""The processes of a scale test: the list service, hollow routers, control replicas and real routers.  All of
-them end with the test that started them."""
+"""The processes of a scale test: the list service, hollow routers, control replicas and real routers.
+
+All of them end with the test that started them.
+"""
 
 from __future__ import annotations
 
@@ -58,6 +60,7 @@
         return self.read()
 
     def end(self) -> None:
+        """Kill it."""
         self.process.kill()
         self.process.wait()
 
@@ -136,6 +139,7 @@
 
     @property
     def address(self) -> str:
+        """Where it listens, as HOST:PORT."""
         return f"127.0.0.1:{self.port}"
 
     def start(self) -> None:
@@ -172,10 +176,12 @@
             connection.close()
 
     def signal(self, number: int) -> None:
+        """Send it a signal."""
         assert self.process
         self.process.send_signal(number)
 
     def end(self) -> None:
+        """Kill it, if it runs."""
         if self.process:
             self.process.kill()
             self.process.wait()
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -1,5 +1,6 @@
-"""Many routers in one process: their real loops, with real connections to the list service and control
-addresses of their own, and no client and no server.
+"""Many routers in one process: their real loops, without clients and servers.
+
+They have real connections to the list service, and control addresses of their own.
 
     python -m testbed.hollow.routers --first 0 --count 100 --feed HOST:PORT
 
@@ -18,6 +19,7 @@
 import sys
 import time
 from functools import partial
+from pathlib import Path
 from typing import Any
 
 from kelpcroft.config import parse_config
@@ -48,8 +50,10 @@
         return bool(heap) and heap[0][0] <= now_ns
 
     def turn(self) -> None:
-        """One turn of its loop; when it came to know more, that is written down.  The time since its last
-        turn was waited outside of it, and is no stall."""
+        """One turn of its loop; when it came to know more, that is written down.
+
+        The time since its last turn was waited outside of it, and is no stall.
+        """
         self.loop.last_select_ns = self.loop.clock.now()
         self.loop.run_turn()
         known = self.loop.reducer.endpoint_list.last_event
@@ -91,7 +95,8 @@
 
     def report(self) -> dict[str, Any]:
         """What the routers did since the last report."""
-        times, pages = os.times(), int(open("/proc/self/statm").read().split()[1])
+        times = os.times()
+        pages = int(Path("/proc/self/statm").read_text().split()[1])
         seen = [router.seen for router in self.routers]
         for router in self.routers:
             router.seen = router.seen[-1:]
--- a/testbed/hollow/servers.py
+++ b/testbed/hollow/servers.py
@@ -20,7 +20,7 @@
     parser.add_argument("--bytes", type=int, default=20_000)
     body = b"x" * parser.parse_args().bytes
 
-    def script(name: str, seen: ServerCommand) -> ScriptedReply:
+    def script(_: str, __: ServerCommand) -> ScriptedReply:
         return ScriptedReply(body=body)
 
     with StandInServers(script) as world:
--- a/testbed/hollow/service.py
+++ b/testbed/hollow/service.py
@@ -24,8 +24,10 @@
 import socket
 import sys
 import time
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from pathlib import Path
+from typing import Any, NamedTuple
 
 from testbed.hollow.configuration import FleetSize, endpoints
 
@@ -33,6 +35,9 @@
 READ_SIZE = 1 << 16
 EARLY_NS = 100 * 10**6  # a call with no news is answered so much before its wait is over
 SECOND = 10**9
+TURN_S = 0.02
+PURGING_TURN_S = 0.002
+STATS_EVENTS = 20_000  # of which stats tell when they came
 BODIES_KEPT = 64  # encoded answers kept for others who ask for the same
 
 
@@ -47,6 +52,17 @@
     until_ns: int = 0
 
 
+class PurgeRate(NamedTuple):
+    """Purges to be told; times are Unix ns."""
+
+    per_s: float
+    from_ns: int
+    until_ns: int
+
+
+NO_PURGES = PurgeRate(0.0, 0, 0)
+
+
 class ListService:
     """Events, and those who watch them."""
 
@@ -58,9 +74,14 @@
         self.watchers: dict[int, Watcher] = {}
         self.bodies: dict[int, bytes] = {}
         self.muted = False
-        self.calls = self.bytes_in = self.bytes_out = self.accepted = self.watches_most = 0
-        self.purging: tuple[float, int, int] = (0.0, 0, 0)  # rate, from when, until when
-        self.purged = self.told = 0  # purges in all, and of the rate that is under way
+        self.calls = 0
+        self.bytes_in = 0
+        self.bytes_out = 0
+        self.accepted = 0  # connections
+        self.watches_most = 0  # connections at a time
+        self.purging = NO_PURGES
+        self.purged = 0  # purges in all
+        self.told = 0  # purges of the rate that is under way
         self.reached = 0  # the highest position that a call has named
         self.selector = selectors.DefaultSelector()
         self.listener = socket.create_server(("127.0.0.1", port), backlog=1024)
@@ -108,35 +129,52 @@
         return found
 
     def command(self, raw: dict[str, Any]) -> dict[str, Any]:
-        """One order from standard input."""
-        what, now = raw["do"], time.time_ns()
-        if what == "purge":
-            self.purging = float(raw["rate"]), now, now + int(raw["seconds"] * SECOND)
-            return {"until_ns": self.purging[2]}
-        if what == "history":
-            for n in range(raw["purges"]):
-                ago_ms = int(raw["age_s"] * 1_000 * (raw["purges"] - n) / raw["purges"])
-                self.purge(now // 10**6 - ago_ms)
-        elif what == "status":
-            line = self.lines[raw["server"]] = {**self.lines[raw["server"]], "status": raw["status"]}
-            if "since_ms" in raw:
-                line["since_ms"] = raw["since_ms"]
-            self.index += 1
-            self.add({"members": {"index": self.index, "snapshot": False, "endpoints": [line]}})
-        elif what == "restart":
-            self.events, self.born, self.bodies = [], [], {}
-            for watcher in list(self.watchers.values()):
-                self.drop(watcher)
-        elif what == "mute":
-            self.muted = bool(raw["on"])
-        elif what == "stats":
-            return self.stats()
+        """Carry out one order from standard input: its answer; an order without a method is only answered."""
+        now = time.time_ns()
+        order = ORDERS.get(raw["do"])
+        answer = order(self, raw, now) if order else None
+        if answer is not None:
+            return answer
         return {"n": self.last, "now_ns": now, "reached": self.reached}
 
+    def _order_purges(self, raw: dict[str, Any], now: int) -> dict[str, Any]:
+        """Tell purges at a rate from now on."""
+        self.purging = PurgeRate(float(raw["rate"]), now, now + int(raw["seconds"] * SECOND))
+        return {"until_ns": self.purging.until_ns}
+
+    def _order_history(self, raw: dict[str, Any], now: int) -> None:
+        """Number purges of the past on, spread over ``age_s``."""
+        for n in range(raw["purges"]):
+            ago_ms = int(raw["age_s"] * 1_000 * (raw["purges"] - n) / raw["purges"])
+            self.purge(now // 10**6 - ago_ms)
+
+    def _order_status(self, raw: dict[str, Any], _: int) -> None:
+        """Give a server another status."""
+        line = self.lines[raw["server"]] = {**self.lines[raw["server"]], "status": raw["status"]}
+        if "since_ms" in raw:
+            line["since_ms"] = raw["since_ms"]
+        self.index += 1
+        self.add({"members": {"index": self.index, "snapshot": False, "endpoints": [line]}})
+
+    def _order_restart(self, _: dict[str, Any], __: int) -> None:
+        """Count from 1 again; connections end."""
+        self.events = []
+        self.born = []
+        self.bodies = {}
+        for watcher in list(self.watchers.values()):
+            self.drop(watcher)
+
+    def _order_mute(self, raw: dict[str, Any], _: int) -> None:
+        """Read calls and answer none, or answer again."""
+        self.muted = bool(raw["on"])
+
+    def _order_stats(self, _: dict[str, Any], __: int) -> dict[str, Any]:
+        return self.stats()
+
     def stats(self) -> dict[str, Any]:
         """What it has done since its start."""
         times = os.times()
-        pages = int(open("/proc/self/statm").read().split()[1])
+        pages = int(Path("/proc/self/statm").read_text().split()[1])
         return {
             "n": self.last,
             "calls": self.calls,
@@ -148,7 +186,7 @@
             "cpu_s": times.user + times.system,
             "watches_most": self.watches_most,
             "memory_kb": pages * os.sysconf("SC_PAGE_SIZE") // 1024,
-            "born": self.born[-20_000:],
+            "born": self.born[-STATS_EVENTS:],
             "now_ns": time.time_ns(),
         }
 
@@ -156,7 +194,7 @@
 
     def turn(self) -> None:
         """Wait, read, tell what is due, answer."""
-        wait = 0.02 if not self.purging[0] else 0.002
+        wait = PURGING_TURN_S if self.purging.per_s else TURN_S
         for key, events in self.selector.select(wait):
             if key.fileobj is self.listener:
                 self.accept()
@@ -178,7 +216,8 @@
             self.purge(now // 10**6)
         self.told = due
         if now >= until_ns:
-            self.purging, self.told = (0.0, 0, 0), 0
+            self.purging = NO_PURGES
+            self.told = 0
 
     def answer(self) -> None:
         """News to those who wait, and nothing to those whose wait is over."""
@@ -191,6 +230,7 @@
                 self.write(watcher, self.body(after))
 
     def accept(self) -> None:
+        """Take all connections that wait."""
         while True:
             try:
                 sock, _ = self.listener.accept()
@@ -264,6 +304,17 @@
         )
 
 
+Order = Callable[[ListService, dict[str, Any], int], dict[str, Any] | None]
+ORDERS: dict[str, Order] = {
+    "purge": ListService._order_purges,
+    "history": ListService._order_history,
+    "status": ListService._order_status,
+    "restart": ListService._order_restart,
+    "mute": ListService._order_mute,
+    "stats": ListService._order_stats,
+}
+
+
 def main() -> None:
     """Serve until standard input ends or says so."""
     parser = argparse.ArgumentParser()
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -66,6 +66,7 @@
 
     @property
     def last(self) -> int:
+        """The number of the last event."""
         return len(self.events) + 1
 
     def tell(self, **event: Any) -> None:
@@ -81,12 +82,14 @@
 
     def restart(self) -> None:
         """It counts from 1 again; purges that it told before are not told again."""
-        self.events, self.starts = [], self.starts + 1
+        self.events = []
+        self.starts += 1
         for call in self.waiting[:]:
             self.waiting.remove(call)
             self.net.fail(call)
 
     def on_call(self, call: Call) -> None:
+        """Take a call: answer it at once where there is news, else let it wait."""
         self.calls += 1
         self.waiting.append(call)
         if call.after != self.last:
@@ -95,6 +98,7 @@
             self.net.at(call.wait_ns - 100 * MS, lambda: self.answer(call))
 
     def answer(self, call: Call) -> None:
+        """Answer a call that still waits with what came after its position."""
         if call not in self.waiting:
             return
         self.waiting.remove(call)
@@ -109,22 +113,28 @@
     """One control replica over all its processes."""
 
     def __init__(self, net: VirtualNetwork, number: int, options: ReplicaOptions, skew_ns: int) -> None:
-        self.net, self.number, self.options, self.skew_ns = net, number, options, skew_ns
-        self.name, self.up, self.starts = f"replica-{number}", False, 0
+        self.net = net
+        self.number = number
+        self.options = options
+        self.skew_ns = skew_ns
+        self.name = f"replica-{number}"
+        self.up = False
+        self.starts = 0
         self.watches: dict[int, Call] = {}
         self.watchers: dict[str, int] = {}  # by caller, while its connection stands
         self.calls: list[int] = []  # when, in true time
         self.notes: list[str] = []
         self.core = ControlReplica(options, number)
-        self.out: Call | None = None
         self.start()
 
     def now(self) -> int:
+        """The time by this process's own clock."""
         return self.net.now + self.skew_ns
 
     def start(self) -> None:
-        """A new process, that knows nothing."""
-        self.up, self.starts, self.out = True, self.starts + 1, None
+        """Start a new process, that knows nothing."""
+        self.up = True
+        self.starts += 1
         self.core = ControlReplica(self.options, self.number * 1_000 + self.starts)
         self.carry_out(self.core.start(self.now()))
         self.tick(self.starts)
@@ -146,6 +156,7 @@
             self.net.at(10 * MS, lambda: self.tick(start))
 
     def on_call(self, call: Call) -> None:
+        """Take a watcher's call."""
         self.calls.append(self.net.now)
         number = self.watchers.setdefault(call.caller, self.net.made)
         self.watches[number] = call
@@ -154,6 +165,7 @@
         self.carry_out(self.core.on_watch(self.now(), watch))
 
     def carry_out(self, effect_list: list[core.Effect]) -> None:
+        """Carry out what the replica's core asks for, in its order."""
         start = self.starts
         for e in effect_list:
             if isinstance(e, (core.SendWatchResponse, core.RefuseWatcher)):
@@ -168,6 +180,7 @@
                 self.notes.append(e.event)
 
     def call(self, e: core.CallUpstream, start: int) -> None:
+        """Call upstream, unless the process that wanted it (number ``start``) has ended."""
         if not self.up or start != self.starts:
             return
         mark = e.position.fingerprint if e.address in self.options.peers else None
@@ -196,15 +209,22 @@
     def __init__(
         self, net: VirtualNetwork, number: int, size: FleetSize, replicas: ControlReplicas, skew_ns: int
     ) -> None:
-        self.net, self.number, self.size, self.replicas, self.skew_ns = net, number, size, replicas, skew_ns
-        self.name, self.starts, self.calls = f"router-{number}", 0, 0
+        self.net = net
+        self.number = number
+        self.size = size
+        self.replicas = replicas
+        self.skew_ns = skew_ns
+        self.name = f"router-{number}"
+        self.starts = 0
+        self.calls = 0
         self.start()
 
     def now(self) -> int:
+        """The time by this process's own clock."""
         return self.net.now + self.skew_ns
 
     def start(self) -> None:
-        """A new process, that knows what the service lists now."""
+        """Start a new process, that knows what the service lists now."""
         self.starts += 1
         raw = configuration(self.size, self.number, "10.9.9.9:1", "127.0.0.1:1", "127.0.0.1:2")
         raw["known"]["events"][0]["members"]["endpoints"] = list(self.net.service.lines.values())
@@ -216,15 +236,18 @@
         self.tell(inputs.OperatorFileRead(OperatorFile(control_replicas=self.replicas)))
 
     def tell(self, message: inputs.Input) -> None:
+        """Hand the reducer a message and carry out what it asks for."""
         self.carry_out(self.reducer.handle(self.now(), message))
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
+        """Carry out what concerns the feed and the log; this router has no clients and no servers."""
         start = self.starts
         for e in effect_list:
             if isinstance(e, effects.SwitchFeed):
                 self.at = e.address
                 if self.out is not None:
-                    self.out.over, self.out = True, None
+                    self.out.over = True
+                    self.out = None
             elif isinstance(e, effects.PollFeed):
                 self.poll(e)
             elif isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.POLL_FEED:
@@ -233,13 +256,16 @@
                 self.logged.append(e.event)
 
     def due(self, e: effects.ScheduleTimer, start: int) -> None:
+        """A timer of process number ``start`` is due."""
         if start == self.starts:
             self.tell(inputs.TimerFired(e.key))
 
     def poll(self, e: effects.PollFeed) -> None:
+        """Call the feed, unless a call is out."""
         if self.out is not None:
             return
-        start, self.calls = self.starts, self.calls + 1
+        start = self.starts
+        self.calls += 1
 
         def reply(body: bytes | None) -> None:
             self.out = None
@@ -261,10 +287,14 @@
 
 
 class VirtualNetwork:
-    """All of them, and the time."""
+    """The list service, replicas, routers, the links between them, and the true time.
+
+    ``cut`` holds pairs of names between which nothing passes.
+    """
 
     def __init__(self, size: FleetSize, replicas: list[ReplicaOptions], skews_ns: list[int]) -> None:
-        self.now, self.made = START, 0
+        self.now = START
+        self.made = 0  # events scheduled; breaks ties between them
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.cut: set[frozenset[str]] = set()
         self.connections: dict[tuple[str, Address], int] = {}  # with which process of its target each stands
@@ -293,6 +323,7 @@
         self.now = until
 
     def node(self, address: Address) -> Service | ReplicaNode:
+        """What listens at an address."""
         number = int(address[0].rpartition(".")[2]) - 1
         return self.service if number == 0 else self.replicas[number - 1]
 
@@ -343,6 +374,7 @@
         self.at(DELAY_NS, arrive)
 
     def over(self, call: Call, body: bytes | None) -> None:
+        """End a call once: with its answer, or None where it failed."""
         if not call.over:
             call.over = True
             call.reply(body)
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -5,12 +5,12 @@
 import socket
 import unittest
 
-from testbed.field.datagrams import DatagramFate, DatagramRelay
+from testbed.field.datagrams import DatagramFate, DatagramRelay, open_socket
 
 
 class Relayed(unittest.TestCase):
     def setUp(self) -> None:
-        self.target = DatagramRelay.made()
+        self.target = open_socket()
         self.target.settimeout(0.3)
         self.addCleanup(self.target.close)
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -5,7 +5,6 @@
 
 import copy
 import unittest
-from pathlib import Path
 from typing import Any
 
 import kit
