--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -19,8 +19,11 @@
 
 
 def filled(text: str) -> str:
-    """``table SWEEP FIGURE[*FACTOR][:DIGITS][=HEAD] ...`` as a table, ``value SWEEP X FIGURE...`` as a
-    figure, and ``slope SWEEP FIGURE`` as a slope with its intercept and residual."""
+    """What a mark of the page stands for.
+
+    ``table SWEEP FIGURE[*FACTOR][:DIGITS][=HEAD] ...`` is a table, ``value SWEEP X FIGURE...`` a figure, and
+    ``slope SWEEP FIGURE`` a slope with its intercept and residual.
+    """
     what, name, *words = text.split()
     path = FOLDER / f"{name}.json"
     if not path.exists():
--- a/benchmarks/capacity/replicas.py
+++ b/benchmarks/capacity/replicas.py
@@ -71,7 +71,8 @@
 def figures(replica: ControlReplica) -> dict[str, float]:
     """What a replica has done and spent so far."""
     state = replica.state()
-    assert state and replica.process
+    assert state
+    assert replica.process
     return {
         **{key: float(state[key]) for key in ("answers", "bytes_out", "refusals", "watches")},
         "cpu_s": cpu_s(replica.process.pid),
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -18,6 +18,7 @@
 import argparse
 import time
 from collections.abc import Callable
+from random import Random
 from typing import Any
 
 from kelpcroft.core.reducer import Reducer
@@ -26,19 +27,23 @@
 from testbed.cold_start import START, ColdStartFleet, ListServiceModel
 
 CALLS_PER_S = 50.0
+SEED_STEP = 7_919  # a prime, so that routers' schedules differ
+LONGEST_RUN_S = 600  # after a longer one the table ends
 
 
 class Fixed(DiscoverySchedule):
     """A second, half more or less."""
 
-    def again(self, retry_after_ns: int) -> int:
+    def again(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
+        """The wait after a failure, in ns."""
         return SECOND // 2 + self.chance(SECOND)
 
 
 class Exponential(DiscoverySchedule):
     """Back-off with full jitter, up to 30 s."""
 
-    def again(self, retry_after_ns: int) -> int:
+    def again(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
+        """The wait after a failure, in ns."""
         return self.chance(min(100 * MS << min(self.consecutive_failures, 10), 30 * SECOND))
 
 
@@ -64,18 +69,19 @@
     way = "none"
 
     def start_router(self, n: int) -> list[Any]:
+        """Start with the way's budget, and put its schedule in place of the program's."""
         kind, calls = WAYS[self.way]
         router: Reducer = self.routers[n]
         effects = router.start(self.now, StartupOptions(calls and max(calls, self.believed / 4)))
         if kind is not DiscoverySchedule:
-            router.endpoint_list.schedule = other = kind(self.believed, self.sequence * 7_919 + n)
-            from random import Random
-
-            other.random = Random(other.seed).random
+            schedule = kind(self.believed, self.sequence * SEED_STEP + n)
+            schedule.random = Random(schedule.seed).random
+            router.endpoint_list.schedule = schedule
         return effects
 
 
 def played(routers: int, way: str, service: str, seconds: int, rate: float, boxes: bool) -> dict[str, Any]:
+    """One run's figures."""
     fleet = Played(routers, service=SERVICES[service](), rate=rate, cold=boxes, cold_parents=boxes)
     fleet.way = way
     fleet.run(seconds)
@@ -83,6 +89,7 @@
 
 
 def main() -> None:
+    """Print the table."""
     parser = argparse.ArgumentParser(description="What a cold start costs.")
     parser.add_argument("--routers", type=int, nargs="*", default=[50, 200, 1_000])
     parser.add_argument("--ways", nargs="*", choices=list(WAYS), default=list(WAYS))
@@ -106,7 +113,7 @@
                     head = list(row)
                     print("| " + " | ".join(head) + " |\n|" + " --- |" * len(head))
                 print("| " + " | ".join(str(v) for v in row.values()) + " |", flush=True)
-                if time.monotonic() - began > 600:
+                if time.monotonic() - began > LONGEST_RUN_S:
                     print("stopped: give it a smaller fleet, or a lower --rate")
                     return
 
--- a/benchmarks/cold_start_field.py
+++ b/benchmarks/cold_start_field.py
@@ -6,7 +6,8 @@
 the same stand-ins (testbed/field), with clients at every router.  Printed: calls of the list service in all,
 in the worst second and in the worst second after its return; the time until every router had heard it; the
 share of requests served of those asked in the first 5 and 10 s; memory and CPU of a router, CPU from exec to
-ready apart. The 200 want some 6 GB and take a minute each way."""
+ready apart. The 200 want some 6 GB and take a minute each way.
+"""
 
 from __future__ import annotations
 
@@ -38,10 +39,12 @@
 
 
 def worst(calls: list[int]) -> int:
+    """The most calls of one second."""
     return max(Counter(at // S for at in calls).values(), default=0)
 
 
 def played(count: int, way: str, dead_s: float, seconds: float) -> dict[str, float]:
+    """One run's figures."""
     field = RouterField(max(1, count // 4), min(4, count), {"old": ROOT}, rules=WAYS[way])
     world = field.servers
     world.feed_down_until_ns = time.monotonic_ns() + int(dead_s * S)
@@ -85,6 +88,7 @@
 
 
 def main() -> None:
+    """Print the table."""
     parser = argparse.ArgumentParser(description="What a cold start of real processes costs.")
     parser.add_argument("--processes", type=int, nargs="*", default=[10, 50, 200])
     parser.add_argument("--dead", type=float, default=5.0, help="seconds that the list service is dead for")
--- a/benchmarks/cold_start_plot.py
+++ b/benchmarks/cold_start_plot.py
@@ -1,11 +1,13 @@
-"""Pictures of a cold start, tenth by tenth of a second: as ever, and with all that `start` in the operator's
-file has.
+"""Pictures of a cold start, tenth by tenth of a second.
+
+As ever, and with all that `start` in the operator's file has.
 
     pip install -r requirements-lab.txt
     python -m benchmarks.cold_start_plot OUT.png [--routers 200] [--seconds 30]
 
 The world of ``testbed/cold_start.py``: all routers start in the same second, boxes and hubs are cold and
-empty, and the list service bears 200 calls a second."""
+empty, and the list service bears 200 calls a second.
+"""
 
 from __future__ import annotations
 
@@ -29,10 +31,12 @@
     begun_with = StartupOptions()
 
     def start_router(self, n: int) -> list[effects.Effect]:
+        """Start with the file's options."""
         return self.routers[n].start(self.now, self.begun_with)
 
 
 def tenths(times: list[int]) -> Counter[int]:
+    """Counts by tenth of a second since the start."""
     return Counter((at - START) * 10 // S for at in times)
 
 
@@ -54,6 +58,7 @@
 
 
 def main() -> None:
+    """Draw them."""
     parser = argparse.ArgumentParser(description="Pictures of a cold start.")
     parser.add_argument("out")
     parser.add_argument("--routers", type=int, default=200)
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -47,6 +47,7 @@
 
 
 def rss_mb(pid: int) -> float:
+    """Resident memory of a process."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
@@ -66,6 +67,7 @@
             thread.start()
 
     def run(self, n: int) -> None:
+        """Ask until stopped or closed on; the thread of client ``n``."""
         sock = socket.create_connection(self.router.address, 5)
         unpacker, number = msgpack.Unpacker(raw=False), 0
         while not self.stop.is_set():
@@ -107,17 +109,20 @@
         sock.close()
 
     def end(self) -> None:
+        """Stop all clients."""
         self.stop.set()
         for thread in self.threads:
             thread.join(5)
 
 
 def figures(times: list[float]) -> tuple[float, float, float]:
+    """Median, 99th percentile and most."""
     ordered = sorted(times)
     return statistics.median(ordered), ordered[int(0.99 * (len(ordered) - 1))], ordered[-1]
 
 
 def main() -> None:
+    """Measure and print."""
     clients = int(sys.argv[1]) if len(sys.argv) > 1 else 16
     rows: dict[str, tuple[float, float, float]] = {}
     with StandInServers() as world, RouterProcess(world, release=True, mgmt=True) as router:
--- a/benchmarks/late_answers.py
+++ b/benchmarks/late_answers.py
@@ -30,6 +30,7 @@
     """Answers take 20 to 60 ms, some a second more."""
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
+        """Answer it, now and then late."""
         self.records[e.attempt_id].attempts.append(
             AttemptRecord(self.now, self.address_by_link[e.connection], "done")
         )
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -76,6 +76,7 @@
         )
 
     def effects(self, effect_list: list[effects.Effect]) -> int:
+        """Carry them out; the number of bytes that went out."""
         size = 0
         for e in effect_list:
             if isinstance(e, effects.SendAttempt):
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -57,6 +57,7 @@
         self.again: set[str] = set()
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
+        """Serve it, or queue it where all slots are taken."""
         server = self.address_by_link[e.connection]
         self.records[e.attempt_id].attempts.append(AttemptRecord(self.now, server, ""))
         self.killed.discard((e.connection, e.attempt_id))
@@ -66,6 +67,7 @@
             self.queue.setdefault(server, deque()).append(e)
 
     def serve(self, server: str, e: effects.SendAttempt) -> None:
+        """Take a slot and schedule the answer and the slot's release."""
         self.busy[server] = self.busy.get(server, 0) + 1
         failing = TROUBLE[0] <= self.now - START < TROUBLE[1]
         fate = "broke" if failing and self.random.random() < 0.5 else "done"
@@ -80,6 +82,7 @@
         self.schedule(done, server)
 
     def custom_event(self, server: str) -> None:
+        """Release a slot to the next attempt that is still wanted."""
         self.busy[server] -= 1
         waiting = self.queue.get(server, deque())
         while waiting:
@@ -89,6 +92,7 @@
                 return
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
+        """Besides, note cancelled attempts and let refused clients ask once more."""
         super().carry_out(effect_list)
         for e in effect_list:
             if isinstance(e, effects.CancelAttempt):
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -22,7 +22,7 @@
 
 def defect(share: float, cls: str = "", zone: str = "") -> Defect:
     """So much more harm at the new build, in one class or zone if so wanted."""
-    return lambda world, p, found: (
+    return lambda _, p, found: (
         share if p.build == "beef" and cls in ("", found) and zone in ("", p.zone) else 0.0
     )
 
@@ -80,6 +80,7 @@
 
 
 def main(words: list[str]) -> int:
+    """Print the tables."""
     seeds = int(words[words.index("--seeds") + 1]) if "--seeds" in words else 3
     print(f"12 routers in 3 zones, {seeds} seeds; requests harmed, routers touched, seconds\n")
     print(f"{'defect':24}{'all at once':>22}{'one by one':>22}{'staged':>22}{'staged/at once':>16}")
--- a/benchmarks/rollout_field.py
+++ b/benchmarks/rollout_field.py
@@ -5,7 +5,8 @@
 Six routers in two zones under load (testbed/field); builds with a defect (testbed/field/builds.py).  ``at
 once``: all are changed in the same instant and taken back after so many seconds as the staged rollout
 took.  Harm is the number of requests that were not served within 150 ms, less what the sound build has at the
-same load; printed with the routers touched and the ratio of the two ways."""
+same load; printed with the routers touched and the ratio of the two ways.
+"""
 
 from __future__ import annotations
 
@@ -83,6 +84,7 @@
 
 
 def main(words: list[str]) -> int:
+    """Print the table."""
     print(f"| {'defect':20} | staged | touched | seconds | ended | at once | staged to at once |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for defect in words or DEFECTS:
--- a/benchmarks/rollout_judge.py
+++ b/benchmarks/rollout_judge.py
@@ -95,6 +95,7 @@
 
 
 def main(words: list[str]) -> int:
+    """Print the table; 1 where a rate is above what is stated."""
     runs = int(words[words.index("--runs") + 1]) if "--runs" in words else 10_000
     seconds = int(words[words.index("--seconds") + 1]) if "--seconds" in words else 600
     rates = StopCriteria()
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,4 +1,4 @@
-"""Asks a router for one part of an object and prints the answer: ask.py [HOST:PORT]"""
+"""Asks a router for one part of an object and prints the answer: ask.py [HOST:PORT]."""
 
 from __future__ import annotations
 
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -10,6 +10,7 @@
 import socketserver
 import threading
 import time
+from contextlib import suppress
 from urllib.parse import parse_qs, urlsplit
 
 PORTS = {"cache": 9401, "parent": 9402, "origin": 9403}
@@ -20,6 +21,7 @@
     """RESP: arrays of bulk strings, one answer for each PULL."""
 
     def words(self) -> list[bytes]:
+        """The next command; none where the connection has ended."""
         count = self.rfile.readline()
         words = []
         for _ in range(int(count[1:]) if count else 0):
@@ -28,6 +30,7 @@
         return words
 
     def handle(self) -> None:
+        """Answer every PULL of a connection."""
         name = next(n for n, p in PORTS.items() if p == self.server.server_address[1])
         while words := self.words():
             print(name, *words, flush=True)
@@ -42,6 +45,7 @@
     """HTTP/1.1 long polls: there is never any news."""
 
     def handle(self) -> None:
+        """Answer every poll of a connection after its wait."""
         while line := self.rfile.readline():
             while self.rfile.readline().strip():
                 pass
@@ -52,6 +56,8 @@
 
 
 class Server(socketserver.ThreadingTCPServer):
+    """A thread for each connection; the port is free again at once."""
+
     allow_reuse_address = daemon_threads = True
 
 
@@ -60,7 +66,5 @@
     for server in servers:
         threading.Thread(target=server.serve_forever, daemon=True).start()
     print("feed on", FEED, "and", PORTS, flush=True)
-    try:
+    with suppress(KeyboardInterrupt):
         threading.Event().wait()
-    except KeyboardInterrupt:
-        pass
--- a/tools/site_variants.py
+++ b/tools/site_variants.py
@@ -84,8 +84,11 @@
 
 
 def changed(text: str, changes: tuple[Change, ...]) -> str:
-    """A site file with other values.  ValueError where the file has no such table or a key is new to a table
-    that is not a class."""
+    """A site file with other values.
+
+    Raises:
+        ValueError: The file has no such table, or a key is new to a table that is not a class.
+    """
     lines = text.splitlines()
     for change in changes:
         head = -1 if not change.table else None
@@ -113,6 +116,7 @@
 
 
 def main() -> int:
+    """The command."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("kit", type=Path, help="the operators' kit")
     parser.add_argument("--to", type=Path, default=Path(__file__).parent.parent / "deploy/sites")
