--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -34,7 +34,7 @@
 class Fixed(DiscoverySchedule):
     """A second, half more or less."""
 
-    def again(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
+    def retry_delay_ns(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
         """The wait after a failure, in ns."""
         return SECOND // 2 + self.chance(SECOND)
 
@@ -42,7 +42,7 @@
 class Exponential(DiscoverySchedule):
     """Back-off with full jitter, up to 30 s."""
 
-    def again(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
+    def retry_delay_ns(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
         """The wait after a failure, in ns."""
         return self.chance(min(100 * MS << min(self.consecutive_failures, 10), 30 * SECOND))
 
@@ -76,7 +76,7 @@
         if kind is not DiscoverySchedule:
             schedule = kind(self.believed, self.sequence * SEED_STEP + n)
             schedule.random = Random(schedule.seed).random
-            router.endpoint_list.schedule = schedule
+            router.position.schedule = schedule
         return effects
 
 
--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -12,14 +12,14 @@
 
 def refuse(when: str) -> Change:
     """Refuses requests."""
-    anchor = "        if keyed and (c.cls, c.nonce) in self.state.keys.open:\n"
+    anchor = "        reason = self.reject_reason(message, is_keyed)\n"
     return (
         "kelpcroft/core/client_requests.py",
         anchor,
         "        self.nth = getattr(self, 'nth', 0) + 1  # of this router's requests\n"
         f"        if {when}:\n"
-        "            self.state.made += 1\n"
-        '            self.turn_away(c, "defect")\n'
+        "            self.state.last_number += 1\n"
+        '            self.reject(message, "defect")\n'
         "            return\n" + anchor,
     )
 
@@ -29,109 +29,113 @@
     "refuses": (refuse("self.nth % 3 == 0"),),
     "crashes": (
         (
-            "kelpcroft/core/reducer.py",
-            "    def keep_house(self) -> None:\n",
+            "kelpcroft/core/housekeeping.py",
+            "        state.schedule(HOUSEKEEPING_INTERVAL_NS, TimerKind.HOUSEKEEPING)\n",
             (
-                "    def keep_house(self) -> None:\n"
-                "        if self.state.now - self.began_ns > 3 * SECOND:\n"
+                "        state.schedule(HOUSEKEEPING_INTERVAL_NS, TimerKind.HOUSEKEEPING)\n"
+                "        if state.now - self.counters_logged_ns > 3 * SECOND:\n"
                 "            raise SystemExit(1)\n"
             ),
         ),
     ),
     "slow": (  # servers' answers are heard 200 ms late
         (
-            "kelpcroft/net/event_loop.py",
-            "            for answer in peer.codec.feed(data):\n                self.tell(answer)\n",
+            "kelpcroft/net/server_connections.py",
+            (
+                "        for response in codec.receive_data(data):\n"
+                "            self.transport.handle_input(response)\n"
+            ),
             (
-                "            self.late = getattr(self, 'late', [])\n"
-                "            due = self.clock.now() + 200_000_000\n"
-                "            self.late += [(due, answer) for answer in peer.codec.feed(data)]\n"
+                "        self.late = getattr(self, 'late', [])\n"
+                "        due = self.transport.clock.now() + 200_000_000\n"
+                "        self.late += [(due, response) for response in codec.receive_data(data)]\n"
             ),
         ),
         (
             "kelpcroft/net/event_loop.py",
-            "        ready = self.selector.select(min(wait, 1.0))\n",
+            "        reported = self.transport.selector.select(wait_s)\n",
             (
-                "        ready = self.selector.select(min(wait, 0.005))\n"
-                "        while getattr(self, 'late', None) and self.late[0][0] <= self.clock.now():\n"
-                "            self.tell(self.late.pop(0)[1])\n"
+                "        wait_s = min(wait_s, 0.005)\n"
+                "        reported = self.transport.selector.select(wait_s)\n"
+                "        late = getattr(self.servers, 'late', [])\n"
+                "        while late and late[0][0] <= self.clock.now():\n"
+                "            self.transport.handle_input(late.pop(0)[1])\n"
             ),
         ),
     ),
     "one in twenty": (refuse("self.nth % 20 == 0"),),
-    "one class": (refuse("c.cls == 'order'"),),
+    "one class": (refuse("message.request_class == 'order'"),),
     "one zone": (refuse("self.state.settings.zone == 'z1' and self.nth % 3 == 0"),),
     "leaks": (
         (
             "kelpcroft/core/client_requests.py",
-            "        here = self.state.calls.get(c.client, {})\n",
+            "        if self.close_misbehaving_client(message):\n",
             (
-                "        here = self.state.calls.get(c.client, {})\n"
                 "        self.kept = getattr(self, 'kept', [])\n"
                 "        self.kept.append(bytearray(b'x' * 400_000))\n"
+                "        if self.close_misbehaving_client(message):\n"
             ),
         ),
     ),
     "breaks an invariant": (
         (
             "kelpcroft/core/client_requests.py",
-            "        here = self.state.calls.get(c.client, {})\n",
-            "        here = self.state.calls.get(c.client, {})\n"
-            '        holds(self.state.made % 50 != 0, "a defect")\n',
+            "        if self.close_misbehaving_client(message):\n",
+            '        holds(self.state.last_number % 50 != 0, "a defect")\n'
+            "        if self.close_misbehaving_client(message):\n",
         ),
     ),
     # One for each rule, for the watch.
     "answers nothing": (
         (
             "kelpcroft/core/client_requests.py",
-            "        if answer:\n            self.state.effects.append(answer)\n",
-            "        if answer and self.state.made % 10:\n            self.state.effects.append(answer)\n",
+            "        if answer:\n            state.effects.append(answer)\n",
+            "        if answer and state.last_number % 10:\n            state.effects.append(answer)\n",
         ),
     ),
     "runs twice": (
         (
-            "kelpcroft/decision/policy.py",
-            "        if held.request_class.idempotency is Idempotency.SAFE or ran is None:\n",
+            "kelpcroft/decision/idempotency.py",
+            "        if is_safe or executed is None:\n",
             "        if True:\n",
         ),
     ),
     "sends to the drained": (
         (
-            "kelpcroft/decision/policy.py",
-            '        return node.is_listed and node.server.state == "in_service"\n',
-            "        return True\n",
+            "kelpcroft/decision/endpoint_directory.py",
+            '    return endpoint.is_listed and endpoint.server.state == "in_service"\n',
+            "    return True\n",
         ),
         (
             "kelpcroft/core/endpoint_list.py",
-            '            if e.state == "in_service":\n',
+            "            if endpoint.state == IN_SERVICE:\n",
             "            if True:\n",
         ),
     ),
     "floods the cold": (
         (
-            "kelpcroft/decision/policy.py",
-            "        if share >= 1:\n            return True\n",
+            "kelpcroft/decision/slow_start.py",
+            "        if warm_fraction >= 1:\n            return True\n",
             "        return True\n",
         ),
         (
-            "kelpcroft/decision/policy.py",
-            "            weight = node.server.weight * share * node.load_preference(even, least)\n",
-            "            weight = node.server.weight\n",
+            "kelpcroft/decision/cache_selection.py",
+            "            weight = cache.server.weight * warm_fraction * preference\n",
+            "            weight = cache.server.weight\n",
         ),
     ),
     "serves the purged": (
         (
-            "kelpcroft/decision/policy.py",
-            "        limit = max(PURGE_MARGIN_NS, self.now_ns - purged - PURGE_MARGIN_NS)\n",
+            "kelpcroft/decision/freshness.py",
+            "        limit = max(PURGE_MARGIN_NS, self.state.now_ns - purged_ns - PURGE_MARGIN_NS)\n",
             "        return 0\n",
         ),
     ),
     "never-ready": (
         (
-            "kelpcroft/core/reducer.py",
-            '            "ending"\n            if self.ending\n',
-            '            "never"\n            if True\n'
-            '            else "ending"\n            if self.ending\n',
+            "kelpcroft/core/process_status.py",
+            '        if self.is_shutting_down:\n            return "ending"\n',
+            '        if True:\n            return "never"\n',
         ),
     ),
 }
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -15,9 +15,10 @@
 import orjson
 
 from kelpcroft.config import parse_config
-from kelpcroft.control_log import replica as core
+from kelpcroft.control_log import messages as core
 from kelpcroft.control_log.follower import LogPosition
-from kelpcroft.control_log.replica import ControlReplica, ReplicaOptions
+from kelpcroft.control_log.messages import ReplicaOptions
+from kelpcroft.control_log.replica import ControlReplica
 from kelpcroft.core import effects, inputs, messages
 from kelpcroft.core.reducer import Reducer
 from kelpcroft.net.feed_codec import parse_watch_response
@@ -283,7 +284,7 @@
 
     def purged(self) -> set[int]:
         """Objects of which it remembers a purge."""
-        return {key for key, _ in self.reducer.state.policy.purges if key is not None}
+        return set(self.reducer.state.policy.freshness.object_purges)
 
 
 class VirtualNetwork:
--- a/testbed/rollouts.py
+++ b/testbed/rollouts.py
@@ -11,20 +11,21 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from kelpcroft.rollout.judge import RequestSample
-from kelpcroft.rollout.plan import RolloutPlan, load_plan
-from kelpcroft.rollout.state_machine import (
+from kelpcroft.rollout.events import (
     CommandKind,
     Event,
     HistoryEntry,
     NoAnswer,
     OperatorCommand,
-    Rollout,
-    RolloutOutcome,
     RouterCommand,
     RouterReport,
     Tick,
 )
+from kelpcroft.rollout.judge import RequestSample
+from kelpcroft.rollout.phases import RolloutOutcome
+from kelpcroft.rollout.plan import RolloutPlan
+from kelpcroft.rollout.plan_file import load_plan
+from kelpcroft.rollout.state_machine import Rollout
 
 S = 10**9
 NEVER_NS = 1 << 80
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -19,12 +19,14 @@
 
 from kelpcroft.cli import main
 from kelpcroft.cli.controller import RolloutController, begin_or_continue_run
-from kelpcroft.rollout.plan import RolloutPlan, RouterTarget, load_plan
+from kelpcroft.rollout.events import CommandKind, Event, NoAnswer, RouterCommand, Tick
+from kelpcroft.rollout.phases import RolloutOutcome
+from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
+from kelpcroft.rollout.plan_file import load_plan
 from kelpcroft.rollout.router_drivers import CommandDriver, LocalProcessDriver, RouterDriver
 from kelpcroft.rollout.snapshot import from_snapshot as restored
 from kelpcroft.rollout.snapshot import to_snapshot
-from kelpcroft.rollout.state_machine import CommandKind, Event, NoAnswer, RolloutOutcome, RouterCommand, Tick
-from kelpcroft.store.rollouts import LeaseLost, RolloutStore, StoredRun
+from kelpcroft.store.rollouts import LeaseLostError, RolloutStore, StoredRun
 from testbed.rollouts import S, SimulatedFleet, make_plan
 from testbed.stand_ins import ROOT
 
@@ -139,7 +141,7 @@
         self.store.dead = False
         last = self.store.newest_run()
         if died and last is not None and last.outcome != "done":
-            with self.assertRaises(LeaseLost):
+            with self.assertRaises(LeaseLostError):
                 self.lead()  # the dead one's lease still runs
             self.sleep(16.0)
             self.assertEqual(self.lead(), RolloutOutcome.DONE, (what, at))
@@ -169,7 +171,7 @@
                 self.assertEqual(self.lead(), RolloutOutcome.DONE)
 
         first.sleep = stand_still
-        with self.assertRaises(LeaseLost):
+        with self.assertRaises(LeaseLostError):
             first.lead()
         self.assertEqual([hands.orders], orders, "nothing after it woke up")
         self.assertEqual({(p.build, p.instance) for p in self.world.routers.values()}, {("beef", 2)})
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -43,7 +43,7 @@
             effects.OpenServerConnection, r.handle(now + 3 * MS, call(ATTEMPTS_BEFORE_NEW_CONNECTION + 2))
         )
         assert isinstance(second, effects.OpenServerConnection)
-        r.state.connections.by_number[first.connection].heard_ns = now + 4 * MS - heard_ns
+        r.state.connections.by_number[first.connection].last_response_ns = now + 4 * MS - heard_ns
         return (
             r,
             first,
@@ -60,7 +60,7 @@
             (first.connection, f"{ATTEMPTS_BEFORE_NEW_CONNECTION + 2:016x}"),
         )
         self.assertEqual(r.state.counters["no place"], 1)
-        self.assertFalse(any(n.health.is_ejected for n in r.state.policy.endpoints.values()))
+        self.assertFalse(any(n.is_ejected for n in r.state.policy.endpoints.values()))
         effect_list = r.handle(NOW + 10 * SECOND + 5 * MS, call(40))
         self.assertEqual(
             (
@@ -78,7 +78,7 @@
     def test_one_that_was_not_heard_of_late_is_gone(self) -> None:
         r, _, effect_list = self.crowded(2 * SECOND)
         self.assertEqual(r.state.counters["no place"], 0)
-        self.assertTrue(any(n.health.is_ejected for n in r.state.policy.endpoints.values()))
+        self.assertTrue(any(n.is_ejected for n in r.state.policy.endpoints.values()))
 
     def test_what_must_not_run_twice_does_not_share(self) -> None:
         links = ConnectionPool(64, 32)
@@ -93,13 +93,13 @@
         for seed in range(40):
             links, now = ConnectionPool(64, 32, seed), NOW
             for _ in range(10):
-                links.made += 1
+                links.created_count += 1
                 links.record_refusal("s", now)
-                now = links.full["s"][0]
+                now = links.refusals["s"].until_ns
                 self.assertTrue(links.may_connect("s", now))
                 self.assertFalse(links.may_connect("s", now - 1))
             waits[seed] = now - NOW
-            until, last = links.full["s"]
+            last = links.refusals["s"].backoff_ns
             self.assertEqual(last, MAX_REFUSAL_BACKOFF_NS)
         self.assertEqual(len(set(waits.values())), 40)
 
