--- a/kelpcroft/config_reload/__init__.py
+++ b/kelpcroft/config_reload/__init__.py
@@ -4,7 +4,7 @@
 for addresses.  ``kelpcroft.core.config_reload`` applies both to the state; start reading at ``check``.
 """
 
-from kelpcroft.config_reload.check import Diagnostic, decode_config, validate_reload
+from kelpcroft.config_reload.check import decode_config, validate_reload
 from kelpcroft.config_reload.plan import (
     TRANSITION_NS,
     ConfigChange,
@@ -12,6 +12,7 @@
     final_settings,
     transition_settings,
 )
+from kelpcroft.diagnostics import Diagnostic
 
 __all__ = [
     "TRANSITION_NS",
--- a/kelpcroft/config_reload/check.py
+++ b/kelpcroft/config_reload/check.py
@@ -18,30 +18,18 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
 from kelpcroft.deployment_check.known_keys import parse_host_port
+from kelpcroft.diagnostics import Diagnostic
 
 MAX_DIAGNOSTICS = 100  # named in one pass; the rest are counted
 MAX_SHOWN_CHARACTERS = 60  # of a value that cannot be used
 IDEMPOTENCY_NAMES = ("safe", "keyed", "unsafe")
 
 
-@dataclass(frozen=True, slots=True)
-class Diagnostic:
-    """One reason why a file cannot be used: where, what was found there, and what would do."""
-
-    place: str  # a path of keys and indices, as settings.classes[2].give_up_ns; "" is the file
-    found: str
-    expected: str
-
-    def __str__(self) -> str:
-        return f"{self.place or 'the file'}: {self.found}; {self.expected}"
-
-
 def decode_config(data: bytes) -> tuple[dict[str, Any] | None, list[Diagnostic]]:
     """The JSON object of a file, or None and why there is none."""
     if not data.strip():
