--- a/kelpcroft/deployment_check/known_keys.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -146,7 +146,7 @@
     ),
     ConfigurationKey("limits.memory_mb", number(1), "config, net.buffers", "192"),
     ConfigurationKey(
-        "limits.sockets", number(64, is_whole=True), "config, core.connection_pool, net.event_loop", "1024"
+        "limits.sockets", number(64, is_whole=True), "config, core.descriptors, net.event_loop", "1024"
     ),
     ConfigurationKey("settings.az", text, "decision", "needed: one of dcs"),
     ConfigurationKey("settings.dcs", listed(text), "decision, core.endpoint_list", "needed"),
@@ -199,7 +199,7 @@
     ConfigurationKey(
         "settings.classes[].give_up_ns",
         NANOSECONDS,
-        "core.client_requests, operator_file.check, core.idempotency_keys",
+        "core.client_requests, operator_file.route_rules, core.idempotency_keys",
         "0: no bound",
     ),
     ConfigurationKey("settings.classes[].credit", number(0), "decision: what is shed first", "1"),
@@ -211,20 +211,29 @@
     ConfigurationKey(
         "settings.limits.probing",
         flag,
-        "core.attempts: a quiet connection is asked before it is given up",
+        "core.silence_detection: a quiet connection is asked before it is given up",
         "false",
     ),
     ConfigurationKey("settings.limits.peers", flag, "Settings only: the module sends no messages", "false"),
-    ConfigurationKey("settings.limits.second_copies", flag, "decision, operator_file.check", "false"),
-    ConfigurationKey("settings.limits.retry_after", flag, "decision, operator_file.check", "false"),
-    ConfigurationKey("settings.limits.max_retry_after_ns", NANOSECONDS, "decision, operator_file.check", "0"),
-    ConfigurationKey("settings.limits.most_tries", COUNT_FROM_ONE, "decision, operator_file.check", "1"),
+    ConfigurationKey("settings.limits.second_copies", flag, "decision, operator_file.route_rules", "false"),
+    ConfigurationKey("settings.limits.retry_after", flag, "decision, operator_file.route_rules", "false"),
+    ConfigurationKey(
+        "settings.limits.max_retry_after_ns", NANOSECONDS, "decision, operator_file.route_rules", "0"
+    ),
+    ConfigurationKey(
+        "settings.limits.most_tries", COUNT_FROM_ONE, "decision, operator_file.route_rules", "1"
+    ),
     ConfigurationKey("settings.limits.max_open", COUNT, "core.client_requests", "0: not bounded by a number"),
     ConfigurationKey("settings.limits.max_streams", COUNT_FROM_ONE, "core.connection_pool", "1"),
     ConfigurationKey(
-        "settings.limits.conn_idle_ns", NANOSECONDS, "core.reducer", "0: never closed for being idle"
+        "settings.limits.conn_idle_ns", NANOSECONDS, "core.housekeeping", "0: never closed for being idle"
+    ),
+    ConfigurationKey(
+        "settings.limits.dial_timeout_ns",
+        number(1),
+        "decision, core.server_connections, core.health_checks",
+        "400 ms",
     ),
-    ConfigurationKey("settings.limits.dial_timeout_ns", number(1), "core.attempts", "400 ms"),
     ConfigurationKey(
         "settings.limits.cpu_us_per_s", number(0), "", "", "the platform holds it; turns are bounded"
     ),
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import ast
 import json
 import os
 import re
@@ -165,6 +166,84 @@
         self.assertEqual(self.call(size="412.5").size_kb, 412.5)
 
 
+def constants_of_the_program() -> dict[str, list[object]]:
+    """The values of all constants of modules, by name; None where a value is no plain arithmetic."""
+    found: dict[str, list[object]] = {}
+    for path in sorted((ROOT / "kelpcroft").rglob("*.py")):
+        values: dict[str, object] = {"MS": 10**6, "SECOND": 10**9, "SECOND_NS": 10**9}
+        for node in ast.parse(path.read_text()).body:
+            target = node.target if isinstance(node, ast.AnnAssign) else None
+            if isinstance(node, ast.Assign):
+                target = node.targets[0]
+            if isinstance(target, ast.Name) and target.id.isupper() and node.value is not None:
+                try:
+                    value = eval(ast.unparse(node.value), {"__builtins__": {}}, values)
+                except Exception:
+                    value = None
+                values[target.id] = value
+                found.setdefault(target.id, []).append(value)
+    return found
+
+
+class PageOfFigures(unittest.TestCase):
+    """docs/design/sites.md names the constants of the code, with the values that they have."""
+
+    PAGE = (ROOT / "docs/design/sites.md").read_text()
+
+    def test_each_constant_that_the_page_names_is_one_of_the_code(self) -> None:
+        known = constants_of_the_program()
+        spans = re.findall(r"`([^`\n]+)`", self.PAGE)
+        names = {name for span in spans for name in re.findall(r"\b[A-Z]+(?:_[A-Z]+)+(?![A-Z_*])", span)}
+        self.assertGreater(len(names), 50)
+        for name in sorted(names - {"SECOND_NS"}):
+            with self.subTest(name=name):
+                self.assertEqual(len(known.get(name, [])), 1)
+
+    def test_the_figures_are_those_of_the_code(self) -> None:
+        known = constants_of_the_program()
+        table = self.PAGE.split("## Figures in the code", 1)[1].split("\n## ", 1)[0]
+        units = {"": 1, " s": 10**9, " ms": 10**6}
+        checked = 0
+        for row in table.splitlines():
+            first = row.split("|")[1] if row.startswith("| `") else ""
+            for name, figure, unit in re.findall(r"`([A-Z_]+)` ([\d.,/]*\d)( m?s)?", first):
+                top, _, bottom = figure.replace(",", "").partition("/")
+                with self.subTest(name=name):
+                    self.assertEqual(known[name], [float(top) / float(bottom or 1) * units[unit]])
+                checked += 1
+        self.assertGreater(checked, 25)
+
+
+class PageOfCodes(unittest.TestCase):
+    """docs/operators/routes.md has every code with which an operator's file is refused."""
+
+    CODE_ARGUMENT = {
+        "add": 1,
+        "note": 1,
+        "InvalidValue": 0,
+        "KdlSyntaxError": 2,
+        "LimitExceededError": 2,
+        "parse_number": 3,
+    }
+
+    def test_the_page_has_every_code(self) -> None:
+        table = (ROOT / "docs/operators/routes.md").read_text().split("## What is refused, by code", 1)[1]
+        on_page, prefix = set(), ""
+        for code in re.findall(r"`([a-z0-9-]+)`", table.split("\n## ", 1)[0]):
+            if not code.startswith("-"):
+                prefix = code.partition("-")[0]
+            on_page.add(prefix + code if code.startswith("-") else code)
+        written = set()
+        for path in (ROOT / "kelpcroft/operator_file").glob("*.py"):
+            for node in ast.walk(ast.parse(path.read_text())):
+                if isinstance(node, ast.Call):
+                    name = getattr(node.func, "attr", getattr(node.func, "id", ""))
+                    code = node.args[self.CODE_ARGUMENT[name] :][:1] if name in self.CODE_ARGUMENT else []
+                    written |= {c.value for c in code if isinstance(c, ast.Constant) and type(c.value) is str}
+        self.assertGreater(len(written), 40)
+        self.assertEqual(written - on_page, set())
+
+
 class Settings(unittest.TestCase):
     """`kelpcroft check --config` and the start say the same of a configuration."""
 
@@ -264,6 +343,12 @@
                 page,
             )
 
+    def test_the_readers_that_keys_name_exist(self) -> None:
+        for key in deployment_check.known_keys.CONFIGURATION_KEYS:
+            for module in re.findall(r"\b[a-z_]+\.[a-z_]+\b", key.reader):
+                with self.subTest(key=key.path, module=module):
+                    self.assertTrue((ROOT / "kelpcroft" / f"{module.replace('.', '/')}.py").exists())
+
     def test_every_key_that_is_read_in_settings_is_known(self) -> None:
         source = (ROOT / "kelpcroft/settings_wire.py").read_text()
         known = {key.path.rpartition(".")[2] for key in deployment_check.known_keys.CONFIGURATION_KEYS}
