--- a/kelpcroft/cli/check.py
+++ b/kelpcroft/cli/check.py
@@ -36,19 +36,19 @@
     """  # noqa: D205 - the text of --help
     if file is None and config is None:
         raise CommandError("nothing to check: name a FILE, or --config CONFIG, or both")
-    odd = diagnose_configuration(config) if config else []
-    is_usable = not any(diagnostic.level is Severity.FAULT for diagnostic in odd)
+    config_diagnostics = diagnose_configuration(config) if config else []
+    is_usable = not any(diagnostic.level is Severity.FAULT for diagnostic in config_diagnostics)
     if form == "text":
-        for diagnostic in odd:
+        for diagnostic in config_diagnostics:
             click.echo(f"{config}: {diagnostic.level}: {diagnostic}")
     if file is None or not is_usable:
-        report_configuration(config or "", file, odd, is_usable, form)
+        report_configuration(config or "", file, config_diagnostics, is_usable, form)
         if not is_usable:
             exit_negative()
         return
     model, faults = diagnose_file(file, read_settings(config) if config else None)
     if form == "json":
-        print_file_json(file, model, faults, odd, has_deployment=bool(config))
+        print_file_json(file, model, faults, config_diagnostics, has_deployment=bool(config))
     else:
         echo_file(file, model, faults, has_deployment=bool(config))
     if faults:
@@ -56,14 +56,14 @@
 
 
 def report_configuration(
-    config: str, file: str | None, odd: list[Diagnostic], is_usable: bool, form: str
+    config: str, file: str | None, diagnostics: list[Diagnostic], is_usable: bool, form: str
 ) -> None:
     """The answer where only a configuration was looked at; its diagnostics as text are printed already."""
     if form == "json":
-        print_json({"config": config, "good": is_usable, "settings": [placed_json(d) for d in odd]})
+        print_json({"config": config, "good": is_usable, "settings": [placed_json(d) for d in diagnostics]})
     elif is_usable:
         missing = ", ".join(missing_features(read_settings(config))) or "lack"
-        click.echo(f"{config}: good, {len(odd)} to look at; it has no {missing}")
+        click.echo(f"{config}: good, {len(diagnostics)} to look at; it has no {missing}")
     else:
         not_checked = f", so {file} was not held against it" if file else ""
         click.echo(f"{config}: not usable{not_checked}", err=True)
@@ -73,7 +73,7 @@
     path: str,
     model: OperatorFile,
     faults: list[Diagnostic],
-    odd: list[Diagnostic],
+    config_diagnostics: list[Diagnostic],
     *,
     has_deployment: bool,
 ) -> None:
@@ -84,7 +84,7 @@
             "good": not faults,
             "routes": len(model.routes),
             "deployment": has_deployment,
-            "settings": [placed_json(diagnostic) for diagnostic in odd],
+            "settings": [placed_json(diagnostic) for diagnostic in config_diagnostics],
             "faults": [positioned_json(fault) for fault in faults],
         }
     )
@@ -96,5 +96,5 @@
         echo_diagnostics(path, faults)
         click.echo(f"{len(faults)} fault{'s' if len(faults) != 1 else ''}", err=True)
         return
-    held = "held against the deployment" if has_deployment else "without a deployment"
-    click.echo(f"{path}: good, {len(model.routes)} routes, {held}")
+    scope = "held against the deployment" if has_deployment else "without a deployment"
+    click.echo(f"{path}: good, {len(model.routes)} routes, {scope}")
--- a/kelpcroft/config_reload/__init__.py
+++ b/kelpcroft/config_reload/__init__.py
@@ -1,7 +1,8 @@
 """A configuration read again on SIGHUP: checked whole (``check``), then taken up in two steps (``plan``).
 
-Pure: no file, socket or clock.  Imports the settings of the decision code and ``kelpcroft.deployment_check``
-for addresses.  ``kelpcroft.core.config_reload`` applies both to the state; start reading at ``check``.
+Pure: no file, socket or clock.  Imports the settings of the decision package, ``kelpcroft.deployment_check``
+for addresses and ``kelpcroft.diagnostics``.  ``kelpcroft.core.config_reload`` applies both to the state;
+start reading at ``check``.
 """
 
 from kelpcroft.config_reload.check import decode_config, validate_reload
--- a/kelpcroft/config_reload/check.py
+++ b/kelpcroft/config_reload/check.py
@@ -25,7 +25,7 @@
 from kelpcroft.deployment_check.known_keys import parse_host_port
 from kelpcroft.diagnostics import Diagnostic
 
-MAX_DIAGNOSTICS = 100  # named in one pass; the rest are counted
+MAX_DIAGNOSTICS = 100  # returned of one file; further ones are left out, and not counted
 MAX_SHOWN_CHARACTERS = 60  # of a value that cannot be used
 IDEMPOTENCY_NAMES = ("safe", "keyed", "unsafe")
 
@@ -63,7 +63,7 @@
         if "settings" in new:
             self._check_settings(new["settings"], used.get("settings"))
         if "feed" in new and parse_host_port(new["feed"]) is None:
-            self._note("feed", abbreviated(new["feed"]), "an address as host:port would do")
+            self._note("feed", unusable_words(new["feed"]), "an address as host:port would do")
         return self._found[:MAX_DIAGNOSTICS]
 
     def _note(self, place: str, found: str, expected: str) -> None:
@@ -71,7 +71,7 @@
 
     def _check_settings(self, settings: Any, used: Any) -> None:
         if not isinstance(settings, dict):
-            self._note("settings", abbreviated(settings), "an object would do")
+            self._note("settings", unusable_words(settings), "an object would do")
             return
         self._check_keys(settings, used, "settings")
         self._check_classes(settings.get("classes"))
@@ -83,7 +83,7 @@
         most_tries = limits["most_tries"]
         if not is_positive_whole(most_tries):
             expected = "a positive whole number of attempts would do"
-            self._note("settings.limits.most_tries", abbreviated(most_tries), expected)
+            self._note("settings.limits.most_tries", unusable_words(most_tries), expected)
 
     def _check_keys(self, new: Any, used: Any, place: str) -> None:
         """Keys of ``used`` that ``new`` lacks, through objects and the items of lists of objects."""
@@ -101,7 +101,7 @@
         """Keys that every entry in use has, in each entry of a list."""
         for index, entry in enumerate(entries):
             if not isinstance(entry, dict):
-                self._note(f"{place}[{index}]", abbreviated(entry), "an object would do")
+                self._note(f"{place}[{index}]", unusable_words(entry), "an object would do")
                 continue
             for key in sorted(common - set(entry)):
                 self._note(f"{place}[{index}].{key}", "is missing", "every entry in use has it")
@@ -110,7 +110,7 @@
         """The list of classes: each named once, with a deadline and an effect that can be used."""
         if not isinstance(classes, list) or not classes:
             expected = "a list of at least one class would do"
-            self._note("settings.classes", abbreviated(classes), expected)
+            self._note("settings.classes", unusable_words(classes), expected)
             return
         names: set[str] = set()
         for index, entry in enumerate(classes):
@@ -121,18 +121,18 @@
         """One class.  Its name is added to those of the classes before it."""
         name = entry.get("name")
         if not isinstance(name, str) or not name:
-            self._note(f"{place}.name", abbreviated(name), "a name of at least one character would do")
+            self._note(f"{place}.name", unusable_words(name), "a name of at least one character would do")
         elif name in names:
             self._note(f"{place}.name", f"{name!r} is named twice", "one class of each name would do")
         else:
             names.add(name)
         if "give_up_ns" in entry and not is_positive(entry["give_up_ns"]):
             expected = "a positive number of nanoseconds would do"
-            self._note(f"{place}.give_up_ns", abbreviated(entry["give_up_ns"]), expected)
+            self._note(f"{place}.give_up_ns", unusable_words(entry["give_up_ns"]), expected)
         effect = entry.get("idempotency")
         if effect is not None and effect not in IDEMPOTENCY_NAMES:
             expected = f"one of {', '.join(IDEMPOTENCY_NAMES)} would do"
-            self._note(f"{place}.idempotency", abbreviated(effect), expected)
+            self._note(f"{place}.idempotency", unusable_words(effect), expected)
 
 
 def is_list_of_objects(entries: list[Any]) -> bool:
@@ -152,8 +152,8 @@
     return is_positive(value) and float(value).is_integer()
 
 
-def abbreviated(value: Any) -> str:
-    """A value as the file has it, cut short, and that it cannot be used."""
+def unusable_words(value: Any) -> str:
+    """``VALUE is not usable``, the value as JSON and cut where it is long; None is missing or null."""
     if value is None:
         return "is missing or null"
     is_json = isinstance(value, (dict, list, str, int, float, bool))
--- a/kelpcroft/config_reload/plan.py
+++ b/kelpcroft/config_reload/plan.py
@@ -22,7 +22,7 @@
 from kelpcroft.decision import interface as api
 
 MS = 1_000_000
-TRANSITION_NS = 2_000 * MS  # the stricter of old and new is used for so long
+TRANSITION_NS = 2_000 * MS  # how long the stricter of old and new is used
 NARROWNESS = {"all": 0, "zone": 1, "cell": 2}  # who drops the repeats of a key; others: by the new file
 STRICTNESS = {api.Idempotency.SAFE: 0, api.Idempotency.KEYED: 1, api.Idempotency.UNSAFE: 2}
 
@@ -72,7 +72,7 @@
 
 
 def stricter_class(old: api.RequestClass, new: api.RequestClass) -> api.RequestClass:
-    """One class as two files give it, held to the stricter of each: the new one where they agree."""
+    """The stricter of each field of one class in two files; what has no stricter value is the new file's."""
     keyed = [c for c in (old, new) if c.idempotency is api.Idempotency.KEYED]
     return replace(
         new,
@@ -104,7 +104,7 @@
 
 
 def stricter_limits(old: api.Limits, new: api.Limits) -> api.Limits:
-    """Permissions that both give, and the lower of numbers that are set (0 is: not told)."""
+    """Permissions that both give, and the lower of numbers that are set (0 is not set)."""
     merged: dict[str, object] = {}
     for field in fields(api.Limits):
         old_value, new_value = getattr(old, field.name), getattr(new, field.name)
--- a/kelpcroft/deployment_check/__init__.py
+++ b/kelpcroft/deployment_check/__init__.py
@@ -1,7 +1,8 @@
 """What a deployment's JSON configuration says: every known key, what is wrong, and what it lacks.
 
 Owns the table of keys (``known_keys``), which ``docs/operators/sites.md`` has for people.  Pure: no file,
-socket or clock; imports the decision module's interface only.  Start reading at ``check``.
+socket or clock; imports the decision package's interface and ``kelpcroft.diagnostics``.  Start reading at
+``check``.
 """
 
 from kelpcroft.deployment_check.check import check_configuration
--- a/kelpcroft/deployment_check/check.py
+++ b/kelpcroft/deployment_check/check.py
@@ -13,7 +13,7 @@
 from kelpcroft.deployment_check.known_keys import CONFIGURATION_KEYS
 from kelpcroft.diagnostics import Diagnostic, Severity
 
-MAX_DIAGNOSTICS = 100
+MAX_DIAGNOSTICS = 100  # returned of one configuration, the worst first
 NEEDED_PATHS = ("feed", "known", "settings.az", "settings.dcs")
 OBJECT_PATHS = (
     "limits",
--- a/kelpcroft/deployment_check/known_keys.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -1,6 +1,6 @@
 """Every key of a configuration: its form, who reads it, and what its absence means.
 
-``docs/operators/sites.md`` has the same table for people; a test holds the two together.  A key that nobody
+``docs/operators/sites.md`` has the same table for people; a test compares the two.  A key that nobody
 reads says why that may be.  ``[]`` stands for each entry of a list.
 """
 
@@ -113,7 +113,7 @@
     Attributes:
         path: Keys joined by dots; ``[]`` behind one stands for each entry of a list.
         form: What its value may be.
-        reader: Module, and what it is for there; "" = nobody reads it.
+        reader: Modules below ``kelpcroft``, and what it is for there; "" = nobody reads it.
         absent: What its absence means; "needed" = the program does not start.
         why: Where nobody reads it, why that may be.
     """
--- a/kelpcroft/diagnostics.py
+++ b/kelpcroft/diagnostics.py
@@ -36,9 +36,8 @@
     """One thing that is wrong or odd.
 
     Attributes:
-        place: Path of keys and indices in a JSON configuration, as ``settings.classes[2].give_up_ns``;
-        empty for
-            the whole file, and for a file that is located by line and column.
+        place: Path of keys and indices in a JSON configuration, as ``settings.classes[2].give_up_ns``; for
+            a file that is not JSON the line and column in words; empty for the whole file, and for KDL.
         found: What stands there, or for KDL the whole message.
         expected: What would do in its place; may be empty.
         level: What it means for the program.
@@ -69,7 +68,7 @@
     def format_for(self, path: str) -> str:
         """``PATH:LINE:COL: CODE: message``: the line of a KDL file's diagnostic.
 
-        It is one line whatever the file held: what cannot be printed is escaped.
+        It is one line whatever the file contains: what cannot be printed is escaped.
         """
         message = "".join(c if c.isprintable() else f"\\u{ord(c):04x}" for c in self.message)
         return f"{path}:{self.position.line}:{self.position.column}: {self.code}: {message}"
--- a/kelpcroft/operator_file/check.py
+++ b/kelpcroft/operator_file/check.py
@@ -1,4 +1,4 @@
-"""Whether a file may be used: by itself, and held against a deployment's settings.
+"""Whether a file may be used: by itself, and in a deployment with its settings.
 
 ``load`` needs no deployment.  ``check`` knows the classes, zones and limits, and refuses what a rule forbids:
 a second run of what must not run twice, a wait past the client's give-up time, more sends than allowed.  Both
@@ -80,7 +80,7 @@
 
 
 def read_steps(path: Path, settings: api.Settings) -> Steps[OperatorFileRead]:
-    """A file on disk in steps, as what the reducer is told of it: the file itself where it may be used."""
+    """A file on disk in steps, as the input that the reducer gets: the file itself where it may be used."""
     try:
         data = read_bytes(path)
     except OSError as error:
@@ -149,12 +149,12 @@
         )
 
 
-def first_route_beyond(routes: Iterable[Route], most: int) -> Route | None:
-    """The route with which all up to it have more than so many regions; None where they never have."""
+def first_route_beyond(routes: Iterable[Route], max_regions: int) -> Route | None:
+    """The first route up to which there are more than ``max_regions`` regions; None where there is none."""
     total = 0
     for route in routes:
         total += region_count(route)
-        if total > most:
+        if total > max_regions:
             return route
     return None
 
--- a/kelpcroft/operator_file/explain.py
+++ b/kelpcroft/operator_file/explain.py
@@ -119,7 +119,7 @@
     return f"{hedging.max_hedges} after {adaptive_duration_words(hedging.delay)}{paid}"
 
 
-# Fields of RoutePolicy, what operators call them, and how their values are said.
+# Fields of RoutePolicy, what operators call them, and their values in words.
 POLICY_WORDS: tuple[tuple[str, str, Callable[[Any], str]], ...] = (
     ("answer_timeout", "timeout", answer_timeout_words),
     ("attempt_timeout", "attempt timeout", adaptive_duration_words),
--- a/kelpcroft/operator_file/locator.py
+++ b/kelpcroft/operator_file/locator.py
@@ -1,7 +1,7 @@
 """Where each node, argument and property of a KDL text stands: one pass over its tokens, in document order.
 
-The KDL parser in use (ckdl) tells no positions, so ``NodeLocator`` walks the same text beside it.  It also
-holds the limits: nothing larger or deeper than these is handed to the parser.  Source of the grammar: KDL
+The KDL parser in use (ckdl) reports no positions, so ``NodeLocator`` walks the same text beside it.  It also
+enforces the limits: nothing larger or deeper than these is handed to the parser.  Source of the grammar: KDL
 2.0.0, kdl.dev.
 """
 
--- a/kelpcroft/operator_file/match_regions.py
+++ b/kelpcroft/operator_file/match_regions.py
@@ -1,9 +1,9 @@
 """Algebra of match regions: which requests earlier routes have taken already.
 
-A request is a point: class, retry, write, group, part, object.  Within a class a region is an axis-parallel
-box of such points, and a route takes a union of regions.  What is left of each class is kept as disjoint
-regions, and every route's are subtracted from it in turn: a route that takes nothing is unreachable, and a
-class of which something is left at the end has requests without a route.
+A request is a point: class, retry, write, group, part, object.  Within a class a region is a product of
+ranges, one for each of the other five, and a route takes a union of regions.  What is left of each class is
+kept as disjoint regions, and every route's are subtracted from it in turn: a route that takes nothing is
+unreachable, and a class of which something is left at the end has requests without a route.
 
 The work is bounded by a count of subtractions, not by a clock: past it no route is called unreachable, and no
 class without a route, unless that is plain without subtracting.
--- a/kelpcroft/operator_file/model.py
+++ b/kelpcroft/operator_file/model.py
@@ -93,7 +93,7 @@
         return bool(self.effects) or self.uncacheable is not None or self.multipart is not None
 
     def accepts_class(self, request_class: RequestClass) -> bool:
-        """Whether it takes requests of a class, as far as that hangs on the class alone."""
+        """Whether it takes requests of a class, as far as that depends on the class alone."""
         return (
             (not self.classes or request_class.name in self.classes)
             and (not self.effects or request_class.idempotency.value in self.effects)
@@ -124,8 +124,8 @@
         backoff: Waits between attempts.
         hedging: Second copies (``copies``).
         max_open_requests: Of the route at once (``limit open=``).
-        retry_after_ns: Pause that a rejected client is told (``pause``).
-        positions: Where each of them was said, by the names above.
+        retry_after_ns: Pause that a rejected client is asked to make (``pause``).
+        positions: Where the file states each of them, by the names above.
     """
 
     answer_timeout: AnswerTimeout | None = None
@@ -146,8 +146,8 @@
             return self
         merged = {}
         for name in POLICY_FIELDS:
-            said = getattr(self, name)
-            merged[name] = getattr(defaults, name) if said is None else said
+            stated = getattr(self, name)
+            merged[name] = getattr(defaults, name) if stated is None else stated
         return RoutePolicy(**merged, positions={**defaults.positions, **self.positions})
 
 
@@ -196,7 +196,7 @@
     """Control replicas that tell the list and the purges, in place of the configuration's feed."""
 
     addresses: tuple[tuple[str, int], ...]
-    stale_after_ns: int = 3 * 10**9  # one that has heard nothing for so long is left for another
+    stale_after_ns: int = 3 * 10**9  # after which a replica without news from upstream is left
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,7 +206,7 @@
     routes: tuple[Route, ...] = ()
     budgets: tuple[BudgetSettings, ...] = ()
     defaults: RoutePolicy = RoutePolicy()
-    exposes_state: bool = False  # the control address tells what this process is and did
+    exposes_state: bool = False  # the control address shows what this process is and did
     start_options: StartupOptions = StartupOptions()  # noqa: RUF009 - frozen, so it may be shared
     control_replicas: ControlReplicas | None = None
     start_position: FilePosition = field(default=NO_POSITION, compare=False)
--- a/kelpcroft/operator_file/replica.py
+++ b/kelpcroft/operator_file/replica.py
@@ -4,7 +4,7 @@
     listen "10.0.0.1:7100"
     list-service "10.0.0.9:7000"             // one or more; or
     peer "10.0.0.2:7100"                     // other control replicas, tried in turn with it
-    lease "3s"                               // without word from upstream for so long it is stale
+    lease "3s"                               // without word from upstream it is stale after this
     batch "400ms"                            // between two answers to one watcher
     watches 1000                             // at the most; more are refused
 
--- a/kelpcroft/operator_file/route_rules.py
+++ b/kelpcroft/operator_file/route_rules.py
@@ -1,6 +1,6 @@
 """Rules that a route's policy must keep: by itself, in a deployment, and for each class that it takes.
 
-Each function notes what breaks a rule in a DiagnosticCollector, at the place where the file says it.
+Each function notes what breaks a rule in a DiagnosticCollector, at the position where the file states it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from kelpcroft.operator_file.model import Route
 from kelpcroft.operator_file.values import format_duration
 
-ATTEMPTS_WITH_A_BACKOFF = 2  # at the least: a back-off without a number of attempts waits once
+MIN_ATTEMPTS_WITH_A_BACKOFF = 2  # a back-off in a route without a number of attempts waits at least once
 RISK_BY_IDEMPOTENCY = {
     api.Idempotency.UNSAFE: "must never run twice",
     api.Idempotency.KEYED: "may be repeated only where its repeats are dropped",
@@ -26,7 +26,7 @@
         self.diagnostics = diagnostics
 
     def note(self, field: str, code: str, message: str) -> None:
-        """Note a diagnostic where a field of the policy was said."""
+        """Note a diagnostic at the position of a field of the policy; the route's where it has none."""
         position = self.policy.positions.get(field, self.route.position)
         self.diagnostics.add(position, code, f"route {abbreviated(self.route.name)}: {message}")
 
@@ -38,7 +38,7 @@
 
     def attempts_with_backoff(self) -> int:
         """Attempts that a back-off is reckoned with."""
-        return self.policy.max_attempts or ATTEMPTS_WITH_A_BACKOFF
+        return self.policy.max_attempts or MIN_ATTEMPTS_WITH_A_BACKOFF
 
     # By itself ----------------------------------------------------------------------------------------------
 
@@ -104,18 +104,19 @@
     def check_deployment(self, limits: api.Limits) -> None:
         """The policy against the limits of a deployment."""
         policy = self.policy
-        most = limits.max_attempts
-        if policy.max_attempts is not None and policy.max_attempts > most:
+        max_sends = limits.max_attempts
+        if policy.max_attempts is not None and policy.max_attempts > max_sends:
             self.note(
                 "max_attempts",
                 "attempts-over-deployment",
-                f"{policy.max_attempts} attempts; the deployment allows {most} sends for a request",
+                f"{policy.max_attempts} attempts; the deployment allows {max_sends} sends for a request",
             )
-        if policy.max_reroutes is not None and policy.max_reroutes > most - 1:
+        if policy.max_reroutes is not None and policy.max_reroutes > max_sends - 1:
             self.note(
                 "max_reroutes",
                 "moves-over-deployment",
-                f"{policy.max_reroutes} moves behind the first send; the deployment allows {most} in all",
+                f"{policy.max_reroutes} moves behind the first send; "
+                f"the deployment allows {max_sends} in all",
             )
         self.check_hedging_in_deployment(limits)
         self.check_pause_in_deployment(limits)
@@ -136,7 +137,7 @@
             )
 
     def check_pause_in_deployment(self, limits: api.Limits) -> None:
-        """Whether clients may be told a pause, and so long a one."""
+        """Whether clients may be asked to pause, and for that long."""
         pause_ns = self.policy.retry_after_ns
         if not pause_ns:
             return
@@ -192,7 +193,7 @@
                 f"a wait of {format_duration(timeout.ns)}, but clients of class "
                 f"{abbreviated(request_class.name)} give up after {format_duration(deadline_ns)}",
             )
-        elif not timeout or not timeout.ns:  # else its parts were held against it by check_alone
+        elif not timeout or not timeout.ns:  # else check_alone compared its parts with it
             answer_ns = timeout.within(deadline_ns) if timeout else deadline_ns
             self.check_parts_within(answer_ns, request_class)
 
--- a/kelpcroft/operator_file/text.py
+++ b/kelpcroft/operator_file/text.py
@@ -1,7 +1,7 @@
 """Bytes to a tree of KDL nodes in which every node, argument and property knows its offset in the text.
 
 ckdl parses and ``NodeLocator`` finds where each node stands; ``attach_offsets`` lays one beside the other.
-The locator runs first, as it also holds the limits.  Both go node by node at the top.
+The locator runs first, as it also enforces the limits.  Both go node by node at the top.
 """
 
 from __future__ import annotations
--- a/kelpcroft/routes/budget.py
+++ b/kelpcroft/routes/budget.py
@@ -1,6 +1,7 @@
-"""Retry budget: further attempts and hedges as a share of recent requests, with a floor and a store.
+"""Retry budget: further attempts and hedges as a share of recent requests.
 
 A token bucket that requests fill, as in Finagle's and Envoy's retry budgets, and that time fills a little.
+What is saved is bounded.
 """
 
 from __future__ import annotations
--- a/kelpcroft/routes/index.py
+++ b/kelpcroft/routes/index.py
@@ -1,9 +1,11 @@
 """The first route that takes a request, at a cost that does not grow with the number of routes.
 
-Routes are put by the object prefixes that they name (none: the empty one); a request looks under each
-prefix length in use, 17 at the most.  Under a prefix, routes of a class, retry and write are laid out in
-the plane of groups and parts once one such request comes: in runs of parts that one route takes, for each
-run of groups that are treated alike.  Two bisections find the earliest of them.
+Routes are filed under the object prefixes that they name (none: the empty one); a request looks under each
+prefix length in use, 17 at the most.  Under a prefix, the first request of a class, retry and write builds
+their plane of groups and parts: for each run of groups that are treated alike, the runs of parts that one
+route takes.  Two bisections find the run of a request, and so its route.
+
+A route's place is its position in the file, from 0; of two that match, the one with the lower place counts.
 """
 
 from __future__ import annotations
@@ -80,30 +82,29 @@
 def part_runs(routes: Iterable[tuple[int, Sequence[Range]]]) -> PartRuns:
     """Runs of parts, from routes by place and parts, in their order.
 
-    Cells between neighbouring edges are painted with the place of the first route that takes them.  A cell
-    once painted stays, and ``next_unpainted`` leaps over what is: a union-find, so the cost hardly grows
-    with overlaps.
+    Each cell between neighbouring edges goes to the first route that takes it, and stays with it.
+    ``next_free_cell`` skips cells that are taken by union-find, so the cost hardly grows with overlaps.
     """
     ranges = [(place, low, high + 1) for place, parts in routes for low, high in parts or (PART_RANGE,)]
     edges = sorted({PART_RANGE[0], PART_RANGE[1] + 1, *(e for _, low, high in ranges for e in (low, high))})
     cell_of_edge = {edge: cell for cell, edge in enumerate(edges)}
-    painted = array("L", [NO_ROUTE]) * (len(edges) - 1)
-    next_cells = list(range(len(edges)))  # of a painted cell: one behind it; of another: itself
+    place_of_cell = array("L", [NO_ROUTE]) * (len(edges) - 1)
+    next_cells = list(range(len(edges)))  # of a cell that is taken: one behind it; of a free one: itself
     for place, low, high in ranges:
-        cell = next_unpainted(next_cells, cell_of_edge[low])
+        cell = next_free_cell(next_cells, cell_of_edge[low])
         end = cell_of_edge[high]
         while cell < end:
-            painted[cell] = place
+            place_of_cell[cell] = place
             next_cells[cell] = cell + 1
-            cell = next_unpainted(next_cells, cell)
+            cell = next_free_cell(next_cells, cell)
     runs = PartRuns()
-    for start, place in zip(edges, painted):  # noqa: B905 - the last edge ends the last cell
+    for start, place in zip(edges, place_of_cell):  # noqa: B905 - the last edge ends the last cell
         runs.add_cell(start, place)
     return runs
 
 
-def next_unpainted(next_cells: list[int], cell: int) -> int:
-    """The first unpainted cell from one on; paths on the way are halved."""
+def next_free_cell(next_cells: list[int], cell: int) -> int:
+    """The first free cell from ``cell`` on; paths on the way are halved."""
     while next_cells[cell] != cell:
         next_cells[cell] = next_cells[next_cells[cell]]
         cell = next_cells[cell]
--- a/kelpcroft/routes/sketch.py
+++ b/kelpcroft/routes/sketch.py
@@ -16,7 +16,7 @@
 MIN_LATENCY_NS: Final = 1_000_000
 MAX_LATENCY_NS: Final = 120 * 10**9
 BUCKET_GROWTH: Final = 1.05
-HALF_LIFE_NS: Final = 10 * 10**9  # a sample counts half after so long
+HALF_LIFE_NS: Final = 10 * 10**9  # after which a sample counts half
 BUCKETS: Final = ceil(log(MAX_LATENCY_NS / MIN_LATENCY_NS) / log(BUCKET_GROWTH)) + 1
 BUCKET_EDGES_NS: Final = [MIN_LATENCY_NS * BUCKET_GROWTH**n for n in range(BUCKETS)]
 BYTES_PER_DOUBLE: Final = 8
--- a/kelpcroft/routes/table.py
+++ b/kelpcroft/routes/table.py
@@ -14,7 +14,9 @@
 
 OUTCOMES: Final = {"error": Outcome.ERROR, "reset": Outcome.RESET, "timeout": Outcome.TIMEOUT}
 NO_REROUTE_BOUND: Final = -1
-ATTEMPTS_WITH_A_BACKOFF: Final = 3  # waits are drawn for so many where no number of attempts is stated
+DEFAULT_ATTEMPTS_WITH_A_BACKOFF: Final = (
+    3  # that waits are drawn for, where a route states no number of attempts
+)
 
 
 class RouteState:
@@ -24,7 +26,7 @@
         open_requests: How many are open now.
         taken: How many requests it took in all.
         rejected: Those of them that came beyond ``max_open_requests``.
-        base_policy: What each request is granted, without what hangs on the time or on chance.
+        base_policy: What each request is granted, without what depends on the time or on chance.
         is_fixed: Whether every request is granted just ``base_policy`` and its whole patience.
         learns: Whether a quantile of recent answers is asked for.
     """
@@ -112,7 +114,7 @@
     """What one request may cost, and the route that it is in.
 
     Attributes:
-        bounds: What the decision module is told.
+        bounds: The policy that the decision package gets with the request.
         answer_timeout_ns: For the whole answer, from now.
         hedge_delay_ns: After which a hedge of an attempt is due; 0 = none.
         records_latency: Whether the route wanted to know of answers when the request came.
@@ -157,9 +159,10 @@
         return self.hedge_budget is None or self.hedge_budget.spend(now)
 
     def record_latency(self, now: int, took_ns: int) -> None:
-        """An answer took so long, or was given up after so long: it would have taken longer still.
+        """An answer came, or an attempt was given up, after ``took_ns``.
 
-        Without the latter a quantile that ends attempts would fall with each that it ends.
+        Attempts that were given up count too: without them a quantile that ends attempts would fall with
+        each that it ends.
         """
         route = self.route
         if route.learns:  # as the file says now
@@ -252,7 +255,7 @@
         return self.allow(now, route, remaining_ns, elapsed_ns)
 
     def allow(self, now: int, route: RouteState, remaining_ns: int, elapsed_ns: int) -> RequestAllowance:
-        """What a request is granted by a route whose policy hangs on the time, the patience or chance."""
+        """What a request is granted by a route whose policy depends on the time, the patience or chance."""
         attempt_timeout_ns = route.attempt_timeout_ns(now)
         answer_timeout_ns = route.answer_timeout_ns(remaining_ns, elapsed_ns)
         backoff = route.policy.backoff
@@ -275,7 +278,7 @@
     def draw_backoff(self, backoff: Backoff, max_attempts: int | None) -> tuple[int, ...]:
         """The waits before each further attempt of one request, in ns."""
         backoff_ns = []
-        for retry in range((max_attempts or ATTEMPTS_WITH_A_BACKOFF) - 1):
+        for retry in range((max_attempts or DEFAULT_ATTEMPTS_WITH_A_BACKOFF) - 1):
             longest_ns = backoff.step_ns(retry)
             backoff_ns.append(self.random.randint(0, longest_ns) if backoff.full_jitter else longest_ns)
         return tuple(backoff_ns)
