--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -212,7 +212,9 @@
     if newest is not None and newest.outcome not in FINAL_OUTCOME_VALUES:
         if newest.plan != data:
             raise LeaseLostError(
-                f"run {newest.id} of another plan is not over; revert it, or go on with its own file"
+                f"run {newest.id} of another plan is not over; revert it, or go on with its own file",
+                path=store.path,
+                run_id=newest.id,
             )
         return newest
     now_ns = clock()
--- a/kelpcroft/cli/placement.py
+++ b/kelpcroft/cli/placement.py
@@ -8,7 +8,8 @@
 from kelpcroft.config import ConfigError, parse_config
 from kelpcroft.core.inputs import EndpointUpdate
 from kelpcroft.decision import interface as api
-from kelpcroft.rollout.placement import PlacementError, place_objects
+from kelpcroft.rollout.errors import PlacementError
+from kelpcroft.rollout.placement import place_objects
 
 MAX_OBJECTS = 100_000
 DEFAULT_OBJECTS = 2_000
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -17,11 +17,11 @@
 from kelpcroft.cli.rollout_status import is_led, print_status, run_status
 from kelpcroft.diagnostics import Diagnostic
 from kelpcroft.operator_file.check import read_bytes as read
+from kelpcroft.rollout.errors import SnapshotError
 from kelpcroft.rollout.events import HistoryEntry
 from kelpcroft.rollout.phases import FINAL_OUTCOME_VALUES, RolloutOutcome
 from kelpcroft.rollout.plan import RolloutPlan
 from kelpcroft.rollout.plan_file import load_plan
-from kelpcroft.rollout.snapshot import SnapshotError
 from kelpcroft.store.rollouts import LeaseLostError, RolloutStore, StoredRun
 
 NEGATIVE_OUTCOME_VALUES = frozenset(  # `status` answers no
--- a/kelpcroft/cli/rollout_preview.py
+++ b/kelpcroft/cli/rollout_preview.py
@@ -13,7 +13,8 @@
 import orjson
 
 from kelpcroft.operator_file.values import format_duration
-from kelpcroft.rollout.placement import PlacementDiff, PlacementError, compare_placements
+from kelpcroft.rollout.errors import PlacementError
+from kelpcroft.rollout.placement import PlacementDiff, compare_placements
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget, Stage
 from kelpcroft.rollout.router_drivers import fill_in
 
@@ -141,7 +142,11 @@
         )
         return [str(home) for home in orjson.loads(ended.stdout)["homes"]]
     except (OSError, subprocess.SubprocessError, ValueError, KeyError, TypeError) as error:
-        raise PlacementError(f"{type(error).__name__}: {str(error)[:MAX_ERROR_CHARACTERS]}") from error
+        raise PlacementError(
+            f"{type(error).__name__}: {str(error)[:MAX_ERROR_CHARACTERS]}",
+            zone=target.zone,
+            command=tuple(question.words),
+        ) from error
 
 
 # Printing --------------------------------------------------------------------------------------------------
--- a/kelpcroft/rollout/judge.py
+++ b/kelpcroft/rollout/judge.py
@@ -30,12 +30,15 @@
 from enum import Enum
 from typing import NamedTuple, TypedDict
 
+from kelpcroft.rollout.errors import StopCriteriaError
+
 MAX_COUNTED_DIFFERENCE = 0.25  # a slice's difference counts up to this
 STAKES = (0.25, 1.0, 2.5)  # 1 + stake x stays above 0 for all |x| <= MAX_COUNTED_DIFFERENCE + harm
 MIN_REQUESTS_PER_SLICE = 20  # on each side; fewer are added to the next slice
 MIN_BASELINE_REQUESTS = 100  # requests before the change from which a side's own late share is known
 ALLOWANCE_STANDARD_ERRORS = 2.0  # of the baselines' difference, given to the new side
 MAX_HARM = 0.15  # what the stakes allow
+MAX_WRONG_VERDICT_PROBABILITY = 0.5  # exclusive
 MAX_LOG_EVIDENCE = 700  # exp of more is no finite float
 MAX_SHOWN_EVIDENCE = 1e9  # in figures: JSON has no infinity
 
@@ -54,7 +57,7 @@
         missed_harm: Greatest probability to call a harmful one good.
 
     Raises:
-        ValueError: A figure is out of its range; the text names its key.
+        StopCriteriaError: A figure is out of its range.
     """
 
     tolerance: float = 0.0
@@ -64,12 +67,20 @@
 
     def __post_init__(self) -> None:
         if not 0 <= self.tolerance < self.harm <= MAX_HARM:
-            raise ValueError(
-                f"harm: {self.harm} is not above tolerance {self.tolerance} and at most {MAX_HARM}"
+            raise StopCriteriaError(
+                f"harm: {self.harm} is not above tolerance {self.tolerance} and at most {MAX_HARM}",
+                key="harm",
+                value=self.harm,
+                limit=MAX_HARM,
             )
         for key, probability in (("false_stop", self.false_stop), ("missed_harm", self.missed_harm)):
-            if not 0 < probability < 0.5:
-                raise ValueError(f"{key}: {probability} is not between 0 and 0.5")
+            if not 0 < probability < MAX_WRONG_VERDICT_PROBABILITY:
+                raise StopCriteriaError(
+                    f"{key}: {probability} is not between 0 and {MAX_WRONG_VERDICT_PROBABILITY}",
+                    key=key,
+                    value=probability,
+                    limit=MAX_WRONG_VERDICT_PROBABILITY,
+                )
 
 
 @dataclass(frozen=True, slots=True)
--- a/kelpcroft/rollout/placement.py
+++ b/kelpcroft/rollout/placement.py
@@ -15,6 +15,7 @@
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.policy import RoutingPolicy
 from kelpcroft.decision.statistics import mix64
+from kelpcroft.rollout.errors import PlacementError
 
 START_NS = 10**18  # of the virtual clock; any time that is old enough for SETTLED_NS
 STEP_NS = 100 * 10**6  # between two requests: nothing of one is left at the next
@@ -23,10 +24,6 @@
 DEFAULT_DEADLINE_NS = 10**9  # of a class that has none
 
 
-class PlacementError(ValueError):
-    """Placements cannot be asked or compared; the message says why."""
-
-
 def place_objects(settings: api.Settings, servers: Sequence[api.Server], count: int) -> list[str]:
     """The home of each object of a row, which is the same row in every call.
 
@@ -61,7 +58,7 @@
     for request_class in settings.classes:
         if request_class.idempotency is api.Idempotency.SAFE and not request_class.uncacheable:
             return request_class
-    raise PlacementError("no class is kept in caches")
+    raise PlacementError("no class is kept in caches", zone=settings.zone)
 
 
 def _home_of(policy: RoutingPolicy, now_ns: int, request: api.Request) -> str:
@@ -110,7 +107,9 @@
         PlacementError: They are of different length.
     """
     if len(old) != len(new):
-        raise PlacementError(f"the old placed {len(old)} objects, the new {len(new)}")
+        raise PlacementError(
+            f"the old placed {len(old)} objects, the new {len(new)}", object_counts=(len(old), len(new))
+        )
     caches = sorted({*old, *new} - {""})
     return PlacementDiff(
         len(old),
--- a/kelpcroft/rollout/plan_file.py
+++ b/kelpcroft/rollout/plan_file.py
@@ -45,6 +45,7 @@
 from kelpcroft.operator_file.node_reader import NodeReader
 from kelpcroft.operator_file.text import KdlNode, parse_nodes
 from kelpcroft.rollout import plan_values
+from kelpcroft.rollout.errors import StopCriteriaError
 from kelpcroft.rollout.judge import StopCriteria
 from kelpcroft.rollout.plan import (
     BuildFolders,
@@ -237,7 +238,7 @@
                 criteria[key.replace("-", "_")] = value
         try:
             stop_criteria = StopCriteria(**criteria)
-        except ValueError as error:
+        except StopCriteriaError as error:
             self.diagnostics.add(node.offset, "bad-rate", str(error))
             return plan
         return replace(
--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -13,6 +13,7 @@
 from collections.abc import Mapping
 from typing import Any, NotRequired, TypedDict
 
+from kelpcroft.rollout.errors import SnapshotError
 from kelpcroft.rollout.events import RouterReport
 from kelpcroft.rollout.judge import RegressionJudge, RequestSample, SequentialTest, Verdict, ZoneClass
 from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome
@@ -74,10 +75,6 @@
     sides: list[list[Any]]
 
 
-class SnapshotError(ValueError):
-    """A snapshot that cannot be used; the message says why."""
-
-
 def to_snapshot(rollout: RolloutState) -> StoredRollout:
     """All that is needed to go on."""
     place = rollout.regression_place
@@ -163,14 +160,15 @@
     except SnapshotError:
         raise
     except (KeyError, TypeError, ValueError, IndexError) as error:
-        raise SnapshotError(f"{type(error).__name__}: {error}") from error
+        missing_key = str(error.args[0]) if isinstance(error, KeyError) else ""
+        raise SnapshotError(f"{type(error).__name__}: {error}", key=missing_key) from error
 
 
 def _check_is_of_plan(plan: RolloutPlan, raw: Mapping[str, Any]) -> None:
     if raw["v"] != VERSION:
-        raise SnapshotError(f"version {raw['v']!r} is not known here; version {VERSION} is")
+        raise SnapshotError(f"version {raw['v']!r} is not known here; version {VERSION} is", key="v")
     if set(raw["routers"]) != {target.name for target in plan.routers}:
-        raise SnapshotError("it is of other routers than the plan's")
+        raise SnapshotError("it is of other routers than the plan's", key="routers")
 
 
 def _rollout_from_json(plan: RolloutPlan, raw: Mapping[str, Any]) -> Rollout:
--- a/kelpcroft/store/rollouts.py
+++ b/kelpcroft/store/rollouts.py
@@ -36,7 +36,17 @@
 
 
 class LeaseLostError(RuntimeError):
-    """Another controller leads this run, or this one stood still for too long: it may order nothing more."""
+    """Another controller leads this run, or this one stood still for too long: it may order nothing more.
+
+    Attributes:
+        path: The store's file.
+        run_id: The run that another leads, or that stands in the way of a new one.
+    """
+
+    def __init__(self, message: str, *, path: str, run_id: int) -> None:
+        super().__init__(message)
+        self.path = path
+        self.run_id = run_id
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +73,7 @@
 
 
 class PendingCommand(NamedTuple):
-    """What people have ordered and no step has heard yet.
+    """One command that people have ordered and no step has taken up yet.
 
     Attributes:
         number: Grows with each command of a file.
@@ -87,6 +97,7 @@
     """The file.  One for each process; ``close`` it."""
 
     def __init__(self, path: str) -> None:
+        self.path = path
         self.database = sqlite3.connect(path, timeout=BUSY_TIMEOUT_S, isolation_level=None)
         self.database.execute("pragma journal_mode=wal")
         self.database.execute("pragma synchronous=full")
@@ -110,7 +121,7 @@
                 "select id from run where outcome not in ('done', 'taken back')"
             ).fetchone()
             if row:
-                raise LeaseLostError(f"run {row[0]} is not over")
+                raise LeaseLostError(f"run {row[0]} is not over", path=self.path, run_id=row[0])
             cursor = self.database.execute(
                 "insert into run (plan, began, snapshot, outcome) values (?, ?, ?, ?)",
                 (plan, now_ns, orjson.dumps(snapshot), "running"),
@@ -138,7 +149,7 @@
             (owner, now_ns + LEASE_NS, run_id, owner, now_ns),
         )
         if not updated.rowcount:
-            raise LeaseLostError(f"run {run_id} is led by another controller")
+            raise LeaseLostError(f"run {run_id} is led by another controller", path=self.path, run_id=run_id)
 
     def commit_step(
         self,
@@ -171,7 +182,7 @@
                 (orjson.dumps(snapshot), outcome, now_ns + LEASE_NS, run_id, owner, now_ns),
             )
             if not updated.rowcount:
-                raise LeaseLostError(f"the lease of run {run_id} has ended")
+                raise LeaseLostError(f"the lease of run {run_id} has ended", path=self.path, run_id=run_id)
             self.database.executemany(
                 "insert into history values (?, ?, ?, ?, ?)",
                 [
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -141,8 +141,10 @@
         self.store.dead = False
         last = self.store.newest_run()
         if died and last is not None and last.outcome != "done":
-            with self.assertRaises(LeaseLostError):
+            with self.assertRaises(LeaseLostError) as raised:
                 self.lead()  # the dead one's lease still runs
+            self.assertEqual((raised.exception.path, raised.exception.run_id), (self.store.path, last.id))
+            self.assertEqual(str(raised.exception), f"run {last.id} is led by another controller")
             self.sleep(16.0)
             self.assertEqual(self.lead(), RolloutOutcome.DONE, (what, at))
         for p in self.world.routers.values():
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,6 +12,7 @@
 from hypothesis import strategies as st
 
 from kelpcroft.cli import main
+from kelpcroft.rollout.errors import PlacementError, SnapshotError, StopCriteriaError
 from kelpcroft.rollout.events import CommandKind, OperatorCommand, RouterCommand, RouterReport
 from kelpcroft.rollout.judge import (
     RegressionJudge,
@@ -22,8 +23,9 @@
     ZoneClass,
 )
 from kelpcroft.rollout.phases import Phase, RolloutOutcome
+from kelpcroft.rollout.placement import compare_placements
 from kelpcroft.rollout.plan_file import load_plan
-from kelpcroft.rollout.snapshot import SnapshotError, to_snapshot
+from kelpcroft.rollout.snapshot import to_snapshot
 from kelpcroft.rollout.snapshot import from_snapshot as restored
 from kelpcroft.rollout.state_machine import Rollout
 from testbed.rollouts import S, SimulatedFleet, SimulatedRouter, make_plan
@@ -136,6 +138,31 @@
             with self.assertRaises(ValueError):
                 StopCriteria(**wrong)
 
+    def test_stop_criteria_out_of_range_name_key_value_and_limit(self) -> None:
+        for wrong, expected, text in (
+            (
+                {"harm": 0.5},
+                ("harm", 0.5, 0.15),
+                "harm: 0.5 is not above tolerance 0.0 and at most 0.15",
+            ),
+            (
+                {"missed_harm": 0.7},
+                ("missed_harm", 0.7, 0.5),
+                "missed_harm: 0.7 is not between 0 and 0.5",
+            ),
+        ):
+            with self.assertRaises(StopCriteriaError) as raised:
+                StopCriteria(**wrong)
+            error = raised.exception
+            self.assertEqual((error.key, error.value, error.limit), expected)
+            self.assertEqual(str(error), text)
+
+    def test_placements_of_different_length_name_both_counts(self) -> None:
+        with self.assertRaises(PlacementError) as raised:
+            compare_placements(["c1"], ["c1", "c2"])
+        self.assertEqual(raised.exception.object_counts, (1, 2))
+        self.assertEqual(str(raised.exception), "the old placed 1 objects, the new 2")
+
 
 def sound(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
     return 0.0
@@ -273,6 +300,20 @@
             with self.assertRaises(SnapshotError):
                 restored(world.plan, {**good, **change})
 
+    def test_a_snapshot_error_names_the_key(self) -> None:
+        world = SimulatedFleet(make_plan(2, 3), 1, sound)
+        good = to_snapshot(world.rollout)
+        without_stage = {key: value for key, value in good.items() if key != "stage"}
+        for raw, key, text in (
+            ({**good, "v": 9}, "v", "version 9 is not known here; version 1 is"),
+            ({**good, "routers": {}}, "routers", "it is of other routers than the plan's"),
+            (without_stage, "stage", "KeyError: 'stage'"),
+            ({**good, "outcome": "lost"}, "", "ValueError: 'lost' is not a valid RolloutOutcome"),
+        ):
+            with self.assertRaises(SnapshotError) as raised:
+                restored(world.plan, raw)
+            self.assertEqual((raised.exception.key, str(raised.exception)), (key, text))
+
     def test_silent_routers_hold_it_and_are_never_good(self) -> None:
         world = self.world(sound)
         for n, p in enumerate(world.routers.values()):
