--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -1,7 +1,8 @@
 """The process that carries a rollout out: polls routers, commits each step, sends the step's commands.
 
 The decisions are ``kelpcroft.rollout``'s.  Commands go out only after the step that they are of was committed
-under this controller's lease; after a restart, what was ordered last at each router is looked at anew.
+under this controller's lease; after a restart, ``Rollout.resume_after_takeover`` decides which of them go out
+again.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningCommand:
-    """A command that was sent, and how it will have ended: "" or why it failed."""
+    """A command that was sent, and its result once it has ended: "" or why it failed."""
 
     command: RouterCommand
     result: Future[str]
@@ -120,7 +121,7 @@
             self.store.release_lease(self.run.id, self.owner)
 
     def _turn(self) -> None:
-        """Take one turn: what was heard, the step, its commit, its commands."""
+        """Take one turn: collect commands and answers, make the step, commit it, send its commands."""
         self.sleep(min(MAX_TURN_S, self.plan.poll_interval_ns / (TURNS_PER_POLL * 1e9)))
         now_ns = self.clock()
         events, last_command_number = self._take_operator_commands()
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -97,7 +97,11 @@
 
 
 def open_store(path: str, must_exist: bool = True) -> RolloutStore:
-    """The store; used wrongly where there is none and one is wanted."""
+    """The store.
+
+    Raises:
+        CommandError: There is none where one must exist, or it cannot be opened.
+    """
     if must_exist and not Path(path).exists():
         raise CommandError(f"{path}: there is no such store; a rollout that was started makes one")
     try:
@@ -107,7 +111,11 @@
 
 
 def newest_run(store: RolloutStore, path: str) -> StoredRun:
-    """The newest run; used wrongly where there is none."""
+    """The newest run.
+
+    Raises:
+        CommandError: The store has none.
+    """
     run = store.newest_run()
     if run is None:
         raise CommandError(f"{path}: holds no run")
@@ -115,7 +123,11 @@
 
 
 def check_can_be_led(file: str, plan: RolloutPlan) -> None:
-    """Used wrongly where a plan says too little to carry it out; `rollout plan` needs less."""
+    """Refuse a plan that cannot be carried out; `rollout plan` needs less.
+
+    Raises:
+        CommandError: A router has no control address, or nothing says how a router is changed.
+    """
     without_address = [target.name for target in plan.routers if not target.control_address]
     if without_address:
         raise CommandError(f"{file}: router {without_address[0]!r} has no control address")
--- a/kelpcroft/cli/rollout_preview.py
+++ b/kelpcroft/cli/rollout_preview.py
@@ -16,7 +16,7 @@
 from kelpcroft.rollout.errors import PlacementError
 from kelpcroft.rollout.placement import PlacementDiff, compare_placements
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget, Stage
-from kelpcroft.rollout.router_drivers import fill_in
+from kelpcroft.rollout.router_drivers import fill_in_placeholders
 
 MAX_ERROR_CHARACTERS = 200
 ASK_PLACEMENT = ("-c", "from kelpcroft.cli import main; main()", "homes", "--config", "{config}")
@@ -26,7 +26,7 @@
     """One stage.
 
     Attributes:
-        stage: As the plan says it.
+        stage: The plan's record of it.
         router_names: Who is changed in it.
         uncompared_zones: Where no old router is left to compare with.
     """
@@ -125,7 +125,7 @@
 
 
 def _ask_placement(plan: RolloutPlan, question: PlacementQuestion, target: RouterTarget) -> list[str]:
-    """The home of each object by one build's word.
+    """The home of each object, as one build answers.
 
     Raises:
         PlacementError: The command cannot be run, fails, takes too long or prints something else.
@@ -134,7 +134,7 @@
         target = replace(target, config_path=str(Path(target.config_path).absolute()))
     try:
         ended = subprocess.run(
-            fill_in(question.words, target),
+            fill_in_placeholders(question.words, target),
             cwd=question.folder,
             capture_output=True,
             timeout=plan.command_timeout_ns / 1e9,
--- a/kelpcroft/rollout/judge.py
+++ b/kelpcroft/rollout/judge.py
@@ -33,7 +33,10 @@
 from kelpcroft.rollout.errors import StopCriteriaError
 
 MAX_COUNTED_DIFFERENCE = 0.25  # a slice's difference counts up to this
-STAKES = (0.25, 1.0, 2.5)  # 1 + stake x stays above 0 for all |x| <= MAX_COUNTED_DIFFERENCE + harm
+# Each factor 1 + stake x must stay above 0, and x may be as low as
+# -(MAX_COUNTED_DIFFERENCE + tolerance + allowance): tolerance and allowance together must stay under 0.15.
+# At tolerance 0 they do: with MIN_BASELINE_REQUESTS on each side an allowance is at most 0.142.
+STAKES = (0.25, 1.0, 2.5)
 MIN_REQUESTS_PER_SLICE = 20  # on each side; fewer are added to the next slice
 MIN_BASELINE_REQUESTS = 100  # requests before the change from which a side's own late share is known
 ALLOWANCE_STANDARD_ERRORS = 2.0  # of the baselines' difference, given to the new side
@@ -169,6 +172,9 @@
 
         Returns:
             The verdict after this slice.
+
+        Raises:
+            ValueError: A factor of the evidence is not above 0, see STAKES.
         """
         if not math.isfinite(difference):
             return self.verdict
--- a/kelpcroft/rollout/observations.py
+++ b/kelpcroft/rollout/observations.py
@@ -84,7 +84,7 @@
 
 
 def is_unknown(state: RolloutState, router: RouterState) -> bool:
-    """Whether nothing was heard of a router for so long that nothing is known of it."""
+    """Whether a router has not answered for STALE_POLLS polls, so that nothing is known of it."""
     since_ns = max(router.last_report_ns, _silence_counts_from_ns(state, router), state.listening_since_ns)
     return state.now_ns - since_ns > STALE_POLLS * state.plan.poll_interval_ns
 
@@ -97,7 +97,7 @@
 
 
 def has_recent_report(state: RolloutState, router: RouterState) -> bool:
-    """Whether a router was heard since this process began to poll, or last stood still."""
+    """Whether a router has reported since this process began to poll, or last stood still."""
     return router.last_report_ns >= state.listening_since_ns
 
 
@@ -144,7 +144,7 @@
 
 
 def may_become_unavailable(state: RolloutState, router: RouterState) -> bool:
-    """Whether the plan's limits leave room to take one more router away, and this one was heard of late."""
+    """Whether the plan's limits allow one more unavailable router, and this one has reported recently."""
     return (
         not is_unknown(state, router)
         and has_recent_report(state, router)
--- a/kelpcroft/rollout/phases.py
+++ b/kelpcroft/rollout/phases.py
@@ -13,12 +13,12 @@
     """Where one router is."""
 
     WAITING = "waiting"  # runs the old build and has not been touched
-    DRAINING = "out of service"  # told to let its clients go, to be changed next
+    DRAINING = "out of service"  # ordered to let its clients go, to be changed next
     CHANGING = "changed"  # the change was ordered; the rollout waits for it to be ready
     WARMING_UP = "cold"  # in service with the new build, not compared yet
     COMPARED = "judged"  # warm, and compared with the old build
     ACCEPTED = "kept"  # its stage is over
-    ROLLBACK_DRAINING = "leaving"  # told to let its clients go, to be changed back next
+    ROLLBACK_DRAINING = "leaving"  # ordered to let its clients go, to be changed back next
     ROLLING_BACK = "undone"  # the old build was ordered; the rollout waits for it to be ready
     ROLLED_BACK = "taken back"
     CONTROL_DRAINING = "out, to be restarted"  # runs the old build, for the control group of a stage
@@ -26,7 +26,7 @@
     CONTROL = "control"  # runs the old build, and is as cold as the new routers of its stage
 
 
-UNAVAILABLE_PHASES = frozenset(  # count against the plan's limits of routers that are away
+UNAVAILABLE_PHASES = frozenset(  # count against the plan's limits of unavailable routers
     (
         Phase.DRAINING,
         Phase.CHANGING,
--- a/kelpcroft/rollout/placement.py
+++ b/kelpcroft/rollout/placement.py
@@ -19,8 +19,8 @@
 
 START_NS = 10**18  # of the virtual clock; any time that is old enough for SETTLED_NS
 STEP_NS = 100 * 10**6  # between two requests: nothing of one is left at the next
-SETTLED_NS = 3_600 * 10**9  # the list is taken to be so old: no cache warms up
-ANSWER_NS = 10**6  # an answer takes so long
+SETTLED_NS = 3_600 * 10**9  # age of the list at the first request: no cache warms up
+ANSWER_NS = 10**6  # from a request to its answer
 DEFAULT_DEADLINE_NS = 10**9  # of a class that has none
 
 
--- a/kelpcroft/rollout/plan.py
+++ b/kelpcroft/rollout/plan.py
@@ -17,7 +17,7 @@
 
 
 class ComponentChange(NamedTuple):
-    """One thing that changes, and the digest that a router tells once it has it.
+    """One thing that changes, and the digest that a router reports once it has it.
 
     Attributes:
         component: ``program``, ``settings`` or ``rules``.
@@ -47,7 +47,7 @@
     """One router that is to be changed.
 
     Attributes:
-        name: As the router tells it.
+        name: The router's own, as it reports it.
         zone: Its zone.
         control_address: ``host:port`` of its control address; "" where the file gives none.
         config_path: What a local one is started with.
@@ -65,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """Up to so many routers, or such a share of all, are changed; then they are watched.
+    """A step of the rollout: it changes routers up to a count or a share of all, then watches them.
 
     Attributes:
         name: For people.
         router_count: Routers that are changed at its end; 0 = ``router_share`` says.
         router_share: The same as a share of all.
-        min_ns: The stage lasts so long at the least once its routers are warm.
-        max_ns: Without a verdict the rollout is held after this.
+        min_ns: The least time that the stage lasts once its routers are warm.
+        max_ns: The rollout is held where there is no verdict after this time with warm routers.
         control_count: Routers of the old build that are restarted in each of its zones, to compare with.
         position: Where the file names it.
     """
@@ -104,7 +104,7 @@
         poll_interval_ns: How often each router is asked.
         slowest_signal_ns: The slowest signal that a stage must wait for.
         ready_timeout_ns: A changed router must be ready within this.
-        warm_up_ns: It is not compared for so long after.
+        warm_up_ns: A changed router in service is not compared before this has passed.
         max_unknown: With more routers that do not answer, nothing new is begun.
         stop_criteria: What counts as harm.
         rolls_back_on_harm: Whether harm is taken back; else the rollout is held.
@@ -112,9 +112,9 @@
         undo_command: The command that changes it back.
         restart_command: The command that restarts one as it is, for a control group.
         local_builds: Where routers are processes of this machine, the folders of the builds.
-        placement_commands: Where the file says how to ask, what asks for objects' places.
-        placement_object_count: For how many objects.
-        max_memory_ratio: A new router may have so many times the most memory of an old one.
+        placement_commands: What asks each build where it puts objects; None where the file has none.
+        placement_object_count: How many objects the builds are asked about.
+        max_memory_ratio: Limit of a new router's peak memory, in times of the highest peak of the old.
         command_timeout_ns: A command must have ended by then.
         commands_repeatable: Whether to run one twice does no harm.
     """
--- a/kelpcroft/rollout/plan_file.py
+++ b/kelpcroft/rollout/plan_file.py
@@ -3,7 +3,7 @@
     rollout version=1
 
     change {
-        program build="5f2c09e1a7b3d480"          // the digest that a router of the new build tells
+        program build="5f2c09e1a7b3d480"          // the digest that a router of the new build reports
         settings digest="..."                     // and of the new settings, or the new operator's file
         rules digest="..."
     }
@@ -81,7 +81,7 @@
         if not diagnostics.count:
             check_plan(plan, diagnostics)
     except TooManyDiagnostics:
-        pass  # what was found until then is told
+        pass  # what was found until then is reported
     return plan, diagnostics.in_file_order()
 
 
@@ -376,7 +376,7 @@
     "act": PlanReader.read_act,
     "homes": PlanReader.read_placement,
 }
-# In the order in which a node that is not known is told what there is.
+# All nodes that may stand at a file's top.
 TOP_NODES = (
     "rollout",
     "change",
--- a/kelpcroft/rollout/router_drivers.py
+++ b/kelpcroft/rollout/router_drivers.py
@@ -1,8 +1,8 @@
 """What touches routers: their control addresses, and what starts and ends their processes.
 
 One interface, two ways behind it: the operators' own tool (``CommandDriver``), and processes of this
-machine (``LocalProcessDriver``: tests, ``./demo``, a single host).  Neither decides anything: the router's
-own word does.
+machine (``LocalProcessDriver``: tests, ``./demo``, a single host).  Neither decides anything: what a router
+reports does.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 MAX_ANSWER_BYTES = 256 * 1024  # of a router's state that are read
 MAX_OUTPUT_CHARACTERS = 2_000  # of a command's output that are kept
-MAX_WEIGHT = 1e18  # a router that tells more has lost count
+MAX_WEIGHT = 1e18  # a router that reports more has lost count
 MIN_CALL_TIMEOUT_S, MAX_CALL_TIMEOUT_S = 0.2, 5.0
 POLLS_PER_CALL_TIMEOUT = 2
-STOP_TIMEOUT_S = 10.0  # a local process has so long to end by itself
+STOP_TIMEOUT_S = 10.0  # a local process must end by itself within this
 STOP_CHECK_INTERVAL_S = 0.02
 SERVICE_UNAVAILABLE = 503  # a router that is not ready answers with it, and with its state
 
@@ -89,7 +89,7 @@
         return False
 
 
-def fill_in(words: Sequence[str], target: RouterTarget) -> list[str]:
+def fill_in_placeholders(words: Sequence[str], target: RouterTarget) -> list[str]:
     """A command's words with what stands in braces filled in."""
     return [
         word.format(
@@ -126,6 +126,7 @@
             body = answer.read(MAX_ANSWER_BYTES + 1)
             is_refused = answer.status >= 400 and answer.status != SERVICE_UNAVAILABLE
             if is_refused or len(body) > MAX_ANSWER_BYTES:
+                # A plain ValueError: its class's name stands in the stored history.
                 raise ValueError(f"answered {answer.status} with {len(body)} bytes")
             return orjson.loads(body)
         finally:
@@ -142,7 +143,7 @@
         """Carry a command out.
 
         Returns:
-            "" or why it failed.  That it did not fail proves nothing: the router tells.
+            "" or why it failed.  That it did not fail proves nothing: only the router's report does.
         """
         if kind not in CONTROL_VERBS:
             return self.replace_process(target, kind)
@@ -170,7 +171,7 @@
 
     def replace_process(self, target: RouterTarget, kind: CommandKind) -> str:
         """Run the tool for a router; "" or why it failed, with the end of its output."""
-        words = fill_in(self._commands[kind], target)
+        words = fill_in_placeholders(self._commands[kind], target)
         try:
             ended = subprocess.run(
                 words,
@@ -191,8 +192,8 @@
 class LocalProcessDriver(RouterDriver):
     """Processes of this machine, each with the folder of a build, its configuration and its operator's file.
 
-    A router's process is known by its own word (``instance`` begins with its number), asked for right
-    before it is told to end.  What runs as it should is left alone, so that a command may be repeated.
+    The process to end is the one that the router names (its ``instance`` begins with the process's number),
+    asked for right before SIGTERM.  What runs as it should is left alone, so that a command may be repeated.
     """
 
     def __init__(self, plan: RolloutPlan) -> None:
@@ -205,7 +206,7 @@
         }
         self._new_digest = dict(plan.changes).get("program", "")
         self.children: list[subprocess.Popen[bytes]] = []
-        self._restarted_instances: dict[str, str] = {}  # by router: the instance that was told to end
+        self._restarted_instances: dict[str, str] = {}  # by router: the instance that a restart ends
 
     def replace_process(self, target: RouterTarget, kind: CommandKind) -> str:
         """End what runs at a router's address, unless it is as it should be, and start the build's folder."""
--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -145,7 +145,7 @@
 
 
 def from_snapshot(plan: RolloutPlan, raw: Mapping[str, Any]) -> Rollout:
-    """The rollout as it was left; ``resume_after_takeover`` tells it the time.
+    """The rollout as it was left; ``resume_after_takeover`` gives it the time.
 
     Args:
         plan: The plan that the snapshot's rollout carries out.
--- a/kelpcroft/rollout/stages.py
+++ b/kelpcroft/rollout/stages.py
@@ -1,4 +1,4 @@
-"""The way forward: stage after stage, within the plan's limits of routers that are away.
+"""The way forward: stage after stage, within the plan's limits of unavailable routers.
 
 Nothing goes on without evidence.  A stage ends when every router of it is warm, its least time is over and
 harm is ruled out wherever an old router is left to compare with; past its most time the rollout is held.
@@ -36,7 +36,10 @@
 
 
 def _has_baselines(state: RolloutState) -> bool:
-    """Whether every router was heard, and for as long as the slowest signal takes."""
+    """Whether every router has reported, and baselines cover the time of the slowest signal.
+
+    Holds the rollout where a router has not reported by the time-out.
+    """
     waited_ns = state.now_ns - state.stage_since_ns
     without_report = sorted(name for name, router in state.routers.items() if router.last_report_ns < 0)
     if without_report:
--- a/kelpcroft/rollout/state.py
+++ b/kelpcroft/rollout/state.py
@@ -25,11 +25,11 @@
     Attributes:
         target: What the plan says of it.
         phase: Where it is.
-        phase_since_ns: When it came there, or when its time there was begun anew.
-        last_report_ns: When it was heard last; NEVER_NS before the first report.
+        phase_since_ns: When it entered the phase, or when the phase's deadline was restarted.
+        last_report_ns: When it reported last; NEVER_NS before the first report.
         last_report: What it said then.
         original_digests: Its digests in its first report, before anything was changed.
-        invariant_baseline: Violations above this are the new build's.
+        invariant_baseline: Invariant violations above this count are the new build's.
         instance_before_restart: The process that a control group's restart ends.
         baseline: Requests by class while nothing was changed at it.
         uncounted: Requests by class since the last slice.
--- a/kelpcroft/rollout/state_machine.py
+++ b/kelpcroft/rollout/state_machine.py
@@ -4,8 +4,8 @@
 
 - one change under way at a router, and no more routers unavailable than the plan's limits, in all and per
   zone;
-- nothing is concluded from an answer that did not come: where a step's end was not heard, the router's own
-  digests say what it is; a router that does not answer is unknown, never good;
+- nothing is concluded from an answer that did not come: where a step's end was not reported, the router's own
+  digests show what it is; a router that does not answer is unknown, never good;
 - nothing goes on without evidence: a stage ends when every router of it is warm, its least time is over and
   harm is ruled out wherever an old router is left to compare with; past its most time it is held;
 - every run ends, or is held with what is missing named.
@@ -50,7 +50,11 @@
 
 
 class Rollout(RolloutState):
-    """One run of a plan.  ``handle`` and ``resume_after_takeover`` are the only ways to change it."""
+    """One run of a plan.
+
+    Once it is created, or restored by ``snapshot.from_snapshot``, only ``handle`` and
+    ``resume_after_takeover`` change it.
+    """
 
     def handle(self, now_ns: int, event: Event) -> list[Effect]:
         """Take one event.
@@ -65,11 +69,11 @@
         stood_still = now_ns - self.now_ns > self.plan.poll_interval_ns
         self._begin_event(now_ns)
         if stood_still:
-            self._listen_anew()
+            self._restart_listening()
         if isinstance(event, RouterReport):
             record_report(self, event)
         elif isinstance(event, OperatorCommand):
-            self._obey(event)
+            self._handle_operator_command(event)
         # Steps are Tick's: after each report they would look at every router for each router that reports.
         if not isinstance(event, RouterReport | NoAnswer) and not self.outcome.is_final:
             self._poll_if_due()
@@ -80,7 +84,7 @@
         """Go on after another process has led: its last commands may never have gone out.
 
         Commands that do no harm twice go out again.  A change that may not be repeated does not: the
-        router's own digests tell what became of it, and its time-out does where they do not.
+        router's own digests show what became of it, or its time-out decides.
 
         Args:
             now_ns: The time.
@@ -110,17 +114,17 @@
         self.now_ns = max(now_ns, self.now_ns)
         self.effects = []
 
-    def _listen_anew(self) -> None:
+    def _restart_listening(self) -> None:
         """Start to listen from now on, as this process stood still for longer than a polling interval.
 
         It polled nobody meanwhile, so that time is not the routers' silence.  Answers that waited here are
-        from before the pause: they do not count as heard since, so listening begins behind them.
+        from before the pause: they do not count as answers since, so listening begins one nanosecond later.
         """
         self.listening_since_ns = self.now_ns + 1
         self.last_poll_ns = self.now_ns - self.plan.poll_interval_ns
         self.restart_deadlines()
 
-    def _obey(self, command: OperatorCommand) -> None:
+    def _handle_operator_command(self, command: OperatorCommand) -> None:
         """Do what people order, where the rollout stands so that it can be done.
 
         A hold for silence that is ordered as well no longer ends by itself.
@@ -146,13 +150,13 @@
         close_slice(self)
         for router in self.routers.values():
             advance(self, router)
-        self._hold_while_silent()
+        self._hold_or_resume_for_silence()
         if self.outcome is RolloutOutcome.RUNNING:
             go_forward(self)
         elif self.outcome is RolloutOutcome.ROLLING_BACK:
             go_back(self)
 
-    def _hold_while_silent(self) -> None:
+    def _hold_or_resume_for_silence(self) -> None:
         """Hold the rollout while more routers are silent than the plan allows."""
         unknown = sorted(name for name, router in self.routers.items() if is_unknown(self, router))
         if self.outcome is RolloutOutcome.RUNNING and len(unknown) > self.plan.max_unknown:
--- a/kelpcroft/store/rollouts.py
+++ b/kelpcroft/store/rollouts.py
@@ -170,7 +170,7 @@
             snapshot: The state machine after the step.
             outcome: Its outcome.
             entries: What the history gets.
-            last_command_number: Commands of people up to this number were heard in the step; 0 = none.
+            last_command_number: Commands of people up to this number were taken up in the step; 0 = none.
 
         Raises:
             LeaseLostError: The lease has ended; then none of the step's commands may go out.
@@ -203,7 +203,7 @@
         self.database.execute("insert into word values (?, ?, ?)", (run_id, now_ns, verb))
 
     def pending_operator_commands(self, run_id: int) -> list[PendingCommand]:
-        """What people have ordered and no step has heard yet, in their order."""
+        """What people have ordered and no step has taken up yet, in their order."""
         rows = self.database.execute("select rowid, verb from word where run = ? order by rowid", (run_id,))
         return [PendingCommand(number, verb) for number, verb in rows]
 
