--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -25,8 +25,8 @@
 from kelpcroft.rollout.phases import Phase, RolloutOutcome
 from kelpcroft.rollout.placement import compare_placements
 from kelpcroft.rollout.plan_file import load_plan
-from kelpcroft.rollout.snapshot import to_snapshot
 from kelpcroft.rollout.snapshot import from_snapshot as restored
+from kelpcroft.rollout.snapshot import to_snapshot
 from kelpcroft.rollout.state_machine import Rollout
 from testbed.rollouts import S, SimulatedFleet, SimulatedRouter, make_plan
 from testbed.stand_ins import ROOT
