--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -214,8 +214,8 @@
 
 
 def source_files(place: str) -> list[Path]:
-    """The sources that a path below ``kelpcroft`` names: one file, or all of a package."""
-    path = PACKAGE / place
+    """The sources that a path names: one file, or all of a package, of the testbed or below ``kelpcroft``."""
+    path = ROOT / place if place.startswith("testbed/") else PACKAGE / place
     return sorted(path.glob("*.py")) if path.is_dir() else [path]
 
 
