--- a/tools/compile.py
+++ b/tools/compile.py
@@ -80,9 +80,10 @@
     "kelpcroft/net/signals.py",
     "kelpcroft/net/event_loop.py",
 )
-# Each compiled module has a library of its own beside that of its group.  Without symbols and with code and
-# constants in one segment it takes two pages less of a router's memory, and there are many of them.
-LINKER_FLAGS = "-s -Wl,-z,noseparate-code"
+# Names stay inside a library, functions that nothing calls go, and there are no tables for unwinding C++
+# exceptions: a router holds half a megabyte less, and calls within a library are direct.
+COMPILER_FLAGS = "-fvisibility=hidden -ffunction-sections -fno-asynchronous-unwind-tables"
+LINKER_FLAGS = "-s -Wl,--gc-sections"
 # Compiled apart: what is compiled together is loaded together, and these are wanted only with a file.
 ROUTES = tuple(f"kelpcroft/routes/{name}.py" for name in ("budget", "sketch", "index", "table"))
 
@@ -114,7 +115,7 @@
             cwd=folder,
             capture_output=True,
             text=True,
-            env={**os.environ, "MYPYC_OPT_LEVEL": "2", "LDFLAGS": LINKER_FLAGS},
+            env={**os.environ, "MYPYC_OPT_LEVEL": "2", "CFLAGS": COMPILER_FLAGS, "LDFLAGS": LINKER_FLAGS},
         )
         if done.returncode:
             print(
