--- a/kelpcroft/store/rollouts.py
+++ b/kelpcroft/store/rollouts.py
@@ -172,17 +172,17 @@
             )
             if not updated.rowcount:
                 raise LeaseLostError(f"the lease of run {run_id} has ended")
-            self.database.executemany(
-                "insert into history values (?, ?, ?, ?, ?)",
-                [
-                    (run_id, now_ns, entry.name, entry.text, _figures_to_json(entry.figures))
-                    for entry in entries
-                ],
-            )
+            self._add_history(run_id, now_ns, entries)
             self.database.execute(
                 "delete from word where run = ? and rowid <= ?", (run_id, last_command_number)
             )
 
+    def _add_history(self, run_id: int, now_ns: int, entries: Iterable[HistoryEntry]) -> None:
+        rows = [
+            (run_id, now_ns, entry.name, entry.text, _figures_to_json(entry.figures)) for entry in entries
+        ]
+        self.database.executemany("insert into history values (?, ?, ?, ?, ?)", rows)
+
     def release_lease(self, run_id: int, owner: str) -> None:
         """Give the lease back."""
         self.database.execute("update run set lease = 0 where id = ? and owner = ?", (run_id, owner))
