--- a/kelpcroft/decision/__init__.py
+++ b/kelpcroft/decision/__init__.py
@@ -8,8 +8,11 @@
 
 - ``admission``: is it admitted?  By price, with ``latency_model`` for expected times.
 - ``cache_selection``: which cache?  A hash with bounded load; ``idempotency`` and ``slow_start`` rule servers
-out. - ``fill_sources``: where is a miss filled from? - ``forwarding``: the attempt itself; ``freshness`` says
-how old a copy may be. - ``attempt_feedback``: what its end tells, and ``outlier_ejection``: who is to blame.
+  out.
+- ``fill_sources``: where is a miss filled from?
+- ``forwarding``: the attempt itself; ``freshness`` says how old a
+  copy may be.
+- ``attempt_feedback``: what its end tells, and ``outlier_ejection``: who is to blame.
 - ``retries``: another attempt, a hedge, or (``request_completion``) the final answer.
 
 ``router_state`` is what they share, with ``endpoint_directory``, ``endpoint``, ``object_history`` and
