--- a/tests/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -5,6 +5,7 @@
 import io
 import json
 import os
+import re
 import subprocess
 import sys
 import tempfile
@@ -33,24 +34,24 @@
     def test_help_has_an_example_for_each_verb(self) -> None:
         for verb in ("serve", "check", "explain", "diff"):
             done = run(verb, "--help")
-            self.assertEqual(done.exit_code, 0)
-            self.assertIn(f"Example:  kelpcroft {verb}", done.output)
-            self.assertIn("--format", done.output)
+            assert done.exit_code == 0
+            assert f"Example:  kelpcroft {verb}" in done.output
+            assert "--format" in done.output
 
     def test_check(self) -> None:
-        self.assertEqual(run("check", EXAMPLE, "--config", CONFIG).exit_code, 0)
+        assert run("check", EXAMPLE, "--config", CONFIG).exit_code == 0
         done = run("check", FAULTY, "--config", CONFIG)
-        self.assertEqual(done.exit_code, 1)
+        assert done.exit_code == 1
         first = done.stdout.splitlines()[0]
-        self.assertRegex(first, r"two-faults-at-once\.kdl:6:13: bad-duration: timeout: '5' has no unit")
+        assert re.search(r"two-faults-at-once\.kdl:6:13: bad-duration: timeout: '5' has no unit", first)
         told = json.loads(run("check", FAULTY, "--format", "json").stdout)
-        self.assertFalse(told["good"])
-        self.assertEqual([f["code"] for f in told["faults"]], ["bad-duration", "unknown-key", "bad-range"])
+        assert not told["good"]
+        assert [f["code"] for f in told["faults"]] == ["bad-duration", "unknown-key", "bad-range"]
 
     def test_check_without_a_deployment_looks_at_the_file_alone(self) -> None:
         path = str(ROOT / "tests/faulty/unknown-class.kdl")
-        self.assertEqual(run("check", path).exit_code, 0)
-        self.assertEqual(run("check", path, "--config", CONFIG).exit_code, 1)
+        assert run("check", path).exit_code == 0
+        assert run("check", path, "--config", CONFIG).exit_code == 1
 
     def test_explain_names_route_lines_and_what_can_follow(self) -> None:
         lines = Path(EXAMPLE).read_text().splitlines()
@@ -59,26 +60,26 @@
                 "explain", EXAMPLE, "--config", CONFIG, "--class", "page", "--part", "9", "--format", "json"
             ).stdout
         )
-        self.assertEqual((told["route"], told["longest_wait_ms"], told["most_sends"]), ("tails", 2_000, 6))
+        assert (told["route"], told["longest_wait_ms"], told["most_sends"]) == ("tails", 2000, 6)
         for bound in told["bounds"]:
-            self.assertIn(
-                bound["bound"].split()[0].replace("tried", "attempts").replace("budget", "budget="),
-                lines[bound["line"] - 1],
+            assert (
+                bound["bound"].split()[0].replace("tried", "attempts").replace("budget", "budget=")
+                in lines[bound["line"] - 1]
             )
         order = run("explain", EXAMPLE, "--config", CONFIG, "--class", "order", "--write")
-        self.assertIn("one of which may have run", order.output)
-        self.assertIn("longest wait: 2.5s", order.output)
+        assert "one of which may have run" in order.output
+        assert "longest wait: 2.5s" in order.output
 
     def test_diff(self) -> None:
-        self.assertEqual(run("diff", EXAMPLE, EXAMPLE, "--config", CONFIG).exit_code, 0)
+        assert run("diff", EXAMPLE, EXAMPLE, "--config", CONFIG).exit_code == 0
         with tempfile.TemporaryDirectory() as folder:
             other = Path(folder) / "new.kdl"
             other.write_text(Path(EXAMPLE).read_text().replace('part="8.."', 'part="4.."'))
             done = run("diff", EXAMPLE, str(other), "--config", CONFIG)
-            self.assertEqual(done.exit_code, 1)
-            self.assertIn('class page: part="4..7"\n  rest -> tails\n', done.output)
+            assert done.exit_code == 1
+            assert 'class page: part="4..7"\n  rest -> tails\n' in done.output
             told = json.loads(run("diff", EXAMPLE, str(other), "--format", "json").stdout)
-            self.assertEqual({c["class"] for c in told["changes"]}, {"page"})
+            assert {c["class"] for c in told["changes"]} == {"page"}
 
     def test_used_wrongly_is_one_line_and_two(self) -> None:
         for words in (
@@ -91,11 +92,11 @@
         ):
             with self.subTest(words=words):
                 done = run(*words)
-                self.assertEqual(done.exit_code, 2, done.output)
-                self.assertEqual(done.output.strip().count("\n"), 0, done.output)
-                self.assertTrue(done.output.startswith("Error: "))
+                assert done.exit_code == 2, done.output
+                assert done.output.strip().count("\n") == 0, done.output
+                assert done.output.startswith("Error: ")
         for words in (("chek",), ("explain", EXAMPLE), ("explain", EXAMPLE, "--part", "-1")):
-            self.assertEqual(run(*words).exit_code, 2)
+            assert run(*words).exit_code == 2
 
     def test_serve_is_the_router_itself(self) -> None:
         with (
@@ -124,17 +125,17 @@
                     stderr=stream,
                     env={**os.environ, "PYTHONPATH": str(ROOT)},
                 )
-            self.assertEqual(other.client().request("page").kind, "served")
+            assert other.client().request("page").kind == "served"
             modules = Path(f"/proc/{other.process.pid}/cmdline").read_bytes().split(b"\0")
-            self.assertEqual(modules[1:3], [b"-m", b"kelpcroft"], "nothing of the command line stays")
+            assert modules[1:3] == [b"-m", b"kelpcroft"], "nothing of the command line stays"
             other.process.terminate()
-            self.assertEqual(other.process.wait(20), 0)
+            assert other.process.wait(20) == 0
             lines = [json.loads(line) for line in log.read_text().splitlines()]
-            self.assertEqual({line["router"] for line in lines}, {"n7"})
-            self.assertIn("rules.taken", [line["event"] for line in lines])
+            assert {line["router"] for line in lines} == {"n7"}
+            assert "rules.taken" in [line["event"] for line in lines]
 
     def test_the_demo_ends_well(self) -> None:
-        self.assertEqual(demo.main(), 0)
+        assert demo.main() == 0
 
 
 NOW = 1_764_576_000_123_456_789
@@ -151,29 +152,26 @@
 
     def test_json_lines(self) -> None:
         first, last = (json.loads(line) for line in self.write(1, "json"))
-        self.assertEqual(
-            first,
-            {
-                "time": "2025-12-01T08:00:00.123456Z",
-                "level": "warning",
-                "router": "n1",
-                "event": "feed.lost",
-                "text": "feed: cut\noff",
-                "why": "cut",
-            },
-        )
-        self.assertEqual(list(first)[0], "time")
-        self.assertEqual(last["level"], "warning", "an event's own field hides none of the first")
+        assert first == {
+            "time": "2025-12-01T08:00:00.123456Z",
+            "level": "warning",
+            "router": "n1",
+            "event": "feed.lost",
+            "text": "feed: cut\noff",
+            "why": "cut",
+        }
+        assert list(first)[0] == "time"
+        assert last["level"] == "warning", "an event's own field hides none of the first"
 
     def test_floods_are_held_down_and_counted(self) -> None:
         lines = self.write(MAX_LINES_PER_EVENT + 500, "json")
-        self.assertEqual(len(lines), MAX_LINES_PER_EVENT + 1)
-        self.assertEqual(json.loads(lines[-1])["suppressed"], 500)
+        assert len(lines) == MAX_LINES_PER_EVENT + 1
+        assert json.loads(lines[-1])["suppressed"] == 500
 
     def test_plain_lines(self) -> None:
         lines = self.write(MAX_LINES_PER_EVENT + 3, "text")
         due = "2025-12-01T08:00:10.123456Z WARNING feed.lost: feed: again (3 left out before)"
-        self.assertEqual(lines[-1], due)
+        assert lines[-1] == due
 
 
 if __name__ == "__main__":
--- a/tests/test_retune.py
+++ b/tests/config_reload/test_retune.py
@@ -7,11 +7,7 @@
 import unittest
 from typing import Any
 
-import kit
 import orjson
-from kit import S
-from player import EXAMPLE
-from test_parts import NOW, call, only, router
 
 from kelpcroft.config_reload import (
     TRANSITION_NS,
@@ -28,6 +24,10 @@
 from kelpcroft.decision.interface import Outcome
 from testbed.router_process import RouterProcess
 from testbed.stand_ins import StandInServers
+from tests.support import policy_fixtures as kit
+from tests.support.exchange_player import EXAMPLE
+from tests.support.policy_fixtures import S
+from tests.support.reducer_fixtures import NOW, call, only, router
 
 
 def variant(change: Any) -> dict[str, Any]:
@@ -53,7 +53,7 @@
 
 class Check(unittest.TestCase):
     def test_the_file_in_use_passes(self) -> None:
-        self.assertEqual(validate_reload(EXAMPLE, EXAMPLE), [])
+        assert validate_reload(EXAMPLE, EXAMPLE) == []
 
     def test_each_kind_of_broken_file_is_named_by_its_place(self) -> None:
         classes = "settings.classes"
@@ -79,7 +79,7 @@
         ]
         for place, change in cases:
             with self.subTest(place=place):
-                self.assertIn(place, places(variant(change)))
+                assert place in places(variant(change))
 
     def test_all_faults_in_one_pass(self) -> None:
         def spoil(raw: dict[str, Any]) -> None:
@@ -87,10 +87,11 @@
             raw["settings"]["limits"]["most_tries"] = 0
             raw.pop("feed")
 
-        self.assertEqual(
-            sorted(places(variant(spoil))),
-            ["feed", "settings.classes[0].give_up_ns", "settings.limits.most_tries"],
-        )
+        assert sorted(places(variant(spoil))) == [
+            "feed",
+            "settings.classes[0].give_up_ns",
+            "settings.limits.most_tries",
+        ]
 
     def test_what_is_not_whole_json(self) -> None:
         whole = orjson.dumps(EXAMPLE)
@@ -102,9 +103,9 @@
         ):
             with self.subTest(found=found):
                 raw, faults = decode_config(data)
-                self.assertIsNone(raw)
-                self.assertIn(found, str(faults[0]))
-        self.assertTrue(decode_config(whole[:40])[1][0].place.startswith("line 1 column"))
+                assert raw is None
+                assert found in str(faults[0])
+        assert decode_config(whole[:40])[1][0].place.startswith("line 1 column")
 
     def test_classes_may_come_and_go(self) -> None:
         def change(raw: dict[str, Any]) -> None:
@@ -112,7 +113,7 @@
             c.append({**c[0], "name": "new"})
             del c[0]
 
-        self.assertEqual(places(variant(change)), [])
+        assert places(variant(change)) == []
 
 
 class Plan(unittest.TestCase):
@@ -137,23 +138,26 @@
         )
         between = transition_settings(self.old, new)
         by = {c.name: c for c in between.classes}
-        self.assertEqual(set(by), {"a", "came", "gone"})
-        self.assertIs(by["a"].idempotency, api.Idempotency.UNSAFE)
-        self.assertEqual((by["a"].deadline_ns, by["a"].dedup_window_ns), (2 * SECOND, SECOND))
-        self.assertEqual(
-            (between.limits.max_attempts, between.limits.may_hedge, between.limits.max_open_requests),
-            (4, False, 100),
+        assert set(by) == {"a", "came", "gone"}
+        assert by["a"].idempotency is api.Idempotency.UNSAFE
+        assert (by["a"].deadline_ns, by["a"].dedup_window_ns) == (2 * SECOND, SECOND)
+        assert (between.limits.max_attempts, between.limits.may_hedge, between.limits.max_open_requests) == (
+            4,
+            False,
+            100,
         )
-        self.assertEqual(between.zone, "z")  # kept to the next start
+        assert between.zone == "z"  # kept to the next start
         after = final_settings(between, new)
-        self.assertEqual([c.name for c in after.classes], ["a", "came"])
-        self.assertEqual((after.limits.max_attempts, after.zone), (6, "z"))
+        assert [c.name for c in after.classes] == ["a", "came"]
+        assert (after.limits.max_attempts, after.zone) == (6, "z")
         change = diff_settings(self.old, new)
-        self.assertEqual(
-            (change.added, change.removed, change.changed, change.attempts),
-            (("came",), ("gone",), ("a",), (4, 6)),
+        assert (change.added, change.removed, change.changed, change.attempts) == (
+            ("came",),
+            ("gone",),
+            ("a",),
+            (4, 6),
         )
-        self.assertFalse(diff_settings(self.old, self.old))
+        assert not diff_settings(self.old, self.old)
 
     def test_a_key_is_held_to_the_shorter_window_and_narrower_group(self) -> None:
         """The longer window was taken: in the passage a repeat went out that old servers would run."""
@@ -167,21 +171,17 @@
         wide = api.RequestClass("a", api.Idempotency.KEYED, dedup_window_ns=3 * SECOND, dedup_scope="all")
         tight = api.RequestClass("a", api.Idempotency.KEYED, dedup_window_ns=SECOND, dedup_scope="cell")
         for pair in ((wide, tight), (tight, wide)):
-            self.assertEqual((between(*pair).dedup_window_ns, between(*pair).dedup_scope), (SECOND, "cell"))
+            assert (between(*pair).dedup_window_ns, between(*pair).dedup_scope) == (SECOND, "cell")
         for pair in ((api.RequestClass("a"), wide), (wide, api.RequestClass("a"))):
-            self.assertIs(
-                between(*pair).idempotency, api.Idempotency.UNSAFE, "not all clients give a key yet"
-            )
-        self.assertEqual(
-            between(wide, api.RequestClass("a", api.Idempotency.UNSAFE)).dedup_window_ns, 3 * SECOND
-        )
+            assert between(*pair).idempotency is api.Idempotency.UNSAFE, "not all clients give a key yet"
+        assert between(wide, api.RequestClass("a", api.Idempotency.UNSAFE)).dedup_window_ns == 3 * SECOND
 
     def test_a_looser_effect_waits_for_the_passage(self) -> None:
         unsafe = api.RequestClass("a", api.Idempotency.UNSAFE)
         old = api.Settings(zone="z", zones=("z",), classes=(unsafe,))
         new = api.Settings(zone="z", zones=("z",), classes=(api.RequestClass("a"),))
-        self.assertIs(transition_settings(old, new).classes[0].idempotency, api.Idempotency.UNSAFE)
-        self.assertIs(final_settings(old, new).classes[0].idempotency, api.Idempotency.SAFE)
+        assert transition_settings(old, new).classes[0].idempotency is api.Idempotency.UNSAFE
+        assert final_settings(old, new).classes[0].idempotency is api.Idempotency.SAFE
 
 
 class Reducer_(unittest.TestCase):
@@ -194,14 +194,14 @@
 
         effect_list = reload(r, NOW, variant(spoil))
         (line,) = logged(effect_list, "config.refused")
-        self.assertIn("settings.classes[0].give_up_ns: -5 is not usable", line.text)
-        self.assertIn("config.json", line.text)
-        self.assertEqual(only(effects.SwitchFeed, effect_list), [])
-        self.assertEqual(only(effects.ScheduleTimer, effect_list), [])
-        self.assertEqual(r.state.settings, r.state.config.settings)
+        assert "settings.classes[0].give_up_ns: -5 is not usable" in line.text
+        assert "config.json" in line.text
+        assert only(effects.SwitchFeed, effect_list) == []
+        assert only(effects.ScheduleTimer, effect_list) == []
+        assert r.state.settings == r.state.config.settings
         for data in (b"", b'{"name": "n1", "settings"'):
-            self.assertEqual(len(logged(reload(r, NOW, data), "config.refused")), 1)
-        self.assertEqual(r.state.counters["files refused"], 3)
+            assert len(logged(reload(r, NOW, data), "config.refused")) == 1
+        assert r.state.counters["files refused"] == 3
 
     def test_a_class_that_comes_is_taken_at_once_and_one_that_goes_after_the_passage(self) -> None:
         r = router()
@@ -215,21 +215,21 @@
 
         effect_list = reload(r, NOW, variant(change))
         (line,) = logged(effect_list, "config.read")
-        self.assertIn("came: fresh", line.text)
-        self.assertIn(f"went: {first}", line.text)
+        assert "came: fresh" in line.text
+        assert f"went: {first}" in line.text
         (wake,) = only(effects.ScheduleTimer, effect_list)
         assert isinstance(wake, effects.ScheduleTimer)
-        self.assertEqual(wake.at_ns, NOW + TRANSITION_NS)
-        self.assertTrue(only(effects.OpenServerConnection, r.handle(NOW + MS, call(1, cls="fresh"))))
-        self.assertTrue(
+        assert wake.at_ns == NOW + TRANSITION_NS
+        assert only(effects.OpenServerConnection, r.handle(NOW + MS, call(1, cls="fresh")))
+        assert (
             only(effects.OpenServerConnection, r.handle(NOW + MS, call(2, item="0b", cls=first)))
             or r.state.requests
         )  # still taken in the passage
-        self.assertEqual(r.state.policy.settings.limits.max_attempts, 1)
+        assert r.state.policy.settings.limits.max_attempts == 1
         settle = r.handle(NOW + TRANSITION_NS, inputs.TimerFired(wake.key))
-        self.assertEqual(len(logged(settle, "config.settled")), 1)
-        self.assertEqual(r.handle(NOW + TRANSITION_NS + MS, call(3, cls=first)), [effects.FailRequest(1, 3)])
-        self.assertEqual(r.state.classes["fresh"].idempotency, api.Idempotency.UNSAFE)
+        assert len(logged(settle, "config.settled")) == 1
+        assert r.handle(NOW + TRANSITION_NS + MS, call(3, cls=first)) == [effects.FailRequest(1, 3)]
+        assert r.state.classes["fresh"].idempotency == api.Idempotency.UNSAFE
 
 
 class Module(unittest.TestCase):
@@ -239,21 +239,21 @@
         fresh = api.RequestClass("fresh", latency_objective_ns=200 * MS, deadline_ns=S)
         grown = kit.settings(max_attempts=6, classes=(fresh, kit.UNSAFE))
         p.handle(S + MS, api.SettingsChanged(grown))
-        self.assertIn("safe", p.latency_model.latency_ratio)  # under way: what is known of its class stays
+        assert "safe" in p.latency_model.latency_ratio  # under way: what is known of its class stays
         (second,) = kit.fetches(kit.end(p, S + 2 * MS, first, Outcome.ERROR))
-        self.assertEqual(kit.fetches(kit.end(p, S + 3 * MS, second, Outcome.ERROR, attempt=1)), [])
+        assert kit.fetches(kit.end(p, S + 3 * MS, second, Outcome.ERROR, attempt=1)) == []
         p.handle(S + 4 * MS, api.SettingsChanged(grown))
-        self.assertNotIn("safe", p.latency_model.latency_ratio)  # no longer held: forgotten
+        assert "safe" not in p.latency_model.latency_ratio  # no longer held: forgotten
         (one,) = kit.fetches(kit.ask(p, S + 5 * MS, "r2", cls="fresh", time_remaining_ns=S))
         p.handle(S + 6 * MS, api.SettingsChanged(kit.settings(max_attempts=1, classes=(fresh,))))
-        self.assertEqual(kit.fetches(kit.end(p, S + 7 * MS, one, Outcome.ERROR)), [])  # fewer now: it too
+        assert kit.fetches(kit.end(p, S + 7 * MS, one, Outcome.ERROR)) == []  # fewer now: it too
 
     def test_without_a_retune_the_same_request_tries_on(self) -> None:
         """The check that the one above can fail: with six attempts allowed throughout it goes on."""
         p = kit.policy(max_attempts=6)
         (first,) = kit.fetches(kit.ask(p, S, "r1"))
         (second,) = kit.fetches(kit.end(p, S + 2 * MS, first, Outcome.ERROR))
-        self.assertEqual(len(kit.fetches(kit.end(p, S + 3 * MS, second, Outcome.ERROR, attempt=1))), 1)
+        assert len(kit.fetches(kit.end(p, S + 3 * MS, second, Outcome.ERROR, attempt=1))) == 1
 
 
 class Program(unittest.TestCase):
@@ -270,8 +270,8 @@
             raw["settings"]["classes"].append({**raw["settings"]["classes"][0], "name": "fresh"})
             config.write_bytes(orjson.dumps(raw))
             told = router.reload_rules(rules.format("fresh"))
-            self.assertEqual(told["event"], "rules.taken", told)
-            self.assertEqual(router.client().request("fresh").kind, "served")
+            assert told["event"] == "rules.taken", told
+            assert router.client().request("fresh").kind == "served"
 
 
 if __name__ == "__main__":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 import pytest
-from red import LISTED, Listed, faults, read
+
+from tests.support.known_red import LISTED, Listed, faults, read
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_control_field.py
+++ b/tests/control_log/test_control_field.py
@@ -28,7 +28,7 @@
         field.__enter__()
         self.addCleanup(field.__exit__)
         self.drained = 0
-        self.assertTrue(field.is_caught_up(1, SIZE.servers), "at the start")
+        assert field.is_caught_up(1, SIZE.servers), "at the start"
         return field
 
     def news(self, field: ControlField) -> int:
@@ -39,7 +39,7 @@
 
     def assert_in_step(self, field: ControlField, what: str) -> None:
         number = self.news(field)
-        self.assertTrue(field.is_caught_up(number, SIZE.servers - self.drained), what)
+        assert field.is_caught_up(number, SIZE.servers - self.drained), what
 
     def assert_calls_bounded(self, field: ControlField, over_s: float = 3.0) -> None:
         """Over some seconds no replica hears more calls than its watchers may make."""
@@ -52,13 +52,13 @@
         time.sleep(over_s)
         after, took = heard(), time.monotonic() - began
         for one, other in zip(before, after, strict=True):
-            self.assertLessEqual((other - one) / took, CALLS_MOST * SIZE.routers)
+            assert (other - one) / took <= CALLS_MOST * SIZE.routers
 
     def test_a_replica_killed_and_started_again(self) -> None:
         field = self.field()
         field.replicas[0].end()
         self.assert_in_step(field, "one of two is dead")
-        self.assertEqual(field.watchers()[0], 0, "nobody calls a dead replica for long")
+        assert field.watchers()[0] == 0, "nobody calls a dead replica for long"
         self.assert_calls_bounded(field)
         field.replicas[0].start()
         field.replicas[1].end()
@@ -79,11 +79,11 @@
         field = self.field()
         field.upstream_relays[0].change(LinkMode.SILENT)
         self.assert_in_step(field, "one of two is cut off")
-        self.assertTrue(wait_for(lambda: (field.replicas[0].state() or {}).get("stale"), 10), "it says so")
-        self.assertTrue(wait_for(lambda: field.watchers()[0] == 0, 10), "its watchers have left")
+        assert wait_for(lambda: (field.replicas[0].state() or {}).get("stale"), 10), "it says so"
+        assert wait_for(lambda: field.watchers()[0] == 0, 10), "its watchers have left"
         field.upstream_relays[0].change(LinkMode.PASS)
         field.upstream_relays[0].drop()
-        self.assertTrue(wait_for(lambda: not (field.replicas[0].state() or {}).get("stale", True), 10))
+        assert wait_for(lambda: not (field.replicas[0].state() or {}).get("stale", True), 10)
         self.assert_in_step(field, "it is back")
 
     def test_links_to_watchers_that_lie(self) -> None:
@@ -124,10 +124,10 @@
         one, other = field.service_list
         field.order_service(one, do="status", server="s-0001", status="leaving")
         field.order_service(other, do="status", server="s-0002", status="leaving")
-        self.assertTrue(wait_for(lambda: set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, 10))
+        assert wait_for(lambda: set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, 10)
         field.replicas[0].end()
         number = field.order_service(other, do="status", server="s-0003", status="leaving")
-        self.assertTrue(field.is_caught_up(number, SIZE.servers - 2), "all are of the second's mind by now")
+        assert field.is_caught_up(number, SIZE.servers - 2), "all are of the second's mind by now"
 
     def test_upstream_dead_for_the_whole_time(self) -> None:
         """Routers keep what they know, and calls at the replicas stay bounded."""
@@ -135,9 +135,9 @@
         self.assert_in_step(field, "before")
         field.service.end()
         time.sleep(4.0)  # past the lease
-        self.assertTrue(all((replica.state() or {}).get("stale") for replica in field.replicas))
+        assert all((replica.state() or {}).get("stale") for replica in field.replicas)
         self.assert_calls_bounded(field)
-        self.assertEqual(set(field.routers.ask()["in_service"]), {SIZE.servers - 1}, "nothing is forgotten")
+        assert set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, "nothing is forgotten"
 
 
 class Counts(unittest.TestCase):
@@ -146,25 +146,25 @@
         hears with its routers and the batch; none of it with the other.  Counts only, no times."""
         purges, rate = 30, 10.0
         with ControlField(SIZE, 2) as field:
-            self.assertTrue(field.is_caught_up(1, SIZE.servers))
+            assert field.is_caught_up(1, SIZE.servers)
             before = field.service.ask(do="stats")
             states = [replica.state() or {} for replica in field.replicas]
             field.service.ask(do="purge", rate=rate, seconds=purges / rate)
-            self.assertTrue(field.is_caught_up(purges + 1, SIZE.servers))
+            assert field.is_caught_up(purges + 1, SIZE.servers)
             after = field.service.ask(do="stats")
             now = [replica.state() or {} for replica in field.replicas]
             took_s = (after["now_ns"] - before["now_ns"]) / 1e9
-            self.assertEqual(after["n"], purges + 1)
+            assert after["n"] == purges + 1
             calls = after["calls"] - before["calls"]
-            self.assertLessEqual(calls, 2 * (purges + 2 * took_s + 2))
-            self.assertLessEqual(after["bytes_out"] - before["bytes_out"], calls * 60 + 2 * purges * 100)
+            assert calls <= 2 * (purges + 2 * took_s + 2)
+            assert after["bytes_out"] - before["bytes_out"] <= calls * 60 + 2 * purges * 100
             answers = sum(b["answers"] - a["answers"] for a, b in zip(states, now, strict=True))
-            self.assertLessEqual(answers, SIZE.routers * (2.5 * took_s + 2))
+            assert answers <= SIZE.routers * (2.5 * took_s + 2)
             sent = sum(b["bytes_out"] - a["bytes_out"] for a, b in zip(states, now, strict=True))
             snapshots = sum(b["snapshots"] - a["snapshots"] for a, b in zip(states, now, strict=True))
-            self.assertLessEqual(sent, answers * 90 + SIZE.routers * purges * 100 + snapshots * 12_000)
-            self.assertEqual({s["purges"] for s in now}, {purges})
-            self.assertEqual({s["servers"] for s in now}, {SIZE.servers})
+            assert sent <= answers * 90 + SIZE.routers * purges * 100 + snapshots * 12000
+            assert {s["purges"] for s in now} == {purges}
+            assert {s["servers"] for s in now} == {SIZE.servers}
 
 
 class UnderLoad(unittest.TestCase):
@@ -185,23 +185,23 @@
         field.__enter__()
         self.addCleanup(field.__exit__)
         with ClientLoad(field) as load:
-            self.assertTrue(wait_for(lambda: load.counts["served"] > 200, 30), load.counts)
+            assert wait_for(lambda: load.counts["served"] > 200, 30), load.counts
             watched: list[int] = []
 
             def all_watch() -> bool:
                 watched[:] = [(replica.state() or {"watches": 0})["watches"] for replica in replicas]
                 return sum(watched) == 4
 
-            self.assertTrue(wait_for(all_watch, 20), "all routers watch replicas")
+            assert wait_for(all_watch, 20), "all routers watch replicas"
             dead = watched.index(max(watched))
             replicas[dead].end()
             number = field.servers.change("cache-z0", "leaving")
             other = replicas[1 - dead]
-            self.assertTrue(wait_for(lambda: (other.state() or {}).get("last", 0) >= number, 20))
+            assert wait_for(lambda: (other.state() or {}).get("last", 0) >= number, 20)
             served = load.counts["served"]
-            self.assertTrue(wait_for(lambda: load.counts["served"] > served + 200, 30), load.counts)
-        self.assertEqual(load.counts["lost"], 0, load.counts)
-        self.assertEqual(field.check_contract(load).violations, [])
+            assert wait_for(lambda: load.counts["served"] > served + 200, 30), load.counts
+        assert load.counts["lost"] == 0, load.counts
+        assert field.check_contract(load).violations == []
 
 
 if __name__ == "__main__":
--- a/tests/test_control_log.py
+++ b/tests/control_log/test_control_log.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 import orjson
+import pytest
 
 from kelpcroft.config import parse_config
 from kelpcroft.control_log import log as control_log
@@ -58,28 +59,28 @@
 
     def test_the_tail_is_told_by_number_and_mark(self) -> None:
         log = self.filled(5)
-        self.assertEqual(
-            (log.last_event_number, log.last_fingerprint), (6, event_fingerprint(canonical_json(purge(6, 0))))
+        assert (log.last_event_number, log.last_fingerprint) == (
+            6,
+            event_fingerprint(canonical_json(purge(6, 0))),
         )
-        self.assertTrue(log.contains(4, event_fingerprint(canonical_json(purge(4, 0)))))
-        self.assertFalse(log.contains(4, log.last_fingerprint))
-        self.assertEqual([orjson.loads(text)["n"] for text in log.events_after(4)], [5, 6])
+        assert log.contains(4, event_fingerprint(canonical_json(purge(4, 0))))
+        assert not log.contains(4, log.last_fingerprint)
+        assert [orjson.loads(text)["n"] for text in log.events_after(4)] == [5, 6]
 
     def test_state_and_tail_are_bounded(self) -> None:
         log = self.filled(3 * control_log.MAX_TAIL_EVENTS, at_ms=-100_000)
-        self.assertLessEqual(len(log.tail), control_log.MAX_TAIL_EVENTS)
-        self.assertLessEqual(log.tail_bytes, control_log.MAX_TAIL_BYTES)
-        self.assertEqual(log.purges, {}, "those that no longer matter are not kept")
-        self.assertFalse(
-            log.contains(3, event_fingerprint(canonical_json(purge(3, -100_000)))),
-            "it is older than the tail",
+        assert len(log.tail) <= control_log.MAX_TAIL_EVENTS
+        assert log.tail_bytes <= control_log.MAX_TAIL_BYTES
+        assert log.purges == {}, "those that no longer matter are not kept"
+        assert not log.contains(3, event_fingerprint(canonical_json(purge(3, -100000)))), (
+            "it is older than the tail"
         )
         for n in range(control_log.MAX_PURGES + 10):
             log.apply(purge(n, 1_000), 1_000)
-        self.assertEqual(len(log.purges), control_log.MAX_PURGES)
-        with self.assertRaises(SnapshotIncompleteError):
+        assert len(log.purges) == control_log.MAX_PURGES
+        with pytest.raises(SnapshotIncompleteError):
             log.snapshot(1_000)
-        self.assertEqual(len(log.snapshot(70_000)), 1, "once none of them matters it is whole again")
+        assert len(log.snapshot(70000)) == 1, "once none of them matters it is whole again"
 
     def test_a_snapshot_is_the_state_and_what_matters(self) -> None:
         log = self.filled(2)
@@ -89,17 +90,17 @@
         log.append({"n": 5, "members": {"snapshot": False, "endpoints": [line("b", "left")]}}, 0)
         log.append({"n": 6, "purge": {"group": 3, "at": 50_000}}, 50_000)
         events = [orjson.loads(text) for text in log.snapshot(67_000)]
-        self.assertEqual({event["n"] for event in events}, {6})
+        assert {event["n"] for event in events} == {6}
         told = {e["name"]: e["status"] for e in events[0]["members"]["endpoints"]}
-        self.assertEqual(told, {"a": "leaving", "c": "active"})
-        self.assertEqual([event["purge"] for event in events[1:]], [{"group": 3, "at": 50_000}])
+        assert told == {"a": "leaving", "c": "active"}
+        assert [event["purge"] for event in events[1:]] == [{"group": 3, "at": 50000}]
 
     def test_odd_events_are_named_and_handed_on(self) -> None:
         log = self.filled(0)
-        self.assertIn("without a number", log.append({"purge": {}}, 0))
-        self.assertIn("event 2: KeyError", log.append({"n": 2, "purge": {"key": "ff"}}, 0))
-        self.assertEqual(log.append({"n": 3, "notice": "new kind"}, 0), "")
-        self.assertEqual(len(log.events_after(1)), 2)
+        assert "without a number" in log.append({"purge": {}}, 0)
+        assert "event 2: KeyError" in log.append({"n": 2, "purge": {"key": "ff"}}, 0)
+        assert log.append({"n": 3, "notice": "new kind"}, 0) == ""
+        assert len(log.events_after(1)) == 2
 
 
 class Following(unittest.TestCase):
@@ -121,9 +122,9 @@
                 follower.record_verdict(ResponseHead(10, "k", 10_000, True), ResponseVerdict.APPLY)
                 verdict = follower.judge(head)
                 follower.record_verdict(head, verdict)
-                self.assertIs(verdict, due)
-                self.assertEqual(
-                    follower.requested_position() == LogPosition(), due is ResponseVerdict.REQUEST_SNAPSHOT
+                assert verdict is due
+                assert (follower.requested_position() == LogPosition()) == (
+                    due is ResponseVerdict.REQUEST_SNAPSHOT
                 )
 
     def test_a_doubtful_state_is_followed_until_one_is_later(self) -> None:
@@ -137,29 +138,27 @@
         ):
             verdict = follower.judge(head)
             follower.record_verdict(head, verdict)
-            self.assertIs(verdict, due, head)
-        self.assertEqual(follower.position, LogPosition(8, "d"))
+            assert verdict is due, head
+        assert follower.position == LogPosition(8, "d")
 
     def test_sources_spread_move_and_go_home(self) -> None:
         addresses = tuple((f"10.0.0.{n}", 1) for n in range(4))
         found = [UpstreamSelector(addresses, seed) for seed in range(400)]
         homes = [sources.current_address for sources in found]
-        self.assertTrue(all(60 < homes.count(address) < 140 for address in addresses), "evenly")
+        assert all(60 < homes.count(address) < 140 for address in addresses), "evenly"
         left = [sources for sources in found if sources.current_address == addresses[0]]
         for sources in left:
             sources.record_failure(NOW)
         moved = [sources.current_address for sources in left]
-        self.assertTrue(
-            all(moved.count(address) > len(left) // 5 for address in addresses[1:]), "so are they"
-        )
+        assert all(moved.count(address) > len(left) // 5 for address in addresses[1:]), "so are they"
         sources = UpstreamSelector(addresses, 7)
         waits = [sources.record_failure(NOW) for _ in range(40)]
-        self.assertTrue(all(0 <= w < MAX_FIRST_RETRY_DELAY_NS for w in waits[:3]))
-        self.assertTrue(all(RETRY_PERIOD_NS // 2 <= w < 2 * RETRY_PERIOD_NS for w in waits[3:]))
+        assert all(0 <= w < MAX_FIRST_RETRY_DELAY_NS for w in waits[:3])
+        assert all(RETRY_PERIOD_NS // 2 <= w < 2 * RETRY_PERIOD_NS for w in waits[3:])
         sources.record_failure(NOW)
-        self.assertFalse(sources.record_success(NOW + RETURN_HOME_NS // 4))
-        self.assertTrue(sources.record_success(NOW + 2 * RETURN_HOME_NS))
-        self.assertEqual(sources.current_index, sources.home_index)
+        assert not sources.record_success(NOW + RETURN_HOME_NS // 4)
+        assert sources.record_success(NOW + 2 * RETURN_HOME_NS)
+        assert sources.current_index == sources.home_index
 
 
 class Answers(unittest.TestCase):
@@ -189,52 +188,47 @@
                 if isinstance(e, SendWatchResponse):
                     told = orjson.loads(e.body)
                     position, out = LogPosition(told["n"], told["mark"]), False
-        self.assertLessEqual(calls, 3 * SECOND // replica.options.batch_ns + 2)
-        self.assertGreater(position.event_number, 250)
+        assert calls <= 3 * SECOND // replica.options.batch_ns + 2
+        assert position.event_number > 250
 
     def test_past_its_lease_it_says_so_at_once(self) -> None:
         replica = self.replica()
         mark = replica.log.last_fingerprint
-        self.assertEqual(self.told(replica, NOW, WatchRequest(7, LogPosition(1, mark), True, SECOND)), [])
+        assert self.told(replica, NOW, WatchRequest(7, LogPosition(1, mark), True, SECOND)) == []
         late = replica.next_timer_ns()
         assert late is not None
         end = NOW + replica.options.lease_ns + 1
         told = [e for e in replica.on_timer(end) if isinstance(e, SendWatchResponse)]
-        self.assertEqual(orjson.loads(told[0].body)["as_of"], NOW // MS)
-        self.assertTrue(replica.is_stale)
-        self.assertEqual(
-            len(self.told(replica, end + SECOND, WatchRequest(7, LogPosition(1, mark), True, SECOND))), 1
-        )
+        assert orjson.loads(told[0].body)["as_of"] == NOW // MS
+        assert replica.is_stale
+        assert len(self.told(replica, end + SECOND, WatchRequest(7, LogPosition(1, mark), True, SECOND))) == 1
         refused = self.told(replica, end + SECOND, WatchRequest(8, LogPosition(1), False, SECOND))
-        self.assertIsInstance(refused[0], RefuseWatcher, "one that knows no marks could not tell")
+        assert isinstance(refused[0], RefuseWatcher), "one that knows no marks could not tell"
 
     def test_watches_are_bounded(self) -> None:
         replica = self.replica(max_watches=2)
         mark = replica.log.last_fingerprint
         for n in range(2):
-            self.assertEqual(self.told(replica, NOW, WatchRequest(n, LogPosition(1, mark), True, SECOND)), [])
-        self.assertIsInstance(
+            assert self.told(replica, NOW, WatchRequest(n, LogPosition(1, mark), True, SECOND)) == []
+        assert isinstance(
             self.told(replica, NOW, WatchRequest(9, LogPosition(1, mark), True, SECOND))[0], RefuseWatcher
         )
         replica.on_watcher_disconnected(0)
-        self.assertEqual(self.told(replica, NOW, WatchRequest(9, LogPosition(1, mark), True, SECOND)), [])
+        assert self.told(replica, NOW, WatchRequest(9, LogPosition(1, mark), True, SECOND)) == []
 
     def test_a_follower_that_is_ahead_is_waited_for(self) -> None:
         """News that it has from another replica is on its way; it is answered by the end of its wait."""
         replica = self.replica()
         ahead = purge(2, NOW // MS)
         watch = WatchRequest(7, LogPosition(2, event_fingerprint(canonical_json(ahead))), True, SECOND)
-        self.assertEqual(self.told(replica, NOW, watch), [])
-        self.assertEqual(
-            [
-                e
-                for e in replica.on_upstream_response(NOW + 5 * MS, UpstreamResponse(2, (ahead,)))
-                if isinstance(e, SendWatchResponse)
-            ],
-            [],
-        )
+        assert self.told(replica, NOW, watch) == []
+        assert [
+            e
+            for e in replica.on_upstream_response(NOW + 5 * MS, UpstreamResponse(2, (ahead,)))
+            if isinstance(e, SendWatchResponse)
+        ] == []
         told = [e for e in replica.on_timer(NOW + SECOND) if isinstance(e, SendWatchResponse)]
-        self.assertEqual(orjson.loads(told[0].body)["events"], [])
+        assert orjson.loads(told[0].body)["events"] == []
 
     def test_a_list_service_that_repeats_itself_is_not_asked_in_a_loop(self) -> None:
         replica, now, calls = self.replica(), NOW, 0
@@ -243,7 +237,7 @@
             call = next(e for e in effect_list if isinstance(e, CallUpstream))
             now, calls = now + call.delay_ns + MS, calls + 1
             effect_list = replica.on_upstream_response(now, UpstreamResponse(1, (whole(1, "a"),)))
-        self.assertLess(calls, 10 * SECOND // replica.options.batch_ns + 5)
+        assert calls < 10 * SECOND // replica.options.batch_ns + 5
 
     def test_a_history_in_pieces(self) -> None:
         replica = ControlReplica(ReplicaOptions((UPSTREAM,)), 1)
@@ -253,9 +247,7 @@
         )
         replica.on_upstream_response(NOW, UpstreamResponse(0, (purge(3, NOW // MS),), has_more=True))
         replica.on_upstream_response(NOW, UpstreamResponse(3, ()))
-        self.assertEqual(
-            (replica.log.last_event_number, replica.is_stale, len(replica.log.purges)), (3, False, 2)
-        )
+        assert (replica.log.last_event_number, replica.is_stale, len(replica.log.purges)) == (3, False, 2)
 
 
 class AtARouter(unittest.TestCase):
@@ -268,21 +260,16 @@
         effect_list = reducer.handle(
             NOW, inputs.OperatorFileRead(OperatorFile(control_replicas=ControlReplicas((("10.0.0.1", 1),))))
         )
-        self.assertEqual(
-            [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)], [("10.0.0.1", 1)]
-        )
+        assert [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)] == [("10.0.0.1", 1)]
         effect_list = reducer.handle(NOW, inputs.TimerFired((messages.TimerKind.POLL_FEED, 0, 0)))
         polls = [(e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.PollFeed)]
-        self.assertEqual(polls, [(0, "")])
+        assert polls == [(0, "")]
         effect_list = reducer.handle(NOW, inputs.OperatorFileRead(OperatorFile()))
-        self.assertEqual(
-            [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)], [("10.0.0.9", 1)]
-        )
-        self.assertEqual(
-            [(e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.PollFeed)],
-            [(0, None)],
-        )
-        self.assertEqual(set(reducer.state.endpoints), known, "what is known stays meanwhile")
+        assert [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)] == [("10.0.0.9", 1)]
+        assert [
+            (e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.PollFeed)
+        ] == [(0, None)]
+        assert set(reducer.state.endpoints) == known, "what is known stays meanwhile"
 
     def test_a_replica_that_answers_at_once_with_nothing_is_left(self) -> None:
         raw = configuration(FleetSize(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
@@ -290,15 +277,15 @@
         addresses = (("10.0.0.1", 1), ("10.0.0.2", 1))
         effect_list, now, polls = reducer.start(NOW, None, 0, ControlReplicas(addresses)), NOW, 0
         moved = [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)]
-        self.assertIn(moved[0], addresses)
+        assert moved[0] in addresses
         effect_list = reducer.handle(now, inputs.TimerFired((messages.TimerKind.POLL_FEED, 0, 0)))
         while any(isinstance(e, effects.PollFeed) for e in effect_list) and polls < 50:
             now, polls = now + 2 * MS, polls + 1
             news = inputs.WatchResponse(1, (), log_fingerprint="aa", as_of_ms=now // MS)
             effect_list = reducer.handle(now, news)
-        self.assertLess(polls, 10)
-        self.assertEqual([e.event for e in effect_list if isinstance(e, effects.LogEvent)], ["replica.left"])
-        self.assertEqual(len([e for e in effect_list if isinstance(e, effects.SwitchFeed)]), 1)
+        assert polls < 10
+        assert [e.event for e in effect_list if isinstance(e, effects.LogEvent)] == ["replica.left"]
+        assert len([e for e in effect_list if isinstance(e, effects.SwitchFeed)]) == 1
 
 
 if __name__ == "__main__":
--- a/tests/test_replica_file.py
+++ b/tests/control_log/test_replica_file.py
@@ -6,6 +6,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
+import pytest
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -24,8 +25,8 @@
 class File(unittest.TestCase):
     def test_the_example(self) -> None:
         file, faults = load(EXAMPLE.encode())
-        self.assertEqual(faults, [])
-        self.assertEqual(file, ControlReplicaFile(("127.0.0.1", 7100), (("127.0.0.1", 9400),)))
+        assert faults == []
+        assert file == ControlReplicaFile(("127.0.0.1", 7100), (("127.0.0.1", 9400),))
 
     def test_each_fault_by_its_code_and_line(self) -> None:
         for old, new, due in (
@@ -46,11 +47,11 @@
         ):
             with self.subTest(new=new, old=old):
                 _, faults = load(EXAMPLE.replace(old, new, 1).encode())
-                self.assertIn(due, [(f.code, f.position.line) for f in faults])
+                assert due in [(f.code, f.position.line) for f in faults]
 
     def test_a_peer_alone_will_do(self) -> None:
         file, faults = load(EXAMPLE.replace("list-service", "peer").encode())
-        self.assertEqual((faults, file.peers), ([], (("127.0.0.1", 9400),)))
+        assert (faults, file.peers) == ([], (("127.0.0.1", 9400),))
 
     def test_the_command(self) -> None:
         run = CliRunner().invoke
@@ -62,15 +63,13 @@
             "--dry-run",
         ]
         told = run(main, words)
-        self.assertEqual(told.exit_code, 0, told.output)
-        self.assertIn(
-            "1000 watchers at 127.0.0.1:7100 from 127.0.0.1:9400; a purge matters for 66 s", told.output
-        )
+        assert told.exit_code == 0, told.output
+        assert "1000 watchers at 127.0.0.1:7100 from 127.0.0.1:9400; a purge matters for 66 s" in told.output
         with TemporaryDirectory() as folder:
             bad, none = Path(folder) / "bad.kdl", Path(folder) / "none.kdl"
             bad.write_text("control-replica version=1\n")
-            self.assertEqual(run(main, ["control-replica", str(bad), "--config", CONFIG]).exit_code, 1)
-            self.assertEqual(run(main, ["control-replica", str(none), "--config", CONFIG]).exit_code, 2)
+            assert run(main, ["control-replica", str(bad), "--config", CONFIG]).exit_code == 1
+            assert run(main, ["control-replica", str(none), "--config", CONFIG]).exit_code == 2
 
 
 class Wire(unittest.TestCase):
@@ -81,14 +80,11 @@
             b"GET /v1/events?SUB=41&wait=10&mark=0a0b HTTP/1.1\r\n\r\nGET /control/state HTTP/1.1\r\n\r\n"
         )
         found = [one for n in range(0, len(data), 7) for one in codec.receive_data(data[n : n + 7])]
-        self.assertEqual(
-            found,
-            [
-                EventsRequest(LogPosition(41), False, 1_000 * MS),
-                EventsRequest(LogPosition(41, "0a0b"), True, 10 * MS),
-                StateRequest(),
-            ],
-        )
+        assert found == [
+            EventsRequest(LogPosition(41), False, 1000 * MS),
+            EventsRequest(LogPosition(41, "0a0b"), True, 10 * MS),
+            StateRequest(),
+        ]
 
     def test_what_is_no_call(self) -> None:
         for data in (
@@ -101,7 +97,7 @@
             b"\x00garbage\r\n\r\n",
             b"GET /control/state HTTP/1.1\r\n\r\n" * 9,
         ):
-            with self.subTest(data=data[:60]), self.assertRaises(WatchRequestError):
+            with self.subTest(data=data[:60]), pytest.raises(WatchRequestError):
                 WatchServerCodec().receive_data(data)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
--- a/tests/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -11,11 +11,12 @@
 from pathlib import Path
 
 import orjson
-from player import EXAMPLE, ROOT, WAIT_S
-from turns import MS, SECOND, Turns, call, done
+import pytest
 
 from kelpcroft.config import ConfigError, limit_to_system_descriptors, parse_config
 from kelpcroft.core.descriptors import MIN_DESCRIPTORS, allocate_descriptors
+from tests.support.exchange_player import EXAMPLE, ROOT, WAIT_S
+from tests.support.loop_turns import MS, SECOND, Turns, call, done
 
 
 class Shares(unittest.TestCase):
@@ -24,19 +25,19 @@
         for most in range(MIN_DESCRIPTORS, 5_000):
             shares = allocate_descriptors(most)
             kinds = (shares.clients, shares.draining_clients, shares.control_callers, shares.servers)
-            self.assertTrue(all(kind > 0 for kind in kinds), (most, shares))
-            self.assertLess(sum(kinds), most, "and some are the process's own")
-            self.assertGreaterEqual(shares.clients, most // 3, "clients hold a third, by the platform's word")
+            assert all(kind > 0 for kind in kinds), (most, shares)
+            assert sum(kinds) < most, "and some are the process's own"
+            assert shares.clients >= most // 3, "clients hold a third, by the platform's word"
 
     def test_the_system_may_give_fewer(self) -> None:
         """The settings' figure was believed: under a lower limit a dial found none and ended the process."""
         config = parse_config(EXAMPLE, {})
-        self.assertIs(limit_to_system_descriptors(config, 1_024), config)
+        assert limit_to_system_descriptors(config, 1024) is config
         less = limit_to_system_descriptors(config, 100)
-        self.assertEqual((less.max_descriptors, [d.place for d in less.warnings]), (100, ["limits.sockets"]))
-        with self.assertRaises(ConfigError) as caught:
+        assert (less.max_descriptors, [d.place for d in less.warnings]) == (100, ["limits.sockets"])
+        with pytest.raises(ConfigError) as caught:
             limit_to_system_descriptors(config, MIN_DESCRIPTORS - 1)
-        self.assertIn("the system gives this process 63 descriptors; 64", str(caught.exception))
+        assert "the system gives this process 63 descriptors; 64" in str(caught.value)
 
     def test_a_process_under_a_low_limit_says_so(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -50,8 +51,8 @@
                 capture_output=True,
                 timeout=WAIT_S,
             )
-        self.assertEqual((run.returncode, run.stderr.count("\n")), (2, 1), run.stderr)
-        self.assertIn("limits.sockets", run.stderr)
+        assert (run.returncode, run.stderr.count("\n")) == (2, 1), run.stderr
+        assert "limits.sockets" in run.stderr
 
 
 class NoneLeft(unittest.TestCase):
@@ -69,7 +70,7 @@
         t.until(cache.pulls, "the attempt comes")
         cache.send(done(*cache.pulls()))
         t.until(asks.answers, "it is answered")
-        self.assertEqual(asks.answers(), [[1, 1, None, [b"by", {}]]])
+        assert asks.answers() == [[1, 1, None, [b"by", {}]]]
 
     def test_a_dial_that_cannot_be_made_ends_in_an_answer(self) -> None:
         t = Turns(self)
@@ -78,7 +79,7 @@
         asks.send(call(1))
         with t.no_descriptors():
             t.until(asks.answers, "it is given up at once")
-        self.assertEqual(asks.answers()[0][2][0], "Shed")
+        assert asks.answers()[0][2][0] == "Shed"
         asks.send(call(2))
         t.until(t.taken("cache1").pulls, "later ones are served")
 
@@ -91,7 +92,7 @@
         with t.no_descriptors():
             for _ in range(5):
                 t.turn(500 * MS, turns=3)  # called again and again, without a socket
-        self.assertIsNone(t.loop.feed.connection)
+        assert t.loop.feed.connection is None
         host, port = t.loop.feed_address
         t.listeners["feed"] = back = socket.create_server((host, port))
         self.addCleanup(back.close)
@@ -110,6 +111,6 @@
         with t.no_descriptors():
             t.until(lambda: not t.loop.acceptor.listener.is_listening, "it is left alone")
             t.turn(turns=20)
-            self.assertEqual(len([log for log in t.logged if log.event == "accept.failed"]), 1)
+            assert len([log for log in t.logged if log.event == "accept.failed"]) == 1
         t.turn(200 * MS)
         t.until(lambda: len(t.loop.clients.open) == 2, "it is tried again")
--- a/tests/test_gone.py
+++ b/tests/core/test_gone.py
@@ -5,11 +5,11 @@
 import unittest
 
 import msgpack
-from turns import MS, SECOND, Peer, Turns, call, done
 
 from kelpcroft.net.event_loop import CLIENT_REQUESTS_TURN_NS, LONG_TURN_FLUSH_INTERVAL_NS
 from kelpcroft.net.server_connections import ServerConnection
 from kelpcroft.net.transport import Connection as Ours
+from tests.support.loop_turns import MS, SECOND, Peer, Turns, call, done
 
 
 def cancel(number: int) -> bytes:
@@ -28,7 +28,7 @@
     def nothing_more(self, t: Turns, cache: Peer) -> None:
         """Only the first attempt was ever sent, at whichever server."""
         t.turn(SECOND)
-        self.assertEqual(len(cache.pulls()), 1)
+        assert len(cache.pulls()) == 1
         for name in ("cache1", "parent", "origin"):
             t.none(name)
 
@@ -74,9 +74,9 @@
 
         t.selector.select = ordered  # type: ignore[method-assign]
         t.until(lambda: len(other.answers()) == 7, "the others are answered")
-        self.assertIs(read[0], early)
+        assert read[0] is early
         t.turn(SECOND)
-        self.assertEqual(sum(len(c.pulls()) for c in caches), 8)
+        assert sum(len(c.pulls()) for c in caches) == 8
         for name in ("cache1", "cache2", "parent", "origin"):
             t.none(name)
 
@@ -122,8 +122,8 @@
                     "the connection stands",
                 )
                 t.turn(turns=3)
-                self.assertEqual(cache.read(), b"")
-                self.assertEqual(t.loop.reducer.state.attempts, {})
+                assert cache.read() == b""
+                assert t.loop.reducer.state.attempts == {}
 
     def test_a_request_that_is_read_and_not_taken_can_be_cancelled(self) -> None:
         t = Turns(self)
@@ -135,7 +135,7 @@
         t.until(lambda: not any(c.pending_messages for c in t.loop.clients.open.values()), "it is cancelled")
         t.tick_ns = 0
         t.turn(200 * MS)
-        self.assertEqual((len(cache.pulls()), t.loop.reducer.state.counters["taken"]), (1, 1))
+        assert (len(cache.pulls()), t.loop.reducer.state.counters["taken"]) == (1, 1)
         client.send(call(3))
         t.until(lambda: t.loop.reducer.state.counters["taken"] == 2, "later ones are taken")
 
@@ -146,8 +146,8 @@
         (ours,) = t.loop.clients.open.values()
         client.send(call(2, patience=900))
         t.loop.read_disconnects([(ours, 1)], t.now)
-        self.assertEqual(len(ours.pending_messages), 1)
+        assert len(ours.pending_messages) == 1
         t.now += 200 * MS
         t.loop.clients.dispatch_pending(ours)
         (_, second) = t.loop.reducer.state.requests.values()
-        self.assertEqual(second.message.remaining_time_ns, 700 * MS)
+        assert second.message.remaining_time_ns == 700 * MS
--- a/tests/test_keys.py
+++ b/tests/core/test_keys.py
@@ -9,13 +9,12 @@
 import orjson
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from player import Player
-from test_exchanges import KEYED, ONE
 
 from kelpcroft.core import effects, inputs
 from kelpcroft.core.idempotency_keys import IdempotencyKeys
 from kelpcroft.decision import interface as api
 from testbed.virtual import EXAMPLE, MS, START, S, VirtualRouter
+from tests.support.exchange_player import KEYED, ONE, Player
 
 CLS = api.RequestClass("order", api.Idempotency.KEYED, dedup_window_ns=3 * S, deadline_ns=5 * S)
 STEPS = st.sampled_from(["sent", "not run", "wait"])
@@ -47,16 +46,16 @@
             for n in range(4):
                 live = [x for x in sends if x[0] == n and now < x[2] + 5 * S]
                 ran = keys.find(now, "order", str(n))
-                self.assertEqual(ran.sent_ns if ran else None, live[0][2] if live else None)
+                assert (ran.sent_ns if ran else None) == (live[0][2] if live else None)
 
     def test_it_has_an_end(self) -> None:
         keys = IdempotencyKeys(3)
         for n in range(3):
-            self.assertFalse(keys.is_full(n))
+            assert not keys.is_full(n)
             keys.record_send(n, CLS, str(n), n, "z", 0)
-        self.assertTrue(keys.is_full(S), "no entry is pushed out: what it binds is still to come")
-        self.assertFalse(keys.is_full(5 * S))
-        self.assertEqual(len(keys.records), 2)
+        assert keys.is_full(S), "no entry is pushed out: what it binds is still to come"
+        assert not keys.is_full(5 * S)
+        assert len(keys.records) == 2
 
 
 def world(group: str, fates: dict[str, float], seed: int = 1, window: int = 3 * S) -> VirtualRouter:
@@ -115,29 +114,27 @@
                 homes = {e.address: (e.zone, e.cell) for e in v.reducer.state.endpoints.values()}
                 for at, server, _ in sends:
                     if at > first[0]:
-                        self.assertLess(at, first[0] + 1500 * MS, (group, seed))
+                        assert at < first[0] + 1500 * MS, (group, seed)
                         mine, other = homes[first[1]], homes[server]
-                        self.assertEqual(
-                            mine if group == "cell" else mine[0],
-                            other if group == "cell" else other[0],
-                            (group, seed),
-                        )
+                        assert (mine if group == "cell" else mine[0]) == (
+                            other if group == "cell" else other[0]
+                        ), (group, seed)
 
     def test_past_the_window_it_is_refused_or_fails_without_a_send(self) -> None:
         for group, due in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
             v = world(group, {"silent": 1.0}, window=S)
             first, late = order(v, 0, "k"), order(v, 2 * S, "k")
             v.run(10 * S)
-            self.assertEqual(len(v.records[first.trace_id].attempts), 1)
-            self.assertEqual(v.records[late.trace_id].attempts, [])
-            self.assertIsInstance(v.records[late.trace_id].final_effects[0][1], due)
+            assert len(v.records[first.trace_id].attempts) == 1
+            assert v.records[late.trace_id].attempts == []
+            assert isinstance(v.records[late.trace_id].final_effects[0][1], due)
 
     def test_what_certainly_did_not_run_binds_nothing(self) -> None:
         v = world("zone", {"wait": 1.0}, window=S)
         order(v, 0, "k")
         late = order(v, 2 * S, "k")
         v.run(10 * S)
-        self.assertTrue(v.records[late.trace_id].attempts)
+        assert v.records[late.trace_id].attempts
 
     def test_a_retry_of_a_key_not_seen_here_is_sent_once(self) -> None:
         """Its first try was another process's: the router was upgraded, or killed, in between.  Where and
@@ -152,7 +149,7 @@
                     ran = [x for x in v.records[call.trace_id].attempts if x.fate == "broke"]
                     sends = max(sends, len(ran))
                     if retry and ran:
-                        self.assertIsInstance(v.records[call.trace_id].final_effects[0][1], due)
+                        assert isinstance(v.records[call.trace_id].final_effects[0][1], due)
                 (self.assertEqual if retry else self.assertGreaterEqual)(sends, least, group)
 
     def test_two_of_one_key_are_never_out_together(self) -> None:
@@ -160,18 +157,18 @@
             v = world(group, {"silent": 1.0})
             first, second = order(v, 0, "k"), order(v, 100 * MS, "k")
             v.run(10 * S)
-            self.assertEqual(len(v.records[first.trace_id].attempts), 1)
-            self.assertEqual(v.records[second.trace_id].attempts, [])
-            self.assertIsInstance(v.records[second.trace_id].final_effects[0][1], due)
+            assert len(v.records[first.trace_id].attempts) == 1
+            assert v.records[second.trace_id].attempts == []
+            assert isinstance(v.records[second.trace_id].final_effects[0][1], due)
 
     def test_tables_are_empty_after_a_storm(self) -> None:
         v, random = world("all", {"silent": 0.3, "done": 0.5, "broke": 0.2}), Random(4)
         for _ in range(300):
             order(v, random.randrange(20 * S), str(random.randrange(60)))
         v.run(40 * S)
-        self.assertEqual(v.reducer.state.idempotency_keys.in_use, set())
+        assert v.reducer.state.idempotency_keys.in_use == set()
         v.reducer.state.idempotency_keys.drop_expired(v.now + 60 * S)
-        self.assertEqual(len(v.reducer.state.idempotency_keys.records), 0)
+        assert len(v.reducer.state.idempotency_keys.records) == 0
 
 
 class Retuned(unittest.TestCase):
@@ -192,10 +189,11 @@
         self.retuned(v, 10 * S, idempotency="keyed", dedup_window_ns=3 * S)
         early, late, keyed = order(v, 10_500 * MS, ""), order(v, 13 * S, ""), order(v, 10_500 * MS, "k")
         v.run(20 * S)
-        self.assertEqual(
-            [self.finals(v, c) for c in (early, late, keyed)],
-            [[effects.SendResponse], [effects.FailRequest], [effects.SendResponse]],
-        )
+        assert [self.finals(v, c) for c in (early, late, keyed)] == [
+            [effects.SendResponse],
+            [effects.FailRequest],
+            [effects.SendResponse],
+        ]
 
     def test_within_the_passage_it_runs_once_and_its_retry_after_it_is_bound(self) -> None:
         v = world("zone", {"silent": 1.0}, window=S)
@@ -203,9 +201,9 @@
         self.retuned(v, 10 * S, idempotency="keyed", dedup_window_ns=S)
         first, again = order(v, 11 * S, "k"), order(v, 12_500 * MS, "k")
         v.run(20 * S)
-        self.assertEqual([len(v.records[c.trace_id].attempts) for c in (first, again)], [1, 0])
-        self.assertEqual(
-            self.finals(v, again), [effects.FailRequest], "a refusal would let the client run it elsewhere"
+        assert [len(v.records[c.trace_id].attempts) for c in (first, again)] == [1, 0]
+        assert self.finals(v, again) == [effects.FailRequest], (
+            "a refusal would let the client run it elsewhere"
         )
 
     def test_a_window_that_shrinks_binds_at_once(self) -> None:
@@ -215,9 +213,7 @@
             self.retuned(v, 1_500 * MS, dedup_window_ns=window)
             again = order(v, 2 * S, "k")
             v.run(20 * S)
-            self.assertEqual(
-                [len(v.records[c.trace_id].attempts) for c in (first, again)], [1, sends], window
-            )
+            assert [len(v.records[c.trace_id].attempts) for c in (first, again)] == [1, sends], window
 
     def test_a_class_that_goes_and_comes_back_remembers_its_keys(self) -> None:
         v = world("all", {"silent": 1.0}, window=S)
@@ -230,8 +226,8 @@
         v.schedule(START + 2_200 * MS, inputs.ConfigFileRead("config.json", orjson.dumps(raw)))
         late = order(v, 2_500 * MS, "k")
         v.run(20 * S)
-        self.assertEqual(v.records[late.trace_id].attempts, [])
-        self.assertEqual(self.finals(v, late), [effects.RejectRequest])
+        assert v.records[late.trace_id].attempts == []
+        assert self.finals(v, late) == [effects.RejectRequest]
 
 
 class OnTheWire(unittest.TestCase):
--- a/tests/test_parts.py
+++ b/tests/core/test_parts.py
@@ -7,12 +7,11 @@
 from dataclasses import replace
 
 import msgpack
-from player import EXAMPLE
+import pytest
 
 from kelpcroft.config import parse_config
 from kelpcroft.core import effects, inputs, messages
 from kelpcroft.core.connection_pool import ATTEMPTS_BEFORE_NEW_CONNECTION, ConnectionPool
-from kelpcroft.core.reducer import Reducer
 from kelpcroft.core.state import MS, SECOND
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.net.buffers import BUFFER_BYTES, BufferPool, WriteBuffer
@@ -26,30 +25,8 @@
 from kelpcroft.net.event_loop import CLIENT_REQUESTS_TURN_NS, EventLoop
 from kelpcroft.net.server_codec import ServerCodec
 from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS, ServerConnection
-
-TRACE = "00000000000000ab"
-GOOD = b"*4\r\n$1\r\ng\r\n$4\r\nDONE\r\n$1\r\n-\r\n$2\r\nby\r\n"
-NOW = 1_764_576_000 * 1_000 * MS
-
-
-def call(
-    number: int, item: str = "0a", patience: int = 2_000, client: int = 1, cls: str = "page"
-) -> inputs.ClientRequest:
-    trace = f"{number:016x}"
-    return inputs.ClientRequest(
-        client, number, cls, trace, patience * MS, item, "0", int(item, 16), 0, 17, False, "", b""
-    )
-
-
-def router() -> Reducer:
-    made = Reducer(parse_config(EXAMPLE, {}))
-    made.start(NOW)
-    made.handle(NOW, inputs.ListenersReady())
-    return made
-
-
-def only(kind: type, effect_list: list[effects.Effect]) -> list[effects.Effect]:
-    return [e for e in effect_list if isinstance(e, kind)]
+from tests.support.exchange_player import EXAMPLE
+from tests.support.reducer_fixtures import GOOD, NOW, TRACE, call, only, router
 
 
 class Parts(unittest.TestCase):
@@ -58,7 +35,7 @@
         data = msgpack.packb([0, 1, "page", [{"trace": TRACE, "patience": "900", "entity": TRACE}, b""]])
         (taken,) = ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(data), 400 * MS)
         assert isinstance(taken, inputs.ClientRequest)
-        self.assertEqual(taken.remaining_time_ns, 500 * MS)
+        assert taken.remaining_time_ns == 500 * MS
 
     def test_bad_requests_are_not_sent_on(self) -> None:
         """Servers answer them with errors or close, which told against servers and others' requests."""
@@ -79,28 +56,28 @@
         ]
         bodies = [[0, 1, "page", [good, b"x" * 48_001]]]
         for message in [[0, 1, "page", [fields, b""]] for fields in bad] + bodies:
-            with self.subTest(message=str(message)[:200]), self.assertRaises(ClientProtocolError):
+            with self.subTest(message=str(message)[:200]), pytest.raises(ClientProtocolError):
                 ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(msgpack.packb(message)))
         r = router()
-        self.assertEqual(len(only(effects.OpenServerConnection, r.handle(NOW, call(1)))), 1)
+        assert len(only(effects.OpenServerConnection, r.handle(NOW, call(1)))) == 1
         for other in (call(1, client=2), call(2, cls="none"), call(3, patience=90_000)):
-            self.assertEqual(r.handle(NOW, other), [effects.FailRequest(other.client, other.request_number)])
+            assert r.handle(NOW, other) == [effects.FailRequest(other.client, other.request_number)]
         for number in range(4, 4 + 31):
-            self.assertEqual(only(effects.CloseClient, r.handle(NOW, call(number))), [])
-        self.assertEqual(len(only(effects.CloseClient, r.handle(NOW, call(99)))), 1)
+            assert only(effects.CloseClient, r.handle(NOW, call(number))) == []
+        assert len(only(effects.CloseClient, r.handle(NOW, call(99)))) == 1
 
     def test_a_message_has_an_end(self) -> None:
         """Nested lists grow in memory as they come, far past the bytes that wait to be decoded; and hundreds
         of requests at once, withdrawn or not, were each sent on."""
         codec = ClientCodec(1, BUFFER_BYTES)
-        with self.assertRaises(ClientProtocolError):
+        with pytest.raises(ClientProtocolError):
             for _ in range(8):
-                self.assertEqual(codec.receive_data(memoryview((b"\x9f" + b"\x90" * 14) * 1_024)), [])
-                self.assertTrue(codec.has_partial_message())
+                assert codec.receive_data(memoryview((b"\x9f" + b"\x90" * 14) * 1024)) == []
+                assert codec.has_partial_message()
         good = {"trace": TRACE, "patience": "900", "entity": TRACE}
         calls = [msgpack.packb([0, n, "page", [good, b""]]) for n in range(1, 34)]
-        self.assertEqual(len(ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(b"".join(calls[:32])))), 32)
-        with self.assertRaises(ClientProtocolError):
+        assert len(ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(b"".join(calls[:32])))) == 32
+        with pytest.raises(ClientProtocolError):
             ClientCodec(1, BUFFER_BYTES).receive_data(
                 memoryview(b"".join([*calls, msgpack.packb([2, "cancel", [1]])]))
             )
@@ -122,15 +99,15 @@
             self.addCleanup(client.sock.close)
         loop.clients.open[3].partial_since_ns = NOW - MS
         loop.sweep(NOW)
-        self.assertEqual(list(loop.clients.open), [3, 4])
+        assert list(loop.clients.open) == [3, 4]
         loop.reducer.handle(NOW, call(1, client=3))
-        self.assertFalse(loop.acceptor.evict_idle_client(), "one is served, the other was heard just now")
+        assert not loop.acceptor.evict_idle_client(), "one is served, the other was heard just now"
         loop.reducer.handle(NOW, inputs.CancelRequest(3, 1))
-        self.assertTrue(loop.acceptor.evict_idle_client())
-        self.assertEqual(list(loop.clients.open), [4])
+        assert loop.acceptor.evict_idle_client()
+        assert list(loop.clients.open) == [4]
         loop.clients.open[4].partial_since_ns = NOW - SILENT_CLIENT_TIMEOUT_NS - MS
         loop.sweep(NOW)
-        self.assertEqual(list(loop.clients.open), [], "half a message, and then nothing")
+        assert list(loop.clients.open) == [], "half a message, and then nothing"
 
     def test_requests_are_read_for_a_bounded_time(self) -> None:
         """All clients were read before the feed was looked at again; turns grew longer than the purge rule
@@ -144,8 +121,8 @@
         for peer in peers:
             self.addCleanup(peer.sock.close)
         loop.dispatch_requests([(peer, 1) for peer in peers], NOW - 5)
-        self.assertTrue(0 < len(served) < 6)
-        self.assertTrue(all(p.unread_since_ns == NOW - 5 for p in peers[len(served) :]))
+        assert 0 < len(served) < 6
+        assert all(p.unread_since_ns == NOW - 5 for p in peers[len(served) :])
 
     def test_waits_for_a_connection_are_chosen_anew_on_a_purge(self) -> None:
         """An attempt without an age limit must not be sent up to a dial's time after the purge was told."""
@@ -153,7 +130,7 @@
         (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW),)))
         (pull,) = only(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
-        self.assertGreater(pull.max_age_ms, 0)
+        assert pull.max_age_ms > 0
 
     def test_a_given_up_id_is_kept_off_its_connection(self) -> None:
         """An answer that crossed its KILL would pass for that of the next attempt with the same id."""
@@ -161,13 +138,14 @@
         (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW, inputs.ServerConnected(dial.connection))
         (kill,) = only(effects.CancelAttempt, r.handle(NOW, inputs.CancelRequest(1, 1)))
-        self.assertIsNone(
+        assert (
             r.state.connections.find(r.state.connections.by_number[dial.connection].server, kill.attempt_id)
+            is None
         )
         late = inputs.ServerResponse(
             dial.connection, kill.attempt_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"late"
         )
-        self.assertEqual(r.handle(NOW, late), [])
+        assert r.handle(NOW, late) == []
 
     def test_an_answered_id_is_kept_off_its_connection(self) -> None:
         """A second copy of a miss ended the next attempt, which ran on: one that must not run twice did."""
@@ -178,9 +156,9 @@
             dial.connection, call(1).trace_id, Outcome.MISS, FillResult.SOURCE_LACKS, 0, {}, False, b""
         )
         (other,) = only(effects.OpenServerConnection, r.handle(NOW, miss))
-        self.assertNotEqual(other.connection, dial.connection)
-        self.assertEqual(r.handle(NOW, miss), [])
-        self.assertEqual(len(r.state.attempts), 1)
+        assert other.connection != dial.connection
+        assert r.handle(NOW, miss) == []
+        assert len(r.state.attempts) == 1
 
     def test_a_connection_reset_when_new_tells_nothing(self) -> None:
         """It counted as refused: the server was dead, and cold when it was back."""
@@ -190,15 +168,13 @@
             effects.OpenServerConnection,
             r.handle(NOW, inputs.ServerConnectionLost(dial.connection, "ECONNRESET")),
         )
-        self.assertEqual(again.address, dial.address)
-        self.assertEqual(
-            len(only(effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(again.connection)))), 1
-        )
-        self.assertFalse(any(n.is_ejected for n in r.state.policy.endpoints.values()))
+        assert again.address == dial.address
+        assert len(only(effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(again.connection)))) == 1
+        assert not any(n.is_ejected for n in r.state.policy.endpoints.values())
         r = router()
         (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW, inputs.ServerConnectionLost(dial.connection, "ECONNREFUSED", True))
-        self.assertTrue(any(n.is_ejected for n in r.state.policy.endpoints.values()))
+        assert any(n.is_ejected for n in r.state.policy.endpoints.values())
 
     def test_a_quiet_connection_is_given_up(self) -> None:
         """Its answers never came though it stayed open; as the fullest it drew all its server was sent."""
@@ -209,7 +185,7 @@
             for e in r.handle(NOW, inputs.ServerConnected(dial.connection))
             if isinstance(e, effects.ScheduleTimer)
         ]
-        self.assertEqual(wake.key, (messages.TimerKind.CONNECTION_SILENCE, dial.connection, 0))
+        assert wake.key == (messages.TimerKind.CONNECTION_SILENCE, dial.connection, 0)
         for number in (2, 3):
             r.handle(NOW + MS, call(number, patience=4_900))
         later = wake.at_ns + SECOND
@@ -217,23 +193,19 @@
             dial.connection, call(2).trace_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"two"
         )
         r.handle(NOW + 2 * MS, heard)
-        self.assertEqual(
-            only(effects.CloseServerConnection, r.handle(later, inputs.TimerFired(wake.key))),
-            [],
-            "one on its own may be slow",
+        assert only(effects.CloseServerConnection, r.handle(later, inputs.TimerFired(wake.key))) == [], (
+            "one on its own may be slow"
         )
         r.handle(later, call(4))
         effect_list = r.handle(later + SECOND, inputs.TimerFired(wake.key))
-        self.assertEqual(
-            only(effects.CloseServerConnection, effect_list), [effects.CloseServerConnection(dial.connection)]
-        )
+        assert only(effects.CloseServerConnection, effect_list) == [
+            effects.CloseServerConnection(dial.connection)
+        ]
         (again,) = only(effects.OpenServerConnection, effect_list)
-        self.assertEqual(again.address, dial.address, "what may run again is tried on the same server")
-        self.assertEqual(
-            len(
-                only(effects.SendAttempt, r.handle(later + SECOND, inputs.ServerConnected(again.connection)))
-            ),
-            3,
+        assert again.address == dial.address, "what may run again is tried on the same server"
+        assert (
+            len(only(effects.SendAttempt, r.handle(later + SECOND, inputs.ServerConnected(again.connection))))
+            == 3
         )
 
     def test_a_connection_behind_slow_fills_is_asked_before_it_is_given_up(self) -> None:
@@ -251,13 +223,14 @@
                 for e in r.handle(NOW, inputs.ServerConnected(dial.connection))
                 if isinstance(e, effects.ScheduleTimer)
             ]
-            self.assertEqual(wake.at_ns, NOW + r.attempts.response_times.silence_limit_ns() // 2)
+            assert wake.at_ns == NOW + r.attempts.response_times.silence_limit_ns() // 2
             for number in (2, 3, 4):
                 r.handle(NOW + MS, call(number, patience=4_900))
             effect_list = r.handle(wake.at_ns, inputs.TimerFired(wake.key))
             (check,) = only(effects.SendHealthCheck, effect_list)
-            self.assertEqual(
-                (check.connection, only(effects.CloseServerConnection, effect_list)), (dial.connection, [])
+            assert (check.connection, only(effects.CloseServerConnection, effect_list)) == (
+                dial.connection,
+                [],
             )
             if answers:
                 fit = inputs.ServerResponse(
@@ -266,13 +239,13 @@
                 r.handle(wake.at_ns + MS, fit)
             due = NOW + r.attempts.response_times.silence_limit_ns()
             effect_list = r.handle(due, inputs.TimerFired(wake.key))
-            self.assertEqual(bool(only(effects.CloseServerConnection, effect_list)), not answers)
-            self.assertEqual(len(r.state.attempts), 4, "what was out is out, or goes out anew")
+            assert bool(only(effects.CloseServerConnection, effect_list)) == (not answers)
+            assert len(r.state.attempts) == 4, "what was out is out, or goes out anew"
             if answers:  # and again where nothing comes for as long after the answer
                 due = wake.at_ns + MS + r.attempts.response_times.silence_limit_ns()
                 (check,) = only(effects.SendHealthCheck, r.handle(due, inputs.TimerFired(wake.key)))
-                self.assertTrue(
-                    only(effects.CloseServerConnection, r.handle(due + 200 * MS, inputs.TimerFired(wake.key)))
+                assert only(
+                    effects.CloseServerConnection, r.handle(due + 200 * MS, inputs.TimerFired(wake.key))
                 )
 
     def test_few_share_a_connection_and_an_order_shares_none(self) -> None:
@@ -283,17 +256,17 @@
             link = links.find("s", str(n)) or links.add(endpoint)
             assert link
             link.in_flight[str(n)] = n
-        self.assertEqual(
-            [link.load() for link in links.by_number.values()],
-            [ATTEMPTS_BEFORE_NEW_CONNECTION, ATTEMPTS_BEFORE_NEW_CONNECTION],
-        )
-        self.assertIsNone(links.find("s", "order", exclusive=True))
+        assert [link.load() for link in links.by_number.values()] == [
+            ATTEMPTS_BEFORE_NEW_CONNECTION,
+            ATTEMPTS_BEFORE_NEW_CONNECTION,
+        ]
+        assert links.find("s", "order", exclusive=True) is None
         link = links.add(endpoint)
         assert link
         link.is_exclusive, link.in_flight = True, {"order": 99}
-        self.assertIsNone(links.find("s", "next"))
+        assert links.find("s", "next") is None
         links.max_connections = 3
-        self.assertEqual(links.find("s", "next"), links.by_number[1])
+        assert links.find("s", "next") == links.by_number[1]
 
     def test_an_answer_that_stops_short_gives_its_connection_up(self) -> None:
         """Its connection stayed open and all that was out on it waited until their clients had gone."""
@@ -307,7 +280,7 @@
             self.addCleanup(server.sock.close)
             server.codec.receive_data(memoryview(data))
         loop.sweep(NOW)
-        self.assertEqual(list(loop.servers.open), [1])
+        assert list(loop.servers.open) == [1]
 
     def test_a_small_age_limit_is_never_none(self) -> None:
         """0 on the wire means the fresh time: a limit under a millisecond would have allowed any copy."""
@@ -316,7 +289,7 @@
         r.handle(NOW, inputs.ServerConnected(dial.connection))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW + MS),)))
         (pull,) = only(effects.SendAttempt, r.handle(NOW + MS, call(2)))
-        self.assertEqual(pull.max_age_ms, 1)
+        assert pull.max_age_ms == 1
 
     def test_answers_in_any_pieces(self) -> None:
         """mypyc once took the codec's body for absent for good; each cut of the bytes gives the same."""
@@ -327,10 +300,10 @@
         for cut in range(len(data)):
             codec = ServerCodec(1)
             found = codec.receive_data(memoryview(data)[:cut]) + codec.receive_data(memoryview(data)[cut:])
-            self.assertEqual(
-                [(a.attempt_id, a.outcome, a.note, bytes(a.body)) for a in found],
-                [("a", Outcome.OK, FillResult.STALE, b"by\r\nt"), ("b", Outcome.MISS, FillResult.NONE, b"")],
-            )
+            assert [(a.attempt_id, a.outcome, a.note, bytes(a.body)) for a in found] == [
+                ("a", Outcome.OK, FillResult.STALE, b"by\r\nt"),
+                ("b", Outcome.MISS, FillResult.NONE, b""),
+            ]
 
     def test_what_is_no_answer(self) -> None:
         for bad in (
@@ -344,14 +317,14 @@
                 codec = ServerCodec(1)
                 found = codec.receive_data(memoryview(GOOD + bad))
                 # What came whole ahead of it is good, if what follows begins as an answer does.
-                self.assertEqual([a.attempt_id for a in found], ["g"] if bad.startswith(b"*") else [])
-                self.assertNotEqual(codec.error, "")
+                assert [a.attempt_id for a in found] == (["g"] if bad.startswith(b"*") else [])
+                assert codec.error != ""
 
     def test_a_body_said_to_be_longer_is_not_passed_on(self) -> None:
         """It took four bytes from the next answer's head, and those end as a body does."""
         codec = ServerCodec(1)
-        self.assertEqual(codec.receive_data(memoryview(GOOD.replace(b"$2\r\n", b"$6\r\n") + GOOD)), [])
-        self.assertNotEqual(codec.error, "")
+        assert codec.receive_data(memoryview(GOOD.replace(b"$2\r\n", b"$6\r\n") + GOOD)) == []
+        assert codec.error != ""
 
     def test_backlog_keeps_bytes_and_gives_buffers_back(self) -> None:
         pool = BufferPool(64)
@@ -362,14 +335,14 @@
         backlog, sent = WriteBuffer(pool), [bytes([n]) * 300_000 for n in range(8)]
         for piece in sent:
             backlog.add([piece])
-            self.assertTrue(backlog.write(ours))
-        self.assertGreater(pool.in_use, 0)
+            assert backlog.write(ours)
+        assert pool.in_use > 0
         got = b""
         while len(got) < 8 * 300_000:
             got += theirs.recv(1 << 20)
-            self.assertTrue(backlog.write(ours))
-        self.assertEqual(got, b"".join(sent))
-        self.assertEqual((pool.in_use, backlog.stored_bytes()), (0, 0))
+            assert backlog.write(ours)
+        assert got == b"".join(sent)
+        assert (pool.in_use, backlog.stored_bytes()) == (0, 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_state.py
+++ b/tests/core/test_state.py
@@ -53,16 +53,16 @@
             f"print(subprocess.check_output([sys.executable, '-c', {inner!r}], text=True))"
         )
         told = subprocess.check_output([sys.executable, "-c", outer], cwd=ROOT, text=True, timeout=60)
-        self.assertTrue(1_000 < int(told) < 100_000, told)
+        assert 1000 < int(told) < 100000, told
 
     def test_without_the_systems_page_there_is_a_figure_too(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             page = Path(folder) / "status"
-            self.assertGreater(peak_kb(page), 5_000)
+            assert peak_kb(page) > 5000
             page.write_text("VmHWM:\tsome kB\n")
-            self.assertGreater(peak_kb(page), 5_000)
+            assert peak_kb(page) > 5000
             page.write_text("Name:\tx\nVmHWM:\t  1234 kB\n")
-            self.assertEqual(peak_kb(page), 1234)
+            assert peak_kb(page) == 1234
 
 
 class OnSockets(unittest.TestCase):
@@ -73,20 +73,19 @@
                 client.request("page", object="0" * 15 + item, patience_ms=patience)
             client.request("order", object="0" * 15 + "c", body=b"x")
             code, told = state(router)
-            self.assertEqual(code, 200)
+            assert code == 200
             page, order = told["classes"]["page"], told["classes"]["order"]
-            self.assertEqual((page["asked"], page["served"], page["worth"]), (4, 3, 4.0))
-            self.assertEqual(page["in_time"] + page["late"], 3.0)
-            self.assertEqual((order["failed"], order["in_time"]), (1, 0.0))
+            assert (page["asked"], page["served"], page["worth"]) == (4, 3, 4.0)
+            assert page["in_time"] + page["late"] == 3.0
+            assert (order["failed"], order["in_time"]) == (1, 0.0)
             who = [told[k] for k in ("name", "ready", "service", "invariants")]
-            self.assertEqual(who, ["n1", True, "in", 0])
-            self.assertTrue(told["build"] and told["settings"] and told["rules"] and told["instance"])
-            self.assertGreater(told["memory_kb"], 5_000)
+            assert who == ["n1", True, "in", 0]
+            assert told["build"] and told["settings"] and told["rules"] and told["instance"]
+            assert told["memory_kb"] > 5000
             again = state(router)[1]
-            self.assertEqual(
-                [again[k] for k in ("instance", "build", "settings", "rules")],
-                [told[k] for k in ("instance", "build", "settings", "rules")],
-            )
+            assert [again[k] for k in ("instance", "build", "settings", "rules")] == [
+                told[k] for k in ("instance", "build", "settings", "rules")
+            ]
 
     def test_two_processes_of_one_build_differ_in_their_instance_alone(self) -> None:
         with (
@@ -96,31 +95,31 @@
         ):
             one.client(), two.client()
             a, b = state(one)[1], state(two)[1]
-            self.assertEqual(
-                [a[k] for k in ("build", "settings", "rules")], [b[k] for k in ("build", "settings", "rules")]
-            )
-            self.assertNotEqual(a["instance"], b["instance"])
+            assert [a[k] for k in ("build", "settings", "rules")] == [
+                b[k] for k in ("build", "settings", "rules")
+            ]
+            assert a["instance"] != b["instance"]
 
     def test_off_the_path_is_unknown_and_a_file_read_again_switches_it(self) -> None:
         with StandInServers() as world, RouterProcess(world, OFF, mgmt=True) as router:
             router.client()
-            self.assertEqual(state(router)[0], 404)
-            self.assertNotIn("GET /control/state", state(router)[1]["calls"])
-            self.assertEqual(router.reload_rules(ON)["event"], "rules.taken")
+            assert state(router)[0] == 404
+            assert "GET /control/state" not in state(router)[1]["calls"]
+            assert router.reload_rules(ON)["event"] == "rules.taken"
             code, told = state(router)
-            self.assertEqual((code, told["classes"]), (200, {}))
+            assert (code, told["classes"]) == (200, {})
             first = told["rules"]
             router.reload_rules(ON + "// another\n")
-            self.assertNotEqual(state(router)[1]["rules"], first)
+            assert state(router)[1]["rules"] != first
             router.reload_rules(OFF)
-            self.assertEqual(state(router)[0], 404)
+            assert state(router)[0] == 404
 
     def test_a_crowd_of_callers_takes_nothing_from_requests(self) -> None:
         with StandInServers() as world, RouterProcess(world, ON, mgmt=True) as router:
             client = router.client()
             for _ in range(100):
                 state(router)
-                self.assertEqual(client.request("page").kind, "served")
+                assert client.request("page").kind == "served"
 
 
 class Pure(unittest.TestCase):
@@ -141,20 +140,18 @@
         for cls, how, attempts, in_time in ends:
             ledger.record_end(str(cls), how, attempts, 2.0, in_time)
         told = ledger.as_json()
-        self.assertLessEqual(len(told), MAX_CLASSES + 1)
-        self.assertEqual(sum(c["asked"] for c in told.values()), len(ends))
+        assert len(told) <= MAX_CLASSES + 1
+        assert sum(c["asked"] for c in told.values()) == len(ends)
         for c in told.values():
-            self.assertEqual(c["asked"], c["served"] + c["refused"] + c["failed"] + c["gone"])
-            self.assertLessEqual(c["in_time"], c["worth"])
+            assert c["asked"] == c["served"] + c["refused"] + c["failed"] + c["gone"]
+            assert c["in_time"] <= c["worth"]
         if len({cls for cls, *_ in ends}) > MAX_CLASSES:
-            self.assertIn(OTHER_CLASSES, told)
+            assert OTHER_CLASSES in told
 
     def test_digests_tell_what_differs_and_not_in_what_order(self) -> None:
-        self.assertEqual(settings_digest({"a": 1, "b": 2}), settings_digest({"b": 2, "a": 1}))
-        self.assertNotEqual(settings_digest({"a": 1}), settings_digest({"a": 2}))
-        self.assertEqual(
-            settings_digest({"a": 1, "az": "x", "self_index": 3}), settings_digest({"a": 1, "az": "y"})
-        )
+        assert settings_digest({"a": 1, "b": 2}) == settings_digest({"b": 2, "a": 1})
+        assert settings_digest({"a": 1}) != settings_digest({"a": 2})
+        assert settings_digest({"a": 1, "az": "x", "self_index": 3}) == settings_digest({"a": 1, "az": "y"})
         files = [("x.py", b"1"), ("y.py", b"2")]
-        self.assertEqual(files_digest(files), files_digest(files[::-1]))
-        self.assertNotEqual(files_digest(files), files_digest([("x.py", b"12"), ("y.py", b"")]))
+        assert files_digest(files) == files_digest(files[::-1])
+        assert files_digest(files) != files_digest([("x.py", b"12"), ("y.py", b"")])
--- a/tests/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -7,14 +7,13 @@
 from dataclasses import replace
 from typing import Any
 
-from kit import MS, S, ask, end, fetches, policy, servers
-
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.admission import MAX_COST_THRESHOLD, MAX_SOURCE_WAIT_SHARE, AdmissionController
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.decision.policy import TICK_TIMER, RoutingPolicy
 from kelpcroft.decision.requests import InFlightRequest
 from kelpcroft.decision.statistics import LinearDecay
+from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy, servers
 
 CACHES = 20.0  # transfers at full pace of the four caches of ``kit.servers``
 
@@ -28,22 +27,22 @@
     def test_told_weights_hold_before_anything_is_late(self) -> None:
         p = policy()
         sent = burst(p, S, 200, 400.0)
-        self.assertTrue(all(sent[: int(CACHES)]), "what fits is taken")
-        self.assertLess(sum(sent), 5 * CACHES, "a jam of ten times what fits was taken whole")
+        assert all(sent[: int(CACHES)]), "what fits is taken"
+        assert sum(sent) < 5 * CACHES, "a jam of ten times what fits was taken whole"
 
     def test_small_ones_are_taken_where_large_ones_are_not(self) -> None:
         p = policy()
         burst(p, S, 60, 400.0)
         small, large = burst(p, S, 20, 10.0, "small"), burst(p, S, 20, 2_000.0, "large")
-        self.assertGreater(sum(small), 15)
-        self.assertEqual(sum(large), 0)
+        assert sum(small) > 15
+        assert sum(large) == 0
 
     def test_all_are_taken_again_once_what_was_out_has_ended(self) -> None:
         p = policy()
         out = [f for n in range(200) for f in fetches(ask(p, S, f"r{n}", n, size_kb=400.0))]
         for f in out:
             end(p, S + 900 * MS, f, Outcome.OK, took=900 * MS, note=FillResult.HIT)
-        self.assertTrue(all(burst(p, S + 950 * MS, int(CACHES) // 2, 400.0, "after")))
+        assert all(burst(p, S + 950 * MS, int(CACHES) // 2, 400.0, "after"))
 
     def test_what_is_stuck_at_a_dead_cache_keeps_nobody_out(self) -> None:
         """A cache that fell silent held its attempts until their time-out; the zone refused two in five."""
@@ -52,10 +51,10 @@
         for f in out:
             if f.server != "c0":
                 end(p, S + 400 * MS, f, Outcome.OK, took=400 * MS, note=FillResult.HIT)
-        self.assertGreater(p.endpoints["c0"].requests_in_flight, 8)
+        assert p.endpoints["c0"].requests_in_flight > 8
         p.ejection.record_failure(p.endpoints["c0"], 3, True)
-        self.assertTrue(all(burst(p, S + 500 * MS, 10, 400.0, "after")))
-        self.assertLess(p.admission.all_requests.cache_load.value, 1.0)
+        assert all(burst(p, S + 500 * MS, 10, 400.0, "after"))
+        assert p.admission.all_requests.cache_load.value < 1.0
 
     def test_what_the_caches_have_no_room_for_goes_straight_to_a_parent(self) -> None:
         """A zone had two caches left: two thirds of what it was asked was refused for half a minute, with its
@@ -67,8 +66,8 @@
                 for _ in range(50):
                     p.admission.fills.link_load.record(S, link)
                 later = [f for n in range(20) for f in fetches(ask(p, S, f"l{n}", 5_000 + n, size_kb=400.0))]
-                self.assertEqual(any(f.server.startswith("p") for f in later), straight)
-                self.assertFalse(any(f.server == "o" for f in later))
+                assert any(f.server.startswith("p") for f in later) == straight
+                assert not any(f.server == "o" for f in later)
 
     def test_what_the_caches_have_no_room_for_never_goes_straight_to_the_origin(self) -> None:
         """While hubs are empty or dead, a whole fleet's overflow went to the origin, past what it can do."""
@@ -77,7 +76,7 @@
         for name in ("p0", "p1"):
             p.ejection.record_failure(p.endpoints[name], 3, True)
         later = [f for n in range(20) for f in fetches(ask(p, S, f"l{n}", 5_000 + n, size_kb=400.0))]
-        self.assertFalse(any(f.server == "o" for f in later))
+        assert not any(f.server == "o" for f in later)
 
     def test_a_burst_that_is_called_off_at_once_keeps_nobody_out(self) -> None:
         """A client that asked for hundreds and cancelled them filled the offered work of four seconds."""
@@ -92,12 +91,12 @@
                 if called_off and f"b{n}" in p.requests_in_flight:
                     p.handle(S + MS, api.ClientDisconnected(f"b{n}"))
             refused[called_off] = sum(not sent for sent in burst(p, S + 50 * MS, 10, 600.0, "after"))
-        self.assertEqual(refused[True], 0)
-        self.assertGreater(refused[False], 0, "work that was done is load")
+        assert refused[True] == 0
+        assert refused[False] > 0, "work that was done is load"
 
     def test_a_share_of_several_routers(self) -> None:
         alone, one_of_four = policy(), policy(zone_instances=4)
-        self.assertGreater(sum(burst(alone, S, 100, 400.0)), 2 * sum(burst(one_of_four, S, 100, 400.0)))
+        assert sum(burst(alone, S, 100, 400.0)) > 2 * sum(burst(one_of_four, S, 100, 400.0))
 
 
 class SlowStore(unittest.TestCase):
@@ -120,7 +119,7 @@
         for passed in (True, False):
             p = self.stuck(passed)
             hits = [bool(fetches(ask(p, S + 600 * MS, f"n{n}", 2_000 + n, size_kb=600.0))) for n in range(10)]
-            self.assertEqual(all(hits), passed, "without that evidence the caches may well be full")
+            assert all(hits) == passed, "without that evidence the caches may well be full"
 
     def test_it_is_no_lateness_of_hits(self) -> None:
         for passed in (True, False):
@@ -128,8 +127,8 @@
             for held in p.requests_in_flight.values():
                 held.expects_fill = False  # copies of them were seen: they look like hits
             p.handle(S + 2_500 * MS, api.TimerExpired(TICK_TIMER))
-            self.assertEqual(p.admission.all_requests.cost_threshold < MAX_COST_THRESHOLD, not passed)
-            self.assertEqual(p.admission.fills.cost_threshold < MAX_COST_THRESHOLD, passed)
+            assert (p.admission.all_requests.cost_threshold < MAX_COST_THRESHOLD) == (not passed)
+            assert (p.admission.fills.cost_threshold < MAX_COST_THRESHOLD) == passed
 
 
 class ColdBudget(unittest.TestCase):
@@ -149,11 +148,9 @@
                 held = p.requests_in_flight[f.id]
                 if f.server in ("c0", "c1", "c2", "c3"):
                     sent = p.endpoints[f.server].work_sent.total
-                    self.assertLessEqual(sent, 1.2 * S, "0.02 s and 1.5 s are not alike")
-                    self.assertLess(p.latency_model.expected_transfer_ns(held), 1.2 * S)
-        self.assertGreater(
-            sum(p.endpoints[f"c{n}"].work_sent.total > 0 for n in range(4)), 2, "small ones go there"
-        )
+                    assert sent <= 1.2 * S, "0.02 s and 1.5 s are not alike"
+                    assert p.latency_model.expected_transfer_ns(held) < 1.2 * S
+        assert sum(p.endpoints[f"c{n}"].work_sent.total > 0 for n in range(4)) > 2, "small ones go there"
 
     def test_one_larger_than_the_budget_goes_alone(self) -> None:
         p = self.cold()
@@ -165,20 +162,20 @@
             if f.server.startswith("c")
             and p.endpoints[f.server].warm_fraction(p.state.now_ns, p.settings.rules) < 0.3
         ]
-        self.assertTrue(sent, "a cold zone that is asked for large ones only serves some")
-        self.assertEqual(len(sent), len(set(sent)), "two of them in one second")
+        assert sent, "a cold zone that is asked for large ones only serves some"
+        assert len(sent) == len(set(sent)), "two of them in one second"
 
     def test_a_restart_ends_what_was_known_of_its_strength(self) -> None:
         p = policy()
         node = p.endpoints["c0"]
         node.work_completed.add(100 * S, 200.0 * S)
-        self.assertGreater(node.spare_capacity(100 * S), 10)
+        assert node.spare_capacity(100 * S) > 10
         lines = tuple(replace(s, started_ns=100 * S) if s.name == "c0" else s for s in servers())
         p.handle(100 * S, api.ServerList("update", lines))
-        self.assertEqual(node.spare_capacity(100 * S), 0.0)
+        assert node.spare_capacity(100 * S) == 0.0
         node.work_completed.add(100 * S, 2.0 * S)
         p.handle(101 * S, api.ServerList("update", lines))
-        self.assertGreater(node.spare_capacity(101 * S), 0.0, "the same start told again ends nothing")
+        assert node.spare_capacity(101 * S) > 0.0, "the same start told again ends nothing"
 
 
 class RankBySize(unittest.TestCase):
@@ -195,7 +192,7 @@
 
     def test_room_goes_where_it_answers_most_requests(self) -> None:
         """Sizes vary widely: a large copy takes the room of many small ones."""
-        self.assertEqual([self.rank(1, kb) for kb in (100.0, 400.0, 0.0, 3_000.0)], [3, 2, 2, 1])
+        assert [self.rank(1, kb) for kb in (100.0, 400.0, 0.0, 3000.0)] == [3, 2, 2, 1]
 
 
 class SourcesWaits(unittest.TestCase):
@@ -227,25 +224,25 @@
         for wait_ms, due in ((20, False), (580, True)):
             p = policy()
             self.fills(p, S, wait_ms)
-            self.assertEqual(self.looks(p, 2 * S) >= 15, due, f"sources wait {wait_ms} ms")
+            assert (self.looks(p, 2 * S) >= 15) == due, f"sources wait {wait_ms} ms"
 
     def test_they_come_in_again_without_a_word_of_it(self) -> None:
         p = policy()
         self.fills(p, S, 5_000)
-        self.assertEqual(self.looks(p, 2 * S), 20)
-        self.assertEqual(self.looks(p, 8 * S), 0, "no fill went out that could have told of a shorter queue")
+        assert self.looks(p, 2 * S) == 20
+        assert self.looks(p, 8 * S) == 0, "no fill went out that could have told of a shorter queue"
 
     def test_one_wait_beyond_reason_does_not_shut_fills_out(self) -> None:
         gate = AdmissionController()
         gate.record_source_wait(S, 1e12)
-        self.assertLessEqual(gate.source_wait.value_at(S), 1 / MAX_SOURCE_WAIT_SHARE)
+        assert gate.source_wait.value_at(S) <= 1 / MAX_SOURCE_WAIT_SHARE
 
 
 class Told(unittest.TestCase):
     def test_falls_by_one_in_each_span(self) -> None:
         level = LinearDecay(S)
         level.record(5 * S, 3.0)
-        self.assertEqual([level.value_at(t * S) for t in (5, 6, 8)], [3.0, 2.0, 0.0])
+        assert [level.value_at(t * S) for t in (5, 6, 8)] == [3.0, 2.0, 0.0]
 
     def test_idle_caches_draw_no_objects_where_weights_are_told(self) -> None:
         """One that came back empty was idle for waiting on its fills, and drew four times its objects."""
@@ -257,8 +254,8 @@
                 p.feedback.record_load_report(p.endpoints[name], {"utilization": busy})
             after = [p.caches.ranked_caches(self.held(p, n))[0].server.name for n in range(400)]
             moved[weights] = sum(a != b for a, b in zip(homes, after, strict=True))
-        self.assertLess(moved["rough"], 20)
-        self.assertGreater(moved["off"], 60, "where no weights are told the reports tell of capacity")
+        assert moved["rough"] < 20
+        assert moved["off"] > 60, "where no weights are told the reports tell of capacity"
 
     def held(self, p: RoutingPolicy, item: int) -> InFlightRequest:
         (f,) = fetches(ask(p, S, f"h{len(p.requests_in_flight)}-{item}", item, size_kb=1.0))
--- a/tests/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -6,12 +6,12 @@
 import json
 
 import pytest
-from kit import MS, S, ask, end, fetches, policy, settings
 
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.admission import MAX_COST_THRESHOLD, MIN_COST_THRESHOLD, AdmissionController
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.simulator_adapter import SimulatorHost
+from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy, settings
 
 
 def test_large_objects_are_not_cut_short() -> None:
--- a/tests/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -7,7 +7,6 @@
 from dataclasses import replace
 
 import pytest
-from kit import MS, S, ask, end, fetches, policy, servers
 
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.admission import MIN_COST_THRESHOLD, AdmissionController
@@ -15,6 +14,7 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.decision.outlier_state import MAX_TRIAL_INTERVAL_NS
 from kelpcroft.decision.policy import RoutingPolicy
+from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy, servers
 
 ROUTERS = 60
 
--- a/tests/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from random import Random
 
-from kit import MS, S, ask, fetches, policy, servers
+import pytest
 
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.interface import FillResult, Outcome
@@ -14,6 +14,7 @@
 from kelpcroft.net.feed_codec import FeedError, parse_watch_response
 from testbed.fleet import PolicyFleet, ScriptedResult
 from testbed.virtual import EXAMPLE, VirtualRouter
+from tests.support.policy_fixtures import MS, S, ask, fetches, policy, servers
 
 
 def answer(
@@ -75,8 +76,8 @@
             ]
             return found.count("p0") / len(found)
 
-        self.assertGreater(share(5 * S, 10 * S), 0.35)
-        self.assertLess(share(14 * S, 18 * S), 0.15, "four seconds later hardly any router uses it")
+        assert share(5 * S, 10 * S) > 0.35
+        assert share(14 * S, 18 * S) < 0.15, "four seconds later hardly any router uses it"
 
     def test_the_origin_shares_fills_when_the_only_parent_is_far_slower(self) -> None:
         random = Random(2)
@@ -101,8 +102,8 @@
         fleet.run(18 * S)
         before = [f.fill_source for at, f in fleet.attempts if 2 * S < at < 4 * S]
         after = [f.fill_source for at, f in fleet.attempts if at > 9 * S]
-        self.assertEqual(before.count("o"), 0)
-        self.assertGreater(after.count("o") / len(after), 0.3)
+        assert before.count("o") == 0
+        assert after.count("o") / len(after) > 0.3
 
 
 class FailingParent(unittest.TestCase):
@@ -127,11 +128,11 @@
                     20 * MS,
                 ),
             )
-        self.assertFalse(p.endpoints["p0"].is_ejected)
+        assert not p.endpoints["p0"].is_ejected
         now = {f.fill_source for n in range(40) for f in fetches(ask(p, 7 * S, f"now{n}", 1000 + n))}
-        self.assertEqual(now, {"p1"})
+        assert now == {"p1"}
         later = [f.fill_source for n in range(40) for f in fetches(ask(p, 40 * S, f"later{n}", 2000 + n))]
-        self.assertGreater(later.count("p0"), 5, "tried again: it may have been mended")
+        assert later.count("p0") > 5, "tried again: it may have been mended"
 
 
 class UnequalCaches(unittest.TestCase):
@@ -155,14 +156,14 @@
         fleet.schedule_requests(2 * S, 20 * S, 100 * MS, random, 300)
         fleet.run(24 * S)
         late = {name: sum(at > 12 * S for at in found) / capacity[name] for name, found in sends.items()}
-        self.assertLess(max(late.values()) / min(late.values()), 1.7, late)
+        assert max(late.values()) / min(late.values()) < 1.7, late
         homes: dict[int, set[str]] = {}
         for n, router in enumerate(fleet.routers):
             for item in range(100):
                 (f,) = fetches(ask(router, 25 * S, f"home{n}-{item}", item))
                 homes.setdefault(item, set()).add(f.server)
         alike = sum(len(found) == 1 for found in homes.values())
-        self.assertGreater(alike, 50, "the routers go by the same reports, so most objects have one home")
+        assert alike > 50, "the routers go by the same reports, so most objects have one home"
 
 
 class ColdZone(unittest.TestCase):
@@ -213,8 +214,8 @@
                 at = step * 100 * MS
                 share = 0.2 + 0.8 * at / (15 * S)
                 window = sum(at <= x < at + 2 * S for x in sends) * self.UNIT
-                self.assertLessEqual(window, 2.5 * share * self.CAPACITY * 2, (name, at))
-            self.assertGreater(sum(10 * S <= x < 14 * S for x in sends) / 4, 6, name)
+                assert window <= 2.5 * share * self.CAPACITY * 2, (name, at)
+            assert sum(10 * S <= x < 14 * S for x in sends) / 4 > 6, name
 
     def test_told_caches_are_used_within_the_rule(self) -> None:
         self.check(*self.fleet(told=True), 0)
@@ -224,7 +225,7 @@
         fleet, start = self.fleet(told=True)
         for name in ("c0", "c1", "c2", "c3"):
             early = sum(2 * S <= at - start < 4 * S for at, f in fleet.attempts if f.server == name)
-            self.assertGreater(early, 2, name)
+            assert early > 2, name
 
     def test_a_cold_cache_that_reports_little_load_gets_more(self) -> None:
         def admits(busy: float) -> bool:
@@ -237,13 +238,13 @@
             p.feedback.record_load_report(node, {"utilization": busy})
             return p.slow_start.has_budget(node, p.requests_in_flight["r"])
 
-        self.assertEqual((admits(0.2), admits(2.0)), (True, False))
+        assert (admits(0.2), admits(2.0)) == (True, False)
 
     def test_few_hits_told_make_a_cache_cold_before_the_list_does(self) -> None:
         fleet, start = self.fleet(told=False)
         self.check(fleet, start, 500 * MS)
         for router in fleet.routers:
-            self.assertTrue(all(router.endpoints[f"c{n}"].started_ns > 0 for n in range(4)))
+            assert all(router.endpoints[f"c{n}"].started_ns > 0 for n in range(4))
 
 
 class FullLink(unittest.TestCase):
@@ -255,16 +256,16 @@
         (f,) = fetches(ask(p, 3 * S, "last", 1))
         answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         looks = [fetches(ask(p, 3 * S + (n + 3) * 50 * MS, f"n{n}", n)) for n in range(2, 22)]
-        self.assertEqual([f.fill_source == f.server for (f,) in looks], [True] * 20, "looks, and no fills")
+        assert [f.fill_source == f.server for (f,) in looks] == [True] * 20, "looks, and no fills"
         ended = [answer(p, 4500 * MS, f, FillResult.NONE, 12.0, Outcome.MISS) for (f,) in looks]
-        self.assertTrue(all(isinstance(a, api.Reject) for (a,) in ended), "refused at once")
+        assert all(isinstance(a, api.Reject) for (a,) in ended), "refused at once"
 
     def test_what_is_held_is_still_asked_for(self) -> None:
         p = warmed()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
         answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         (f,) = fetches(ask(p, 3 * S + 200 * MS, "again", 1000))
-        self.assertNotEqual(f.fill_source, f.server, "held here: the gate of fills has no say")
+        assert f.fill_source != f.server, "held here: the gate of fills has no say"
 
     def test_reports_that_make_no_sense_change_nothing(self) -> None:
         p = warmed()
@@ -282,8 +283,8 @@
                 api.AttemptEnded(f.id, 0, f.server, Outcome.OK, MS, True, FillResult.HIT, 0, report),
             )
         node = p.endpoints[f.server]
-        self.assertEqual((node.utilization, p.admission.fills.link_load.value), (0.5, 0.4))
-        self.assertLess(node.mean_utilization.mean, 1.0)
+        assert (node.utilization, p.admission.fills.link_load.value) == (0.5, 0.4)
+        assert node.mean_utilization.mean < 1.0
 
     def test_fills_go_on_once_the_link_is_free(self) -> None:
         p = warmed()
@@ -292,16 +293,16 @@
         (f,) = fetches(ask(p, 3 * S + 200 * MS, "look", 2))
         answer(p, 3 * S + 210 * MS, f, FillResult.NONE, 0.8, Outcome.MISS)
         (f,) = fetches(ask(p, 3 * S + 300 * MS, "fill", 3))
-        self.assertNotEqual(f.fill_source, f.server)
+        assert f.fill_source != f.server
 
     def test_an_old_report_fades(self) -> None:
         p = warmed()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
         answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         (f,) = fetches(ask(p, 7 * S, "soon", 2))
-        self.assertEqual(f.fill_source, f.server)
+        assert f.fill_source == f.server
         (f,) = fetches(ask(p, 16 * S, "later", 3))
-        self.assertNotEqual(f.fill_source, f.server)
+        assert f.fill_source != f.server
 
     def test_looks_pass_cold_caches_by(self) -> None:
         """They found nothing there, and used up what the cold cache could be sent."""
@@ -315,7 +316,7 @@
             ),
         )
         asked = {f.server for n in range(40) for f in fetches(ask(p, 3200 * MS, f"l{n}", 2 + n))}
-        self.assertEqual(asked, {"c2", "c3"})
+        assert asked == {"c2", "c3"}
 
     def test_no_way_round_a_jammed_link(self) -> None:
         """With no cache to ask, requests went straight to parents, which takes the same link."""
@@ -325,7 +326,7 @@
         gone = tuple(x for x in servers() if x.role is not api.Role.CACHE)
         p.handle(3 * S + 150 * MS, api.ServerList("replace", gone))
         (a,) = [x for x in ask(p, 3 * S + 200 * MS, "none", 2) if not isinstance(x, api.SetTimer)]
-        self.assertIsInstance(a, api.Reject)
+        assert isinstance(a, api.Reject)
 
 
 class BadListEvents(unittest.TestCase):
@@ -354,15 +355,15 @@
                 world = VirtualRouter(None, 1, {"done": 1.0})
                 before = dict(world.reducer.state.endpoints)
                 world.deliver(parse_watch_response({"n": 3, "events": [event, good]}))
-                self.assertEqual(world.reducer.state.endpoints, before)
-                self.assertEqual(world.reducer.state.counters["purges"], 1)
-                self.assertEqual(world.reducer.endpoint_list.last_event, 3)
+                assert world.reducer.state.endpoints == before
+                assert world.reducer.state.counters["purges"] == 1
+                assert world.reducer.endpoint_list.last_event == 3
                 (line,) = [x for x in world.log if x.event == "feed.refused"]
-                self.assertIn(field, line.text)
+                assert field in line.text
 
     def test_an_answer_that_is_none_is_refused(self) -> None:
         for raw in ({}, {"n": 1}, {"n": "x", "events": []}, [], {"n": 1, "events": 3}):
-            with self.subTest(raw=raw), self.assertRaises(FeedError):
+            with self.subTest(raw=raw), pytest.raises(FeedError):
                 parse_watch_response(raw)
 
 
--- a/tests/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -9,11 +9,23 @@
 from dataclasses import replace
 
 import pytest
-from kit import KEYED, MS, SAFE, UNSAFE, S, ask, end, fetches, policy, servers, settings
 
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.interface import Outcome
 from kelpcroft.decision.policy import RoutingPolicy
+from tests.support.policy_fixtures import (
+    KEYED,
+    MS,
+    SAFE,
+    UNSAFE,
+    S,
+    ask,
+    end,
+    fetches,
+    policy,
+    servers,
+    settings,
+)
 
 
 def test_time_out_at_the_deadline_still_gets_fail() -> None:
@@ -232,8 +244,10 @@
 
 
 def test_same_actions_under_another_hash_seed() -> None:
-    code = "import test_rules, zlib; print(zlib.crc32(test_rules.random_day(1, 2).encode()))"
-    path = os.pathsep.join([os.path.dirname(__file__), os.getcwd()])
+    code = (
+        "import tests.decision.test_rules as rules, zlib; print(zlib.crc32(rules.random_day(1, 2).encode()))"
+    )
+    path = os.getcwd()
     seen = {
         subprocess.run(
             [sys.executable, "-c", code],
--- a/tests/test_untold_failures.py
+++ b/tests/decision/test_untold_failures.py
@@ -4,10 +4,9 @@
 
 import unittest
 
-from kit import MS, S, ask, end, fetches, policy
-
 from kelpcroft.decision.interface import FillResult, Outcome, Role
 from kelpcroft.decision.outlier_state import EJECTION_FAILURE_SCORE
+from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy
 
 
 class Untold(unittest.TestCase):
@@ -23,33 +22,34 @@
         them: each fill was turned away after 0.83 s, the cache was blamed, and when the parents came back
         cold they had all of it at once and fell."""
         for notes in ("hit", "off"):
-            self.assertEqual(self.refused(notes, 831 * MS), (True, False))
-            self.assertEqual(self.refused(notes, 50 * MS), (False, False), "full, as far as anyone can tell")
-        self.assertEqual(self.refused("all", 831 * MS), (False, False), "there it would have been told")
-        self.assertEqual(self.refused("all", 50 * MS, FillResult.SOURCE_BROKE), (True, False))
+            assert self.refused(notes, 831 * MS) == (True, False)
+            assert self.refused(notes, 50 * MS) == (False, False), "full, as far as anyone can tell"
+        assert self.refused("all", 831 * MS) == (False, False), "there it would have been told"
+        assert self.refused("all", 50 * MS, FillResult.SOURCE_BROKE) == (True, False)
 
     def test_it_is_cold_when_it_is_back(self) -> None:
         p = policy(notes="hit", connect_timeout_ns=400 * MS)
         (f,) = fetches(ask(p, S, "r", 1))
         end(p, 2 * S, f, Outcome.FULL, took=831 * MS)
         node = p.endpoints[f.fill_source]
-        self.assertEqual(node.server.role, Role.PARENT)
+        assert node.server.role == Role.PARENT
         p.ejection.record_success(node)
-        self.assertEqual(
-            node.warm_fraction(p.state.now_ns, p.settings.rules), p.settings.rules.parent_cold_capacity_share
+        assert (
+            node.warm_fraction(p.state.now_ns, p.settings.rules)
+            == p.settings.rules.parent_cold_capacity_share
         )
 
     def test_a_dials_time_that_is_not_told_tells_nothing(self) -> None:
         p = policy(notes="hit")
         (f,) = fetches(ask(p, S, "r", 1))
         end(p, 2 * S, f, Outcome.FULL, took=831 * MS)
-        self.assertFalse(p.endpoints[f.fill_source].is_ejected)
+        assert not p.endpoints[f.fill_source].is_ejected
 
     def test_a_source_that_turns_fills_away_gets_fewer(self) -> None:
         p = policy(notes="hit", connect_timeout_ns=400 * MS)
         (f,) = fetches(ask(p, S, "r", 1))
         end(p, S + 10 * MS, f, Outcome.FULL, took=10 * MS)
-        self.assertEqual(p.endpoints[f.fill_source].log_first_byte_ns.sample_count, 1)
+        assert p.endpoints[f.fill_source].log_first_byte_ns.sample_count == 1
 
     def test_an_origin_that_turns_all_away_is_spared(self) -> None:
         """It was asked for each fill that its parents turned away, 765 a second where 100 fit, and worked off
@@ -65,7 +65,7 @@
                     end(p, S + n * MS, f, Outcome.FULL, took=MS)
             if origin.is_ejected:
                 break
-        self.assertTrue(origin.is_ejected)
-        self.assertEqual(count, EJECTION_FAILURE_SCORE)
+        assert origin.is_ejected
+        assert count == EJECTION_FAILURE_SCORE
         (g,) = fetches(ask(p, S + 30 * MS, "fill", 99))
-        self.assertTrue(g.cached_only, "parents give what they hold")
+        assert g.cached_only, "parents give what they hold"
--- a/tests/test_deployments.py
+++ b/tests/deployment_check/test_deployments.py
@@ -18,7 +18,6 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from player import EXAMPLE
 
 from kelpcroft import deployment_check
 from kelpcroft.cli import main
@@ -29,6 +28,7 @@
 from kelpcroft.operator_file import check, load
 from kelpcroft.routes.index import RouteIndex
 from testbed.stand_ins import ROOT
+from tests.support.exchange_player import EXAMPLE
 
 HERE = parse_config(EXAMPLE, {}).settings
 QUICK = settings(max_examples=80, deadline=None, derandomize=True)
@@ -63,11 +63,11 @@
         assert run
         file, faults = load((ROOT / run[1]).read_bytes())
         here = replace(HERE, classes=found, limits=allowed)
-        self.assertEqual(faults or check(file, here), [])
+        assert (faults or check(file, here)) == []
         for cls in found:
             at = RouteIndex(file.routes, "edge-1").find(cls, "0" * 16, 0, 0, False, False)
-            self.assertEqual(
-                file.routes[at].policy.max_attempts, 1 if cls.idempotency is api.Idempotency.UNSAFE else None
+            assert file.routes[at].policy.max_attempts == (
+                1 if cls.idempotency is api.Idempotency.UNSAFE else None
             )
 
     def test_a_class_that_becomes_another_in_service_is_matched_anew(self) -> None:
@@ -80,15 +80,15 @@
             index.find(c, "0" * 16, 0, 0, False, False)
             for c in (page, replace(page, idempotency=api.Idempotency.UNSAFE), page)
         ]
-        self.assertEqual(found, [1, 0, 1])
+        assert found == [1, 0, 1]
 
     def test_a_kind_that_no_class_here_is_waits_for_one(self) -> None:
         file = load(b'kelpcroft version=1\nroute "k" { match effect="keyed"; }\nroute "r" { match; }\n')[0]
-        self.assertEqual(check(file, HERE), [])
+        assert check(file, HERE) == []
         named = load(
             b'kelpcroft version=1\nroute "k" { match class="page" effect="keyed"; }\nroute "r" { match; }\n'
         )[0]
-        self.assertEqual([f.code for f in check(named, HERE)], ["unreachable-route"])
+        assert [f.code for f in check(named, HERE)] == ["unreachable-route"]
 
 
 class Printed(unittest.TestCase):
@@ -100,8 +100,8 @@
             assert example, told
             words = shlex.split(example[1])[1:]
             done = CliRunner().invoke(main, [str(ROOT / w) if "/" in w else w for w in words])
-            self.assertIn(done.exit_code, (0, 1) if verb == "diff" else (0,), done.output)
-            self.assertNotIn("unknown", done.output)
+            assert done.exit_code in ((0, 1) if verb == "diff" else (0,)), done.output
+            assert "unknown" not in done.output
 
     def test_the_example_of_serve_runs_as_printed(self) -> None:
         """On a free port in place of the example's, which may be taken here."""
@@ -122,16 +122,16 @@
         self.addCleanup(process.kill)
         assert process.stderr
         said = iter(process.stderr.readline, "")
-        self.assertTrue(any("router.listens" in line for line in said), "it does not serve")
+        assert any("router.listens" in line for line in said), "it does not serve"
         process.terminate()
         process.stderr.read()
-        self.assertEqual(process.wait(20), 0)
+        assert process.wait(20) == 0
 
     def test_diff_without_a_deployment_tells_kinds_apart(self) -> None:
         words = ["diff", str(ROOT / "deploy/routes.kdl"), str(ROOT / "examples/operator.kdl")]
         told = CliRunner().invoke(main, words).output
-        self.assertIn("class any other (unsafe): all of it\n  once -> no route\n", told)
-        self.assertIn("class any other (keyed): all of it\n  rest -> no route\n", told)
+        assert "class any other (unsafe): all of it\n  once -> no route\n" in told
+        assert "class any other (keyed): all of it\n  rest -> no route\n" in told
 
 
 class Fields(unittest.TestCase):
@@ -152,18 +152,16 @@
         good = 0 < len(nonce) <= MAX_IDEMPOTENCY_KEY_CHARS and all(
             "!" <= c <= "~" and c not in ",=" for c in nonce
         )
-        self.assertEqual(
-            (call.idempotency_key, bool(call.validation_error)), (nonce, False) if good else ("", True)
-        )
+        assert (call.idempotency_key, bool(call.validation_error)) == ((nonce, False) if good else ("", True))
 
     @QUICK
     @given(st.text(max_size=40) | st.floats().map(repr))
     def test_a_size_is_a_finite_number_above_none_or_not_told(self, size: str) -> None:
         found = self.call(size=size).size_kb
-        self.assertTrue(0 <= found <= 1e9)
+        assert 0 <= found <= 1000000000.0
         if found:
-            self.assertEqual(found, float(size))
-        self.assertEqual(self.call(size="412.5").size_kb, 412.5)
+            assert found == float(size)
+        assert self.call(size="412.5").size_kb == 412.5
 
 
 def constants_of_the_program() -> dict[str, list[object]]:
@@ -194,10 +192,10 @@
         known = constants_of_the_program()
         spans = re.findall(r"`([^`\n]+)`", self.PAGE)
         names = {name for span in spans for name in re.findall(r"\b[A-Z]+(?:_[A-Z]+)+(?![A-Z_*])", span)}
-        self.assertGreater(len(names), 50)
+        assert len(names) > 50
         for name in sorted(names - {"SECOND_NS"}):
             with self.subTest(name=name):
-                self.assertEqual(len(known.get(name, [])), 1)
+                assert len(known.get(name, [])) == 1
 
     def test_the_figures_are_those_of_the_code(self) -> None:
         known = constants_of_the_program()
@@ -209,9 +207,9 @@
             for name, figure, unit in re.findall(r"`([A-Z_]+)` ([\d.,/]*\d)( m?s)?", first):
                 top, _, bottom = figure.replace(",", "").partition("/")
                 with self.subTest(name=name):
-                    self.assertEqual(known[name], [float(top) / float(bottom or 1) * units[unit]])
+                    assert known[name] == [float(top) / float(bottom or 1) * units[unit]]
                 checked += 1
-        self.assertGreater(checked, 25)
+        assert checked > 25
 
 
 class PageOfCodes(unittest.TestCase):
@@ -240,8 +238,8 @@
                     name = getattr(node.func, "attr", getattr(node.func, "id", ""))
                     code = node.args[self.CODE_ARGUMENT[name] :][:1] if name in self.CODE_ARGUMENT else []
                     written |= {c.value for c in code if isinstance(c, ast.Constant) and type(c.value) is str}
-        self.assertGreater(len(written), 40)
-        self.assertEqual(written - on_page, set())
+        assert len(written) > 40
+        assert written - on_page == set()
 
 
 class Settings(unittest.TestCase):
@@ -261,7 +259,7 @@
         return [(f.level, f.place) for f in deployment_check.check_configuration(raw)]
 
     def test_the_example_is_good(self) -> None:
-        self.assertEqual(deployment_check.check_configuration(EXAMPLE), [])
+        assert deployment_check.check_configuration(EXAMPLE) == []
 
     def test_each_is_named_by_its_key(self) -> None:
         s, fi = "settings.", "settings.family_info."
@@ -297,7 +295,7 @@
             ({"peers": ["here"]}, ("doubt", "peers")),
         ):
             with self.subTest(change=change):
-                self.assertIn(due, self.found(change))
+                assert due in self.found(change)
 
     @QUICK
     @given(
@@ -337,25 +335,24 @@
     def test_the_page_has_every_key(self) -> None:
         page = (ROOT / "docs/operators/sites.md").read_text()
         for key in deployment_check.known_keys.CONFIGURATION_KEYS:
-            self.assertIn(
+            assert (
                 f"| `{key.path}` | {key.reader or 'nobody: ' + key.why} | "
-                f"{key.absent or 'nothing changes'} |",
-                page,
+                f"{key.absent or 'nothing changes'} |" in page
             )
 
     def test_the_readers_that_keys_name_exist(self) -> None:
         for key in deployment_check.known_keys.CONFIGURATION_KEYS:
             for module in re.findall(r"\b[a-z_]+\.[a-z_]+\b", key.reader):
                 with self.subTest(key=key.path, module=module):
-                    self.assertTrue((ROOT / "kelpcroft" / f"{module.replace('.', '/')}.py").exists())
+                    assert (ROOT / "kelpcroft" / f"{module.replace('.', '/')}.py").exists()
 
     def test_every_key_that_is_read_in_settings_is_known(self) -> None:
         source = (ROOT / "kelpcroft/settings_wire.py").read_text()
         known = {key.path.rpartition(".")[2] for key in deployment_check.known_keys.CONFIGURATION_KEYS}
         names = "options|limits|contract|report|family|entry"
         read = set(re.findall(rf'(?:{names})(?:\.get\(|\[)"(\w+)"', source))
-        self.assertGreater(len(read), 40)
-        self.assertEqual(read - known - {"family_info", "limits", "contract", "report", "classes"}, set())
+        assert len(read) > 40
+        assert read - known - {"family_info", "limits", "contract", "report", "classes"} == set()
 
     def test_the_command_and_the_start_say_it(self) -> None:
         raw = json.loads(json.dumps(EXAMPLE))
@@ -365,7 +362,7 @@
             with open(path, "w") as file:
                 json.dump(raw, file)
             told = CliRunner().invoke(main, ["check", "--config", path])
-            self.assertEqual(told.exit_code, 1)
+            assert told.exit_code == 1
             started = subprocess.run(
                 [sys.executable, "-m", "kelpcroft"],
                 cwd=ROOT,
@@ -374,16 +371,16 @@
                 env={**os.environ, "ROUTER_CONFIG": path},
                 timeout=20,
             )
-            self.assertEqual(started.returncode, 2)
+            assert started.returncode == 2
             for key in ("settings.weight_source", "settings.limits.most_tries"):
-                self.assertIn(key, told.output)
-                self.assertIn(key, started.stderr)
+                assert key in told.output
+                assert key in started.stderr
             del raw["feed"]  # once filled in by the command, and refused by the start alone
             with open(path, "w") as file:
                 json.dump(raw, file)
             told = CliRunner().invoke(main, ["check", "--config", path])
-            self.assertIn("fault: feed: is missing", told.output)
-        self.assertEqual(CliRunner().invoke(main, ["check"]).exit_code, 2)
+            assert "fault: feed: is missing" in told.output
+        assert CliRunner().invoke(main, ["check"]).exit_code == 2
         good = CliRunner().invoke(main, ["check", "--config", str(ROOT / "examples/config.json")])
-        self.assertEqual(good.exit_code, 0)
-        self.assertIn("weights", good.output, "what it lacks")
+        assert good.exit_code == 0
+        assert "weights" in good.output, "what it lacks"
--- a/tests/test_generated.py
+++ b/tests/deployment_check/test_generated.py
@@ -167,22 +167,21 @@
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
                 day = SimulatedDay(seed)
-                self.assertEqual(Watch(day).found, [])
+                assert Watch(day).found == []
                 served += sum(
                     isinstance(f, effects.SendResponse)
                     for a in day.requests.values()
                     for _, f in a.final_effects
                 )
                 sent += len(day.attempts)
-        self.assertGreater(served, 30 * SEEDS, "days on which hardly anything is served prove little")
-        self.assertGreater(sent, served)
+        assert served > 30 * SEEDS, "days on which hardly anything is served prove little"
+        assert sent > served
 
     def test_a_seed_replays_a_day(self) -> None:
         one, two = SimulatedDay(5), SimulatedDay(5)
-        self.assertEqual(
-            [(s.sent_ns, s.server, s.command.attempt_id) for s in one.attempts],
-            [(s.sent_ns, s.server, s.command.attempt_id) for s in two.attempts],
-        )
+        assert [(s.sent_ns, s.server, s.command.attempt_id) for s in one.attempts] == [
+            (s.sent_ns, s.server, s.command.attempt_id) for s in two.attempts
+        ]
 
     def test_the_watch_sees_what_is_broken(self) -> None:
         """Each rule broken in the record of a sound day is named."""
@@ -216,7 +215,7 @@
                 seen |= {line.split(":")[0] for line in Watch(day).found}
             return seen
 
-        self.assertLessEqual({"one out", "twice", "group"}, broken("again"))
+        assert {"one out", "twice", "group"} <= broken("again")
         for change, due in (
             ("cold", "cold"),
             ("drain", "drain"),
@@ -225,4 +224,4 @@
             ("silent", "answered"),
             ("refused", "refused"),
         ):
-            self.assertIn(due, broken(change), change)
+            assert due in broken(change), change
--- a/tests/test_places.py
+++ b/tests/deployment_check/test_places.py
@@ -4,8 +4,6 @@
 
 import unittest
 
-from test_parts import NOW, call, only, router
-
 from kelpcroft.core import effects, inputs
 from kelpcroft.core.connection_pool import (
     ATTEMPTS_BEFORE_NEW_CONNECTION,
@@ -18,6 +16,7 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from testbed import cold_start
 from testbed.cold_start import ColdStartFleet
+from tests.support.reducer_fixtures import NOW, call, only, router
 
 
 class Refused(unittest.TestCase):
@@ -55,36 +54,30 @@
         r, first, effect_list = self.crowded(0)
         (pull,) = only(effects.SendAttempt, effect_list)
         assert isinstance(pull, effects.SendAttempt)
-        self.assertEqual(
-            (pull.connection, pull.attempt_id),
-            (first.connection, f"{ATTEMPTS_BEFORE_NEW_CONNECTION + 2:016x}"),
+        assert (pull.connection, pull.attempt_id) == (
+            first.connection,
+            f"{ATTEMPTS_BEFORE_NEW_CONNECTION + 2:016x}",
         )
-        self.assertEqual(r.state.counters["no place"], 1)
-        self.assertFalse(any(n.is_ejected for n in r.state.policy.endpoints.values()))
+        assert r.state.counters["no place"] == 1
+        assert not any(n.is_ejected for n in r.state.policy.endpoints.values())
         effect_list = r.handle(NOW + 10 * SECOND + 5 * MS, call(40))
-        self.assertEqual(
-            (
-                len(only(effects.OpenServerConnection, effect_list)),
-                len(only(effects.SendAttempt, effect_list)),
-            ),
-            (0, 1),
-            "no redial yet",
-        )
+        assert (
+            len(only(effects.OpenServerConnection, effect_list)),
+            len(only(effects.SendAttempt, effect_list)),
+        ) == (0, 1), "no redial yet"
         later = NOW + 10 * SECOND + 4 * MS + 2 * REFUSAL_BACKOFF_NS
-        self.assertEqual(
-            len(only(effects.OpenServerConnection, r.handle(later, call(41)))), 1, "then once more"
-        )
+        assert len(only(effects.OpenServerConnection, r.handle(later, call(41)))) == 1, "then once more"
 
     def test_one_that_was_not_heard_of_late_is_gone(self) -> None:
         r, _, effect_list = self.crowded(2 * SECOND)
-        self.assertEqual(r.state.counters["no place"], 0)
-        self.assertTrue(any(n.is_ejected for n in r.state.policy.endpoints.values()))
+        assert r.state.counters["no place"] == 0
+        assert any(n.is_ejected for n in r.state.policy.endpoints.values())
 
     def test_what_must_not_run_twice_does_not_share(self) -> None:
         links = ConnectionPool(64, 32)
         links.record_refusal("s", NOW)
-        self.assertIsNone(links.find("s", "order", True, NOW))
-        self.assertFalse(links.may_connect("s", NOW))
+        assert links.find("s", "order", True, NOW) is None
+        assert not links.may_connect("s", NOW)
 
 
 class Waits(unittest.TestCase):
@@ -96,12 +89,12 @@
                 links.created_count += 1
                 links.record_refusal("s", now)
                 now = links.refusals["s"].until_ns
-                self.assertTrue(links.may_connect("s", now))
-                self.assertFalse(links.may_connect("s", now - 1))
+                assert links.may_connect("s", now)
+                assert not links.may_connect("s", now - 1)
             waits[seed] = now - NOW
             last = links.refusals["s"].backoff_ns
-            self.assertEqual(last, MAX_REFUSAL_BACKOFF_NS)
-        self.assertEqual(len(set(waits.values())), 40)
+            assert last == MAX_REFUSAL_BACKOFF_NS
+        assert len(set(waits.values())) == 40
 
     def test_many_routers_beside_boxes_with_few_places(self) -> None:
         """Forty routers, boxes with 32 places: a refusal made a box dead to who was refused."""
@@ -111,8 +104,8 @@
             fleet.run(12)
         finally:
             cold_start.ROUTERS_PER_ZONE = before
-        self.assertGreater(sum(r.state.counters["no place"] for r in fleet.routers), 10)
-        self.assertGreater(fleet.outcomes.share_in_time(0, 10), 0.9)
+        assert sum(r.state.counters["no place"] for r in fleet.routers) > 10
+        assert fleet.outcomes.share_in_time(0, 10) > 0.9
 
 
 if __name__ == "__main__":
--- a/tests/test_two_sites.py
+++ b/tests/deployment_check/test_two_sites.py
@@ -110,12 +110,12 @@
                     answer = client.request(
                         cls["name"], patience_ms=900, body=b"x", more={**more, "size": "40.5"}
                     )
-                    self.assertEqual(answer.kind, "served", (name, cls["name"]))
+                    assert answer.kind == "served", (name, cls["name"])
                     (pull,) = world.requests()[-1:]
-                    self.assertEqual(pull.fields.get("nonce"), more.get("nonce"))
+                    assert pull.fields.get("nonce") == more.get("nonce")
                 lacks = next(line for line in router.log_events() if line["event"] == "deployment.lacks")
-                self.assertEqual("weights" in lacks["lacks"], settings["weight_source"] == "off")
-                self.assertEqual("second copies" in lacks["lacks"], not settings["limits"]["second_copies"])
+                assert ("weights" in lacks["lacks"]) == (settings["weight_source"] == "off")
+                assert ("second copies" in lacks["lacks"]) == (not settings["limits"]["second_copies"])
 
     def test_what_may_have_run_is_sent_again_only_as_its_class_allows(self) -> None:
         for word in ("reset", "BROKE"):
@@ -132,10 +132,10 @@
                         answer = client.request(cls["name"], patience_ms=900, body=b"x", more=more)
                         mine = [s for s in seen if s.fields["cls"] == cls["name"]]
                         if cls["idempotency"] == "unsafe":
-                            self.assertEqual((answer.kind, len(mine)), ("failed", 1), cls["name"])
+                            assert (answer.kind, len(mine)) == ("failed", 1), cls["name"]
                         else:
-                            self.assertEqual((answer.kind, len(mine)), ("served", 2), cls["name"])
-                        self.assertEqual({s.fields.get("nonce") for s in mine}, {more.get("nonce")})
+                            assert (answer.kind, len(mine)) == ("served", 2), cls["name"]
+                        assert {s.fields.get("nonce") for s in mine} == {more.get("nonce")}
 
     def test_a_keyed_retry_at_the_process_that_takes_over(self) -> None:
         """The old process serves what it has taken; the client's retry reaches the new one under its key."""
@@ -148,14 +148,14 @@
                 time.sleep(0.01)
             with RouterProcess(world, self.file, settings=settings) as other:
                 router.process.terminate()
-                self.assertEqual(next(client.responses(1)).kind, "failed")
+                assert next(client.responses(1)).kind == "failed"
                 world.script = lambda server, one: (seen.append(one), ScriptedReply("DONE"))[1]
                 answer = other.client().request(
                     "sheet", patience_ms=900, body=b"x", retry=True, more={"nonce": "k"}
                 )
-                self.assertEqual(answer.kind, "served")
-                self.assertEqual(router.process.wait(20), 0)
-            self.assertEqual({s.fields["nonce"] for s in seen if s.verb == "PULL"}, {"k"})
+                assert answer.kind == "served"
+                assert router.process.wait(20) == 0
+            assert {s.fields["nonce"] for s in seen if s.verb == "PULL"} == {"k"}
 
 
 if __name__ == "__main__":
--- a/tests/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -7,7 +7,6 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from turns import MS, SECOND, Peer, Turns
 
 from kelpcroft.decision.interface import Rules
 from kelpcroft.discovery.schedule import MAX_RETRY_DELAY_NS
@@ -18,6 +17,7 @@
     is_overdue,
     watch_timeouts,
 )
+from tests.support.loop_turns import MS, SECOND, Peer, Turns
 
 
 def news(last: int, *events: object) -> bytes:
@@ -37,21 +37,21 @@
         watch = watch_timeouts(
             Rules(discovery_poll_limit_ns=ask, drain_grace_ns=drain, purge_grace_ns=purge), wait
         )
-        self.assertLessEqual(watch.wait_ns, max(wait, MIN_TIMEOUT_NS))
-        self.assertLessEqual(watch.silence_ns, MAX_SILENCE_NS)
+        assert watch.wait_ns <= max(wait, MIN_TIMEOUT_NS)
+        assert watch.silence_ns <= MAX_SILENCE_NS
         if ask:
             least = min([grace for grace in (drain, purge) if grace] or [0])
-            self.assertLessEqual(watch.wait_ns + watch.silence_ns, max(2 * MIN_TIMEOUT_NS, ask + least))
+            assert watch.wait_ns + watch.silence_ns <= max(2 * MIN_TIMEOUT_NS, ask + least)
         else:
-            self.assertEqual((watch.wait_ns, watch.silence_ns), (wait, MAX_SILENCE_NS))
+            assert (watch.wait_ns, watch.silence_ns) == (wait, MAX_SILENCE_NS)
 
     def test_an_answer_that_goes_on_coming_is_not_late(self) -> None:
-        self.assertFalse(is_overdue(1_400, 0, 0, 1_000, 400))
-        self.assertTrue(is_overdue(1_401, 0, 0, 1_000, 400))
-        self.assertFalse(is_overdue(1_700, 0, 1_300, 1_000, 400))
-        self.assertTrue(is_overdue(1_701, 0, 1_300, 1_000, 400))
+        assert not is_overdue(1400, 0, 0, 1000, 400)
+        assert is_overdue(1401, 0, 0, 1000, 400)
+        assert not is_overdue(1700, 0, 1300, 1000, 400)
+        assert is_overdue(1701, 0, 1300, 1000, 400)
         whole = 1_000 + MAX_TRANSFER_NS
-        self.assertTrue(is_overdue(whole + 1, 0, whole, 1_000, 400))
+        assert is_overdue(whole + 1, 0, whole, 1000, 400)
 
 
 class Watched(unittest.TestCase):
@@ -107,8 +107,8 @@
         for at in range(0, len(whole), 20):
             feed.send(whole[at : at + 20])
             t.turn(200 * MS)
-        self.assertGreater(len(whole) // 20 * 200, 1_400)
-        self.assertNotIn("s-c1", t.loop.reducer.state.endpoints)
+        assert len(whole) // 20 * 200 > 1400
+        assert "s-c1" not in t.loop.reducer.state.endpoints
         t.none("feed")
 
     def test_two_answers_to_one_call(self) -> None:
--- a/tests/test_architecture_page.py
+++ b/tests/documents/test_architecture_page.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 PACKAGE = ROOT / "kelpcroft"
 ARCHITECTURE = ROOT / "docs/architecture.md"
 GLOSSARY = ROOT / "docs/glossary.md"
--- a/tests/test_capacity_page.py
+++ b/tests/documents/test_capacity_page.py
@@ -13,19 +13,19 @@
 class Page(unittest.TestCase):
     def test_the_page_is_made_of_its_measurements(self) -> None:
         """After a change of either: python -m benchmarks.capacity --page"""
-        self.assertEqual(page.PAGE.read_text(), page.whole())
+        assert page.PAGE.read_text() == page.whole()
 
     def test_each_measurement_says_what_it_is_of(self) -> None:
         found = sorted(page.FOLDER.glob("*.json"))
-        self.assertGreaterEqual(len(found), 5)
+        assert len(found) >= 5
         for path in found:
             told = json.loads(path.read_text())
-            self.assertEqual(set(told), FIELDS, path.name)
-            self.assertGreaterEqual(told["rounds"], 1)
+            assert set(told) == FIELDS, path.name
+            assert told["rounds"] >= 1
             for row in told["rows"]:
                 for name, figure in row["figures"].items():
-                    self.assertLessEqual(figure["least"], figure["median"], (path.name, name))
-                    self.assertLessEqual(figure["median"], figure["most"], (path.name, name))
+                    assert figure["least"] <= figure["median"], (path.name, name)
+                    assert figure["median"] <= figure["most"], (path.name, name)
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_counts.py
+++ b/tests/documents/test_fleet_counts.py
@@ -14,7 +14,7 @@
 from kelpcroft.log import EventLog
 from testbed.virtual import VirtualRouter
 
-TOOL = Path(__file__).parent.parent / "tools/fleet_counts.py"
+TOOL = Path(__file__).parent.parent.parent / "tools/fleet_counts.py"
 
 
 def count(*args: str) -> subprocess.CompletedProcess[str]:
@@ -28,7 +28,7 @@
         for n in range(20):
             world.schedule_request(n * 100_000_000, "page", 2000, object=n)
         world.run()
-        self.assertTrue(all(len(s.final_effects) == 1 for s in world.records.values()))
+        assert all(len(s.final_effects) == 1 for s in world.records.values())
         text = io.StringIO()
         log = EventLog("n0", text, "json")
         for n, line in enumerate(world.log):
@@ -36,16 +36,16 @@
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "n0.log").write_text("no event here\n0.001 " + text.getvalue() + '{"half": ')
             out = count(folder)
-        self.assertEqual(out.returncode, 0, out.stderr)
-        self.assertIn("taken 20", out.stdout)
-        self.assertIn("final Serve 20", out.stdout)
-        self.assertIn("hit OK/HIT 20", out.stdout)
+        assert out.returncode == 0, out.stderr
+        assert "taken 20" in out.stdout
+        assert "final Serve 20" in out.stdout
+        assert "hit OK/HIT 20" in out.stdout
 
     def test_nothing_is_traced_unless_asked_for(self) -> None:
         world = VirtualRouter(None, 3, {"done": 1.0})
         world.schedule_request(0, "page", 2000)
         world.run()
-        self.assertFalse([x for x in world.log if x.event.startswith("trace.")])
+        assert not [x for x in world.log if x.event.startswith("trace.")]
 
     def test_traced_steps_are_not_limited(self) -> None:
         text = io.StringIO()
@@ -53,14 +53,14 @@
         for n in range(500):
             log.write(n, LogEvent("trace.sent", "sent", "info", {"n": n}))
         rows = [json.loads(line) for line in text.getvalue().splitlines()]
-        self.assertEqual([row["n"] for row in rows], list(range(500)))
+        assert [row["n"] for row in rows] == list(range(500))
 
     def test_what_cannot_be_counted_is_said(self) -> None:
-        self.assertEqual(count("/no/such/folder").returncode, 2)
+        assert count("/no/such/folder").returncode == 2
         with tempfile.TemporaryDirectory() as folder:
             out = count(folder)
-        self.assertEqual(out.returncode, 1)
-        self.assertIn("ROUTER_TRACE=1", out.stderr)
+        assert out.returncode == 1
+        assert "ROUTER_TRACE=1" in out.stderr
 
 
 if __name__ == "__main__":
--- a/tests/test_known_red.py
+++ b/tests/documents/test_known_red.py
@@ -8,8 +8,8 @@
 import unittest
 from pathlib import Path
 
-from player import ROOT, WAIT_S
-from red import MOST, read
+from tests.support.exchange_player import ROOT, WAIT_S
+from tests.support.known_red import MOST, read
 
 SAMPLE = """
 import unittest
@@ -50,18 +50,18 @@
 
     def test_a_listed_failure_is_printed_and_passes(self) -> None:
         code, said = self.run_with("SAMPLE::Sample::test_red | one is not two | 27\n")
-        self.assertEqual(code, 0, said)
-        self.assertIn("KNOWN RED", said)
-        self.assertIn("(cause: one is not two; issue 27)", said)
+        assert code == 0, said
+        assert "KNOWN RED" in said
+        assert "(cause: one is not two; issue 27)" in said
 
     def test_any_other_failure_fails(self) -> None:
-        self.assertEqual(self.run_with("# none\n")[0], 1)
+        assert self.run_with("# none\n")[0] == 1
 
     def test_a_listed_test_that_passes_fails_the_run(self) -> None:
         red = "SAMPLE::Sample::test_red | one is not two | 27\n"
         code, said = self.run_with(red + "SAMPLE::Sample::test_green | was red | 27\n")
-        self.assertEqual(code, 1, said)
-        self.assertIn("take it out of KNOWN-RED.txt", said)
+        assert code == 1, said
+        assert "take it out of KNOWN-RED.txt" in said
 
     def test_what_cannot_be_used_fails_the_run(self) -> None:
         for line, why in (
@@ -73,11 +73,11 @@
         ):
             with self.subTest(line=line):
                 code, said = self.run_with(line + "\n")
-                self.assertEqual(code, 4, said)
-                self.assertIn(why, said)
+                assert code == 4, said
+                assert why in said
 
     def test_the_list_has_an_end(self) -> None:
         lines = "".join(f"tests/test_x.py::test_{n} | why | 27\n" for n in range(MOST + 1))
-        self.assertEqual(len(read(lines)[1]), 1)
-        self.assertEqual(read(lines.splitlines()[0])[1], [])
-        self.assertEqual(len(read(2 * lines.splitlines(True)[0])[1]), 1)
+        assert len(read(lines)[1]) == 1
+        assert read(lines.splitlines()[0])[1] == []
+        assert len(read(2 * lines.splitlines(True)[0])[1]) == 1
--- a/tests/test_readme.py
+++ b/tests/documents/test_readme.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 def test_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_golden_digests.py
+++ b/tests/golden/test_golden_digests.py
@@ -17,9 +17,7 @@
 
 from tests.support.wire_capture import EFFECTS, KINDS, ROOT, TIMERS, day, operated_day, virtual
 
-GOLDEN: dict[str, dict[str, str]] = json.loads(
-    (Path(__file__).parent / "golden" / "digests.json").read_bytes()
-)
+GOLDEN: dict[str, dict[str, str]] = json.loads((Path(__file__).parent / "digests.json").read_bytes())
 RUNS = [(kind, seed) for kind, (_, seeds) in KINDS.items() for seed in seeds]
 
 
--- a/tests/test_golden_stored_data.py
+++ b/tests/golden/test_golden_stored_data.py
@@ -43,7 +43,7 @@
 from kelpcroft.store.rollouts import RolloutStore
 from tools import golden_stored_data as generator
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 STORED = ROOT / "tests/golden/stored"
 MS, SECOND = 10**6, 10**9
 NOW = 1_764_576_000 * SECOND
--- a/tests/test_closing.py
+++ b/tests/net/test_closing.py
@@ -6,12 +6,11 @@
 import socket
 import unittest
 
-from turns import MS, SECOND, Turns, call, done
-
 from kelpcroft.core import effects, messages
 from kelpcroft.net.client_connections import IDLE_CLIENT_TIMEOUT_NS, SILENT_CLIENT_TIMEOUT_NS
 from kelpcroft.net.event_loop import SHUTDOWN_LINGER_NS
 from kelpcroft.net.lingering_close import LINGERING_CLOSE_MAX_BYTES, LINGERING_CLOSE_TIMEOUT_NS
+from tests.support.loop_turns import MS, SECOND, Turns, call, done
 
 
 class Closing(unittest.TestCase):
@@ -22,7 +21,7 @@
         t.selector.hidden.add(t.socket_of(client))
         client.send(call(2))
         t.turn(IDLE_CLIENT_TIMEOUT_NS + SECOND)
-        self.assertEqual(len(t.loop.clients.open), 1)
+        assert len(t.loop.clients.open) == 1
         t.selector.hidden.clear()
         t.until(lambda: len(cache.pulls()) == 2, "it is sent on")
         cache.send(done(cache.pulls()[1]))
@@ -34,12 +33,12 @@
         t = Turns(self)
         client, cache = t.served()
         t.turn(IDLE_CLIENT_TIMEOUT_NS + SECOND)
-        self.assertEqual((len(t.loop.clients.open), len(t.loop.clients.lingering.clients)), (0, 1))
+        assert (len(t.loop.clients.open), len(t.loop.clients.lingering.clients)) == (0, 1)
         client.send(call(2))
         t.turn(turns=3)
         client.read()
-        self.assertTrue(client.ended and not client.reset)
-        self.assertEqual(len(cache.pulls()), 1)
+        assert client.ended and not client.reset
+        assert len(cache.pulls()) == 1
         client.close()
         t.until(lambda: not t.loop.clients.lingering.clients, "the client's close ends it")
 
@@ -47,7 +46,7 @@
         t = Turns(self)
         rests, floods = t.client(), t.client()
         t.turn(SILENT_CLIENT_TIMEOUT_NS + 200 * MS)
-        self.assertEqual(len(t.loop.clients.lingering.clients), 2)
+        assert len(t.loop.clients.lingering.clients) == 2
 
         def flood() -> bool:
             try:
@@ -59,18 +58,18 @@
             return len(t.loop.clients.lingering.clients) == 1
 
         t.until(flood, f"it is over {LINGERING_CLOSE_MAX_BYTES} bytes")
-        self.assertFalse(rests.reset)
+        assert not rests.reset
         t.turn(LINGERING_CLOSE_TIMEOUT_NS + 200 * MS)
-        self.assertEqual(t.loop.clients.lingering.clients, {})
+        assert t.loop.clients.lingering.clients == {}
 
     def test_those_that_are_let_go_have_a_bound(self) -> None:
         t = Turns(self, limits={"sockets": 64})
         for _ in range(t.loop.clients.lingering.max_clients + 3):
             t.client().send(b"\xc1")
         t.turn(turns=3)
-        self.assertEqual(
-            (len(t.loop.clients.open), len(t.loop.clients.lingering.clients)),
-            (0, t.loop.clients.lingering.max_clients),
+        assert (len(t.loop.clients.open), len(t.loop.clients.lingering.clients)) == (
+            0,
+            t.loop.clients.lingering.max_clients,
         )
 
     def test_an_answer_on_its_way_outlives_what_is_malformed_behind_it(self) -> None:
@@ -97,8 +96,8 @@
         t.until(lambda: t.loop.clients.lingering.clients, "it is let go")
         client.send(b"\x00" * 10_000)
         t.until(lambda: client.read() and client.ended, "all of it and the end")
-        self.assertFalse(client.reset)
-        self.assertIn(body, client.got)
+        assert not client.reset
+        assert body in client.got
 
     def test_one_line_names_a_bad_client(self) -> None:
         t = Turns(self)
@@ -106,8 +105,8 @@
         client.send(b"\xc1")
         t.until(lambda: client.read() or client.ended, "it is let go")
         told = [log for log in t.logged if log.event == "client.lost"]
-        self.assertEqual(len(told), 1)
-        self.assertIn("malformed", told[0].text)
+        assert len(told) == 1
+        assert "malformed" in told[0].text
 
 
 class Ending(unittest.TestCase):
@@ -122,13 +121,13 @@
         t.selector.hidden.add(t.socket_of(client))
         client.send(call(2))
         t.turn(900 * MS)
-        self.assertFalse(t.loop.is_stopping)
+        assert not t.loop.is_stopping
         t.selector.hidden.clear()
         t.until(lambda: len(cache.pulls()) == 2, "it is sent on")
         cache.send(done(cache.pulls()[1]))
         t.until(lambda: len(client.answers()) == 2, "it is answered")
         t.turn(100 * MS)
-        self.assertTrue(t.loop.is_stopping)
+        assert t.loop.is_stopping
 
     def test_what_is_put_off_is_never_compared_by_its_key(self) -> None:
         """Two entries of the heap with one time and one number were compared by what they are for."""
@@ -144,9 +143,9 @@
             )
         numbers = [entry[1] for entry in t.loop.timers]
         t.turn(30 * MS)
-        self.assertEqual(len(set(numbers)), len(numbers))
+        assert len(set(numbers)) == len(numbers)
         numbers = [entry[1] for entry in t.loop.timers]
-        self.assertEqual(len(set(numbers)), len(numbers))
+        assert len(set(numbers)) == len(numbers)
 
     def test_the_end_is_not_put_off_for_ever(self) -> None:
         t = Turns(self)
@@ -155,7 +154,7 @@
         t.selector.hidden.add(t.socket_of(client))
         client.send(call(1))
         t.turn(3 * SECOND)
-        self.assertTrue(t.loop.is_stopping)
+        assert t.loop.is_stopping
 
     def test_who_waits_to_be_accepted_is_served_first(self) -> None:
         """The listening socket closed over a full queue: each in it was reset with its request unread."""
@@ -169,7 +168,7 @@
             sock.sendall(call(1, trace=f"{n + 7:016x}"))
         self.ending(t)
         t.turn(600 * MS)
-        self.assertIsNone(t.loop.acceptor.listener.sock)
+        assert t.loop.acceptor.listener.sock is None
         t.until(lambda: len(cache.pulls()) == 4, "all are sent on")
 
     def test_a_request_behind_the_last_look_is_not_sent_on(self) -> None:
@@ -178,13 +177,13 @@
         client, cache = t.served()
         self.ending(t)
         t.turn(900 * MS)
-        self.assertTrue(t.loop.is_stopping)
+        assert t.loop.is_stopping
         client.send(call(2))
         t.tick_ns = SHUTDOWN_LINGER_NS // 20
         t.loop.flush_and_close()
         client.read()
-        self.assertTrue(client.ended and not client.reset)
-        self.assertEqual((len(cache.pulls()), len(client.answers())), (1, 1))
+        assert client.ended and not client.reset
+        assert (len(cache.pulls()), len(client.answers())) == (1, 1)
 
     def test_a_second_signal_changes_nothing(self) -> None:
         t = Turns(self)
@@ -196,9 +195,9 @@
         self.ending(t)
         t.turn(900 * MS)
         self.ending(t)
-        self.assertFalse(t.loop.is_stopping, "one is open")
+        assert not t.loop.is_stopping, "one is open"
         cache.send(done(cache.pulls()[0]))
         t.until(client.answers, "it is answered")
         t.turn(100 * MS)
-        self.assertTrue(t.loop.is_stopping)
-        self.assertEqual(len([log for log in t.logged if log.event == "router.ending"]), 1)
+        assert t.loop.is_stopping
+        assert len([log for log in t.logged if log.event == "router.ending"]) == 1
--- a/tests/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -8,6 +8,7 @@
 from collections.abc import Iterator
 from typing import Any
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -79,8 +80,8 @@
         found = []
         for piece in pieces(json.dumps(raw, indent=indent, ensure_ascii=ascii_only).encode(), size):
             found += splitter.receive_data(piece)
-        self.assertEqual([json.loads(event or b"") for event in found], events)
-        self.assertEqual(json.loads(splitter.end()), {**raw, "events": []})
+        assert [json.loads(event or b"") for event in found] == events
+        assert json.loads(splitter.end()) == {**raw, "events": []}
 
     def test_what_is_too_long_is_left_out_or_refused(self) -> None:
         long = {"n": 2, "filler": [["x" * 1_000]] * (MAX_EVENT_BYTES // 1_000 + 10)}
@@ -89,8 +90,8 @@
         for piece in pieces(answer([purge(1), long, purge(3)], 3), 1 << 16):
             found += splitter.receive_data(piece)
             most = max(most, len(splitter.rest))
-        self.assertEqual([event and json.loads(event)["n"] for event in found], [1, None, 3])
-        self.assertLess(most, MAX_EVENT_BYTES + (1 << 17))
+        assert [event and json.loads(event)["n"] for event in found] == [1, None, 3]
+        assert most < MAX_EVENT_BYTES + (1 << 17)
         for text in (
             b'{"n":1,"x":"' + b"y" * MAX_ENVELOPE_BYTES + b'"',
             b'{"n":1}}',
@@ -102,49 +103,47 @@
                 for piece in pieces(text, 1 << 16):
                     if not splitter.error:
                         splitter.receive_data(piece)
-                self.assertTrue(splitter.error)
+                assert splitter.error
         for text in (b'{"events":[{"n":1}', b'{"events":[{"n":"', b'{"n":1'):
             with self.subTest(text=text):
                 splitter = EventSplitter()
                 splitter.receive_data(text)
                 splitter.end()
-                self.assertTrue(splitter.error)
+                assert splitter.error
 
 
 class Codec(unittest.TestCase):
     def test_a_long_answer_comes_in_pieces_and_memory_stays_small(self) -> None:
         codec = FeedCodec()
         found = fed(codec, http(answer([purge(n) for n in range(2, 100_002)], 100_001)))
-        self.assertGreater(len(found), 10)
-        self.assertEqual({news.has_more for news in found[:-1]}, {True})
-        self.assertEqual((found[-1].has_more, found[-1].last_event, found[-1].events), (False, 100_001, ()))
+        assert len(found) > 10
+        assert {news.has_more for news in found[:-1]} == {True}
+        assert (found[-1].has_more, found[-1].last_event, found[-1].events) == (False, 100001, ())
         told = [event for news in found for event in news.events]
-        self.assertEqual([e.object_number for e in told if isinstance(e, Purge)], list(range(2, 100_002)))
-        self.assertEqual([news.last_event for news in found], sorted(news.last_event for news in found))
-        self.assertLess(len(codec.body), MAX_WHOLE_RESPONSE_BYTES + 1)
+        assert [e.object_number for e in told if isinstance(e, Purge)] == list(range(2, 100002))
+        assert [news.last_event for news in found] == sorted(news.last_event for news in found)
+        assert len(codec.body) < MAX_WHOLE_RESPONSE_BYTES + 1
 
     def test_events_that_cannot_be_used_are_named_and_the_rest_is_taken(self) -> None:
         filler = [purge(n) for n in range(2, 5_000)]
         odd = [{"n": 5_000, "purge": {}}, [1], {"n": 5_001, "members": {"endpoints": [{}]}}]
         found = fed(FeedCodec(), http(answer([*filler, *odd, purge(5_002)], 5_002)))
         whole = parse_watch_response({"n": 5_002, "events": [*filler, *odd, purge(5_002)]})
-        self.assertEqual([e for news in found for e in news.events], list(whole.events))
-        self.assertEqual(
-            [fault for news in found for fault in news.unusable_events], list(whole.unusable_events)
-        )
-        self.assertEqual(len(whole.unusable_events), 2)
+        assert [e for news in found for e in news.events] == list(whole.events)
+        assert [fault for news in found for fault in news.unusable_events] == list(whole.unusable_events)
+        assert len(whole.unusable_events) == 2
         broken = http(answer(filler, 9).replace(b'"at": 1764576000000', b'"at": ~', 1))
-        self.assertEqual(sum(len(news.unusable_events) for news in fed(FeedCodec(), broken)), 1)
+        assert sum(len(news.unusable_events) for news in fed(FeedCodec(), broken)) == 1
 
     def test_what_came_before_a_fault_is_kept(self) -> None:
         codec, found = FeedCodec(), list[WatchResponse]()
         data = http(answer([purge(n) for n in range(2, 9_000)], 9_000)[:-2] + b"}}}]}")
-        with self.assertRaises(FeedError):
+        with pytest.raises(FeedError):
             for piece in pieces(data, 1 << 16):
                 found += codec.receive_data(memoryview(piece))
         found += codec.completed
-        self.assertEqual(found[-1].last_event, 8_999)
-        with self.assertRaises(FeedError):
+        assert found[-1].last_event == 8999
+        with pytest.raises(FeedError):
             long = b'{"n":1,"x":"%s"},' % (b"y" * 9_000)
             fed(FeedCodec(), http(b'{"n":1,"events":[' + long * (MAX_RESPONSE_BYTES // 9_000)))
 
@@ -156,9 +155,7 @@
         event = {"n": 9, "members": {"snapshot": True, "endpoints": lines}}
         found = fed(FeedCodec(), http(answer([event], 9)))
         lists = [e for news in found for e in news.events if isinstance(e, EndpointUpdate)]
-        self.assertEqual(
-            [(len(e.endpoints), e.is_full_list, e.event_number) for e in lists], [(5_000, True, 9)]
-        )
+        assert [(len(e.endpoints), e.is_full_list, e.event_number) for e in lists] == [(5000, True, 9)]
 
 
 class RealRouters(unittest.TestCase):
@@ -167,7 +164,7 @@
     def wait(self, found: Any, what: str) -> None:
         until = time.monotonic() + 20
         while not found():
-            self.assertLess(time.monotonic(), until, what)
+            assert time.monotonic() < until, what
             time.sleep(0.02)
 
     def last_calls(self, world: StandInServers) -> list[int]:
@@ -198,15 +195,15 @@
                     ]
                     before = len(world.feed_calls)
                 self.wait(lambda: 100_002 in self.last_calls(world), "it is in step")
-                self.assertLess(len(world.feed_calls) - before, 8, "a few calls")
+                assert len(world.feed_calls) - before < 8, "a few calls"
                 client = router.client()
                 served = {client.request("page", object=f"{n:016x}").body for n in range(40)}
-                self.assertEqual(served, {b"by cache2"}, "the drain is in force")
+                assert served == {b"by cache2"}, "the drain is in force"
                 events = [line["event"] for line in router.log_events()]
-                self.assertEqual((events.count("feed.behind"), events.count("feed.lost")), (1, 0))
+                assert (events.count("feed.behind"), events.count("feed.lost")) == (1, 0)
                 told = next(line for line in router.log_events() if line["event"] == "feed.pieces")
-                self.assertEqual((told["events"], told["to"]), (100_000, 100_002))
-                self.assertGreater(told["past"], 99_000, "purges that no longer matter")
+                assert (told["events"], told["to"]) == (100000, 100002)
+                assert told["past"] > 99000, "purges that no longer matter"
 
     def test_a_feed_that_is_too_long_for_ever_is_asked_seldom(self) -> None:
         """Its answers bring nothing and never end well: a megabyte each, of which no event can be had."""
@@ -221,10 +218,10 @@
                 client = router.client()
                 before, lines = len(world.feed_calls), len(router.log_events())
                 for part in range(60):  # it goes on serving by what it knows
-                    self.assertEqual(client.request("page", part=part).kind, "served")
+                    assert client.request("page", part=part).kind == "served"
                     time.sleep(0.05)
-                self.assertLessEqual(len(world.feed_calls) - before, 1, "calls in 3 s")
-                self.assertLessEqual(sum(x["event"] == "feed.lost" for x in router.log_events()[lines:]), 1)
+                assert len(world.feed_calls) - before <= 1, "calls in 3 s"
+                assert sum(x["event"] == "feed.lost" for x in router.log_events()[lines:]) <= 1
 
 
 if __name__ == "__main__":
--- a/tests/test_floods.py
+++ b/tests/net/test_floods.py
@@ -4,23 +4,19 @@
 
 import unittest
 
-from turns import MS, Peer, Turns, call, done
-
 from kelpcroft.net.client_codec import MAX_OPEN_CALLS_PER_CLIENT
 from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS
+from tests.support.loop_turns import MS, Peer, Turns, call, done
 
 
 class Floods(unittest.TestCase):
     def settled(self, t: Turns) -> None:
         """Nothing is kept of anyone."""
-        self.assertEqual(
-            (
-                t.loop.transport.pool.in_use,
-                t.loop.clients.with_pending,
-                t.loop.reducer.state.requests_by_client,
-            ),
-            (0, {}, {}),
-        )
+        assert (
+            t.loop.transport.pool.in_use,
+            t.loop.clients.with_pending,
+            t.loop.reducer.state.requests_by_client,
+        ) == (0, {}, {})
 
     def dialled(self, t: Turns) -> list[str]:
         """Servers to which a connection is open."""
@@ -47,7 +43,7 @@
             cache.send(bytes([byte]))
             t.turn(MS)
         t.until(client.answers, "it is answered")
-        self.assertEqual(client.answers(), [[1, 1, None, [b"by", {}]]])
+        assert client.answers() == [[1, 1, None, [b"by", {}]]]
         self.settled(t)
 
     def test_much_at_once_and_gone(self) -> None:
@@ -64,10 +60,10 @@
         floods.close()
         t.turn(turns=5)
         t.turn(100 * MS)
-        self.assertEqual(len(cache.pulls()), 1)
+        assert len(cache.pulls()) == 1
         self.served(t, other, cache, 2)
         self.settled(t)
-        self.assertLessEqual(len([log for log in t.logged if log.event == "client.lost"]), 1)
+        assert len([log for log in t.logged if log.event == "client.lost"]) <= 1
 
     def test_an_answer_that_never_ends(self) -> None:
         """A head that says a quarter of a megabyte, and then nothing: its connection goes, others are served,
@@ -91,7 +87,7 @@
         cache.send(done(cache.pulls()[0], b"other"))
         t.turn(5 * MS)
         self.served(t, client, cache, 2)
-        self.assertEqual(len(client.answers()), 2)
+        assert len(client.answers()) == 2
         self.settled(t)
 
     def test_a_client_that_breaks_off_in_the_middle(self) -> None:
@@ -103,5 +99,5 @@
         half.close(reset=True)
         t.turn(MS, turns=3)
         self.served(t, other, cache, 2)
-        self.assertEqual(len(t.loop.clients.open), 1)
+        assert len(t.loop.clients.open) == 1
         self.settled(t)
--- a/tests/test_link_ends.py
+++ b/tests/net/test_link_ends.py
@@ -5,7 +5,7 @@
 import socket
 import unittest
 
-from turns import MS, SECOND, Peer, Turns, call, done
+from tests.support.loop_turns import MS, SECOND, Peer, Turns, call, done
 
 
 class Ends(unittest.TestCase):
@@ -29,8 +29,8 @@
         t.until(again.pulls, "it goes out on another connection")
         again.send(done(again.pulls()[0], b"taken"))
         t.until(lambda: len(client.answers()) == count, "it is answered")
-        self.assertEqual(client.answers()[-1], [1, count, None, [b"taken", {}]])
-        self.assertEqual(len(cache.pulls()), 1)
+        assert client.answers()[-1] == [1, count, None, [b"taken", {}]]
+        assert len(cache.pulls()) == 1
 
     def test_an_end_in_the_turn_in_which_the_connection_is_chosen(self) -> None:
         """What must not run twice was written to a connection that its server had ended, unseen yet: it may
@@ -68,7 +68,7 @@
         t.until(lambda: again.read().endswith(b"x\r\n"), "all of it comes on another")
         again.send(done(again.pulls()[0], b"taken"))
         t.until(client.answers, "it is answered")
-        self.assertEqual(client.answers(), [[1, 1, None, [b"taken", {}]]])
+        assert client.answers() == [[1, 1, None, [b"taken", {}]]]
 
     def test_what_is_kept_of_writes_ends_with_them(self) -> None:
         """A connection whose backlog is never empty kept the id of each attempt it ever carried."""
@@ -85,16 +85,16 @@
             t.turn()
             if n % 2:
                 cache.read()
-        self.assertTrue(ours.write_buffer.stored_bytes())
+        assert ours.write_buffer.stored_bytes()
         t.until(lambda: cache.read() and not ours.write_buffer.stored_bytes(), "all is written")
-        self.assertEqual(len(ours.unsent_attempts), 0)
+        assert len(ours.unsent_attempts) == 0
         sent = ours.write_buffer.sent_bytes
         t.loop.servers.send(ours.number, [b"x" * 2_000_000], "a")
         t.loop.servers.send(ours.number, [b"x" * 2_000_000], "b")
         t.turn()
         ours.write_buffer.sent_bytes = sent + 2_000_000  # as if just the first had been taken
         t.loop.transport.write(ours)
-        self.assertEqual([id for _, id in ours.unsent_attempts], ["b"])
+        assert [id for _, id in ours.unsent_attempts] == ["b"]
 
     def test_what_was_all_written_may_have_run(self) -> None:
         t = Turns(self)
@@ -104,7 +104,7 @@
         t.until(cache.pulls, "the order comes")
         cache.close(reset=True)
         t.until(client.answers, "it is given up")
-        self.assertEqual(client.answers()[0][2][0], "Fault")
+        assert client.answers()[0][2][0] == "Fault"
         t.none("cache1")
 
     def test_nothing_goes_out_on_an_idle_connection_with_half_an_answer(self) -> None:
@@ -120,7 +120,7 @@
         self.answered(t, client, 2, cache)
         cache.close()
         t.turn(turns=3)
-        self.assertEqual(len(client.answers()), 2)
+        assert len(client.answers()) == 2
 
     def test_the_rest_of_an_answer_makes_its_connection_whole(self) -> None:
         t = Turns(self)
@@ -154,7 +154,7 @@
         t.turn()
         t.until(client.answers, "it is answered")
         t.turn(500 * MS)
-        self.assertEqual(client.answers(), [[1, 1, None, [b"by", {}]]])
+        assert client.answers() == [[1, 1, None, [b"by", {}]]]
 
     def test_a_connection_given_up_in_the_turn_in_which_it_stands(self) -> None:
         """The dial's time is over, and the connection is up behind it: it carries nothing."""
@@ -166,8 +166,8 @@
         t.turn(SECOND)
         t.selector.hidden.clear()
         t.turn(turns=5)
-        self.assertLessEqual(len(cache.pulls()), 1)
-        self.assertEqual(len(t.loop.servers.open), len(t.loop.reducer.state.connections.by_number))
+        assert len(cache.pulls()) <= 1
+        assert len(t.loop.servers.open) == len(t.loop.reducer.state.connections.by_number)
 
     def test_a_copy_that_no_server_named_is_not_called_current(self) -> None:
         """KEEP for a copy that the client did not name, or for another one, was passed on."""
@@ -193,4 +193,4 @@
                     "it is judged",
                 )
                 t.turn(turns=3)
-                self.assertEqual(client.answers() == [[1, 1, None, [b"", {"keep": "1"}]]], good)
+                assert (client.answers() == [[1, 1, None, [b"", {"keep": "1"}]]]) == good
--- a/tests/test_listeners.py
+++ b/tests/net/test_listeners.py
@@ -11,10 +11,11 @@
 from pathlib import Path
 
 import orjson
-from player import EXAMPLE, ROOT, WAIT_S
+import pytest
 
 from kelpcroft.config import ConfigError, parse_config
 from kelpcroft.net.listeners import adopt_listener, bind_listener
+from tests.support.exchange_player import EXAMPLE, ROOT, WAIT_S
 
 
 class Adopt(unittest.TestCase):
@@ -42,24 +43,24 @@
             (idle.fileno(), "does not listen"),
             (999, "Bad file descriptor"),
         ):
-            with self.subTest(why=why), self.assertRaises(ConfigError) as caught:
+            with self.subTest(why=why), pytest.raises(ConfigError) as caught:
                 adopt_listener(fd)
-            self.assertIn("ROUTER_FD", str(caught.exception))
-            self.assertIn(why, str(caught.exception))
+            assert "ROUTER_FD" in str(caught.value)
+            assert why in str(caught.value)
         os.fstat(read)  # still open: the descriptor was not ours to close
-        self.assertEqual(idle.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE), socket.SOCK_STREAM)
+        assert idle.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE) == socket.SOCK_STREAM
 
     def test_an_address_in_use_is_named(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as held:
-            with self.assertRaises(ConfigError) as caught:
+            with pytest.raises(ConfigError) as caught:
                 bind_listener("listen", held.getsockname())
-        self.assertIn("listen: 127.0.0.1:", str(caught.exception))
+        assert "listen: 127.0.0.1:" in str(caught.value)
 
     def test_router_fd_must_be_a_number(self) -> None:
-        self.assertEqual(parse_config(EXAMPLE, {"ROUTER_FD": "3"}).inherited_listener_fd, 3)
-        self.assertIsNone(parse_config(EXAMPLE, {}).inherited_listener_fd)
+        assert parse_config(EXAMPLE, {"ROUTER_FD": "3"}).inherited_listener_fd == 3
+        assert parse_config(EXAMPLE, {}).inherited_listener_fd is None
         for bad in ("three", "-1", "3.0", "9" * 9):
-            with self.subTest(bad=bad), self.assertRaises(ConfigError):
+            with self.subTest(bad=bad), pytest.raises(ConfigError):
                 parse_config(EXAMPLE, {"ROUTER_FD": bad})
 
 
@@ -80,10 +81,10 @@
                 pass_fds=(idle.fileno(),),
                 env={**os.environ, "ROUTER_CONFIG": str(path), "ROUTER_FD": str(idle.fileno())},
             )
-        self.assertEqual(done.returncode, 2, done.stderr)
-        self.assertEqual(done.stderr.count("\n"), 1, done.stderr)
-        self.assertIn("ROUTER_FD: descriptor", done.stderr)
-        self.assertIn("does not listen", done.stderr)
+        assert done.returncode == 2, done.stderr
+        assert done.stderr.count("\n") == 1, done.stderr
+        assert "ROUTER_FD: descriptor" in done.stderr
+        assert "does not listen" in done.stderr
 
 
 if __name__ == "__main__":
--- a/tests/test_size.py
+++ b/tests/net/test_size.py
@@ -6,8 +6,6 @@
 import unittest
 
 import msgpack
-from player import EXAMPLE
-from test_parts import GOOD, NOW, TRACE, router
 
 from kelpcroft.config import parse_config
 from kelpcroft.core import effects, inputs
@@ -18,6 +16,8 @@
 from kelpcroft.net.clock import Clock
 from kelpcroft.net.event_loop import EventLoop
 from kelpcroft.net.server_connections import ServerConnection
+from tests.support.exchange_player import EXAMPLE
+from tests.support.reducer_fixtures import GOOD, NOW, TRACE, router
 
 
 def pair(case: unittest.TestCase, size: int = 0) -> tuple[socket.socket, socket.socket]:
@@ -43,8 +43,8 @@
             for at in range(0, len(data), size):
                 found += codec.receive_data(memoryview(data)[at : at + size])
             with self.subTest(size=size):
-                self.assertEqual(found, whole)
-                self.assertFalse(codec.has_partial_message())
+                assert found == whole
+                assert not codec.has_partial_message()
 
 
 class SlowReaders(unittest.TestCase):
@@ -64,8 +64,8 @@
         server = loop.servers.open[1] = ServerConnection(loop.servers, 1, ours, NOW)
         theirs.sendall(GOOD)
         loop.servers.read(server)
-        self.assertIn(1, loop.servers.open)
-        self.assertEqual(server.codec.error, "")
+        assert 1 in loop.servers.open
+        assert server.codec.error == ""
 
     def test_a_client_read_at_a_megabyte_a_second_holds_a_bounded_backlog(self) -> None:
         """What a slow client does not take waits in pooled buffers, never more than it is owed; past
@@ -78,9 +78,9 @@
             loop.clients.send(1, (bytes([n]) * 240_000,))
         loop.flush()
         most = loop.transport.pool.in_use
-        self.assertLessEqual(most * BUFFER_BYTES, owed + BUFFER_BYTES)
-        self.assertGreater(client.write_buffer.stored_bytes(), MAX_UNREAD_BYTES_PER_CLIENT)
-        self.assertEqual(loop.clients.interest_of(client) & 1, 0, "not read while it holds so much")
+        assert most * BUFFER_BYTES <= owed + BUFFER_BYTES
+        assert client.write_buffer.stored_bytes() > MAX_UNREAD_BYTES_PER_CLIENT
+        assert loop.clients.interest_of(client) & 1 == 0, "not read while it holds so much"
         got = b""
         tick = 0
         while len(got) < owed:
@@ -90,21 +90,20 @@
             except BlockingIOError:
                 pass
             loop.transport.write(client)
-            self.assertLessEqual(loop.transport.pool.in_use, most)
-        self.assertEqual(got, b"".join(bytes([n]) * 240_000 for n in range(8)))
-        self.assertEqual((loop.transport.pool.in_use, client.write_buffer.stored_bytes()), (0, 0))
-        self.assertEqual(loop.clients.interest_of(client), 1, "read again")
-        self.assertLess(tick, 4 * owed // (64 * 1024))
+            assert loop.transport.pool.in_use <= most
+        assert got == b"".join(bytes([n]) * 240000 for n in range(8))
+        assert (loop.transport.pool.in_use, client.write_buffer.stored_bytes()) == (0, 0)
+        assert loop.clients.interest_of(client) == 1, "read again"
+        assert tick < 4 * owed // (64 * 1024)
 
 
 class Feed(unittest.TestCase):
     def test_a_feed_that_breaks_off_is_asked_again_sooner_than_the_rule_needs(self) -> None:
         r = router()
         first = r.handle(NOW, inputs.WatchFailed("reset"))
-        self.assertEqual(
-            [e for e in first if isinstance(e, effects.PollFeed)],
-            [effects.PollFeed(r.endpoint_list.last_event)],
-        )
+        assert [e for e in first if isinstance(e, effects.PollFeed)] == [
+            effects.PollFeed(r.endpoint_list.last_event)
+        ]
         waits = []
         for n in range(1, 9):
             (wake,) = [
@@ -113,25 +112,22 @@
                 if isinstance(e, effects.ScheduleTimer)
             ]
             waits.append(wake.at_ns - NOW - n)
-        self.assertEqual(
-            waits[:4],
-            [
-                SECOND_RETRY_DELAY_NS,
-                2 * SECOND_RETRY_DELAY_NS,
-                4 * SECOND_RETRY_DELAY_NS,
-                8 * SECOND_RETRY_DELAY_NS,
-            ],
-        )
-        self.assertEqual(max(waits), MAX_RETRY_DELAY_NS)
+        assert waits[:4] == [
+            SECOND_RETRY_DELAY_NS,
+            2 * SECOND_RETRY_DELAY_NS,
+            4 * SECOND_RETRY_DELAY_NS,
+            8 * SECOND_RETRY_DELAY_NS,
+        ]
+        assert max(waits) == MAX_RETRY_DELAY_NS
         listed = len(r.state.endpoints)
-        self.assertGreater(listed, 0, "what was known is kept")
+        assert listed > 0, "what was known is kept"
         r.handle(NOW + 10, inputs.WatchResponse(r.endpoint_list.last_event, ()))
         (wake,) = [
             e
             for e in r.handle(NOW + 11, inputs.WatchFailed("x")) + r.handle(NOW + 12, inputs.WatchFailed("x"))
             if isinstance(e, effects.ScheduleTimer)
         ]
-        self.assertEqual(wake.at_ns - NOW - 12, SECOND_RETRY_DELAY_NS, "an answer starts the waits over")
+        assert wake.at_ns - NOW - 12 == SECOND_RETRY_DELAY_NS, "an answer starts the waits over"
 
 
 if __name__ == "__main__":
--- a/tests/test_operator_faulty.py
+++ b/tests/operator_file/test_operator_faulty.py
@@ -12,15 +12,14 @@
 from dataclasses import replace
 from pathlib import Path
 
-from player import EXAMPLE
-
 from kelpcroft.config import parse_config
 from kelpcroft.decision import interface as api
 from kelpcroft.operator_file import Diagnostic, OperatorFile, check, load
 from kelpcroft.operator_file.locator import MAX_NODES
 from kelpcroft.operator_file.text import MAX_FILE_BYTES
+from tests.support.exchange_player import EXAMPLE
 
-HERE = Path(__file__).parent
+HERE = Path(__file__).parent.parent
 # Keys of a configuration's limits, as the files of tests/faulty name them, and the fields that hold them.
 LIMIT_FIELDS = {"second_copies": "may_hedge", "retry_after": "may_send_retry_after"}
 HEAD = "kelpcroft version=1\n"
@@ -39,7 +38,7 @@
     def test_each_is_refused_for_its_reason(self) -> None:
         settings = parse_config(EXAMPLE, {}).settings
         files = sorted((HERE / "faulty").glob("*.kdl"))
-        self.assertGreaterEqual(len(files), 60)
+        assert len(files) >= 60
         for path in files:
             data = path.read_bytes()
             head = [line.decode() for line in data.split(b"\n") if line.startswith((b"//!", b"//@"))]
@@ -49,18 +48,18 @@
                 here = replace(settings, limits=replace(settings.limits, **limits))
                 _, faults = judged(data, here)
                 found = sorted((f.position.line, f.code, f.message) for f in faults)
-                self.assertEqual([x[:2] for x in found], [x[:2] for x in due], found)
+                assert [x[:2] for x in found] == [x[:2] for x in due], found
                 for (_, _, reason), (_, _, words) in zip(found, due, strict=True):
-                    self.assertIn(words, reason)
+                    assert words in reason
                 for fault in faults:
-                    self.assertGreater(fault.position.column, 0)
-                    self.assertEqual(fault.format_for("f").count("\n"), 0)
+                    assert fault.position.column > 0
+                    assert fault.format_for("f").count("\n") == 0
 
     def test_valid_files_are_used(self) -> None:
         settings = parse_config(EXAMPLE, {}).settings
         for path in sorted((HERE / "valid").glob("*.kdl")):
             with self.subTest(file=path.name):
-                self.assertEqual(judged(path.read_bytes(), settings)[1], [])
+                assert judged(path.read_bytes(), settings)[1] == []
 
     def test_large_and_deep_files_are_refused(self) -> None:
         """They made the parser take hundreds of MB; the locator stops before it is asked."""
@@ -77,8 +76,8 @@
         ):
             with self.subTest(code=code):
                 faults = load(data)[1]
-                self.assertIn(code, {f.code for f in faults})
-                self.assertLessEqual(len(faults), 1_000)
+                assert code in {f.code for f in faults}
+                assert len(faults) <= 1000
 
     def test_no_file_takes_much_memory(self) -> None:
         """The largest file that may be used, in a process that may take 64 MB beyond its start."""
@@ -99,9 +98,9 @@
             cwd=HERE.parent,
         )
         count, faults, grown = map(int, done.stdout.split())
-        self.assertEqual((count, faults), (routes, 0), done.stderr)
+        assert (count, faults) == (routes, 0), done.stderr
         unit = 1 if sys.platform == "darwin" else 1024
-        self.assertLess(grown * unit, 64 << 20)
+        assert grown * unit < 64 << 20
 
 
 if __name__ == "__main__":
--- a/tests/test_operator_properties.py
+++ b/tests/operator_file/test_operator_properties.py
@@ -13,7 +13,6 @@
 from kelpcroft.operator_file.diagnostics import DiagnosticCollector, SourceText
 from kelpcroft.operator_file.locator import KdlSyntaxError, NodeLocator
 from kelpcroft.operator_file.model import (
-    EFFECT_NAMES,
     RETRYABLE_OUTCOMES,
     AdaptiveDuration,
     AnswerTimeout,
@@ -22,10 +21,10 @@
     Hedging,
     OperatorFile,
     Route,
-    RouteMatch,
     RoutePolicy,
 )
 from kelpcroft.operator_file.text import parse_nodes
+from tests.support.route_strategies import matches, maybe
 
 MS = 1_000_000
 QUICK = settings(max_examples=60, deadline=None, derandomize=True)
@@ -33,28 +32,6 @@
 names = st.text('abc é"\\{}/;', min_size=1, max_size=6).map(str.strip).filter(bool)
 
 
-def maybe(strategy: st.SearchStrategy[Any]) -> st.SearchStrategy[Any]:
-    return st.none() | strategy
-
-
-def ranges(most: int) -> st.SearchStrategy[Any]:
-    pair = st.tuples(st.integers(0, most), st.integers(0, most)).map(lambda p: (min(p), max(p)))
-    return st.lists(pair, max_size=3).map(tuple)
-
-
-matches = st.builds(
-    RouteMatch,
-    classes=st.lists(st.sampled_from(["page", "order"]), max_size=2).map(tuple),
-    groups=ranges(255),
-    objects=st.lists(st.text("0123456789abcdef", min_size=1, max_size=16), max_size=3).map(tuple),
-    parts=ranges(9_999),
-    zones=st.just(()),
-    retry=maybe(st.booleans()),
-    write=maybe(st.booleans()),
-    effects=st.lists(st.sampled_from(EFFECT_NAMES), max_size=2).map(tuple),
-    uncacheable=maybe(st.booleans()),
-    multipart=maybe(st.booleans()),
-)
 quantiles = st.builds(
     AdaptiveDuration,
     quantile=st.sampled_from([0.5, 0.95, 0.99, 0.999]),
@@ -171,8 +148,8 @@
         wrong = [
             f for f in faults if f.code not in ("copy-after-attempt", "attempt-over-route", "too-complex")
         ]
-        self.assertEqual(wrong, [], text)
-        self.assertEqual(read, file, text)
+        assert wrong == [], text
+        assert read == file, text
 
     @QUICK
     @given(files(), GAPS, ENDS)
@@ -181,11 +158,11 @@
         starts = SourceText(text).line_starts
         for item in parse_nodes(text.encode(), DiagnosticCollector()):
             place = SourceText(text).position_of(item.offset)
-            self.assertTrue(text[starts[place.line - 1] + place.column - 1 :].startswith(item.name))
+            assert text[starts[place.line - 1] + place.column - 1 :].startswith(item.name)
             for child in item.children:
-                self.assertTrue(text[child.offset :].startswith(child.name))
+                assert text[child.offset :].startswith(child.name)
                 for key, prop in child.properties.items():
-                    self.assertTrue(text[prop.key_offset :].startswith(key))
+                    assert text[prop.key_offset :].startswith(key)
                     value = prop.value
                     word = (
                         f'"{value}"'
@@ -194,7 +171,7 @@
                         if isinstance(value, bool)
                         else str(value)
                     )
-                    self.assertTrue(text[prop.value_offset :].startswith(word), word)
+                    assert text[prop.value_offset :].startswith(word), word
 
     @QUICK
     @given(
@@ -237,7 +214,7 @@
             data = data[:at] + put + data[at + gone :]
         _, faults = load(data)
         for fault in faults:
-            self.assertGreaterEqual(fault.position, (1, 1))
+            assert fault.position >= (1, 1)
 
     @QUICK
     @given(st.text('a"#\\/*-{}();= \n1', max_size=40))
@@ -251,7 +228,7 @@
             spots = list(NodeLocator(text).top_level_nodes())
         except KdlSyntaxError:
             return  # refused whole: stricter than the parser does no harm
-        self.assertEqual(len(spots), len(nodes), text)
+        assert len(spots) == len(nodes), text
 
 
 if __name__ == "__main__":
--- a/tests/test_control.py
+++ b/tests/program/test_control.py
@@ -4,8 +4,6 @@
 
 import unittest
 
-from test_parts import NOW, call, only, router
-
 from kelpcroft.core import effects, inputs
 from kelpcroft.core.service_state import (
     DRAIN_GRACE_NS,
@@ -16,6 +14,7 @@
 )
 from kelpcroft.core.state import MS, SECOND
 from kelpcroft.net.control_codec import MAX_BODY_BYTES, MAX_HEAD_BYTES, ControlCodec
+from tests.support.reducer_fixtures import NOW, call, only, router
 
 READY = b"GET /control/ready HTTP/1.1\r\nHost: r\r\n\r\n"
 
@@ -32,15 +31,15 @@
             for at in range(0, len(READY), size):
                 said.append(codec.receive_data(READY[at : at + size]))
             with self.subTest(size=size):
-                self.assertEqual([s for s in said if s is not None], [inputs.ControlVerb.READY])
-                self.assertFalse(codec.has_partial_message())
+                assert [s for s in said if s is not None] == [inputs.ControlVerb.READY]
+                assert not codec.has_partial_message()
         out = b"PUT /control/out-of-service HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
         for text, verb in (
             (out, inputs.ControlVerb.OUT_OF_SERVICE),
             (b"PUT /control/in-service/ HTTP/1.1\r\n\r\n", inputs.ControlVerb.IN_SERVICE),
             (b"GET /control/ready?now=1 HTTP/1.0\r\n\r\n", inputs.ControlVerb.READY),
         ):
-            self.assertIs(ControlCodec().receive_data(text), verb)
+            assert ControlCodec().receive_data(text) is verb
 
     def test_what_is_no_call_is_answered_and_nothing_more_is_read(self) -> None:
         cases = [
@@ -65,13 +64,13 @@
             with self.subTest(text=text[:60], code=code):
                 codec = ControlCodec()
                 answer = codec.receive_data(text)
-                self.assertEqual(status(answer), code)
+                assert status(answer) == code
                 assert isinstance(answer, bytes)
-                self.assertIn(b"Connection: close\r\n", answer)
-                self.assertIsNone(codec.receive_data(READY))
+                assert b"Connection: close\r\n" in answer
+                assert codec.receive_data(READY) is None
         allowed = ControlCodec().receive_data(b"POST /control/ready HTTP/1.1\r\n\r\n")
         assert isinstance(allowed, bytes)
-        self.assertIn(b"Allow: GET, HEAD\r\n", allowed)
+        assert b"Allow: GET, HEAD\r\n" in allowed
 
     def test_a_head_is_counted_before_it_is_kept(self) -> None:
         """A caller who sends a head without end is answered at the bound, not when memory runs out."""
@@ -79,79 +78,72 @@
         answer = codec.receive_data(b"GET /control/ready HTTP/1.1\r\n")
         for _ in range(MAX_HEAD_BYTES // 100 + 2):
             answer = codec.receive_data(b"X-Filler: " + b"b" * 88 + b"\r\n") if answer is None else answer
-        self.assertEqual(status(answer), 431)
-        self.assertLessEqual(codec.head_bytes, MAX_HEAD_BYTES)
+        assert status(answer) == 431
+        assert codec.head_bytes <= MAX_HEAD_BYTES
 
     def test_half_a_call_is_partial(self) -> None:
         codec = ControlCodec()
-        self.assertIsNone(codec.receive_data(b"GET /control/re"))
-        self.assertTrue(codec.has_partial_message())
+        assert codec.receive_data(b"GET /control/re") is None
+        assert codec.has_partial_message()
 
 
 class Modes(unittest.TestCase):
     def test_a_drain_refuses_after_its_cut_and_never_exits(self) -> None:
         service = ServiceState()
-        self.assertTrue(service.drain(NOW))
-        self.assertFalse(service.drain(NOW + 1))
-        self.assertTrue(service.is_draining_clients)
-        self.assertTrue(service.admits_requests(NOW + DRAIN_GRACE_NS - 1))
-        self.assertFalse(service.admits_requests(NOW + DRAIN_GRACE_NS))
-        self.assertFalse(service.may_exit(NOW + 60 * SECOND, 0, 0))
-        self.assertTrue(service.resume(NOW + 5 * SECOND))
-        self.assertTrue(service.admits_requests(NOW + 5 * SECOND))
-        self.assertFalse(service.is_draining_clients)
+        assert service.drain(NOW)
+        assert not service.drain(NOW + 1)
+        assert service.is_draining_clients
+        assert service.admits_requests(NOW + DRAIN_GRACE_NS - 1)
+        assert not service.admits_requests(NOW + DRAIN_GRACE_NS)
+        assert not service.may_exit(NOW + 60 * SECOND, 0, 0)
+        assert service.resume(NOW + 5 * SECOND)
+        assert service.admits_requests(NOW + 5 * SECOND)
+        assert not service.is_draining_clients
 
     def test_an_end_beside_another_process_waits_for_clients_up_to_its_hold(self) -> None:
         shared, alone = ServiceState(shares_listener=True), ServiceState()
         for service in (shared, alone):
             service.begin_shutdown(NOW)
-            self.assertFalse(service.resume(NOW + 1))
-            self.assertIs(service.mode, ServiceMode.ENDING)
-            self.assertFalse(service.may_exit(NOW + 10 * SECOND, 1, 0))
-        self.assertFalse(shared.admits_requests(NOW + SHUTDOWN_GRACE_NS))
-        self.assertTrue(alone.admits_requests(NOW + SHUTDOWN_GRACE_NS))
-        self.assertFalse(shared.may_exit(NOW + MS, 0, 3))
-        self.assertTrue(shared.may_exit(NOW + MS, 0, 0))
-        self.assertTrue(shared.may_exit(NOW + MAX_SHUTDOWN_WAIT_NS, 0, 3))
-        self.assertTrue(alone.may_exit(NOW + MS, 0, 3))
+            assert not service.resume(NOW + 1)
+            assert service.mode is ServiceMode.ENDING
+            assert not service.may_exit(NOW + 10 * SECOND, 1, 0)
+        assert not shared.admits_requests(NOW + SHUTDOWN_GRACE_NS)
+        assert alone.admits_requests(NOW + SHUTDOWN_GRACE_NS)
+        assert not shared.may_exit(NOW + MS, 0, 3)
+        assert shared.may_exit(NOW + MS, 0, 0)
+        assert shared.may_exit(NOW + MAX_SHUTDOWN_WAIT_NS, 0, 3)
+        assert alone.may_exit(NOW + MS, 0, 3)
 
 
 class Drain(unittest.TestCase):
     def test_a_drain_through_the_reducer(self) -> None:
         r = router()
         r.handle(NOW, inputs.ClientConnected(1))
-        self.assertEqual(
-            r.handle(NOW, inputs.ControlRequest(7, inputs.ControlVerb.READY)),
-            [effects.ControlResponse(7, True, {"ready": True, "service": "in"})],
-        )
+        assert r.handle(NOW, inputs.ControlRequest(7, inputs.ControlVerb.READY)) == [
+            effects.ControlResponse(7, True, {"ready": True, "service": "in"})
+        ]
         effect_list = r.handle(NOW, inputs.ControlRequest(8, inputs.ControlVerb.OUT_OF_SERVICE))
-        self.assertEqual(only(effects.DrainClients, effect_list), [effects.DrainClients(True)])
-        self.assertEqual(
-            only(effects.ControlResponse, effect_list),
-            [effects.ControlResponse(8, True, {"ready": False, "service": "out", "why": "out of service"})],
-        )
-        self.assertEqual(
-            only(effects.ControlResponse, r.handle(NOW, inputs.ControlRequest(9, inputs.ControlVerb.READY)))[
-                0
-            ],
-            effects.ControlResponse(9, False, {"ready": False, "service": "out", "why": "out of service"}),
-        )
-        self.assertEqual(r.handle(NOW, inputs.HealthRequest(1, 1)), [effects.SendHealth(1, 1, False)])
+        assert only(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
+        assert only(effects.ControlResponse, effect_list) == [
+            effects.ControlResponse(8, True, {"ready": False, "service": "out", "why": "out of service"})
+        ]
+        assert only(
+            effects.ControlResponse, r.handle(NOW, inputs.ControlRequest(9, inputs.ControlVerb.READY))
+        )[0] == effects.ControlResponse(9, False, {"ready": False, "service": "out", "why": "out of service"})
+        assert r.handle(NOW, inputs.HealthRequest(1, 1)) == [effects.SendHealth(1, 1, False)]
         # Requests on kept connections are served for a while, then refused, at once.
-        self.assertEqual(only(effects.OpenServerConnection, r.handle(NOW + MS, call(2))) != [], True)
+        assert only(effects.OpenServerConnection, r.handle(NOW + MS, call(2))) != []
         late = NOW + DRAIN_GRACE_NS
-        self.assertEqual(r.handle(late, call(3)), [effects.RejectRequest(1, 3, 0)])
+        assert r.handle(late, call(3)) == [effects.RejectRequest(1, 3, 0)]
         effect_list = r.handle(late + SECOND, inputs.ControlRequest(10, inputs.ControlVerb.IN_SERVICE))
-        self.assertEqual(only(effects.DrainClients, effect_list), [effects.DrainClients(False)])
-        self.assertEqual(
-            r.handle(late + SECOND, inputs.HealthRequest(1, 4)), [effects.SendHealth(1, 4, True)]
-        )
-        self.assertEqual(only(effects.RejectRequest, r.handle(late + SECOND, call(5))), [])
-        self.assertEqual(
+        assert only(effects.DrainClients, effect_list) == [effects.DrainClients(False)]
+        assert r.handle(late + SECOND, inputs.HealthRequest(1, 4)) == [effects.SendHealth(1, 4, True)]
+        assert only(effects.RejectRequest, r.handle(late + SECOND, call(5))) == []
+        assert (
             only(
                 effects.Exit, r.handle(late + 9 * SECOND, inputs.ControlRequest(11, inputs.ControlVerb.READY))
-            ),
-            [],
+            )
+            == []
         )
 
 
--- a/tests/test_datagrams.py
+++ b/tests/program/test_datagrams.py
@@ -43,22 +43,22 @@
             sock.sendto(b"ask", relay.address)
             data, sender = self.target.recvfrom(2_048)
             self.target.sendto(data + b" back", sender)
-            self.assertEqual(sock.recvfrom(2_048), (b"ask back", relay.address))
+            assert sock.recvfrom(2048) == (b"ask back", relay.address)
 
     def test_half_are_lost_the_same_ones_each_time(self) -> None:
         first = self.said(self.relay(DatagramFate(lost=0.5)), 100)
-        self.assertTrue(30 < len(first) < 70, len(first))
-        self.assertEqual(self.said(self.relay(DatagramFate(lost=0.5)), 100), first)
-        self.assertNotEqual(self.said(self.relay(DatagramFate(lost=0.5), seed=2), 100), first)
+        assert 30 < len(first) < 70, len(first)
+        assert self.said(self.relay(DatagramFate(lost=0.5)), 100) == first
+        assert self.said(self.relay(DatagramFate(lost=0.5), seed=2), 100) != first
 
     def test_repeated_overtaken_and_silent(self) -> None:
         twice = self.said(self.relay(DatagramFate(repeated=0.5)), 50)
-        self.assertTrue(60 < len(twice) < 90, len(twice))
-        self.assertEqual(len(set(twice)), 50)
+        assert 60 < len(twice) < 90, len(twice)
+        assert len(set(twice)) == 50
         late = self.said(self.relay(DatagramFate(late=0.3, late_s=0.1)), 50)
-        self.assertEqual(len(late), 50)
-        self.assertNotEqual(late, sorted(late, key=int), "some came behind those that followed them")
-        self.assertEqual(self.said(self.relay(DatagramFate(silent=True)), 10), [])
+        assert len(late) == 50
+        assert late != sorted(late, key=int), "some came behind those that followed them"
+        assert self.said(self.relay(DatagramFate(silent=True)), 10) == []
 
 
 if __name__ == "__main__":
--- a/tests/test_exchanges.py
+++ b/tests/program/test_exchanges.py
@@ -1,4 +1,4 @@
-"""The program on its sockets, against recorded byte exchanges (tests/exchanges, tests/player.py)."""
+"""The program on its sockets, against recorded byte exchanges (tests/exchanges)."""
 
 from __future__ import annotations
 
@@ -10,10 +10,8 @@
 from pathlib import Path
 
 import orjson
-from player import EXAMPLE, ROOT, WAIT_S, Player
 
-KEYED = {"idempotency": "keyed", "group": "all", "dedup_window_ns": 3 * 10**9}
-ONE = ("cache1", "parent", "origin")  # with one cache in the zone it is plain where a request goes
+from tests.support.exchange_player import EXAMPLE, KEYED, ONE, ROOT, WAIT_S, Player
 
 
 class Exchanges(unittest.TestCase):
@@ -55,7 +53,7 @@
         player = Player(self, ONE)
         player.play("reload.txt")
         player.log.seek(0)
-        self.assertIn("configuration not taken: feed: ", player.log.read())
+        assert "configuration not taken: feed: " in player.log.read()
 
     def test_retune(self) -> None:
         """A file read again with a fault was taken in part, feed and all; a class that came was refused."""
@@ -99,9 +97,9 @@
                 timeout=WAIT_S,
                 env={**os.environ, "ROUTER_CONFIG": str(path)},
             )
-        self.assertEqual(done.returncode, 2, done.stderr)
-        self.assertEqual(done.stderr.count("\n"), 1, done.stderr)
-        self.assertIn(key, done.stderr)
+        assert done.returncode == 2, done.stderr
+        assert done.stderr.count("\n") == 1, done.stderr
+        assert key in done.stderr
 
     def test_bad_keys(self) -> None:
         settings = EXAMPLE["settings"]
