--- a/tests/test_handover.py
+++ b/tests/program/test_handover.py
@@ -8,30 +8,28 @@
 from pathlib import Path
 
 import orjson
-from test_parts import NOW, only, router
 
 from kelpcroft.core import effects, inputs
 from kelpcroft.core.state import SECOND
 from kelpcroft.net.predecessor_files import write_handover
 from kelpcroft.store.handover import MAX_AGE_NS, MAX_FILE_BYTES, HandoverRecord, decode, encode, file_path
+from tests.support.reducer_fixtures import NOW, only, router
 
 
 class File(unittest.TestCase):
     def test_what_is_written_is_read(self) -> None:
         data = encode("n3", 4711, NOW, False, NOW - SECOND)
-        self.assertEqual(
-            decode(data, "n3", NOW + SECOND), (HandoverRecord(False, NOW - SECOND, NOW, 4711), "")
-        )
-        self.assertEqual(file_path("/run/x/", "n3"), "/run/x/kelpcroft-n3.json")
+        assert decode(data, "n3", NOW + SECOND) == (HandoverRecord(False, NOW - SECOND, NOW, 4711), "")
+        assert file_path("/run/x/", "n3") == "/run/x/kelpcroft-n3.json"
 
     def test_an_end_is_told_and_a_later_version_that_can_be_read_is(self) -> None:
         data = encode("n3", 4711, NOW, True, NOW, NOW - SECOND)
         found, _ = decode(data, "n3", NOW)
         assert found is not None
-        self.assertEqual(found.ended_ns, NOW - SECOND)
+        assert found.ended_ns == NOW - SECOND
         good = orjson.loads(data)
         later = orjson.dumps({**good, "v": 3, "least": 1, "fields": ["not", "known"]})
-        self.assertEqual(decode(later, "n3", NOW)[0], found)
+        assert decode(later, "n3", NOW)[0] == found
         for bad in (
             {"v": 3},
             {"v": 3, "least": 2},
@@ -39,9 +37,9 @@
             {"v": True},
             {"v": 0, "least": 1},
         ):
-            self.assertIsNone(decode(orjson.dumps({**good, **bad}), "n3", NOW)[0], bad)
+            assert decode(orjson.dumps({**good, **bad}), "n3", NOW)[0] is None, bad
         for ended in (-1, "1", True, good["written_ms"] + 1):
-            self.assertIsNone(decode(orjson.dumps({**good, "ended_ms": ended}), "n3", NOW)[0], ended)
+            assert decode(orjson.dumps({**good, "ended_ms": ended}), "n3", NOW)[0] is None, ended
 
     def test_an_end_does_not_change_what_the_next_process_said(self) -> None:
         """The old one would write its own state of service over that of the new one, which was drained."""
@@ -53,7 +51,7 @@
             )
             found, _ = decode(path.read_bytes(), "n3", NOW + SECOND)
             assert found is not None
-            self.assertEqual((found.in_service, found.pid, found.ended_ns), (False, 4711, NOW + SECOND))
+            assert (found.in_service, found.pid, found.ended_ns) == (False, 4711, NOW + SECOND)
             path.write_bytes(encode("n3", 4711, NOW - 2 * SECOND, False, NOW))
             write_handover(
                 folder,
@@ -63,7 +61,7 @@
             )
             found, _ = decode(path.read_bytes(), "n3", NOW + SECOND)
             assert found is not None
-            self.assertEqual((found.in_service, found.pid), (True, os.getpid()), "its own word is the last")
+            assert (found.in_service, found.pid) == (True, os.getpid()), "its own word is the last"
 
     def test_what_is_not_taken(self) -> None:
         good = orjson.loads(encode("n3", 4711, NOW, True, NOW))
@@ -81,50 +79,45 @@
         for data, why in cases:
             with self.subTest(why=why):
                 found, said = decode(data, "n3", NOW)
-                self.assertIsNone(found)
-                self.assertIn(why, said)
-        self.assertIn("ago", decode(encode("n3", 1, NOW, True, NOW), "n3", NOW + MAX_AGE_NS + SECOND)[1])
-        self.assertIn("future", decode(encode("n3", 1, NOW + 60 * SECOND, True, NOW), "n3", NOW)[1])
+                assert found is None
+                assert why in said
+        assert "ago" in decode(encode("n3", 1, NOW, True, NOW), "n3", NOW + MAX_AGE_NS + SECOND)[1]
+        assert "future" in decode(encode("n3", 1, NOW + 60 * SECOND, True, NOW), "n3", NOW)[1]
 
 
 class Reducer(unittest.TestCase):
     def test_a_drain_is_left_behind_and_taken_up(self) -> None:
         r = router()
-        self.assertEqual(
-            only(
-                effects.PersistServiceState,
-                r.handle(NOW, inputs.ControlRequest(1, inputs.ControlVerb.OUT_OF_SERVICE)),
-            ),
-            [effects.PersistServiceState(False, NOW)],
-        )
+        assert only(
+            effects.PersistServiceState,
+            r.handle(NOW, inputs.ControlRequest(1, inputs.ControlVerb.OUT_OF_SERVICE)),
+        ) == [effects.PersistServiceState(False, NOW)]
         back = r.handle(NOW + SECOND, inputs.ControlRequest(2, inputs.ControlVerb.IN_SERVICE))
-        self.assertEqual(
-            only(effects.PersistServiceState, back), [effects.PersistServiceState(True, NOW + SECOND)]
-        )
-        self.assertEqual(
+        assert only(effects.PersistServiceState, back) == [effects.PersistServiceState(True, NOW + SECOND)]
+        assert (
             only(
                 effects.PersistServiceState,
                 r.handle(NOW + SECOND, inputs.ControlRequest(3, inputs.ControlVerb.IN_SERVICE)),
-            ),
-            [],
+            )
+            == []
         )  # no change
         fresh = router()
         effect_list = fresh.handle(NOW, inputs.PredecessorState(False, NOW - SECOND))
-        self.assertEqual(only(effects.DrainClients, effect_list), [effects.DrainClients(True)])
+        assert only(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
         (reply,) = only(
             effects.ControlResponse, fresh.handle(NOW, inputs.ControlRequest(4, inputs.ControlVerb.READY))
         )
         assert isinstance(reply, effects.ControlResponse)
-        self.assertFalse(reply.ok)
-        self.assertEqual(fresh.handle(NOW, inputs.PredecessorState(True, NOW)), [])
-        self.assertEqual(
+        assert not reply.ok
+        assert fresh.handle(NOW, inputs.PredecessorState(True, NOW)) == []
+        assert (
             len(
                 only(
                     effects.LogEvent,
                     router().handle(NOW, inputs.PredecessorState(None, reason="x: is not JSON")),
                 )
-            ),
-            1,
+            )
+            == 1
         )
 
 
--- a/tests/test_routes_loopback.py
+++ b/tests/program/test_routes_loopback.py
@@ -67,20 +67,20 @@
                 world, answer = self.ask(
                     always("BROKE"), f'route "rest" {{ match; attempts most={most}; pause "120ms"; }}'
                 )
-                self.assertEqual((answer.kind, answer.fields), ("refused", {"pause": "120"}))
-                self.assertEqual(len(world.requests()), most)
+                assert (answer.kind, answer.fields) == ("refused", {"pause": "120"})
+                assert len(world.requests()) == most
 
     def test_an_outcome_that_is_not_named_is_not_tried_again(self) -> None:
         world, answer = self.ask(
             always("BROKE"), 'route "rest" { match; attempts most=3 on="timeout,reset"; }'
         )
-        self.assertEqual((answer.kind, len(world.requests())), ("refused", 1))
+        assert (answer.kind, len(world.requests())) == ("refused", 1)
 
     def test_resets_and_cut_answers_count_as_attempts(self) -> None:
         for word in ("reset", "cut"):
             with self.subTest(word=word):
                 world, answer = self.ask(always(word), 'route "rest" { match; attempts most=2; }')
-                self.assertEqual((answer.kind, len(world.requests())), ("refused", 2))
+                assert (answer.kind, len(world.requests())) == ("refused", 2)
 
     def test_misses_and_full_servers_are_moves(self) -> None:
         for word in ("LACK", "WAIT", "PAST"):
@@ -88,7 +88,7 @@
                 with self.subTest(word=word, most=most):
                     rules = f'route "rest" {{ match; attempts most=1; moves most={most}; }}'
                     world, answer = self.ask(always(word), rules)
-                    self.assertEqual((answer.kind, len(world.requests())), ("refused", 1 + most))
+                    assert (answer.kind, len(world.requests())) == ("refused", 1 + most)
 
     def test_a_refused_connection_is_a_move(self) -> None:
         for most, kind in ((0, "refused"), (4, "served")):
@@ -96,17 +96,17 @@
                 world = StandInServers(answer_at_once, ONE)
                 world.refuse_connections("cache1")
                 router = self.start(world, f'route "rest" {{ match; attempts most=1; moves most={most}; }}')
-                self.assertEqual(router.client().request("page", patience_ms=LONG).kind, kind)
+                assert router.client().request("page", patience_ms=LONG).kind == kind
 
     def test_a_silent_server_costs_an_attempts_time(self) -> None:
         world, answer = self.ask(
             always("silent"), 'route "rest" { match; attempt timeout="150ms"; attempts most=2; }'
         )
         first, second = world.requests()
-        self.assertGreaterEqual(second.received_ns - first.received_ns, 145 * MS)
-        self.assertEqual(answer.kind, "refused")
-        self.assertTrue(300 <= answer.latency_ms < LONG / 2, answer)
-        self.assertLessEqual(int(first.fields["limit"]), 150, "the server is told the attempt's time")
+        assert second.received_ns - first.received_ns >= 145 * MS
+        assert answer.kind == "refused"
+        assert 300 <= answer.latency_ms < LONG / 2, answer
+        assert int(first.fields["limit"]) <= 150, "the server is told the attempt's time"
 
     def test_an_answer_that_comes_late_is_nobodys(self) -> None:
         """Attempts end at their time-out; what comes after it ends neither this request nor the next."""
@@ -116,12 +116,12 @@
         router = self.start(world, 'route "rest" { match; attempt timeout="100ms"; attempts most=1; }')
         client = router.client()
         late = client.request("page", patience_ms=LONG, part=1)
-        self.assertEqual(late.kind, "refused")
+        assert late.kind == "refused"
         kinds = [client.request("page", patience_ms=LONG, part=n).kind for n in range(2, 60)]
-        self.assertEqual(set(kinds), {"served"})
+        assert set(kinds) == {"served"}
         with world.lock:
-            self.assertEqual([s.verb for s in world.commands if s.fields.get("chunk") == "1"], ["PULL"])
-            self.assertEqual(sum(s.verb == "KILL" for s in world.commands), 1)
+            assert [s.verb for s in world.commands if s.fields.get("chunk") == "1"] == ["PULL"]
+            assert sum(s.verb == "KILL" for s in world.commands) == 1
 
     def test_the_whole_wait_ends_before_the_client_does(self) -> None:
         for timeout in ("400ms", "4%"):
@@ -129,15 +129,15 @@
                 world, answer = self.ask(
                     always("silent"), f'route "rest" {{ match; timeout "{timeout}"; pause "90ms"; }}'
                 )
-                self.assertEqual((answer.kind, answer.fields), ("refused", {"pause": "90"}))
-                self.assertTrue(395 <= answer.latency_ms < LONG / 2, answer)
+                assert (answer.kind, answer.fields) == ("refused", {"pause": "90"})
+                assert 395 <= answer.latency_ms < LONG / 2, answer
 
     def test_back_off_lies_between_attempts(self) -> None:
         world, answer = self.ask(
             always("BROKE"), 'route "rest" { match; attempts most=2; backoff first="200ms"; }'
         )
         first, second = world.requests()
-        self.assertGreaterEqual(second.received_ns - first.received_ns, 195 * MS)
+        assert second.received_ns - first.received_ns >= 195 * MS
 
     def test_a_copy_is_sent_after_its_time_and_answers_first(self) -> None:
         def script(server: str, seen: ServerCommand) -> ScriptedReply:
@@ -149,10 +149,10 @@
         router = self.start(world, 'route "rest" { match; copies most=1 after="200ms"; }')
         answer = router.client().request("page", patience_ms=LONG)
         first, second = world.requests()
-        self.assertEqual((answer.kind, answer.body.decode()), ("served", second.server))
-        self.assertNotEqual(first.server, second.server)
-        self.assertGreaterEqual(second.received_ns - first.received_ns, 195 * MS)
-        self.assertGreaterEqual(answer.latency_ms, 195)
+        assert (answer.kind, answer.body.decode()) == ("served", second.server)
+        assert first.server != second.server
+        assert second.received_ns - first.received_ns >= 195 * MS
+        assert answer.latency_ms >= 195
 
     def test_a_copy_after_a_quantile_waits_for_its_least(self) -> None:
         """Answers take 5 ms; what is silent gets a copy, and not before 'least'."""
@@ -169,12 +169,12 @@
         router = self.start(world, 'route "rest" { match; copies most=1 after="p95" least="120ms"; }')
         client = router.client()
         for part in range(60):
-            self.assertEqual(client.request("page", patience_ms=LONG, part=part).kind, "served")
+            assert client.request("page", patience_ms=LONG, part=part).kind == "served"
         trace = client.send_request("page", patience_ms=LONG, part=99)
         (answer,) = client.responses(1)
         first, second = world.requests(trace)
-        self.assertEqual(answer.kind, "served")
-        self.assertGreaterEqual(second.received_ns - first.received_ns, 115 * MS)
+        assert answer.kind == "served"
+        assert second.received_ns - first.received_ns >= 115 * MS
 
     def test_a_budget_denies_at_once(self) -> None:
         world = StandInServers(always("BROKE"))
@@ -184,8 +184,8 @@
         )
         client = router.client()
         answers = [client.request("page", patience_ms=LONG, object=f"{n:016x}") for n in range(5)]
-        self.assertEqual(len(world.requests()), 5 + 2, "two further attempts were in store")
-        self.assertEqual({(a.kind, a.fields["pause"]) for a in answers}, {("refused", "80")})
+        assert len(world.requests()) == 5 + 2, "two further attempts were in store"
+        assert {(a.kind, a.fields["pause"]) for a in answers} == {("refused", "80")}
 
     def test_a_limit_refuses_what_is_over_it(self) -> None:
         world = StandInServers(always("DONE", 400))
@@ -194,10 +194,10 @@
         for part in range(8):
             client.send_request("page", patience_ms=LONG, part=part)
         kinds = [a.kind for a in client.responses(8)]
-        self.assertEqual(sorted(kinds), ["refused"] * 5 + ["served"] * 3)
-        self.assertEqual(kinds[:5], ["refused"] * 5, "at once: before the first that is served")
-        self.assertEqual(len(world.requests()), 3)
-        self.assertEqual(client.request("page", patience_ms=LONG).kind, "served", "places are given back")
+        assert sorted(kinds) == ["refused"] * 5 + ["served"] * 3
+        assert kinds[:5] == ["refused"] * 5, "at once: before the first that is served"
+        assert len(world.requests()) == 3
+        assert client.request("page", patience_ms=LONG).kind == "served", "places are given back"
 
     def test_each_request_is_treated_as_its_route_says(self) -> None:
         world = StandInServers(always("BROKE"))
@@ -214,7 +214,7 @@
             ({"object": "0" * 16}, "33"),
             ({"group": 3}, "33"),
         ):
-            self.assertEqual(client.request("page", patience_ms=LONG, **more).fields["pause"], pause, more)
+            assert client.request("page", patience_ms=LONG, **more).fields["pause"] == pause, more
 
     def test_an_order_reaches_the_store_once_at_most(self) -> None:
         """Under every fault, also with the file read again while it is out."""
@@ -229,46 +229,44 @@
                 told = router.reload_rules(
                     HEAD.replace("1.5s", "1.2s") + 'route "rest" { match; attempts most=4; }'
                 )
-                self.assertEqual(told["event"], "rules.taken")
+                assert told["event"] == "rules.taken"
                 (answer,) = client.responses(1)
                 runs = [s for s in world.requests(trace) if word not in ("LACK", "WAIT", "PAST")]
-                self.assertLessEqual(len(runs), 1)
-                self.assertEqual(
-                    answer.kind,
+                assert len(runs) <= 1
+                assert answer.kind == (
                     "served"
                     if word == "DONE"
                     else "refused"
                     if word in ("LACK", "WAIT", "PAST")
-                    else "failed",
+                    else "failed"
                 )
 
     def test_a_file_read_again_binds_what_comes_after(self) -> None:
         world = StandInServers(always("BROKE"))
         router = self.start(world, 'route "rest" { match; attempts most=1; pause "10ms"; }')
         client = router.client()
-        self.assertEqual(client.request("page", patience_ms=LONG).fields, {"pause": "10"})
+        assert client.request("page", patience_ms=LONG).fields == {"pause": "10"}
         told = router.reload_rules(
             HEAD + 'route "rest" { match; attempts most=1; pause "20"; limit open=0; }'
         )
-        self.assertEqual((told["event"], told["faults"]), ("rules.refused", 2))
-        self.assertIn("rules.kdl:3:", told["first"])
-        self.assertIn("bad-duration", told["first"])
-        self.assertEqual(
-            client.request("page", patience_ms=LONG).fields, {"pause": "10"}, "nothing has changed"
+        assert (told["event"], told["faults"]) == ("rules.refused", 2)
+        assert "rules.kdl:3:" in told["first"]
+        assert "bad-duration" in told["first"]
+        assert client.request("page", patience_ms=LONG).fields == {"pause": "10"}, "nothing has changed"
+        assert (
+            router.reload_rules(HEAD + 'route "rest" { match; attempts most=1; pause "20ms"; }')["routes"]
+            == 2
         )
-        self.assertEqual(
-            router.reload_rules(HEAD + 'route "rest" { match; attempts most=1; pause "20ms"; }')["routes"], 2
-        )
-        self.assertEqual(client.request("page", patience_ms=LONG).fields, {"pause": "20"})
+        assert client.request("page", patience_ms=LONG).fields == {"pause": "20"}
 
     def test_a_router_does_not_start_with_a_faulty_file(self) -> None:
         with (
             StandInServers() as world,
             RouterProcess(world, HEAD + 'route "rest" { match; attempts most=0; moves; }') as router,
         ):
-            self.assertEqual(router.process.wait(20), 2)
+            assert router.process.wait(20) == 2
             lines = router.log_path.read_text().splitlines()
-            self.assertEqual([line.split(": ")[1] for line in lines], ["bad-count", "missing-value"])
+            assert [line.split(": ")[1] for line in lines] == ["bad-count", "missing-value"]
 
 
 if __name__ == "__main__":
--- a/tests/test_signals.py
+++ b/tests/program/test_signals.py
@@ -7,9 +7,8 @@
 import socket
 import unittest
 
-from turns import MS, Peer, Turns, call, done
-
 from kelpcroft.core import inputs
+from tests.support.loop_turns import MS, Peer, Turns, call, done
 
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
 STEPS = 8  # turns from a client's first byte to its answer, and some
@@ -44,16 +43,16 @@
                     if (n, id) not in answered:
                         cache.send(done(id) if answered else done(id, b"", b"LACK", b"-"))
                         answered.add((n, id))
-        self.assertEqual(client.answers(), [[1, 1, None, [b"by", {}]]])
-        self.assertEqual(len(answered), 2, "one attempt that failed and one that served")
+        assert client.answers() == [[1, 1, None, [b"by", {}]]]
+        assert len(answered) == 2, "one attempt that failed and one that served"
         t.turn(1_000 * MS)
-        self.assertEqual(t.loop.is_stopping, TERM in signals)
+        assert t.loop.is_stopping == (TERM in signals)
         if t.loop.is_stopping:
             t.tick_ns = 10 * MS
             t.loop.flush_and_close()
             client.read()
-            self.assertTrue(client.ended and not client.reset)
-        self.assertEqual(len(client.answers()), 1)
+            assert client.ended and not client.reset
+        assert len(client.answers()) == 1
 
     def test_at_every_step(self) -> None:
         for at in range(STEPS):
--- a/tests/test_purge_floors.py
+++ b/tests/purge/test_purge_floors.py
@@ -69,18 +69,18 @@
             floors.add(stamp, what)
         for one in many:
             due = max([s for s, what in made if touches(what, one, tags)], default=NEVER)
-            self.assertEqual(floors.floor(*one), due, one)
+            assert floors.floor(*one) == due, one
         floors.drop_before(horizon)
         for one in many:
             due = max([s for s, what in made if s >= horizon and touches(what, one, tags)], default=NEVER)
-            self.assertEqual(floors.floor(*one), due, one)
+            assert floors.floor(*one) == due, one
 
     def test_wider_and_newer_leaves_nothing_of_the_narrower(self) -> None:
         floors = PurgeFloors()
         for part in range(5_000):
             floors.add(PurgeStamp(part + 1, 0, 0), PurgeTarget(parts=(part * 2, part * 2)))
         floors.add(PurgeStamp(9_999, 0, 0), PurgeTarget())
-        self.assertEqual(len(floors.patterns[0][""][None].starts), 1)
+        assert len(floors.patterns[0][""][None].starts) == 1
 
     def test_tags_that_were_forgotten_count_as_purged(self) -> None:
         floors = PurgeFloors(max_tagged_parts=2)
@@ -88,7 +88,7 @@
             floors.record_tags(item, 0, {"oat"})
         floors.add(PurgeStamp(5, 0, 0), PurgeTarget(tag="nut"))
         found = [floors.floor("page", item, 0, 0) for item in range(3)]
-        self.assertEqual(found, [PurgeStamp(5, 0, 0), NEVER, NEVER])
+        assert found == [PurgeStamp(5, 0, 0), NEVER, NEVER]
 
     def test_all_is_given_back(self) -> None:
         floors = PurgeFloors()
@@ -103,7 +103,7 @@
                 )[n % 4],
             )
         floors.drop_before(PurgeStamp(10_000, 0, 0))
-        self.assertEqual((floors.objects, floors.groups, floors.tags, floors.patterns), ({}, {}, {}, {}))
+        assert (floors.objects, floors.groups, floors.tags, floors.patterns) == ({}, {}, {}, {})
 
 
 if __name__ == "__main__":
--- a/tests/test_purge_order.py
+++ b/tests/purge/test_purge_order.py
@@ -4,6 +4,7 @@
 
 import unittest
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -29,32 +30,32 @@
                 skew = [-skew[0], *skew[1:]]
             before = clocks[maker].last
             stamp = clocks[maker].next_stamp(now + skew[maker] * MS)
-            self.assertGreater(stamp[:2], before[:2])
+            assert stamp[:2] > before[:2]
             clocks[hearer].observe(now + skew[hearer] * MS, stamp)
             if hearer != maker:
-                self.assertGreater(clocks[hearer].next_stamp(now + skew[hearer] * MS), stamp)
+                assert clocks[hearer].next_stamp(now + skew[hearer] * MS) > stamp
             made.append(stamp)
-        self.assertEqual(len(set(made)), len(made), "no two purges share a place")
+        assert len(set(made)) == len(made), "no two purges share a place"
 
     def test_overlapping_purges_a_second_apart_keep_their_order(self) -> None:
         early, late = HybridClock(1), HybridClock(0)
         first = early.next_stamp(NOW + 2_000 * MS)  # two seconds fast
         late.observe(NOW, first)
         second = late.next_stamp(NOW + 1_000 * MS - 2_000 * MS)  # a second later, two seconds slow
-        self.assertGreater(second, first)
+        assert second > first
 
     def test_a_clock_gone_mad_drags_nobody_along(self) -> None:
         clock = HybridClock(1)
         clock.observe(NOW, PurgeStamp(NOW // MS + MAX_CLOCK_LEAD_MS, 0, 2))
         kept = clock.last
-        with self.assertRaises(ClockAheadError):
+        with pytest.raises(ClockAheadError):
             clock.observe(NOW, PurgeStamp(NOW // MS + MAX_CLOCK_LEAD_MS + 1, 0, 2))
-        self.assertEqual(clock.last, kept)
+        assert clock.last == kept
 
     def test_more_than_a_counter_holds_in_a_millisecond(self) -> None:
         clock = HybridClock(1)
         stamps = [clock.next_stamp(NOW) for _ in range(70_000)]
-        self.assertEqual(stamps, sorted(set(stamps)))
+        assert stamps == sorted(set(stamps))
 
 
 if __name__ == "__main__":
--- a/tests/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -15,6 +15,7 @@
 from pathlib import Path
 from typing import Any, cast
 
+import pytest
 from click.testing import CliRunner
 
 from kelpcroft.cli import main
@@ -135,22 +136,22 @@
         self.store.dead = True  # whoever dies gives no lease back
         died = False
         try:
-            self.assertEqual(self.lead(at if what == "order" else 0), RolloutOutcome.DONE)
+            assert self.lead(at if what == "order" else 0) == RolloutOutcome.DONE
         except Dead:
             died = True
         self.store.dead = False
         last = self.store.newest_run()
         if died and last is not None and last.outcome != "done":
-            with self.assertRaises(LeaseLostError) as raised:
+            with pytest.raises(LeaseLostError) as raised:
                 self.lead()  # the dead one's lease still runs
-            self.assertEqual((raised.exception.path, raised.exception.run_id), (self.store.path, last.id))
-            self.assertEqual(str(raised.exception), f"run {last.id} is led by another controller")
+            assert (raised.value.path, raised.value.run_id) == (self.store.path, last.id)
+            assert str(raised.value) == f"run {last.id} is led by another controller"
             self.sleep(16.0)
-            self.assertEqual(self.lead(), RolloutOutcome.DONE, (what, at))
+            assert self.lead() == RolloutOutcome.DONE, (what, at)
         for p in self.world.routers.values():
-            self.assertEqual((p.build, p.instance, p.in_service), ("beef", 2, True), (what, at, p.name))
+            assert (p.build, p.instance, p.in_service) == ("beef", 2, True), (what, at, p.name)
         names = [row["name"] for row in self.store.history(1)]
-        self.assertEqual((names.count("done"), names.count("begun")), (1, 6), (what, at))
+        assert (names.count("done"), names.count("begun")) == (1, 6), (what, at)
         return died
 
     def test_killed_between_any_two_effects(self) -> None:
@@ -158,7 +159,7 @@
             at = 1
             while self.survives(what, at):
                 at += 1
-            self.assertGreater(at, 18, f"{what}: each of the orders, and the steps between")
+            assert at > 18, f"{what}: each of the orders, and the steps between"
 
     def test_one_that_stood_still_past_its_lease_orders_nothing(self) -> None:
         """30 s: another has led meanwhile, and the first wakes up into its next step."""
@@ -170,13 +171,13 @@
             if hands.orders >= 4 and not orders:
                 orders.append(hands.orders)
                 self.sleep(30.0)
-                self.assertEqual(self.lead(), RolloutOutcome.DONE)
+                assert self.lead() == RolloutOutcome.DONE
 
         first.sleep = stand_still
-        with self.assertRaises(LeaseLostError):
+        with pytest.raises(LeaseLostError):
             first.lead()
-        self.assertEqual([hands.orders], orders, "nothing after it woke up")
-        self.assertEqual({(p.build, p.instance) for p in self.world.routers.values()}, {("beef", 2)})
+        assert [hands.orders] == orders, "nothing after it woke up"
+        assert {(p.build, p.instance) for p in self.world.routers.values()} == {("beef", 2)}
 
     def test_a_third_of_the_links_is_late_or_cut(self) -> None:
         """More silent routers than ``unknown`` hold it and are named; it goes on when people say so."""
@@ -198,14 +199,14 @@
             if turns[0] == 139:
                 run = self.store.newest_run()
                 assert run is not None
-                self.assertEqual(run.outcome, "held")
-                self.assertIn("do not answer: n0-0, n0-1", run.snapshot["why"])
+                assert run.outcome == "held"
+                assert "do not answer: n0-0, n0-1" in run.snapshot["why"]
             if turns[0] == 160:
                 self.store.add_operator_command(1, self.world.now, "resume")
 
         controller.sleep = sleep
-        self.assertEqual(controller.lead(), RolloutOutcome.DONE)
-        self.assertEqual({p.instance for p in self.world.routers.values()}, {2})
+        assert controller.lead() == RolloutOutcome.DONE
+        assert {p.instance for p in self.world.routers.values()} == {2}
 
 
 class Touching(unittest.TestCase):
@@ -218,7 +219,7 @@
             f'stage "all" share="100%" least="60s" most="5m"\n{act}\n{more}'
         )
         plan, faults = load_plan(text.encode())
-        self.assertEqual(faults, [])
+        assert faults == []
         return plan
 
     def test_a_tool_that_fails_or_hangs_is_told_with_its_output(self) -> None:
@@ -231,9 +232,9 @@
                 1,
             )
             hands, target = CommandDriver(plan), plan.routers[0]
-            self.assertIn("ended with 3: no n1", hands.execute(target, CommandKind.APPLY))
-            self.assertIn("timed out", hands.execute(target, CommandKind.UNDO))
-            self.assertIn("No such file", hands.execute(target, CommandKind.RESTART))
+            assert "ended with 3: no n1" in hands.execute(target, CommandKind.APPLY)
+            assert "timed out" in hands.execute(target, CommandKind.UNDO)
+            assert "No such file" in hands.execute(target, CommandKind.RESTART)
 
     def test_local_processes(self) -> None:
         """Started where nothing runs, left alone where it is as it should, ended and begun anew where not."""
@@ -254,19 +255,17 @@
             plan = self.plan(f'act local=#true {{ old "{ROOT}"; new "{ROOT}" }}', folder, ports[1])
             hands, target = LocalProcessDriver(plan), plan.routers[0]
             try:
-                self.assertEqual(hands.execute(target, CommandKind.UNDO), "")
+                assert hands.execute(target, CommandKind.UNDO) == ""
                 first = self.instance(hands, target)
-                self.assertEqual(hands.execute(target, CommandKind.UNDO), "")
-                self.assertEqual(self.instance(hands, target), first, "it is the old already")
-                self.assertEqual(hands.execute(target, CommandKind.RESTART), "")
+                assert hands.execute(target, CommandKind.UNDO) == ""
+                assert self.instance(hands, target) == first, "it is the old already"
+                assert hands.execute(target, CommandKind.RESTART) == ""
                 second = self.instance(hands, target)
-                self.assertNotEqual(second, first)
-                self.assertEqual(
-                    hands.execute(target, CommandKind.APPLY), "", "its build is not the new one's"
-                )
-                self.assertNotEqual(self.instance(hands, target), second)
+                assert second != first
+                assert hands.execute(target, CommandKind.APPLY) == "", "its build is not the new one's"
+                assert self.instance(hands, target) != second
                 plan = self.plan(f'act local=#true {{ old "{ROOT}"; new "/nowhere" }}', folder, ports[1])
-                self.assertIn("/nowhere", LocalProcessDriver(plan).start_process(target, Path("/nowhere")))
+                assert "/nowhere" in LocalProcessDriver(plan).start_process(target, Path("/nowhere"))
             finally:
                 os.kill(int(self.instance(hands, target).partition("-")[0]), signal.SIGKILL)
                 for child in hands.children:
@@ -292,7 +291,7 @@
                 hands = LocalProcessDriver(
                     self.plan(f'act local=#true {{ old "{ROOT}"; new "{ROOT}" }}', Path(name), 1)
                 )
-                self.assertEqual(hands.stop_process(child.pid), "")
+                assert hands.stop_process(child.pid) == ""
         finally:
             child.kill()
             child.wait()
@@ -302,7 +301,7 @@
             plan = self.plan(f'act local=#true {{ old "{ROOT}"; new "{ROOT}" }}', Path(name), 1)
             hands = LocalProcessDriver(plan)
             hands.call_control = lambda *_: {"name": "n2", "build": "x", "instance": f"{os.getpid()}-1"}  # type: ignore
-            self.assertIn("is another router", hands.execute(plan.routers[0], CommandKind.APPLY))
+            assert "is another router" in hands.execute(plan.routers[0], CommandKind.APPLY)
 
 
 class Homes(unittest.TestCase):
@@ -338,33 +337,33 @@
                 text=True,
                 timeout=60,
             )
-            self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
+            assert done.returncode == 0, done.stdout + done.stderr
             return done.stdout
 
     def test_the_share_that_moves(self) -> None:
-        self.assertIn("0.0% of objects have another home", self.shown(lambda raw: None))
+        assert "0.0% of objects have another home" in self.shown(lambda raw: None)
 
         def one_less(raw: dict[str, Any]) -> None:
             del raw["known"]["events"][0]["members"]["endpoints"][-1]
 
         share = float(self.shown(one_less).split("edge-1: ")[1].split("%")[0])
-        self.assertTrue(20 < share < 30, "one of four caches is gone: a quarter of the objects moves")
+        assert 20 < share < 30, "one of four caches is gone: a quarter of the objects moves"
 
         def weighted(raw: dict[str, Any]) -> None:
             raw["settings"]["weight_source"] = "nominal"
             raw["known"]["events"][0]["members"]["endpoints"][-1]["weight"] = 3
 
         share = float(self.shown(weighted).split("edge-1: ")[1].split("%")[0])
-        self.assertTrue(15 < share < 40, "half instead of a quarter of all go to the heavy one")
+        assert 15 < share < 40, "half instead of a quarter of all go to the heavy one"
 
     def test_what_cannot_be_asked_is_said(self) -> None:
-        self.assertIn("homes not known: zone edge-1", self.shown(lambda raw: raw.update(settings=5)))
+        assert "homes not known: zone edge-1" in self.shown(lambda raw: raw.update(settings=5))
 
     def test_one_build_tells_its_own(self) -> None:
         done = CliRunner().invoke(
             main, ["homes", "--config", str(ROOT / "examples/config.json"), "--objects", "50"]
         )
-        self.assertIn("s-cache: 50", done.output)
+        assert "s-cache: 50" in done.output
 
 
 class Groups(unittest.TestCase):
@@ -390,26 +389,26 @@
             return 0.3 if p.instance > 1 and world.now - p.started < 50 * S else 0.0
 
         world = self.run_with(cold)
-        self.assertEqual(world.rollout.outcome, RolloutOutcome.DONE, world.rollout.reason)
+        assert world.rollout.outcome == RolloutOutcome.DONE, world.rollout.reason
         restarted = [name for _, name, act in world.commands if act is CommandKind.RESTART]
-        self.assertEqual(len(restarted), 1)
-        self.assertTrue(all(p.in_service and p.build == "beef" for p in world.routers.values()))
+        assert len(restarted) == 1
+        assert all(p.in_service and p.build == "beef" for p in world.routers.values())
 
         def colder(world: SimulatedFleet, p: Any, cls: str) -> float:
             return 0.6 if p.build == "beef" and world.now - p.started < 50 * S else cold(world, p, cls)
 
         world = self.run_with(colder)
-        self.assertEqual(world.rollout.outcome, RolloutOutcome.ROLLED_BACK)
-        self.assertIn("worse", [n.name for n in world.history])
-        self.assertEqual({p.build for p in world.routers.values()}, {"old"})
-        self.assertTrue(all(p.in_service for p in world.routers.values()))
-        self.assertLessEqual(max(world.max_unavailable.get(f"z{n}", 0) for n in range(2)), 2)
+        assert world.rollout.outcome == RolloutOutcome.ROLLED_BACK
+        assert "worse" in [n.name for n in world.history]
+        assert {p.build for p in world.routers.values()} == {"old"}
+        assert all(p.in_service for p in world.routers.values())
+        assert max(world.max_unavailable.get(f"z{n}", 0) for n in range(2)) <= 2
 
     def test_its_limits_are_checked(self) -> None:
         good = f'rollout version=1\nchange {{ program build="beef"; }}\n{self.STAGES}{self.MORE}' + "".join(
             f'router "n{n}" zone="z"\n' for n in range(3)
         )
-        self.assertEqual(load_plan(good.encode())[1], [])
+        assert load_plan(good.encode())[1] == []
         for old, new, code in (
             ("per-zone=2", "per-zone=1", "control-room"),
             ('; restart "c"', "", "no-restart"),
@@ -417,7 +416,7 @@
             ("control=1", "control=3", "control-few"),
         ):
             with self.subTest(code=code):
-                self.assertIn(code, [f.code for f in load_plan(good.replace(old, new).encode())[1]])
+                assert code in [f.code for f in load_plan(good.replace(old, new).encode())[1]]
 
     def test_a_leak_is_seen_and_a_larger_process_is_none(self) -> None:
         for growth, due in ((0.5, RolloutOutcome.ROLLED_BACK), (0.0, RolloutOutcome.DONE)):
@@ -433,10 +432,10 @@
                     RolloutOutcome.HELD,
                 ):
                     break
-            self.assertEqual(world.rollout.outcome, due, world.rollout.reason)
-            self.assertEqual("memory" in [n.name for n in world.history], growth > 0)
+            assert world.rollout.outcome == due, world.rollout.reason
+            assert ("memory" in [n.name for n in world.history]) == (growth > 0)
             if growth:
-                self.assertEqual(len(world.changed_routers), 1)
+                assert len(world.changed_routers) == 1
 
     def test_it_goes_on_after_a_restart_in_the_middle_of_a_control_group(self) -> None:
         world = SimulatedFleet(make_plan(2, 4, self.STAGES, self.MORE), 1, lambda *_: 0.0)
@@ -451,7 +450,7 @@
             if world.rollout.outcome is not RolloutOutcome.RUNNING:
                 break
         world.deliver(Tick())
-        self.assertEqual(world.rollout.outcome, RolloutOutcome.DONE, world.rollout.reason)
+        assert world.rollout.outcome == RolloutOutcome.DONE, world.rollout.reason
 
 
 if __name__ == "__main__":
--- a/tests/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -7,6 +7,7 @@
 import unittest
 from pathlib import Path
 
+import pytest
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -51,11 +52,9 @@
 class Plans(unittest.TestCase):
     def test_a_good_one(self) -> None:
         plan, faults = load_plan(GOOD.encode())
-        self.assertEqual(faults, [])
-        self.assertEqual(
-            [[t.name for t in s] for s in plan.routers_by_stage()], [["a1"], ["b1"], ["a2", "b2"]]
-        )
-        self.assertGreater(plan.longest_ns(), 600 * S)
+        assert faults == []
+        assert [[t.name for t in s] for s in plan.routers_by_stage()] == [["a1"], ["b1"], ["a2", "b2"]]
+        assert plan.longest_ns() > 600 * S
 
     def test_each_fault_by_its_code(self) -> None:
         for old, new, due in (
@@ -83,12 +82,12 @@
             ("limits", "limits;limits", "duplicate-node"),
         ):
             with self.subTest(new=new):
-                self.assertIn(due, codes(GOOD.replace(old, new, 1)))
+                assert due in codes(GOOD.replace(old, new, 1))
 
     def test_a_stage_that_takes_a_whole_zone_is_refused(self) -> None:
-        self.assertIn("whole-zone", codes(GOOD.replace('stage "two" count=2 least="30s" most="5m"\n', "")))
+        assert "whole-zone" in codes(GOOD.replace('stage "two" count=2 least="30s" most="5m"\n', ""))
         alone = GOOD.replace('; router "b2" zone="b"', "").replace("count=2", 'share="50%"')
-        self.assertEqual(codes(alone), [], "b1 is alone: nothing could be left there")
+        assert codes(alone) == [], "b1 is alone: nothing could be left there"
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.binary(max_size=60), st.integers(0, len(GOOD)))
@@ -106,8 +105,8 @@
                 ZoneClass("b", "x"): RequestSample(30, 30.0, 29.0),
             }
             judge.add_slice(new, {place: RequestSample(90, 90.0, 87.0) for place in new})
-        self.assertEqual(judge.verdict(frozenset(new)), (Verdict.REGRESSION, ZoneClass("a", "y")))
-        self.assertIs(judge.tests[ZoneClass("b", "x")].verdict, Verdict.NO_REGRESSION)
+        assert judge.verdict(frozenset(new)) == (Verdict.REGRESSION, ZoneClass("a", "y"))
+        assert judge.tests[ZoneClass("b", "x")].verdict is Verdict.NO_REGRESSION
 
     def test_what_strikes_both_sides_or_was_there_before_is_no_harm(self) -> None:
         judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
@@ -119,23 +118,21 @@
                 {place: RequestSample(100, 100.0, 80 * (1 - both))},
                 {place: RequestSample(300, 300.0, 285 * (1 - both))},
             )
-        self.assertIs(judge.tests[place].verdict, Verdict.NO_REGRESSION)
+        assert judge.tests[place].verdict is Verdict.NO_REGRESSION
 
     def test_few_requests_are_no_evidence(self) -> None:
         judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
         judge.add_slice({place: RequestSample(3, 3.0, 0.0)}, {place: RequestSample(900, 900.0, 900.0)})
-        self.assertEqual(judge.verdict(frozenset((place,))), (Verdict.UNDECIDED, place))
-        self.assertEqual(
-            judge.verdict(frozenset()), (Verdict.UNDECIDED, None), "no place at all is no evidence"
-        )
+        assert judge.verdict(frozenset((place,))) == (Verdict.UNDECIDED, place)
+        assert judge.verdict(frozenset()) == (Verdict.UNDECIDED, None), "no place at all is no evidence"
 
     def test_insane_figures_say_nothing(self) -> None:
         bet = SequentialTest(StopCriteria())
         for odd in (float("nan"), float("inf"), -float("inf")):
             bet.add_difference(odd)
-        self.assertEqual((bet.slice_count, bet.verdict), (0, Verdict.UNDECIDED))
+        assert (bet.slice_count, bet.verdict) == (0, Verdict.UNDECIDED)
         for wrong in ({"harm": 0.5}, {"tolerance": 0.2}, {"false_stop": 0.0}, {"missed_harm": 0.7}):
-            with self.assertRaises(ValueError):
+            with pytest.raises(ValueError):
                 StopCriteria(**wrong)
 
     def test_stop_criteria_out_of_range_name_key_value_and_limit(self) -> None:
@@ -151,17 +148,17 @@
                 "missed_harm: 0.7 is not between 0 and 0.5",
             ),
         ):
-            with self.assertRaises(StopCriteriaError) as raised:
+            with pytest.raises(StopCriteriaError) as raised:
                 StopCriteria(**wrong)
-            error = raised.exception
-            self.assertEqual((error.key, error.value, error.limit), expected)
-            self.assertEqual(str(error), text)
+            error = raised.value
+            assert (error.key, error.value, error.limit) == expected
+            assert str(error) == text
 
     def test_placements_of_different_length_name_both_counts(self) -> None:
-        with self.assertRaises(PlacementError) as raised:
+        with pytest.raises(PlacementError) as raised:
             compare_placements(["c1"], ["c1", "c2"])
-        self.assertEqual(raised.exception.object_counts, (1, 2))
-        self.assertEqual(str(raised.exception), "the old placed 1 objects, the new 2")
+        assert raised.value.object_counts == (1, 2)
+        assert str(raised.value) == "the old placed 1 objects, the new 2"
 
 
 def sound(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
@@ -184,20 +181,18 @@
     def test_a_sound_change_is_done_within_the_limits(self) -> None:
         for seed in range(4):
             world = self.world(sound, seed)
-            self.assertEqual(world.run(), RolloutOutcome.DONE, world.rollout.reason)
-            self.assertEqual({p.build for p in world.routers.values()}, {"beef"})
-            self.assertEqual(
-                [a for _, _, a in world.commands].count(CommandKind.APPLY), 12, "none is changed twice"
-            )
-            self.assertLessEqual(world.max_unavailable[""], 3)
-            self.assertLessEqual(max(world.max_unavailable[f"z{n}"] for n in range(3)), 1)
+            assert world.run() == RolloutOutcome.DONE, world.rollout.reason
+            assert {p.build for p in world.routers.values()} == {"beef"}
+            assert [a for _, _, a in world.commands].count(CommandKind.APPLY) == 12, "none is changed twice"
+            assert world.max_unavailable[""] <= 3
+            assert max(world.max_unavailable[f"z{n}"] for n in range(3)) <= 1
 
     def test_a_trouble_of_a_whole_zone_stops_nothing(self) -> None:
         def hub_lost(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
             return 0.4 if p.zone == "z0" and 60 <= world.now / S - 1_000 < 120 else 0.0
 
         world = self.world(hub_lost)
-        self.assertEqual(world.run(), RolloutOutcome.DONE, world.rollout.reason)
+        assert world.run() == RolloutOutcome.DONE, world.rollout.reason
 
     def test_harm_stops_in_the_first_stage_where_it_can_be_seen(self) -> None:
         for harm, most in (
@@ -207,11 +202,11 @@
             (harmful(0.3, zone="z2"), 6),
         ):
             world = self.world(harm)
-            self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK, world.rollout.reason)
-            self.assertLessEqual(len(world.changed_routers), most)
-            self.assertEqual({p.build for p in world.routers.values()}, {"old"})
-            self.assertIn("the harm is gone", world.history[-1].text)
-            self.assertTrue(all(p.in_service for p in world.routers.values()))
+            assert world.run() == RolloutOutcome.ROLLED_BACK, world.rollout.reason
+            assert len(world.changed_routers) <= most
+            assert {p.build for p in world.routers.values()} == {"old"}
+            assert "the harm is gone" in world.history[-1].text
+            assert all(p.in_service for p in world.routers.values())
 
     def test_signs_that_need_no_statistics(self) -> None:
         def crash(w: SimulatedFleet) -> None:
@@ -223,9 +218,9 @@
         for defect, due in ((crash, "crash"), (never, "not-ready")):
             world = self.world(sound)
             defect(world)
-            self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK)
-            self.assertIn(due, [n.name for n in world.history])
-            self.assertEqual(len(world.changed_routers), 1)
+            assert world.run() == RolloutOutcome.ROLLED_BACK
+            assert due in [n.name for n in world.history]
+            assert len(world.changed_routers) == 1
 
     def test_a_broken_invariant_and_another_build(self) -> None:
         for change, due in (({"invariants": 1}, "invariant"), ({"build": "cafe"}, "wrong-digest")):
@@ -238,7 +233,7 @@
                             setattr(p, key, value)
                 if world.rollout.outcome is not RolloutOutcome.RUNNING:
                     break
-            self.assertIn(due, [n.name for n in world.history])
+            assert due in [n.name for n in world.history]
 
     def test_harm_that_stays_is_not_the_changes(self) -> None:
         def broken_place(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
@@ -246,14 +241,14 @@
             return 0.3 if p.name == "n0-0" and began and world.now > began else 0.0
 
         world = self.world(broken_place)
-        self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK)
-        self.assertIn("not the change's", world.history[-1].text)
+        assert world.run() == RolloutOutcome.ROLLED_BACK
+        assert "not the change's" in world.history[-1].text
 
     def test_no_evidence_holds_and_says_what_is_missing(self) -> None:
         world = SimulatedFleet(make_plan(3, 4), 1, sound, rate=0.3)
-        self.assertEqual(world.run(), RolloutOutcome.HELD)
-        self.assertIn("not enough evidence of class", world.rollout.reason)
-        self.assertEqual(len(world.changed_routers), 1)
+        assert world.run() == RolloutOutcome.HELD
+        assert "not enough evidence of class" in world.rollout.reason
+        assert len(world.changed_routers) == 1
 
     def test_a_new_router_that_nobody_asks_is_not_good(self) -> None:
         """Clients that went to its neighbours stayed there: a harmful build went through every stage."""
@@ -270,9 +265,9 @@
 
         for rate in (30.0, 0.0):
             world = Unasked(make_plan(3, 4), 1, sound, rate=rate)
-            self.assertEqual(world.run(), RolloutOutcome.HELD)
-            self.assertIn("not enough evidence", world.rollout.reason)
-            self.assertEqual(len(world.changed_routers), 1)
+            assert world.run() == RolloutOutcome.HELD
+            assert "not enough evidence" in world.rollout.reason
+            assert len(world.changed_routers) == 1
 
     def test_another_process_goes_on_at_any_instant(self) -> None:
         """Taken over after any step, with the orders of that step lost: no router is changed twice or
@@ -290,14 +285,14 @@
                 world.run_second()
                 if world.rollout.outcome is not RolloutOutcome.RUNNING:
                     break
-            self.assertEqual(world.rollout.outcome, RolloutOutcome.DONE, (every, world.rollout.reason))
-            self.assertEqual({p.instance for p in world.routers.values()}, {2}, "each changed once")
+            assert world.rollout.outcome == RolloutOutcome.DONE, (every, world.rollout.reason)
+            assert {p.instance for p in world.routers.values()} == {2}, "each changed once"
 
     def test_a_snapshot_that_cannot_be_used_says_why(self) -> None:
         world = SimulatedFleet(make_plan(2, 3), 1, sound)
         good = to_snapshot(world.rollout)
         for change in ({"v": 9}, {"routers": {}}, {"outcome": "lost"}, {"bets": [[1]]}, {"stage": "x"}):
-            with self.assertRaises(SnapshotError):
+            with pytest.raises(SnapshotError):
                 restored(world.plan, {**good, **change})
 
     def test_a_snapshot_error_names_the_key(self) -> None:
@@ -310,9 +305,9 @@
             (without_stage, "stage", "KeyError: 'stage'"),
             ({**good, "outcome": "lost"}, "", "ValueError: 'lost' is not a valid RolloutOutcome"),
         ):
-            with self.assertRaises(SnapshotError) as raised:
+            with pytest.raises(SnapshotError) as raised:
                 restored(world.plan, raw)
-            self.assertEqual((raised.exception.key, str(raised.exception)), (key, text))
+            assert (raised.value.key, str(raised.value)) == (key, text)
 
     def test_silent_routers_hold_it_and_are_never_good(self) -> None:
         world = self.world(sound)
@@ -320,10 +315,10 @@
             p.silent_until_ns = (1_050 + 100) * S if n < 5 else 0
         while world.now < 1_045 * S:
             world.run_second()
-        self.assertEqual(world.rollout.outcome, RolloutOutcome.HELD)
-        self.assertIn("do not answer", world.rollout.reason)
+        assert world.rollout.outcome == RolloutOutcome.HELD
+        assert "do not answer" in world.rollout.reason
         world.run(200, {150: OperatorCommand.RESUME})
-        self.assertEqual(world.run(), RolloutOutcome.DONE, world.rollout.reason)
+        assert world.run() == RolloutOutcome.DONE, world.rollout.reason
 
     def test_a_hold_for_silence_ends_once_the_routers_answer(self) -> None:
         """Nobody has to say so; a hold that people ordered meanwhile stays."""
@@ -334,7 +329,7 @@
                     p.silent_until_ns = 1_150 * S if n < 5 else 0
                 while world.now < 1_045 * S:
                     world.run_second()
-                self.assertEqual(world.rollout.outcome, RolloutOutcome.HELD)
+                assert world.rollout.outcome == RolloutOutcome.HELD
                 world.rollout = restored(
                     world.plan, to_snapshot(world.rollout)
                 )  # the cause outlives the process
@@ -343,10 +338,10 @@
                     world.deliver(OperatorCommand.HOLD)
                 while world.now < 1_150 * S:
                     world.run_second()
-                    self.assertEqual(world.rollout.outcome, RolloutOutcome.HELD)
-                self.assertEqual(sum(note.name == "begun" for note in world.history), begun)
+                    assert world.rollout.outcome == RolloutOutcome.HELD
+                assert sum(note.name == "begun" for note in world.history) == begun
                 due = RolloutOutcome.HELD if ordered else RolloutOutcome.DONE
-                self.assertEqual(world.run(4_000, {10_000: OperatorCommand.HOLD}), due, world.rollout.reason)
+                assert world.run(4000, {10000: OperatorCommand.HOLD}) == due, world.rollout.reason
 
     def test_a_pause_of_the_controller_is_no_silence_of_the_routers(self) -> None:
         """It stands still for 20 s at any step of a change, longer than a step may take: nothing is
@@ -358,8 +353,8 @@
             if pauses < 20 and world.now % (7 * S) == 0:
                 pauses += 1
                 world.now += 20 * S
-        self.assertEqual((world.rollout.outcome, pauses), (RolloutOutcome.DONE, 20), world.rollout.reason)
-        self.assertNotIn("held", [note.name for note in world.history])
+        assert (world.rollout.outcome, pauses) == (RolloutOutcome.DONE, 20), world.rollout.reason
+        assert "held" not in [note.name for note in world.history]
 
     def test_one_that_dies_in_its_change_is_taken_back(self) -> None:
         """Nothing answers there, so it never said that it was out of service, and the taking back hung."""
@@ -370,10 +365,10 @@
                 p.alive = build != "beef"
 
         world = Dying(make_plan(3, 4), 1, sound)
-        self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK, world.rollout.reason)
-        self.assertIn("not-ready", [n.name for n in world.history])
-        self.assertEqual(len(world.changed_routers), 1)
-        self.assertEqual({(p.build, p.alive) for p in world.routers.values()}, {("old", True)})
+        assert world.run() == RolloutOutcome.ROLLED_BACK, world.rollout.reason
+        assert "not-ready" in [n.name for n in world.history]
+        assert len(world.changed_routers) == 1
+        assert {(p.build, p.alive) for p in world.routers.values()} == {("old", True)}
 
     def test_one_that_dies_once_it_was_ready_holds_it(self) -> None:
         """It was neither judged nor missed: the stage waited for it for good."""
@@ -386,39 +381,36 @@
                         p.alive = False
 
         world = Dying(make_plan(3, 4), 1, sound)
-        self.assertEqual(world.run(300), RolloutOutcome.HELD)
-        self.assertIn("n0-0 has not answered since its change", world.rollout.reason)
+        assert world.run(300) == RolloutOutcome.HELD
+        assert "n0-0 has not answered since its change" in world.rollout.reason
         world.deliver(OperatorCommand.REVERT)
-        self.assertEqual(world.run(), RolloutOutcome.ROLLED_BACK)
-        self.assertEqual({(p.build, p.alive) for p in world.routers.values()}, {("old", True)})
+        assert world.run() == RolloutOutcome.ROLLED_BACK
+        assert {(p.build, p.alive) for p in world.routers.values()} == {("old", True)}
 
     def test_lost_orders_hold_and_change_nobody_twice(self) -> None:
         for seed in range(4):
             world = self.world(sound, seed)
             world.lost_command_share = 0.2
             world.run(3_000)
-            self.assertIn(
-                world.rollout.outcome,
-                (
-                    RolloutOutcome.HELD,
-                    RolloutOutcome.DONE,
-                    RolloutOutcome.ROLLED_BACK,
-                    RolloutOutcome.ROLLING_BACK,
-                ),
+            assert world.rollout.outcome in (
+                RolloutOutcome.HELD,
+                RolloutOutcome.DONE,
+                RolloutOutcome.ROLLED_BACK,
+                RolloutOutcome.ROLLING_BACK,
             )
             starts = {p.name: p.instance for p in world.routers.values()}
-            self.assertLessEqual(max(starts.values()), 3, "changed once, and taken back once at most")
-            self.assertLessEqual(world.max_unavailable[""], 4, "three, and one whose order to go in was lost")
+            assert max(starts.values()) <= 3, "changed once, and taken back once at most"
+            assert world.max_unavailable[""] <= 4, "three, and one whose order to go in was lost"
 
     def test_people_hold_resume_and_revert(self) -> None:
         world = self.world(sound)
-        self.assertEqual(
+        assert (
             world.run(
-                2_000, {60: OperatorCommand.HOLD, 90: OperatorCommand.RESUME, 200: OperatorCommand.REVERT}
-            ),
-            RolloutOutcome.ROLLED_BACK,
+                2000, {60: OperatorCommand.HOLD, 90: OperatorCommand.RESUME, 200: OperatorCommand.REVERT}
+            )
+            == RolloutOutcome.ROLLED_BACK
         )
-        self.assertEqual({p.build for p in world.routers.values()}, {"old"})
+        assert {p.build for p in world.routers.values()} == {"old"}
 
     def test_contradictions_and_strangers_are_named_and_not_used(self) -> None:
         rollout = Rollout(make_plan(1, 4), 0)
@@ -429,10 +421,10 @@
         effects = rollout.handle(
             2 * S, RouterReport("n0-0", "i", digests, True, True, 0, {"x": RequestSample(40, 40.0, 40.0)})
         )
-        self.assertIn("contradiction", [getattr(e, "name", "") for e in effects])
+        assert "contradiction" in [getattr(e, "name", "") for e in effects]
         rollout.handle(3 * S, RouterReport("who", "i", digests, True, True))
-        self.assertEqual(rollout.routers["n0-0"].last_report_ns, S)
-        self.assertNotIn("who", rollout.routers)
+        assert rollout.routers["n0-0"].last_report_ns == S
+        assert "who" not in rollout.routers
 
     @settings(max_examples=12, deadline=None, derandomize=True)
     @given(
@@ -483,30 +475,30 @@
                 for x in phases
             )
             if world.rollout.outcome is not RolloutOutcome.ROLLING_BACK:
-                self.assertLessEqual(under_way, 3)
+                assert under_way <= 3
             if before in (RolloutOutcome.DONE, RolloutOutcome.ROLLED_BACK):
-                self.assertIs(world.rollout.outcome, before)
+                assert world.rollout.outcome is before
             if world.rollout.outcome is RolloutOutcome.DONE:
-                self.assertEqual(set(phases), {Phase.ACCEPTED})
+                assert set(phases) == {Phase.ACCEPTED}
 
 
 class Command(unittest.TestCase):
     def test_plan_is_a_dry_run_that_names_everything(self) -> None:
         path = str(ROOT / "examples/rollout.kdl")
         told = CliRunner().invoke(main, ["rollout", "plan", path])
-        self.assertEqual(told.exit_code, 0, told.output)
-        self.assertIn("stage 'one': n4; 120s to 1200s", told.output)
-        self.assertIn("no old router left to compare with in edge-1, edge-2", told.output)
+        assert told.exit_code == 0, told.output
+        assert "stage 'one': n4; 120s to 1200s" in told.output
+        assert "no old router left to compare with in edge-1, edge-2" in told.output
         said = json.loads(CliRunner().invoke(main, ["rollout", "plan", path, "--format", "json"]).output)
-        self.assertEqual([s["routers"] for s in said["stages"]], [["n4"], ["n1", "n5"], ["n2", "n6", "n3"]])
-        self.assertEqual(said["worst_share_out"], {"edge-1": 0.333, "edge-2": 0.333})
-        self.assertLess(said["shortest_s"], said["longest_s"])
+        assert [s["routers"] for s in said["stages"]] == [["n4"], ["n1", "n5"], ["n2", "n6", "n3"]]
+        assert said["worst_share_out"] == {"edge-1": 0.333, "edge-2": 0.333}
+        assert said["shortest_s"] < said["longest_s"]
 
     def test_faults_and_wrong_use(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "bad.kdl"
             path.write_text(GOOD.replace("per-zone=1", "per-zone=2"))
             told = CliRunner().invoke(main, ["rollout", "plan", str(path)])
-            self.assertEqual(told.exit_code, 1)
-            self.assertIn("zone-out", told.output)
-        self.assertEqual(CliRunner().invoke(main, ["rollout", "plan", "/nowhere"]).exit_code, 2)
+            assert told.exit_code == 1
+            assert "zone-out" in told.output
+        assert CliRunner().invoke(main, ["rollout", "plan", "/nowhere"]).exit_code == 2
--- a/tests/test_rollout_faults.py
+++ b/tests/rollout/test_rollout_faults.py
@@ -1,12 +1,13 @@
 """Rollouts over real processes with faults between them, and defective builds that must be stopped.
 
-The quick ones run with all tests; `pytest -m long tests/test_rollout_faults.py` runs the rest."""
+The quick ones run with all tests; `pytest -m long tests/rollout/test_rollout_faults.py` runs the rest."""
 
 from __future__ import annotations
 
 import copy
 import json
 import os
+import re
 import signal
 import threading
 import time
@@ -15,12 +16,12 @@
 from typing import Any
 
 import pytest
-from test_rollout_field import Controller, Rollouts
 
 from kelpcroft.store.identity import settings_digest
 from testbed.field import ClientLoad, LinkMode, Relay, RouterField
 from testbed.field.field import RouterNode
 from testbed.stand_ins import ROOT
+from tests.support.rollout_field import Controller, Rollouts
 
 
 class Base(Rollouts):
@@ -32,14 +33,14 @@
         """A defective change: said to be ``due``, at so many routers at the most, and taken back."""
         controller = self.controller(plan)
         with ClientLoad(field, per_s, orders) as load:
-            self.assertEqual(self.finish(controller.start(), controller), 1, controller.said())
-        self.assertIn(due, controller.said())
+            assert self.finish(controller.start(), controller) == 1, controller.said()
+        assert due in controller.said()
         touched = [name for name, node in field.nodes.items() if "new" in node.started_builds]
-        self.assertLessEqual(len(touched), most, controller.said())
-        self.assertEqual({node.started_builds[-1] for node in field.nodes.values()}, {"old"})
+        assert len(touched) <= most, controller.said()
+        assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
         for node in field.nodes.values():
             assert node.process is not None
-            self.assertIsNone(node.process.poll(), f"{node.name} does not run")
+            assert node.process.poll() is None, f"{node.name} does not run"
         return load
 
 
@@ -71,12 +72,12 @@
         plan = field.rollout_plan(digest).replace("at-once=2", "at-once=3")
         controller = self.controller(plan)
         with ClientLoad(field, per_s=15.0) as load:
-            self.assertEqual(self.finish(controller.start(), controller), 0, controller.said())
-        self.assertEqual(events[0], 12)
-        self.assertEqual({tuple(n.started_builds) for n in field.nodes.values()}, {("old", "new")})
-        self.assertEqual(field.check_contract(load, cut=True).violations, [])
-        self.assertEqual(load.counts["lost"], 0, load.counts)
-        self.assertGreater(load.counts["served"], 2_000, load.counts)
+            assert self.finish(controller.start(), controller) == 0, controller.said()
+        assert events[0] == 12
+        assert {tuple(n.started_builds) for n in field.nodes.values()} == {("old", "new")}
+        assert field.check_contract(load, cut=True).violations == []
+        assert load.counts["lost"] == 0, load.counts
+        assert load.counts["served"] > 2000, load.counts
 
     @pytest.mark.long
     def test_a_settings_file_that_harms_and_one_that_is_broken(self) -> None:
@@ -111,7 +112,7 @@
         digest = settings_digest(harmful(node.config)["settings"])
         plan = field.rollout_plan(digest, what='settings digest="{}"').replace('ready="15s"', 'ready="4s"')
         load = self.stopped(field, plan, due)
-        self.assertGreater(load.counts["served"], 300)
+        assert load.counts["served"] > 300
 
     def test_a_build_that_leaks(self) -> None:
         field, digest = self.field("leaks", 1, 3)
@@ -122,9 +123,9 @@
     def test_upgrades_on_inherited_sockets(self) -> None:
         """Old and new side by side on each socket: no request is lost and no rule is broken."""
         field, load = self.upgraded("sound")
-        self.assertEqual({tuple(n.started_builds) for n in field.nodes.values()}, {("old", "new")})
-        self.assertEqual((load.counts["lost"], field.check_contract(load).violations), (0, []), load.counts)
-        self.assertGreater(load.counts["served"], 300, load.counts)
+        assert {tuple(n.started_builds) for n in field.nodes.values()} == {("old", "new")}
+        assert (load.counts["lost"], field.check_contract(load).violations) == (0, []), load.counts
+        assert load.counts["served"] > 300, load.counts
 
     def upgraded(self, defect: str, due: int = 0, **strikes: Any) -> tuple[RouterField, ClientLoad]:
         """A rollout by upgrades, struck at a step of the first: its field and load, once it has ended so."""
@@ -143,9 +144,9 @@
         plan = field.rollout_plan(digest).replace('ready="15s"', 'ready="6s"')
         controller = self.controller(plan)
         with ClientLoad(field) as load:
-            self.assertEqual(self.finish(controller.start(), controller), due, controller.said())
-        self.assertEqual(len(struck), len(strikes))
-        self.assertEqual({n.started_builds[-1] for n in field.nodes.values()}, {"old" if due else "new"})
+            assert self.finish(controller.start(), controller) == due, controller.said()
+        assert len(struck) == len(strikes)
+        assert {n.started_builds[-1] for n in field.nodes.values()} == {"old" if due else "new"}
         return field, load
 
     def test_a_controller_that_is_stopped_and_woken_holds_nothing(self) -> None:
@@ -164,9 +165,9 @@
 
         field.on_order["apply"] = pause
         with ClientLoad(field):
-            self.assertEqual(self.finish(controller.start(), controller), 0, controller.said())
-        self.assertEqual(len(stopped), 3)
-        self.assertNotIn("held", [row["name"] for row in controller.history()], controller.said())
+            assert self.finish(controller.start(), controller) == 0, controller.said()
+        assert len(stopped) == 3
+        assert "held" not in [row["name"] for row in controller.history()], controller.said()
 
     @pytest.mark.long
     def test_an_old_one_killed_between_the_new_ones_yes_and_its_end(self) -> None:
@@ -176,8 +177,8 @@
             with self.subTest(step=step):
                 self.setUp()
                 field, load = self.upgraded("sound", **{step: lambda _, old, new: (old.kill(), old.wait())})
-                self.assertEqual(field.check_contract(load, killed=True).violations, [])
-                self.assertLess(load.counts["lost"], 10, load.counts)
+                assert field.check_contract(load, killed=True).violations == []
+                assert load.counts["lost"] < 10, load.counts
 
     @pytest.mark.long
     def test_a_new_one_killed_as_soon_as_the_old_one_has_gone(self) -> None:
@@ -201,14 +202,14 @@
             while "held" not in controller.verb("status", *store) and time.monotonic() < until:
                 time.sleep(0.2)
             # Cold when it died, or warm already: then the stage's most time ends it.
-            self.assertRegex(controller.verb("status", *store), "has not answered|not enough evidence")
+            assert re.search("has not answered|not enough evidence", controller.verb("status", *store))
             controller.verb("revert", *store)
-            self.assertEqual(self.finish(process, controller), 1, controller.said())
-        self.assertEqual(sum("new" in n.started_builds for n in field.nodes.values()), 1)
-        self.assertEqual({n.started_builds[-1] for n in field.nodes.values()}, {"old"})
+            assert self.finish(process, controller) == 1, controller.said()
+        assert sum("new" in n.started_builds for n in field.nodes.values()) == 1
+        assert {n.started_builds[-1] for n in field.nodes.values()} == {"old"}
         # Who connected while nobody served the socket has no answer; every other rule holds.
         found = field.check_contract(load, killed=True).violations
-        self.assertEqual([x for x in found if not x.startswith("answered")], [])
+        assert [x for x in found if not x.startswith("answered")] == []
 
     @pytest.mark.long
     def test_a_router_killed_in_the_middle_of_sighup(self) -> None:
@@ -237,9 +238,9 @@
         controller = self.controller(field.rollout_plan(digest, what='settings digest="{}"'))
         with ClientLoad(field) as load:
             code = self.finish(controller.start(), controller)
-        self.assertEqual(code, 0, controller.said() + "".join(n.log()[-900:] for n in field.nodes.values()))
-        self.assertEqual(len(killed), 1)
-        self.assertEqual(field.check_contract(load, killed=True).violations, [])
+        assert code == 0, controller.said() + "".join(n.log()[-900:] for n in field.nodes.values())
+        assert len(killed) == 1
+        assert field.check_contract(load, killed=True).violations == []
 
     @pytest.mark.long
     def test_local_processes_of_one_machine(self) -> None:
@@ -256,11 +257,11 @@
         self.addCleanup(self.end_all, field)
         controller = self.controller(plan)
         with ClientLoad(field) as load:
-            self.assertEqual(self.finish(controller.start(), controller), 0, controller.said())
+            assert self.finish(controller.start(), controller) == 0, controller.said()
         told = [self.state(node) for node in field.nodes.values()]
-        self.assertEqual([t["build"] for t in told], [digest] * 4)
-        self.assertEqual(load.counts["lost"], 0, load.counts)
-        self.assertEqual(field.check_contract(load).violations, [])
+        assert [t["build"] for t in told] == [digest] * 4
+        assert load.counts["lost"] == 0, load.counts
+        assert field.check_contract(load).violations == []
 
     def state(self, node: RouterNode) -> dict[str, Any]:
         url = f"http://{node.control_address[0]}:{node.control_address[1]}/control/state"
@@ -294,10 +295,10 @@
 
         field.on_order["apply"] = kill_first
         with ClientLoad(field) as load:
-            self.assertEqual(self.finish(controller.start(), controller), 0, controller.said())
-        self.assertEqual(len(killed), 1)
-        self.assertEqual({n.started_builds[-1] for n in field.nodes.values()}, {"new"})
-        self.assertEqual(field.check_contract(load, killed=True).violations, [])
+            assert self.finish(controller.start(), controller) == 0, controller.said()
+        assert len(killed) == 1
+        assert {n.started_builds[-1] for n in field.nodes.values()} == {"new"}
+        assert field.check_contract(load, killed=True).violations == []
 
 
 @pytest.mark.long
@@ -371,13 +372,13 @@
         with ClientLoad(field):
             process = controller.start()
             self.until(lambda: "held" in controller.verb("status", *store), controller)
-            self.assertIn("do not answer: z0-1, z1-1", controller.verb("status", *store))
+            assert "do not answer: z0-1, z1-1" in controller.verb("status", *store)
             held = len(field.orders)
             time.sleep(3)
-            self.assertEqual(len(field.orders), held)
+            assert len(field.orders) == held
             a.change(LinkMode.PASS)
             b.change(LinkMode.PASS)
-            self.assertEqual(self.finish(process, controller), 0, controller.said())
+            assert self.finish(process, controller) == 0, controller.said()
 
     def test_a_controller_that_is_stopped_for_thirty_seconds(self) -> None:
         """Another takes over after the lease; the first wakes up and may do nothing more."""
@@ -391,9 +392,9 @@
             second = controller.start()
             time.sleep(14)
             first.send_signal(signal.SIGCONT)
-            self.assertEqual(self.finish(first, controller), 2, controller.said())
-            self.assertEqual(self.finish(second, controller), 0, controller.said())
-        self.assertEqual({tuple(n.started_builds) for n in field.nodes.values()}, {("old", "new")})
+            assert self.finish(first, controller) == 2, controller.said()
+            assert self.finish(second, controller) == 0, controller.said()
+        assert {tuple(n.started_builds) for n in field.nodes.values()} == {("old", "new")}
 
     def until(self, found: Any, controller: Controller) -> None:
         for _ in range(300):
--- /dev/null
+++ b/tests/rollout/test_rollout_field.py
@@ -0,0 +1,95 @@
+"""A rollout over real processes: routers of two zones under load, a controller of its own, and faults that
+fire on events."""
+
+from __future__ import annotations
+
+import signal
+import time
+from collections import Counter
+
+from testbed.field import ClientLoad, Relay
+from testbed.field.relay import LinkMode
+from tests.support.rollout_field import Rollouts
+
+
+class OnAField(Rollouts):
+    def test_a_sound_change_with_a_controller_that_is_killed_twice(self) -> None:
+        """Killed when the third router is being changed, and again when the fifth is: each router is changed
+        once, no request is lost, and the history has every decision."""
+        field, digest = self.field("sound")
+        controller = self.controller(field.rollout_plan(digest))
+        killed: list[int] = []
+
+        def kill(node: object) -> None:
+            applied = sum(verb == "apply" for verb, _ in field.orders)
+            if applied in (3, 5) and applied not in killed:
+                killed.append(applied)
+                controller.processes[-1].send_signal(signal.SIGKILL)
+
+        field.on_order["apply"] = kill
+        with ClientLoad(field) as load:
+            code = -signal.SIGKILL
+            while code == -signal.SIGKILL and len(controller.processes) < 4:
+                code = self.finish(controller.start(), controller)
+                if code == 2 and "led by another" in controller.said():
+                    time.sleep(1)  # the lease of the killed one has not ended
+                    code = -signal.SIGKILL
+                    controller.processes.pop()
+        assert code == 0, controller.said()
+        assert killed == [3, 5]
+        assert {n: node.started_builds for n, node in field.nodes.items()} == dict.fromkeys(
+            field.nodes, ["old", "new"]
+        )
+        assert load.counts["lost"] == 0, load.counts
+        assert load.counts["served"] > 1000
+        names = Counter(row["name"] for row in controller.history())
+        assert (names["begun"], names["stage-good"], names["done"], names["resumed"]) == (6, 3, 1, 2)
+
+    def test_a_build_that_refuses_is_taken_back_after_one_router(self) -> None:
+        field, digest = self.field("refuses")
+        controller = self.controller(field.rollout_plan(digest))
+        with ClientLoad(field) as load:
+            assert self.finish(controller.start(), controller) == 1, controller.said()
+        touched = [name for name, node in field.nodes.items() if "new" in node.started_builds]
+        assert len(touched) == 1
+        assert field.nodes[touched[0]].started_builds == ["old", "new", "old"]
+        assert "does worse in zone" in controller.said()
+        assert "the harm is gone" in controller.said()
+        assert load.counts["lost"] == 0, load.counts
+        worse = next(row for row in controller.history() if row["name"] == "worse")
+        assert any(x["verdict"] == "worse" and x["mean"] > 0.1 for x in worse["figures"].values())
+
+    def test_signs_that_need_no_statistics_and_links_that_lie(self) -> None:
+        """A build that is never ready is taken back; the link to another router answers garbage meanwhile,
+        which is never taken for good or bad."""
+        field, digest = self.field("never-ready")
+        with Relay(field.nodes["z1-2"].control_address) as relay:
+            plan = field.rollout_plan(digest, control={"z1-2": relay.address}).replace(
+                'ready="15s"', 'ready="4s"'
+            )
+            controller = self.controller(plan)
+            field.on_order["apply"] = lambda node: relay.change(LinkMode.GARBAGE)
+            assert self.finish(controller.start(), controller) == 1, controller.said()
+        assert "not-ready" in controller.said()
+        assert sum("new" in node.started_builds for node in field.nodes.values()) == 1
+        assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
+
+    def test_two_controllers_and_people(self) -> None:
+        """The second cannot lead; hold, status and revert do what they say."""
+        field, digest = self.field("sound", zones=1, each=3)
+        controller = self.controller(field.rollout_plan(digest).replace('least="3s"', 'least="20s"'))
+        first = controller.start()
+        store = ["--store", str(self.folder / "store.db")]
+        while not any(row["name"] == "begun" for row in controller.history()):
+            assert first.poll() is None, controller.said()
+            time.sleep(0.2)
+        second = controller.start()
+        assert self.finish(second, controller) == 2
+        assert "led by another controller" in controller.said()
+        assert "said to run 1" in controller.verb("hold", *store)
+        while "held" not in controller.verb("status", *store):
+            time.sleep(0.2)
+        controller.verb("revert", *store)
+        assert self.finish(first, controller) == 1
+        assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
+        assert "is over" in controller.verb("hold", *store)
--- a/tests/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -8,8 +8,6 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from player import EXAMPLE
-from test_operator_properties import matches, ranges
 
 from kelpcroft.config import parse_config
 from kelpcroft.operator_file import check, load
@@ -21,6 +19,8 @@
 from kelpcroft.routes.budget import RetryBudget
 from kelpcroft.routes.index import RouteIndex, in_any_range
 from kelpcroft.routes.sketch import BUCKET_GROWTH, HALF_LIFE_NS, MAX_LATENCY_NS, LatencySketch
+from tests.support.exchange_player import EXAMPLE
+from tests.support.route_strategies import matches, ranges
 
 MS, S = 10**6, 10**9
 CLASSES = {c.name: c for c in parse_config(EXAMPLE, {}).settings.classes}
@@ -63,7 +63,7 @@
         index = RouteIndex([Route(str(n), m, RoutePolicy()) for n, m in enumerate(found)], "edge-1")
         for one in many:
             due = next((n for n, m in enumerate(found) if takes(m, *one)), -1)
-            self.assertEqual(index.find(CLASSES[one[0]], *one[1:]), due, one)
+            assert index.find(CLASSES[one[0]], *one[1:]) == due, one
 
     @settings(max_examples=80, deadline=None, derandomize=True)
     @given(routes, st.lists(asked, min_size=1, max_size=12))
@@ -78,17 +78,17 @@
         for one in many:
             at = index.find(CLASSES[one[0]], *one[1:])
             if at >= 0:
-                self.assertIn(one[0], reachable[at])
+                assert one[0] in reachable[at]
             else:
-                self.assertIn(one[0], cover.uncovered())
+                assert one[0] in cover.uncovered()
 
     def test_zones_of_others_are_passed_over(self) -> None:
         rows = [
             Route("a", RouteMatch(zones=("hub",)), RoutePolicy()),
             Route("b", RouteMatch(), RoutePolicy()),
         ]
-        self.assertEqual(RouteIndex(rows, "edge-1").find(PAGE, "0" * 16, 0, 0, False, False), 1)
-        self.assertEqual(RouteIndex(rows, "hub").find(PAGE, "0" * 16, 0, 0, False, False), 0)
+        assert RouteIndex(rows, "edge-1").find(PAGE, "0" * 16, 0, 0, False, False) == 1
+        assert RouteIndex(rows, "hub").find(PAGE, "0" * 16, 0, 0, False, False) == 0
 
 
 class Budgets(unittest.TestCase):
@@ -112,9 +112,9 @@
                 earned += 1
             else:
                 had = budget.can_spend(now)
-                self.assertEqual(budget.spend(now), had)
-            self.assertTrue(0 <= budget.tokens <= burst)
-            self.assertLessEqual(budget.spent, burst + ratio * earned + least * latest / S + 1e-6)
+                assert budget.spend(now) == had
+            assert 0 <= budget.tokens <= burst
+            assert budget.spent <= burst + ratio * earned + least * latest / S + 1e-06
 
     def test_a_name_that_stays_keeps_what_it_has(self) -> None:
         text = 'kelpcroft version=1\nbudget "b" ratio=0 burst={}\nroute "r" {{ match; attempts budget="b"; }}'
@@ -123,17 +123,17 @@
         grant = table.admit(0, PAGE, "0" * 16, 0, 0, False, False, S, 0)
         assert grant
         for _ in range(8):
-            self.assertTrue(grant.spend_retry(0))
+            assert grant.spend_retry(0)
         table.replace(new, 0)
         later = table.admit(0, PAGE, "0" * 16, 0, 0, False, False, S, 0)
         assert later
-        self.assertEqual(
-            [later.spend_retry(0) for _ in range(3)], [True, True, False], "two were left, and burst is 4"
+        assert [later.spend_retry(0) for _ in range(3)] == [True, True, False], (
+            "two were left, and burst is 4"
         )
-        self.assertEqual(table.routes[0].open_requests, 2)
+        assert table.routes[0].open_requests == 2
         grant.release()
         later.release()
-        self.assertEqual(table.routes[0].open_requests, 0, "the lane outlives the file")
+        assert table.routes[0].open_requests == 0, "the lane outlives the file"
 
 
 class Quantiles(unittest.TestCase):
@@ -145,7 +145,7 @@
                 sketch.record(0, value)
             for share in (0.5, 0.9, 0.95, 0.99):
                 exact = samples[int(share * len(samples))]
-                self.assertLess(abs(sketch.quantile(0, share) / exact - 1), BUCKET_GROWTH - 1 + 0.02)
+                assert abs(sketch.quantile(0, share) / exact - 1) < BUCKET_GROWTH - 1 + 0.02
 
     def test_old_samples_fade(self) -> None:
         sketch = LatencySketch(0)
@@ -154,20 +154,20 @@
         now = 6 * HALF_LIFE_NS
         for _ in range(200):
             sketch.record(now, 800 * MS)
-        self.assertGreater(sketch.quantile(now, 0.5), 700 * MS)
+        assert sketch.quantile(now, 0.5) > 700 * MS
         year = 365 * 86_400 * S
         for _ in range(100):
             sketch.record(year, 20 * MS)  # weights are brought back to size; nothing overflows
-        self.assertLess(sketch.quantile(year, 0.95), 25 * MS)
+        assert sketch.quantile(year, 0.95) < 25 * MS
 
     def test_few_samples_tell_nothing(self) -> None:
         sketch = LatencySketch(0)
         for _ in range(19):
             sketch.record(0, 50 * MS)
-        self.assertEqual(sketch.quantile(0, 0.95), 0)
+        assert sketch.quantile(0, 0.95) == 0
         for _ in range(100):
             sketch.record(0, 10**15)
-        self.assertEqual(sketch.quantile(S, 0.95) > MAX_LATENCY_NS // 2, True)
+        assert sketch.quantile(S, 0.95) > MAX_LATENCY_NS // 2
 
     def test_what_is_cut_off_does_not_pull_its_own_limit_down(self) -> None:
         """Only answers in time were counted: a p95 that ends attempts fell with each that it ended."""
@@ -183,8 +183,8 @@
             cut += n >= 2_000 and took > limit
             grant.record_latency(now, min(took, limit))
             grant.release()
-        self.assertLess(cut / 2_000, 0.10, "about a twentieth is cut off, not more and more")
-        self.assertGreater(cut / 2_000, 0.01)
+        assert cut / 2000 < 0.1, "about a twentieth is cut off, not more and more"
+        assert cut / 2000 > 0.01
 
 
 class Rest(unittest.TestCase):
@@ -200,12 +200,8 @@
             assert grant
             return grant.answer_timeout_ns // MS
 
-        self.assertEqual(
-            [wait("page", 3_000, 0), wait("page", 2_700, 300), wait("page", 900, 300)], [2_000, 1_700, 900]
-        )
-        self.assertEqual(
-            [wait("order", 3_000, 0), wait("order", 2_700, 300), wait("order", 100, 2_900)], [1_500, 1_200, 0]
-        )
+        assert [wait("page", 3000, 0), wait("page", 2700, 300), wait("page", 900, 300)] == [2000, 1700, 900]
+        assert [wait("order", 3000, 0), wait("order", 2700, 300), wait("order", 100, 2900)] == [1500, 1200, 0]
 
     def test_diff_names_what_changes_and_nothing_else(self) -> None:
         base = (
@@ -216,17 +212,17 @@
             load(t.encode())[0]
             for t in (base, base.replace('"tails"', '"ends"'), base.replace("8..", "8..11"))
         )
-        self.assertEqual(list(differences(old, same, "edge-1", [PAGE])), [])
+        assert list(differences(old, same, "edge-1", [PAGE])) == []
         (change,) = differences(old, new, "edge-1", [PAGE])
-        self.assertEqual((change.where, change.old, change.new), ('part="12..9999"', "tails", "rest"))
-        self.assertEqual(list(differences(old, OperatorFile(), "edge-1", [PAGE]))[0].new, "")
+        assert (change.where, change.old, change.new) == ('part="12..9999"', "tails", "rest")
+        assert list(differences(old, OperatorFile(), "edge-1", [PAGE]))[0].new == ""
 
     def test_a_file_is_held_against_the_deployment_it_meets(self) -> None:
         here = parse_config(EXAMPLE, {}).settings
         file = load(b'kelpcroft version=1\nroute "r" { match; attempts most=1; moves most=3; }\n')[0]
-        self.assertEqual(check(file, here), [])
+        assert check(file, here) == []
         strict = replace(here, limits=replace(here.limits, max_attempts=3))
-        self.assertEqual([f.code for f in check(file, strict)], ["moves-over-deployment"])
+        assert [f.code for f in check(file, strict)] == ["moves-over-deployment"]
 
 
 if __name__ == "__main__":
--- a/tests/test_routes_rules.py
+++ b/tests/routes/test_routes_rules.py
@@ -67,24 +67,22 @@
     def hold(self, story: RequestRecord, text: str) -> None:
         """One request against what its route declares."""
         said = declared(text, story.request.request_class)
-        self.assertEqual(len(story.final_effects), 1, "one final answer")
+        assert len(story.final_effects) == 1, "one final answer"
         end, final = story.final_effects[0]
         until = story.arrives_ns + min(said["wait"], story.request.remaining_time_ns)
-        self.assertLessEqual(end, until)
+        assert end <= until
         times = [sent.sent_ns for sent in story.attempts]
-        self.assertTrue(all(at < until for at in times), "never a send after the wait")
-        self.assertTrue(all(at <= end for at in times), "never a send after the answer")
-        self.assertLessEqual(len(times), min(6, said["attempts"] + said["moves"] + said["copies"]))
+        assert all(at < until for at in times), "never a send after the wait"
+        assert all(at <= end for at in times), "never a send after the answer"
+        assert len(times) <= min(6, said["attempts"] + said["moves"] + said["copies"])
         ran = [sent for sent in story.attempts if sent.fate not in FATES_NOT_EXECUTED]
-        self.assertLessEqual(len(ran), said["attempts"] + said["copies"])
+        assert len(ran) <= said["attempts"] + said["copies"]
         if story.request.request_class == "order":
-            self.assertLessEqual(len(ran), 1, "an order runs once")
+            assert len(ran) <= 1, "an order runs once"
             for before in ran:
-                self.assertFalse(
-                    any(at > before.sent_ns for at in times), "nothing is sent after it may have run"
-                )
+                assert not any(at > before.sent_ns for at in times), "nothing is sent after it may have run"
         if isinstance(final, effects.RejectRequest) and story.request.request_class == "page":
-            self.assertEqual(final.retry_after_ns, 70 * MS)
+            assert final.retry_after_ns == 70 * MS
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(files, fates, st.integers(0, 2**32), st.integers(2, 60), st.booleans())
@@ -107,18 +105,14 @@
         spent = routes.budgets["b"].spent
         burst = int(text.split("burst=")[1].split("\n")[0])
         pages = sum(story.request.request_class == "page" for story in stories)
-        self.assertLessEqual(
-            spent, burst + 0.1 * pages + (world.now - START) / S, "a budget is never overdrawn"
-        )
+        assert spent <= burst + 0.1 * pages + (world.now - START) / S, "a budget is never overdrawn"
         extra = sum(
             len([x for x in s.attempts if x.fate not in FATES_NOT_EXECUTED]) - 1
             for s in stories
             if s.attempts
         )
-        self.assertLessEqual(max(0, extra), spent)
-        self.assertEqual(
-            [lane.open_requests for lane in routes.routes], [0, 0], "what was open is given back"
-        )
+        assert max(0, extra) <= spent
+        assert [lane.open_requests for lane in routes.routes] == [0, 0], "what was open is given back"
 
     def test_one_seed_replays_to_the_byte(self) -> None:
         def play() -> list[object]:
@@ -127,7 +121,7 @@
             world.run()
             return [(s.attempts, s.final_effects) for s in stories]
 
-        self.assertEqual(play(), play())
+        assert play() == play()
 
     def test_open_requests_keep_the_bounds_they_came_with(self) -> None:
         world = VirtualRouter(file(1, 0, 0, 2_000, 0, 30, 5), 1, {"silent": 1})
@@ -137,7 +131,7 @@
         new = world.schedule_request(200 * MS, "page", 2_400)
         world.run()
         # An attempt's time-out is half of the wait in these files, and there is one attempt.
-        self.assertEqual([s.final_effects[0][0] - s.arrives_ns for s in (old, new)], [1_000 * MS, 300 * MS])
+        assert [s.final_effects[0][0] - s.arrives_ns for s in (old, new)] == [1000 * MS, 300 * MS]
 
     def test_a_limit_refuses_at_once_and_forgets(self) -> None:
         world = VirtualRouter(file(1, 0, 0, 1_000, 0, 3, 5), 1, {"silent": 1})
@@ -145,12 +139,12 @@
         later = world.schedule_request(1_500 * MS, "page", 2_400)
         world.run()
         for story in stories[3:]:
-            self.assertEqual(
-                story.final_effects[0],
-                (story.arrives_ns, effects.RejectRequest(story.request.client, 1, 70 * MS)),
+            assert story.final_effects[0] == (
+                story.arrives_ns,
+                effects.RejectRequest(story.request.client, 1, 70 * MS),
             )
-            self.assertEqual(story.attempts, [])
-        self.assertEqual([len(s.attempts) for s in (*stories[:3], later)], [1, 1, 1, 1])
+            assert story.attempts == []
+        assert [len(s.attempts) for s in (*stories[:3], later)] == [1, 1, 1, 1]
 
     def test_a_wait_that_outlasts_the_client_is_given_up_at_once(self) -> None:
         text = (
@@ -160,11 +154,11 @@
         world = VirtualRouter(text, 1, {"broke": 1}, slow_ns=MS)
         short, long = world.schedule_request(0, "page", 250), world.schedule_request(0, "page", 2_400, 3)
         world.run()
-        self.assertEqual(len(short.attempts), 1)
-        self.assertLess(short.final_effects[0][0] - short.arrives_ns, 100 * MS)
-        self.assertEqual(len(long.attempts), 2)
+        assert len(short.attempts) == 1
+        assert short.final_effects[0][0] - short.arrives_ns < 100 * MS
+        assert len(long.attempts) == 2
         gaps = [b.sent_ns - a.sent_ns for a, b in zip(long.attempts, long.attempts[1:], strict=False)]
-        self.assertTrue(all(gap >= 300 * MS for gap in gaps), gaps)
+        assert all(gap >= 300 * MS for gap in gaps), gaps
 
     def test_a_copy_goes_elsewhere_after_its_time_and_the_first_answer_counts(self) -> None:
         text = (
@@ -175,13 +169,13 @@
         story = world.schedule_request(0, "page", 2_000)
         world.run()
         first, second = story.attempts
-        self.assertNotEqual(first.server, second.server)
-        self.assertGreaterEqual(second.sent_ns - story.arrives_ns, 150 * MS)
-        self.assertLess(second.sent_ns - story.arrives_ns, 160 * MS)
+        assert first.server != second.server
+        assert second.sent_ns - story.arrives_ns >= 150 * MS
+        assert second.sent_ns - story.arrives_ns < 160 * MS
         world = VirtualRouter(text, 5, {"done": 1}, slow_ns=MS)
         story = world.schedule_request(0, "page", 2_000)
         world.run()
-        self.assertEqual(len(story.attempts), 1)
+        assert len(story.attempts) == 1
 
     def test_no_budget_no_second_attempt(self) -> None:
         text = (
@@ -194,10 +188,10 @@
             world.schedule_request(500 * MS, "page", 2_000, 3),
         )
         world.run()
-        self.assertEqual([len(one.attempts), len(two.attempts)], [2, 1])
+        assert [len(one.attempts), len(two.attempts)] == [2, 1]
         at, final = two.final_effects[0]
-        self.assertIsInstance(final, effects.RejectRequest)
-        self.assertLess(at - two.arrives_ns, 20 * MS, "denied is given up at once")
+        assert isinstance(final, effects.RejectRequest)
+        assert at - two.arrives_ns < 20 * MS, "denied is given up at once"
 
 
 if __name__ == "__main__":
--- a/tests/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -16,9 +16,6 @@
 from pathlib import Path
 
 import orjson
-from kit import MS, RULES, S, ask, fetches, policy, servers, settings
-from player import EXAMPLE
-from test_parts import NOW, only, router
 
 from kelpcroft.core import effects, inputs
 from kelpcroft.core.messages import TimerKind
@@ -27,6 +24,9 @@
 from kelpcroft.startup import RestartOverlap
 from testbed.router_process import RouterClient
 from testbed.stand_ins import MAX_WAIT_S, PROGRAM_DIR, SERVERS, StandInServers
+from tests.support.exchange_player import EXAMPLE
+from tests.support.policy_fixtures import MS, RULES, S, ask, fetches, policy, servers, settings
+from tests.support.reducer_fixtures import NOW, only, router
 
 COLD = 100 * S
 
@@ -34,39 +34,34 @@
 class Pure(unittest.TestCase):
     def test_alone_it_waits_for_one_span(self) -> None:
         b = RestartOverlap(settings(), shared=False)
-        self.assertEqual(b.start(COLD), 0.5)
+        assert b.start(COLD) == 0.5
         b.on_serving(COLD + MS)
         b.on_predecessor_ended(COLD + 2 * MS, COLD)
-        self.assertEqual(
-            (
-                b.budget_share(COLD + RULES.overload_collapse_ns - 1),
-                b.budget_share(COLD + RULES.overload_collapse_ns),
-            ),
-            (0.5, 1.0),
-        )
+        assert (
+            b.budget_share(COLD + RULES.overload_collapse_ns - 1),
+            b.budget_share(COLD + RULES.overload_collapse_ns),
+        ) == (0.5, 1.0)
 
     def test_beside_another_until_it_has_ended_or_must_have(self) -> None:
         b = RestartOverlap(settings(), shared=True)
         b.start(COLD)
         b.on_serving(COLD + 5 * S)
-        self.assertEqual(
-            b.budget_share(COLD + 17 * S), 0.5, "6 s, the longest deadline of 6 s and 0.7 s after yes"
-        )
-        self.assertEqual(b.budget_share(COLD + 18_700 * MS), 1.0)
+        assert b.budget_share(COLD + 17 * S) == 0.5, "6 s, the longest deadline of 6 s and 0.7 s after yes"
+        assert b.budget_share(COLD + 18700 * MS) == 1.0
         b.on_predecessor_ended(COLD + 9 * S, COLD + 8 * S)
-        self.assertEqual((b.budget_share(COLD + 9 * S - 1), b.budget_share(COLD + 9 * S)), (0.5, 1.0))
+        assert (b.budget_share(COLD + 9 * S - 1), b.budget_share(COLD + 9 * S)) == (0.5, 1.0)
         b.on_serving(COLD + 10 * S)
-        self.assertEqual(b.budget_share(COLD + 10 * S), 1.0, "it never goes back")
+        assert b.budget_share(COLD + 10 * S) == 1.0, "it never goes back"
 
     def test_an_end_in_the_future_counts_as_now(self) -> None:
         b = RestartOverlap(settings(), shared=True)
         b.start(COLD)
         b.on_predecessor_ended(COLD + S, COLD + 600 * S)
-        self.assertEqual(b.budget_share(COLD + 2 * S), 1.0)
+        assert b.budget_share(COLD + 2 * S) == 1.0
 
     def test_where_nothing_is_ever_cold_it_has_all(self) -> None:
         b = RestartOverlap(settings(cold_capacity_share=1.0, parent_cold_capacity_share=1.0), shared=False)
-        self.assertEqual(b.start(COLD), 1.0)
+        assert b.start(COLD) == 1.0
 
 
 def worst(two: list[RoutingPolicy], kb: float, every_ns: int) -> float:
@@ -105,38 +100,38 @@
         """Each spent 0.6 of its router's part: 1.2 together, where the router is alone in its zone."""
         for kb in (20.0, 100.0, 400.0, 1_500.0):
             with self.subTest(kb=kb):
-                self.assertGreater(worst(self.two(1.0, 1.0), kb, 3 * MS), 1.0, "the test can fail")
-                self.assertLessEqual(worst(self.two(1.0, 0.5), kb, 3 * MS), 1.0)
+                assert worst(self.two(1.0, 1.0), kb, 3 * MS) > 1.0, "the test can fail"
+                assert worst(self.two(1.0, 0.5), kb, 3 * MS) <= 1.0
 
     def test_the_new_one_sends_some(self) -> None:
         old, new = self.two(1.0, 0.5)
         worst([old, new], 100.0, 3 * MS)
-        self.assertGreater(new.endpoints["c0"].work_sent.total, 0)
+        assert new.endpoints["c0"].work_sent.total > 0
 
 
 class InTheReducer(unittest.TestCase):
     def test_the_module_hears_of_its_part_and_of_the_whole(self) -> None:
         r = router()
-        self.assertEqual(r.state.policy.router_share, 0.5)
+        assert r.state.policy.router_share == 0.5
         span = r.state.settings.rules.overload_collapse_ns
         r.handle(NOW + span, inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)))
-        self.assertEqual(r.state.policy.router_share, 1.0)
+        assert r.state.policy.router_share == 1.0
 
     def test_a_shared_one_looks_for_the_end_of_the_other(self) -> None:
         r = router()
         r.service_state.shares_listener = r.restart_overlap.is_shared = True
         effect_list = r.start(NOW)
-        self.assertTrue(only(effects.ReadPredecessorState, effect_list))
+        assert only(effects.ReadPredecessorState, effect_list)
         r.handle(NOW + S, inputs.PredecessorEnded(NOW - S))
         r.handle(NOW + 4 * S, inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)))
-        self.assertEqual(r.state.policy.router_share, 0.5, "that was the end of one before the one beside it")
+        assert r.state.policy.router_share == 0.5, "that was the end of one before the one beside it"
         r.handle(NOW + 5 * S, inputs.PredecessorEnded(NOW + 5 * S))
         effect_list = r.handle(
             NOW + 5 * S + r.state.settings.rules.overload_collapse_ns,
             inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)),
         )
-        self.assertEqual(r.state.policy.router_share, 1.0)
-        self.assertEqual(only(effects.ReadPredecessorState, effect_list), [])
+        assert r.state.policy.router_share == 1.0
+        assert only(effects.ReadPredecessorState, effect_list) == []
 
     def test_its_own_end_is_left_behind(self) -> None:
         r = router()
@@ -145,9 +140,7 @@
         effect_list = r.handle(NOW + 3 * S, inputs.TimerFired((TimerKind.SHUTDOWN, 2, 0)))
         (keep,) = only(effects.PersistServiceState, effect_list)
         assert isinstance(keep, effects.PersistServiceState)
-        self.assertEqual(
-            (keep.is_in_service, keep.ended_at_ns, keep.shutdown_began_ns), (True, NOW + 3 * S, NOW + S)
-        )
+        assert (keep.is_in_service, keep.ended_at_ns, keep.shutdown_began_ns) == (True, NOW + 3 * S, NOW + S)
 
 
 class Cold(StandInServers):
@@ -245,7 +238,7 @@
                 before = len(world.requests(server="cache1"))
                 time.sleep(3)
                 old.send_signal(signal.SIGTERM)
-                self.assertEqual(old.wait(MAX_WAIT_S), 0)
+                assert old.wait(MAX_WAIT_S) == 0
                 time.sleep(2.5)
             finally:
                 stop.set()
@@ -253,13 +246,13 @@
                     process.kill()
                     process.wait()
             pulls = [s.received_ns for s in world.requests(server="cache1")]
-            self.assertGreater(len(pulls), before, "the cold cache is used")
-            self.assertGreater(served[0], 200)
+            assert len(pulls) > before, "the cold cache is used"
+            assert served[0] > 200
             # 0.02 s of work each; 2.0 * 0.21 * 2 = 0.83 s of it in any second push it over.
             most = max(sum(at <= x < at + S for x in pulls) for at in pulls)
-            self.assertLessEqual(most, 41, "requests of 0.02 s in one second")
+            assert most <= 41, "requests of 0.02 s in one second"
             left = orjson.loads(next(folder.glob("kelpcroft-*.json")).read_bytes())
-            self.assertGreater(left["ended_ms"], 0)
+            assert left["ended_ms"] > 0
 
 
 if __name__ == "__main__":
--- a/tests/test_cold_start.py
+++ b/tests/startup/test_cold_start.py
@@ -67,28 +67,24 @@
         with ClientLoad(field, per_s=4.0) as load:
             last = world.change("cache-z0", "leaving")
             began, back = field.began_ns, world.feed_down_until_ns
-            self.assertTrue(until(lambda: informed(world, last) >= ALL), informed(world, last))
+            assert until(lambda: informed(world, last) >= ALL), informed(world, last)
             heard = time.monotonic_ns()
-            self.assertLess(heard - back, (1.5 * CYCLE_S + 6) * S, "all have the list")
+            assert heard - back < (1.5 * CYCLE_S + 6) * S, "all have the list"
             dead = calls(world, began, back)
-            self.assertLess(dead, ALL + 1.5 * CALLS * (back - began) / S, "while it was dead")
-            self.assertGreater(dead, ALL // 2, "they went on asking")
-            self.assertEqual(world.feed_crashes, 0, "40 calls in a second push it over")
+            assert dead < ALL + 1.5 * CALLS * (back - began) / S, "while it was dead"
+            assert dead > ALL // 2, "they went on asking"
+            assert world.feed_crashes == 0, "40 calls in a second push it over"
             world.crash_feed(2.0)
             back = world.feed_down_until_ns
             # A drain that is told while some are not back yet is heard late by them: what the budget costs.
-            self.assertTrue(
-                until(lambda: len({p for at, _, p in world.feed_calls if p and at > back}) >= ALL)
-            )
-            self.assertTrue(
-                any(after == 0 for at, after, _ in world.feed_calls if at > back), "numbers went back"
-            )
+            assert until(lambda: len({p for at, _, p in world.feed_calls if p and at > back}) >= ALL)
+            assert any(after == 0 for at, after, _ in world.feed_calls if at > back), "numbers went back"
             last = world.change("cache-z1", "leaving") - world.events_before_restart
             since = time.monotonic_ns()
-            self.assertTrue(until(lambda: informed(world, last, since) >= ALL))
-            self.assertEqual(world.feed_crashes, 1)
-        self.assertEqual((field.check_contract(load).violations, load.counts["lost"]), ([], 0), load.counts)
-        self.assertGreater(load.counts["served"], 100, load.counts)
+            assert until(lambda: informed(world, last, since) >= ALL)
+            assert world.feed_crashes == 1
+        assert (field.check_contract(load).violations, load.counts["lost"]) == ([], 0), load.counts
+        assert load.counts["served"] > 100, load.counts
 
     def test_without_a_budget_a_dead_one_hears_far_more(self) -> None:
         """What the bound is for: as ever, each router calls every 0.4 s."""
@@ -96,8 +92,8 @@
         field.servers.feed_down_until_ns = time.monotonic_ns() + 6 * S
         field.__enter__()
         began = time.monotonic_ns()
-        self.assertTrue(until(lambda: time.monotonic_ns() > began + 2 * S))
-        self.assertGreater(calls(field.servers, began, began + 2 * S), 2 * 1.5 * CALLS * 2)
+        assert until(lambda: time.monotonic_ns() > began + 2 * S)
+        assert calls(field.servers, began, began + 2 * S) > 2 * 1.5 * CALLS * 2
 
     def test_cold_boxes_half_of_them_dead_a_hub_lost_and_a_zone_silent(self) -> None:
         """No box is pushed over, no order runs twice, every request has its answer in time."""
@@ -110,12 +106,12 @@
             relays[name].change(LinkMode.SILENT)
         field.__enter__()
         with ClientLoad(field, per_s=6.0, orders=10) as load:
-            self.assertTrue(until(lambda: time.monotonic_ns() > field.began_ns + 10 * S))
+            assert until(lambda: time.monotonic_ns() > field.began_ns + 10 * S)
             for relay in relays.values():
                 relay.change(LinkMode.PASS)
-        self.assertEqual(field.check_contract(load, cut=True).violations, [])
-        self.assertEqual(load.counts["lost"], 0, load.counts)
-        self.assertGreater(load.counts["served"], 100, load.counts)
+        assert field.check_contract(load, cut=True).violations == []
+        assert load.counts["lost"] == 0, load.counts
+        assert load.counts["served"] > 100, load.counts
 
     def test_a_third_killed_twice_and_some_that_wake_into_an_old_world(self) -> None:
         """Killed when they have just begun to serve, started again, killed again; others stand still while a
@@ -131,20 +127,20 @@
                 for node in nodes[::3]:
                     field.wait_ready(node)
             killed_ns = time.monotonic_ns()
-            self.assertTrue(until(lambda: informed(field.servers, 1, killed_ns) >= ALL), "all wait for news")
+            assert until(lambda: informed(field.servers, 1, killed_ns) >= ALL), "all wait for news"
             stopped = [node.process for node in nodes[1::6] if node.process]
             for process in stopped:
                 process.send_signal(signal.SIGSTOP)
             last = field.servers.change("cache-z1", "leaving")
             since = time.monotonic_ns()
             others = ALL - len(stopped)
-            self.assertTrue(until(lambda: informed(field.servers, last, since) >= others))
+            assert until(lambda: informed(field.servers, last, since) >= others)
             for process in stopped:
                 process.send_signal(signal.SIGCONT)
-            self.assertTrue(until(lambda: informed(field.servers, last, since) >= ALL))
-            self.assertTrue(until(lambda: time.monotonic_ns() > field.began_ns + 9 * S))
-        self.assertEqual(field.check_contract(load, killed=True).violations, [])
-        self.assertGreater(load.counts["served"], 100, load.counts)
+            assert until(lambda: informed(field.servers, last, since) >= ALL)
+            assert until(lambda: time.monotonic_ns() > field.began_ns + 9 * S)
+        assert field.check_contract(load, killed=True).violations == []
+        assert load.counts["served"] > 100, load.counts
 
     @pytest.mark.long  # on a busy machine the feed may take longer than it is waited for
     def test_one_that_stood_still_asks_before_it_sends(self) -> None:
@@ -157,22 +153,20 @@
         assert node.process is not None
         with ClientLoad(field, per_s=60.0) as load:
             for n in range(6):
-                self.assertTrue(until(lambda: informed(world, len(world.feed_events) + 1) >= 2))
+                assert until(lambda: informed(world, len(world.feed_events) + 1) >= 2)
                 node.process.send_signal(signal.SIGSTOP)
                 # Two calls of the other one: whatever this one had asked has been answered, with nothing.
                 stopped = time.monotonic_ns()
-                self.assertTrue(
-                    until(lambda at=stopped: sum(x > at for x, _, _ in list(world.feed_calls)) >= 2)
-                )
+                assert until(lambda at=stopped: sum(x > at for x, _, _ in list(world.feed_calls)) >= 2)
                 name = ("cache-z0", "cache-z0-1")[n % 2]
                 last, told = world.change(name, "leaving"), time.monotonic_ns()
-                self.assertTrue(until(lambda at=told, last=last: informed(world, last, at) >= 1))
-                self.assertTrue(until(lambda at=told: time.monotonic_ns() > at + 2_100 * MS), "past grace")
+                assert until(lambda at=told, last=last: informed(world, last, at) >= 1)
+                assert until(lambda at=told: time.monotonic_ns() > at + 2100 * MS), "past grace"
                 node.process.send_signal(signal.SIGCONT)
-                self.assertTrue(until(lambda at=told, last=last: informed(world, last, at) >= 2))
+                assert until(lambda at=told, last=last: informed(world, last, at) >= 2)
                 world.change(name)
-        self.assertEqual([x for x in field.check_contract(load).violations if x.startswith("drained")], [])
-        self.assertGreater(load.counts["served"], 300, load.counts)
+        assert [x for x in field.check_contract(load).violations if x.startswith("drained")] == []
+        assert load.counts["served"] > 300, load.counts
 
     @pytest.mark.long
     def test_links_to_the_list_service_in_every_mode(self) -> None:
@@ -196,15 +190,15 @@
         relay.change(mode)
         field.__enter__()
         with ClientLoad(field, per_s=4.0) as load:
-            self.assertTrue(until(lambda: time.monotonic_ns() > field.began_ns + 6 * S))
-            self.assertLess(relay.passed, 2 * ALL + 1.5 * CALLS * 6)
+            assert until(lambda: time.monotonic_ns() > field.began_ns + 6 * S)
+            assert relay.passed < 2 * ALL + 1.5 * CALLS * 6
             relay.change(LinkMode.PASS)
             relay.drop()
             last = field.servers.change("cache-z0", "leaving")
             since = time.monotonic_ns()
-            self.assertTrue(until(lambda: informed(field.servers, last, since) >= ALL))
-        self.assertEqual(load.counts["lost"], 0, load.counts)
-        self.assertGreater(load.counts["served"], 300, load.counts)
+            assert until(lambda: informed(field.servers, last, since) >= ALL)
+        assert load.counts["lost"] == 0, load.counts
+        assert load.counts["served"] > 300, load.counts
 
 
 if __name__ == "__main__":
--- a/tests/test_start.py
+++ b/tests/startup/test_start.py
@@ -10,9 +10,9 @@
 from dataclasses import replace
 from pathlib import Path
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_parts import NOW, only, router
 
 from benchmarks.cold_start import Played
 from kelpcroft.core import effects, inputs, messages
@@ -32,6 +32,7 @@
 from kelpcroft.startup.fleet_size import FleetSizeEstimator
 from kelpcroft.startup.origin_concurrency import OriginConcurrencyLimit
 from testbed.cold_start import START, ColdStartFleet, ListServiceModel
+from tests.support.reducer_fixtures import NOW, only, router
 
 S = SECOND
 EVENTS = st.lists(st.sampled_from(["fail", "retry", "answer", "news", "empty"]), max_size=60)
@@ -68,24 +69,24 @@
         for count in (20, 120, 200, 1_000):
             times = calls(fleet(count), 30, lambda at: False)
             late = [at for at in times if at > 5 * S]
-            self.assertLess(len(late) / 25, 60, count)
-            self.assertLess(most(late), 90, count)
+            assert len(late) / 25 < 60, count
+            assert most(late) < 90, count
             # The first calls are made within 5 s whatever the fleet.
-            self.assertLess(most(times), max(130, 1.4 * count / 5), count)
+            assert most(times) < max(130, 1.4 * count / 5), count
 
     def test_without_a_budget_it_calls_as_ever(self) -> None:
         """Rules that count from when the feed has its news want each call at once."""
         for count in (1, 60, 200, 5_000):
             x = DiscoverySchedule(count, 1)
-            self.assertEqual((x.first_call_delay_ns(), x.news_wait_ms()), (0, 1_000))
+            assert (x.first_call_delay_ns(), x.news_wait_ms()) == (0, 1000)
             waits = [x.record_failure(9 * S) for _ in range(9)]
-            self.assertEqual(waits, [0] + [min(25 << n, 400) * MS for n in range(8)])
-            self.assertEqual((x.random, x.max_delay_ns), (None, 400 * MS), "nothing is imported for it")
+            assert waits == [0] + [min(25 << n, 400) * MS for n in range(8)]
+            assert (x.random, x.max_delay_ns) == (None, 400 * MS), "nothing is imported for it"
 
     def test_a_fleet_at_rest_of_200_calls_as_often_as_one_of_50(self) -> None:
         for count, due in ((4, 4), (50, 50), (200, 52), (1_000, 260)):
             times = [at for at in calls(fleet(count), 20, lambda at: True) if at >= 10 * S]
-            self.assertLessEqual(len(times) / 10, due, count)
+            assert len(times) / 10 <= due, count
 
     def test_after_an_outage_they_come_back_out_of_step(self) -> None:
         """10 s dead; then all are answered: within a stated time, and never at once."""
@@ -93,23 +94,23 @@
             listings = fleet(count)
             times = calls(listings, 40, lambda at: at > 10 * S)
             back = [at for at in times if 10 * S < at < 11 * S]
-            self.assertLess(most(back, S // 10), 25, count)
-            self.assertTrue(all(x.consecutive_failures == 0 for x in listings))
+            assert most(back, S // 10) < 25, count
+            assert all(x.consecutive_failures == 0 for x in listings)
             firsts = [min(at for at in calls([x], 40, lambda at: False) if at > 10 * S) for x in fleet(count)]
-            self.assertLess(max(firsts), 10 * S + listings[0].max_delay_ns + 2 * MS, count)
+            assert max(firsts) < 10 * S + listings[0].max_delay_ns + 2 * MS, count
 
     def test_retry_after_is_heeded_as_far_as_it_is_sane(self) -> None:
         x = DiscoverySchedule(200, 3, 50.0)
-        self.assertGreaterEqual(x.record_failure(2 * S), 2 * S)
-        self.assertLessEqual(x.record_failure(3_600 * S), MAX_RETRY_AFTER_NS + x.cycle_ns)
+        assert x.record_failure(2 * S) >= 2 * S
+        assert x.record_failure(3600 * S) <= MAX_RETRY_AFTER_NS + x.cycle_ns
 
     def test_another_budget_in_service(self) -> None:
         x = DiscoverySchedule(200, 3)
         x.set_budget(200, 10.0)
-        self.assertEqual((x.has_budget, x.cycle_ns), (True, 20 * S))
-        self.assertNotEqual(x.record_failure(), x.record_failure())
+        assert (x.has_budget, x.cycle_ns) == (True, 20 * S)
+        assert x.record_failure() != x.record_failure()
         x.set_budget(200, 0.0)
-        self.assertEqual((x.has_budget, x.news_wait_ms()), (False, 1_000))
+        assert (x.has_budget, x.news_wait_ms()) == (False, 1000)
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(EVENTS, st.integers(1, 5_000), st.integers(0, 2**32), st.sampled_from([0.0, 1.0, 50.0, 1e6]))
@@ -119,16 +120,16 @@
         x = DiscoverySchedule(count, seed, per_s)
         for event in events:
             if event == "retry":
-                self.assertTrue(not x.has_budget or x.record_failure(9 * S) >= 9 * S)
+                assert not x.has_budget or x.record_failure(9 * S) >= 9 * S
             elif event in ("fail", "empty"):
-                self.assertTrue(0 <= x.record_failure() <= x.max_delay_ns)
+                assert 0 <= x.record_failure() <= x.max_delay_ns
             else:
                 x.record_success()
-                self.assertEqual(x.consecutive_failures, 0)
-            self.assertLessEqual(x.first_call_delay_ns(), MAX_FIRST_CALL_DELAY_NS)
-            self.assertTrue(1_000 <= x.news_wait_ms() <= 4_000)
+                assert x.consecutive_failures == 0
+            assert x.first_call_delay_ns() <= MAX_FIRST_CALL_DELAY_NS
+            assert 1000 <= x.news_wait_ms() <= 4000
         # Always live again: whatever came, the next call is a bounded time away.
-        self.assertLessEqual(x.record_failure(), x.max_delay_ns)
+        assert x.record_failure() <= x.max_delay_ns
 
     @settings(max_examples=80, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32), st.integers(0, 2**32))
@@ -136,7 +137,7 @@
         if a == b:
             return
         x, y = DiscoverySchedule(160, a, 50.0), DiscoverySchedule(160, b, 50.0)
-        self.assertNotEqual([x.record_failure() for _ in range(3)], [y.record_failure() for _ in range(3)])
+        assert [x.record_failure() for _ in range(3)] != [y.record_failure() for _ in range(3)]
 
 
 def line(name: str, state: str = "in_service", at: str = "", started: int = 0) -> inputs.EndpointRecord:
@@ -150,8 +151,8 @@
         for wasted, due in ((0, 0), (256 << 10, 0), (1 << 20, 16 * SECOND), (1 << 30, 60 * SECOND)):
             with self.subTest(wasted=wasted):
                 x = DiscoverySchedule(10, 1)
-                self.assertEqual(x.record_failure(wasted_bytes=wasted), due)
-                self.assertGreaterEqual(x.record_failure(wasted_bytes=wasted), due)
+                assert x.record_failure(wasted_bytes=wasted) == due
+                assert x.record_failure(wasted_bytes=wasted) >= due
 
 
 class Lists(unittest.TestCase):
@@ -168,44 +169,40 @@
     def test_a_whole_list_with_none_in_service_is_none(self) -> None:
         for lines in ([], [line("a", "terminated")]):
             used, faults = self.view.select_usable(lines, True, 6)
-            self.assertEqual((used, len(faults)), ([], 1))
-        self.assertEqual(self.used(line("a", "terminated")), ["a terminated"], "it is obeyed at once")
+            assert (used, len(faults)) == ([], 1)
+        assert self.used(line("a", "terminated")) == ["a terminated"], "it is obeyed at once"
 
     def test_an_id_at_anothers_address(self) -> None:
         home = line("a").address
-        self.assertEqual(self.used(line("x", at=home)), [])
-        self.assertEqual(self.used(line("x", at=home, started=9)), ["x in_service"], "it has started since")
-        self.assertEqual(
-            self.used(line("a", "terminated"), line("x", at=home)),
-            ["a terminated", "x in_service"],
-            "it has taken the place of one that goes",
+        assert self.used(line("x", at=home)) == []
+        assert self.used(line("x", at=home, started=9)) == ["x in_service"], "it has started since"
+        assert self.used(line("a", "terminated"), line("x", at=home)) == ["a terminated", "x in_service"], (
+            "it has taken the place of one that goes"
         )
-        self.assertEqual(
-            self.used(line("x", at=home), line("b"), whole=True), ["x in_service", "b in_service"]
-        )
-        self.assertEqual(self.used(line("x", at=line("c").address)), ["x in_service"], "c drains")
+        assert self.used(line("x", at=home), line("b"), whole=True) == ["x in_service", "b in_service"]
+        assert self.used(line("x", at=line("c").address)) == ["x in_service"], "c drains"
 
     def test_numbers_that_go_back_bring_nobody_back(self) -> None:
-        self.assertEqual(self.used(line("c"), number=4), [], "it drains, by a later event")
-        self.assertEqual(self.used(line("c"), number=6), ["c in_service"])
-        self.assertEqual(self.used(line("c", started=9), number=4), ["c in_service"], "it has started since")
-        self.assertEqual(self.used(line("a", "terminating"), number=4), ["a terminating"])
+        assert self.used(line("c"), number=4) == [], "it drains, by a later event"
+        assert self.used(line("c"), number=6) == ["c in_service"]
+        assert self.used(line("c", started=9), number=4) == ["c in_service"], "it has started since"
+        assert self.used(line("a", "terminating"), number=4) == ["a terminating"]
         self.view.begin_response(2)
-        self.assertEqual(self.used(line("c"), number=2), [])
-        self.assertTrue(self.view.end_response(S, 2), "the whole list is asked for")
-        self.assertEqual(self.view.last_event_number, 0)
+        assert self.used(line("c"), number=2) == []
+        assert self.view.end_response(S, 2), "the whole list is asked for"
+        assert self.view.last_event_number == 0
         self.view.begin_response(7)
         self.view.end_response(S, 7)
         self.view.begin_response(3)
-        self.assertFalse(self.view.end_response(2 * S, 3), "once in a while")
-        self.assertEqual(self.view.last_event_number, 7)
+        assert not self.view.end_response(2 * S, 3), "once in a while"
+        assert self.view.last_event_number == 7
         self.view.begin_response(3)
-        self.assertTrue(self.view.end_response(S + MIN_SNAPSHOT_INTERVAL_NS, 3))
+        assert self.view.end_response(S + MIN_SNAPSHOT_INTERVAL_NS, 3)
 
     def test_its_memory_has_an_end(self) -> None:
         for n in range(5_000):
             self.view.apply([line(f"gone{n}", "terminated")], False)
-        self.assertLessEqual(len(self.view.endpoints), 1_100)
+        assert len(self.view.endpoints) <= 1100
 
 
 def news(last: int, *lines: inputs.EndpointRecord, whole: bool = False) -> inputs.WatchResponse:
@@ -244,14 +241,14 @@
             r = self.reducer(routers)
             extra = replace(line("s-x"), kind=next(iter(r.state.endpoints.values())).kind)
             r.handle(NOW + 2 * S, news(900, extra))
-            self.assertIn("s-x", r.state.endpoints)
+            assert "s-x" in r.state.endpoints
             effect_list = r.handle(NOW + 4 * S, inputs.WatchResponse(1, ()))
-            self.assertIn("s-x", r.state.endpoints, "the last good view is kept")
-            self.assertEqual(events(effect_list), ["feed.renumbered"])
+            assert "s-x" in r.state.endpoints, "the last good view is kept"
+            assert events(effect_list) == ["feed.renumbered"]
             if routers:  # a fleet's second calls are spread as its first were
                 (wake,) = feed_wakes(effect_list)
                 effect_list = r.handle(wake.at_ns, inputs.TimerFired(wake.key))
-            self.assertEqual([e.after_event for e in polls(effect_list)], [0])
+            assert [e.after_event for e in polls(effect_list)] == [0]
 
     def test_two_halves_of_a_service_that_disagree_are_asked_at_a_bounded_rate(self) -> None:
         """One has counted to 900, the other to 5, and each answers every second call."""
@@ -259,8 +256,8 @@
         for n in range(100):
             effect_list = r.handle(NOW + (n + 1) * S // 5, inputs.WatchResponse(900 if n % 2 else 5, ()))
             whole += sum(e.after_event == 0 for e in polls(effect_list))
-        self.assertLessEqual(whole, 5, "in 20 s")
-        self.assertTrue(r.state.endpoints)
+        assert whole <= 5, "in 20 s"
+        assert r.state.endpoints
 
     def test_a_service_that_answers_nothing_at_once_is_not_asked_in_a_loop(self) -> None:
         for routers, most_calls in ((0, 60), (200, 10)):
@@ -275,46 +272,44 @@
                     if wakes
                     else r.handle(now, inputs.WatchResponse(r.endpoint_list.last_event, ()))
                 )
-            self.assertLess(made, most_calls, "in ten seconds")
+            assert made < most_calls, "in ten seconds"
 
     def test_an_empty_whole_list_changes_nothing_and_is_said_once(self) -> None:
         r = self.reducer()
         before = dict(r.state.endpoints)
         effect_list = r.handle(NOW + 2 * S, news(3, whole=True))
-        self.assertEqual(r.state.endpoints, before)
-        self.assertEqual(events(effect_list), ["feed.refused"])
-        self.assertEqual(
-            [e.after_event for e in polls(effect_list)], [3], "and the feed is asked for what follows"
-        )
+        assert r.state.endpoints == before
+        assert events(effect_list) == ["feed.refused"]
+        assert [e.after_event for e in polls(effect_list)] == [3], "and the feed is asked for what follows"
 
     def test_the_first_call_waits_for_its_share_and_longer_after_many_starts(self) -> None:
         r = router()
         r.state.config = replace(r.state.config, settings=replace(r.state.config.settings, instances=400))
         (wake,) = feed_wakes(r.start(NOW, BUDGET))
-        self.assertTrue(0 < wake.at_ns - NOW < 5 * S)
-        self.assertTrue(r.state.endpoints, "what was known serves meanwhile")
+        assert 0 < wake.at_ns - NOW < 5 * S
+        assert r.state.endpoints, "what was known serves meanwhile"
         (wake,) = feed_wakes(r.start(NOW, BUDGET, 4 * S))
-        self.assertGreaterEqual(wake.at_ns - NOW, 4 * S)
-        self.assertTrue(polls(r.start(NOW, None, 4 * S)), "without a budget it calls at once: the rules")
+        assert wake.at_ns - NOW >= 4 * S
+        assert polls(r.start(NOW, None, 4 * S)), "without a budget it calls at once: the rules"
 
     def test_a_budget_comes_with_a_file_read_again(self) -> None:
         r = router()
         r.handle(NOW + S, inputs.OperatorFileRead(OperatorFile(start_options=BUDGET)))
-        self.assertTrue(r.position.schedule.has_budget)
+        assert r.position.schedule.has_budget
         r.handle(NOW + 2 * S, inputs.OperatorFileRead(OperatorFile()))
-        self.assertFalse(r.position.schedule.has_budget)
+        assert not r.position.schedule.has_budget
 
     def test_retry_after_comes_from_the_answer(self) -> None:
         codec = FeedCodec()
-        with self.assertRaises(FeedError):
+        with pytest.raises(FeedError):
             codec.receive_data(
                 memoryview(b"HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n")
             )
-        self.assertEqual(codec.retry_after_ns, 3 * S)
+        assert codec.retry_after_ns == 3 * S
         r = self.reducer(200)
         (wake,) = feed_wakes(r.handle(NOW + S, inputs.WatchFailed("503", 3 * S)))
-        self.assertGreaterEqual(wake.at_ns, NOW + 4 * S)
-        self.assertTrue(polls(self.reducer().handle(NOW + S, inputs.WatchFailed("503", 3 * S))))
+        assert wake.at_ns >= NOW + 4 * S
+        assert polls(self.reducer().handle(NOW + S, inputs.WatchFailed("503", 3 * S)))
 
 
 class Counted(unittest.TestCase):
@@ -322,27 +317,27 @@
 
     def test_as_many_as_the_settings_say(self) -> None:
         crowd = FleetSizeEstimator(4)
-        self.assertEqual(crowd.estimated_routers(NOW), 4, "nothing is known")
+        assert crowd.estimated_routers(NOW) == 4, "nothing is known"
         for n in range(50):
             crowd.record_report(NOW + n * MS, 8.0, 2)
-        self.assertEqual(crowd.estimated_routers(NOW + 50 * MS), 4)
+        assert crowd.estimated_routers(NOW + 50 * MS) == 4
 
     def test_more_and_fewer(self) -> None:
         for reported, due in ((16.0, 8), (2.0, 2), (1_000.0, 64)):
             crowd = FleetSizeEstimator(4)
             for n in range(50):
                 crowd.record_report(NOW + n * MS, reported, 2)
-            self.assertEqual(crowd.estimated_routers(NOW + 50 * MS), due, reported)
+            assert crowd.estimated_routers(NOW + 50 * MS) == due, reported
 
     def test_what_cannot_be_right_says_nothing(self) -> None:
         crowd = FleetSizeEstimator(4)
         for reported in (float("nan"), float("inf"), -1.0, 1e9):
             for n in range(50):
                 crowd.record_report(NOW + n * MS, reported, 2)
-        self.assertEqual(crowd.estimated_routers(NOW + S), 4)
+        assert crowd.estimated_routers(NOW + S) == 4
         for n in range(50):
             crowd.record_report(NOW + S + n * MS, 0.0, 2)  # of before our own two came
-        self.assertEqual(crowd.estimated_routers(NOW + S + 50 * MS), 2, "alone, and a margin")
+        assert crowd.estimated_routers(NOW + S + 50 * MS) == 2, "alone, and a margin"
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.integers(1, 40), min_size=1, max_size=40), st.integers(1, 40))
@@ -357,18 +352,18 @@
             for n in range(30):
                 crowd.record_report(NOW + n * MS, float(whole), own)
             parts.append(1 / crowd.estimated_routers(NOW + 30 * MS))
-        self.assertLessEqual(sum(parts), 1.25 + 1e-3, "a part of the settings each: len(loads) / said")
+        assert sum(parts) <= 1.25 + 0.001, "a part of the settings each: len(loads) / said"
 
     def test_a_deployment_without_that_report_refuses_the_count(self) -> None:
         s = router().state.settings
         file, _ = load(b'kelpcroft version=1\nstart count=#true\nroute "rest" { match; }\n')
-        self.assertEqual([f.code for f in check(file, s)], [])
+        assert [f.code for f in check(file, s)] == []
         for changed in (replace(s, load_report_mode="off"), replace(s, load_report_fields=("utilization",))):
-            self.assertEqual([f.code for f in check(file, changed)], ["no-report"])
+            assert [f.code for f in check(file, changed)] == ["no-report"]
 
     def test_in_the_reducer(self) -> None:
         r = router()
-        self.assertIsNone(r.state.fleet_size)
+        assert r.state.fleet_size is None
         r.handle(
             NOW + S,
             inputs.OperatorFileRead(OperatorFile(start_options=StartupOptions(estimate_fleet_size=True))),
@@ -378,11 +373,11 @@
         for n in range(50):
             r.state.fleet_size.record_report(NOW + S + n * MS, 12.0 * said.zone_instances, 2)
         effect_list = r.handle(NOW + 2 * S, inputs.TimerFired((messages.TimerKind.HOUSEKEEPING, 0, 0)))
-        self.assertEqual(events(effect_list), ["start.routers"])
-        self.assertEqual(r.state.settings.zone_instances, 6 * said.zone_instances)
-        self.assertEqual(r.state.policy.settings.instances, 6 * said.instances)
+        assert events(effect_list) == ["start.routers"]
+        assert r.state.settings.zone_instances == 6 * said.zone_instances
+        assert r.state.policy.settings.instances == 6 * said.instances
         r.handle(NOW + 3 * S, inputs.OperatorFileRead(OperatorFile()))
-        self.assertEqual((r.state.fleet_size, r.state.settings.zone_instances), (None, said.zone_instances))
+        assert (r.state.fleet_size, r.state.settings.zone_instances) == (None, said.zone_instances)
 
     def test_a_tenth_of_the_routers_that_the_settings_say(self) -> None:
         """All boxes cold: each kept to a fortieth of the zone, and 0.28 of the worth came in time."""
@@ -392,41 +387,41 @@
             fleet.begun_with = StartupOptions(estimate_fleet_size=count)
             fleet.run(16)
             worth[count] = fleet.outcomes.share_in_time(5, 14)
-            self.assertEqual(sum(b.collapses for b in fleet.servers.caches.values()), 0)
-        self.assertGreater(worth[True], 1.5 * worth[False], worth)
+            assert sum(b.collapses for b in fleet.servers.caches.values()) == 0
+        assert worth[True] > 1.5 * worth[False], worth
 
 
 class AtTheStore(unittest.TestCase):
     def test_it_opens_with_answers_in_time_and_closes_with_late_ones(self) -> None:
         w = OriginConcurrencyLimit(NOW)
-        self.assertTrue(w.has_capacity())
+        assert w.has_capacity()
         w.record_sent()
-        self.assertFalse(w.has_capacity(), "one, at first")
+        assert not w.has_capacity(), "one, at first"
         w.record_finished(NOW + MS, NOW, False)
-        self.assertEqual((w.limit, w.in_flight), (2.0, 0))
+        assert (w.limit, w.in_flight) == (2.0, 0)
         w.limit = 8.0
         for n in range(8):
             w.record_sent()
             w.record_finished(NOW + (2 + n) * MS, NOW + MS, False)
-        self.assertAlmostEqual(w.limit, 9.0, 1, "one in a round")
+        assert round(abs(w.limit - 9.0), 1) == 0, "one in a round"
         w.limit = 8.0
         w.record_finished(NOW + 11 * MS, NOW + 8 * MS, True)
         w.record_finished(NOW + 12 * MS, NOW + 8 * MS, True)
-        self.assertEqual(w.limit, 4.0, "what was sent before the cut says nothing of it")
+        assert w.limit == 4.0, "what was sent before the cut says nothing of it"
         w.record_finished(NOW + 13 * MS, NOW + 12 * MS, None)
-        self.assertEqual(w.limit, 4.0)
+        assert w.limit == 4.0
 
     def test_it_is_over_once_nothing_is_late_for_long(self) -> None:
         w = OriginConcurrencyLimit(NOW)
         for n in range(200):
             w.record_finished(NOW + n * 100 * MS, NOW, n == 0)
-        self.assertTrue(w.is_lifted)
+        assert w.is_lifted
         w = OriginConcurrencyLimit(NOW)
         for n in range(600):
             w.record_finished(NOW + n * MS, NOW, False)
-        self.assertTrue(w.is_lifted, "so much was out in time")
+        assert w.is_lifted, "so much was out in time"
         w.in_flight = 500
-        self.assertTrue(w.has_capacity())
+        assert w.has_capacity()
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.sampled_from(["send", "good", "late", "none"]), max_size=200))
@@ -438,9 +433,9 @@
                 w.record_sent()
             else:
                 w.record_finished(now, now - 5 * MS, {"good": False, "late": True, "none": None}[step])
-            self.assertTrue(w.in_flight >= 0 and w.limit >= 1.0)
+            assert w.in_flight >= 0 and w.limit >= 1.0
         w.in_flight = 0
-        self.assertTrue(w.has_capacity(), "it never shuts for good")
+        assert w.has_capacity(), "it never shuts for good"
 
     def test_in_the_reducer_the_module_hears_of_it_and_orders_are_not_held_back(self) -> None:
         r = router()
@@ -451,13 +446,11 @@
         assert r.state.origin_limit is not None
         r.state.origin_limit.in_flight = 1
         r.handle(NOW + S, inputs.TimerFired((messages.TimerKind.RESTART_OVERLAP, 0, 0)))
-        self.assertFalse(r.state.policy.origin_fills_allowed)
+        assert not r.state.policy.origin_fills_allowed
         call = inputs.ClientRequest(1, 1, "order", "t1", 2 * S, "a", "0", 10, 0, 0, False, "", b"x")
-        self.assertTrue(
-            only(effects.OpenServerConnection, r.handle(NOW + S, call)) or r.state.attempts, "it goes out"
-        )
+        assert only(effects.OpenServerConnection, r.handle(NOW + S, call)) or r.state.attempts, "it goes out"
         r.handle(NOW + 2 * S, inputs.OperatorFileRead(OperatorFile()))
-        self.assertTrue(r.state.policy.origin_fills_allowed)
+        assert r.state.policy.origin_fills_allowed
 
     def test_hundreds_beside_empty_boxes_and_hubs(self) -> None:
         """Without it the store is asked four times what it can do, and for ten seconds little is in time."""
@@ -467,12 +460,10 @@
             fleet.begun_with = StartupOptions(limit_origin_fetches=store)
             fleet.run(14)
             worth[store], refused[store] = fleet.outcomes.share_in_time(0, 12), fleet.servers.origin.refused
-            self.assertFalse(
-                any(count > 1 for count in fleet.servers.order_runs.values()), "an order ran twice"
-            )
-        self.assertGreater(worth[True], 1.5 * worth[False], worth)
-        self.assertGreater(refused[False], 50)
-        self.assertEqual(refused[True], 0)
+            assert not any(count > 1 for count in fleet.servers.order_runs.values()), "an order ran twice"
+        assert worth[True] > 1.5 * worth[False], worth
+        assert refused[False] > 50
+        assert refused[True] == 0
 
 
 class Counting(ColdStartFleet):
@@ -486,7 +477,7 @@
     def test_the_node_of_the_operators_file(self) -> None:
         file, faults = load(b"kelpcroft version=1\nstart list-calls=50\n")
         assert file is not None
-        self.assertEqual((faults, file.start_options), ([], BUDGET))
+        assert (faults, file.start_options) == ([], BUDGET)
         for text, code in (
             (b"start", "missing-value"),
             (b"start list-calls=0", "bad-rate"),
@@ -495,7 +486,7 @@
             (b'start list-calls="many"', "wrong-type"),
         ):
             _, faults = load(b"kelpcroft version=1\n" + text + b"\n")
-            self.assertEqual([f.code for f in faults], [code], text)
+            assert [f.code for f in faults] == [code], text
 
 
 class Again(unittest.TestCase):
@@ -507,16 +498,14 @@
             earlier = crash_loop_backoff.decode(data, "n3", now)
             made += crash_loop_backoff.crash_loop_delay_ns(earlier) < 2 * S
             data = crash_loop_backoff.encode("n3", earlier, now)
-        self.assertEqual(made, 4, "of 30 starts: 0.5 and 1 s are waited before the third and fourth")
-        self.assertEqual(
-            crash_loop_backoff.crash_loop_delay_ns(crash_loop_backoff.decode(data, "n3", NOW + 180 * S)),
-            0,
-            "and it is forgotten",
-        )
+        assert made == 4, "of 30 starts: 0.5 and 1 s are waited before the third and fourth"
+        assert (
+            crash_loop_backoff.crash_loop_delay_ns(crash_loop_backoff.decode(data, "n3", NOW + 180 * S)) == 0
+        ), "and it is forgotten"
 
     def test_a_file_that_is_not_to_be_used_costs_nothing(self) -> None:
         good = crash_loop_backoff.encode("n3", [NOW - S], NOW)
-        self.assertEqual(len(crash_loop_backoff.decode(good, "n3", NOW)), 2)
+        assert len(crash_loop_backoff.decode(good, "n3", NOW)) == 2
         for data in (
             b"",
             b"{",
@@ -527,22 +516,20 @@
             b'{"v":1,"name":"n3","starts_ms":"x"}',
             b" " * crash_loop_backoff.MAX_FILE_BYTES + good,
         ):
-            self.assertEqual(crash_loop_backoff.decode(data, "n3", NOW), [])
+            assert crash_loop_backoff.decode(data, "n3", NOW) == []
         future = crash_loop_backoff.encode("n3", [], NOW + 3_600 * S)
-        self.assertEqual(crash_loop_backoff.decode(future, "n3", NOW), [], "a clock that was wrong")
-        self.assertLess(
-            len(crash_loop_backoff.encode("n" * 200, [NOW] * 100, NOW)), crash_loop_backoff.MAX_FILE_BYTES
-        )
+        assert crash_loop_backoff.decode(future, "n3", NOW) == [], "a clock that was wrong"
+        assert len(crash_loop_backoff.encode("n" * 200, [NOW] * 100, NOW)) < crash_loop_backoff.MAX_FILE_BYTES
 
     def test_on_a_disk(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             waits = [predecessor_files.crash_loop_delay_ns(folder, "n3", NOW + n * S) for n in range(6)]
-            self.assertEqual(waits, [0, 0, S // 2, S, 2 * S, 4 * S])
-            self.assertEqual(os.listdir(folder), ["kelpcroft-n3.starts"])
+            assert waits == [0, 0, S // 2, S, 2 * S, 4 * S]
+            assert os.listdir(folder) == ["kelpcroft-n3.starts"]
             Path(crash_loop_backoff.file_path(folder, "n3")).write_bytes(b"\xff" * 9)
-            self.assertEqual(predecessor_files.crash_loop_delay_ns(folder, "n3", NOW), 0)
-        self.assertEqual(predecessor_files.crash_loop_delay_ns("/nowhere", "n3", NOW), 0)
-        self.assertEqual(predecessor_files.crash_loop_delay_ns("", "n3", NOW), 0)
+            assert predecessor_files.crash_loop_delay_ns(folder, "n3", NOW) == 0
+        assert predecessor_files.crash_loop_delay_ns("/nowhere", "n3", NOW) == 0
+        assert predecessor_files.crash_loop_delay_ns("", "n3", NOW) == 0
 
 
 class InAFleet(unittest.TestCase):
@@ -553,8 +540,8 @@
             fleet = Played(200, rate=0.2, service=ListServiceModel(), cold=False, cold_parents=False)
             fleet.way = way
             fleet.run(12)
-            self.assertEqual(fleet.service.crashes > 0, falls, way)
-            self.assertEqual(len(fleet.first_answer_ns) == 200, not falls, way)
+            assert (fleet.service.crashes > 0) == falls, way
+            assert (len(fleet.first_answer_ns) == 200) == (not falls), way
 
     def test_dead_for_ten_seconds_and_counting_anew(self) -> None:
         fleet = Played(
@@ -571,12 +558,12 @@
         )
         fleet.way = "budget"
         fleet.run(20)
-        self.assertEqual((fleet.service.crashes, len(fleet.first_answer_ns)), (0, 120))
-        self.assertLess(
-            max(fleet.first_answer_ns.values()),
-            START + 10 * S + fleet.routers[0].position.schedule.max_delay_ns + S,
+        assert (fleet.service.crashes, len(fleet.first_answer_ns)) == (0, 120)
+        assert (
+            max(fleet.first_answer_ns.values())
+            < START + 10 * S + fleet.routers[0].position.schedule.max_delay_ns + S
         )
-        self.assertTrue(all(r.state.endpoints for r in fleet.routers))
+        assert all(r.state.endpoints for r in fleet.routers)
 
 
 if __name__ == "__main__":
--- a/tests/player.py
+++ b/tests/support/exchange_player.py
@@ -37,9 +37,11 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_bytes())
 PROGRAM = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now plays against what `run` starts
+KEYED = {"idempotency": "keyed", "group": "all", "dedup_window_ns": 3 * 10**9}
+ONE = ("cache1", "parent", "origin")  # with one cache in the zone it is plain where a request goes
 WAIT_S = 20  # a test that waits so long has failed; none passes or fails by less
 SERVERS = {
     "cache1": ("s-c1", "edge-1", "box"),
@@ -190,7 +192,7 @@
                 break
             got += more
         match = pattern.fullmatch(got)
-        self.case.assertIsNotNone(match, f"{name} read {got!r}, expected {pattern.pattern!r}")
+        assert match is not None, f"{name} read {got!r}, expected {pattern.pattern!r}"
         assert match
         self.kept.update({k: v.decode() for k, v in match.groupdict().items()})
 
@@ -216,7 +218,7 @@
             self.socks.pop(name).close()
         elif what == ".":
             try:
-                self.case.assertEqual(self.sock(name).recv(1), b"")
+                assert self.sock(name).recv(1) == b""
             except ConnectionResetError:
                 pass
         elif what == "term":
@@ -233,4 +235,4 @@
             self.path.write_text(json.dumps({**self.config, "feed": self.at(text) if text else None}))
             self.program.send_signal(signal.SIGHUP)
         else:
-            self.case.assertEqual((what, self.program.wait(WAIT_S)), ("exit", int(text)))
+            assert (what, self.program.wait(WAIT_S)) == ("exit", int(text))
--- a/tests/turns.py
+++ b/tests/support/loop_turns.py
@@ -20,12 +20,13 @@
 from typing import Any
 
 import msgpack
-from player import EXAMPLE, SERVERS, WAIT_S
+import pytest
 
 from kelpcroft.config import parse_config
 from kelpcroft.core import effects
 from kelpcroft.net.clock import Clock
 from kelpcroft.net.event_loop import EventLoop
+from tests.support.exchange_player import EXAMPLE, SERVERS, WAIT_S
 
 MS, SECOND = 10**6, 10**9
 NOW = 1_764_576_000 * SECOND
@@ -202,7 +203,7 @@
         """Turns at this instant until something is so: what is on its way in the machine arrives."""
         end = time.monotonic() + WAIT_S
         while not so():
-            self.case.assertLess(time.monotonic(), end, f"never so: {what or so}")
+            assert time.monotonic() < end, f"never so: {what or so}"
             self.loop.run_turn()
 
     def client(self) -> Peer:
@@ -253,7 +254,7 @@
         """Nobody dials a server."""
         for _ in range(turns):
             self.loop.run_turn()
-            with self.case.assertRaises(BlockingIOError):
+            with pytest.raises(BlockingIOError):
                 self.listeners[name].accept()
 
     @contextmanager
--- /dev/null
+++ b/tests/support/reducer_fixtures.py
@@ -0,0 +1,37 @@
+"""A reducer at the example deployment, and the requests that tests hand it."""
+
+from __future__ import annotations
+
+from kelpcroft.config import parse_config
+from kelpcroft.core import effects, inputs
+from kelpcroft.core.reducer import Reducer
+from kelpcroft.core.state import MS
+from tests.support.exchange_player import EXAMPLE
+
+TRACE = "00000000000000ab"
+
+
+GOOD = b"*4\r\n$1\r\ng\r\n$4\r\nDONE\r\n$1\r\n-\r\n$2\r\nby\r\n"
+
+
+NOW = 1_764_576_000 * 1_000 * MS
+
+
+def call(
+    number: int, item: str = "0a", patience: int = 2_000, client: int = 1, cls: str = "page"
+) -> inputs.ClientRequest:
+    trace = f"{number:016x}"
+    return inputs.ClientRequest(
+        client, number, cls, trace, patience * MS, item, "0", int(item, 16), 0, 17, False, "", b""
+    )
+
+
+def router() -> Reducer:
+    made = Reducer(parse_config(EXAMPLE, {}))
+    made.start(NOW)
+    made.handle(NOW, inputs.ListenersReady())
+    return made
+
+
+def only(kind: type, effect_list: list[effects.Effect]) -> list[effects.Effect]:
+    return [e for e in effect_list if isinstance(e, kind)]
--- /dev/null
+++ b/tests/support/rollout_field.py
@@ -0,0 +1,94 @@
+"""A field of real routers and a rollout controller as a process, ended with their test."""
+
+from __future__ import annotations
+
+import json
+import os
+import subprocess
+import sys
+import tempfile
+import unittest
+from pathlib import Path
+from typing import Any
+
+from kelpcroft.store.identity import program_digest
+from testbed.field import RouterField, build_program
+from testbed.stand_ins import PROGRAM_DIR, ROOT
+
+LONGEST_S = 150.0  # a run that takes so long has failed
+
+
+class Controller:
+    """`kelpcroft rollout start` as a process, on a store of its own."""
+
+    def __init__(self, folder: Path, plan: str) -> None:
+        self.folder = folder
+        (folder / "plan.kdl").write_text(plan)
+        self.processes: list[subprocess.Popen[str]] = []
+
+    def start(self) -> subprocess.Popen[str]:
+        words = ["rollout", "start", str(self.folder / "plan.kdl"), "--store", str(self.folder / "store.db")]
+        with (self.folder / "out").open("a") as out:
+            self.processes.append(
+                subprocess.Popen(
+                    [sys.executable, "-c", f"from kelpcroft.cli import main; main({words!r})"],
+                    cwd=ROOT,
+                    stdout=out,
+                    stderr=out,
+                    env={**os.environ, "PYTHONPATH": str(ROOT)},
+                    text=True,
+                )
+            )
+        return self.processes[-1]
+
+    def verb(self, *words: str) -> str:
+        done = subprocess.run(
+            [sys.executable, "-c", f"from kelpcroft.cli import main; main({['rollout', *words]!r})"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=30,
+        )
+        return done.stdout + done.stderr
+
+    def history(self) -> list[dict[str, Any]]:
+        path = self.folder / "store.db"
+        if not path.exists():
+            return []
+        told = self.verb("history", "--store", str(path), "--format", "json")
+        return json.loads(told) if told.startswith("[") else []  # type: ignore[no-any-return]
+
+    def said(self) -> str:
+        return (self.folder / "out").read_text()
+
+    def end(self) -> None:
+        for process in self.processes:
+            process.kill()
+            process.wait()
+
+
+class Rollouts(unittest.TestCase):
+    """A field and a controller for each test, ended with it."""
+
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder = Path(folder.name)
+
+    def field(self, defect: str, zones: int = 2, each: int = 3, **more: Any) -> tuple[RouterField, str]:
+        builds = {"old": PROGRAM_DIR, "new": build_program(self.folder / "new", defect)}
+        field = RouterField(zones, each, builds, **more)
+        field.__enter__()
+        self.addCleanup(field.__exit__)
+        return field, program_digest(builds["new"] / "kelpcroft")
+
+    def controller(self, plan: str) -> Controller:
+        made = Controller(self.folder, plan)
+        self.addCleanup(made.end)
+        return made
+
+    def finish(self, process: subprocess.Popen[str], controller: Controller) -> int:
+        try:
+            return process.wait(LONGEST_S)
+        except subprocess.TimeoutExpired:
+            self.fail(f"not over: {controller.said()}")
--- a/tests/test_field.py
+++ b/tests/testbed/test_field.py
@@ -78,42 +78,42 @@
 
     def test_each_mode(self) -> None:
         sock = self.connect()
-        self.assertEqual(self.said(sock), b"hello")
+        assert self.said(sock) == b"hello"
         self.relay.change(LinkMode.DELAY)
         began = time.monotonic()
-        self.assertEqual(self.said(sock), b"hello")
-        self.assertGreater(time.monotonic() - began, 0.4, "both ways")
+        assert self.said(sock) == b"hello"
+        assert time.monotonic() - began > 0.4, "both ways"
         self.relay.change(LinkMode.SLOW)
         began = time.monotonic()
-        self.assertEqual(self.said(sock, b"x" * 640), b"x" * 640)
-        self.assertGreater(time.monotonic() - began, 0.15)
+        assert self.said(sock, b"x" * 640) == b"x" * 640
+        assert time.monotonic() - began > 0.15
         self.relay.change(LinkMode.GARBAGE)
-        self.assertIn(b"garbage", self.said(sock, b"hello"))
+        assert b"garbage" in self.said(sock, b"hello")
         self.relay.change(LinkMode.PASS)
         sock = self.connect()
         self.relay.change(LinkMode.ONE_WAY)
-        self.assertEqual(self.said(sock), b"")
+        assert self.said(sock) == b""
         self.relay.change(LinkMode.SILENT)
         sock = self.connect()
-        self.assertEqual(self.said(sock), b"", "nothing passes")
+        assert self.said(sock) == b"", "nothing passes"
         self.relay.change(LinkMode.PASS)
-        self.assertEqual(sock.recv(16), b"hello", "and nothing was lost")
+        assert sock.recv(16) == b"hello", "and nothing was lost"
         self.relay.change(LinkMode.CUT)
-        self.assertEqual(self.said(sock, b"0123456789"), b"01234")
+        assert self.said(sock, b"0123456789") == b"01234"
         self.relay.change(LinkMode.REFUSE)
-        self.assertEqual(self.said(self.connect()), b"")
+        assert self.said(self.connect()) == b""
         self.relay.change(LinkMode.PASS)
         sock = self.connect()
-        self.assertEqual(self.said(sock), b"hello")
+        assert self.said(sock) == b"hello"
         self.relay.drop()
         time.sleep(0.1)
-        self.assertEqual(self.said(sock), b"")
-        self.assertEqual(self.said(self.connect()), b"hello")
+        assert self.said(sock) == b""
+        assert self.said(self.connect()) == b"hello"
 
     def test_a_share_of_the_connections(self) -> None:
         self.relay.change(LinkMode.REFUSE, 0.5)
         got = [self.said(self.connect()) for _ in range(20)]
-        self.assertTrue(6 <= got.count(b"hello") <= 14, got)
+        assert 6 <= got.count(b"hello") <= 14, got
 
     def test_an_end_is_passed_on(self) -> None:
         sock = self.connect()
@@ -122,7 +122,7 @@
         got = b""
         while data := sock.recv(64):
             got += data
-        self.assertEqual(got, b"last")
+        assert got == b"last"
 
 
 class Builds(unittest.TestCase):
@@ -179,13 +179,13 @@
         for defect, rule in BROKEN.items():
             with self.subTest(defect=defect):
                 watch, _ = self.day(defect)
-                self.assertEqual(watch.broken_rules(), {rule}, watch.violations[:5])
+                assert watch.broken_rules() == {rule}, watch.violations[:5]
 
     def test_a_sound_one_is_not_accused_under_any_fault(self) -> None:
         for faults in (False, True):
             watch, load = self.day("sound", faults)
-            self.assertEqual(watch.violations, [])
-            self.assertGreater(load.counts["served"], 150, load.counts)
+            assert watch.violations == []
+            assert load.counts["served"] > 150, load.counts
 
 
 if __name__ == "__main__":
--- a/tools/golden_digests.py
+++ b/tools/golden_digests.py
@@ -1,4 +1,4 @@
-"""Writes the golden digests of tests/test_golden_digests.py to standard output, as JSON by kind and seed.
+"""Writes the golden digests to standard output as JSON (tests/golden/test_golden_digests.py).
 
     python tools/golden_digests.py > tests/golden/digests.json
 
