--- a/tests/config_reload/test_retune.py
+++ b/tests/config_reload/test_retune.py
@@ -1,5 +1,6 @@
 """Retuning on SIGHUP: the check of a file read again, the passage from old settings to new, and what the
-reducer, the module and the program make of both."""
+reducer, the module and the program make of both.
+"""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,6 +12,8 @@
 
 import pytest
 
+pytest.register_assert_rewrite("tests.support")
+
 from tests.support.known_red import LISTED, Listed, faults, read
 
 ROOT = Path(__file__).parent.parent
--- a/tests/control_log/test_control_field.py
+++ b/tests/control_log/test_control_field.py
@@ -1,6 +1,7 @@
 """Control replicas, a list service and routers as real processes, with faults between them.
 
-After each fault a purge and a drain are told: all routers have them in force, and calls stay bounded."""
+After each fault a purge and a drain are told: all routers have them in force, and calls stay bounded.
+"""
 
 from __future__ import annotations
 
@@ -109,7 +110,8 @@
 
     def test_half_of_the_routers_on_a_replica_that_lags(self) -> None:
         """Its upstream link takes 0.3 to 0.6 s there and back: a drain is known everywhere all the same, and
-        routers that move between the two go neither back nor twice over the same."""
+        routers that move between the two go neither back nor twice over the same.
+        """
         field = self.field()
         field.upstream_relays[0].change(LinkMode.DELAY)
         for _ in range(3):
@@ -143,7 +145,8 @@
 class Counts(unittest.TestCase):
     def test_calls_bytes_and_state_of_a_small_fleet(self) -> None:
         """30 purges at 10 a second: what the list service hears goes with replicas and purges, what a replica
-        hears with its routers and the batch; none of it with the other.  Counts only, no times."""
+        hears with its routers and the batch; none of it with the other.  Counts only, no times.
+        """
         purges, rate = 30, 10.0
         with ControlField(SIZE, 2) as field:
             assert field.is_caught_up(1, SIZE.servers)
@@ -170,7 +173,8 @@
 class UnderLoad(unittest.TestCase):
     def test_rules_hold_while_a_replica_dies_and_a_server_drains(self) -> None:
         """Routers with clients and servers: on the event of the drain the replica of half of them is
-        killed."""
+        killed.
+        """
         folder = TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         builds = {"old": PROGRAM_DIR, "new": build_program(Path(folder.name) / "new", "sound")}
--- a/tests/control_log/test_control_machine.py
+++ b/tests/control_log/test_control_machine.py
@@ -1,7 +1,8 @@
 """The control log as a state machine: replicas, routers, restarts, cuts and renumbering, in virtual time.
 
 What must hold: a drain or a purge that was told is in force at every connected router within a bounded time,
-nothing that a router knows is undone by an older state, and calls at each replica stay bounded."""
+nothing that a router knows is undone by an older state, and calls at each replica stay bounded.
+"""
 
 from __future__ import annotations
 
--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -58,7 +58,8 @@
 class NoneLeft(unittest.TestCase):
     def test_a_dial_takes_the_place_of_one_that_rests(self) -> None:
         """``dial`` made a fresh socket in the handler of the very error that says there is none: it was
-        raised again and ended the process, with all that it had taken."""
+        raised again and ended the process, with all that it had taken.
+        """
         t = Turns(self)
         t.until(t.taken("feed").read, "the list is watched")
         rests, asks = t.client(), t.client()
--- a/tests/core/test_gone.py
+++ b/tests/core/test_gone.py
@@ -34,7 +34,8 @@
 
     def test_no_further_attempt_behind_a_close_in_the_same_turn(self) -> None:
         """Servers were read before clients: the answer that failed had the next attempt sent, and then the
-        close was read."""
+        close was read.
+        """
         for last in (b"", cancel(1)):
             with self.subTest(last=last):
                 t = Turns(self)
@@ -142,7 +143,7 @@
     def test_time_between_reading_and_taking_counts(self) -> None:
         """Patience counts from the client's send, wherever the request waits."""
         t = Turns(self)
-        client, cache = self.asked(t)
+        client, _cache = self.asked(t)
         (ours,) = t.loop.clients.open.values()
         client.send(call(2, patience=900))
         t.loop.read_disconnects([(ours, 1)], t.now)
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -99,7 +99,8 @@
 
     def test_a_retry_goes_to_the_group_of_the_first_within_its_window(self) -> None:
         """Each request was judged alone: a retry went to any cache, a second after another zone's or cell's
-        may have run it, and past the window."""
+        may have run it, and past the window.
+        """
         for group in ("zone", "cell"):
             for seed in range(30):
                 v = world(group, {"silent": 0.5, "done": 0.2, "broke": 0.2, "wait": 0.1}, seed, 1500 * MS)
@@ -138,7 +139,8 @@
 
     def test_a_retry_of_a_key_not_seen_here_is_sent_once(self) -> None:
         """Its first try was another process's: the router was upgraded, or killed, in between.  Where and
-        when that was sent nobody knows; a second send may be past the window, or in another group."""
+        when that was sent nobody knows; a second send may be past the window, or in another group.
+        """
         for group, due in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
             for retry, least in ((True, 1), (False, 2)):
                 sends = 0
--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -68,7 +68,8 @@
 
     def test_a_message_has_an_end(self) -> None:
         """Nested lists grow in memory as they come, far past the bytes that wait to be decoded; and hundreds
-        of requests at once, withdrawn or not, were each sent on."""
+        of requests at once, withdrawn or not, were each sent on.
+        """
         codec = ClientCodec(1, BUFFER_BYTES)
         with pytest.raises(ClientProtocolError):
             for _ in range(8):
@@ -111,7 +112,8 @@
 
     def test_requests_are_read_for_a_bounded_time(self) -> None:
         """All clients were read before the feed was looked at again; turns grew longer than the purge rule
-        allows.  What is left over remembers since when it may have waited."""
+        allows.  What is left over remembers since when it may have waited.
+        """
         ticks = iter(range(NOW, NOW + 10**12, CLIENT_REQUESTS_TURN_NS // 2))
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: next(ticks)))
         self.addCleanup(loop.selector.close)
@@ -127,7 +129,7 @@
     def test_waits_for_a_connection_are_chosen_anew_on_a_purge(self) -> None:
         """An attempt without an age limit must not be sent up to a dial's time after the purge was told."""
         r = router()
-        (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (_dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW),)))
         (pull,) = only(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
         assert pull.max_age_ms > 0
@@ -211,7 +213,8 @@
     def test_a_connection_behind_slow_fills_is_asked_before_it_is_given_up(self) -> None:
         """While the store was slow, what waited for it gathered on a few connections.  Each was given up
         after half a second and all of it asked for once more, at every cache of the zone, for twelve seconds:
-        352 of 3,533 attempts in one router, and half of all requests in time."""
+        352 of 3,533 attempts in one router, and half of all requests in time.
+        """
         for answers in (True, False):
             r = router()
             r.state.settings = replace(
@@ -292,7 +295,7 @@
         assert pull.max_age_ms == 1
 
     def test_answers_in_any_pieces(self) -> None:
-        """mypyc once took the codec's body for absent for good; each cut of the bytes gives the same."""
+        """Mypyc once took the codec's body for absent for good; each cut of the bytes gives the same."""
         data = (
             b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$8\r\ntell=old\r\n$5\r\nby\r\nt\r\n"
             b"*4\r\n$1\r\nb\r\n$4\r\nLACK\r\n$1\r\n-\r\n$0\r\n\r\n"
--- a/tests/core/test_state.py
+++ b/tests/core/test_state.py
@@ -80,7 +80,10 @@
             assert (order["failed"], order["in_time"]) == (1, 0.0)
             who = [told[k] for k in ("name", "ready", "service", "invariants")]
             assert who == ["n1", True, "in", 0]
-            assert told["build"] and told["settings"] and told["rules"] and told["instance"]
+            assert told["build"]
+            assert told["settings"]
+            assert told["rules"]
+            assert told["instance"]
             assert told["memory_kb"] > 5000
             again = state(router)[1]
             assert [again[k] for k in ("instance", "build", "settings", "rules")] == [
--- a/tests/decision/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -1,5 +1,6 @@
 """Limits that act on what is there, before any answer is late.  Lateness told seconds after the queue had
-grown: at both sites an overloaded zone swung between full links and idle ones."""
+grown: at both sites an overloaded zone swung between full links and idle ones.
+"""
 
 from __future__ import annotations
 
@@ -58,7 +59,8 @@
 
     def test_what_the_caches_have_no_room_for_goes_straight_to_a_parent(self) -> None:
         """A zone had two caches left: two thirds of what it was asked was refused for half a minute, with its
-        link at a third of what fits.  Not where the link is full, nor where it is not allowed."""
+        link at a third of what fits.  Not where the link is full, nor where it is not allowed.
+        """
         for direct, link, straight in ((True, 0.4, True), (True, 3.0, False), (False, 0.4, False)):
             with self.subTest(allows_cache_bypass=direct, link=link):
                 p = policy(allows_cache_bypass=direct)
@@ -102,7 +104,8 @@
 class SlowStore(unittest.TestCase):
     """With the store slow, fills waited two seconds at their caches; they counted as transfers of the caches'
     links, and as lateness of hits, and of the requests that only a copy was wanted for two in five were
-    refused for twelve seconds."""
+    refused for twelve seconds.
+    """
 
     def stuck(self, passed: bool) -> RoutingPolicy:
         """60 requests out that wait for their source; ``passed``: copies asked for later were answered."""
@@ -133,7 +136,8 @@
 
 class ColdBudget(unittest.TestCase):
     """Rule 4 counts work.  At the class's mean a few large requests pushed a cold server over, and what it
-    gave before its restart was taken for what it can give after."""
+    gave before its restart was taken for what it can give after.
+    """
 
     def cold(self, **more: Any) -> RoutingPolicy:
         """All caches started at 100 s: 0.6 * 2 * 0.2 * 5 = 1.2 s of work a second each."""
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -32,7 +32,8 @@
         gate.record_latency(True, n, n)
     assert gate.cost_threshold == MIN_COST_THRESHOLD
     gate.cost_threshold = 1.0
-    assert gate.admits(1.0) and not gate.admits(20.0)
+    assert gate.admits(1.0)
+    assert not gate.admits(20.0)
 
 
 def test_backlog_of_late_answers_cuts_once() -> None:
@@ -62,7 +63,8 @@
 
 def test_gate_that_admits_nothing_opens_again() -> None:
     """After a spell of errors requests of one price were refused for good: at the least cutoff none was taken
-    whose answer could have opened it."""
+    whose answer could have opened it.
+    """
     gate = AdmissionController()
     gate.cost_threshold = MIN_COST_THRESHOLD
     gate.lowered_ns = S
@@ -94,9 +96,8 @@
         (f, *_) = fetches(ask(p, S + n * MS, f"r{n}", n))
         end(p, S + n * MS, f, Outcome.FULL, note=FillResult.ORIGIN_FAILED)
     later = [f for n in range(10, 20) for f in fetches(ask(p, S + n * MS, f"q{n}", n))]
-    assert any(f.cached_only for f in later) and all(
-        f.cached_only for f in later if f.fill_source != f.server
-    )
+    assert any(f.cached_only for f in later)
+    assert all(f.cached_only for f in later if f.fill_source != f.server)
     trials = [f for n in range(10) for f in fetches(ask(p, 3 * S + n * MS, f"t{n}", 50 + n))]
     assert sum(not f.cached_only for f in trials if f.fill_source != f.server) == 1
 
@@ -134,7 +135,9 @@
     end(p, S + MS, f, Outcome.OK, note=FillResult.HIT)
     p.handle(S, api.ServerList("update", (api.Server(f.server, api.Role.CACHE, "a", weight=1e-6),)))
     (g,) = fetches(ask(p, 2 * S, "s", 1))
-    assert g.server != f.server and g.fill_source == f.server and g.cached_only
+    assert g.server != f.server
+    assert g.fill_source == f.server
+    assert g.cached_only
     (h,) = fetches(ask(p, 30 * S, "t", 1))
     assert h.fill_source.startswith("p")
 
@@ -144,13 +147,15 @@
     for n in range(21_000):
         for f in fetches(ask(p, S + n * MS, f"r{n}", n)):
             end(p, S + n * MS, f, Outcome.OK, note=FillResult.HIT)
-    assert len(p.state.histories) <= 20_000 and not p.requests_in_flight
+    assert len(p.state.histories) <= 20_000
+    assert not p.requests_in_flight
 
 
 def test_failed_subscription_is_asked_again_later() -> None:
     p = policy(discovery="ask")
     (timer,) = p.handle(S, api.ServerList("unavailable"))
-    assert isinstance(timer, api.SetTimer) and timer.at_ns > S
+    assert isinstance(timer, api.SetTimer)
+    assert timer.at_ns > S
     assert p.handle(timer.at_ns, api.TimerExpired(timer.label)) == [api.Subscribe()]
 
 
@@ -163,7 +168,8 @@
 def test_malformed_line_is_named_and_ends_the_adapter(text: str, capsys: pytest.CaptureFixture[str]) -> None:
     with pytest.raises(SystemExit) as stopped:
         SimulatorHost(io.StringIO()).run(io.StringIO(text))
-    assert stopped.value.code == 2 and "line " in capsys.readouterr().err
+    assert stopped.value.code == 2
+    assert "line " in capsys.readouterr().err
 
 
 def test_error_in_the_module_is_reported_on_the_wire() -> None:
@@ -188,8 +194,7 @@
     now = 6 * S
     for node in p.endpoints.values():
         expected = sum(w for t, w in node.work_sent.samples if t > now - S // 2)
-        assert (
-            abs(node.work_sent.sum_since(now - S // 2) - expected) < 1e-3
-            and len(node.work_sent.samples) <= 200
-        )
-        assert node.work_sent.sum_since(now) == 0.0 and not node.work_sent.samples
+        assert abs(node.work_sent.sum_since(now - S // 2) - expected) < 1e-3
+        assert len(node.work_sent.samples) <= 200
+        assert node.work_sent.sum_since(now) == 0.0
+        assert not node.work_sent.samples
--- a/tests/decision/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -29,7 +29,8 @@
 @pytest.mark.parametrize("apart", [1, 24])
 def test_cold_parent_gets_turns_within_its_budget(apart: int) -> None:
     """A router's part of the budget was under one request, so a restarted parent never got a fill.  With
-    turns by number alone, routers of one zone, numbered a multiple apart, all took the same (ha226a3)."""
+    turns by number alone, routers of one zone, numbered a multiple apart, all took the same (ha226a3).
+    """
     start, weight, unit = 100 * S, 20.0, 0.3
     lines = [replace(x, started_ns=start if x.name == "p0" else 0) for x in servers() if x.name != "p1"]
     sent: Counter[int] = Counter()
@@ -60,7 +61,8 @@
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
     (g,) = fetches(end(p, S + MS, f, Outcome.CONNECT_FAILED))
-    assert p.endpoints[f.server].is_ejected and g.server != f.server
+    assert p.endpoints[f.server].is_ejected
+    assert g.server != f.server
 
 
 def test_lost_connections_tell_nothing_of_a_server() -> None:
@@ -70,14 +72,16 @@
     (g,) = fetches(end(p, S + MS, f, Outcome.RESET))
     (h,) = fetches(end(p, S + 2 * MS, g, Outcome.RESET, 1))
     (i,) = fetches(end(p, S + 3 * MS, h, Outcome.RESET, 2))
-    assert g.server == h.server == f.server != i.server and not p.endpoints[f.server].is_ejected
+    assert g.server == h.server == f.server != i.server
+    assert not p.endpoints[f.server].is_ejected
 
 
 def test_unreachable_source_is_dead_at_once() -> None:
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
     end(p, S + MS, f, Outcome.FULL, note=FillResult.SOURCE_BROKE)
-    assert p.endpoints[f.fill_source].is_ejected and not p.endpoints[f.server].is_ejected
+    assert p.endpoints[f.fill_source].is_ejected
+    assert not p.endpoints[f.server].is_ejected
 
 
 def test_trials_grow_rarer_up_to_a_limit() -> None:
@@ -89,7 +93,8 @@
         now = health.next_trial_ns
         health.record_trial(now)
         waits.append(health.next_trial_ns - now)
-    assert waits == sorted(waits) and waits[0] < waits[-1] == MAX_TRIAL_INTERVAL_NS
+    assert waits == sorted(waits)
+    assert waits[0] < waits[-1] == MAX_TRIAL_INTERVAL_NS
     health.record_success(0)
     health.record_trial(0)
     assert health.next_trial_ns == waits[0]
@@ -136,7 +141,8 @@
     for n in range(64):
         gate.record_arrival(1.0 + n % 2 * 9, 1.0, n)
     gate.limit_to_capacity(0.5 * gate.offered_work.total / (4 * S))
-    assert gate.admits(1.0) and not gate.admits(10.1)
+    assert gate.admits(1.0)
+    assert not gate.admits(10.1)
 
 
 def test_gate_opens_sooner_on_answers_with_time_to_spare() -> None:
@@ -195,7 +201,8 @@
     monkeypatch.setattr(Endpoint, "warm_fraction", counted)
     fetches(ask(p, S, "r", 1))
     p.handle(2 * S, api.TimerExpired(0))
-    assert seen["a"] > 0 and seen["b"] == 0
+    assert seen["a"] > 0
+    assert seen["b"] == 0
     assert sum(seen.values()) < 40
 
 
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -53,7 +53,8 @@
 
 class SlowParent(unittest.TestCase):
     """One of two parents sent answers at an eighth of its pace.  Each router went on giving it fills, as an
-    answer that did not come in time told nothing of the parent."""
+    answer that did not come in time told nothing of the parent.
+    """
 
     def test_fills_leave_a_parent_whose_answers_do_not_come(self) -> None:
         random = Random(1)
@@ -108,7 +109,8 @@
 
 class FailingParent(unittest.TestCase):
     """A parent failed many fills, and did so at once: its time to first byte stayed as good as any, and each
-    answer in between took its strikes away."""
+    answer in between took its strikes away.
+    """
 
     def test_failed_fills_count_as_late_ones(self) -> None:
         p = policy(EVEN, **THIN)
@@ -137,7 +139,8 @@
 
 class UnequalCaches(unittest.TestCase):
     """Small caches reported to be 105% busy beside large or cold ones at 10 to 30%: weights are not told, so
-    the hash gave each the same, and a router's own answer times are too few to tell."""
+    the hash gave each the same, and a router's own answer times are too few to tell.
+    """
 
     def test_objects_go_where_less_load_is_reported(self) -> None:
         random = Random(5)
@@ -168,7 +171,8 @@
 
 class ColdZone(unittest.TestCase):
     """A whole zone came back cold, its routers restarted with it.  None had a warm cache to compare with, so
-    each cache was held to be able to do one transfer, and stood idle while its clients were refused."""
+    each cache was held to be able to do one transfer, and stood idle while its clients were refused.
+    """
 
     ROUTERS, CAPACITY, UNIT = 9, 12.0, 0.25
 
@@ -249,7 +253,8 @@
 
 class FullLink(unittest.TestCase):
     """All copies went void at once, and every router of the zone went on asking for fills.  Fills whose
-    clients have left run on, so the link held sixty times what fits until the day's end."""
+    clients have left run on, so the link held sixty times what fits until the day's end.
+    """
 
     def test_no_fill_over_a_link_that_is_told_to_be_jammed(self) -> None:
         p = warmed()
@@ -331,7 +336,8 @@
 
 class BadListEvents(unittest.TestCase):
     """One event that could not be read failed its whole poll, which was asked for again without end: what
-    stood behind it, drains and purges, was never heard."""
+    stood behind it, drains and purges, was never heard.
+    """
 
     LINE = {"name": "c9", "address": "127.0.0.1:9", "zone": "a", "type": "small", "status": "active"}
     BAD = (
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -32,7 +32,8 @@
     p = policy()
     (f,) = fetches(ask(p, S, "r", time_remaining_ns=S))
     actions = end(p, 2 * S, f, Outcome.TIMEOUT, took=S)
-    assert api.Fail("r") in actions and not fetches(actions)
+    assert api.Fail("r") in actions
+    assert not fetches(actions)
 
 
 @pytest.mark.parametrize("lines", [[], [replace(s, state="terminating") for s in servers()]])
@@ -51,7 +52,9 @@
     p = policy()
     (f,) = fetches(ask(p, S, "r", cls="unsafe"))
     actions = end(p, S + MS, f, Outcome.RESET)
-    assert actions and not fetches(actions) and not any(isinstance(a, api.Reject) for a in actions)
+    assert actions
+    assert not fetches(actions)
+    assert not any(isinstance(a, api.Reject) for a in actions)
 
 
 def test_unsafe_is_sent_again_when_it_cannot_have_run() -> None:
@@ -75,7 +78,8 @@
     (f,) = fetches(ask(p, S, "r", cls="keyed"))
     again = fetches(end(p, S + MS, f, Outcome.RESET))
     cell = {s.name: s.cell for s in servers()}
-    assert again and all(cell[a.server] == cell[f.server] or group == "zone" for a in again)
+    assert again
+    assert all(cell[a.server] == cell[f.server] or group == "zone" for a in again)
     refused = end(p, S + 2 * MS, again[0], Outcome.RESET, 1)
     assert not any(isinstance(a, api.Reject) for a in refused)
 
@@ -126,7 +130,8 @@
     for n, (item, group, purge) in enumerate([(7, 3, 9_800 * MS), (8, 4, 10 * S), (7, 3, 9_800 * MS)]):
         now = 10 * S + n * 900 * MS
         (f,) = fetches(ask(p, now, f"r{n}", item, purge_group=group))
-        assert 0 < f.max_age_ns and (f.max_age_ns < now - purge or now - purge < 2 * MS)
+        assert f.max_age_ns > 0
+        assert f.max_age_ns < now - purge or now - purge < 2 * MS
     (f,) = fetches(ask(p, 11 * S, "other", 9, purge_group=5))
     assert f.max_age_ns == 0
 
@@ -191,7 +196,8 @@
                     keyed_all = (cls.idempotency, cls.dedup_scope) == (api.Idempotency.KEYED, "all")
                     assert cls.idempotency is api.Idempotency.SAFE or keyed_all
             elif isinstance(a, api.Cancel):
-                assert s.limits.may_cancel and a.attempt < tries[a.id]
+                assert s.limits.may_cancel
+                assert a.attempt < tries[a.id]
 
     def finish(key: tuple[str, int], outcome: Outcome) -> None:
         f, sent = out.pop(key)
@@ -233,7 +239,8 @@
             check(p.handle(now, api.ServerList("update", (said[x],))))
         else:
             check(p.handle(now, api.TimerExpired(0)))
-    assert len(p.requests_in_flight) < 400 and len(log) > 500
+    assert len(p.requests_in_flight) < 400
+    assert len(log) > 500
     return "\n".join(log)
 
 
--- a/tests/decision/test_untold_failures.py
+++ b/tests/decision/test_untold_failures.py
@@ -20,7 +20,8 @@
     def test_a_source_that_was_not_reached_in_a_dials_time_is_dead(self) -> None:
         """Five of twelve parents were silent for five seconds, and nearly all of 200 routers went on naming
         them: each fill was turned away after 0.83 s, the cache was blamed, and when the parents came back
-        cold they had all of it at once and fell."""
+        cold they had all of it at once and fell.
+        """
         for notes in ("hit", "off"):
             assert self.refused(notes, 831 * MS) == (True, False)
             assert self.refused(notes, 50 * MS) == (False, False), "full, as far as anyone can tell"
@@ -53,7 +54,8 @@
 
     def test_an_origin_that_turns_all_away_is_spared(self) -> None:
         """It was asked for each fill that its parents turned away, 765 a second where 100 fit, and worked off
-        for five seconds what nobody waited for any more; no order was taken meanwhile."""
+        for five seconds what nobody waited for any more; no order was taken meanwhile.
+        """
         p = policy(notes="hit", connect_timeout_ns=400 * MS)
         (origin,) = p.state.directory.origins
         count = 0
--- a/tests/deployment_check/test_generated.py
+++ b/tests/deployment_check/test_generated.py
@@ -40,7 +40,7 @@
     def answers(self, ask: RequestRecord) -> None:
         """One final answer in time to all that a living router has taken."""
         due = ask.arrived_ns + ask.request.remaining_time_ns + SLACK
-        if len(ask.final_effects) > 1 or not ask.final_effects and (not ask.gone_ns or ask.gone_ns >= due):
+        if len(ask.final_effects) > 1 or (not ask.final_effects and (not ask.gone_ns or ask.gone_ns >= due)):
             self.say("answered", f"{ask.request.trace_id} has {len(ask.final_effects)} answers")
         if ask.final_effects and ask.final_effects[0][0] > due:
             self.say("answered", f"{ask.request.trace_id} is late")
@@ -89,7 +89,7 @@
                 != self.day.requests_by_trace[sent.command.attempt_id].request.idempotency_key
             ):
                 self.say("nonce", f"{key} went out as {sent.command.idempotency_key!r}")
-        if cls["idempotency"] == "safe" or cls["idempotency"] == "keyed" and cls["group"] == "all":
+        if cls["idempotency"] == "safe" or (cls["idempotency"] == "keyed" and cls["group"] == "all"):
             return
         for trace in {x.command.attempt_id for x in sends}:
             ask = self.day.requests_by_trace[trace]
@@ -116,14 +116,15 @@
         for at, what, more in self.day.notices:
             if what == "purge" and at <= sent.sent_ns < at + done:
                 item, group, when = more
-                if item == call.object_number or item is None and group == call.group:
+                if item == call.object_number or (item is None and group == call.group):
                     if not 0 < sent.command.max_age_ms * MS <= sent.sent_ns - when:
                         self.say("purge", f"{call.trace_id} allows {sent.command.max_age_ms} ms")
 
     def cold(self, name: str, born: int) -> None:
         """A server that has started is sent no more than it can bear: in any span of ``fall_ns`` the sending
         times of what goes to it, or is filled from it, stay under what the rule names, one request above it
-        as the least that can be sent.  Work is what the settings tell of it, or what came of it."""
+        as the least that can be sent.  Work is what the settings tell of it, or what came of it.
+        """
         f, contract = self.s["family_info"], self.s["contract"]
         e = self.addresses[name]
         parent = e["type"] == "hub"
--- a/tests/deployment_check/test_places.py
+++ b/tests/deployment_check/test_places.py
@@ -69,7 +69,7 @@
         assert len(only(effects.OpenServerConnection, r.handle(later, call(41)))) == 1, "then once more"
 
     def test_one_that_was_not_heard_of_late_is_gone(self) -> None:
-        r, _, effect_list = self.crowded(2 * SECOND)
+        r, _, _effect_list = self.crowded(2 * SECOND)
         assert r.state.counters["no place"] == 0
         assert any(n.is_ejected for n in r.state.policy.endpoints.values())
 
--- a/tests/deployment_check/test_two_sites.py
+++ b/tests/deployment_check/test_two_sites.py
@@ -1,7 +1,8 @@
 """The very `run` line at two deployments made here, as real processes on loopback with stand-ins.
 
 They differ in classes, effects, groups, windows, graces, features, reports, weights and told sizes; nothing
-of either is named in the program or in the file that `run` names."""
+of either is named in the program or in the file that `run` names.
+"""
 
 from __future__ import annotations
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -74,7 +74,8 @@
 
     def test_silent_for_ever(self) -> None:
         """Nothing comes on an open watch, again and again: each is asked anew in time, and a drain told
-        meanwhile is known with the first that answers."""
+        meanwhile is known with the first that answers.
+        """
         for ask, within in ((0, 1_400), (400, 400)):
             with self.subTest(ask_within_ms=ask):
                 contract = {"ask_within_ns": ask * MS, "drain_grace_ns": 500 * MS}
--- a/tests/golden/test_golden_stored_data.py
+++ b/tests/golden/test_golden_stored_data.py
@@ -560,7 +560,8 @@
 
 def test_recorded_exchanges_and_operators_files_are_unchanged() -> None:
     """Each file's SHA-256 is the committed one.  A new file adds its line and
-    raises the number below; a line that is there stays."""
+    raises the number below; a line that is there stays.
+    """
     committed = {line[66:]: line[:64] for line in golden("digests.txt").decode().splitlines()}
     folders = ("tests/exchanges", "tests/faulty", "tests/valid")
     paths = [p for folder in folders for p in (ROOT / folder).rglob("*") if p.is_file()]
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import signal
 import socket
 import unittest
@@ -29,7 +30,8 @@
 
     def test_a_request_that_crosses_the_close_is_not_sent_on(self) -> None:
         """Our side has ended: the client sends it again on a new connection.  A close reset the connection,
-        with whatever the client had not read yet."""
+        with whatever the client had not read yet.
+        """
         t = Turns(self)
         client, cache = t.served()
         t.turn(IDLE_CLIENT_TIMEOUT_NS + SECOND)
@@ -37,7 +39,8 @@
         client.send(call(2))
         t.turn(turns=3)
         client.read()
-        assert client.ended and not client.reset
+        assert client.ended
+        assert not client.reset
         assert len(cache.pulls()) == 1
         client.close()
         t.until(lambda: not t.loop.clients.lingering.clients, "the client's close ends it")
@@ -84,10 +87,8 @@
         rest = [done(cache.pulls()[0], body)]
 
         def push() -> bool:
-            try:
+            with contextlib.suppress(BlockingIOError):
                 rest[0] = rest[0][cache.sock.send(rest[0]) :]
-            except BlockingIOError:
-                pass
             return not rest[0]
 
         t.until(push, "the answer is on its way")
@@ -182,7 +183,8 @@
         t.tick_ns = SHUTDOWN_LINGER_NS // 20
         t.loop.flush_and_close()
         client.read()
-        assert client.ended and not client.reset
+        assert client.ended
+        assert not client.reset
         assert (len(cache.pulls()), len(client.answers())) == (1, 1)
 
     def test_a_second_signal_changes_nothing(self) -> None:
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -207,21 +207,20 @@
 
     def test_a_feed_that_is_too_long_for_ever_is_asked_seldom(self) -> None:
         """Its answers bring nothing and never end well: a megabyte each, of which no event can be had."""
-        with StandInServers() as world:
-            with RouterProcess(world, release=True) as router:
-                self.wait(lambda: len(world.feed_calls) >= 1, "it calls")
-                with world.lock:
-                    world.feed_events.append({"n": 1, "filler": "x" * (3 * MAX_EVENT_BYTES)})
-                self.wait(
-                    lambda: any(line["event"] == "feed.lost" for line in router.log_events()), "it is refused"
-                )
-                client = router.client()
-                before, lines = len(world.feed_calls), len(router.log_events())
-                for part in range(60):  # it goes on serving by what it knows
-                    assert client.request("page", part=part).kind == "served"
-                    time.sleep(0.05)
-                assert len(world.feed_calls) - before <= 1, "calls in 3 s"
-                assert sum(x["event"] == "feed.lost" for x in router.log_events()[lines:]) <= 1
+        with StandInServers() as world, RouterProcess(world, release=True) as router:
+            self.wait(lambda: len(world.feed_calls) >= 1, "it calls")
+            with world.lock:
+                world.feed_events.append({"n": 1, "filler": "x" * (3 * MAX_EVENT_BYTES)})
+            self.wait(
+                lambda: any(line["event"] == "feed.lost" for line in router.log_events()), "it is refused"
+            )
+            client = router.client()
+            before, lines = len(world.feed_calls), len(router.log_events())
+            for part in range(60):  # it goes on serving by what it knows
+                assert client.request("page", part=part).kind == "served"
+                time.sleep(0.05)
+            assert len(world.feed_calls) - before <= 1, "calls in 3 s"
+            assert sum(x["event"] == "feed.lost" for x in router.log_events()[lines:]) <= 1
 
 
 if __name__ == "__main__":
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import unittest
 
 from kelpcroft.net.client_codec import MAX_OPEN_CALLS_PER_CLIENT
@@ -51,12 +52,10 @@
         t = Turns(self)
         other, cache = t.served()
         floods = t.client()
-        try:
+        with contextlib.suppress(BlockingIOError):
             floods.send(
                 b"".join(call(n, trace=f"{n + 99:016x}") for n in range(1, 10 * MAX_OPEN_CALLS_PER_CLIENT))
             )
-        except BlockingIOError:
-            pass
         floods.close()
         t.turn(turns=5)
         t.turn(100 * MS)
@@ -67,7 +66,8 @@
 
     def test_an_answer_that_never_ends(self) -> None:
         """A head that says a quarter of a megabyte, and then nothing: its connection goes, others are served,
-        and what may run again is tried once more."""
+        and what may run again is tried once more.
+        """
         t = Turns(self)
         other, cache = t.served()
         other.send(call(2))
--- a/tests/net/test_link_ends.py
+++ b/tests/net/test_link_ends.py
@@ -34,7 +34,8 @@
 
     def test_an_end_in_the_turn_in_which_the_connection_is_chosen(self) -> None:
         """What must not run twice was written to a connection that its server had ended, unseen yet: it may
-        have run, as far as anyone could tell, and failed."""
+        have run, as far as anyone could tell, and failed.
+        """
         for reset in (False, True):
             with self.subTest(reset=reset):
                 t = Turns(self)
--- a/tests/net/test_listeners.py
+++ b/tests/net/test_listeners.py
@@ -51,9 +51,8 @@
         assert idle.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE) == socket.SOCK_STREAM
 
     def test_an_address_in_use_is_named(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as held:
-            with pytest.raises(ConfigError) as caught:
-                bind_listener("listen", held.getsockname())
+        with socket.create_server(("127.0.0.1", 0)) as held, pytest.raises(ConfigError) as caught:
+            bind_listener("listen", held.getsockname())
         assert "listen: 127.0.0.1:" in str(caught.value)
 
     def test_router_fd_must_be_a_number(self) -> None:
--- a/tests/net/test_size.py
+++ b/tests/net/test_size.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import socket
 import unittest
 
@@ -56,7 +57,8 @@
 
     def test_a_full_pool_keeps_nobody_from_being_read(self) -> None:
         """Answers owed to clients that read nothing took every pooled buffer; the next server to answer
-        lost its connection for want of a buffer to read into, and all that was out on it."""
+        lost its connection for want of a buffer to read into, and all that was out on it.
+        """
         loop = self.loop()
         while loop.transport.pool.acquire() is not None:
             pass
@@ -69,7 +71,8 @@
 
     def test_a_client_read_at_a_megabyte_a_second_holds_a_bounded_backlog(self) -> None:
         """What a slow client does not take waits in pooled buffers, never more than it is owed; past
-        SLOW_BYTES nothing more is read from it, and as it reads, the buffers go back."""
+        SLOW_BYTES nothing more is read from it, and as it reads, the buffers go back.
+        """
         loop = self.loop()
         ours, theirs = pair(self, 64 * 1024)
         client = loop.clients.open[1] = ClientConnection(loop.clients, 1, ours, NOW)
@@ -85,10 +88,8 @@
         tick = 0
         while len(got) < owed:
             tick += 1  # a tick is 1/16 s: 64 KB of the 1 MB a second
-            try:
+            with contextlib.suppress(BlockingIOError):
                 got += theirs.recv(64 * 1024, socket.MSG_DONTWAIT)
-            except BlockingIOError:
-                pass
             loop.transport.write(client)
             assert loop.transport.pool.in_use <= most
         assert got == b"".join(bytes([n]) * 240000 for n in range(8))
--- a/tests/operator_file/test_operator_properties.py
+++ b/tests/operator_file/test_operator_properties.py
@@ -62,7 +62,7 @@
 def files(draw: Any) -> OperatorFile:
     rows = st.tuples(names, matches, bounds)
     found = draw(st.lists(rows, min_size=1, max_size=4, unique_by=lambda r: r[0]))
-    used = any(b.retry_budget or b.hedging and b.hedging.budget for _, _, b in found)
+    used = any(b.retry_budget or (b.hedging and b.hedging.budget) for _, _, b in found)
     budget = BudgetSettings("b", 0.25, draw(st.sampled_from([0.0, 5.0])), 20.0)
     return OperatorFile(tuple(Route(*route) for route in found), (budget,) if used else ())
 
--- a/tests/program/test_exchanges.py
+++ b/tests/program/test_exchanges.py
@@ -27,7 +27,8 @@
 
     def test_nonce(self) -> None:
         """The idempotency key of keyed classes was neither read nor sent on: servers that drop repeats by it
-        ran each attempt as a new request."""
+        ran each attempt as a new request.
+        """
         Player(self, ONE, orders=KEYED).play("nonce.txt")
 
     def test_size(self) -> None:
--- a/tests/program/test_routes_loopback.py
+++ b/tests/program/test_routes_loopback.py
@@ -126,14 +126,14 @@
     def test_the_whole_wait_ends_before_the_client_does(self) -> None:
         for timeout in ("400ms", "4%"):
             with self.subTest(timeout=timeout):
-                world, answer = self.ask(
+                _world, answer = self.ask(
                     always("silent"), f'route "rest" {{ match; timeout "{timeout}"; pause "90ms"; }}'
                 )
                 assert (answer.kind, answer.fields) == ("refused", {"pause": "90"})
                 assert 395 <= answer.latency_ms < LONG / 2, answer
 
     def test_back_off_lies_between_attempts(self) -> None:
-        world, answer = self.ask(
+        world, _answer = self.ask(
             always("BROKE"), 'route "rest" { match; attempts most=2; backoff first="200ms"; }'
         )
         first, second = world.requests()
@@ -158,7 +158,7 @@
         """Answers take 5 ms; what is silent gets a copy, and not before 'least'."""
 
         def script(server: str, seen: ServerCommand) -> ScriptedReply:
-            same = [s for s in world.requests(seen.request_id)]
+            same = list(world.requests(seen.request_id))
             return (
                 ScriptedReply("silent")
                 if seen.fields["chunk"] == "99" and len(same) < 2
--- a/tests/program/test_signals.py
+++ b/tests/program/test_signals.py
@@ -17,7 +17,8 @@
 class Signals(unittest.TestCase):
     def play(self, at: int, signals: tuple[int, ...], good: bool = False) -> None:
         """One request that its cache lacks and then has, with signals before one of its turns; ``good``: the
-        file read again is the one in use."""
+        file read again is the one in use.
+        """
         t = Turns(self)
         if good:
             t.loop.signals.read_config = lambda: inputs.ConfigFileRead(
@@ -51,7 +52,8 @@
             t.tick_ns = 10 * MS
             t.loop.flush_and_close()
             client.read()
-            assert client.ended and not client.reset
+            assert client.ended
+            assert not client.reset
         assert len(client.answers()) == 1
 
     def test_at_every_step(self) -> None:
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -271,7 +271,8 @@
 
     def test_another_process_goes_on_at_any_instant(self) -> None:
         """Taken over after any step, with the orders of that step lost: no router is changed twice or
-        forgotten.  Once the silence while nobody asked counted as the routers', and held it at once."""
+        forgotten.  Once the silence while nobody asked counted as the routers', and held it at once.
+        """
         for every in (7, 23, 61):
             world = SimulatedFleet(make_plan(2, 3), 3, sound)
             for n in range(3_000):
@@ -345,7 +346,8 @@
 
     def test_a_pause_of_the_controller_is_no_silence_of_the_routers(self) -> None:
         """It stands still for 20 s at any step of a change, longer than a step may take: nothing is
-        held and nobody is taken back."""
+        held and nobody is taken back.
+        """
         world = self.world(sound)
         pauses = 0
         while world.rollout.outcome is RolloutOutcome.RUNNING and world.now < 5_000 * S:
--- a/tests/rollout/test_rollout_faults.py
+++ b/tests/rollout/test_rollout_faults.py
@@ -1,6 +1,7 @@
 """Rollouts over real processes with faults between them, and defective builds that must be stopped.
 
-The quick ones run with all tests; `pytest -m long tests/rollout/test_rollout_faults.py` runs the rest."""
+The quick ones run with all tests; `pytest -m long tests/rollout/test_rollout_faults.py` runs the rest.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +49,8 @@
     @pytest.mark.long
     def test_a_sound_change_under_faults_of_all_kinds(self) -> None:
         """Twelve routers in three zones: connections dropped, a box late, another crashed, a hub lost, each
-        on an event of the rollout.  It ends in done, no request is lost and no rule is broken."""
+        on an event of the rollout.  It ends in done, no request is lost and no rule is broken.
+        """
         field, digest = self.field("sound", 3, 4, boxes=2, hubs=2, relayed=True)
         relays, events = field.servers.relays, [0]
 
@@ -151,7 +153,8 @@
 
     def test_a_controller_that_is_stopped_and_woken_holds_nothing(self) -> None:
         """Its pause is not the routers' silence: on an event of the rollout it is stopped for longer than any
-        router may be silent, woken within its lease, and the rollout ends without a hold."""
+        router may be silent, woken within its lease, and the rollout ends without a hold.
+        """
         field, digest = self.field("sound", 1, 3)
         controller = self.controller(field.rollout_plan(digest))
         stopped: list[str] = []
@@ -172,7 +175,8 @@
     @pytest.mark.long
     def test_an_old_one_killed_between_the_new_ones_yes_and_its_end(self) -> None:
         """SIGKILL where SIGTERM was due, or right behind it: what it had taken is lost with it, nothing else,
-        and the rollout is done."""
+        and the rollout is done.
+        """
         for step in ("ready", "told"):
             with self.subTest(step=step):
                 self.setUp()
@@ -183,7 +187,8 @@
     @pytest.mark.long
     def test_a_new_one_killed_as_soon_as_the_old_one_has_gone(self) -> None:
         """Nothing runs there any more, and no answer tells that: it is held and names the router; people take
-        the change back, and the old one runs again."""
+        the change back, and the old one runs again.
+        """
         field, digest = self.field("sound", 1, 3, inherited=True)
         killed: list[str] = []
 
@@ -245,7 +250,8 @@
     @pytest.mark.long
     def test_local_processes_of_one_machine(self) -> None:
         """Four routers that the controller ends and starts itself, no tool between: each is changed once, no
-        request is lost, and the new processes outlive it."""
+        request is lost, and the new processes outlive it.
+        """
         field, digest = self.field("sound", 2, 2)
         plan = field.rollout_plan(digest)
         plan = plan[: plan.index("act timeout")] + (
@@ -344,7 +350,8 @@
 
     def test_links_of_the_controller(self) -> None:
         """To a third of the routers: cut, 2 s late, garbage.  It is held, says who does not answer, changes
-        nothing meanwhile, and goes on to the end by itself when they are back."""
+        nothing meanwhile, and goes on to the end by itself when they are back.
+        """
         for mode in (LinkMode.RESET, LinkMode.DELAY, LinkMode.GARBAGE):
             with self.subTest(mode=mode.value):
                 self.setUp()
--- a/tests/rollout/test_rollout_field.py
+++ b/tests/rollout/test_rollout_field.py
@@ -1,5 +1,6 @@
 """A rollout over real processes: routers of two zones under load, a controller of its own, and faults that
-fire on events."""
+fire on events.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +16,8 @@
 class OnAField(Rollouts):
     def test_a_sound_change_with_a_controller_that_is_killed_twice(self) -> None:
         """Killed when the third router is being changed, and again when the fifth is: each router is changed
-        once, no request is lost, and the history has every decision."""
+        once, no request is lost, and the history has every decision.
+        """
         field, digest = self.field("sound")
         controller = self.controller(field.rollout_plan(digest))
         killed: list[int] = []
@@ -61,7 +63,8 @@
 
     def test_signs_that_need_no_statistics_and_links_that_lie(self) -> None:
         """A build that is never ready is taken back; the link to another router answers garbage meanwhile,
-        which is never taken for good or bad."""
+        which is never taken for good or bad.
+        """
         field, digest = self.field("never-ready")
         with Relay(field.nodes["z1-2"].control_address) as relay:
             plan = field.rollout_plan(digest, control={"z1-2": relay.address}).replace(
--- a/tests/routes/test_routes_rules.py
+++ b/tests/routes/test_routes_rules.py
@@ -55,7 +55,7 @@
     """The figures of the route that takes a class."""
     line = next(x for x in text.splitlines() if f'"{"orders" if cls == "order" else "rest"}"' in x)
     words = line.replace(";", " ").replace('"', " ").split()
-    found = {key: 0 for key in ("attempts", "moves", "copies")}
+    found = dict.fromkeys(("attempts", "moves", "copies"), 0)
     found.update(
         {key: int(words[words.index(key) + 1].removeprefix("most=")) for key in found if key in words}
     )
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -66,7 +66,8 @@
 
 def worst(two: list[RoutingPolicy], kb: float, every_ns: int) -> float:
     """The most that a cold cache is sent within a second, over what pushes it over: requests go to two
-    processes in turn for four seconds from its start."""
+    processes in turn for four seconds from its start.
+    """
     sent: deque[tuple[int, float]] = deque()
     most = 0.0
     for n in range(4 * S // every_ns):
--- a/tests/startup/test_cold_start.py
+++ b/tests/startup/test_cold_start.py
@@ -1,7 +1,8 @@
 """Twenty-four router processes that start at once, beside a list service and servers in trouble.
 
 Faults fire on events; the verdicts come from what passed at the stand-ins.  `pytest -m long` plays the
-rest."""
+rest.
+"""
 
 from __future__ import annotations
 
@@ -59,7 +60,8 @@
     @pytest.mark.long  # after its fall the calls of the second come near what it bears
     def test_a_list_service_that_is_dead_and_one_that_falls_over_and_counts_anew(self) -> None:
         """Dead for 6 s: a bounded number of calls from all routers, then all of them out of step; what it has
-        told meanwhile reaches everyone.  Then it falls, and its numbers begin at 1 again."""
+        told meanwhile reaches everyone.  Then it falls, and its numbers begin at 1 again.
+        """
         field = self.field(rules=BUDGET)
         world = field.servers
         world.max_feed_calls_per_s, world.feed_down_until_ns = 40, time.monotonic_ns() + 6 * S
@@ -115,7 +117,8 @@
 
     def test_a_third_killed_twice_and_some_that_wake_into_an_old_world(self) -> None:
         """Killed when they have just begun to serve, started again, killed again; others stand still while a
-        box drains, and must not send to it what waited for them."""
+        box drains, and must not send to it what waited for them.
+        """
         field = self.field(boxes=2, cold=True, rules=BUDGET, settings=QUICK)
         field.__enter__()
         nodes = list(field.nodes.values())
@@ -145,7 +148,8 @@
     @pytest.mark.long  # on a busy machine the feed may take longer than it is waited for
     def test_one_that_stood_still_asks_before_it_sends(self) -> None:
         """Its call is answered with nothing while it stands still; then a box drains, which counts as told.
-        What waits in its sockets must not go there when it wakes: the answer it finds is from before."""
+        What waits in its sockets must not go there when it wakes: the answer it finds is from before.
+        """
         field = RouterField(1, 2, {"old": ROOT}, boxes=2)
         self.addCleanup(field.__exit__)
         field.__enter__()
@@ -171,7 +175,8 @@
     @pytest.mark.long
     def test_links_to_the_list_service_in_every_mode(self) -> None:
         """Slow, cut in the middle of answers, garbage, silent: what was known serves, calls stay bounded, and
-        all hear of a drain once the link is well."""
+        all hear of a drain once the link is well.
+        """
         for mode in (
             LinkMode.SLOW,
             LinkMode.CUT,
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -44,7 +44,8 @@
 
 def calls(listings: list[DiscoverySchedule], seconds: int, serves: Callable[[int], bool]) -> list[int]:
     """The times of all calls of a fleet that starts at once.  ``serves(at)``: whether the service answers; an
-    answered call waits as long as it may."""
+    answered call waits as long as it may.
+    """
     found = []
     for x in listings:
         at = x.first_call_delay_ns()
@@ -433,7 +434,8 @@
                 w.record_sent()
             else:
                 w.record_finished(now, now - 5 * MS, {"good": False, "late": True, "none": None}[step])
-            assert w.in_flight >= 0 and w.limit >= 1.0
+            assert w.in_flight >= 0
+            assert w.limit >= 1.0
         w.in_flight = 0
         assert w.has_capacity(), "it never shuts for good"
 
--- a/tests/support/exchange_player.py
+++ b/tests/support/exchange_player.py
@@ -22,6 +22,7 @@
 from __future__ import annotations
 
 import ast
+import contextlib
 import copy
 import json
 import os
@@ -81,7 +82,8 @@
         orders: dict[str, Any] | None = None,
     ) -> None:
         """``inherit``: the clients' listening socket is made here and handed down as ROUTER_FD.  ``orders``:
-        what the settings say otherwise of the class of orders."""
+        what the settings say otherwise of the class of orders.
+        """
         self.case = case
         self.listeners: dict[str, socket.socket] = {}
         self.socks: dict[str, socket.socket] = {}
@@ -183,7 +185,7 @@
 
     def read(self, name: str, pattern: re.Pattern[bytes], size: int | None) -> None:
         got = b""
-        while size is None and not pattern.fullmatch(got) or size is not None and len(got) < size:
+        while (size is None and not pattern.fullmatch(got)) or (size is not None and len(got) < size):
             try:
                 more = self.sock(name).recv(1 if size is None else size - len(got))
             except TimeoutError:
@@ -217,10 +219,8 @@
         elif what == "x":
             self.socks.pop(name).close()
         elif what == ".":
-            try:
+            with contextlib.suppress(ConnectionResetError):
                 assert self.sock(name).recv(1) == b""
-            except ConnectionResetError:
-                pass
         elif what == "term":
             self.program.send_signal(signal.SIGTERM)
         elif what == "file":
--- a/tests/support/loop_turns.py
+++ b/tests/support/loop_turns.py
@@ -122,7 +122,8 @@
         **more: Any,
     ) -> None:
         """``feed``: the list service listens.  ``orders``: what is otherwise of the class of orders;
-        ``allowed``: of ``settings.limits``; ``settings`` and ``more``: of the settings and the whole."""
+        ``allowed``: of ``settings.limits``; ``settings`` and ``more``: of the settings and the whole.
+        """
         self.now, self.tick_ns = NOW, 0  # the time, and what each look at it adds
         self.listeners = {n: socket.create_server(("127.0.0.1", 0)) for n in (*only, "feed")}
         for sock in self.listeners.values():
@@ -191,7 +192,8 @@
 
     def turn(self, after_ns: int = 0, turns: int = 1) -> None:
         """Time passes, no more at once than a process that did not stand still would see; then so many
-        turns at that instant."""
+        turns at that instant.
+        """
         end = self.now + after_ns
         while self.now < end:
             self.now = min(end, self.now + STEP_NS)
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import signal
 import socket
 import tempfile
@@ -57,10 +58,8 @@
     def connect(self) -> socket.socket:
         """A connection, or a socket without one where it was reset at once."""
         sock = socket.socket()
-        try:
+        with contextlib.suppress(ConnectionResetError):
             sock.connect(self.relay.address)
-        except ConnectionResetError:
-            pass
         self.addCleanup(sock.close)
         sock.settimeout(1)
         return sock
@@ -167,7 +166,8 @@
         for relay in field.servers.relays.values():
             relay.change(LinkMode.PASS)
             relay.drop()
-        assert nodes[0].process and nodes[1].process
+        assert nodes[0].process
+        assert nodes[1].process
         nodes[0].process.send_signal(signal.SIGSTOP)
         time.sleep(0.5)
         nodes[0].process.send_signal(signal.SIGCONT)
--- a/tools/golden_digests.py
+++ b/tools/golden_digests.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from tests.support.wire_capture import KINDS  # noqa: E402
+from tests.support.wire_capture import KINDS
 
 
 def main() -> None:
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -174,7 +174,8 @@
     running = SimulatedFleet(plan, 1, lambda world, p, cls: 0.0)
     for _ in range(200):
         running.run_second()
-    assert running.rollout.outcome is RolloutOutcome.RUNNING and running.rollout.judge.tests
+    assert running.rollout.outcome is RolloutOutcome.RUNNING
+    assert running.rollout.judge.tests
     held = SimulatedFleet(plan, 2, lambda world, p, cls: 0.0)
     for _ in range(60):
         held.run_second()
@@ -184,7 +185,8 @@
         silent.routers[name].silent_until_ns = 1 << 80
     for _ in range(60):
         silent.run_second()
-    assert silent.rollout.outcome is RolloutOutcome.HELD and silent.rollout.hold_cause is HoldCause.SILENCE
+    assert silent.rollout.outcome is RolloutOutcome.HELD
+    assert silent.rollout.hold_cause is HoldCause.SILENCE
     done = SimulatedFleet(plan, 6, lambda world, p, cls: 0.0)
     assert done.run() is RolloutOutcome.DONE
     back = SimulatedFleet(plan, 3, harm)
