--- a/kelpcroft/control_log/lease.py
+++ b/kelpcroft/control_log/lease.py
@@ -14,7 +14,7 @@
     """The lease of one replica's state.
 
     Attributes:
-        is_stale: as last told to the log and to the watchers; ``review`` brings it up to date.
+        is_stale: by the last ``review``; true at the start.
     """
 
     def __init__(self, follower: LogFollower, lease_ns: int) -> None:
@@ -28,7 +28,7 @@
         return bool(as_of_ms) and now - as_of_ms * MS <= self._lease_ns
 
     def has_run_out(self, now: int) -> bool:
-        """Whether the state has become stale, and that is not told yet."""
+        """Whether the state has become stale since the last ``review``."""
         return not self.is_stale and not self.is_current(now)
 
     def expires_ns(self) -> int | None:
--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -187,7 +187,7 @@
     # Reading ----------------------------------------------------------------------------------------------
 
     def contains(self, number: int, fingerprint: str) -> bool:
-        """Whether a position is in this log: what comes after it can be told."""
+        """Whether a position is in this log, so that ``events_after`` gives what comes after it."""
         if number == self._base_number and fingerprint == self._base_fingerprint:
             return True
         for event in reversed(self.tail):
--- a/kelpcroft/control_log/messages.py
+++ b/kelpcroft/control_log/messages.py
@@ -14,7 +14,7 @@
 MS = 1_000_000
 SECOND = 1_000 * MS
 UPSTREAM_TIMEOUT_MARGIN_NS = 400 * MS  # past its wait a call is answered by then, or given up
-RETRY_AFTER_S = 1  # a watcher that is refused is told to come back after this
+RETRY_AFTER_S = 1  # in the answer to a watcher that is refused
 
 
 @dataclass(frozen=True, slots=True)
--- a/kelpcroft/control_log/upstream.py
+++ b/kelpcroft/control_log/upstream.py
@@ -2,7 +2,7 @@
 
 One call is out at a time, so what upstream hears does not grow with the watchers.  A list service knows no
 fingerprints, and counts from 1 when it is restarted: after a lost connection the last event that is known is
-asked for again and held against what it was.  Another replica may be of an earlier state than this one:
+asked for again and compared with what it was.  Another replica may be of an earlier state than this one:
 ``follower`` judges what its answer is good for.
 """
 
@@ -141,7 +141,7 @@
 
     def _on_peer_response(self, now: int, response: UpstreamResponse, has_news: bool) -> None:
         """Another replica's answer may be of an earlier state than this one's."""
-        self._must_verify_log = True  # numbers of a list service that is asked next are held against it
+        self._must_verify_log = True  # a list service that is asked next must repeat the last event
         if response.has_more or response.as_of_ms is None:
             self.move_on(now, "it does not answer as a control replica")
             return
@@ -190,7 +190,7 @@
     # Answers of either ------------------------------------------------------------------------------------
 
     def _append_new(self, now: int, events: tuple[Any, ...]) -> None:
-        """Events behind those that are known; one that is known already is not told twice."""
+        """Events behind those that are known; one that is known already is not appended again."""
         for event in events:
             number = event_number(event)
             if number is not None and number <= self._log.last_event_number:
--- a/kelpcroft/net/client_codec.py
+++ b/kelpcroft/net/client_codec.py
@@ -229,7 +229,7 @@
 
 
 def _size_kb(fields: dict[str, Any]) -> float:
-    """The part's size in KB as the settings count; 0 where it is not told or cannot be used."""
+    """The part's size in KB as the settings count; 0 where it is absent or cannot be used."""
     text = fields.get("size")
     if not isinstance(text, str) or len(text) > MAX_SIZE_CHARS:
         return 0.0
--- a/kelpcroft/net/client_connections.py
+++ b/kelpcroft/net/client_connections.py
@@ -28,7 +28,7 @@
 QUEUED_REPORTED_NS: Final = SECOND // 1_000  # a shorter wait here is not taken off a request's time
 SILENT_CLIENT_TIMEOUT_NS: Final = 2 * SECOND  # for its first message, and for each that it has begun
 IDLE_CLIENT_TIMEOUT_NS: Final = 5 * SECOND  # with nothing open; usual ones go by themselves after 4 s
-NEW_CLIENT_GRACE_NS: Final = SECOND  # in a drain, a client that has said nothing is let go after so long
+NEW_CLIENT_GRACE_NS: Final = SECOND  # in a drain, one that has sent nothing is closed after this
 WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that takes nothing for so long is closed
 MAX_LOGGED_LOSSES_PER_SWEEP: Final = 2  # lines about bad clients between sweeps: they come in hundreds
 
@@ -48,7 +48,7 @@
         self.pending_messages: deque[tuple[int, inputs.ClientRequest | inputs.HealthRequest]] = deque()
         self.is_closing = False  # nothing more is taken from it, and nothing more is owed
         self.closing_since_ns = 0
-        self.discarded_bytes = 0  # read since then and thrown away
+        self.discarded_bytes = 0  # read since then and not used
 
     def cancel_pending(self, request_number: int) -> bool:
         """Drops a request that the reducer was not told yet; returns whether there was one."""
@@ -84,7 +84,7 @@
         self.lingering = LingeringClients(self, max_closing)
         self.with_pending: dict[ClientConnection, None] = {}  # with messages not told to the reducer yet
         self.decided_closes: list[tuple[ClientConnection, str]] = []  # by the reducer, and why
-        self.is_draining = False  # clients go once nothing is owed them
+        self.is_draining = False  # connections are ended once nothing is owed on them
         self.logged_losses = 0  # lines about bad clients since the last sweep
         self.unread_ns = 0  # the longest that what is being read may have waited in the socket
 
@@ -104,14 +104,14 @@
             self.decided_closes.append((client, effect.reason))
 
     def drain(self, effect: effects.DrainClients) -> None:
-        """Lets clients go once nothing is owed them, or keeps them."""
+        """Begins to end connections once nothing is owed on them, or stops doing so."""
         self.is_draining = effect.is_enabled
         self._close_idle()
 
     # Events of a connection -------------------------------------------------------------------------------
 
     def read(self, connection: ClientConnection) -> None:
-        """Reads a few buffers; what a client sends whose connection is being ended is thrown away."""
+        """Reads a few buffers; what a client sends whose connection is being ended is discarded."""
         if connection.is_closing:
             self.lingering.discard_input(connection)
         else:
@@ -175,7 +175,7 @@
         return readable | (WRITABLE if stored_bytes else NO_EVENTS)
 
     def all_written(self, connection: ClientConnection) -> None:
-        """Lets a client go that had only this to wait for."""
+        """Ends our side of a closing connection; in a drain, ends one that is idle now."""
         if connection.is_closing:
             self.lingering.end_output(connection)
         elif self.is_draining:
@@ -221,7 +221,7 @@
         age_ns = self.transport.clock.now() - client.last_message_ns
         if not client.has_sent_message and age_ns < NEW_CLIENT_GRACE_NS:
             return  # new: its first request is on the way
-        if self.is_idle(client) and not client.has_unread_input():  # else it is read soon, then let go
+        if self.is_idle(client) and not client.has_unread_input():  # else it is read soon, then ended
             self.close_gracefully(client)
 
     def _close_idle(self) -> None:
@@ -234,7 +234,7 @@
         reason: str,
         is_unreachable: bool = False,  # noqa: ARG002
     ) -> None:
-        """Closes a connection that the client has ended; the reducer hears of one that was in use."""
+        """Closes a connection that has ended or failed; the reducer is informed if it was in use."""
         if connection.number in self.open:
             self.close(connection)
             self._log_loss(connection, reason)
--- a/kelpcroft/net/clock.py
+++ b/kelpcroft/net/clock.py
@@ -14,6 +14,6 @@
         self.latest_ns = 0
 
     def now(self) -> int:
-        """The time, or the latest that was told where the source has run back."""
+        """The time, or the latest one returned where the source has run back."""
         self.latest_ns = max(self.latest_ns, self.source())
         return self.latest_ns
--- a/kelpcroft/net/control_endpoint.py
+++ b/kelpcroft/net/control_endpoint.py
@@ -45,7 +45,7 @@
         self.max_callers = max_callers
         self.listener = Listener(transport)
         self.callers: dict[int, ControlConnection] = {}
-        self.serves_state = False  # GET /control/state is known
+        self.serves_state = False  # GET /control/state is answered
         self.has_told_identity = False
 
     def listen(self, sock: socket.socket | None) -> None:
@@ -157,7 +157,7 @@
     def connection_failed(
         self, connection: ControlConnection, reason: str, is_unreachable: bool = False
     ) -> None:
-        """Nothing is done at once: the connection goes with the time of callers."""
+        """Does nothing: ``sweep`` closes the connection once the caller's time is over."""
 
     def close(self, connection: ControlConnection) -> None:
         """Closes a caller's connection."""
--- a/kelpcroft/net/control_replica_upstream.py
+++ b/kelpcroft/net/control_replica_upstream.py
@@ -60,7 +60,7 @@
         Args:
             selector: calls what is registered with a socket when that is ready.
             clock: tells Unix ns.
-            peers: addresses of control replicas, which are told fingerprints.
+            peers: addresses of control replicas; calls to them name the position's fingerprint.
             on_response: an answer, or a piece of one, has come.
             on_failure: a call has failed, for this reason.
         """
@@ -136,7 +136,7 @@
         return connection
 
     def _on_ready(self, events: int) -> None:
-        """What the selector said of the connection."""
+        """Handle what the selector reported of the connection."""
         connection = self._connection
         if connection is None:  # closed since, in this turn
             return
--- a/kelpcroft/net/control_replica_watchers.py
+++ b/kelpcroft/net/control_replica_watchers.py
@@ -21,7 +21,7 @@
 READ_BYTES = 1 << 16
 MAX_ACCEPTS_PER_TURN = 256
 MAX_UNWRITTEN_BYTES = 8 << 20  # that wait for one watcher
-IDLE_TIMEOUT_NS = 20 * SECOND  # a watcher that calls no more, or reads no more, is let go after this
+IDLE_TIMEOUT_NS = 20 * SECOND  # a watcher that calls no more, or reads no more, is closed after this
 
 
 class WatcherConnection:
@@ -83,7 +83,7 @@
             self._add(sock)
 
     def write(self, number: int, data: bytes) -> None:
-        """Send bytes to a watcher.  One that has gone gets none; one that takes nothing is let go."""
+        """Send bytes to a watcher.  One that has gone gets none; one that reads too little is closed."""
         watcher = self._connections.get(number)
         if watcher is None:
             return
@@ -113,7 +113,7 @@
         self._selector.register(sock, selectors.EVENT_READ, partial(self._on_ready, watcher))
 
     def _on_ready(self, watcher: WatcherConnection, events: int) -> None:
-        """What the selector said of a watcher's connection."""
+        """Handle what the selector reported of a watcher's connection."""
         if events & selectors.EVENT_WRITE:
             self._flush(watcher)
         if events & selectors.EVENT_READ and watcher.number in self._connections:
@@ -160,7 +160,7 @@
         self._watch_for(watcher)
 
     def _watch_for(self, watcher: WatcherConnection) -> None:
-        """Be told when more can be read, and written if anything is left."""
+        """Ask the selector for input, and for room while anything is unwritten."""
         interest = selectors.EVENT_READ
         if watcher.unwritten:
             interest |= selectors.EVENT_WRITE
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -37,10 +37,10 @@
 CLIENT_REQUESTS_TURN_NS: Final = 20_000_000  # new requests are taken for so long in one turn
 # In a long turn, what is decided is written and disconnects are read so often.
 LONG_TURN_FLUSH_INTERVAL_NS: Final = 25_000_000
-MAX_PENDING_MESSAGES: Final = 64  # of one client, read and not dispatched, before it is read on
+MAX_PENDING_MESSAGES: Final = 64  # a client with so many to dispatch is not read for a disconnect
 SWEEP_INTERVAL_NS: Final = SECOND // 10  # between looks for silent, idle, stalled and stuck connections
 STALL_NS: Final = SECOND // 4  # a turn that comes so late: the machine or the process stood still
-SHUTDOWN_DRAIN_TIMEOUT_NS: Final = SECOND  # at the end, requests that wait unread put it off so long at most
+SHUTDOWN_DRAIN_TIMEOUT_NS: Final = SECOND  # requests that wait unread put the end off by this at most
 SHUTDOWN_RETRY_NS: Final = SHUTDOWN_DRAIN_TIMEOUT_NS // 100  # and the end is tried again so often
 SHUTDOWN_LINGER_NS: Final = SECOND // 5  # at the end, for clients to read what was written
 
@@ -80,7 +80,7 @@
         """Builds the loop; nothing is opened before ``start``.
 
         Args:
-            config: all that the router is told at its start.
+            config: the router's configuration.
             clock: the time.
             reload: reads the configuration file again (SIGHUP).
             rules: reads the operator's file again in steps, None for each but the last.
@@ -195,8 +195,8 @@
     def flush_and_close(self) -> None:
         """Writes what is left, then lets clients read to the end.
 
-        A close with input unread would reset their connections.  What comes after this is thrown away:
-        nothing of it is sent on.
+        A close with input unread would reset their connections.  What they send after this is
+        discarded: nothing of it is sent on.
         """
         for client in self.clients.open.values():
             try:
@@ -220,7 +220,8 @@
         """One turn: waits, reads, lets timers fire, writes.
 
         Its order matters: news of the list and of purges before responses, disconnects before anything that
-        could be sent for those clients, responses before new requests.
+        could be sent for those clients, responses before new requests.  After a stall of the process the turn
+        ends behind the control connections until the feed has answered (``FeedClient.refresh_after_stall``).
         """
         started_ns = self.clock.now()
         wait_s = self._wait_s(started_ns)
@@ -396,13 +397,13 @@
         )
 
     def _exit(self, _effect: effects.Exit) -> None:
-        """Writes what is left of this turn; ``run`` ends after it."""
+        """Writes what is queued by now; ``run`` ends with this turn."""
         self.flush()
         self.is_stopping = True
 
 
 def _has_ended(client: ClientConnection) -> bool:
-    """Whether a client has ended its side, or its connection is lost; what it sent is thrown away."""
+    """Whether a client has ended its side, or its connection is lost; what it sent is discarded."""
     try:
         return not client.sock.recv(BUFFER_BYTES)
     except BlockingIOError:
--- a/kelpcroft/net/feed_client.py
+++ b/kelpcroft/net/feed_client.py
@@ -18,9 +18,9 @@
 from kelpcroft.net.transport import SECOND, WRITABLE, Connection, ConnectionHandler, Transport
 
 NS_PER_MS: Final = 1_000_000
-# After a stall the feed has so long to tell what is new, before all else ...
+# After a stall servers, clients and timers wait at most this long for the feed's response ...
 FEED_ONLY_NS: Final = SECOND // 25
-# ... and so long passes between two such waits.
+# ... and two such waits begin at least this far apart.
 FEED_ONLY_INTERVAL_NS: Final = SECOND
 
 
@@ -33,7 +33,7 @@
         self.codec = FeedCodec(MAX_SNAPSHOT_BYTES if is_replica else MAX_WHOLE_RESPONSE_BYTES)
         self.polled_ns = now  # when the poll was sent
         self.poll_wait_ns = 0  # how long the feed may wait for news before it answers it
-        self.response_timeout_ns = 0  # past that, its response has begun by then, and goes on so soon
+        self.response_timeout_ns = 0  # how long it may be silent past that, or within its response
         self.last_read_ns = 0  # when bytes last came
         self.awaits_response = False
 
@@ -47,7 +47,7 @@
         self.address = transport.config.feed_address
         self.connection: FeedConnection | None = None
         self.last_stall_ns = 0  # when the process was last seen to have stood still
-        # Until then nothing but the feed is read, as the list is as old as a stall; 0 = all are read.
+        # Until then servers and clients are not read, as the list is as old as a stall; 0 = all are read.
         self.feed_only_until_ns = 0
 
     # Effects ----------------------------------------------------------------------------------------------
@@ -124,10 +124,12 @@
     # Steps of a turn --------------------------------------------------------------------------------------
 
     def refresh_after_stall(self) -> None:
-        """Asks anew, with no wait, after the process stood still.
+        """Closes the poll that is out after the process stood still; the reducer polls anew with no wait.
 
-        What the feed has told meanwhile counts as told, and what it answered was asked before.  Nothing else
-        is read, sent or let come due until it answers, or for ``FEED_ONLY_NS``.
+        What the feed announced meanwhile binds this router, and the response to the old poll may be from
+        before that.  Until the new response is whole, or for ``FEED_ONLY_NS``, the loop reads no server and
+        no client and fires no timer (``EventLoop.run_turn``).  Control callers, signals, accepts and queued
+        writes go on.
         """
         now = self.transport.clock.now()
         connection = self.connection
--- a/kelpcroft/net/lingering_close.py
+++ b/kelpcroft/net/lingering_close.py
@@ -1,7 +1,7 @@
 """Lingering close: ends clients' connections without losing the responses that are on their way.
 
 A close over unread bytes resets the connection, and a response just written goes with it (RFC 9112, 9.6, says
-the same of HTTP).  So our side ends once all is written, what the client still sends is read and thrown away,
+the same of HTTP).  So our side ends once all is written, what the client still sends is read and discarded,
 and the connection is closed when the client has ended it, or its time or its bytes are used up.
 """
 
@@ -15,8 +15,8 @@
 if TYPE_CHECKING:
     from kelpcroft.net.client_connections import ClientConnection, ClientConnections
 
-LINGERING_CLOSE_TIMEOUT_NS: Final = SECOND  # a client whose connection we have ended ends it by then ...
-LINGERING_CLOSE_MAX_BYTES: Final = 1 << 20  # ... and sends so much at the most
+LINGERING_CLOSE_TIMEOUT_NS: Final = SECOND  # the client ends its side within this ...
+LINGERING_CLOSE_MAX_BYTES: Final = 1 << 20  # ... and sends at most this meanwhile
 
 
 class LingeringClients:
@@ -50,7 +50,7 @@
                 self.owner.close(client)
 
     def discard_input(self, client: ClientConnection) -> None:
-        """Reads what a client still sends, and throws it away."""
+        """Reads what a client still sends, and does not use it."""
         try:
             for _ in range(MAX_READS_PER_TURN):
                 count = client.sock.recv_into(self.transport.read_buffer)
--- a/kelpcroft/net/server_codec.py
+++ b/kelpcroft/net/server_codec.py
@@ -1,8 +1,8 @@
 """Servers' RESP: commands as bytes, and responses from bytes.  No socket here.
 
 Own code, as hiredis' reader allocates a list of whatever length an array's head claims: a dozen bytes from a
-broken peer made it ask for 7 GB (docs/architecture.md).  Responses have four strings, so little is lost:
-the attempt's id, a word for its outcome, fields and the body.
+broken peer made it ask for 7 GB (docs/design/architecture-history.md).  A response is four strings (the
+attempt's id, a word for its outcome, fields and the body), so little is lost by reading no other RESP.
 """
 
 from __future__ import annotations
--- a/kelpcroft/net/signals.py
+++ b/kelpcroft/net/signals.py
@@ -57,7 +57,7 @@
         return self.operator_file_steps is not None
 
     def read_operator_file_on(self, turn_started_ns: int) -> None:
-        """Reads a part of the operator's file: a large one takes a second, and drains and purges come."""
+        """Reads a part of the operator's file: all of a large one would keep drains and purges waiting."""
         until_ns = turn_started_ns + OPERATOR_FILE_TURN_NS
         for operator_file in self.operator_file_steps or ():
             if operator_file is not None:
--- a/kelpcroft/net/transport.py
+++ b/kelpcroft/net/transport.py
@@ -105,20 +105,22 @@
         """A connection that was being opened stands."""
 
     def before_write(self, connection: C) -> None:
-        """A connection is about to be written to."""
+        """What is queued is about to be written; the connection may be closed or not stand yet."""
 
     def bytes_written(self, connection: C) -> None:
-        """The system has taken some bytes of a connection."""
+        """A write has not failed; the system has taken some bytes, or none."""
 
     def all_written(self, connection: C) -> None:
-        """Nothing waits to be written on a connection any more."""
+        """A write has left nothing that waits, also where nothing was queued."""
 
     def interest_of(self, connection: C) -> int:
         """What the selector is to report of a connection: input, and room where something waits."""
         return READABLE | WRITABLE if connection.write_buffer.stored_bytes() else READABLE
 
     def connection_failed(self, connection: C, reason: str, is_unreachable: bool = False) -> None:
-        """A connection has ended: its socket goes, and the reducer hears of it.
+        """Closes a connection that has ended or failed, and reports it to the reducer.
+
+        Called again for one that is closed already, it does nothing.
 
         Args:
             connection: the one that has ended.
@@ -128,7 +130,7 @@
         raise NotImplementedError
 
     def close(self, connection: C) -> None:
-        """Closes a connection and forgets it; the reducer does not hear of it."""
+        """Closes a connection and forgets it; the reducer is not informed."""
         raise NotImplementedError
 
 
@@ -223,7 +225,7 @@
         self.write(connection)
 
     def write(self, connection: Connection) -> None:
-        """Writes what the socket takes; a failure is reported by ``report_failures``."""
+        """Writes what the socket takes; a failure is reported by ``report_failed_writes``."""
         stored_before = connection.write_buffer.stored_bytes()
         try:
             is_stored = connection.write_buffer.write(connection.sock)
--- a/kelpcroft/net/upstream_codec.py
+++ b/kelpcroft/net/upstream_codec.py
@@ -1,4 +1,4 @@
-"""What a control replica hears from upstream: answers of the feed, with their events as they came.
+"""What a control replica receives from upstream: answers of the feed, with their events as they came.
 
 No socket here.  Events are handed on to watchers whatever they hold, so they are not looked into.
 """
--- a/kelpcroft/net/watch_codec.py
+++ b/kelpcroft/net/watch_codec.py
@@ -25,7 +25,7 @@
 
 
 class WatchRequestError(ValueError):
-    """Bytes that are no call; the text says why, and is told to the caller."""
+    """Bytes that are no call; the text says why, and is sent to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 
 class WatchServerCodec:
-    """Calls of one connection.  Methods without an underscore that begin with ``on_`` are httptools'."""
+    """Calls of one connection.  Its ``on_...`` methods are called by httptools while it parses."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
