--- a/kelpcroft/decision/__init__.py
+++ b/kelpcroft/decision/__init__.py
@@ -10,8 +10,8 @@
 - ``cache_selection``: which cache?  A hash with bounded load; ``idempotency`` and ``slow_start`` rule servers
   out.
 - ``fill_sources``: where is a miss filled from?
-- ``forwarding``: the attempt itself; ``freshness`` says how old a
-  copy may be.
+- ``route_selection``: these two for one attempt, or a server past the caches.
+- ``forwarding``: the attempt itself; ``freshness`` says how old a copy may be.
 - ``attempt_feedback``: what its end tells, and ``outlier_ejection``: who is to blame.
 - ``retries``: another attempt, a hedge, or (``request_completion``) the final answer.
 
--- a/kelpcroft/decision/actions.py
+++ b/kelpcroft/decision/actions.py
@@ -26,7 +26,7 @@
     Attributes:
         id: The request.
         server: The server that is asked.
-        timeout_ns: When it is given up.
+        timeout_ns: How long to wait for the answer.
         fill_source: Where a miss is filled from; with the same server nothing is filled.
         max_age_ns: The oldest copy that will do; 0 for the class's freshness lifetime.
         retention_rank: How long the copy is kept: see ``RetentionRank``.
--- a/kelpcroft/decision/admission.py
+++ b/kelpcroft/decision/admission.py
@@ -2,9 +2,9 @@
 
 A request's price is its transfer time over its class's priority weight.  There are two controllers, one for
 all requests, which caches must carry, and one for requests that look like fills, which parents, links and the
-origin must carry too.  Each rejects prices over a threshold, which too many late answers cut by a factor and
-answers in time raise by one; where capacity is told, or gauges show overload before any answer is late, it is
-lower at once.
+origin must carry too.  Each rejects prices over a threshold, which too many late answers multiply by
+``THRESHOLD_DECREASE`` and answers in time by ``THRESHOLD_INCREASE`` or more.  Where the capacity is known, or
+gauges show overload before any answer is late, the threshold is lower at once.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 THRESHOLD_INCREASE_PER_SECOND_WITH_SLACK: Final = 2.0  # ... or with answers in a third of the objective
 # Threshold, in mean prices, where a gauge shows that what is there just fits ...
 FULL_LOAD_THRESHOLD: Final = 3.0
-OVERLOAD_DECAY: Final = 1.35  # ... which falls by e to so much for each time as much again
-LOAD_SIGNAL_DECAY_NS: Final = SECOND_NS  # an excess that would fill the link once drains in this time
+OVERLOAD_DECAY: Final = 1.35  # ... times exp(-OVERLOAD_DECAY) for each 1 by which the gauge is over 1
+LOAD_SIGNAL_DECAY_NS: Final = SECOND_NS  # without a new reading a gauge falls by 1 in this time
 MAX_SOURCE_WAIT_SHARE: Final = 1 / 3  # of what an answer can spare, a fill source may take this share
 MAX_RECENT_ARRIVALS: Final = 64  # requests kept to place the capacity threshold
-MAX_PLANNED_CACHE_SHARE: Final = 0.95  # share of the caches' told capacity that may be planned for
-MAX_PLANNED_FILL_SHARE: Final = 1.0  # share of the parents' told capacity that may be planned for
+MAX_PLANNED_CACHE_SHARE: Final = 0.95  # share of the caches' stated capacity that may be planned for
+MAX_PLANNED_FILL_SHARE: Final = 1.0  # share of the parents' stated capacity that may be planned for
 FILL_SHARE_GAIN: Final = 0.05  # weight of one answer in the share of expected fills that are ones
 MIN_PRIORITY_WEIGHT: Final = 1e-9  # a class of no worth has a price too
 ANSWERS_WITH_SLACK: Final = 3  # an answer within the objective over this shows slack
@@ -49,13 +49,14 @@
 
     Attributes:
         cost_threshold: The highest price admitted by the timeliness of answers.
-        capacity_threshold: The highest price admitted by the capacity told, as a price; infinity where all
+        capacity_threshold: The highest price admitted by the stated capacity, as a price; infinity where all
             fits.
         mean_price: Mean price of the requests that came.
         late_share: Recent share of late answers.
         raised_ns: When the last answer in time raised the threshold.
         lowered_ns: When the threshold was last lowered.
-        last_evidence_ns: When the last answer came that tells of the threshold as it is now.
+        last_evidence_ns: When the last answer came to a request admitted since the threshold was lowered, or
+            when the threshold was raised for want of such answers.
         recent_arrivals: Price and transfer time of the last requests.
         offered_work: Transfer time of the requests that came, fading.
         link_load: Gauge of the link that carries fills, 1 for full.
@@ -124,7 +125,7 @@
         """Admit the cheapest requests that fit a capacity, before any answer is late.
 
         Args:
-            capacity: Transfers that can be carried at a time; infinity where it is not told.
+            capacity: Transfers that can be carried at a time; infinity where it is not known.
         """
         total = self.offered_work.total
         capacity_share = capacity * WORK_SPAN_NS / total if total else math.inf
@@ -179,11 +180,11 @@
         self.actual_fill_share = 0.5
 
     def controller(self, is_fill: bool) -> AdmissionController:
-        """Return the controller that hears of an answer."""
+        """Return the controller that an answer is reported to."""
         return self.fills if is_fill else self.all_requests
 
     def is_fill_link_full(self) -> bool:
-        """Return True if the link that carries fills is told to be full."""
+        """Return True if the link that carries fills is full by its last report, less its decay since."""
         return self.fills.link_load.value_at(self.state.now_ns) >= 1
 
     def admit(self, request: InFlightRequest) -> bool:
@@ -249,7 +250,7 @@
         return sum(endpoint.available_capacity(self.state.now_ns, rules) for endpoint in endpoints)
 
     def record_timeliness(self, request: InFlightRequest, is_late: bool, is_fill: bool) -> None:
-        """Tell a controller once of each request, as soon as it is late: in a jam the quick come first."""
+        """Report each request to a controller once, as soon as it is late: in a jam the quick end first."""
         if request.timeliness_recorded:
             return
         request.timeliness_recorded = True
--- a/kelpcroft/decision/attempt_feedback.py
+++ b/kelpcroft/decision/attempt_feedback.py
@@ -16,7 +16,7 @@
 from kelpcroft.decision.units import MS
 
 AT_CAPACITY_PAUSE_NS: Final = 200 * MS  # a cache that rejected a request is asked last for this long
-MIN_WARM_HIT_SHARE: Final = 0.02  # a cache with fewer hits has started, told or not
+MIN_WARM_HIT_SHARE: Final = 0.02  # a cache with fewer hits has just started, whatever the list says
 MAX_PLAUSIBLE_LOAD: Final = 1e4  # a report of more is no load
 
 
@@ -131,7 +131,11 @@
         self.admission.fills.record_source_wait(self.state.now_ns, wait_ns / max(MS, slack_ns))
 
     def record_missing_answer(self, request: InFlightRequest, attempt: Attempt) -> None:
-        """Count an answer that has not come as a late one, which it will be, and in time."""
+        """Take in an answer that is overdue as a slow fill, sooner than its end would show it.
+
+        The time past the expected transfer time counts as time to the first byte of the parent or
+        origin that fills, if it is above its mean.
+        """
         filling = attempt.filling_endpoint()
         overdue_ns = self.state.now_ns - attempt.sent_ns - self.latency_model.expected_transfer_ns(request)
         if overdue_ns <= 0 or filling.server.role is Role.CACHE:
@@ -143,7 +147,7 @@
         """Look at the attempts of a request that are out: silence and lateness tell before any end does."""
         attempts = request.attempts_in_flight
         for attempt in attempts.values():
-            # Silence well past its usual time: one such attempt is enough, and it goes on.
+            # Silence well past the usual time: one such attempt ejects a server.  It is not cancelled.
             if self._is_silent(request, attempt):
                 self.ejection.record_unattributed_failure(attempt, EJECTION_FAILURE_SCORE)
         expected_ns = self.latency_model.expected_transfer_ns(request)
--- a/kelpcroft/decision/cache_selection.py
+++ b/kelpcroft/decision/cache_selection.py
@@ -1,8 +1,8 @@
 """Cache selection: weighted rendezvous hashing with bounded loads.
 
 Each object has one home among the caches of the zone, the same at every router (highest random weight, Thaler
-and Ravishankar, 1998).  A cache that holds many more requests than the zone's mean per weight is passed over
-(consistent hashing with bounded loads, Mirrokni et al., 2018), as is one that has rejected requests lately.
+and Ravishankar, 1998).  A cache that holds many more requests than the zone's mean per weight is tried last
+(consistent hashing with bounded loads, Mirrokni et al., 2018), as is one that has rejected a request lately.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 MIN_COMPARED_UTILIZATION: Final = 0.1  # reported utilisations under this are alike
 MAX_SLOWDOWN_RATIO: Final = 3.0  # a cache this much slower than the zone's quickest gets less ...
 MIN_SLOW_CACHE_SHARE: Final = 0.25  # ... down to this share of its objects
-MIN_SLOWDOWN: Final = 1e-9  # no cache is quicker than this
+MIN_SLOWDOWN: Final = 1e-9  # keeps a division from 0
 
 
 class Candidate:
@@ -128,7 +128,7 @@
         return sum(reported) / len(reported) if reported else 1.0
 
     def _min_compared_utilization(self) -> float:
-        """Return the utilisation under which caches are alike: told weights need no guess from loads."""
+        """Return the utilisation under which caches are alike: higher where the list has weights to go by."""
         if self.state.settings.weight_source == "off":
             return MIN_COMPARED_UTILIZATION
         return MAX_COLD_UTILIZATION
--- a/kelpcroft/decision/endpoint.py
+++ b/kelpcroft/decision/endpoint.py
@@ -17,13 +17,13 @@
 from kelpcroft.decision.statistics import DecayingSum, MeanDeviation, SlidingWindowSum, rendezvous_score
 from kelpcroft.decision.units import MS, SECOND_NS
 
-# A score not renewed nears the average by half: slow ones are tried again
+# Without new samples a score moves half of its way to the average in this time: slow servers are tried again
 SCORE_HALF_LIFE_NS: Final = 4 * SECOND_NS
 UTILIZATION_GAIN: Final = 0.05  # weight of a new load report in the mean utilisation
 # Reports of load move at most so many times the objects to a server, or from it
 MAX_LOAD_PREFERENCE: Final = 4.0
 ENDPOINT_GAIN: Final = 0.3  # weight of a new sample in one server's figures, of which a router sees few
-WORK_SPAN_NS: Final = 4 * SECOND_NS  # offered and completed work fades in this time
+WORK_SPAN_NS: Final = 4 * SECOND_NS  # offered or completed work of this long ago counts 1/e
 MAX_COLD_UTILIZATION: Final = 0.7  # how busy a cold cache may get by its reports ...
 MIN_COLD_UTILIZATION: Final = 0.25  # ... of which a lower one counts as this much
 LONG_AGO_NS: Final = 10**15  # further back than any rule looks: 11 days
@@ -37,16 +37,17 @@
         is_listed: True while the list has it.
         outlier_state: Whether it is ejected, and when it gets its next trial request.
         hash_seed: What makes its rendezvous scores its own; the same at every router.
-        started_ns: Its last start, told by the list or guessed.
+        started_ns: Its last start, by the list, or inferred.
         at_capacity_until_ns: Until then it is asked last, as it has rejected a request of this router.
         requests_in_flight: Attempts of this router that are out at it.
         requests_awaiting_fill: Those of them that wait for their fill source, and so take no capacity of its
             own.
         last_hit_sent_ns: When the latest request was sent that it has answered from its own copy.
         fills_requested: Fills that this router has asked it for as a parent.
-        log_first_byte_ns: Natural logarithm of its time to the first byte, in nanoseconds.
-        first_byte_updated_ns: When that time was last measured.
-        slowdown: Its answer times over the objects' own transfer times.
+        log_first_byte_ns: Natural logarithm of its time to the first byte, in nanoseconds; fills that failed
+            or are overdue count as slow ones.
+        first_byte_updated_ns: When that figure last changed.
+        slowdown: Its answer times over what they take at the least: see ``LatencyModel.record_latency``.
         work_sent: Transfer times of what was sent to it of late.
         work_completed: Transfer times of what it has answered.
         utilization: How busy it reports to be, 1 for fully.
@@ -97,13 +98,13 @@
         return cold_share + (1 - cold_share) * max(0, now_ns - self.started_ns) / warm_up_ns
 
     def record_restart(self, at_ns: int) -> None:
-        """Record a start, told or guessed: what it completed before tells nothing of what it can do now."""
+        """Record a start, listed or inferred: work completed before does not show what it can do now."""
         if at_ns > self.started_ns:
             self.work_completed = DecayingSum(WORK_SPAN_NS)
         self.started_ns = at_ns
 
     def spare_capacity(self, now_ns: int) -> float:
-        """Return the transfer time per unit of time that it can give us at ``MAX_COLD_UTILIZATION``.
+        """Return the transfer time per unit of time that it can give this router at ``MAX_COLD_UTILIZATION``.
 
         The figure follows from what it has completed of late and how busy it was with that.
         """
@@ -123,7 +124,7 @@
         return min(MAX_LOAD_PREFERENCE, max(1 / MAX_LOAD_PREFERENCE, preference))
 
     def latency_score(self, now_ns: int, average_log_ns: float) -> float:
-        """Return its time to the first byte over its weight; unheard of for long, it nears the average.
+        """Return its time to the first byte over its weight; without new samples, that nears the average.
 
         Args:
             now_ns: The time.
--- a/kelpcroft/decision/endpoint_directory.py
+++ b/kelpcroft/decision/endpoint_directory.py
@@ -30,7 +30,7 @@
 
         Args:
             zone: The router's own zone.
-            histories: What is remembered of objects: a restarted cache's copies are struck out there.
+            histories: What is remembered of objects: the copies of a restarted cache are removed there.
         """
         self.zone = zone
         self.histories = histories
@@ -50,7 +50,7 @@
                 self.by_name[server.name] = Endpoint(server)
                 continue
             if server.started_ns > known.server.started_ns:
-                known.record_restart(server.started_ns)  # the list knows better than our guess
+                known.record_restart(server.started_ns)  # the list overrides an inferred start
                 self.histories.drop_known_copies(server.name)
             known.server = server
             known.is_listed = True
--- a/kelpcroft/decision/events.py
+++ b/kelpcroft/decision/events.py
@@ -1,4 +1,4 @@
-"""Events: what the decisions are told.
+"""Events: what goes into the decisions.
 
 The caller hands events over in the order in which they happen.  Times are integer nanoseconds of one clock
 that never runs back (names end in ``_ns``); sizes are KB.
@@ -27,7 +27,7 @@
     """
 
     OK = 100
-    MISS = 101  # the server holds no copy, and was told to fill nothing
+    MISS = 101  # the server holds no copy, and none was filled
     ERROR = 301
     FULL = 302  # rejected: the server is at capacity
     TIMEOUT = 303
@@ -48,7 +48,7 @@
     The values are those of the wires; the log writes the names, so neither may change.
     """
 
-    NONE = 0  # not told
+    NONE = 0  # not reported
     HIT = 1
     FILLED = 2
     FILLED_FROM_ORIGIN = 3
@@ -104,7 +104,7 @@
         max_reroutes: Further attempts after an end that proves that nothing was executed; -1 for no bound.
         max_hedges: Second attempts while one is out.
         backoff_ns: The waits before each retry; the last one holds for all further ones.
-        retry_after_ns: What a client is told whose request is given up.
+        retry_after_ns: How long a client whose request is given up is asked to wait before a retry.
         has_retry_budget: The route pays for further attempts: see ``AttemptEnded.retry_budget_available``.
         concurrency_limit_reached: Too many requests of the route are in flight: this one is to be rejected.
         shortens_deadline: ``Request.time_remaining_ns`` ends before the client's own wait does.
@@ -147,7 +147,7 @@
         object_id: The object.
         part: The part of the object; 0 where it has none.
         purge_group: The group with which the object may be purged.
-        size_kb: The object's size; 0 where that is not told.
+        size_kb: The object's size; 0 where that is not known.
         is_write: True if it changes something.
         is_retry: True if its client has sent it before.
         tenant: Whose it is.
@@ -194,7 +194,7 @@
         elapsed_ns: How long it took.
         is_final: True if the request needs no answer any more.
         fill_result: What the answer tells of its fill.
-        first_byte_ns: The wait for the fill source's first byte or failure; 0 where that is not told.
+        first_byte_ns: The wait for the fill source's first byte or failure; 0 where that is not known.
         load_report: The server's load, by the names of ``Settings.load_report_fields``.
         retry_budget_available: True if the route's budget pays for one more attempt.
     """
--- a/kelpcroft/decision/fill_sources.py
+++ b/kelpcroft/decision/fill_sources.py
@@ -69,7 +69,7 @@
         ]
 
     def _holding_sibling(self, request: InFlightRequest, cache: Endpoint) -> list[Endpoint]:
-        """Return the first sibling that late answers showed to hold the object, in a list of none or one."""
+        """Return, in a list, the first sibling (or none) that recent answers showed to hold the object."""
         if self.state.settings.siblings == "off" or request.history is None:
             return []
         known_copies = request.history.known_copies
@@ -92,7 +92,11 @@
         return is_live_cache and is_usable(sibling) and self.slow_start.has_budget(sibling, request)
 
     def _ranked_parents(self, request: InFlightRequest) -> list[Endpoint]:
-        """Return the parents: an ejected one whose trial is due, the hash's pick, the other live ones."""
+        """Return the parents in the order to try.
+
+        First comes an ejected one whose trial is due, then the hash's pick, which may be an origin, then the
+        other live ones.  Where none is live, all ejected ones whose trials are due.
+        """
         allowed = [
             parent
             for parent in self.state.directory.parents
--- a/kelpcroft/decision/forwarding.py
+++ b/kelpcroft/decision/forwarding.py
@@ -115,7 +115,7 @@
     def _spares_origin(self, request: InFlightRequest, source: Endpoint) -> bool:
         """Return True if a parent should give only what it holds, as the origin behind it is ejected.
 
-        A trial of that origin goes the whole way.
+        A request that may try that origin goes the whole way, and is recorded as its trial.
         """
         origin = self.ejection.ejected_origin()
         if origin is None or source.server.role is not Role.PARENT or request.request_class.uncacheable:
--- a/kelpcroft/decision/latency_model.py
+++ b/kelpcroft/decision/latency_model.py
@@ -1,7 +1,7 @@
-"""Expected times: how long an answer should take, by the size told, the object's history or its class.
+"""Expected times: how long an answer should take, by the request's size, the object's history or its class.
 
-Two times are told apart.  The *transfer time* is what sending the object itself takes; the *latency* is the
-whole answer time, which is learned as a ratio to the transfer time.
+There are two times.  The *transfer time* is what sending the object itself takes.  The *latency* is the whole
+answer time, which is learned as a ratio to the transfer time plus ``BASE_LATENCY_NS``.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 UNLOADED_TIME_GROWTH: Final = 1.0005  # how much the transfer time over free links may rise with an answer
 INITIAL_TRANSFER_NS: Final = 300 * MS  # transfer time of a request until any answer tells
 BASE_LATENCY_NS: Final = 100 * MS  # what an answer takes besides its transfer
-EXPECTED_DEVIATIONS: Final = 2.0  # mean deviations over the mean up to which an answer is not late
+EXPECTED_DEVIATIONS: Final = 2.0  # mean deviations over the mean up to which a latency is usual
 
 
 class LatencyModel:
     """The measured times of each class, and what they make this router expect of a request.
 
     Attributes:
-        latency_ratio: By class: latency over the expected one.
+        latency_ratio: By class: latency over the transfer time plus ``BASE_LATENCY_NS``.
         transfer_time: By class: transfer time in nanoseconds.
         unloaded_transfer_time: By class: the same while links were free; infinity until known.
     """
@@ -55,7 +55,7 @@
     # What is expected
 
     def has_known_size(self, request: InFlightRequest) -> bool:
-        """Return True if the transfer time follows from what is told: size and pace of a transfer."""
+        """Return True if the transfer time follows from the request's size and the settings' pace."""
         return request.request.size_kb > 0 and self.state.settings.max_transfer_kb_per_s > 0
 
     def has_own_transfer_time(self, request: InFlightRequest) -> bool:
@@ -78,7 +78,7 @@
         return max(self.transfer_time[request.request_class.name].mean, own)
 
     def expected_latency_ns(self, request: InFlightRequest) -> int:
-        """Return the latency past which an answer is late by its class's measure."""
+        """Return the latency past which an answer is slow for its class (``is_late``: for its objective)."""
         ratio = self.latency_ratio[request.request_class.name]
         latest_ratio = ratio.mean + EXPECTED_DEVIATIONS * ratio.mean_deviation
         return int((self.expected_transfer_ns(request) + BASE_LATENCY_NS) * latest_ratio)
@@ -96,7 +96,7 @@
     def latency_objective_ns(self, request: InFlightRequest) -> float:
         """Return the latency within which an answer earns its full worth.
 
-        Where sizes are not told, a jam must not make slow objects look like large ones: the transfer time is
+        Where sizes are not known, a jam must not make slow objects look like large ones: the transfer time is
         then taken from free links.
         """
         name = request.request_class.name
@@ -114,17 +114,17 @@
     # What is measured
 
     def record_latency(self, request: InFlightRequest, elapsed_ns: int) -> float:
-        """Take in how long an attempt took; return that over what it was expected to take at the least."""
+        """Take in an attempt's latency; return it over expected transfer time plus ``BASE_LATENCY_NS``."""
         slowdown = elapsed_ns / (self.expected_transfer_ns(request) + BASE_LATENCY_NS)
         self.latency_ratio[request.request_class.name].add(slowdown)
         return slowdown
 
     def record_known_transfer(self, request: InFlightRequest, transfer_ns: float) -> None:
-        """Take in the transfer time of an object whose size was told."""
+        """Take in the transfer time of an object whose size is known."""
         self.transfer_time[request.request_class.name].add(transfer_ns)
 
     def record_measured_transfer(self, request: InFlightRequest, elapsed_ns: int) -> None:
-        """Take in the time of a hit as a transfer time: the size was not told."""
+        """Take in an answer's time, that of no reported fill, as a transfer time: the size is not known."""
         name = request.request_class.name
         self.transfer_time[name].add(float(elapsed_ns))
         if self.transfer_time[name].sample_count > 1 / TRANSFER_TIME_GAIN:
--- a/kelpcroft/decision/outlier_ejection.py
+++ b/kelpcroft/decision/outlier_ejection.py
@@ -2,7 +2,7 @@
 
 The evidence of one server is kept in its ``OutlierState``.  An answer that failed may be the fault of the
 cache that was asked, of the server it filled from, or of the origin behind that; where the answer does not
-tell, whoever was heard of since the attempt was sent is not to blame.
+tell, a server that has answered since the attempt was sent is not to blame.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     def record_success(self, endpoint: Endpoint) -> None:
         """Record an answer of a server; an ejected one is back.
 
-        If its process was lost, it is cold until shown otherwise, though the list has not told of a start
+        If its process was lost, it is cold until shown otherwise, though the list does not show a start
         yet.
         """
         if not endpoint.outlier_state.record_success(self.state.now_ns):
@@ -59,7 +59,7 @@
             self.state.actions.append(Log(f"endpoint ejected, trial requests only: {_label(endpoint)}"))
 
     def record_unattributed_failure(self, attempt: Attempt, weight: int) -> None:
-        """Record a failure without a cause: who has answered since the attempt was sent is not to blame."""
+        """Record a failure without a cause: a server that has answered since is not to blame."""
         suspect = attempt.endpoint
         if suspect.outlier_state.last_success_ns > attempt.sent_ns:
             suspect = attempt.fill_source
--- a/kelpcroft/decision/policy.py
+++ b/kelpcroft/decision/policy.py
@@ -59,7 +59,7 @@
 class RoutingPolicy:
     """The decisions of one router.
 
-    It does no I/O and reads no clock: ``handle`` is told the time, which never runs back, and returns the
+    It does no I/O and reads no clock: ``handle`` is given the time, which never runs back, and returns the
     actions in the order in which they are to be carried out.  The same events at the same times give the same
     actions.
     """
@@ -127,7 +127,8 @@
 
         Args:
             now_ns: The time, which never runs back.
-            event: What happened; one that concerns a request that is gone changes nothing.
+            event: What happened.  One that concerns a request that is gone changes nothing, nor does any
+                ``ProbeFinished`` or ``PeerMessage``.
         """
         self.state.now_ns = now_ns
         self.state.actions = []
--- a/kelpcroft/decision/request_completion.py
+++ b/kelpcroft/decision/request_completion.py
@@ -57,7 +57,7 @@
         return request_class.idempotency is Idempotency.KEYED and request_class.dedup_scope == "all"
 
     def _retry_after_ns(self, request: InFlightRequest) -> int:
-        """Return when the client is told to come back; 0 for no such word."""
+        """Return how long the client is asked to wait before a retry; 0 to ask nothing."""
         retry_policy = request.request.retry_policy
         limits = self.state.settings.limits
         if retry_policy is None or not limits.may_send_retry_after:
--- a/kelpcroft/decision/router_state.py
+++ b/kelpcroft/decision/router_state.py
@@ -39,6 +39,10 @@
         self.change_settings(settings)
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other classes and limits from now on; requests in flight keep theirs."""
+        """Use other classes and limits from now on.
+
+        Requests in flight keep their class, and the attempts they were allowed if those are fewer.  The own
+        zone stays what it was at the start.
+        """
         self.settings = settings
         self.request_classes = {request_class.name: request_class for request_class in settings.classes}
--- a/kelpcroft/decision/settings.py
+++ b/kelpcroft/decision/settings.py
@@ -1,7 +1,7 @@
 """Settings of the decisions: what the deployment and its operators tell a router at its start.
 
 Types only: no decision and no tuned value stands here.  Times are integer nanoseconds (names end in ``_ns``);
-sizes are KB.  Where a setting has a value for "not told", the router gets by without it.
+sizes are KB.  Where a setting has a value for "not known", the router does without it.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         name: Its name, by which requests refer to it.
         idempotency: Whether its requests may be executed more than once.
         dedup_scope: Keyed: the servers that drop each other's repeats: "all", "zone" or "cell".
-        dedup_window_ns: Keyed: repeats are dropped for so long after the first send that may have executed.
+        dedup_window_ns: Keyed: repeats are dropped for this long after the first send that may have executed.
         latency_objective_ns: An answer within this ...
         objective_transfer_multiple: ... plus this many times the request's own transfer time earns its full
             worth.
@@ -77,8 +77,8 @@
         may_send_retry_after: A rejection may tell the client when to come back.
         max_retry_after_ns: How far off that may be.
         max_attempts: Attempts of one request.
-        max_open_requests: Requests in flight in one router; 0 where that is not told.
-        connect_timeout_ns: The servers' own time-out for connections; 0 where that is not told.
+        max_open_requests: Requests in flight in one router; 0 where that is not known.
+        connect_timeout_ns: The servers' own time-out for connections; 0 where that is not known.
     """
 
     may_cancel: bool = False
@@ -108,7 +108,7 @@
         parent_overload_collapse_multiple: As ``overload_collapse_multiple``, of parents.
         purge_grace_ns: Rule 5: how long after a purge an older copy may still be served.
         purge_sweep_ns: By then servers have dropped purged copies themselves.
-        discovery_poll_limit_ns: Where discovery is asked: a list counts as told after this.
+        discovery_poll_limit_ns: Where discovery is asked: a change of the list counts as known after this.
     """
 
     response_slack_ns: int = 0
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a router is told at its start.
+    """All that a router is given at its start.
 
     Attributes:
         zone: Its own zone.
@@ -141,12 +141,12 @@
         limits: What the deployment allows.
         rules: Figures of the rules.
         seed: Of chance, where any is used.
-        router_index: Its place among the routers of its zone.
+        router_index: Its number among the routers of all zones, from 0.
         instances: Routers in all zones.
         zone_instances: Routers in its zone.
         hub_index_by_zone: For each zone, the place of its hub in ``zones``.
-        fill_link_kb_per_s: The zone's link for fills; 0 where that is not told.
-        max_transfer_kb_per_s: The pace of one transfer to a client at the most; 0 where that is not told.
+        fill_link_kb_per_s: The zone's link for fills; 0 where that is not known.
+        max_transfer_kb_per_s: The pace of one transfer to a client at the most; 0 where that is not known.
         allows_cache_bypass: Parents and the origin take requests directly.
         siblings: Caches that may be a fill's source: "off", "location" or "any".
         coalesces_fills: A request may join a fill that is under way.
@@ -184,7 +184,7 @@
     clock_tick_ns: int = 1
 
     def __post_init__(self) -> None:
-        # The messages name fields, some by their name on the simulator's wire: they are told to operators.
+        # The messages name fields, some by their name on the simulator's wire: operators read them.
         for key, is_wrong, reason in (
             ("zone", self.zone not in self.zones, "is not one of zones"),
             ("classes", not self.classes, "is empty"),
--- a/kelpcroft/decision/slow_start.py
+++ b/kelpcroft/decision/slow_start.py
@@ -17,11 +17,13 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.statistics import mix64
 
-# Share of the work that would collapse a server: others may guess otherwise
+# What routers spend of the work that would collapse a server: their estimates of it differ
 MAX_COLLAPSE_BUDGET_SHARE: Final = 0.6
-# A peer's capacity over our load on it, which in a jam is over what it can do
+# Without weights, the capacity assumed of a server over this router's load on its peers: in a jam those get
+# more than they can do
 UNKNOWN_CAPACITY_OVER_LOAD: Final = 0.5
-TURNS_PER_REQUEST: Final = 3  # routers that take turns: a span touches two turns, and their hashes cluster
+# Routers take this many times the turns that a request needs: a span touches two turns, and hashes cluster
+TURNS_PER_REQUEST: Final = 3
 
 
 class SlowStart:
@@ -79,9 +81,10 @@
         return (span + mix64(settings.router_index)) % turns == 0
 
     def mean_peer_load(self, endpoint: Endpoint) -> float:
-        """Return the transfer time per unit of time that this router sends a warm peer, on average.
+        """Return this router's part of the capacity to assume of a server where the list has no weights.
 
-        One transfer of all routers is the least.  It stands for capacity where the list tells no weights.
+        It is ``UNKNOWN_CAPACITY_OVER_LOAD`` of the transfer time per unit of time that this router sends a
+        warm peer on average, and at the least this router's part of one transfer.
         """
         settings = self.state.settings
         now_ns = self.state.now_ns
--- a/kelpcroft/simulator_adapter.py
+++ b/kelpcroft/simulator_adapter.py
@@ -16,7 +16,7 @@
 from kelpcroft.settings_wire import MachineKinds, parse_settings
 
 Message = list[Any]  # one line of the wire: its name, then values by their place
-MIN_FIELD_COUNTS: Final = {
+MIN_FIELD_COUNTS: Final = {  # values that follow a message's name, at the least
     "Hello": 3,
     "Down": 1,
     "Roster": 2,
@@ -41,7 +41,7 @@
 
 
 class MalformedLineError(Exception):
-    """A line that is not on the wire's page."""
+    """A line that the simulator's protocol does not have."""
 
 
 class SimulatedRouter:
