--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -35,20 +35,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a router is told at its start.
+    """The configuration that a router starts with.
 
     Attributes:
         name: The router's own.
         listen_address: Where clients connect.
         feed_address: Where the list of servers and the purges come from.
-        max_descriptors: Counted on, of the system's.
+        max_descriptors: How many file descriptors the process uses at most.
         memory_mb: The process stays under it.
         max_attempts_per_connection: That one connection to a server carries.
         server_idle_timeout_ns: Servers close a connection that has been idle for so long.
-        connect_timeout_ns: A connection to a server stands by then.
+        connect_timeout_ns: A connection to a server is established within this, or given up.
         settings: For the decision module.
         kinds: The settings' kinds of machines and their roles.
-        initial_endpoints: What is known of the servers before the feed has said anything.
+        initial_endpoints: What is known of the servers before the feed has answered.
         is_tracing: Every step of every attempt goes to the log (ROUTER_TRACE=1).
         control_address: Where the control address listens; None = nowhere.
         inherited_listener_fd: A listening socket's descriptor, served on and not bound (ROUTER_FD).
@@ -148,8 +148,8 @@
 def limit_to_system_descriptors(config: Config, available: int) -> Config:
     """A configuration that counts on no more descriptors than the system gives.
 
-    The settings may say more: who counts on those fails on the first that is not there, with clients already
-    taken.
+    The settings may name more: a process that counts on those fails on the first that is not there, with
+    clients already taken.
 
     Raises:
         ConfigError: The system gives too few to serve with.
@@ -196,7 +196,7 @@
     initial_endpoints = parse_initial_endpoints(raw)
     name = parse_name(raw, environ)
     inherited_listener_fd = parse_inherited_fd(environ)
-    # Of several faults the first in this order is told.
+    # Of several faults the first in this order is reported.
     return Config(
         name=name,
         listen_address=parse_overridden_address("listen", "ROUTER_LISTEN", raw, environ),
@@ -233,7 +233,7 @@
 
 
 def parse_decision_settings(options: dict[str, Any], seed: int) -> tuple[Settings, MachineKinds]:
-    """What the decision module is told, and the kinds of machines."""
+    """The decision module's settings, and the kinds of machines."""
     try:
         return parse_settings(options, seed), MachineKinds(options)
     except SettingsError as error:
--- a/kelpcroft/core/attempt_completion.py
+++ b/kelpcroft/core/attempt_completion.py
@@ -1,4 +1,4 @@
-"""The end of an attempt: booked, and told to the decision module once."""
+"""The end of an attempt: taken off the tables, counted, and reported to the decision module once."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.invariants import holds
 
-# Ends whose time tells how long answers take.
+# Outcomes after which the elapsed time counts as a sample of the route's latency.
 TIMED_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)
-# What an answer says of a fill that the origin or the fill's source did not bear.
+# Fill results that mean that the origin, or the server filled from, refused or failed.
 SOURCE_FAILURES = (FillResult.SOURCE_REFUSED, FillResult.SOURCE_BROKE, FillResult.ORIGIN_FAILED)
 
 
@@ -34,8 +34,8 @@
         Args:
             attempt: One that has not ended.
             outcome: How it ended.
-            fill_result: What the answer says of its fill.
-            source_wait_ns: Wait for the fill source's first byte; 0 = not told.
+            fill_result: How the server's own fetch went, as its answer reports it.
+            source_wait_ns: Wait for the fill source's first byte; 0 = not reported.
             load_report: What the server reports of itself.
         """
         state = self.state
@@ -70,7 +70,7 @@
         source_wait_ns: int,
         load_report: dict[str, float] | None,
     ) -> None:
-        """What the limit at the origin, the fleet's size and the route learn from an end."""
+        """Give the end to the origin's concurrency limit, the fleet size estimate and the route's latency."""
         state = self.state
         if attempt.asks_origin and state.origin_limit is not None:
             is_late = self.is_late_at_origin(attempt, outcome, fill_result, source_wait_ns)
@@ -147,7 +147,7 @@
     def is_late_at_origin(
         self, attempt: Attempt, outcome: Outcome, fill_result: FillResult, source_wait_ns: int
     ) -> bool | None:
-        """Whether the origin took too long over a fetch; None where its end does not tell."""
+        """Whether the origin took too long over a fetch; None where its end does not show it."""
         if outcome in (Outcome.TIMEOUT, Outcome.FULL) or fill_result in SOURCE_FAILURES:
             return True
         if outcome is not Outcome.OK:
--- a/kelpcroft/core/attempt_sending.py
+++ b/kelpcroft/core/attempt_sending.py
@@ -38,7 +38,7 @@
         self.response_times = response_times
 
     def forward(self, action: api.ForwardRequest) -> None:
-        """Send an attempt, now or when its connection stands.
+        """Send an attempt, now or when its connection is established.
 
         Where it can't be sent the decision module hears of its end in the same input.
         """
@@ -80,7 +80,7 @@
     def schedule_timeout(self, attempt: Attempt) -> None:
         """End the attempt at its time limit, and at the request's deadline at the latest.
 
-        The decision module is told at the deadline, so that its last answer goes out within the slack.
+        The decision module learns of the end at the deadline: its final answer goes out within the slack.
         """
         due_ns = attempt.request.deadline_ns
         if attempt.forward.timeout_ns:
@@ -89,7 +89,11 @@
         self.state.effects.append(ScheduleTimer(due_ns, key))
 
     def charge(self, request: OpenRequest, allowance: RequestAllowance) -> None:
-        """The route pays for a retry, or for a hedge of an attempt that is out."""
+        """Take a retry or a hedge from the route's budget, and schedule the next hedge.
+
+        The first attempt costs nothing, nor does a retry of what has certainly not run; a retry after a
+        back-off was paid for when the back-off began.
+        """
         state = self.state
         paid = True
         if request.attempts_in_flight:
@@ -106,7 +110,7 @@
     def retry_connection(self, attempt: Attempt) -> bool:
         """Whether an attempt waits for another connection now.
 
-        A connection that was reset as soon as it stood tells nothing of the server, and nothing was sent.
+        Nothing was sent on a connection that broke at once, and its reset is no evidence against the server.
         """
         if attempt.request.is_answered:
             return False
@@ -121,7 +125,7 @@
         return True
 
     def send_or_queue(self, attempt: Attempt) -> None:
-        """Write an attempt, or let it wait until its connection stands."""
+        """Write an attempt, or let it wait until its connection is established."""
         connection, trace_id = attempt.connection, attempt.request.message.trace_id
         if connection.is_connected:
             connection.in_flight[trace_id] = attempt.number
--- a/kelpcroft/core/attempts.py
+++ b/kelpcroft/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts while they are out: answers, time-outs, connections that stand or break, cancellation, waits."""
+"""Attempts in flight: answers, time-outs, connections established or lost, cancellation, back-off, hedges."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
         self.completion.finish(attempt, outcome, response.note, response.source_wait_ns, response.load_report)
 
     def on_connected(self, number: int) -> None:
-        """A connection stands: what waited for it is written."""
+        """A connection is established: what waited for it is written."""
         state = self.state
         connection = state.connections.by_number.get(number)
         if connection is None:
@@ -102,7 +102,7 @@
                 self.sender.send(state.attempts[waiting_number])
 
     def on_connect_timeout(self, number: int) -> None:
-        """A connection must stand by now."""
+        """A connection that is not established by now is given up."""
         connection = self.state.connections.by_number.get(number)
         if connection is not None and not connection.is_connected:
             self.state.effects.append(CloseServerConnection(number))
@@ -111,7 +111,8 @@
     def on_connection_lost(self, lost: ServerConnectionLost) -> None:
         """A connection has ended, or could not be had.
 
-        Before it stood nothing was sent, so nothing ran; what was out when it broke may have run.
+        Before it was established nothing was sent, so nothing ran; what was in flight when it broke may have
+        run.
         """
         state = self.state
         connection = state.connections.remove(lost.connection)
--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests: which are taken, and the one final answer that each is owed."""
+"""Clients' requests: which are accepted, and the one final answer of each."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
     def on_request(self, message: ClientRequest) -> None:
         """Take a request in, or answer it at once.
 
-        Bad clients get an error or a close here, before anything is sent on for them: servers answer their
-        requests with errors, which would tell against the server and against the request with the same id.
+        Misbehaving clients get an error or a close here, before anything is sent on for them: servers would
+        answer with errors, which would count against the server and the other request with the same id.
         """
         state = self.state
         if self.close_misbehaving_client(message):
@@ -166,7 +166,7 @@
         """The final answer to a request that is not taken: a rejection, after which a retry is harmless.
 
         It fails instead where an earlier request of its key may have run and a repeat elsewhere would run it
-        again (rule 2: whoever words a rejection).
+        again (rule 2, which holds for every rejection, also for those that the decision module never sees).
 
         Args:
             message: The request.
@@ -220,7 +220,7 @@
             state.effects.append(answer)
 
     def remove_from_tables(self, request: OpenRequest) -> None:
-        """A request owes no answer any more."""
+        """Take a request that has its final answer out of the tables."""
         state, message = self.state, request.message
         del state.requests[int(request.id)]
         state.open_trace_ids.discard(message.trace_id)
@@ -273,7 +273,7 @@
 def decision_request(
     request: OpenRequest, prior_execution: api.PossibleExecution | None, prior_attempt_unknown: bool
 ) -> api.Request:
-    """A request as the decision module is told of it.
+    """A request in the decision module's terms.
 
     Args:
         request: One that was taken.
--- a/kelpcroft/core/clients.py
+++ b/kelpcroft/core/clients.py
@@ -54,7 +54,7 @@
         self.process.clients.add(message.client)
 
     def on_disconnected(self, message: ClientDisconnected) -> None:
-        """A client's connection has ended: nothing is owed on it any more."""
+        """A client's connection has ended: its open requests are abandoned."""
         self.process.clients.discard(message.client)
         for request in list(self.state.requests_by_client.get(message.client, {}).values()):
             self.abandon(request)
--- a/kelpcroft/core/configured_feed.py
+++ b/kelpcroft/core/configured_feed.py
@@ -8,7 +8,9 @@
 from kelpcroft.core.inputs import WatchFailed, WatchResponse
 from kelpcroft.core.state import State
 
-MAX_EMPTY_ANSWERS = 3  # in a row, that came at once with nothing new; more are no answers
+# In a row, that came at once with nothing new: this many count as a failed call.  Under a budget of calls
+# the first one does.
+MAX_EMPTY_ANSWERS = 3
 
 
 class ConfiguredFeed:
@@ -22,11 +24,11 @@
         self.empty_answers = 0  # in a row, that came at once with nothing new
 
     def on_response(self, response: WatchResponse) -> None:
-        """Take an answer up; then call again at once, as what the feed has counts as heard.
+        """Take an answer up; then call again at once: what the feed has counts as known to the router.
 
-        An answer that comes at once with nothing new, again and again, is no answer: it would be asked for
-        in a loop.  One that counts anew costs a fleet two calls each: under a budget the second is spread as
-        well.
+        Answers that come at once with nothing new, again and again, count as failures, else the router would
+        poll in a loop.  Numbers that went back cost each router of the fleet a second call, for the whole
+        list: it waits as after a failure, so that under a budget it is spread as well.
         """
         if response.has_more:
             self.take_piece(response)
--- a/kelpcroft/core/connection_pool.py
+++ b/kelpcroft/core/connection_pool.py
@@ -8,7 +8,9 @@
 from kelpcroft.decision.statistics import mix64
 
 ATTEMPTS_BEFORE_NEW_CONNECTION = 8  # that one connection carries, before one more is opened
-MAX_CONNECTIONS_PER_SERVER = 8  # before they carry more
+# For attempts that share connections: past so many, those that are open carry more.  No hard bound: one that
+# needs a connection of its own, or finds no room on these, may still open one.
+MAX_CONNECTIONS_PER_SERVER = 8
 # A server that has no place for one more connection is called again after so long, doubling with each refusal
 # in a row, half more or less by chance.
 REFUSAL_BACKOFF_NS = 100_000_000
@@ -22,14 +24,14 @@
     Attributes:
         number: The pool's own, never used twice.
         server: The server's name.
-        is_connected: It stands.
-        unsent: Numbers by id of what waits for it to stand.
+        is_connected: It is established.
+        unsent: Numbers by id of what waits until it is established.
         in_flight: Numbers by id of what is written and unanswered.
         retired_ids: Ids that ended without a final answer, and when.
-        last_response_ns: When the last answer came on it, or it stood.
-        idle_since_ns: When it last had something out.
+        last_response_ns: When the last answer came on it, or it was established.
+        idle_since_ns: When it last became idle, or was established.
         is_retiring: It takes nothing new, and is closed once it is empty.
-        last_check_ns: When it was last asked whether it answers at all.
+        last_check_ns: When a health check was last sent because it was silent.
         has_silence_timer: A timer looks whether it has fallen silent.
         is_exclusive: It carries one that must not fail with others.
         has_partial_response: Part of an answer has come.
@@ -118,10 +120,11 @@
     def find(
         self, server: str, attempt_id: str, exclusive: bool = False, now: int = 0
     ) -> PooledConnection | None:
-        """A connection with room, the fullest first, so that few are open and the rest fall idle.
+        """A connection with room, the fullest first, so that few are open and the rest become idle.
 
-        One that stands goes before one that is being opened.  Few attempts share one: an answer that cannot
-        be read fails all that are out on its connection.
+        One that is established goes before one that is being opened.  Few attempts share one, as an answer
+        that cannot be read fails all in flight on its connection: past ATTEMPTS_BEFORE_NEW_CONNECTION one
+        more is opened, and where that may not be, the least loaded carries more.
 
         Returns:
             None where one more is to be opened, or none has room.
@@ -168,7 +171,7 @@
 
 
 def is_preferred(connection: PooledConnection, other: PooledConnection) -> bool:
-    """Whether a connection stands and the other does not, or carries more where both are alike."""
+    """Whether a connection is established and the other is not, or carries more where both are alike."""
     if connection.is_connected is not other.is_connected:
         return connection.is_connected
     return connection.load() > other.load()
--- a/kelpcroft/core/control_requests.py
+++ b/kelpcroft/core/control_requests.py
@@ -12,7 +12,7 @@
 
 
 class ControlRequests:
-    """Drains the process, takes it back, and tells what it is."""
+    """Drains the process, takes it back, and reports its state."""
 
     def __init__(self, state: State, process: ProcessStatus, endpoint_list: EndpointList) -> None:
         self.state = state
@@ -36,7 +36,7 @@
         self.state.effects.append(ControlResponse(request.caller, is_ok, fields))
 
     def drain(self) -> None:
-        """Let clients go once nothing is owed them; nothing new where it was so already.
+        """Close each client's connection once no answer is pending on it; no effect where it was so already.
 
         The process goes on serving what it has taken, and stays to be taken back.
         """
@@ -53,7 +53,7 @@
         state.effects += [DrainClients(True), PersistServiceState(False, state.now)]
 
     def resume(self) -> None:
-        """Take clients again; nothing new where it does, or where the process is ending."""
+        """Take clients again; no effect where it does already, or where the process is ending."""
         state = self.state
         out_since_ns = self.process.service_state.since_ns
         if not self.process.service_state.resume(state.now):
--- a/kelpcroft/core/decision_loop.py
+++ b/kelpcroft/core/decision_loop.py
@@ -88,5 +88,5 @@
         self.state.effects.append(ScheduleTimer(action.at_ns, key))
 
     def log(self, action: api.Log) -> None:
-        """The decision module has something to say."""
+        """Log a message of the decision module."""
         self.state.log("module.says", action.text)
--- a/kelpcroft/core/descriptors.py
+++ b/kelpcroft/core/descriptors.py
@@ -1,7 +1,7 @@
 """How a process shares its descriptors out, so that no kind of connection can take those of another.  Pure.
 
-Idle clients may fill their share while the list service is down: the feed, the servers and the control
-address must still be had.  The shares add up to no more than there are.
+Idle clients may fill their share while the list service is down: connections to the feed, to servers
+and from the control address's callers must still be possible.  The shares add up to no more than there are.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 MIN_DESCRIPTORS = 64  # under this no useful number of clients and servers fits
-# Clients hold at most one descriptor of so many, by the platform's word, and the spare ones over it: some are
-# closed and not yet gone when others come.
+# Clients hold at most one descriptor of so many, as the platform promises, and the spare ones over it: some
+# are closed and not yet gone when others come.
 CLIENT_DIVISOR = 3
 SPARE_CLIENTS = 8
 # One descriptor of so many for clients that are being let go ...
--- a/kelpcroft/core/effects.py
+++ b/kelpcroft/core/effects.py
@@ -56,7 +56,7 @@
 
 @message
 class DrainClients:
-    """Let clients go once nothing is owed them and nothing of theirs is half read (a drain), or keep them."""
+    """Close each client once it has no answer pending and nothing half read (a drain), or keep them."""
 
     is_enabled: bool
 
@@ -82,7 +82,7 @@
     """Send an attempt.
 
     Attributes:
-        connection: One that stands.
+        connection: An established one.
         attempt_id: The request's trace id.
         request_class: Name of its class.
         object_id: As it came.
@@ -173,7 +173,7 @@
 
 @message
 class ScheduleTimer:
-    """Say TimerFired at a time."""
+    """Deliver TimerFired with this key at a time."""
 
     at_ns: int
     key: TimerKey
@@ -191,7 +191,7 @@
 
 @message
 class ControlResponse:
-    """The answer to a request on the control address: yes or no, and what is said with it."""
+    """The answer to a request on the control address: yes or no, and the fields of its JSON body."""
 
     caller: int
     ok: bool
@@ -206,7 +206,7 @@
         is_in_service: Or drained by an operator.
         since_ns: Since then.
         ended_at_ns: This process ends now; 0 = it does not.
-        shutdown_began_ns: With an end: when it was told to.
+        shutdown_began_ns: With an end: when SIGTERM came.
     """
 
     is_in_service: bool
@@ -217,12 +217,12 @@
 
 @message
 class ReadPredecessorState:
-    """Has the process beside this one left word of its end?  If so, tell PredecessorEnded."""
+    """Look for the predecessor's record of its end; if there is one, deliver PredecessorEnded."""
 
 
 @message
 class SetStateEndpoint:
-    """Answer for the state on the control address, or no more; the first time, tell ProcessIdentity."""
+    """Serve the state on the control address, or no more; the first time, deliver ProcessIdentity."""
 
     is_enabled: bool
 
--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoints that may be used, and the purges, as the feed tells them."""
+"""The endpoints that may be used, and the purges, as the feed gives them."""
 
 from __future__ import annotations
 
@@ -65,8 +65,8 @@
     def take_purge(self, purge: Purge) -> None:
         """Take up a purge.
 
-        In a long answer one so old that whoever heard it in time has forgotten it by now changes nothing,
-        and there are many of them.
+        In a long answer, one older than ``purge_retention_ns`` is left out: a router that received it in time
+        would have dropped it by now, and there are many of them.
         """
         state = self.state
         ago_ns = max(0, state.now - purge.purged_at_ns)
@@ -106,7 +106,7 @@
         self.attempts.cancel_matching(self.asks_unlisted)
 
     def form_of(self, update: EndpointUpdate) -> str:
-        """The decision module's word for an update: the first list is restored, later ones replace."""
+        """The decision module's name for an update: "restored" for the first, then "replace" or "update"."""
         if not self.has_list:
             return "restored"
         return "replace" if update.is_full_list else "update"
--- a/kelpcroft/core/feed_position.py
+++ b/kelpcroft/core/feed_position.py
@@ -60,7 +60,7 @@
         self.poll(timeouts.wait_ns // MS, timeouts.silence_ns)
 
     def call_after_stall(self) -> None:
-        """Ask anew, to be answered at once: what was told while the process stood still counts as told."""
+        """Ask anew, to be answered at once: what the feed sent while the process stalled counts as known."""
         self.state.counters["stalls"] += 1
         self.wants_answer_at_once = True
         self.poll(STALLED_WAIT_MS, self.timeouts().silence_ns)
--- a/kelpcroft/core/feed_watch.py
+++ b/kelpcroft/core/feed_watch.py
@@ -93,16 +93,16 @@
             self.configured.on_failed(failed)
 
     def on_stalled(self, _message: ProcessStalled) -> None:
-        """The process stood still: what it knows is as old as that."""
+        """The process stalled: what it knows is as old as that."""
         self.position.call_after_stall()
 
     def move_feed(self, address: tuple[str, int]) -> str:
         """Take up the feed's address of a configuration read again.
 
-        The feed's numbers go on, so nothing is told twice.
+        The feed's numbers go on: it is asked for what comes after the last event that is known.
 
         Returns:
-            What is said of it in the log.
+            The words for it in the log.
         """
         if address == self.configured.address:
             return "the feed stays where it is"
--- a/kelpcroft/core/health_checks.py
+++ b/kelpcroft/core/health_checks.py
@@ -12,7 +12,7 @@
 
 
 class HealthChecks:
-    """Sends health checks and tells the decision module once how each one ended."""
+    """Sends health checks and reports the end of each one to the decision module once."""
 
     def __init__(self, state: State, connections: ServerConnections) -> None:
         self.state = state
@@ -27,7 +27,7 @@
             self.send(connection)
 
     def send(self, connection: PooledConnection) -> None:
-        """Send a check on a connection, now or when it stands."""
+        """Send a check on a connection, now or when it is established; its time-out is the connect one."""
         state = self.state
         state.last_number += 1
         number = state.last_number
@@ -51,6 +51,6 @@
     def finish(
         self, check: HealthCheck, outcome: Outcome, load_report: dict[str, float] | None = None
     ) -> None:
-        """A check's end, told to the decision module."""
+        """Report a check's end to the decision module."""
         elapsed_ns = self.state.now - check.started_ns
         self.state.events.append(api.ProbeFinished(check.server, outcome, elapsed_ns, load_report or {}))
--- a/kelpcroft/core/housekeeping.py
+++ b/kelpcroft/core/housekeeping.py
@@ -1,4 +1,4 @@
-"""What is done once a second: idle connections are closed, old ids forgotten, counters logged."""
+"""What is done once a second: idle connections closed, old ids forgotten, the fleet's size and counters."""
 
 from __future__ import annotations
 
--- a/kelpcroft/core/idempotency_keys.py
+++ b/kelpcroft/core/idempotency_keys.py
@@ -4,9 +4,9 @@
 window, counted from the first send that may have run; past it, or at a server outside the group, a repeat
 would run again.  So what one request of a key has done binds the next one of that key.
 
-A record is kept for the longer of the class's window and its client's whole time: after the first no repeat
-may be sent, and until the second one may still be asked for.  The table is bounded: where it is full no new
-key is taken, which does no harm, as nothing of it has run.
+A record is kept for the longer of the class's deduplication window and its deadline: after the first no
+repeat may be sent, and until the second one may still be asked for.  The table is bounded: where it is full
+no new key is taken, which does no harm, as nothing of it has run.
 """
 
 from __future__ import annotations
--- a/kelpcroft/core/inputs.py
+++ b/kelpcroft/core/inputs.py
@@ -1,4 +1,4 @@
-"""What the reducer is told.
+"""What the reducer takes in: all that can happen to a router, without a protocol's field names.
 
 No codec's field names appear here: a front or a back end of another protocol fills in the same inputs.
 Names that end in ``_ns`` are nanoseconds of the Unix clock, kept from running back, or spans of it.
@@ -39,7 +39,7 @@
         body: Passed on as it came.
         queued_ns: Of the client's time, gone before this was read.
         idempotency_key: Passed on as it came; "" = none.
-        size_kb: Of the part, as the settings count; 0 = not told.
+        size_kb: Of the part, as the settings count; 0 = unknown.
         validation_error: Why it cannot be used, though it could be read; "" = it can.
     """
 
@@ -87,7 +87,7 @@
 
 @message
 class ClientDisconnected:
-    """A client's connection has ended; nothing is owed on it any more."""
+    """A client's connection has ended; its open requests need no answer any more."""
 
     client: int
 
@@ -97,20 +97,20 @@
 
 @message
 class ServerConnected:
-    """A connection to a server stands."""
+    """A connection to a server is established."""
 
     connection: int
 
 
 @message
 class ServerConnectionLost:
-    """A connection to a server could not be had, or has ended.
+    """A connection to a server could not be established, or has ended.
 
     Attributes:
         connection: Which.
         reason: For the log.
         is_unreachable: Nobody is there.  A connection is also reset by what lies between, and closed by us
-            when an answer on it cannot be read; those tell nothing of the server.
+            when an answer on it cannot be read; those are no evidence against the server.
         unsent_attempt_ids: Ids of attempts of which not all bytes were written, so that they never ran.
     """
 
@@ -135,9 +135,9 @@
     Attributes:
         connection: Where it came.
         attempt_id: The id under which the attempt or check was sent.
-        outcome: What the server says.
-        note: What it says of its fill.
-        source_wait_ns: How long it waited for its fill's source; 0 = not told.
+        outcome: The server's verdict on the attempt.
+        note: How its own fetch (fill) went.
+        source_wait_ns: How long it waited for its fill's source; 0 = not reported.
         load_report: What it reports of itself, by the settings' names.
         not_modified: The client's own copy is the one; no bytes.
         body: The answer's bytes.
@@ -185,7 +185,7 @@
 
 @message
 class EndpointUpdate:
-    """The whole list of servers, or what has changed in it; ``event_number`` 0 = not told."""
+    """The whole list of servers, or what has changed in it; ``event_number`` 0 = unknown."""
 
     is_full_list: bool
     endpoints: tuple[EndpointRecord, ...]
@@ -212,7 +212,7 @@
         has_more: The same answer goes on: ``last_event`` is the highest number so far.
         bytes_read: Of the whole answer.
         log_fingerprint: Of the log up to the last event; from a control replica only, as is the next.
-        as_of_ms: Unix time at which that replica knew all that there was; 0 = not told.
+        as_of_ms: Unix time at which that replica knew all that there was; 0 = not given.
     """
 
     last_event: int
@@ -244,7 +244,7 @@
 
 @message
 class ProcessStalled:
-    """The process stood still for a while: what it knows is as old as that."""
+    """The process stalled (it was stopped, or got no processor): what it knows is as old as that."""
 
 
 @message
@@ -277,7 +277,7 @@
         is_in_service: None where no file was found or it could not be used.
         since_ns: In or out since then.
         reason: Why the file could not be used; "" where none was found.
-        ended_at_ns: When that process ended, if it has said so; else 0.
+        ended_at_ns: When that process ended, if it has recorded that; else 0.
     """
 
     is_in_service: bool | None
@@ -288,7 +288,7 @@
 
 @message
 class PredecessorEnded:
-    """The process beside this one says that it has ended, and when."""
+    """The predecessor, which ran beside this process, has recorded that it ended, and when."""
 
     ended_at_ns: int
 
--- a/kelpcroft/core/operator_settings.py
+++ b/kelpcroft/core/operator_settings.py
@@ -90,7 +90,7 @@
             self.set_zone_routers(configured)
 
     def set_zone_routers(self, routers: int) -> None:
-        """Have the decision module reckon with so many routers in this zone.
+        """Have the decision module count on so many routers in this zone.
 
         The routers of all zones are taken to be more or fewer in the same proportion.
         """
--- a/kelpcroft/core/predecessor.py
+++ b/kelpcroft/core/predecessor.py
@@ -35,7 +35,7 @@
             state.schedule(min(SECOND, max(MS, remaining_ns)), TimerKind.RESTART_OVERLAP)
 
     def on_state(self, left: PredecessorState) -> None:
-        """At the start: an operator's drain outlives the process that heard it."""
+        """At the start: an operator's drain outlives the process that it was sent to."""
         state = self.state
         if left.is_in_service is None:
             if left.reason:
@@ -55,6 +55,6 @@
             state.effects.append(DrainClients(True))
 
     def on_ended(self, ended: PredecessorEnded) -> None:
-        """The process beside this one has ended; an earlier end was of one before that."""
+        """The predecessor has ended.  An end before this process began was an earlier one's: ignored."""
         if ended.ended_at_ns >= self.process.started_ns:
             self.restart_overlap.on_predecessor_ended(self.state.now, ended.ended_at_ns)
--- a/kelpcroft/core/process_status.py
+++ b/kelpcroft/core/process_status.py
@@ -28,7 +28,7 @@
 
     @property
     def is_shutting_down(self) -> bool:
-        """Whether the platform has told the process to end."""
+        """Whether SIGTERM has come."""
         return self.service_state.mode is ServiceMode.ENDING
 
     def not_ready_reason(self, has_endpoint_list: bool) -> str:
--- a/kelpcroft/core/reducer.py
+++ b/kelpcroft/core/reducer.py
@@ -102,7 +102,7 @@
 
     @property
     def is_shutting_down(self) -> bool:
-        """Whether the platform has told the process to end."""
+        """Whether SIGTERM has come."""
         return self.process.is_shutting_down
 
     def start(
@@ -154,7 +154,7 @@
         return self.state.effects
 
     def on_server_connected(self, message: inputs.ServerConnected) -> None:
-        """A connection to a server stands."""
+        """A connection to a server is established."""
         self.attempts.on_connected(message.connection)
 
     def on_partial_response(self, message: inputs.PartialResponse) -> None:
@@ -169,5 +169,5 @@
         self.restart_overlap.on_serving(self.state.now)
 
     def on_process_identity(self, message: inputs.ProcessIdentity) -> None:
-        """What this process is, as was asked for."""
+        """Keep the digest of the program and the process's name, asked for by SetStateEndpoint."""
         self.process.identity = message
--- a/kelpcroft/core/replica_feed.py
+++ b/kelpcroft/core/replica_feed.py
@@ -1,4 +1,4 @@
-"""The list of servers and the purges as control replicas tell them, in place of the configuration's feed.
+"""The list of servers and the purges as control replicas give them, in place of the configuration's feed.
 
 Imported only where the operator's file names replicas.  What an answer is good for and which replica is
 called next is ``kelpcroft.control_log``'s; this part carries it out on what ``EndpointList`` owns.
--- a/kelpcroft/core/response_times.py
+++ b/kelpcroft/core/response_times.py
@@ -10,7 +10,9 @@
 
 
 class ResponseTimes:
-    """Mean and mean deviation of answers' times (EWMA), as TCP reckons its time-out (RFC 6298).
+    """Mean and mean deviation of answers' times (EWMA), like TCP's time-out estimate (RFC 6298).
+
+    Both averages use RESPONSE_TIME_GAIN, where the RFC has 1/8 and 1/4.
 
     Attributes:
         mean_ns: Mean time from an attempt's start to its answer.
--- a/kelpcroft/core/service_state.py
+++ b/kelpcroft/core/service_state.py
@@ -3,10 +3,11 @@
 Pure: the reducer hands it the time, it answers.  Times are Unix nanoseconds.
 
 A drain and the end of a process that shares its listening socket go the same way.  At once the process says
-it is not ready, and lets each client's connection go as soon as nothing is owed on it (the loop does that, at
-the reducer's word); a request that crosses such a close is sent again by the client, elsewhere.  Requests
-that come on a connection that is still busy are served for a grace; after it they are refused, so that by the
-time the platform counts (4 s after a drain, the SIGKILL after an end) no connection holds a new request.
+it is not ready, and closes each client's connection once no answer is pending on it (the event loop does, on
+the reducer's DrainClients); a request that crosses such a close is sent again by the client, elsewhere.
+Requests that come on a connection that is still busy are served for a grace; after it they are refused, so
+that by the time the platform counts (4 s after a drain, the SIGKILL after an end) no connection holds a new
+request.
 A drained process never exits; an ending one exits once nothing is open and no client is left, or after
 MAX_SHUTDOWN_WAIT_NS.
 """
@@ -39,7 +40,7 @@
         mode: The present mode.
         since_ns: When it began.
         shares_listener: The listening socket is shared with another process (``ROUTER_FD``).
-        was_drained: An operator had it out of service when it was told to end.
+        was_drained: An operator had it out of service when SIGTERM came.
     """
 
     mode: ServiceMode = ServiceMode.IN_SERVICE
@@ -74,7 +75,7 @@
 
     @property
     def is_draining_clients(self) -> bool:
-        """Whether clients are to be let go once nothing is owed them."""
+        """Whether clients' connections are to be closed once no answer is pending on them."""
         if self.mode is ServiceMode.OUT_OF_SERVICE:
             return True
         return self.mode is ServiceMode.ENDING and self.shares_listener
--- a/kelpcroft/core/shutdown.py
+++ b/kelpcroft/core/shutdown.py
@@ -26,7 +26,7 @@
         self.began_ns = 0
 
     def on_requested(self, _message: ShutdownRequested) -> None:
-        """The platform wants the process to end; a second word to that effect changes nothing.
+        """SIGTERM has come; a second one changes nothing.
 
         Connections and requests go on coming for a while.
         """
@@ -56,7 +56,7 @@
             self.state.schedule(EXIT_CHECK_INTERVAL_NS, TimerKind.SHUTDOWN, SHUTDOWN_LAST_STEP)
 
     def exit(self) -> None:
-        """The last counters, word for the router's next process where there is one, and the end."""
+        """Log the last counters, leave the service state to a next process on a shared listener, exit."""
         state, service_state = self.state, self.process.service_state
         self.housekeeping.log_counters()
         if service_state.shares_listener:
--- a/kelpcroft/core/silence_detection.py
+++ b/kelpcroft/core/silence_detection.py
@@ -1,4 +1,4 @@
-"""Connections that have fallen silent while their server answers on others."""
+"""Connections that became silent while their server answers on others, or with many attempts in flight."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from kelpcroft.core.response_times import MIN_SILENCE_LIMIT_NS
 from kelpcroft.core.state import State
 
-SUSPECT_LOAD = 3  # with so many out on it, it need not be heard that the server answers others
+SUSPECT_LOAD = 3  # with so many in flight on it, the server need not have answered on another connection
 CHECK_ANSWER_NS = MIN_SILENCE_LIMIT_NS // 2  # a health check has this long before silence counts again
 MIN_TIMER_NS = MIN_SILENCE_LIMIT_NS // 4
 
@@ -18,6 +18,9 @@
 class SilenceDetector:
     """Closes a connection on which nothing comes while its server answers on others.
 
+    It does so too with SUSPECT_LOAD in flight on it, and never where one that must not run twice is (an
+    exclusive connection).
+
     The answers may never come though it stays open, and it would draw more requests as the fullest.
 
     Slow fills look just so: the copies that are there are answered, what waits for the origin gathers on
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -98,7 +98,11 @@
 
 
 class State:
-    """The tables.  Each has an end: requests by ``limits.max_open``, connections by the descriptors."""
+    """The tables, each of them bounded.
+
+    Requests: by ``settings.limits.max_open`` where that is set, and MAX_OPEN_REQUESTS_PER_CLIENT of each
+    client; connections to servers: by the descriptors; idempotency keys: by MAX_KEYS.
+    """
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -118,7 +122,7 @@
         self.requests_by_client: dict[
             int, dict[int, OpenRequest]
         ] = {}  # the same, by client and number there
-        self.open_trace_ids: set[str] = set()  # of those
+        self.open_trace_ids: set[str] = set()  # of the requests that owe an answer
         self.idempotency_keys = IdempotencyKeys()
         self.attempts: dict[int, Attempt] = {}  # by number
         self.attempt_numbers: dict[tuple[str, int], int] = {}  # the same, by request and index
@@ -126,7 +130,7 @@
         self.last_number = 0  # given to a request, an attempt or a health check
         self.routes: RouteTable | None = None  # of the operator's file
         self.statistics: RequestStatistics | None = None  # where the operator's file asks for them
-        self.cold_budget_share = 1.0  # as the decision module was told last, as is the next
+        self.cold_budget_share = 1.0  # as last given to the decision module, like the next
         self.origin_available = True
         self.origin_limit: OriginConcurrencyLimit | None = None  # while a router begins
         self.fleet_size: FleetSizeEstimator | None = None  # where the operator's file asks for it
@@ -135,12 +139,12 @@
         self.events: deque[api.Event] = deque()  # for the decision module, of this input
         self.touched_requests: list[OpenRequest] = []  # new, or with an attempt ended, in this input
         self.now = 0  # the time of the input in hand
-        self.is_tracing = config.is_tracing  # every attempt's way is told to the log
+        self.is_tracing = config.is_tracing  # ROUTER_TRACE=1: each step of a request is logged
 
     def trace(self, event: str, **fields: object) -> None:
         """Log one step of a request or of a connection, for tools/fleet_counts.py.
 
-        Callers look at ``is_tracing`` first: where nothing is traced, nothing is made for it.
+        Callers check ``is_tracing`` first, so that without tracing no arguments are built.
         """
         self.effects.append(LogEvent(f"trace.{event}", event, "info", fields))
 
@@ -151,7 +155,7 @@
         self.effects.append(LogEvent(event, text, level, fields or {}))
 
     def schedule(self, after_ns: int, kind: TimerKind, number: int = 0) -> None:
-        """Have a timer fire so long after the input in hand."""
+        """Have a timer fire this long after the time of the present input."""
         self.effects.append(ScheduleTimer(self.now + after_ns, TimerKey(kind, number, 0)))
 
     def change_settings(self, settings: api.Settings) -> None:
@@ -161,9 +165,9 @@
         self.events.append(api.SettingsChanged(settings))
 
     def set_cold_budget_share(self, share: float) -> None:
-        """Tell the decision module its part of the router's cold budgets, where that is new.
+        """Give the decision module its share of the router's budgets for cold servers, where that is new.
 
-        With it goes whether the origin bears one more fetch.
+        With it goes whether the origin's concurrency limit has room for one more fetch.
         """
         origin_available = self.origin_limit is None or self.origin_limit.has_capacity()
         if (share, origin_available) != (self.cold_budget_share, self.origin_available):
--- a/kelpcroft/log.py
+++ b/kelpcroft/log.py
@@ -1,8 +1,9 @@
-"""The structured log: one line for each event, JSON or plain, with floods of one event held down.
+"""The structured log: one line for each event, JSON or plain, rate-limited by event name.
 
 JSON lines have ``time`` (UTC), ``level``, ``router``, ``event``, ``text`` and the event's own fields.  On a
 terminal a line is ``time LEVEL event: text``.  Of one event MAX_LINES_PER_EVENT lines are written in
-RATE_WINDOW_NS; what is left out is counted, and the count comes with the next line of that event.
+RATE_WINDOW_NS; what is left out is counted, and the count comes with the next line of that event,
+as ``suppressed``.  Traced steps (ROUTER_TRACE=1) are JSON lines of their own form, and none is left out.
 """
 
 from __future__ import annotations
