--- a/kelpcroft/config_reload/check.py
+++ b/kelpcroft/config_reload/check.py
@@ -11,8 +11,8 @@
   ``unsafe``; there is no class at all;
 - ``feed`` is not an address as host:port.
 
-The start reads its file more loosely (``kelpcroft.config.parse_config``), so that a file that started the router
-before still does; this check is for the file that is to replace one in use.
+The start reads its file more loosely (``kelpcroft.config.parse_config``), so that a file that started the
+router before still does; this check is for the file that is to replace one in use.
 """
 
 from __future__ import annotations
