--- a/kelpcroft/net/buffers.py
+++ b/kelpcroft/net/buffers.py
@@ -1,4 +1,4 @@
-"""Buffers of one size, used again from a pool, and what waits to be written in them."""
+"""A pool of reusable buffers of one size, and the output of a connection that is stored in them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from kelpcroft.invariants import holds
 
 BUFFER_BYTES: Final = 64 * 1024
-MAX_PIECES_PER_WRITE: Final = 64  # of one gathering write; the system takes 1,024
+MAX_PIECES_PER_WRITE: Final = 64  # chunks in one gathering write; the kernel accepts at most 1,024
 
 
 class BufferPool:
-    """Hands buffers out and takes them back; ``capacity`` bounds those that are out."""
+    """A pool of reusable buffers; at most ``capacity`` of them are in use."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -22,50 +22,50 @@
         self.free: list[bytearray] = []
 
     def acquire(self) -> bytearray | None:
-        """A buffer, or None when all are out."""
+        """Returns a buffer, or None if all are in use."""
         if self.in_use >= self.capacity:
             return None
         self.in_use += 1
         return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
 
     def release(self, buffer: bytearray) -> None:
-        """A buffer comes back."""
+        """Returns a buffer to the pool."""
         if holds(self.in_use > 0 and len(buffer) == BUFFER_BYTES, "a buffer goes back once"):
             self.in_use -= 1
             self.free.append(buffer)
 
 
 class WriteBuffer:
-    """Bytes that wait to be written on one connection.
+    """Output that is not sent yet on one connection.
 
-    Pieces of this turn of the loop are written straight from where they lie; what the system does not take at
-    once is copied into pooled buffers, so that memory is counted there.
+    Chunks added in this iteration are written without a copy.  The bytes that the kernel does not accept
+    immediately are copied into pooled buffers, so that the pool bounds their memory.
     """
 
     def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
-        self.pieces: list[Body] = []  # of this turn
-        self.stored: deque[bytearray] = deque()  # pooled: the first from ``start``, the last up to ``end``
-        self.start = 0
-        self.end = 0
-        self.sent_bytes = 0  # that the system has taken, in all
+        self.pieces: list[Body] = []  # chunks added since the last write
+        self.stored: deque[bytearray] = deque()  # pooled buffers with unsent bytes
+        self.start = 0  # first unsent byte in the first pooled buffer
+        self.end = 0  # end of the used bytes in the last pooled buffer
+        self.sent_bytes = 0  # total of the bytes that the kernel has accepted
 
     def add(self, pieces: list[Body] | tuple[Body, ...]) -> None:
-        """Adds bytes to write."""
+        """Adds chunks to be written."""
         self.pieces += pieces
 
     def stored_bytes(self) -> int:
-        """How many bytes are stored, those of this turn left out."""
+        """Returns the number of bytes in pooled buffers; chunks not yet written once do not count."""
         return (len(self.stored) - 1) * BUFFER_BYTES + self.end - self.start if self.stored else 0
 
     def write(self, sock: socket.socket) -> bool:
-        """Writes what the socket takes, and stores the rest.
+        """Writes as much as the socket accepts, and stores the rest.
 
         Returns:
-            False where the pool has no room for the rest.
+            False if the pool has no buffer left for the rest.
 
         Raises:
-            OSError: the connection is broken.
+            OSError: The connection has failed.
         """
         if not self._write_stored(sock):
             return self._store(0, 0)
@@ -87,7 +87,7 @@
         return True
 
     def _write_stored(self, sock: socket.socket) -> bool:
-        """Writes what is stored; returns whether all of it is written."""
+        """Writes the stored bytes; returns whether all of them are written."""
         while self.stored:
             is_last = len(self.stored) == 1
             view = memoryview(self.stored[0])[self.start : self.end if is_last else BUFFER_BYTES]
@@ -104,7 +104,15 @@
         return True
 
     def _store(self, index: int, skipped_bytes: int) -> bool:
-        """Copies the pieces from one on, less some bytes of it, into pooled buffers; False without room."""
+        """Copies unsent chunks into pooled buffers.
+
+        Args:
+            index: Index of the first unsent chunk.
+            skipped_bytes: Bytes of that chunk that are already sent.
+
+        Returns:
+            False if the pool has no buffer left.
+        """
         pieces = self.pieces[index:]
         self.pieces = []
         for piece in pieces:
@@ -126,7 +134,7 @@
         return True
 
     def clear(self) -> None:
-        """Gives all buffers back."""
+        """Drops all output and returns its buffers to the pool."""
         while self.stored:
             self.pool.release(self.stored.popleft())
         self.pieces = []
--- a/kelpcroft/net/client_acceptor.py
+++ b/kelpcroft/net/client_acceptor.py
@@ -1,4 +1,4 @@
-"""Takes clients' connections, and makes room for them where there is none."""
+"""Acceptance of clients' connections, and eviction of idle clients when there is no room for new ones."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from kelpcroft.net.listeners import LISTEN_QUEUE_LENGTH, Listener, bind_listener, listening_address
 from kelpcroft.net.transport import MAX_ACCEPTS_PER_TURN, OUT_OF_DESCRIPTORS, READABLE, SECOND, Transport
 
-# When clients are too many, one that sent a message so lately does not go for another.
+# A client that connected or sent a message within this time is not evicted for a new one.
 EVICTION_GRACE_NS: Final = SECOND // 10
 
 
 class ClientAcceptor:
-    """The clients' listening socket, and who goes when another comes."""
+    """Accepts clients on their listening socket, and selects the client to evict for a new one."""
 
     def __init__(self, transport: Transport, listener: Listener, clients: ClientConnections) -> None:
         self.transport = transport
@@ -23,7 +23,7 @@
         self.clients = clients
 
     def listen(self, sock: socket.socket | None) -> None:
-        """Takes clients on the socket that is given, or at the address that the configuration names."""
+        """Starts to accept clients on a given socket, or else at the configured address."""
         config = self.transport.config
         if sock is None:
             sock = bind_listener("listen", config.listen_address)
@@ -37,7 +37,7 @@
         )
 
     def accept(self) -> bool:
-        """Takes clients that wait; returns whether more may wait."""
+        """Accepts waiting clients, a limited number at once; returns whether more may be waiting."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if len(self.clients.open) >= self.clients.max_open and not self.evict_idle_client():
                 self.listener.set_listening(False)
@@ -58,7 +58,7 @@
         return True
 
     def _recover(self, error: OSError) -> bool:
-        """After a client could not be taken: whether the next may be."""
+        """Handles a failed accept; returns whether to try the next client."""
         is_out_of_descriptors = error.errno in OUT_OF_DESCRIPTORS
         if is_out_of_descriptors and self.free_descriptor():
             return True
@@ -66,13 +66,13 @@
         if is_out_of_descriptors:
             self.listener.set_listening(False)
             return False
-        return True  # the one that waited has gone
+        return True  # the failed connection has left the accept queue
 
     def stop_accepting(self, _effect: effects.StopAccepting) -> None:
         """Closes the listening socket.
 
-        Whoever waits on one of our own has connected: the close would reset them, so they are taken first.
-        On a shared one another process takes them.
+        Clients in the accept queue are already connected, and the close of a socket bound by this process
+        would reset them; they are accepted first.  On an inherited socket, another process accepts them.
         """
         if self.listener.sock is None:
             return
@@ -83,9 +83,10 @@
         self.listener.close()
 
     def evict_idle_client(self) -> bool:
-        """Lets one client go for another; returns whether one went.
+        """Closes the connection of one idle client; returns whether there was one.
 
-        The longest silent that never asked goes first, else the longest idle.
+        Clients that have not sent a message are evicted first, the longest connected before the others; then
+        the client whose last message is the oldest.
         """
         latest_ns = self.transport.clock.now() - EVICTION_GRACE_NS
         idle = [
@@ -102,9 +103,9 @@
         return False
 
     def free_descriptor(self) -> bool:
-        """Frees a descriptor at once, if a client can go for it; returns whether one did.
+        """Frees a client's descriptor immediately; returns whether that was possible.
 
-        A client whose connection is being ended goes first, else one that rests.
+        A connection in a lingering close is closed first, otherwise that of an idle client.
         """
         lingering = self.clients.lingering
         if lingering.clients or self.evict_idle_client():
--- a/kelpcroft/net/client_connections.py
+++ b/kelpcroft/net/client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections: what they ask, what they are answered, and when their connections end."""
+"""Clients' connections: reading of requests, sending of responses, and closing."""
 
 from __future__ import annotations
 
@@ -22,15 +22,21 @@
     Transport,
 )
 
-MAX_UNREAD_BYTES_PER_CLIENT: Final = 512 * 1024  # a client that has not read so much is not read either
-# What waited so long unread may be from a client that has left: its socket is read to the end.
+# A client is not read while more than this of its output is unsent.
+MAX_UNREAD_BYTES_PER_CLIENT: Final = 512 * 1024
+# If input may have waited unread for longer than this, the client may have disconnected meanwhile: its socket
+# is read again even after a read that did not fill the buffer.
 MAYBE_GONE_NS: Final = SECOND // 20
-QUEUED_REPORTED_NS: Final = SECOND // 1_000  # a shorter wait here is not taken off a request's time
-SILENT_CLIENT_TIMEOUT_NS: Final = 2 * SECOND  # for its first message, and for each that it has begun
-IDLE_CLIENT_TIMEOUT_NS: Final = 5 * SECOND  # with nothing open; usual ones go by themselves after 4 s
-NEW_CLIENT_GRACE_NS: Final = SECOND  # in a drain, one that has sent nothing is closed after this
-WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that takes nothing for so long is closed
-MAX_LOGGED_LOSSES_PER_SWEEP: Final = 2  # lines about bad clients between sweeps: they come in hundreds
+# A pending request that waited at most this long keeps its remaining time unchanged.
+QUEUED_REPORTED_NS: Final = SECOND // 1_000
+# Maximum time until a new client's first message, and from the first byte of a message to its last.
+SILENT_CLIENT_TIMEOUT_NS: Final = 2 * SECOND
+# A connection without open requests is closed after this; most clients close theirs after 4 s.
+IDLE_CLIENT_TIMEOUT_NS: Final = 5 * SECOND
+NEW_CLIENT_GRACE_NS: Final = SECOND  # in a drain, a client that has sent no message is closed after this
+WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that accepts no output for this long is closed
+# Log lines about lost clients between two sweeps, as misbehaving clients can appear in hundreds.
+MAX_LOGGED_LOSSES_PER_SWEEP: Final = 2
 
 
 class ClientConnection(Connection):
@@ -41,31 +47,31 @@
         self.number = number
         self.codec = ClientCodec(number, BUFFER_BYTES)
         self.is_connected = True
-        self.has_sent_message = False  # a whole one
-        self.last_message_ns = now  # when the last one came, or else the connection
-        self.partial_since_ns = 0  # when the message began of which a part has come
-        # Messages that the reducer has not been told yet, each with when it was read.
+        self.has_sent_message = False  # at least one complete message
+        self.last_message_ns = now  # when the last message arrived, or the connection if none has yet
+        self.partial_since_ns = 0  # when an incomplete message began to arrive; 0 = there is none
+        # Messages not yet passed to the reducer, each with the time at which it was read.
         self.pending_messages: deque[tuple[int, inputs.ClientRequest | inputs.HealthRequest]] = deque()
-        self.is_closing = False  # nothing more is taken from it, and nothing more is owed
+        self.is_closing = False  # its input is discarded, and no further response is due
         self.closing_since_ns = 0
-        self.discarded_bytes = 0  # read since then and not used
+        self.discarded_bytes = 0  # read and discarded since ``closing_since_ns``
 
     def cancel_pending(self, request_number: int) -> bool:
-        """Drops a request that the reducer was not told yet; returns whether there was one."""
+        """Drops a request that the reducer has not received yet; returns whether there was one."""
         others = [pending for pending in self.pending_messages if pending[1].request_number != request_number]
         was_pending = len(others) < len(self.pending_messages)
         self.pending_messages = deque(others)
         return was_pending
 
     def is_silent(self, now: int) -> bool:
-        """Whether it says nothing for long: in the middle of a message, or before its first."""
+        """Whether a client has been silent for too long, within a message or before its first one."""
         silent_since_ns = self.partial_since_ns
         if not silent_since_ns and not self.has_sent_message:
             silent_since_ns = self.last_message_ns
         return bool(silent_since_ns) and now - silent_since_ns > SILENT_CLIENT_TIMEOUT_NS
 
     def has_unread_input(self) -> bool:
-        """Whether something that it sent waits to be read."""
+        """Whether input waits unread in the client's socket."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
@@ -73,20 +79,21 @@
 
 
 class ClientConnections(ConnectionHandler[ClientConnection]):
-    """All clients' connections, by numbers given here."""
+    """All clients' connections, each under its unique number."""
 
     def __init__(self, transport: Transport, listener: Listener, max_open: int, max_closing: int) -> None:
-        """``max_open`` and ``max_closing`` bound the connections in use and those that are being ended."""
+        """``max_open`` and ``max_closing`` bound the open connections and those in a lingering close."""
         super().__init__(transport)
         self.listener = listener
         self.max_open = max_open
         self.open: dict[int, ClientConnection] = {}
         self.lingering = LingeringClients(self, max_closing)
-        self.with_pending: dict[ClientConnection, None] = {}  # with messages not told to the reducer yet
-        self.decided_closes: list[tuple[ClientConnection, str]] = []  # by the reducer, and why
-        self.is_draining = False  # connections are ended once nothing is owed on them
-        self.logged_losses = 0  # lines about bad clients since the last sweep
-        self.unread_ns = 0  # the longest that what is being read may have waited in the socket
+        self.with_pending: dict[ClientConnection, None] = {}  # clients with pending messages
+        # Closes that the reducer has requested, each with its reason.
+        self.decided_closes: list[tuple[ClientConnection, str]] = []
+        self.is_draining = False  # each connection is closed once no response is due on it
+        self.logged_losses = 0  # log lines about lost clients since the last sweep
+        self.unread_ns = 0  # upper bound of the time that the input being read has waited in the socket
 
     # Effects ----------------------------------------------------------------------------------------------
 
@@ -97,35 +104,35 @@
             self.transport.queue_write(client, pieces)
 
     def close_client(self, effect: effects.CloseClient) -> None:
-        """Ends a client's connection at the next flush; nothing more is taken from it."""
+        """Closes a client's connection at the next flush; its input is discarded from now on."""
         client = self.open.get(effect.client)
         if client is not None:
             client.is_closing = True
             self.decided_closes.append((client, effect.reason))
 
     def drain(self, effect: effects.DrainClients) -> None:
-        """Begins to end connections once nothing is owed on them, or stops doing so."""
+        """Starts or stops a drain, which closes each connection once no response is due on it."""
         self.is_draining = effect.is_enabled
         self._close_idle()
 
     # Events of a connection -------------------------------------------------------------------------------
 
     def read(self, connection: ClientConnection) -> None:
-        """Reads a few buffers; what a client sends whose connection is being ended is discarded."""
+        """Reads a few buffers; input on a closing connection is discarded."""
         if connection.is_closing:
             self.lingering.discard_input(connection)
         else:
             super().read(connection)
 
     def reads_until_empty(self) -> bool:
-        """Whether the close of a client that has left may wait behind what is read."""
+        """Whether a disconnect may be waiting in the socket behind unread input."""
         return self.unread_ns > MAYBE_GONE_NS
 
     def receive(self, connection: ClientConnection, data: memoryview) -> None:
-        """Keeps messages for ``dispatch_pending``; a cancel counts at once.
+        """Queues messages for ``dispatch_pending``; a cancel takes effect immediately.
 
         Raises:
-            ClientProtocolError: the bytes are no messages.
+            ClientProtocolError: The bytes are not valid messages.
         """
         messages = connection.codec.receive_data(data, self.unread_ns)
         now = self.transport.clock.now()
@@ -139,7 +146,7 @@
             connection.partial_since_ns = now
         for message in messages:
             if isinstance(message, inputs.CancelRequest):
-                # A request that was not told yet is never sent on, and nothing is owed.
+                # A pending request is dropped without an attempt, and no response to it is due.
                 if not connection.cancel_pending(message.request_number):
                     self.transport.handle_input(message)
             else:
@@ -147,9 +154,9 @@
                 self.with_pending[connection] = None
 
     def dispatch_pending(self, client: ClientConnection) -> None:
-        """Tells the reducer what a client has sent, in its order.
+        """Passes a client's pending messages to the reducer, in the order in which they were sent.
 
-        A request's remaining time counts from the client's send: what it waited here is taken off it.
+        A request's remaining time counts from its sending, so the time that it was pending is subtracted.
         """
         while client.pending_messages and not client.is_closing:
             read_ns, message = client.pending_messages.popleft()
@@ -165,29 +172,30 @@
         self.with_pending.pop(client, None)
 
     def malformed_input(self, connection: ClientConnection, reason: str) -> None:
-        """Ends a connection that says what cannot be read; responses on their way still arrive."""
+        """Closes a connection after malformed input; responses already sent still arrive."""
         self.close_gracefully(connection, reason)
 
     def interest_of(self, connection: ClientConnection) -> int:
-        """What the selector is to report: input, unless the client does not read what it is sent."""
+        """The events to watch: input, unless too much output is unsent, and room for stored output."""
         stored_bytes = connection.write_buffer.stored_bytes()
         readable = NO_EVENTS if stored_bytes > MAX_UNREAD_BYTES_PER_CLIENT else READABLE
         return readable | (WRITABLE if stored_bytes else NO_EVENTS)
 
     def all_written(self, connection: ClientConnection) -> None:
-        """Ends our side of a closing connection; in a drain, ends one that is idle now."""
+        """Shuts down the output side of a closing connection; in a drain, closes an idle one."""
         if connection.is_closing:
             self.lingering.end_output(connection)
         elif self.is_draining:
             self.close_when_idle(connection)
 
-    # Ends of connections ----------------------------------------------------------------------------------
+    # Closing of connections -------------------------------------------------------------------------------
 
     def close_gracefully(self, client: ClientConnection, reason: str = "") -> None:
-        """The one way to end a client's connection.
+        """Closes a client's connection without losing the responses already sent or queued.
 
-        Nothing more is taken from it and what it has open is given up; what was answered is written, then our
-        side ends, and then the client's, or its time is over (see ``LingeringClients``).
+        The client's input is discarded, and its open requests are abandoned.  Queued responses are written,
+        and then the output side is shut down.  The socket is closed when the client has closed its side or a
+        limit of the lingering close is reached (see ``LingeringClients``).
         """
         if client.number not in self.open:
             return
@@ -202,17 +210,17 @@
         self.transport.handle_input(inputs.ClientDisconnected(client.number))
 
     def close_as_decided(self) -> None:
-        """Ends the connections that the reducer has had closed since the last flush."""
+        """Closes the connections whose close the reducer has requested since the last flush."""
         decided = self.decided_closes
         self.decided_closes = []
         for client, reason in decided:
             self.close_gracefully(client, reason)
 
     def close_when_idle(self, client: ClientConnection) -> None:
-        """In a drain, ends a client's connection once nothing is owed on it.
+        """In a drain, closes a client's connection once no response is due on it.
 
-        Nothing of a message may be half read and nothing wait unread in the socket: a request that crosses
-        the close is sent again by the client, and goes to another router.
+        The connection stays open while a message is partly read or input waits unread in the socket.  The
+        client sends a request that crosses the close again, to another router.
         """
         if not self.is_draining or client.is_closing:
             return
@@ -220,8 +228,8 @@
             return
         age_ns = self.transport.clock.now() - client.last_message_ns
         if not client.has_sent_message and age_ns < NEW_CLIENT_GRACE_NS:
-            return  # new: its first request is on the way
-        if self.is_idle(client) and not client.has_unread_input():  # else it is read soon, then ended
+            return  # a new connection, whose first request is probably in flight
+        if self.is_idle(client) and not client.has_unread_input():  # unread input is read first
             self.close_gracefully(client)
 
     def _close_idle(self) -> None:
@@ -234,7 +242,7 @@
         reason: str,
         is_unreachable: bool = False,  # noqa: ARG002
     ) -> None:
-        """Closes a connection that has ended or failed; the reducer is informed if it was in use."""
+        """Closes a connection that has ended or failed; notifies the reducer if it was open."""
         if connection.number in self.open:
             self.close(connection)
             self._log_loss(connection, reason)
@@ -243,7 +251,7 @@
             self.close(connection)
 
     def _log_loss(self, client: ClientConnection, reason: str) -> None:
-        """Writes to the log why a client's connection has ended, a few times between sweeps."""
+        """Logs the reason for the loss of a client's connection, a limited number of times per sweep."""
         if not reason or self.logged_losses >= MAX_LOGGED_LOSSES_PER_SWEEP:
             return
         self.logged_losses += 1
@@ -251,7 +259,7 @@
         self.transport.log("client.lost", f"client {client.number}: {reason}", fields, "warning")
 
     def close(self, connection: ClientConnection) -> None:
-        """Closes a connection at once, in use or being ended."""
+        """Closes the socket of an open or closing connection immediately."""
         self.transport.close(connection)
         self.with_pending.pop(connection, None)
         connection.pending_messages.clear()
@@ -263,7 +271,7 @@
     # Sweep ------------------------------------------------------------------------------------------------
 
     def is_idle(self, client: ClientConnection) -> bool:
-        """Whether nothing is owed on a client's connection and nothing waits to be written."""
+        """Whether a client has no open or pending request and no unsent output."""
         if client.write_buffer.stored_bytes() or client in self.transport.pending_writes:
             return False
         if client.pending_messages:
@@ -271,9 +279,9 @@
         return client.number not in self.transport.reducer.state.requests_by_client
 
     def sweep(self, now: int) -> None:
-        """Ends connections that take nothing any more, say nothing, or have had nothing open for long.
+        """Closes connections that accept no output, are silent, or have been idle for too long.
 
-        Some clients keep their connection for good, and would hold every place.
+        Some clients never close their connections, and would otherwise occupy every connection slot.
         """
         self.logged_losses = 0
         self.lingering.sweep(now)
@@ -281,7 +289,7 @@
             self._close_idle()
         for client in list(self.open.values()):
             if client.write_buffer.stored_bytes() and now - client.last_progress_ns > WRITE_STALL_TIMEOUT_NS:
-                self.connection_failed(client, "takes nothing any more")
+                self.connection_failed(client, "accepts no more output")
             elif not client.unread_since_ns:
                 is_idle = now - client.last_message_ns > IDLE_CLIENT_TIMEOUT_NS and self.is_idle(client)
                 if (client.is_silent(now) or is_idle) and not client.has_unread_input():
--- a/kelpcroft/net/client_responses.py
+++ b/kelpcroft/net/client_responses.py
@@ -1,4 +1,4 @@
-"""The final answers that the reducer gives clients, as bytes on their connections."""
+"""Encoding and sending of the reducer's final responses to clients."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 
 class ClientResponses:
-    """Encodes answers; one whose client has left by now is dropped."""
+    """Encodes responses; a response to a client that has disconnected is dropped."""
 
     def __init__(self, clients: ClientConnections) -> None:
         self.clients = clients
 
     def send_response(self, effect: effects.SendResponse) -> None:
-        """A request was served."""
+        """Sends the response to a request that was served."""
         pieces = client_codec.encode_response(effect.request_number, effect.body, effect.not_modified)
         self.clients.send(effect.client, pieces)
 
     def reject_request(self, effect: effects.RejectRequest) -> None:
-        """A request was rejected; trying again is harmless."""
+        """Sends the rejection of a request; a retry is safe."""
         answer = client_codec.encode_rejection(effect.request_number, effect.retry_after_ns)
         self.clients.send(effect.client, (answer,))
 
     def fail_request(self, effect: effects.FailRequest) -> None:
-        """A request has failed."""
+        """Sends the failure of a request."""
         self.clients.send(effect.client, (client_codec.encode_failure(effect.request_number),))
 
     def send_health(self, effect: effects.SendHealth) -> None:
-        """A client asked whether this router is ready."""
+        """Sends the response to a client's health request: whether this router is ready."""
         answer = client_codec.encode_health(effect.request_number, effect.is_ready)
         self.clients.send(effect.client, (answer,))
--- a/kelpcroft/net/clock.py
+++ b/kelpcroft/net/clock.py
@@ -7,13 +7,13 @@
 
 
 class Clock:
-    """Unix nanoseconds that never run back."""
+    """Unix time in nanoseconds that never goes backwards."""
 
     def __init__(self, source: Callable[[], int] = time.time_ns) -> None:
         self.source = source
         self.latest_ns = 0
 
     def now(self) -> int:
-        """The time, or the latest one returned where the source has run back."""
+        """Returns the time, or the latest time returned before if the source has gone backwards."""
         self.latest_ns = max(self.latest_ns, self.source())
         return self.latest_ns
--- a/kelpcroft/net/connector.py
+++ b/kelpcroft/net/connector.py
@@ -1,4 +1,4 @@
-"""Outgoing connections, also when no descriptor is left."""
+"""Outgoing connections, with a fallback for the case that no descriptor is left."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Connector:
-    """Begins to open connections to servers and to the feed."""
+    """Starts connections to servers and to the feed."""
 
     def __init__(self, acceptor: ClientAcceptor) -> None:
         self.acceptor = acceptor
 
     def connect(self, address: Address) -> socket.socket:
-        """A non-blocking socket whose connection is under way.
+        """Returns a non-blocking socket whose connect has been started.
 
-        Where no descriptor is left, an idle client's is taken: the shares of descriptors were reckoned from a
-        limit that no longer holds.
+        If no descriptor is left, an idle or closing client's is freed: the descriptor budget was computed
+        from a limit that no longer holds.
 
         Raises:
-            OSError: not even that could be had.
+            OSError: No socket is available, or the connect failed immediately.
         """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         try:
--- a/kelpcroft/net/errors.py
+++ b/kelpcroft/net/errors.py
@@ -1,7 +1,7 @@
-"""What goes wrong with bytes from a peer."""
+"""Errors in the bytes received from a peer."""
 
 from __future__ import annotations
 
 
 class ProtocolError(ValueError):
-    """Bytes that are no message of the peer's protocol; the text says why."""
+    """Bytes that are not a valid message of the peer's protocol; the text gives the reason."""
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -1,9 +1,9 @@
-"""The event loop: waits for sockets, and keeps the order of a turn.
+"""The event loop: waits for sockets, and defines the order of the steps of an iteration.
 
-What an event on a connection means stands in the module of its kind: ``client_connections``,
-``server_connections``, ``feed_client`` and ``control_endpoint``; what they share in ``transport``.  Nothing
-is decided here: inputs go to the reducer (``kelpcroft.core.reducer``), and its effects are carried out by the
-handlers that ``EventLoop._effect_handlers`` lists.
+The module of each kind of connection handles the events of its connections: ``client_connections``,
+``server_connections``, ``feed_client`` and ``control_endpoint``; their shared code is in ``transport``.  The
+loop makes no decisions: inputs go to the reducer (``kelpcroft.core.reducer``), and its effects are carried
+out by the handlers that ``EventLoop._effect_handlers`` lists.
 """
 
 from __future__ import annotations
@@ -33,31 +33,36 @@
 from kelpcroft.net.signals import ReadConfig, ReadOperatorFile, Signals
 from kelpcroft.net.transport import SECOND, Connection, Transport
 
-MAX_WAIT_S: Final = 1.0  # one turn waits so long at most
-CLIENT_REQUESTS_TURN_NS: Final = 20_000_000  # new requests are taken for so long in one turn
-# In a long turn, what is decided is written and disconnects are read so often.
+MAX_WAIT_S: Final = 1.0  # maximum time that one iteration waits for the selector
+# In each iteration, new requests are dispatched for at most this long after the selector returned.
+CLIENT_REQUESTS_TURN_NS: Final = 20_000_000
+# In a long iteration, queued output is written and disconnects are read at this interval.
 LONG_TURN_FLUSH_INTERVAL_NS: Final = 25_000_000
-MAX_PENDING_MESSAGES: Final = 64  # a client with so many to dispatch is not read for a disconnect
-SWEEP_INTERVAL_NS: Final = SECOND // 10  # between looks for silent, idle, stalled and stuck connections
-STALL_NS: Final = SECOND // 4  # a turn that comes so late: the machine or the process stood still
-SHUTDOWN_DRAIN_TIMEOUT_NS: Final = SECOND  # requests that wait unread put the end off by this at most
-SHUTDOWN_RETRY_NS: Final = SHUTDOWN_DRAIN_TIMEOUT_NS // 100  # and the end is tried again so often
-SHUTDOWN_LINGER_NS: Final = SECOND // 5  # at the end, for clients to read what was written
+# A client with at least this many pending messages is not read for a disconnect.
+MAX_PENDING_MESSAGES: Final = 64
+SWEEP_INTERVAL_NS: Final = SECOND // 10  # between sweeps for silent, idle, stalled and stuck connections
+# An iteration that starts this long after the previous select returned, or a select that returns this long
+# after its timeout, counts as a process stall: the process or the machine was suspended or not scheduled.
+STALL_NS: Final = SECOND // 4
+SHUTDOWN_DRAIN_TIMEOUT_NS: Final = SECOND  # unread requests delay the exit by at most this long
+SHUTDOWN_RETRY_NS: Final = SHUTDOWN_DRAIN_TIMEOUT_NS // 100  # interval at which a delayed exit is retried
+SHUTDOWN_LINGER_NS: Final = SECOND // 5  # time at the exit in which clients can read the last responses
 
-Timer = tuple[int, int, messages.TimerKey]  # when, a number of its own, what for: the order of the heap
-ReadyConnection = tuple[Connection, int]  # and the selector's events
+# Due time, unique number, key of the timer; the heap is ordered by the first two.
+Timer = tuple[int, int, messages.TimerKey]
+ReadyConnection = tuple[Connection, int]  # a connection and the events that the selector reported for it
 
 
 class ReadyConnections:
-    """What the selector reported in one turn, by the order in which it is handled."""
+    """The connections that the selector reported in one iteration, grouped in the order of handling."""
 
     def __init__(self) -> None:
-        self.control: list[ReadyConnection] = []  # the feed and callers of the control address
+        self.control: list[ReadyConnection] = []  # the feed and control clients
         self.servers: list[ReadyConnection] = []
         self.clients: list[ReadyConnection] = []
 
     def add(self, connection: Connection, events: int) -> None:
-        """Sorts one connection in."""
+        """Adds a connection to the group of its kind."""
         if isinstance(connection, ClientConnection):
             self.clients.append((connection, events))
         elif isinstance(connection, ServerConnection):
@@ -77,14 +82,14 @@
         rules: ReadOperatorFile | None = None,
         events: EventLog | None = None,
     ) -> None:
-        """Builds the loop; nothing is opened before ``start``.
+        """Builds the loop; no listening socket is opened before ``start``.
 
         Args:
-            config: the router's configuration.
-            clock: the time.
-            reload: reads the configuration file again (SIGHUP).
-            rules: reads the operator's file again in steps, None for each but the last.
-            events: the log; standard error by default.
+            config: The router's configuration.
+            clock: The clock of the process.
+            reload: Reads the configuration file again (SIGHUP).
+            rules: Reads the operator's file again in steps; yields None for each step except the last.
+            events: The log; standard error by default.
         """
         self.clock = clock
         self.transport = Transport(config, clock, events or EventLog(config.name))
@@ -102,13 +107,14 @@
         self.transport.effect_handlers = self._effect_handlers()
         self.timers: list[Timer] = []  # a heap
         self.is_stopping = False
-        self.last_flush_ns = 0  # in this turn, when disconnects were last read
-        self.shutdown_put_off_until_ns = 0  # at most, for requests that wait unread
+        self.last_flush_ns = 0  # when this iteration last read disconnects
+        # Latest time to which unread requests delay the exit; 0 = they have not delayed it yet.
+        self.shutdown_put_off_until_ns = 0
         self.last_sweep_ns = 0
         self.last_select_ns = clock.now()
 
     def _effect_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Who carries out which effect of the reducer."""
+        """Returns the handler of each type of effect."""
         responses = ClientResponses(self.clients)
         return {
             effects.ScheduleTimer: self.schedule_timer,
@@ -136,15 +142,15 @@
 
     @property
     def selector(self) -> selectors.DefaultSelector:
-        """What the loop waits on."""
+        """The selector on which the loop waits."""
         return self.transport.selector
 
     @property
     def feed_address(self) -> tuple[str, int]:
-        """Where the feed is found now."""
+        """The feed's current address."""
         return self.feed.address
 
-    # Start and end ----------------------------------------------------------------------------------------
+    # Start and exit ---------------------------------------------------------------------------------------
 
     def start(
         self,
@@ -158,13 +164,13 @@
         """Opens the listening sockets and starts the reducer.
 
         Args:
-            signals: the reading end of the pipe that signals write to.
-            first: the operator's file as it was read at the start.
-            listener: the clients' listening socket, bound here where none is given.
-            control_listener: the control address, bound here where the configuration names one.
-            predecessor: what the router's last process left.
-            crash_loop_delay_ns: the first call of the list waits so much more, where the router starts again
-                and again.
+            signals: Read end of the pipe to which signal numbers are written.
+            first: The operator's file as it was read at the start.
+            listener: The clients' listening socket; None binds one at the configured address.
+            control_listener: The listening socket of the control address; None binds one if the
+                configuration names an address.
+            predecessor: The state that the predecessor left.
+            crash_loop_delay_ns: Extra delay of the first list request, for a router that restarts repeatedly.
         """
         transport = self.transport
         self.signals.fd = signals
@@ -187,16 +193,16 @@
         self.last_select_ns = self.clock.now()
 
     def run(self) -> None:
-        """Serves, once started, until the reducer asks for the end."""
+        """Runs iterations until the reducer requests the exit; call ``start`` first."""
         while not self.is_stopping:
             self.run_turn()
         self.flush_and_close()
 
     def flush_and_close(self) -> None:
-        """Writes what is left, then lets clients read to the end.
+        """Writes the remaining output, then waits until clients have read it and closed.
 
-        A close with input unread would reset their connections.  What they send after this is
-        discarded: nothing of it is sent on.
+        A close with unread input would reset their connections, so the output side is shut down first.
+        Input that arrives from then on is discarded and never forwarded to a server.
         """
         for client in self.clients.open.values():
             try:
@@ -214,14 +220,15 @@
                 elif _has_ended(client):
                     self.clients.close(client)
 
-    # One turn ---------------------------------------------------------------------------------------------
+    # One iteration ----------------------------------------------------------------------------------------
 
     def run_turn(self) -> None:
-        """One turn: waits, reads, lets timers fire, writes.
+        """Runs one iteration: waits, reads, fires timers, writes.
 
-        Its order matters: news of the list and of purges before responses, disconnects before anything that
-        could be sent for those clients, responses before new requests.  After a stall of the process the turn
-        ends behind the control connections until the feed has answered (``FeedClient.refresh_after_stall``).
+        The order matters: updates of the endpoint list and purges come before responses, disconnects before
+        any output caused by those clients' requests, and responses before new requests.  After a process
+        stall, iterations end after the control connections until the feed's response has arrived or its time
+        is over (``FeedClient.refresh_after_stall``).
         """
         started_ns = self.clock.now()
         wait_s = self._wait_s(started_ns)
@@ -229,7 +236,7 @@
             self.signals.read_operator_file_on(started_ns)
             wait_s = 0.0
         reported = self.transport.selector.select(wait_s)
-        previous_ns = self.last_select_ns  # input that is found now came after this
+        previous_ns = self.last_select_ns  # input reported now arrived after this
         self.last_select_ns = self.clock.now()
         late_ns = self.last_select_ns - started_ns - int(wait_s * SECOND)
         if started_ns - previous_ns > STALL_NS or late_ns > STALL_NS:
@@ -257,7 +264,7 @@
         self.flush()
 
     def _wait_s(self, now: int) -> float:
-        """How long the selector may wait, in seconds."""
+        """Returns how long the selector may wait, in seconds."""
         if self.clients.with_pending:
             return 0.0
         wait_s = MAX_WAIT_S
@@ -268,7 +275,7 @@
         return wait_s
 
     def _sort_ready(self, reported: list[tuple[selectors.SelectorKey, int]]) -> ReadyConnections:
-        """Takes new connections and signals at once; all else is sorted by its order in the turn."""
+        """Accepts connections and reads signals immediately; groups the rest by its order of handling."""
         ready = ReadyConnections()
         for key, events in reported:
             if key.data is not None:
@@ -282,18 +289,19 @@
         return ready
 
     def handle_ready(self, connection: Connection, events: int) -> None:
-        """What the selector reported of one connection, unless what came before it has closed it."""
+        """Handles the events of one connection, unless an earlier event has closed the connection."""
         if events & selectors.EVENT_WRITE and connection.is_open():
             self.transport.writable(connection)
         if events & selectors.EVENT_READ and connection.is_open():
             connection.handler.read(connection)
 
     def read_disconnects(self, ready: list[ReadyConnection], previous_ns: int) -> None:
-        """Reads clients that have something open, before anything is sent for them.
+        """Reads the clients that have open requests, before any output caused by those requests.
 
-        A close or a cancel counts at once, requests wait for ``dispatch_requests``.  Closes used to wait
-        behind responses, timers and others' requests, and a router short of CPU went on for clients that were
-        long gone.  ``ready`` is left without what was read.
+        A disconnect or a cancel takes effect immediately; requests wait for ``dispatch_requests``.  If
+        disconnects waited behind responses, timers and other clients' requests, a router short of CPU would
+        continue to work for clients that have long disconnected.  The read event of each client that is read
+        here is cleared in ``ready``.
         """
         for index, (connection, events) in enumerate(ready):
             if (
@@ -309,10 +317,11 @@
                 ready[index] = connection, events & ~selectors.EVENT_READ
 
     def dispatch_requests(self, ready: list[ReadyConnection], previous_ns: int) -> None:
-        """Takes new requests, for a bounded time.
+        """Reads and dispatches new requests, for a bounded time.
 
-        The rest wait where they are, so that a router short of CPU still hears the feed and passes responses
-        on.  What has waited may have come since ``previous_ns``, when the selector was last asked before.
+        The remaining requests stay in their sockets and queues, so that a router short of CPU still reads
+        the feed and forwards responses.  Input that is reported now may have arrived at any time since
+        ``previous_ns``, when the previous select returned.
         """
         until_ns = self.last_select_ns + CLIENT_REQUESTS_TURN_NS
         left_over: list[ReadyConnection] = [(client, 0) for client in self.clients.with_pending]
@@ -333,7 +342,7 @@
             self._flush_in_long_turn()
 
     def _flush_in_long_turn(self) -> None:
-        """Within a long turn: writes what is decided, and reads who has left meanwhile."""
+        """In a long iteration, writes queued output and reads disconnects at a fixed interval."""
         now = self.clock.now()
         if now - self.last_flush_ns < LONG_TURN_FLUSH_INTERVAL_NS:
             return
@@ -346,7 +355,7 @@
         self.last_flush_ns = now
 
     def flush(self) -> None:
-        """Writes what this turn asked for; a failed write is an input, and may ask for more."""
+        """Writes queued output; a failed write is an input, whose effects may queue more output."""
         transport = self.transport
         while transport.has_pending_work() or self.clients.decided_closes:
             transport.write_pending()
@@ -355,7 +364,7 @@
             transport.report_failed_opens()
 
     def sweep(self, now: int) -> None:
-        """Ends connections that hold a place and do nothing, and takes new ones where there is room again."""
+        """Closes inactive connections, and accepts new ones again if there is room for them."""
         self.last_sweep_ns = now
         self.acceptor.listener.set_listening(True)
         self.control.listener.set_listening(True)
@@ -366,12 +375,12 @@
     # Timers -----------------------------------------------------------------------------------------------
 
     def schedule_timer(self, effect: effects.ScheduleTimer) -> None:
-        """Lets the reducer know at a time."""
-        # The number keeps two entries of the heap from being compared by their keys.
+        """Adds a timer; when it is due, the reducer receives ``TimerFired``."""
+        # The unique number prevents the heap from comparing two entries by their keys.
         heapq.heappush(self.timers, (effect.at_ns, self.transport.next_number(), effect.key))
 
     def _fire_timers(self, now: int) -> None:
-        """Tells the reducer of the timers that are due; the end is put off for requests that wait unread."""
+        """Delivers the timers that are due; unread requests delay the last step of the shutdown."""
         while self.timers and self.timers[0][0] <= now and not self.is_stopping:
             key = heapq.heappop(self.timers)[2]
             is_the_end = key[0] is messages.TimerKind.SHUTDOWN and key[1] == SHUTDOWN_LAST_STEP
@@ -382,9 +391,10 @@
                 self._flush_in_long_turn()
 
     def _has_unread_requests(self, now: int) -> bool:
-        """Whether a request waits unread while nothing else keeps the process.
+        """Whether a request waits unread while nothing else delays the exit.
 
-        It has been taken by the system, and gets its answer before the end.
+        The kernel has acknowledged such a request to its client, so the client gets a response before the
+        exit.
         """
         if not self.reducer.is_shutting_down or self.reducer.state.requests:
             return False
@@ -397,13 +407,13 @@
         )
 
     def _exit(self, _effect: effects.Exit) -> None:
-        """Writes what is queued by now; ``run`` ends with this turn."""
+        """Writes the output queued so far; ``run`` ends after this iteration."""
         self.flush()
         self.is_stopping = True
 
 
 def _has_ended(client: ClientConnection) -> bool:
-    """Whether a client has ended its side, or its connection is lost; what it sent is discarded."""
+    """Whether a client has closed its side or its connection has failed; discards the bytes it reads."""
     try:
         return not client.sock.recv(BUFFER_BYTES)
     except BlockingIOError:
--- a/kelpcroft/net/lingering_close.py
+++ b/kelpcroft/net/lingering_close.py
@@ -1,8 +1,9 @@
-"""Lingering close: ends clients' connections without losing the responses that are on their way.
+"""Lingering close: closes clients' connections without losing responses in flight.
 
-A close over unread bytes resets the connection, and a response just written goes with it (RFC 9112, 9.6, says
-the same of HTTP).  So our side ends once all is written, what the client still sends is read and discarded,
-and the connection is closed when the client has ended it, or its time or its bytes are used up.
+A close with unread input resets the connection and can discard a response that was just written (RFC 9112,
+section 9.6, describes the same for HTTP).  Therefore the output side is shut down once all output is written,
+and further input from the client is read and discarded.  The socket is closed when the client has closed its
+side, or when the limit of time or of discarded bytes is reached.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 if TYPE_CHECKING:
     from kelpcroft.net.client_connections import ClientConnection, ClientConnections
 
-LINGERING_CLOSE_TIMEOUT_NS: Final = SECOND  # the client ends its side within this ...
-LINGERING_CLOSE_MAX_BYTES: Final = 1 << 20  # ... and sends at most this meanwhile
+LINGERING_CLOSE_TIMEOUT_NS: Final = SECOND  # maximum time until the client closes its side
+LINGERING_CLOSE_MAX_BYTES: Final = 1 << 20  # maximum input discarded in that time
 
 
 class LingeringClients:
-    """The clients whose connections are being ended, longest first."""
+    """Clients in a lingering close, oldest close first."""
 
     def __init__(self, owner: ClientConnections, max_clients: int) -> None:
         self.owner = owner
@@ -29,18 +30,18 @@
         self.clients: dict[int, ClientConnection] = {}
 
     def add(self, client: ClientConnection) -> None:
-        """Begins to end a connection; past the bound the one that is being ended longest is closed."""
+        """Starts the lingering close of a connection; closes the oldest one if there are too many."""
         self.clients[client.number] = client
         if len(self.clients) > self.max_clients:
             self.close_oldest()
 
     def close_oldest(self) -> None:
-        """Closes the connection that is being ended longest, if any."""
+        """Closes the socket that has been in a lingering close for longest, if there is one."""
         for client in list(self.clients.values())[:1]:
             self.owner.close(client)
 
     def end_output(self, client: ClientConnection) -> None:
-        """Ends our side of a connection, once what was answered is written."""
+        """Shuts down the output side of a connection if all its output is written."""
         if client.write_buffer.stored_bytes() or client in self.transport.pending_writes:
             return
         if client.is_open():
@@ -50,7 +51,7 @@
                 self.owner.close(client)
 
     def discard_input(self, client: ClientConnection) -> None:
-        """Reads what a client still sends, and does not use it."""
+        """Reads and discards a client's input."""
         try:
             for _ in range(MAX_READS_PER_TURN):
                 count = client.sock.recv_into(self.transport.read_buffer)
@@ -67,7 +68,7 @@
             self.owner.connection_failed(client, "")
 
     def sweep(self, now: int) -> None:
-        """Closes connections whose clients have not ended them in time."""
+        """Closes the sockets of clients that have not closed their side in time."""
         for client in list(self.clients.values()):
             if now - client.closing_since_ns > LINGERING_CLOSE_TIMEOUT_NS:
                 self.owner.close(client)
--- a/kelpcroft/net/listeners.py
+++ b/kelpcroft/net/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets: the clients' one, bound here or inherited from the platform, and the control address."""
+"""Listening sockets for clients (bound here or inherited from the platform) and the control address."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from kelpcroft.config import Address, ConfigError
 
-if TYPE_CHECKING:  # a control replica listens as well, and has no transport
+if TYPE_CHECKING:  # a control replica uses this module too, without a transport
     from kelpcroft.net.transport import Transport
 
-LISTEN_QUEUE_LENGTH: Final = 1024  # connections that the kernel queues before one is accepted
+LISTEN_QUEUE_LENGTH: Final = 1024  # maximum number of connections in the kernel's accept queue
 
 
 def bind_listener(key: str, address: Address) -> socket.socket:
-    """A listening socket of our own at an address.
+    """Binds a listening socket to an address.
 
     Raises:
-        ConfigError: naming ``key``, where it cannot be had.
+        ConfigError: The address cannot be bound; the message names ``key``.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
@@ -34,31 +34,31 @@
 
 
 def adopt_listener(fd: int) -> socket.socket:
-    """The listening socket that the platform hands down as descriptor ``fd`` (``$ROUTER_FD``).
+    """Adopts the listening socket inherited from the platform as descriptor ``fd`` (``$ROUTER_FD``).
 
-    It must be a TCP socket over IPv4 or IPv6 that listens.  Connections that the kernel has queued on it
-    belong to the socket, not to this process: when this process closes its descriptor, those that wait are
-    taken by another process that holds the same socket.
+    It must be a listening TCP socket over IPv4 or IPv6.  Connections in the kernel's accept queue belong to
+    the socket, not to this process: when this process closes its descriptor, another process that holds the
+    same socket accepts them.
 
     Raises:
-        ConfigError: it is no such socket; the descriptor is left as it was.
+        ConfigError: The descriptor is not such a socket; it stays open.
     """
     try:
         sock = socket.socket(fileno=fd)
     except OSError as error:
         raise ConfigError(
-            f"ROUTER_FD: descriptor {fd}: {error.strerror or error}; a listening TCP socket would do"
+            f"ROUTER_FD: descriptor {fd}: {error.strerror or error}; expected a listening TCP socket"
         ) from error
     why_not = _why_no_listener(sock)
     if why_not:
         sock.detach()
-        raise ConfigError(f"ROUTER_FD: descriptor {fd} {why_not}; a listening TCP socket would do")
+        raise ConfigError(f"ROUTER_FD: descriptor {fd} {why_not}; expected a listening TCP socket")
     sock.setblocking(False)
     return sock
 
 
 def _why_no_listener(sock: socket.socket) -> str:
-    """Why a socket is no listening one of TCP; empty where it is."""
+    """Returns why a socket is not a listening TCP socket; empty if it is one."""
     kind = sock.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE)
     family = sock.getsockopt(socket.SOL_SOCKET, socket.SO_DOMAIN)
     is_listening = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
@@ -70,29 +70,29 @@
 
 
 def listening_address(sock: socket.socket) -> str:
-    """``host:port`` at which a socket listens."""
+    """Returns the ``host:port`` at which a socket listens."""
     host, port = sock.getsockname()[:2]
     return f"{host}:{port}"
 
 
 class Listener:
-    """A listening socket in the event loop, watched while connections can be taken."""
+    """A listening socket in the event loop, watched while connections can be accepted."""
 
     def __init__(self, transport: Transport) -> None:
         self.transport = transport
         self.sock: socket.socket | None = None
-        self.is_listening = False  # the selector reports it
+        self.is_listening = False  # whether the selector watches the socket
 
     def open(self, sock: socket.socket) -> None:
-        """Takes connections on this socket from now on."""
+        """Starts to accept connections on a socket."""
         self.sock = sock
         self.set_listening(True)
 
     def set_listening(self, is_on: bool) -> None:
-        """Watches the socket, or leaves it alone.
+        """Starts or stops watching the socket.
 
-        One on which connections wait that cannot be accepted is ready in every turn, and the loop would spin
-        on it.  The sweep tries it again.
+        A socket with waiting connections that cannot be accepted is ready in every iteration, and the loop
+        would spin on it.  The sweep starts watching again.
         """
         if self.sock is None or is_on == self.is_listening:
             return
@@ -103,24 +103,25 @@
             self.transport.selector.unregister(self.sock)
 
     def accept(self) -> socket.socket:
-        """The next connection, ready for the loop.
+        """Accepts the next connection and makes its socket non-blocking.
 
         Raises:
-            BlockingIOError: none waits.
-            OSError: it could not be taken.
+            BlockingIOError: No connection waits.
+            OSError: The connection could not be accepted.
         """
         assert self.sock is not None
         sock, _ = self.sock.accept()
         sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # a close takes along what waits
+        # Without this, written bytes may wait in the kernel, and a close can discard them.
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
     def log_failed_accept(self, what: str, error: OSError) -> None:
-        """Writes to the log that a connection could not be taken."""
+        """Logs that a connection could not be accepted."""
         self.transport.log("accept.failed", f"{what}: {error}", {"why": str(error)}, "warning")
 
     def close(self) -> None:
-        """Takes no more connections."""
+        """Closes the listening socket; no more connections are accepted."""
         if self.sock is not None:
             self.set_listening(False)
             self.sock.close()
--- a/kelpcroft/net/memory.py
+++ b/kelpcroft/net/memory.py
@@ -1,4 +1,4 @@
-"""How much memory this process has had at its peak."""
+"""Peak memory use of this process."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def peak_kb(status: str | os.PathLike[str] = STATUS) -> int:
-    """The most resident memory of this process since it began, kB.
+    """Returns the peak resident memory of this process since its start, in kB.
 
-    From the system's own page on the process (``VmHWM``, proc(5)).  ``ru_maxrss`` begins at what the process
-    that started this one had at its peak: under a large supervisor it hides any growth, so it stands in only
-    where that page cannot be read.
+    The value is the kernel's ``VmHWM`` in ``/proc/self/status`` (proc(5)).  ``ru_maxrss`` starts at the peak
+    of the process that started this one, so under a large supervisor it hides any growth; it is the fallback
+    only if that file cannot be read.
     """
     try:
         with open(status) as page:
--- a/kelpcroft/net/server_connections.py
+++ b/kelpcroft/net/server_connections.py
@@ -11,30 +11,32 @@
 from kelpcroft.net.connector import Connector
 from kelpcroft.net.transport import SECOND, WRITABLE, Connection, ConnectionHandler, Transport
 
-RESTED_NS: Final = SECOND // 50  # a connection is read before a write after so long a rest
-PARTIAL_RESPONSE_TIMEOUT_NS: Final = SECOND // 5  # the rest of a response follows sooner, or does not come
-WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that takes nothing for so long is closed
+# A connection that has been idle for longer than this is read before an attempt is written to it.
+RESTED_NS: Final = SECOND // 50
+# Maximum silence within a response; the rest of a response that pauses longer is not expected any more.
+PARTIAL_RESPONSE_TIMEOUT_NS: Final = SECOND // 5
+WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that accepts no output for this long is closed
 
 
 class ServerConnection(Connection):
     """A connection to one server.
 
-    Its number is the reducer's: ``OpenServerConnection`` names it.
+    The reducer assigns its number, in ``OpenServerConnection``.
     """
 
     def __init__(self, handler: ServerConnections, number: int, sock: socket.socket, now: int) -> None:
         super().__init__(handler, sock, now)
         self.number = number
         self.codec = server_codec.ServerCodec(number)
-        self.last_read_ns = now  # when bytes last came
-        self.queued_bytes = 0  # handed over to be written, in all
-        # Attempts of which not all is written: up to which of the queued bytes each goes, and its id.
+        self.last_read_ns = now  # when bytes were last received
+        self.queued_bytes = 0  # total of all bytes ever queued
+        # Attempts that are not completely written: the total of queued bytes at the end of each, and its id.
         self.unsent_attempts: deque[tuple[int, str]] = deque()
-        self.has_partial_response = False  # as the reducer was last told
+        self.has_partial_response = False  # as last reported to the reducer
 
 
 class ServerConnections(ConnectionHandler[ServerConnection]):
-    """All connections to servers, by the numbers that the reducer gave them."""
+    """All connections to servers, each under the number that the reducer assigned."""
 
     def __init__(self, transport: Transport, connector: Connector) -> None:
         super().__init__(transport)
@@ -44,13 +46,14 @@
     # Effects ----------------------------------------------------------------------------------------------
 
     def open_connection(self, effect: effects.OpenServerConnection) -> None:
-        """Begins to open a connection; the reducer hears when it stands or has failed."""
+        """Starts to open a connection; the reducer is notified when it is established or has failed."""
         host, _, port = effect.address.rpartition(":")
         now = self.transport.clock.now()
         try:
             sock = self.connector.connect((host, int(port)))
         except OSError as error:
-            # Reported once what asked for it is carried out.  Nothing was opened, so nothing is to be closed.
+            # Reported at the next flush, after the effects of the current input are carried out.  No
+            # connection was opened, so none is closed.
             self.transport.failed_opens.append(inputs.ServerConnectionLost(effect.connection, str(error)))
             return
         connection = ServerConnection(self, effect.connection, sock, now)
@@ -58,7 +61,7 @@
         self.transport.set_interest(connection, WRITABLE)
 
     def close_connection(self, effect: effects.CloseServerConnection) -> None:
-        """Closes a connection, with all that is out on it."""
+        """Closes a connection, with all attempts in flight on it."""
         connection = self.open.get(effect.connection)
         if connection is not None:
             self.close(connection)
@@ -76,7 +79,7 @@
         self.send(effect.connection, server_codec.encode_health_check(effect))
 
     def send(self, number: int, pieces: list[messages.Body], attempt_id: str = "") -> None:
-        """Queues bytes for a server; with ``attempt_id`` they are an attempt."""
+        """Queues bytes for a server; ``attempt_id`` is given if they are an attempt."""
         connection = self.open.get(number)
         if connection is None:
             return
@@ -88,24 +91,24 @@
     # Events of a connection -------------------------------------------------------------------------------
 
     def connected(self, connection: ServerConnection) -> None:
-        """A connection stands: the reducer hears of it."""
+        """Reports an established connection to the reducer."""
         self.transport.handle_input(inputs.ServerConnected(connection.number))
 
     def before_write(self, connection: ServerConnection) -> None:
-        """Reads a connection that rested: its server may have ended it since the selector was asked."""
+        """Reads an idle connection before an attempt, as its server may have closed it since the select."""
         if connection.unsent_attempts and connection.is_connected and connection.is_open():
             last_active_ns = max(connection.last_read_ns, connection.last_progress_ns)
             if self.transport.clock.now() - last_active_ns > RESTED_NS:
                 self.read(connection)
 
     def bytes_written(self, connection: ServerConnection) -> None:
-        """Forgets the attempts that are written by now."""
+        """Removes the attempts that are completely written from ``unsent_attempts``."""
         unsent = connection.unsent_attempts
         while unsent and unsent[0][0] <= connection.write_buffer.sent_bytes:
             unsent.popleft()
 
     def receive(self, connection: ServerConnection, data: memoryview) -> None:
-        """Tells the reducer the responses that these bytes complete, and when one has begun."""
+        """Passes the responses that these bytes complete to the reducer; reports a partial response."""
         codec = connection.codec
         connection.last_read_ns = self.transport.clock.now()
         for response in codec.receive_data(data):
@@ -121,7 +124,7 @@
     def connection_failed(
         self, connection: ServerConnection, reason: str, is_unreachable: bool = False
     ) -> None:
-        """Closes a connection and tells the reducer, with the attempts that cannot have run."""
+        """Closes a connection and reports it to the reducer, with the attempts that cannot have run."""
         if connection.number not in self.open:
             return
         sent_bytes = connection.write_buffer.sent_bytes
@@ -134,20 +137,20 @@
         )
 
     def close(self, connection: ServerConnection) -> None:
-        """Closes a connection and forgets it."""
+        """Closes and removes a connection; the reducer is not notified."""
         self.transport.close(connection)
         self.open.pop(connection.number, None)
 
     def sweep(self, now: int) -> None:
-        """Gives connections up that take nothing any more, or whose response has stopped short."""
+        """Closes connections that accept no more output or whose response is incomplete and stalled."""
         for connection in list(self.open.values()):
             if (
                 connection.write_buffer.stored_bytes()
                 and now - connection.last_progress_ns > WRITE_STALL_TIMEOUT_NS
             ):
-                self.connection_failed(connection, "takes nothing any more")
+                self.connection_failed(connection, "accepts no more output")
             elif (
                 connection.codec.has_partial_message()
                 and now - connection.last_read_ns > PARTIAL_RESPONSE_TIMEOUT_NS
             ):
-                self.connection_failed(connection, "an answer has stopped short")
+                self.connection_failed(connection, "the rest of a response did not arrive in time")
--- a/kelpcroft/net/signals.py
+++ b/kelpcroft/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals: SIGHUP has the configuration and the operator's file read again, the others end the program."""
+"""Signal handling: SIGHUP reloads the configuration and the operator's file; others shut the router down."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 from kelpcroft.net.buffers import BUFFER_BYTES
 from kelpcroft.net.transport import Transport
 
-OPERATOR_FILE_TURN_NS: Final = 3_000_000  # the operator's file is read for so long in one turn
+OPERATOR_FILE_TURN_NS: Final = 3_000_000  # maximum time for the operator's file in one iteration
 
 ReadConfig = Callable[[], inputs.ConfigFileRead]
-# Reads the operator's file, checked against the settings in use, in steps: None for each but the last.
+# Reads the operator's file in steps and checks it against the settings in use; yields None for each step
+# except the last.
 ReadOperatorFile = Callable[[Settings], Iterator[inputs.OperatorFileRead | None]]
 
 
 class Signals:
-    """The pipe that signals are written to, and the files that are read at SIGHUP."""
+    """Reads signals from a pipe, and reads the files that SIGHUP reloads."""
 
     def __init__(
         self,
@@ -32,32 +33,33 @@
         self.transport = transport
         self.read_config = read_config or _no_config_file
         self.read_operator_file = read_operator_file
-        self.fd: int | None = None  # the reading end of the pipe
-        self.operator_file_steps: Iterator[inputs.OperatorFileRead | None] | None = None  # being read
+        self.fd: int | None = None  # read end of the pipe
+        # Remaining steps of the reload of the operator's file; None = no reload is in progress.
+        self.operator_file_steps: Iterator[inputs.OperatorFileRead | None] | None = None
 
     def read(self) -> None:
-        """Handles the signals that have come."""
+        """Handles the signals received since the last call."""
         if self.fd is not None:
             with suppress(BlockingIOError):
                 self.handle(os.read(self.fd, BUFFER_BYTES))
 
     def handle(self, numbers: bytes) -> None:
-        """Handles signals by their numbers, each a byte."""
+        """Handles signals; each byte is a signal number."""
         if signal.SIGHUP in numbers:
             self.transport.handle_input(self.read_config())
             self.operator_file_steps = None
             if self.read_operator_file is not None:
-                # Checked against the classes now in use: those of a configuration just read are among them.
+                # The check uses the classes now in use, including those of the configuration just read.
                 self.operator_file_steps = self.read_operator_file(self.transport.reducer.state.settings)
         if any(number != signal.SIGHUP for number in numbers):
             self.transport.handle_input(inputs.ShutdownRequested())
 
     def is_reading_operator_file(self) -> bool:
-        """Whether the operator's file is being read."""
+        """Whether a reload of the operator's file is in progress."""
         return self.operator_file_steps is not None
 
     def read_operator_file_on(self, turn_started_ns: int) -> None:
-        """Reads a part of the operator's file: all of a large one would keep drains and purges waiting."""
+        """Reads the operator's file for a bounded time; a large file would delay drains and purges."""
         until_ns = turn_started_ns + OPERATOR_FILE_TURN_NS
         for operator_file in self.operator_file_steps or ():
             if operator_file is not None:
@@ -69,4 +71,4 @@
 
 
 def _no_config_file() -> inputs.ConfigFileRead:
-    return inputs.ConfigFileRead("", None, "there is no file")
+    return inputs.ConfigFileRead("", None, "there is no configuration file")
--- a/kelpcroft/net/transport.py
+++ b/kelpcroft/net/transport.py
@@ -1,9 +1,9 @@
-"""What all kinds of connection share: the selector, buffers, pending writes and the way to the reducer.
+"""Shared code of all kinds of connection: selector, buffers, pending writes, and access to the reducer.
 
-Three classes.  A ``Connection`` is one socket with what waits to be written on it.  A ``ConnectionHandler``
-owns all connections of one kind and says what their events mean (one module a kind: ``client_connections``,
-``server_connections``, ``feed_client``, ``control_endpoint``).  The ``Transport`` is the part of the event
-loop that handlers see.
+There are three classes.  A ``Connection`` is one socket with its unsent output.  A ``ConnectionHandler`` owns
+all connections of one kind and handles their events (one module per kind: ``client_connections``,
+``server_connections``, ``feed_client``, ``control_endpoint``).  The ``Transport`` is the interface of the
+event loop to the handlers.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from kelpcroft.net.errors import ProtocolError
 
 SECOND: Final = 1_000_000_000
-MAX_READS_PER_TURN: Final = 2  # buffers read from one connection before the others have their turn
-MAX_ACCEPTS_PER_TURN: Final = 64  # connections accepted before the others have their turn
-POOL_MEMORY_SHARE: Final = 3  # pooled buffers may take one part in so many of the memory
-# Errors of a socket call when nothing is left to make a socket of.
+MAX_READS_PER_TURN: Final = 2  # buffers read from one connection before other connections are handled
+MAX_ACCEPTS_PER_TURN: Final = 64  # connections accepted at once before other connections are handled
+POOL_MEMORY_SHARE: Final = 3  # pooled buffers use at most the configured memory divided by this
+# Errors of a socket call for lack of descriptors or kernel memory.
 OUT_OF_DESCRIPTORS: Final = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-# Errors of a connect that say that nobody is there.
+# Errors of a connect that show that nothing accepts connections at the address.
 UNREACHABLE: Final = (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT)
 
 NO_EVENTS: Final = 0
@@ -39,24 +39,24 @@
 
 
 class Connection:
-    """A connection of any kind: its socket and what waits to be written on it."""
+    """A connection of any kind: its socket and its unsent output."""
 
     def __init__(self, handler: ConnectionHandler[Any], sock: socket.socket, now: int) -> None:
         self.handler = handler
         self.sock = sock
         self.write_buffer = WriteBuffer(handler.transport.pool)
         self.is_connected = False
-        self.interest = NO_EVENTS  # what the selector is asked to report
-        self.unread_since_ns = 0  # its unread input came no later than this; 0 = there is none
-        self.last_progress_ns = now  # when something was last written, or nothing waited
+        self.interest = NO_EVENTS  # events registered at the selector
+        self.unread_since_ns = 0  # its unread input arrived after this; 0 = no input is known to wait
+        self.last_progress_ns = now  # when stored output last shrank or was found empty
 
     def is_open(self) -> bool:
-        """Whether the socket is not closed yet: what came before in the same turn may have closed it."""
+        """Whether the socket is open; an earlier event of the same iteration may have closed it."""
         return self.sock.fileno() >= 0
 
 
 class ConnectionHandler(Generic[C]):
-    """Owns all connections of one kind; subclasses say what an event on one of them means."""
+    """Owner of all connections of one kind; subclasses handle the events of these connections."""
 
     def __init__(self, transport: Transport) -> None:
         self.transport = transport
@@ -64,9 +64,9 @@
     def read(self, connection: C) -> None:
         """Reads a few buffers from one connection.
 
-        All connections share one read buffer: codecs copy what they keep, so it is free again when this
-        returns, and clients that do not read, whose responses hold the pool, cannot keep anyone from being
-        read.
+        All connections share one read buffer.  Codecs copy the bytes that they keep, so the buffer is free
+        again when this method returns.  Clients that do not read fill the pool with their responses, but
+        reading needs no pooled buffer, so every other connection can still be read.
         """
         buffer = self.transport.read_buffer
         try:
@@ -86,60 +86,60 @@
             self.connection_failed(connection, error.strerror or str(error))
 
     def reads_until_empty(self) -> bool:
-        """Whether a socket is read on even where the last read did not fill the buffer."""
+        """Whether reading continues after a read that did not fill the buffer."""
         return False
 
     def receive(self, connection: C, data: memoryview) -> None:
-        """Passes bytes to the codec, and what it makes of them to the reducer.
+        """Passes bytes to the codec, and the decoded messages to the reducer.
 
         Raises:
-            ProtocolError: the bytes are no message of the protocol.
+            ProtocolError: The bytes are not a valid message of the protocol.
         """
         raise NotImplementedError
 
     def malformed_input(self, connection: C, reason: str) -> None:
-        """Gives a connection up on which no further message can be found."""
+        """Handles malformed input, after which the connection's next message cannot be located."""
         self.connection_failed(connection, reason)
 
     def connected(self, connection: C) -> None:
-        """A connection that was being opened stands."""
+        """Called when a connection is established."""
 
     def before_write(self, connection: C) -> None:
-        """What is queued is about to be written; the connection may be closed or not stand yet."""
+        """Called before queued output is written; the connection may be closed or not established yet."""
 
     def bytes_written(self, connection: C) -> None:
-        """A write has not failed; the system has taken some bytes, or none."""
+        """Called after a write that did not fail; the kernel may have accepted no bytes."""
 
     def all_written(self, connection: C) -> None:
-        """A write has left nothing that waits, also where nothing was queued."""
+        """Called after a write that leaves no stored output, even if nothing was queued."""
 
     def interest_of(self, connection: C) -> int:
-        """What the selector is to report of a connection: input, and room where something waits."""
+        """The events to watch on a connection: input, and room for output if any is stored."""
         return READABLE | WRITABLE if connection.write_buffer.stored_bytes() else READABLE
 
     def connection_failed(self, connection: C, reason: str, is_unreachable: bool = False) -> None:
         """Closes a connection that has ended or failed, and reports it to the reducer.
 
-        Called again for one that is closed already, it does nothing.
+        A second call for the same connection has no effect.
 
         Args:
-            connection: the one that has ended.
-            reason: for the log; empty where the peer has closed it.
-            is_unreachable: it could not be opened as nobody is there.
+            connection: The connection that has ended.
+            reason: Text for the log; empty if the peer has closed the connection.
+            is_unreachable: The connection was not established, as nothing accepts connections there.
         """
         raise NotImplementedError
 
     def close(self, connection: C) -> None:
-        """Closes a connection and forgets it; the reducer is not informed."""
+        """Closes and removes a connection; the reducer is not notified."""
         raise NotImplementedError
 
 
 class Transport:
-    """The part of the event loop that connection handlers see.
+    """The interface of the event loop to the connection handlers.
 
-    Inputs go to the reducer by ``handle_input``; what it asks for is carried out at once by the handler that
-    ``effect_handlers`` names for the effect's type.  Bytes that handlers queue are written when the loop
-    flushes.
+    ``handle_input`` passes an input to the reducer; the effects that it returns are carried out immediately,
+    each by the handler that ``effect_handlers`` names for its type.  Output that handlers queue is written
+    when the loop flushes.
     """
 
     def __init__(self, config: Config, clock: Clock, event_log: EventLog) -> None:
@@ -148,45 +148,45 @@
         self.event_log = event_log
         self.reducer = Reducer(config)
         self.selector = selectors.DefaultSelector()
-        # Of bytes that are not written yet.
+        # Buffers of output that is not sent yet.
         self.pool = BufferPool(config.memory_mb * 1024 * 1024 // POOL_MEMORY_SHARE // BUFFER_BYTES)
-        self.read_buffer = bytearray(BUFFER_BYTES)  # of what is read, one connection at a time
+        self.read_buffer = bytearray(BUFFER_BYTES)  # for the input of one connection at a time
         self.effect_handlers: dict[type, Callable[[Any], None]] = {}  # by the exact type of the effect
-        self.pending_writes: dict[Connection, None] = {}  # connections with something queued
-        self.failed_writes: list[tuple[Connection, str]] = []  # and why
-        # Connections that could not even be begun.
+        self.pending_writes: dict[Connection, None] = {}  # connections with queued output
+        self.failed_writes: list[tuple[Connection, str]] = []  # each with the reason
+        # Connections for which no connect could be started.
         self.failed_opens: list[inputs.ServerConnectionLost | inputs.WatchFailed] = []
-        self.last_number = 0  # given to a connection or a timer
+        self.last_number = 0  # last number of a connection or a timer
 
     # The reducer ------------------------------------------------------------------------------------------
 
     def handle_input(self, message: inputs.Input) -> None:
-        """Tells the reducer one input, and carries out what it asks for."""
+        """Passes an input to the reducer and carries out the resulting effects."""
         self.perform_effects(self.reducer.handle(self.clock.now(), message))
 
     def perform_effects(self, requested: list[effects.Effect]) -> None:
-        """Carries out what the reducer asked for, in its order."""
+        """Carries out the reducer's effects in their order."""
         handlers = self.effect_handlers
         for effect in requested:
             handlers[type(effect)](effect)
 
     def next_number(self) -> int:
-        """A number that no connection and no timer has had."""
+        """Returns a number that no connection or timer has had before."""
         self.last_number += 1
         return self.last_number
 
     def write_log_event(self, effect: effects.LogEvent) -> None:
-        """Writes an event of the reducer to the log."""
+        """Writes a log event of the reducer."""
         self.event_log.write(self.clock.now(), effect)
 
     def log(self, event: str, text: str, fields: dict[str, object], level: str = "info") -> None:
-        """Writes an event of the transport's own to the log."""
+        """Writes a log event of the net package."""
         self.event_log.write(self.clock.now(), effects.LogEvent(event, text, level, fields))
 
     # Sockets ----------------------------------------------------------------------------------------------
 
     def set_interest(self, connection: Connection, events: int) -> None:
-        """Sets what the selector is to report of a connection."""
+        """Sets the events that the selector reports for a connection."""
         if events == connection.interest:
             return
         if not connection.interest:
@@ -198,7 +198,7 @@
         connection.interest = events
 
     def close(self, connection: Connection) -> None:
-        """Closes a connection's socket and gives its buffers back; its handler forgets it."""
+        """Closes a connection's socket and releases its buffers; its handler removes the connection."""
         if connection.interest:
             self.set_interest(connection, NO_EVENTS)
         connection.write_buffer.clear()
@@ -208,12 +208,12 @@
     def queue_write(
         self, connection: Connection, pieces: list[messages.Body] | tuple[messages.Body, ...]
     ) -> None:
-        """Queues bytes for the end of this turn."""
+        """Queues bytes to be written at the next flush."""
         connection.write_buffer.add(pieces)
         self.pending_writes[connection] = None
 
     def writable(self, connection: Connection) -> None:
-        """The selector says that a connection has room, or that the opening of one is decided."""
+        """Handles a connection that is reported writable: a connect has finished, or there is room."""
         if not connection.is_connected:
             code = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
@@ -225,7 +225,7 @@
         self.write(connection)
 
     def write(self, connection: Connection) -> None:
-        """Writes what the socket takes; a failure is reported by ``report_failed_writes``."""
+        """Writes as much as the socket accepts; ``report_failed_writes`` reports a failure."""
         stored_before = connection.write_buffer.stored_bytes()
         try:
             is_stored = connection.write_buffer.write(connection.sock)
@@ -237,20 +237,20 @@
             connection.last_progress_ns = self.clock.now()
         connection.handler.bytes_written(connection)
         if not is_stored:
-            self.failed_writes.append((connection, "no buffers left for what it does not read"))
+            self.failed_writes.append((connection, "no pooled buffer left for unsent output"))
             return
         self.set_interest(connection, connection.handler.interest_of(connection))
         if not stored:
             connection.handler.all_written(connection)
 
-    # Parts of a flush -------------------------------------------------------------------------------------
+    # Steps of a flush -------------------------------------------------------------------------------------
 
     def has_pending_work(self) -> bool:
-        """Whether something is to be written, or a failure is to be reported."""
+        """Whether there is output to write or a failure to report."""
         return bool(self.pending_writes or self.failed_writes or self.failed_opens)
 
     def write_pending(self) -> None:
-        """Writes what is queued."""
+        """Writes queued output."""
         pending = self.pending_writes
         self.pending_writes = {}
         for connection in pending:
@@ -259,14 +259,14 @@
                 self.write(connection)
 
     def report_failed_writes(self) -> None:
-        """Gives up the connections whose writes have failed."""
+        """Closes the connections whose writes have failed."""
         failed = self.failed_writes
         self.failed_writes = []
         for connection, reason in failed:
             connection.handler.connection_failed(connection, reason)
 
     def report_failed_opens(self) -> None:
-        """Tells the reducer of connections that could not be begun."""
+        """Reports connections for which no connect could be started to the reducer."""
         failed = self.failed_opens
         self.failed_opens = []
         for message in failed:
