--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -1,4 +1,4 @@
-"""Ends of clients' connections: what comes in the very moment of a close is neither lost nor sent on."""
+"""Closing of clients' connections: input that arrives during a close is neither lost nor half handled."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 class Closing(unittest.TestCase):
     def test_a_request_that_waits_unread_keeps_its_connection(self) -> None:
-        """It had come, and the selector had not told yet: the close for idleness reset the connection."""
+        """An idle timeout reset a connection whose next request had arrived but was not reported yet."""
         t = Turns(self)
         client, cache = t.served()
         t.selector.hidden.add(t.socket_of(client))
@@ -24,13 +24,15 @@
         t.turn(IDLE_CLIENT_TIMEOUT_NS + SECOND)
         assert len(t.loop.clients.open) == 1
         t.selector.hidden.clear()
-        t.until(lambda: len(cache.pulls()) == 2, "it is sent on")
+        t.until(lambda: len(cache.pulls()) == 2, "the request is forwarded")
         cache.send(done(cache.pulls()[1]))
-        t.until(lambda: len(client.answers()) == 2, "it is answered")
+        t.until(lambda: len(client.answers()) == 2, "the response arrives")
 
     def test_a_request_that_crosses_the_close_is_not_sent_on(self) -> None:
-        """Our side has ended: the client sends it again on a new connection.  A close reset the connection,
-        with whatever the client had not read yet.
+        """A request that arrives after the router has shut down its side is discarded without a reset.
+
+        The client sends it again on a new connection.  A reset would also discard the responses that the
+        client has not read yet.
         """
         t = Turns(self)
         client, cache = t.served()
@@ -43,7 +45,7 @@
         assert not client.reset
         assert len(cache.pulls()) == 1
         client.close()
-        t.until(lambda: not t.loop.clients.lingering.clients, "the client's close ends it")
+        t.until(lambda: not t.loop.clients.lingering.clients, "the client's close ends the lingering close")
 
     def test_a_client_that_never_ends_goes_after_its_time_or_its_bytes(self) -> None:
         t = Turns(self)
@@ -60,7 +62,7 @@
                 return True
             return len(t.loop.clients.lingering.clients) == 1
 
-        t.until(flood, f"it is over {LINGERING_CLOSE_MAX_BYTES} bytes")
+        t.until(flood, f"the connection that sent over {LINGERING_CLOSE_MAX_BYTES} bytes is closed")
         assert not rests.reset
         t.turn(LINGERING_CLOSE_TIMEOUT_NS + 200 * MS)
         assert t.loop.clients.lingering.clients == {}
@@ -76,13 +78,13 @@
         )
 
     def test_an_answer_on_its_way_outlives_what_is_malformed_behind_it(self) -> None:
-        """The close over unread bytes reset the connection, and the system threw the answer away unread."""
+        """A close with unread input reset the connection, and the kernel discarded the unread response."""
         t = Turns(self)
         client = t.client()
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         client.send(call(1))
         cache = t.taken("cache1")
-        t.until(cache.pulls, "the attempt comes")
+        t.until(cache.pulls, "the attempt arrives")
         body = b"x" * 200_000
         rest = [done(cache.pulls()[0], body)]
 
@@ -91,12 +93,12 @@
                 rest[0] = rest[0][cache.sock.send(rest[0]) :]
             return not rest[0]
 
-        t.until(push, "the answer is on its way")
-        t.until(lambda: not t.loop.reducer.state.requests, "it is answered")
+        t.until(push, "the server's response is sent")
+        t.until(lambda: not t.loop.reducer.state.requests, "the response arrives")
         client.send(b"\xc1" + b"\x00" * 10_000)
-        t.until(lambda: t.loop.clients.lingering.clients, "it is let go")
+        t.until(lambda: t.loop.clients.lingering.clients, "the router closes the connection")
         client.send(b"\x00" * 10_000)
-        t.until(lambda: client.read() and client.ended, "all of it and the end")
+        t.until(lambda: client.read() and client.ended, "the complete response and the end arrive")
         assert not client.reset
         assert body in client.got
 
@@ -104,7 +106,7 @@
         t = Turns(self)
         client = t.client()
         client.send(b"\xc1")
-        t.until(lambda: client.read() or client.ended, "it is let go")
+        t.until(lambda: client.read() or client.ended, "the router closes the connection")
         told = [log for log in t.logged if log.event == "client.lost"]
         assert len(told) == 1
         assert "malformed" in told[0].text
@@ -115,7 +117,7 @@
         t.loop.signals.handle(bytes([signal.SIGTERM]))
 
     def test_a_request_that_waits_unread_puts_the_end_off(self) -> None:
-        """A router short of CPU ended with requests in its sockets: nothing was open, as nothing was read."""
+        """A router short of CPU exited with unread requests in its sockets, as it counted read ones only."""
         t = Turns(self)
         client, cache = t.served()
         self.ending(t)
@@ -124,14 +126,17 @@
         t.turn(900 * MS)
         assert not t.loop.is_stopping
         t.selector.hidden.clear()
-        t.until(lambda: len(cache.pulls()) == 2, "it is sent on")
+        t.until(lambda: len(cache.pulls()) == 2, "the request is forwarded")
         cache.send(done(cache.pulls()[1]))
-        t.until(lambda: len(client.answers()) == 2, "it is answered")
+        t.until(lambda: len(client.answers()) == 2, "the response arrives")
         t.turn(100 * MS)
         assert t.loop.is_stopping
 
     def test_what_is_put_off_is_never_compared_by_its_key(self) -> None:
-        """Two entries of the heap with one time and one number were compared by what they are for."""
+        """Two timers with the same time and number made the heap compare their keys.
+
+        Keys cannot be ordered; this happened for a shutdown step that was delayed.
+        """
         t = Turns(self)
         client, _ = t.served()
         self.ending(t)
@@ -158,7 +163,7 @@
         assert t.loop.is_stopping
 
     def test_who_waits_to_be_accepted_is_served_first(self) -> None:
-        """The listening socket closed over a full queue: each in it was reset with its request unread."""
+        """Clients in the accept queue were reset, with their requests unread, when the listener closed."""
         t = Turns(self)
         _, cache = t.served()
         assert t.loop.acceptor.listener.sock is not None
@@ -170,10 +175,13 @@
         self.ending(t)
         t.turn(600 * MS)
         assert t.loop.acceptor.listener.sock is None
-        t.until(lambda: len(cache.pulls()) == 4, "all are sent on")
+        t.until(lambda: len(cache.pulls()) == 4, "all requests are forwarded")
 
     def test_a_request_behind_the_last_look_is_not_sent_on(self) -> None:
-        """Read after the shutdown: the client sees a clean end without an answer, and sends it again."""
+        """A request that arrives after the exit decision is discarded.
+
+        The client sees a clean end of the connection without a response, and sends the request again.
+        """
         t = Turns(self)
         client, cache = t.served()
         self.ending(t)
@@ -192,14 +200,14 @@
         client = t.client()
         client.send(call(1))
         cache = t.taken("cache1")
-        t.until(cache.pulls, "the attempt comes")
+        t.until(cache.pulls, "the attempt arrives")
         self.ending(t)
         self.ending(t)
         t.turn(900 * MS)
         self.ending(t)
-        assert not t.loop.is_stopping, "one is open"
+        assert not t.loop.is_stopping, "a request is open"
         cache.send(done(cache.pulls()[0]))
-        t.until(client.answers, "it is answered")
+        t.until(client.answers, "the response arrives")
         t.turn(100 * MS)
         assert t.loop.is_stopping
         assert len([log for log in t.logged if log.event == "router.ending"]) == 1
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -1,4 +1,4 @@
-"""Peers that send in pieces, too much, without end, or twice: one clear end, and nothing lost for others."""
+"""Peers that send slowly, too much, incompletely or twice: a defined result, and no loss for other peers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 class Floods(unittest.TestCase):
     def settled(self, t: Turns) -> None:
-        """Nothing is kept of anyone."""
+        """Checks that no buffer, pending message or open request is left."""
         assert (
             t.loop.transport.pool.in_use,
             t.loop.clients.with_pending,
@@ -20,35 +20,35 @@
         ) == (0, {}, {})
 
     def dialled(self, t: Turns) -> list[str]:
-        """Servers to which a connection is open."""
+        """Returns the servers to which a connection is open."""
         ports = {sock.getsockname()[1]: name for name, sock in t.listeners.items()}
         return [ports[s.sock.getpeername()[1]] for s in t.loop.servers.open.values()]
 
     def served(self, t: Turns, client: Peer, cache: Peer, number: int) -> None:
-        """Somebody else's request, as ever."""
+        """Checks that another client's request is still served."""
         client.send(call(number, trace=f"{0xBEE0 + number:016x}"))
-        t.until(lambda: f"{0xBEE0 + number:016x}" in cache.pulls(), "it is sent on")
+        t.until(lambda: f"{0xBEE0 + number:016x}" in cache.pulls(), "the request is forwarded")
         cache.send(done(f"{0xBEE0 + number:016x}"))
-        t.until(lambda: [1, number, None, [b"by", {}]] in client.answers(), "it is answered")
+        t.until(lambda: [1, number, None, [b"by", {}]] in client.answers(), "the response arrives")
 
     def test_a_byte_at_a_time(self) -> None:
-        """Each byte in a turn of its own, from the client and from the server."""
+        """The client and the server each send one byte per iteration."""
         t = Turns(self)
         client = t.client()
         for byte in call(1):
             client.send(bytes([byte]))
             t.turn(MS)
         cache = t.taken("cache1")
-        t.until(cache.pulls, "the attempt comes")
+        t.until(cache.pulls, "the attempt arrives")
         for byte in done(cache.pulls()[0]):
             cache.send(bytes([byte]))
             t.turn(MS)
-        t.until(client.answers, "it is answered")
+        t.until(client.answers, "the response arrives")
         assert client.answers() == [[1, 1, None, [b"by", {}]]]
         self.settled(t)
 
     def test_much_at_once_and_gone(self) -> None:
-        """Hundreds of requests, whole and half, and a close behind them: none is sent on."""
+        """A client sends hundreds of requests, the last one incomplete, and closes: none is forwarded."""
         t = Turns(self)
         other, cache = t.served()
         floods = t.client()
@@ -65,20 +65,21 @@
         assert len([log for log in t.logged if log.event == "client.lost"]) <= 1
 
     def test_an_answer_that_never_ends(self) -> None:
-        """A head that says a quarter of a megabyte, and then nothing: its connection goes, others are served,
-        and what may run again is tried once more.
+        """A server announces a quarter of a megabyte and then stops sending.
+
+        The router closes the connection, serves other requests, and retries the request if it may run again.
         """
         t = Turns(self)
         other, cache = t.served()
         other.send(call(2))
-        t.until(lambda: len(cache.pulls()) == 2, "the attempt comes")
+        t.until(lambda: len(cache.pulls()) == 2, "the attempt arrives")
         cache.send(done(cache.pulls()[1], b"x" * 240_000)[:5_000])
         t.turn(PARTIAL_RESPONSE_TIMEOUT_NS + 200 * MS)
         (where,) = self.dialled(t)
         again = t.taken(where)
-        t.until(again.pulls, "it is tried again")
+        t.until(again.pulls, "the retry arrives")
         again.send(done(again.pulls()[0]))
-        t.until(lambda: len(other.answers()) == 2, "it is answered")
+        t.until(lambda: len(other.answers()) == 2, "the response arrives")
         self.settled(t)
 
     def test_a_second_answer_some_milliseconds_later(self) -> None:
--- a/tests/net/test_link_ends.py
+++ b/tests/net/test_link_ends.py
@@ -1,4 +1,4 @@
-"""Ends of connections to servers, in the moment in which one is chosen, written to or answered on."""
+"""Server connections that end while they are selected for an attempt, written to, or read."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
         client.send(call(number, cls="order", body=body))
 
     def rested(self, t: Turns) -> tuple[Peer, Peer]:
-        """A client, and a cache whose connection has carried one order and rests."""
+        """Returns a client, and a cache whose connection has carried one order and is idle."""
         client = t.client()
         self.order(t, client, 1)
         cache = t.taken("cache1")
-        t.until(cache.pulls, "the order comes")
+        t.until(cache.pulls, "the order arrives")
         cache.send(done(cache.pulls()[0]))
-        t.until(client.answers, "it is answered")
+        t.until(client.answers, "the response arrives")
         t.turn(200 * MS)
         return client, cache
 
     def answered(self, t: Turns, client: Peer, count: int, cache: Peer) -> None:
-        """The order goes out once more, on a connection of its own, and is served."""
+        """Checks that the order is sent on a new connection, is served, and was not sent on the old one."""
         again = t.taken("cache1")
-        t.until(again.pulls, "it goes out on another connection")
+        t.until(again.pulls, "the order arrives on another connection")
         again.send(done(again.pulls()[0], b"taken"))
-        t.until(lambda: len(client.answers()) == count, "it is answered")
+        t.until(lambda: len(client.answers()) == count, "the response arrives")
         assert client.answers()[-1] == [1, count, None, [b"taken", {}]]
         assert len(cache.pulls()) == 1
 
     def test_an_end_in_the_turn_in_which_the_connection_is_chosen(self) -> None:
-        """What must not run twice was written to a connection that its server had ended, unseen yet: it may
-        have run, as far as anyone could tell, and failed.
+        """An order was written to a connection that its server had closed without the router noticing.
+
+        An order must not run twice; as the router could not exclude that it had run, the request failed.
         """
         for reset in (False, True):
             with self.subTest(reset=reset):
@@ -47,12 +48,12 @@
                 self.answered(t, client, 2, cache)
 
     def test_what_was_not_all_written_has_not_run(self) -> None:
-        """An order of 48 KB of which the server took a part, and then the connection broke."""
+        """The connection fails after the server has received only the first bytes of a 48 KB order."""
         t = Turns(self)
         t.listeners["cache1"].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         client = t.client()
         self.order(t, client, 1, b"x" * 47_000)
-        t.until(lambda: t.loop.servers.open, "it is dialled")
+        t.until(lambda: t.loop.servers.open, "the connect starts")
         for ours in t.loop.servers.open.values():
             ours.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         first = t.taken("cache1")
@@ -60,40 +61,40 @@
             lambda: any(
                 s.unsent_attempts and s.write_buffer.sent_bytes for s in t.loop.servers.open.values()
             ),
-            "a part is written",
+            "the first bytes are written",
         )
         t.turn(turns=3)
         first.close(reset=True)
         t.listeners["cache1"].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 18)
         again = t.taken("cache1")
-        t.until(lambda: again.read().endswith(b"x\r\n"), "all of it comes on another")
+        t.until(lambda: again.read().endswith(b"x\r\n"), "the complete order arrives on another connection")
         again.send(done(again.pulls()[0], b"taken"))
-        t.until(client.answers, "it is answered")
+        t.until(client.answers, "the response arrives")
         assert client.answers() == [[1, 1, None, [b"taken", {}]]]
 
     def test_what_is_kept_of_writes_ends_with_them(self) -> None:
-        """A connection whose backlog is never empty kept the id of each attempt it ever carried."""
+        """A connection whose output was never all sent kept the ids of all its attempts."""
         t = Turns(self)
         client = t.client()
         self.order(t, client, 1)
-        t.until(lambda: t.loop.servers.open, "it is dialled")
+        t.until(lambda: t.loop.servers.open, "the connect starts")
         (ours,) = t.loop.servers.open.values()
         ours.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         cache = t.taken("cache1")
-        t.until(cache.pulls, "the order comes")
+        t.until(cache.pulls, "the order arrives")
         for n in range(40):
             t.loop.servers.send(ours.number, [b"x" * 8_000], f"{n:016x}")
             t.turn()
             if n % 2:
                 cache.read()
         assert ours.write_buffer.stored_bytes()
-        t.until(lambda: cache.read() and not ours.write_buffer.stored_bytes(), "all is written")
+        t.until(lambda: cache.read() and not ours.write_buffer.stored_bytes(), "all output is written")
         assert len(ours.unsent_attempts) == 0
         sent = ours.write_buffer.sent_bytes
         t.loop.servers.send(ours.number, [b"x" * 2_000_000], "a")
         t.loop.servers.send(ours.number, [b"x" * 2_000_000], "b")
         t.turn()
-        ours.write_buffer.sent_bytes = sent + 2_000_000  # as if just the first had been taken
+        ours.write_buffer.sent_bytes = sent + 2_000_000  # as if the kernel had accepted only the first one
         t.loop.transport.write(ours)
         assert [id for _, id in ours.unsent_attempts] == ["b"]
 
@@ -102,20 +103,20 @@
         client = t.client()
         self.order(t, client, 1)
         cache = t.taken("cache1")
-        t.until(cache.pulls, "the order comes")
+        t.until(cache.pulls, "the order arrives")
         cache.close(reset=True)
-        t.until(client.answers, "it is given up")
+        t.until(client.answers, "the request fails")
         assert client.answers()[0][2][0] == "Fault"
         t.none("cache1")
 
     def test_nothing_goes_out_on_an_idle_connection_with_half_an_answer(self) -> None:
-        """Half a line, then the end of the stream: what was sent between them was lost with it."""
+        """An attempt sent after half a response line was lost when the connection then ended."""
         t = Turns(self)
         client, cache = self.rested(t)
         cache.send(b"*4\r\n$16\r\n00000")
         t.until(
             lambda: any(x.has_partial_response for x in t.loop.reducer.state.connections.by_number.values()),
-            "it is read",
+            "the partial response is read",
         )
         self.order(t, client, 2)
         self.answered(t, client, 2, cache)
@@ -130,35 +131,35 @@
         cache.send(late[:20])
         t.until(
             lambda: any(x.has_partial_response for x in t.loop.reducer.state.connections.by_number.values()),
-            "half of it",
+            "the partial response is read",
         )
         cache.send(late[20:])
         t.until(
             lambda: (
                 not any(x.has_partial_response for x in t.loop.reducer.state.connections.by_number.values())
             ),
-            "all of it",
+            "the complete response is read",
         )
         self.order(t, client, 2)
         t.until(lambda: len(cache.pulls()) == 2, "the connection is used again")
 
     def test_an_answer_and_its_deadline_in_one_turn(self) -> None:
-        """The answer was there: it is passed on, and the time-out that is due says nothing more."""
+        """A response that has arrived is forwarded; the timeout due in the same iteration has no effect."""
         t = Turns(self)
         client = t.client()
         client.send(call(1, patience=1_000))
         cache = t.taken("cache1")
-        t.until(cache.pulls, "the attempt comes")
+        t.until(cache.pulls, "the attempt arrives")
         t.turn(990 * MS)
         cache.send(done(cache.pulls()[0]))
         t.now += 20 * MS
         t.turn()
-        t.until(client.answers, "it is answered")
+        t.until(client.answers, "the response arrives")
         t.turn(500 * MS)
         assert client.answers() == [[1, 1, None, [b"by", {}]]]
 
     def test_a_connection_given_up_in_the_turn_in_which_it_stands(self) -> None:
-        """The dial's time is over, and the connection is up behind it: it carries nothing."""
+        """A connection is established just after its connect timeout: no attempt is sent on it."""
         t = Turns(self)
         client = t.client()
         client.send(call(1))
@@ -171,7 +172,7 @@
         assert len(t.loop.servers.open) == len(t.loop.reducer.state.connections.by_number)
 
     def test_a_copy_that_no_server_named_is_not_called_current(self) -> None:
-        """KEEP for a copy that the client did not name, or for another one, was passed on."""
+        """A KEEP response was forwarded although it did not name the copy that the client had named."""
         for cached, named in (
             (None, "4be0c1927d55a6f3"),
             ("4be0c1927d55a6f3", "00000000000000aa"),
@@ -183,7 +184,7 @@
                 client = t.client()
                 client.send(call(1, **({"cached": cached} if cached else {})))
                 cache = t.taken("cache1")
-                t.until(cache.pulls, "the attempt comes")
+                t.until(cache.pulls, "the attempt arrives")
                 fields = f"sum={named},t0=1764576000123,tell=mem".encode() if named else b"tell=mem"
                 cache.send(done(cache.pulls()[0], b"", b"KEEP", fields))
                 good = cached is not None and cached == named
@@ -191,7 +192,7 @@
                     lambda t=t: (
                         not t.loop.reducer.state.attempts or t.loop.reducer.state.counters["copies not named"]
                     ),
-                    "it is judged",
+                    "the response is handled",
                 )
                 t.turn(turns=3)
                 assert (client.answers() == [[1, 1, None, [b"", {"keep": "1"}]]]) == good
--- a/tests/net/test_listeners.py
+++ b/tests/net/test_listeners.py
@@ -1,4 +1,4 @@
-"""The listening sockets: one handed down by the platform is checked before a client is taken."""
+"""Listening sockets: an inherited socket is checked before the router accepts clients."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
                 adopt_listener(fd)
             assert "ROUTER_FD" in str(caught.value)
             assert why in str(caught.value)
-        os.fstat(read)  # still open: the descriptor was not ours to close
+        os.fstat(read)  # still open: the router must not close a descriptor that it rejects
         assert idle.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE) == socket.SOCK_STREAM
 
     def test_an_address_in_use_is_named(self) -> None:
@@ -65,7 +65,7 @@
 
 class Start(unittest.TestCase):
     def test_a_descriptor_that_does_not_listen_ends_the_start(self) -> None:
-        """One line naming ROUTER_FD, and exit code 2, before anything is served."""
+        """The start fails with exit code 2 and one line that names ROUTER_FD, before any client is served."""
         idle = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.addCleanup(idle.close)
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/net/test_size.py
+++ b/tests/net/test_size.py
@@ -1,4 +1,4 @@
-"""Peers that write in pieces, clients that read slowly, and a feed that breaks off."""
+"""Messages that arrive in chunks, clients that read slowly, and a feed whose connection fails."""
 
 from __future__ import annotations
 
@@ -56,8 +56,10 @@
         return loop
 
     def test_a_full_pool_keeps_nobody_from_being_read(self) -> None:
-        """Answers owed to clients that read nothing took every pooled buffer; the next server to answer
-        lost its connection for want of a buffer to read into, and all that was out on it.
+        """Reading needs no pooled buffer.
+
+        Responses to clients that read nothing had filled the pool; the next server to respond lost its
+        connection, and all attempts in flight on it, for lack of a buffer to read into.
         """
         loop = self.loop()
         while loop.transport.pool.acquire() is not None:
@@ -70,8 +72,9 @@
         assert server.codec.error == ""
 
     def test_a_client_read_at_a_megabyte_a_second_holds_a_bounded_backlog(self) -> None:
-        """What a slow client does not take waits in pooled buffers, never more than it is owed; past
-        SLOW_BYTES nothing more is read from it, and as it reads, the buffers go back.
+        """Unsent output of a slow client is stored in pooled buffers, never more than its responses need.
+
+        Above MAX_UNREAD_BYTES_PER_CLIENT the client is not read; as it reads, buffers return to the pool.
         """
         loop = self.loop()
         ours, theirs = pair(self, 64 * 1024)
@@ -83,11 +86,11 @@
         most = loop.transport.pool.in_use
         assert most * BUFFER_BYTES <= owed + BUFFER_BYTES
         assert client.write_buffer.stored_bytes() > MAX_UNREAD_BYTES_PER_CLIENT
-        assert loop.clients.interest_of(client) & 1 == 0, "not read while it holds so much"
+        assert loop.clients.interest_of(client) & 1 == 0, "not read while so much output is unsent"
         got = b""
         tick = 0
         while len(got) < owed:
-            tick += 1  # a tick is 1/16 s: 64 KB of the 1 MB a second
+            tick += 1  # a tick is 1/16 s, in which a client with 1 MB/s reads 64 KB
             with contextlib.suppress(BlockingIOError):
                 got += theirs.recv(64 * 1024, socket.MSG_DONTWAIT)
             loop.transport.write(client)
@@ -121,14 +124,14 @@
         ]
         assert max(waits) == MAX_RETRY_DELAY_NS
         listed = len(r.state.endpoints)
-        assert listed > 0, "what was known is kept"
+        assert listed > 0, "the endpoint list is kept"
         r.handle(NOW + 10, inputs.WatchResponse(r.endpoint_list.last_event, ()))
         (wake,) = [
             e
             for e in r.handle(NOW + 11, inputs.WatchFailed("x")) + r.handle(NOW + 12, inputs.WatchFailed("x"))
             if isinstance(e, effects.ScheduleTimer)
         ]
-        assert wake.at_ns - NOW - 12 == SECOND_RETRY_DELAY_NS, "an answer starts the waits over"
+        assert wake.at_ns - NOW - 12 == SECOND_RETRY_DELAY_NS, "a response resets the retry delay"
 
 
 if __name__ == "__main__":
--- a/tests/support/loop_turns.py
+++ b/tests/support/loop_turns.py
@@ -1,8 +1,8 @@
-"""The loop on real loopback sockets, a turn at a time, in a time that the test moves.
+"""Harness that runs the event loop on real loopback sockets, one iteration at a time, with a test clock.
 
-Peers are plain sockets of the test, so the order in which a byte, a close, a signal or a deadline comes is
-the order of the test's lines.  Nothing here sleeps, and no verdict hangs on how fast the machine is:
-``until`` plays turns at one instant of the test's time until something is so.
+Peers are plain sockets of the test, so bytes, closes, signals and deadlines occur in the order of the test's
+lines.  Nothing here sleeps, and no result depends on the speed of the machine: ``until`` runs iterations at
+one instant of the test clock until a condition holds.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class Unblocked(selectors.DefaultSelector):
-    """Tells what is ready now: time passes where the test says so.  ``hidden`` is told of one look later."""
+    """A selector that never waits, as the test moves the clock; it omits the sockets in ``hidden``."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -57,7 +57,7 @@
         self.sock.sendall(data)
 
     def read(self) -> bytes:
-        """All that has come, and whether the other side has ended or reset."""
+        """Returns all bytes received; detects an end or a reset by the other side."""
         while not self.ended and self.sock.fileno() >= 0:
             try:
                 data = self.sock.recv(1 << 16)
@@ -76,19 +76,19 @@
         self.sock.close()
 
     def answers(self) -> list[Any]:
-        """The MessagePack messages that have come."""
+        """Returns the MessagePack messages received."""
         unpacker = msgpack.Unpacker(raw=False)
         unpacker.feed(self.read())
         return list(unpacker)
 
     def pulls(self) -> list[str]:
-        """Ids of the attempts that have come, in their order."""
+        """Returns the ids of the attempts received, in their order."""
         words = self.read().split(b"\r\n")
         return [words[n + 2].decode() for n, word in enumerate(words) if word == b"PULL"]
 
 
 def done(id: str, body: bytes = b"by", word: bytes = b"DONE", fields: bytes = b"tell=mem") -> bytes:
-    """A server's answer."""
+    """Returns a server's response."""
     parts = (id.encode(), word, fields, body)
     return b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
@@ -96,7 +96,7 @@
 def call(
     number: int, trace: str = "", cls: str = "page", patience: int = 2_000, body: bytes = b"", **more: str
 ) -> bytes:
-    """A client's request; its trace is its number unless told."""
+    """Returns a client's request; its trace id is its number by default."""
     fields = {
         "trace": trace or f"{number:016x}",
         "patience": str(patience),
@@ -109,7 +109,7 @@
 
 
 class Turns:
-    """One router in the test's own process, with its servers' listening sockets."""
+    """One router in the test process, with its servers' listening sockets."""
 
     def __init__(
         self,
@@ -121,10 +121,18 @@
         settings: dict[str, Any] | None = None,
         **more: Any,
     ) -> None:
-        """``feed``: the list service listens.  ``orders``: what is otherwise of the class of orders;
-        ``allowed``: of ``settings.limits``; ``settings`` and ``more``: of the settings and the whole.
+        """Starts the router.
+
+        Args:
+            case: The test case, which closes the sockets at its end.
+            only: Names of the servers in the endpoint list.
+            feed: Whether the list service listens.
+            orders: Changed settings of the class of orders.
+            allowed: Changed ``settings.limits``.
+            settings: Other changed settings.
+            more: Other changed keys of the configuration.
         """
-        self.now, self.tick_ns = NOW, 0  # the time, and what each look at it adds
+        self.now, self.tick_ns = NOW, 0  # the time, and its increase at each reading of the clock
         self.listeners = {n: socket.create_server(("127.0.0.1", 0)) for n in (*only, "feed")}
         for sock in self.listeners.values():
             sock.setblocking(False)
@@ -191,8 +199,12 @@
         loop.selector.close()
 
     def turn(self, after_ns: int = 0, turns: int = 1) -> None:
-        """Time passes, no more at once than a process that did not stand still would see; then so many
-        turns at that instant.
+        """Runs iterations.
+
+        Args:
+            after_ns: Time that passes first, in steps short enough not to count as a process stall, with
+                one iteration per step.
+            turns: Number of iterations at the final instant, including that of the last step.
         """
         end = self.now + after_ns
         while self.now < end:
@@ -202,14 +214,14 @@
             self.loop.run_turn()
 
     def until(self, so: Callable[[], Any], what: str = "") -> None:
-        """Turns at this instant until something is so: what is on its way in the machine arrives."""
+        """Runs iterations at this instant until a condition holds, so that bytes in flight arrive."""
         end = time.monotonic() + WAIT_S
         while not so():
-            assert time.monotonic() < end, f"never so: {what or so}"
+            assert time.monotonic() < end, f"condition not reached in {WAIT_S} s: {what or so}"
             self.loop.run_turn()
 
     def client(self) -> Peer:
-        """A client that the router has taken."""
+        """Returns a client whose connection the router has accepted."""
         peer = Peer(socket.create_connection(self.address, WAIT_S))
         self.case.addCleanup(peer.sock.close)
         here = peer.sock.getsockname()
@@ -217,28 +229,28 @@
             lambda: any(
                 c.sock.fileno() >= 0 and c.sock.getpeername() == here for c in self.loop.clients.open.values()
             ),
-            "a client is taken",
+            "the client is accepted",
         )
         return peer
 
     def socket_of(self, peer: Peer) -> socket.socket:
-        """The router's end of a client's connection."""
+        """Returns the router's socket of a client's connection."""
         here = peer.sock.getsockname()
         (found,) = [c.sock for c in self.loop.clients.open.values() if c.sock.getpeername() == here]
         return found
 
     def served(self, number: int = 1) -> tuple[Peer, Peer]:
-        """A client that was answered by a cache, and that cache's end of the connection."""
+        """Returns a client that has received a response, and the cache's end of the server connection."""
         client = self.client()
         client.send(call(number))
         cache = self.taken("cache1")
-        self.until(cache.pulls, "the attempt comes")
+        self.until(cache.pulls, "the attempt arrives")
         cache.send(done(cache.pulls()[-1]))
-        self.until(client.answers, "it is answered")
+        self.until(client.answers, "the response arrives")
         return client, cache
 
     def taken(self, name: str) -> Peer:
-        """The next connection of the router to a server, with its first byte or standing."""
+        """Returns the server's end of the router's next connection to it."""
         found: list[socket.socket] = []
 
         def come() -> bool:
@@ -248,12 +260,12 @@
                 return False
             return True
 
-        self.until(come, f"{name} is dialled")
+        self.until(come, f"the router connects to {name}")
         self.case.addCleanup(found[0].close)
         return Peer(found[0])
 
     def none(self, name: str, turns: int = 5) -> None:
-        """Nobody dials a server."""
+        """Checks that the router does not connect to a server."""
         for _ in range(turns):
             self.loop.run_turn()
             with pytest.raises(BlockingIOError):
@@ -261,7 +273,7 @@
 
     @contextmanager
     def no_descriptors(self) -> Iterator[None]:
-        """The process has none left."""
+        """Lowers the limit so that the process has no descriptors left."""
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         free = os.dup(0)
         os.close(free)
