--- a/kelpcroft/net/buffers.py
+++ b/kelpcroft/net/buffers.py
@@ -10,7 +10,7 @@
 from kelpcroft.invariants import holds
 
 BUFFER_BYTES: Final = 64 * 1024
-MAX_PIECES_PER_WRITE: Final = 64  # chunks in one gathering write; the kernel accepts at most 1,024
+MAX_CHUNKS_PER_WRITE: Final = 64  # chunks in one gathering write; the kernel accepts at most 1,024
 
 
 class BufferPool:
@@ -44,15 +44,15 @@
 
     def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
-        self.pieces: list[Body] = []  # chunks added since the last write
+        self.chunks: list[Body] = []  # chunks added since the last write
         self.stored: deque[bytearray] = deque()  # pooled buffers with unsent bytes
         self.start = 0  # first unsent byte in the first pooled buffer
         self.end = 0  # end of the used bytes in the last pooled buffer
         self.sent_bytes = 0  # total of the bytes that the kernel has accepted
 
-    def add(self, pieces: list[Body] | tuple[Body, ...]) -> None:
+    def add(self, chunks: list[Body] | tuple[Body, ...]) -> None:
         """Adds chunks to be written."""
-        self.pieces += pieces
+        self.chunks += chunks
 
     def stored_bytes(self) -> int:
         """Returns the number of bytes in pooled buffers; chunks not yet written once do not count."""
@@ -69,21 +69,21 @@
         """
         if not self._write_stored(sock):
             return self._store(0, 0)
-        pieces = self.pieces
+        chunks = self.chunks
         index = 0
-        while index < len(pieces):
-            batch = pieces[index : index + MAX_PIECES_PER_WRITE]
+        while index < len(chunks):
+            batch = chunks[index : index + MAX_CHUNKS_PER_WRITE]
             try:
                 sent = sock.sendmsg(batch)
             except BlockingIOError:
                 return self._store(index, 0)
             self.sent_bytes += sent
-            for piece in batch:
-                if sent < len(piece):
+            for chunk in batch:
+                if sent < len(chunk):
                     return self._store(index, sent)
-                sent -= len(piece)
+                sent -= len(chunk)
                 index += 1
-        self.pieces = []
+        self.chunks = []
         return True
 
     def _write_stored(self, sock: socket.socket) -> bool:
@@ -113,10 +113,10 @@
         Returns:
             False if the pool has no buffer left.
         """
-        pieces = self.pieces[index:]
-        self.pieces = []
-        for piece in pieces:
-            view = memoryview(piece)[skipped_bytes:]
+        chunks = self.chunks[index:]
+        self.chunks = []
+        for chunk in chunks:
+            view = memoryview(chunk)[skipped_bytes:]
             skipped_bytes = 0
             while view:
                 if not self.stored or self.end == BUFFER_BYTES:
@@ -137,4 +137,4 @@
         """Drops all output and returns its buffers to the pool."""
         while self.stored:
             self.pool.release(self.stored.popleft())
-        self.pieces = []
+        self.chunks = []
--- a/kelpcroft/net/client_acceptor.py
+++ b/kelpcroft/net/client_acceptor.py
@@ -28,12 +28,12 @@
         if sock is None:
             sock = bind_listener("listen", config.listen_address)
         self.listener.open(sock)
-        at = listening_address(sock)
-        origin = "bound" if config.inherited_listener_fd is None else "inherited"
+        address = listening_address(sock)
+        listener_source = "bound" if config.inherited_listener_fd is None else "inherited"
         self.transport.log(
             "router.listens",
-            f"{config.name} listens on {at} ({origin})",
-            {"at": at, "socket": origin},
+            f"{config.name} listens on {address} ({listener_source})",
+            {"at": address, "socket": listener_source},
         )
 
     def accept(self) -> bool:
@@ -47,7 +47,7 @@
             except BlockingIOError:
                 return False
             except OSError as error:
-                if not self._recover(error):
+                if not self._recover_from_failed_accept(error):
                     return False
                 continue
             number = self.transport.next_number()
@@ -57,7 +57,7 @@
             self.transport.handle_input(inputs.ClientConnected(number))
         return True
 
-    def _recover(self, error: OSError) -> bool:
+    def _recover_from_failed_accept(self, error: OSError) -> bool:
         """Handles a failed accept; returns whether to try the next client."""
         is_out_of_descriptors = error.errno in OUT_OF_DESCRIPTORS
         if is_out_of_descriptors and self.free_descriptor():
@@ -88,11 +88,11 @@
         Clients that have not sent a message are evicted first, the longest connected before the others; then
         the client whose last message is the oldest.
         """
-        latest_ns = self.transport.clock.now() - EVICTION_GRACE_NS
+        idle_before_ns = self.transport.clock.now() - EVICTION_GRACE_NS
         idle = [
             client
             for client in self.clients.open.values()
-            if client.last_message_ns < latest_ns
+            if client.last_message_ns < idle_before_ns
             and not client.unread_since_ns
             and self.clients.is_idle(client)
         ]
--- a/kelpcroft/net/client_connections.py
+++ b/kelpcroft/net/client_connections.py
@@ -23,12 +23,12 @@
 )
 
 # A client is not read while more than this of its output is unsent.
-MAX_UNREAD_BYTES_PER_CLIENT: Final = 512 * 1024
+MAX_UNSENT_BYTES_PER_CLIENT: Final = 512 * 1024
 # If input may have waited unread for longer than this, the client may have disconnected meanwhile: its socket
 # is read again even after a read that did not fill the buffer.
-MAYBE_GONE_NS: Final = SECOND // 20
+POSSIBLE_DISCONNECT_AFTER_NS: Final = SECOND // 20
 # A pending request that waited at most this long keeps its remaining time unchanged.
-QUEUED_REPORTED_NS: Final = SECOND // 1_000
+MIN_REPORTED_QUEUED_NS: Final = SECOND // 1_000
 # Maximum time until a new client's first message, and from the first byte of a message to its last.
 SILENT_CLIENT_TIMEOUT_NS: Final = 2 * SECOND
 # A connection without open requests is closed after this; most clients close theirs after 4 s.
@@ -58,9 +58,11 @@
 
     def cancel_pending(self, request_number: int) -> bool:
         """Drops a request that the reducer has not received yet; returns whether there was one."""
-        others = [pending for pending in self.pending_messages if pending[1].request_number != request_number]
-        was_pending = len(others) < len(self.pending_messages)
-        self.pending_messages = deque(others)
+        remaining = [
+            pending for pending in self.pending_messages if pending[1].request_number != request_number
+        ]
+        was_pending = len(remaining) < len(self.pending_messages)
+        self.pending_messages = deque(remaining)
         return was_pending
 
     def is_silent(self, now: int) -> bool:
@@ -90,25 +92,25 @@
         self.lingering = LingeringClients(self, max_closing)
         self.with_pending: dict[ClientConnection, None] = {}  # clients with pending messages
         # Closes that the reducer has requested, each with its reason.
-        self.decided_closes: list[tuple[ClientConnection, str]] = []
+        self.requested_closes: list[tuple[ClientConnection, str]] = []
         self.is_draining = False  # each connection is closed once no response is due on it
         self.logged_losses = 0  # log lines about lost clients since the last sweep
-        self.unread_ns = 0  # upper bound of the time that the input being read has waited in the socket
+        self.max_unread_ns = 0  # upper bound of the time that the input being read has waited in the socket
 
     # Effects ----------------------------------------------------------------------------------------------
 
-    def send(self, number: int, pieces: tuple[messages.Body, ...]) -> None:
+    def send(self, number: int, chunks: tuple[messages.Body, ...]) -> None:
         """Queues a response for a client, if its connection is still open."""
         client = self.open.get(number)
         if client is not None:
-            self.transport.queue_write(client, pieces)
+            self.transport.queue_write(client, chunks)
 
     def close_client(self, effect: effects.CloseClient) -> None:
         """Closes a client's connection at the next flush; its input is discarded from now on."""
         client = self.open.get(effect.client)
         if client is not None:
             client.is_closing = True
-            self.decided_closes.append((client, effect.reason))
+            self.requested_closes.append((client, effect.reason))
 
     def drain(self, effect: effects.DrainClients) -> None:
         """Starts or stops a drain, which closes each connection once no response is due on it."""
@@ -126,7 +128,7 @@
 
     def reads_until_empty(self) -> bool:
         """Whether a disconnect may be waiting in the socket behind unread input."""
-        return self.unread_ns > MAYBE_GONE_NS
+        return self.max_unread_ns > POSSIBLE_DISCONNECT_AFTER_NS
 
     def receive(self, connection: ClientConnection, data: memoryview) -> None:
         """Queues messages for ``dispatch_pending``; a cancel takes effect immediately.
@@ -134,7 +136,7 @@
         Raises:
             ClientProtocolError: The bytes are not valid messages.
         """
-        messages = connection.codec.receive_data(data, self.unread_ns)
+        messages = connection.codec.receive_data(data, self.max_unread_ns)
         now = self.transport.clock.now()
         if messages:
             connection.has_sent_message = True
@@ -161,7 +163,7 @@
         while client.pending_messages and not client.is_closing:
             read_ns, message = client.pending_messages.popleft()
             queued_ns = self.transport.clock.now() - read_ns
-            if queued_ns > QUEUED_REPORTED_NS and isinstance(message, inputs.ClientRequest):
+            if queued_ns > MIN_REPORTED_QUEUED_NS and isinstance(message, inputs.ClientRequest):
                 message = replace(
                     message,
                     remaining_time_ns=message.remaining_time_ns - queued_ns,
@@ -178,7 +180,7 @@
     def interest_of(self, connection: ClientConnection) -> int:
         """The events to watch: input, unless too much output is unsent, and room for stored output."""
         stored_bytes = connection.write_buffer.stored_bytes()
-        readable = NO_EVENTS if stored_bytes > MAX_UNREAD_BYTES_PER_CLIENT else READABLE
+        readable = NO_EVENTS if stored_bytes > MAX_UNSENT_BYTES_PER_CLIENT else READABLE
         return readable | (WRITABLE if stored_bytes else NO_EVENTS)
 
     def all_written(self, connection: ClientConnection) -> None:
@@ -209,11 +211,11 @@
         self.lingering.end_output(client)
         self.transport.handle_input(inputs.ClientDisconnected(client.number))
 
-    def close_as_decided(self) -> None:
+    def close_requested(self) -> None:
         """Closes the connections whose close the reducer has requested since the last flush."""
-        decided = self.decided_closes
-        self.decided_closes = []
-        for client, reason in decided:
+        requested = self.requested_closes
+        self.requested_closes = []
+        for client, reason in requested:
             self.close_gracefully(client, reason)
 
     def close_when_idle(self, client: ClientConnection) -> None:
--- a/kelpcroft/net/client_responses.py
+++ b/kelpcroft/net/client_responses.py
@@ -15,13 +15,13 @@
 
     def send_response(self, effect: effects.SendResponse) -> None:
         """Sends the response to a request that was served."""
-        pieces = client_codec.encode_response(effect.request_number, effect.body, effect.not_modified)
-        self.clients.send(effect.client, pieces)
+        chunks = client_codec.encode_response(effect.request_number, effect.body, effect.not_modified)
+        self.clients.send(effect.client, chunks)
 
     def reject_request(self, effect: effects.RejectRequest) -> None:
         """Sends the rejection of a request; a retry is safe."""
-        answer = client_codec.encode_rejection(effect.request_number, effect.retry_after_ns)
-        self.clients.send(effect.client, (answer,))
+        response = client_codec.encode_rejection(effect.request_number, effect.retry_after_ns)
+        self.clients.send(effect.client, (response,))
 
     def fail_request(self, effect: effects.FailRequest) -> None:
         """Sends the failure of a request."""
@@ -29,5 +29,5 @@
 
     def send_health(self, effect: effects.SendHealth) -> None:
         """Sends the response to a client's health request: whether this router is ready."""
-        answer = client_codec.encode_health(effect.request_number, effect.is_ready)
-        self.clients.send(effect.client, (answer,))
+        response = client_codec.encode_health(effect.request_number, effect.is_ready)
+        self.clients.send(effect.client, (response,))
--- a/kelpcroft/net/connector.py
+++ b/kelpcroft/net/connector.py
@@ -34,8 +34,8 @@
             sock = socket.socket(family, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        code = sock.connect_ex(address)
-        if code not in (0, errno.EINPROGRESS):
+        error_number = sock.connect_ex(address)
+        if error_number not in (0, errno.EINPROGRESS):
             sock.close()
-            raise OSError(code, errno.errorcode.get(code, "?"))
+            raise OSError(error_number, errno.errorcode.get(error_number, "?"))
         return sock
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -43,9 +43,10 @@
 SWEEP_INTERVAL_NS: Final = SECOND // 10  # between sweeps for silent, idle, stalled and stuck connections
 # An iteration that starts this long after the previous select returned, or a select that returns this long
 # after its timeout, counts as a process stall: the process or the machine was suspended or not scheduled.
-STALL_NS: Final = SECOND // 4
-SHUTDOWN_DRAIN_TIMEOUT_NS: Final = SECOND  # unread requests delay the exit by at most this long
-SHUTDOWN_RETRY_NS: Final = SHUTDOWN_DRAIN_TIMEOUT_NS // 100  # interval at which a delayed exit is retried
+PROCESS_STALL_THRESHOLD_NS: Final = SECOND // 4
+MAX_SHUTDOWN_DELAY_NS: Final = SECOND  # unread requests delay the exit by at most this long
+# Interval at which a delayed exit is retried.
+SHUTDOWN_RETRY_INTERVAL_NS: Final = MAX_SHUTDOWN_DELAY_NS // 100
 SHUTDOWN_LINGER_NS: Final = SECOND // 5  # time at the exit in which clients can read the last responses
 
 # Due time, unique number, key of the timer; the heap is ordered by the first two.
@@ -78,7 +79,7 @@
         self,
         config: Config,
         clock: Clock,
-        reload: ReadConfig | None = None,
+        read_config: ReadConfig | None = None,
         rules: ReadOperatorFile | None = None,
         events: EventLog | None = None,
     ) -> None:
@@ -87,7 +88,7 @@
         Args:
             config: The router's configuration.
             clock: The clock of the process.
-            reload: Reads the configuration file again (SIGHUP).
+            read_config: Reads the configuration file again (SIGHUP).
             rules: Reads the operator's file again in steps; yields None for each step except the last.
             events: The log; standard error by default.
         """
@@ -103,13 +104,13 @@
         self.feed = FeedClient(self.transport, connector)
         self.control = ControlEndpoint(self.transport, self.acceptor, budget.control_callers)
         self.predecessor = PredecessorFiles(self.transport)
-        self.signals = Signals(self.transport, reload, rules)
+        self.signals = Signals(self.transport, read_config, rules)
         self.transport.effect_handlers = self._effect_handlers()
         self.timers: list[Timer] = []  # a heap
         self.is_stopping = False
         self.last_flush_ns = 0  # when this iteration last read disconnects
         # Latest time to which unread requests delay the exit; 0 = they have not delayed it yet.
-        self.shutdown_put_off_until_ns = 0
+        self.shutdown_delay_limit_ns = 0
         self.last_sweep_ns = 0
         self.last_select_ns = clock.now()
 
@@ -173,7 +174,7 @@
             crash_loop_delay_ns: Extra delay of the first list request, for a router that restarts repeatedly.
         """
         transport = self.transport
-        self.signals.fd = signals
+        self.signals.pipe_fd = signals
         if signals is not None:
             transport.selector.register(signals, selectors.EVENT_READ, None)
         start_options, replicas = None, None
@@ -217,7 +218,7 @@
                 client = key.data
                 if not isinstance(client, ClientConnection):
                     selector.unregister(key.fileobj)
-                elif _has_ended(client):
+                elif _has_disconnected(client):
                     self.clients.close(client)
 
     # One iteration ----------------------------------------------------------------------------------------
@@ -233,29 +234,32 @@
         started_ns = self.clock.now()
         wait_s = self._wait_s(started_ns)
         if self.signals.is_reading_operator_file():
-            self.signals.read_operator_file_on(started_ns)
+            self.signals.continue_reading_operator_file(started_ns)
             wait_s = 0.0
         reported = self.transport.selector.select(wait_s)
-        previous_ns = self.last_select_ns  # input reported now arrived after this
+        previous_select_ns = self.last_select_ns  # input reported now arrived after this
         self.last_select_ns = self.clock.now()
-        late_ns = self.last_select_ns - started_ns - int(wait_s * SECOND)
-        if started_ns - previous_ns > STALL_NS or late_ns > STALL_NS:
+        select_delay_ns = self.last_select_ns - started_ns - int(wait_s * SECOND)
+        if (
+            started_ns - previous_select_ns > PROCESS_STALL_THRESHOLD_NS
+            or select_delay_ns > PROCESS_STALL_THRESHOLD_NS
+        ):
             self.feed.refresh_after_stall()
         ready = self._sort_ready(reported)
         for connection, events in ready.control:
             self.handle_ready(connection, events)
         if self.feed.feed_only_until_ns > self.clock.now():
             for connection, _ in ready.clients:
-                connection.unread_since_ns = connection.unread_since_ns or previous_ns
+                connection.unread_since_ns = connection.unread_since_ns or previous_select_ns
             self.flush()
             return
         self.feed.feed_only_until_ns = 0
         self.last_flush_ns = self.clock.now()
-        self.read_disconnects(ready.clients, previous_ns)
+        self.read_disconnects(ready.clients, previous_select_ns)
         for connection, events in ready.servers:
             self.handle_ready(connection, events)
-            self._flush_in_long_turn()
-        self.dispatch_requests(ready.clients, previous_ns)
+            self._flush_in_long_iteration()
+        self.dispatch_requests(ready.clients, previous_select_ns)
         now = self.clock.now()
         self._fire_timers(now)
         self.feed.give_up_if_overdue(now)
@@ -295,7 +299,7 @@
         if events & selectors.EVENT_READ and connection.is_open():
             connection.handler.read(connection)
 
-    def read_disconnects(self, ready: list[ReadyConnection], previous_ns: int) -> None:
+    def read_disconnects(self, ready: list[ReadyConnection], previous_select_ns: int) -> None:
         """Reads the clients that have open requests, before any output caused by those requests.
 
         A disconnect or a cancel takes effect immediately; requests wait for ``dispatch_requests``.  If
@@ -311,37 +315,41 @@
                 and connection.number in self.reducer.state.requests_by_client
                 and len(connection.pending_messages) < MAX_PENDING_MESSAGES
             ):
-                self.clients.unread_ns = self.clock.now() - (connection.unread_since_ns or previous_ns)
+                self.clients.max_unread_ns = self.clock.now() - (
+                    connection.unread_since_ns or previous_select_ns
+                )
                 connection.unread_since_ns = 0
                 self.clients.read(connection)
                 ready[index] = connection, events & ~selectors.EVENT_READ
 
-    def dispatch_requests(self, ready: list[ReadyConnection], previous_ns: int) -> None:
+    def dispatch_requests(self, ready: list[ReadyConnection], previous_select_ns: int) -> None:
         """Reads and dispatches new requests, for a bounded time.
 
         The remaining requests stay in their sockets and queues, so that a router short of CPU still reads
         the feed and forwards responses.  Input that is reported now may have arrived at any time since
-        ``previous_ns``, when the previous select returned.
+        ``previous_select_ns``, when the previous select returned.
         """
-        until_ns = self.last_select_ns + CLIENT_REQUESTS_TURN_NS
-        left_over: list[ReadyConnection] = [(client, 0) for client in self.clients.with_pending]
-        for index, (connection, events) in enumerate(left_over + ready):
+        deadline_ns = self.last_select_ns + CLIENT_REQUESTS_TURN_NS
+        clients_with_pending: list[ReadyConnection] = [(client, 0) for client in self.clients.with_pending]
+        for index, (connection, events) in enumerate(clients_with_pending + ready):
             if events and not connection.unread_since_ns:
-                connection.unread_since_ns = previous_ns
-            if self.clock.now() > until_ns:
-                for waiting, waiting_events in ready[max(0, index + 1 - len(left_over)) :]:
-                    if waiting_events and not waiting.unread_since_ns:
-                        waiting.unread_since_ns = previous_ns
+                connection.unread_since_ns = previous_select_ns
+            if self.clock.now() > deadline_ns:
+                for undispatched, undispatched_events in ready[
+                    max(0, index + 1 - len(clients_with_pending)) :
+                ]:
+                    if undispatched_events and not undispatched.unread_since_ns:
+                        undispatched.unread_since_ns = previous_select_ns
                 return
             if events:
-                self.clients.unread_ns = self.clock.now() - connection.unread_since_ns
+                self.clients.max_unread_ns = self.clock.now() - connection.unread_since_ns
                 connection.unread_since_ns = 0
                 self.handle_ready(connection, events)
             if isinstance(connection, ClientConnection):
                 self.clients.dispatch_pending(connection)
-            self._flush_in_long_turn()
+            self._flush_in_long_iteration()
 
-    def _flush_in_long_turn(self) -> None:
+    def _flush_in_long_iteration(self) -> None:
         """In a long iteration, writes queued output and reads disconnects at a fixed interval."""
         now = self.clock.now()
         if now - self.last_flush_ns < LONG_TURN_FLUSH_INTERVAL_NS:
@@ -357,10 +365,10 @@
     def flush(self) -> None:
         """Writes queued output; a failed write is an input, whose effects may queue more output."""
         transport = self.transport
-        while transport.has_pending_work() or self.clients.decided_closes:
+        while transport.has_pending_work() or self.clients.requested_closes:
             transport.write_pending()
             transport.report_failed_writes()
-            self.clients.close_as_decided()
+            self.clients.close_requested()
             transport.report_failed_opens()
 
     def sweep(self, now: int) -> None:
@@ -383,12 +391,12 @@
         """Delivers the timers that are due; unread requests delay the last step of the shutdown."""
         while self.timers and self.timers[0][0] <= now and not self.is_stopping:
             key = heapq.heappop(self.timers)[2]
-            is_the_end = key[0] is messages.TimerKind.SHUTDOWN and key[1] == SHUTDOWN_LAST_STEP
-            if is_the_end and self._has_unread_requests(now):
-                self.schedule_timer(effects.ScheduleTimer(now + SHUTDOWN_RETRY_NS, key))
+            is_last_step = key[0] is messages.TimerKind.SHUTDOWN and key[1] == SHUTDOWN_LAST_STEP
+            if is_last_step and self._has_unread_requests(now):
+                self.schedule_timer(effects.ScheduleTimer(now + SHUTDOWN_RETRY_INTERVAL_NS, key))
             else:
                 self.transport.handle_input(inputs.TimerFired(key))
-                self._flush_in_long_turn()
+                self._flush_in_long_iteration()
 
     def _has_unread_requests(self, now: int) -> bool:
         """Whether a request waits unread while nothing else delays the exit.
@@ -398,9 +406,9 @@
         """
         if not self.reducer.is_shutting_down or self.reducer.state.requests:
             return False
-        if not self.shutdown_put_off_until_ns:
-            self.shutdown_put_off_until_ns = now + SHUTDOWN_DRAIN_TIMEOUT_NS
-        if now >= self.shutdown_put_off_until_ns:
+        if not self.shutdown_delay_limit_ns:
+            self.shutdown_delay_limit_ns = now + MAX_SHUTDOWN_DELAY_NS
+        if now >= self.shutdown_delay_limit_ns:
             return False
         return bool(self.clients.with_pending) or any(
             client.has_unread_input() for client in self.clients.open.values()
@@ -412,7 +420,7 @@
         self.is_stopping = True
 
 
-def _has_ended(client: ClientConnection) -> bool:
+def _has_disconnected(client: ClientConnection) -> bool:
     """Whether a client has closed its side or its connection has failed; discards the bytes it reads."""
     try:
         return not client.sock.recv(BUFFER_BYTES)
--- a/kelpcroft/net/lingering_close.py
+++ b/kelpcroft/net/lingering_close.py
@@ -11,7 +11,7 @@
 import socket
 from typing import TYPE_CHECKING, Final
 
-from kelpcroft.net.transport import MAX_READS_PER_TURN, SECOND
+from kelpcroft.net.transport import MAX_READS_PER_ITERATION, SECOND
 
 if TYPE_CHECKING:
     from kelpcroft.net.client_connections import ClientConnection, ClientConnections
@@ -23,9 +23,9 @@
 class LingeringClients:
     """Clients in a lingering close, oldest close first."""
 
-    def __init__(self, owner: ClientConnections, max_clients: int) -> None:
-        self.owner = owner
-        self.transport = owner.transport
+    def __init__(self, connections: ClientConnections, max_clients: int) -> None:
+        self.connections = connections
+        self.transport = connections.transport
         self.max_clients = max_clients
         self.clients: dict[int, ClientConnection] = {}
 
@@ -38,7 +38,7 @@
     def close_oldest(self) -> None:
         """Closes the socket that has been in a lingering close for longest, if there is one."""
         for client in list(self.clients.values())[:1]:
-            self.owner.close(client)
+            self.connections.close(client)
 
     def end_output(self, client: ClientConnection) -> None:
         """Shuts down the output side of a connection if all its output is written."""
@@ -48,27 +48,27 @@
             try:
                 client.sock.shutdown(socket.SHUT_WR)
             except OSError:
-                self.owner.close(client)
+                self.connections.close(client)
 
     def discard_input(self, client: ClientConnection) -> None:
         """Reads and discards a client's input."""
         try:
-            for _ in range(MAX_READS_PER_TURN):
+            for _ in range(MAX_READS_PER_ITERATION):
                 count = client.sock.recv_into(self.transport.read_buffer)
                 client.discarded_bytes += count
                 if not count:
-                    self.owner.connection_failed(client, "")
+                    self.connections.connection_failed(client, "")
                     return
                 if client.discarded_bytes > LINGERING_CLOSE_MAX_BYTES:
-                    self.owner.close(client)
+                    self.connections.close(client)
                     return
         except BlockingIOError:
             pass
         except OSError:
-            self.owner.connection_failed(client, "")
+            self.connections.connection_failed(client, "")
 
     def sweep(self, now: int) -> None:
         """Closes the sockets of clients that have not closed their side in time."""
         for client in list(self.clients.values()):
             if now - client.closing_since_ns > LINGERING_CLOSE_TIMEOUT_NS:
-                self.owner.close(client)
+                self.connections.close(client)
--- a/kelpcroft/net/listeners.py
+++ b/kelpcroft/net/listeners.py
@@ -49,15 +49,15 @@
         raise ConfigError(
             f"ROUTER_FD: descriptor {fd}: {error.strerror or error}; expected a listening TCP socket"
         ) from error
-    why_not = _why_no_listener(sock)
-    if why_not:
+    defect = _listener_defect(sock)
+    if defect:
         sock.detach()
-        raise ConfigError(f"ROUTER_FD: descriptor {fd} {why_not}; expected a listening TCP socket")
+        raise ConfigError(f"ROUTER_FD: descriptor {fd} {defect}; expected a listening TCP socket")
     sock.setblocking(False)
     return sock
 
 
-def _why_no_listener(sock: socket.socket) -> str:
+def _listener_defect(sock: socket.socket) -> str:
     """Returns why a socket is not a listening TCP socket; empty if it is one."""
     kind = sock.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE)
     family = sock.getsockopt(socket.SOL_SOCKET, socket.SO_DOMAIN)
@@ -116,9 +116,9 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
-    def log_failed_accept(self, what: str, error: OSError) -> None:
+    def log_failed_accept(self, operation: str, error: OSError) -> None:
         """Logs that a connection could not be accepted."""
-        self.transport.log("accept.failed", f"{what}: {error}", {"why": str(error)}, "warning")
+        self.transport.log("accept.failed", f"{operation}: {error}", {"why": str(error)}, "warning")
 
     def close(self) -> None:
         """Closes the listening socket; no more connections are accepted."""
--- a/kelpcroft/net/memory.py
+++ b/kelpcroft/net/memory.py
@@ -5,10 +5,10 @@
 import os
 import resource
 
-STATUS = "/proc/self/status"
+PROCESS_STATUS_PATH = "/proc/self/status"
 
 
-def peak_kb(status: str | os.PathLike[str] = STATUS) -> int:
+def peak_kb(status_path: str | os.PathLike[str] = PROCESS_STATUS_PATH) -> int:
     """Returns the peak resident memory of this process since its start, in kB.
 
     The value is the kernel's ``VmHWM`` in ``/proc/self/status`` (proc(5)).  ``ru_maxrss`` starts at the peak
@@ -16,8 +16,8 @@
     only if that file cannot be read.
     """
     try:
-        with open(status) as page:
-            lines = page.read().splitlines()
+        with open(status_path) as status_file:
+            lines = status_file.read().splitlines()
         for line in lines:
             if line.startswith("VmHWM:"):
                 return int(line.split()[1])
--- a/kelpcroft/net/server_connections.py
+++ b/kelpcroft/net/server_connections.py
@@ -12,7 +12,7 @@
 from kelpcroft.net.transport import SECOND, WRITABLE, Connection, ConnectionHandler, Transport
 
 # A connection that has been idle for longer than this is read before an attempt is written to it.
-RESTED_NS: Final = SECOND // 50
+READ_BEFORE_WRITE_IDLE_NS: Final = SECOND // 50
 # Maximum silence within a response; the rest of a response that pauses longer is not expected any more.
 PARTIAL_RESPONSE_TIMEOUT_NS: Final = SECOND // 5
 WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that accepts no output for this long is closed
@@ -78,15 +78,15 @@
         """Sends a health check."""
         self.send(effect.connection, server_codec.encode_health_check(effect))
 
-    def send(self, number: int, pieces: list[messages.Body], attempt_id: str = "") -> None:
+    def send(self, number: int, chunks: list[messages.Body], attempt_id: str = "") -> None:
         """Queues bytes for a server; ``attempt_id`` is given if they are an attempt."""
         connection = self.open.get(number)
         if connection is None:
             return
-        connection.queued_bytes += sum(map(len, pieces))
+        connection.queued_bytes += sum(map(len, chunks))
         if attempt_id:
             connection.unsent_attempts.append((connection.queued_bytes, attempt_id))
-        self.transport.queue_write(connection, pieces)
+        self.transport.queue_write(connection, chunks)
 
     # Events of a connection -------------------------------------------------------------------------------
 
@@ -98,7 +98,7 @@
         """Reads an idle connection before an attempt, as its server may have closed it since the select."""
         if connection.unsent_attempts and connection.is_connected and connection.is_open():
             last_active_ns = max(connection.last_read_ns, connection.last_progress_ns)
-            if self.transport.clock.now() - last_active_ns > RESTED_NS:
+            if self.transport.clock.now() - last_active_ns > READ_BEFORE_WRITE_IDLE_NS:
                 self.read(connection)
 
     def bytes_written(self, connection: ServerConnection) -> None:
@@ -128,7 +128,9 @@
         if connection.number not in self.open:
             return
         sent_bytes = connection.write_buffer.sent_bytes
-        unsent = frozenset(attempt_id for end, attempt_id in connection.unsent_attempts if end > sent_bytes)
+        unsent = frozenset(
+            attempt_id for end_bytes, attempt_id in connection.unsent_attempts if end_bytes > sent_bytes
+        )
         self.close(connection)
         self.transport.handle_input(
             inputs.ServerConnectionLost(
--- a/kelpcroft/net/transport.py
+++ b/kelpcroft/net/transport.py
@@ -23,13 +23,13 @@
 from kelpcroft.net.errors import ProtocolError
 
 SECOND: Final = 1_000_000_000
-MAX_READS_PER_TURN: Final = 2  # buffers read from one connection before other connections are handled
+MAX_READS_PER_ITERATION: Final = 2  # buffers read from one connection before other connections are handled
 MAX_ACCEPTS_PER_TURN: Final = 64  # connections accepted at once before other connections are handled
-POOL_MEMORY_SHARE: Final = 3  # pooled buffers use at most the configured memory divided by this
+POOL_MEMORY_DIVISOR: Final = 3  # pooled buffers use at most the configured memory divided by this
 # Errors of a socket call for lack of descriptors or kernel memory.
 OUT_OF_DESCRIPTORS: Final = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 # Errors of a connect that show that nothing accepts connections at the address.
-UNREACHABLE: Final = (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT)
+UNREACHABLE_ERRORS: Final = (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT)
 
 NO_EVENTS: Final = 0
 READABLE: Final = selectors.EVENT_READ
@@ -70,7 +70,7 @@
         """
         buffer = self.transport.read_buffer
         try:
-            for _ in range(MAX_READS_PER_TURN):
+            for _ in range(MAX_READS_PER_ITERATION):
                 count = connection.sock.recv_into(buffer)
                 if not count:
                     self.connection_failed(connection, "")
@@ -149,7 +149,7 @@
         self.reducer = Reducer(config)
         self.selector = selectors.DefaultSelector()
         # Buffers of output that is not sent yet.
-        self.pool = BufferPool(config.memory_mb * 1024 * 1024 // POOL_MEMORY_SHARE // BUFFER_BYTES)
+        self.pool = BufferPool(config.memory_mb * 1024 * 1024 // POOL_MEMORY_DIVISOR // BUFFER_BYTES)
         self.read_buffer = bytearray(BUFFER_BYTES)  # for the input of one connection at a time
         self.effect_handlers: dict[type, Callable[[Any], None]] = {}  # by the exact type of the effect
         self.pending_writes: dict[Connection, None] = {}  # connections with queued output
@@ -164,10 +164,10 @@
         """Passes an input to the reducer and carries out the resulting effects."""
         self.perform_effects(self.reducer.handle(self.clock.now(), message))
 
-    def perform_effects(self, requested: list[effects.Effect]) -> None:
+    def perform_effects(self, requested_effects: list[effects.Effect]) -> None:
         """Carries out the reducer's effects in their order."""
         handlers = self.effect_handlers
-        for effect in requested:
+        for effect in requested_effects:
             handlers[type(effect)](effect)
 
     def next_number(self) -> int:
@@ -206,19 +206,19 @@
         connection.sock.close()
 
     def queue_write(
-        self, connection: Connection, pieces: list[messages.Body] | tuple[messages.Body, ...]
+        self, connection: Connection, chunks: list[messages.Body] | tuple[messages.Body, ...]
     ) -> None:
         """Queues bytes to be written at the next flush."""
-        connection.write_buffer.add(pieces)
+        connection.write_buffer.add(chunks)
         self.pending_writes[connection] = None
 
     def writable(self, connection: Connection) -> None:
         """Handles a connection that is reported writable: a connect has finished, or there is room."""
         if not connection.is_connected:
-            code = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if code:
-                reason = errno.errorcode.get(code, str(code))
-                connection.handler.connection_failed(connection, reason, code in UNREACHABLE)
+            error_number = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            if error_number:
+                reason = errno.errorcode.get(error_number, str(error_number))
+                connection.handler.connection_failed(connection, reason, error_number in UNREACHABLE_ERRORS)
                 return
             connection.is_connected = True
             connection.handler.connected(connection)
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -18,7 +18,7 @@
     def test_a_request_that_waits_unread_keeps_its_connection(self) -> None:
         """An idle timeout reset a connection whose next request had arrived but was not reported yet."""
         t = Turns(self)
-        client, cache = t.served()
+        client, cache = t.served_client()
         t.selector.hidden.add(t.socket_of(client))
         client.send(call(2))
         t.turn(IDLE_CLIENT_TIMEOUT_NS + SECOND)
@@ -35,7 +35,7 @@
         client has not read yet.
         """
         t = Turns(self)
-        client, cache = t.served()
+        client, cache = t.served_client()
         t.turn(IDLE_CLIENT_TIMEOUT_NS + SECOND)
         assert (len(t.loop.clients.open), len(t.loop.clients.lingering.clients)) == (0, 1)
         client.send(call(2))
@@ -47,15 +47,15 @@
         client.close()
         t.until(lambda: not t.loop.clients.lingering.clients, "the client's close ends the lingering close")
 
-    def test_a_client_that_never_ends_goes_after_its_time_or_its_bytes(self) -> None:
+    def test_a_lingering_close_ends_after_its_limit_of_time_or_bytes(self) -> None:
         t = Turns(self)
-        rests, floods = t.client(), t.client()
+        idle, flooding = t.client(), t.client()
         t.turn(SILENT_CLIENT_TIMEOUT_NS + 200 * MS)
         assert len(t.loop.clients.lingering.clients) == 2
 
         def flood() -> bool:
             try:
-                floods.sock.send(b"\x00" * 65_536)
+                flooding.sock.send(b"\x00" * 65_536)
             except BlockingIOError:
                 pass
             except OSError:
@@ -63,11 +63,11 @@
             return len(t.loop.clients.lingering.clients) == 1
 
         t.until(flood, f"the connection that sent over {LINGERING_CLOSE_MAX_BYTES} bytes is closed")
-        assert not rests.reset
+        assert not idle.reset
         t.turn(LINGERING_CLOSE_TIMEOUT_NS + 200 * MS)
         assert t.loop.clients.lingering.clients == {}
 
-    def test_those_that_are_let_go_have_a_bound(self) -> None:
+    def test_lingering_closes_are_bounded(self) -> None:
         t = Turns(self, limits={"sockets": 64})
         for _ in range(t.loop.clients.lingering.max_clients + 3):
             t.client().send(b"\xc1")
@@ -77,7 +77,7 @@
             t.loop.clients.lingering.max_clients,
         )
 
-    def test_an_answer_on_its_way_outlives_what_is_malformed_behind_it(self) -> None:
+    def test_a_response_in_flight_survives_malformed_input_after_it(self) -> None:
         """A close with unread input reset the connection, and the kernel discarded the unread response."""
         t = Turns(self)
         client = t.client()
@@ -86,12 +86,12 @@
         cache = t.taken("cache1")
         t.until(cache.pulls, "the attempt arrives")
         body = b"x" * 200_000
-        rest = [done(cache.pulls()[0], body)]
+        unsent = [done(cache.pulls()[0], body)]
 
         def push() -> bool:
             with contextlib.suppress(BlockingIOError):
-                rest[0] = rest[0][cache.sock.send(rest[0]) :]
-            return not rest[0]
+                unsent[0] = unsent[0][cache.sock.send(unsent[0]) :]
+            return not unsent[0]
 
         t.until(push, "the server's response is sent")
         t.until(lambda: not t.loop.reducer.state.requests, "the response arrives")
@@ -100,27 +100,27 @@
         client.send(b"\x00" * 10_000)
         t.until(lambda: client.read() and client.ended, "the complete response and the end arrive")
         assert not client.reset
-        assert body in client.got
+        assert body in client.received
 
     def test_one_line_names_a_bad_client(self) -> None:
         t = Turns(self)
         client = t.client()
         client.send(b"\xc1")
         t.until(lambda: client.read() or client.ended, "the router closes the connection")
-        told = [log for log in t.logged if log.event == "client.lost"]
-        assert len(told) == 1
-        assert "malformed" in told[0].text
+        losses = [log for log in t.logged if log.event == "client.lost"]
+        assert len(losses) == 1
+        assert "malformed" in losses[0].text
 
 
 class Ending(unittest.TestCase):
-    def ending(self, t: Turns) -> None:
+    def begin_shutdown(self, t: Turns) -> None:
         t.loop.signals.handle(bytes([signal.SIGTERM]))
 
     def test_a_request_that_waits_unread_puts_the_end_off(self) -> None:
         """A router short of CPU exited with unread requests in its sockets, as it counted read ones only."""
         t = Turns(self)
-        client, cache = t.served()
-        self.ending(t)
+        client, cache = t.served_client()
+        self.begin_shutdown(t)
         t.selector.hidden.add(t.socket_of(client))
         client.send(call(2))
         t.turn(900 * MS)
@@ -132,14 +132,14 @@
         t.turn(100 * MS)
         assert t.loop.is_stopping
 
-    def test_what_is_put_off_is_never_compared_by_its_key(self) -> None:
+    def test_delayed_timers_are_never_compared_by_their_keys(self) -> None:
         """Two timers with the same time and number made the heap compare their keys.
 
         Keys cannot be ordered; this happened for a shutdown step that was delayed.
         """
         t = Turns(self)
-        client, _ = t.served()
-        self.ending(t)
+        client, _ = t.served_client()
+        self.begin_shutdown(t)
         t.selector.hidden.add(t.socket_of(client))
         client.send(call(2))
         t.turn(790 * MS)
@@ -156,35 +156,35 @@
     def test_the_end_is_not_put_off_for_ever(self) -> None:
         t = Turns(self)
         client = t.client()
-        self.ending(t)
+        self.begin_shutdown(t)
         t.selector.hidden.add(t.socket_of(client))
         client.send(call(1))
         t.turn(3 * SECOND)
         assert t.loop.is_stopping
 
-    def test_who_waits_to_be_accepted_is_served_first(self) -> None:
+    def test_clients_in_the_accept_queue_are_served_first(self) -> None:
         """Clients in the accept queue were reset, with their requests unread, when the listener closed."""
         t = Turns(self)
-        _, cache = t.served()
+        _, cache = t.served_client()
         assert t.loop.acceptor.listener.sock is not None
         t.selector.hidden.add(t.loop.acceptor.listener.sock)
-        waits = [socket.create_connection(t.address) for _ in range(3)]
-        for n, sock in enumerate(waits):
+        queued = [socket.create_connection(t.address) for _ in range(3)]
+        for n, sock in enumerate(queued):
             self.addCleanup(sock.close)
             sock.sendall(call(1, trace=f"{n + 7:016x}"))
-        self.ending(t)
+        self.begin_shutdown(t)
         t.turn(600 * MS)
         assert t.loop.acceptor.listener.sock is None
         t.until(lambda: len(cache.pulls()) == 4, "all requests are forwarded")
 
-    def test_a_request_behind_the_last_look_is_not_sent_on(self) -> None:
+    def test_a_request_after_the_exit_decision_is_not_forwarded(self) -> None:
         """A request that arrives after the exit decision is discarded.
 
         The client sees a clean end of the connection without a response, and sends the request again.
         """
         t = Turns(self)
-        client, cache = t.served()
-        self.ending(t)
+        client, cache = t.served_client()
+        self.begin_shutdown(t)
         t.turn(900 * MS)
         assert t.loop.is_stopping
         client.send(call(2))
@@ -201,10 +201,10 @@
         client.send(call(1))
         cache = t.taken("cache1")
         t.until(cache.pulls, "the attempt arrives")
-        self.ending(t)
-        self.ending(t)
+        self.begin_shutdown(t)
+        self.begin_shutdown(t)
         t.turn(900 * MS)
-        self.ending(t)
+        self.begin_shutdown(t)
         assert not t.loop.is_stopping, "a request is open"
         cache.send(done(cache.pulls()[0]))
         t.until(client.answers, "the response arrives")
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -11,7 +11,7 @@
 
 
 class Floods(unittest.TestCase):
-    def settled(self, t: Turns) -> None:
+    def assert_nothing_left(self, t: Turns) -> None:
         """Checks that no buffer, pending message or open request is left."""
         assert (
             t.loop.transport.pool.in_use,
@@ -19,19 +19,19 @@
             t.loop.reducer.state.requests_by_client,
         ) == (0, {}, {})
 
-    def dialled(self, t: Turns) -> list[str]:
+    def connected_servers(self, t: Turns) -> list[str]:
         """Returns the servers to which a connection is open."""
         ports = {sock.getsockname()[1]: name for name, sock in t.listeners.items()}
         return [ports[s.sock.getpeername()[1]] for s in t.loop.servers.open.values()]
 
-    def served(self, t: Turns, client: Peer, cache: Peer, number: int) -> None:
+    def assert_served(self, t: Turns, client: Peer, cache: Peer, number: int) -> None:
         """Checks that another client's request is still served."""
         client.send(call(number, trace=f"{0xBEE0 + number:016x}"))
         t.until(lambda: f"{0xBEE0 + number:016x}" in cache.pulls(), "the request is forwarded")
         cache.send(done(f"{0xBEE0 + number:016x}"))
         t.until(lambda: [1, number, None, [b"by", {}]] in client.answers(), "the response arrives")
 
-    def test_a_byte_at_a_time(self) -> None:
+    def test_one_byte_per_iteration(self) -> None:
         """The client and the server each send one byte per iteration."""
         t = Turns(self)
         client = t.client()
@@ -45,23 +45,23 @@
             t.turn(MS)
         t.until(client.answers, "the response arrives")
         assert client.answers() == [[1, 1, None, [b"by", {}]]]
-        self.settled(t)
+        self.assert_nothing_left(t)
 
-    def test_much_at_once_and_gone(self) -> None:
+    def test_many_requests_and_an_immediate_close(self) -> None:
         """A client sends hundreds of requests, the last one incomplete, and closes: none is forwarded."""
         t = Turns(self)
-        other, cache = t.served()
-        floods = t.client()
+        other, cache = t.served_client()
+        flooding = t.client()
         with contextlib.suppress(BlockingIOError):
-            floods.send(
+            flooding.send(
                 b"".join(call(n, trace=f"{n + 99:016x}") for n in range(1, 10 * MAX_OPEN_CALLS_PER_CLIENT))
             )
-        floods.close()
+        flooding.close()
         t.turn(turns=5)
         t.turn(100 * MS)
         assert len(cache.pulls()) == 1
-        self.served(t, other, cache, 2)
-        self.settled(t)
+        self.assert_served(t, other, cache, 2)
+        self.assert_nothing_left(t)
         assert len([log for log in t.logged if log.event == "client.lost"]) <= 1
 
     def test_an_answer_that_never_ends(self) -> None:
@@ -70,35 +70,35 @@
         The router closes the connection, serves other requests, and retries the request if it may run again.
         """
         t = Turns(self)
-        other, cache = t.served()
+        other, cache = t.served_client()
         other.send(call(2))
         t.until(lambda: len(cache.pulls()) == 2, "the attempt arrives")
         cache.send(done(cache.pulls()[1], b"x" * 240_000)[:5_000])
         t.turn(PARTIAL_RESPONSE_TIMEOUT_NS + 200 * MS)
-        (where,) = self.dialled(t)
-        again = t.taken(where)
-        t.until(again.pulls, "the retry arrives")
-        again.send(done(again.pulls()[0]))
+        (server_name,) = self.connected_servers(t)
+        retry_peer = t.taken(server_name)
+        t.until(retry_peer.pulls, "the retry arrives")
+        retry_peer.send(done(retry_peer.pulls()[0]))
         t.until(lambda: len(other.answers()) == 2, "the response arrives")
-        self.settled(t)
+        self.assert_nothing_left(t)
 
     def test_a_second_answer_some_milliseconds_later(self) -> None:
         t = Turns(self)
-        client, cache = t.served()
+        client, cache = t.served_client()
         cache.send(done(cache.pulls()[0], b"other"))
         t.turn(5 * MS)
-        self.served(t, client, cache, 2)
+        self.assert_served(t, client, cache, 2)
         assert len(client.answers()) == 2
-        self.settled(t)
+        self.assert_nothing_left(t)
 
     def test_a_client_that_breaks_off_in_the_middle(self) -> None:
         t = Turns(self)
-        other, cache = t.served()
-        half = t.client()
-        half.send(call(1, trace=f"{7:016x}", body=b"x" * 40_000)[:20_000])
+        other, cache = t.served_client()
+        partial_sender = t.client()
+        partial_sender.send(call(1, trace=f"{7:016x}", body=b"x" * 40_000)[:20_000])
         t.turn(MS)
-        half.close(reset=True)
+        partial_sender.close(reset=True)
         t.turn(MS, turns=3)
-        self.served(t, other, cache, 2)
+        self.assert_served(t, other, cache, 2)
         assert len(t.loop.clients.open) == 1
-        self.settled(t)
+        self.assert_nothing_left(t)
--- a/tests/net/test_listeners.py
+++ b/tests/net/test_listeners.py
@@ -20,10 +20,10 @@
 
 class Adopt(unittest.TestCase):
     def test_a_listening_socket_is_served_on(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as held:
-            sock = adopt_listener(os.dup(held.fileno()))
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            sock = adopt_listener(os.dup(listener.fileno()))
             self.addCleanup(sock.close)
-            client = socket.create_connection(held.getsockname(), WAIT_S)
+            client = socket.create_connection(listener.getsockname(), WAIT_S)
             self.addCleanup(client.close)
             sock.setblocking(True)
             accepted, _ = sock.accept()
@@ -37,30 +37,30 @@
         idle = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         for sock in (udp, idle):
             self.addCleanup(sock.close)
-        for fd, why in (
+        for fd, reason in (
             (read, "Socket operation on non-socket"),
             (udp.fileno(), "is not of TCP"),
             (idle.fileno(), "does not listen"),
             (999, "Bad file descriptor"),
         ):
-            with self.subTest(why=why), pytest.raises(ConfigError) as caught:
+            with self.subTest(reason=reason), pytest.raises(ConfigError) as caught:
                 adopt_listener(fd)
             assert "ROUTER_FD" in str(caught.value)
-            assert why in str(caught.value)
+            assert reason in str(caught.value)
         os.fstat(read)  # still open: the router must not close a descriptor that it rejects
         assert idle.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE) == socket.SOCK_STREAM
 
     def test_an_address_in_use_is_named(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as held, pytest.raises(ConfigError) as caught:
-            bind_listener("listen", held.getsockname())
+        with socket.create_server(("127.0.0.1", 0)) as listener, pytest.raises(ConfigError) as caught:
+            bind_listener("listen", listener.getsockname())
         assert "listen: 127.0.0.1:" in str(caught.value)
 
     def test_router_fd_must_be_a_number(self) -> None:
         assert parse_config(EXAMPLE, {"ROUTER_FD": "3"}).inherited_listener_fd == 3
         assert parse_config(EXAMPLE, {}).inherited_listener_fd is None
-        for bad in ("three", "-1", "3.0", "9" * 9):
-            with self.subTest(bad=bad), pytest.raises(ConfigError):
-                parse_config(EXAMPLE, {"ROUTER_FD": bad})
+        for value in ("three", "-1", "3.0", "9" * 9):
+            with self.subTest(value=value), pytest.raises(ConfigError):
+                parse_config(EXAMPLE, {"ROUTER_FD": value})
 
 
 class Start(unittest.TestCase):
--- a/tests/net/test_size.py
+++ b/tests/net/test_size.py
@@ -13,7 +13,7 @@
 from kelpcroft.discovery.schedule import MAX_RETRY_DELAY_NS, SECOND_RETRY_DELAY_NS
 from kelpcroft.net.buffers import BUFFER_BYTES
 from kelpcroft.net.client_codec import ClientCodec
-from kelpcroft.net.client_connections import MAX_UNREAD_BYTES_PER_CLIENT, ClientConnection
+from kelpcroft.net.client_connections import MAX_UNSENT_BYTES_PER_CLIENT, ClientConnection
 from kelpcroft.net.clock import Clock
 from kelpcroft.net.event_loop import EventLoop
 from kelpcroft.net.server_connections import ServerConnection
@@ -22,29 +22,29 @@
 
 
 def pair(case: unittest.TestCase, size: int = 0) -> tuple[socket.socket, socket.socket]:
-    ours, theirs = socket.socketpair()
-    for sock in (ours, theirs):
+    router_end, peer_end = socket.socketpair()
+    for sock in (router_end, peer_end):
         case.addCleanup(sock.close)
         if size:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size)
-    ours.setblocking(False)
-    return ours, theirs
+    router_end.setblocking(False)
+    return router_end, peer_end
 
 
-class Pieces(unittest.TestCase):
-    def test_a_request_in_pieces_of_any_size(self) -> None:
+class Chunks(unittest.TestCase):
+    def test_a_request_in_chunks_of_any_size(self) -> None:
         fields = {"trace": TRACE, "patience": "900", "entity": TRACE, "block": "2", "family": "3"}
         data = b"".join(
             msgpack.packb([0, n, "page", [fields | {"trace": f"{n:016x}"}, b"x" * n]]) for n in range(1, 4)
         )
-        whole = ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(data))
+        expected = ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(data))
         for size in (1, 2, 3, 7, 64):
-            codec, found = ClientCodec(1, BUFFER_BYTES), []
-            for at in range(0, len(data), size):
-                found += codec.receive_data(memoryview(data)[at : at + size])
+            codec, decoded = ClientCodec(1, BUFFER_BYTES), []
+            for start in range(0, len(data), size):
+                decoded += codec.receive_data(memoryview(data)[start : start + size])
             with self.subTest(size=size):
-                assert found == whole
+                assert decoded == expected
                 assert not codec.has_partial_message()
 
 
@@ -55,7 +55,7 @@
         loop.reducer.start(NOW)
         return loop
 
-    def test_a_full_pool_keeps_nobody_from_being_read(self) -> None:
+    def test_connections_are_read_while_the_pool_is_full(self) -> None:
         """Reading needs no pooled buffer.
 
         Responses to clients that read nothing had filled the pool; the next server to respond lost its
@@ -64,9 +64,9 @@
         loop = self.loop()
         while loop.transport.pool.acquire() is not None:
             pass
-        ours, theirs = pair(self)
-        server = loop.servers.open[1] = ServerConnection(loop.servers, 1, ours, NOW)
-        theirs.sendall(GOOD)
+        router_end, peer_end = pair(self)
+        server = loop.servers.open[1] = ServerConnection(loop.servers, 1, router_end, NOW)
+        peer_end.sendall(GOOD)
         loop.servers.read(server)
         assert 1 in loop.servers.open
         assert server.codec.error == ""
@@ -74,64 +74,64 @@
     def test_a_client_read_at_a_megabyte_a_second_holds_a_bounded_backlog(self) -> None:
         """Unsent output of a slow client is stored in pooled buffers, never more than its responses need.
 
-        Above MAX_UNREAD_BYTES_PER_CLIENT the client is not read; as it reads, buffers return to the pool.
+        Above MAX_UNSENT_BYTES_PER_CLIENT the client is not read; as it reads, buffers return to the pool.
         """
         loop = self.loop()
-        ours, theirs = pair(self, 64 * 1024)
-        client = loop.clients.open[1] = ClientConnection(loop.clients, 1, ours, NOW)
-        owed = 8 * 240_000
+        router_end, peer_end = pair(self, 64 * 1024)
+        client = loop.clients.open[1] = ClientConnection(loop.clients, 1, router_end, NOW)
+        response_bytes = 8 * 240_000
         for n in range(8):
             loop.clients.send(1, (bytes([n]) * 240_000,))
         loop.flush()
-        most = loop.transport.pool.in_use
-        assert most * BUFFER_BYTES <= owed + BUFFER_BYTES
-        assert client.write_buffer.stored_bytes() > MAX_UNREAD_BYTES_PER_CLIENT
+        peak_in_use = loop.transport.pool.in_use
+        assert peak_in_use * BUFFER_BYTES <= response_bytes + BUFFER_BYTES
+        assert client.write_buffer.stored_bytes() > MAX_UNSENT_BYTES_PER_CLIENT
         assert loop.clients.interest_of(client) & 1 == 0, "not read while so much output is unsent"
-        got = b""
+        received = b""
         tick = 0
-        while len(got) < owed:
+        while len(received) < response_bytes:
             tick += 1  # a tick is 1/16 s, in which a client with 1 MB/s reads 64 KB
             with contextlib.suppress(BlockingIOError):
-                got += theirs.recv(64 * 1024, socket.MSG_DONTWAIT)
+                received += peer_end.recv(64 * 1024, socket.MSG_DONTWAIT)
             loop.transport.write(client)
-            assert loop.transport.pool.in_use <= most
-        assert got == b"".join(bytes([n]) * 240000 for n in range(8))
+            assert loop.transport.pool.in_use <= peak_in_use
+        assert received == b"".join(bytes([n]) * 240000 for n in range(8))
         assert (loop.transport.pool.in_use, client.write_buffer.stored_bytes()) == (0, 0)
         assert loop.clients.interest_of(client) == 1, "read again"
-        assert tick < 4 * owed // (64 * 1024)
+        assert tick < 4 * response_bytes // (64 * 1024)
 
 
 class Feed(unittest.TestCase):
-    def test_a_feed_that_breaks_off_is_asked_again_sooner_than_the_rule_needs(self) -> None:
+    def test_a_failed_watch_is_retried_sooner_than_the_rule_needs(self) -> None:
         r = router()
         first = r.handle(NOW, inputs.WatchFailed("reset"))
         assert [e for e in first if isinstance(e, effects.PollFeed)] == [
             effects.PollFeed(r.endpoint_list.last_event)
         ]
-        waits = []
+        delays = []
         for n in range(1, 9):
-            (wake,) = [
+            (timer,) = [
                 e
                 for e in r.handle(NOW + n, inputs.WatchFailed("refused"))
                 if isinstance(e, effects.ScheduleTimer)
             ]
-            waits.append(wake.at_ns - NOW - n)
-        assert waits[:4] == [
+            delays.append(timer.at_ns - NOW - n)
+        assert delays[:4] == [
             SECOND_RETRY_DELAY_NS,
             2 * SECOND_RETRY_DELAY_NS,
             4 * SECOND_RETRY_DELAY_NS,
             8 * SECOND_RETRY_DELAY_NS,
         ]
-        assert max(waits) == MAX_RETRY_DELAY_NS
-        listed = len(r.state.endpoints)
-        assert listed > 0, "the endpoint list is kept"
+        assert max(delays) == MAX_RETRY_DELAY_NS
+        endpoint_count = len(r.state.endpoints)
+        assert endpoint_count > 0, "the endpoint list is kept"
         r.handle(NOW + 10, inputs.WatchResponse(r.endpoint_list.last_event, ()))
-        (wake,) = [
+        (timer,) = [
             e
             for e in r.handle(NOW + 11, inputs.WatchFailed("x")) + r.handle(NOW + 12, inputs.WatchFailed("x"))
             if isinstance(e, effects.ScheduleTimer)
         ]
-        assert wake.at_ns - NOW - 12 == SECOND_RETRY_DELAY_NS, "a response resets the retry delay"
+        assert timer.at_ns - NOW - 12 == SECOND_RETRY_DELAY_NS, "a response resets the retry delay"
 
 
 if __name__ == "__main__":
--- a/tests/support/loop_turns.py
+++ b/tests/support/loop_turns.py
@@ -34,7 +34,7 @@
 OBJECT = "7f3a9c21e0b4d655"
 
 
-class Unblocked(selectors.DefaultSelector):
+class NonBlockingSelector(selectors.DefaultSelector):
     """A selector that never waits, as the test moves the clock; it omits the sockets in ``hidden``."""
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
     """One end of a connection, read and written as bytes."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.got, self.ended, self.reset = sock, b"", False, False
+        self.sock, self.received, self.ended, self.reset = sock, b"", False, False
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -66,9 +66,9 @@
             except ConnectionResetError:
                 self.ended = self.reset = True
                 break
-            self.got += data
+            self.received += data
             self.ended = not data
-        return self.got
+        return self.received
 
     def close(self, reset: bool = False) -> None:
         if reset:
@@ -147,13 +147,13 @@
             }
             for n in only
         ]
-        feed_at = self.at("feed")
+        feed_address = self.at("feed")
         if not feed:
             self.listeners.pop("feed").close()
         raw = copy.deepcopy(
             {
                 **EXAMPLE,
-                "feed": feed_at,
+                "feed": feed_address,
                 "known": {
                     "n": 1,
                     "events": [{"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": endpoints}}],
@@ -168,7 +168,7 @@
         self.logged: list[effects.LogEvent] = []
         self.loop = EventLoop(parse_config(raw, {}), Clock(self.clock))
         self.loop.transport.selector.close()
-        self.loop.transport.selector = self.selector = Unblocked()
+        self.loop.transport.selector = self.selector = NonBlockingSelector()
         self.loop.transport.event_log.write = lambda now, log: self.logged.append(log)  # type: ignore[method-assign]
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
@@ -213,21 +213,22 @@
         for _ in range(turns - bool(after_ns)):
             self.loop.run_turn()
 
-    def until(self, so: Callable[[], Any], what: str = "") -> None:
+    def until(self, condition: Callable[[], Any], description: str = "") -> None:
         """Runs iterations at this instant until a condition holds, so that bytes in flight arrive."""
         end = time.monotonic() + WAIT_S
-        while not so():
-            assert time.monotonic() < end, f"condition not reached in {WAIT_S} s: {what or so}"
+        while not condition():
+            assert time.monotonic() < end, f"condition not reached in {WAIT_S} s: {description or condition}"
             self.loop.run_turn()
 
     def client(self) -> Peer:
         """Returns a client whose connection the router has accepted."""
         peer = Peer(socket.create_connection(self.address, WAIT_S))
         self.case.addCleanup(peer.sock.close)
-        here = peer.sock.getsockname()
+        local_address = peer.sock.getsockname()
         self.until(
             lambda: any(
-                c.sock.fileno() >= 0 and c.sock.getpeername() == here for c in self.loop.clients.open.values()
+                client.sock.fileno() >= 0 and client.sock.getpeername() == local_address
+                for client in self.loop.clients.open.values()
             ),
             "the client is accepted",
         )
@@ -235,11 +236,15 @@
 
     def socket_of(self, peer: Peer) -> socket.socket:
         """Returns the router's socket of a client's connection."""
-        here = peer.sock.getsockname()
-        (found,) = [c.sock for c in self.loop.clients.open.values() if c.sock.getpeername() == here]
+        local_address = peer.sock.getsockname()
+        (found,) = [
+            client.sock
+            for client in self.loop.clients.open.values()
+            if client.sock.getpeername() == local_address
+        ]
         return found
 
-    def served(self, number: int = 1) -> tuple[Peer, Peer]:
+    def served_client(self, number: int = 1) -> tuple[Peer, Peer]:
         """Returns a client that has received a response, and the cache's end of the server connection."""
         client = self.client()
         client.send(call(number))
@@ -251,18 +256,18 @@
 
     def taken(self, name: str) -> Peer:
         """Returns the server's end of the router's next connection to it."""
-        found: list[socket.socket] = []
+        accepted: list[socket.socket] = []
 
-        def come() -> bool:
+        def has_accepted() -> bool:
             try:
-                found.append(self.listeners[name].accept()[0])
+                accepted.append(self.listeners[name].accept()[0])
             except BlockingIOError:
                 return False
             return True
 
-        self.until(come, f"the router connects to {name}")
-        self.case.addCleanup(found[0].close)
-        return Peer(found[0])
+        self.until(has_accepted, f"the router connects to {name}")
+        self.case.addCleanup(accepted[0].close)
+        return Peer(accepted[0])
 
     def none(self, name: str, turns: int = 5) -> None:
         """Checks that the router does not connect to a server."""
