--- a/kelpcroft/net/client_acceptor.py
+++ b/kelpcroft/net/client_acceptor.py
@@ -23,7 +23,7 @@
         self.clients = clients
 
     def listen(self, sock: socket.socket | None) -> None:
-        """Starts to accept clients on a given socket, or else at the configured address."""
+        """Starts to accept clients on a given socket; None binds one at the configured address."""
         config = self.transport.config
         if sock is None:
             sock = bind_listener("listen", config.listen_address)
--- a/kelpcroft/net/client_connections.py
+++ b/kelpcroft/net/client_connections.py
@@ -195,9 +195,9 @@
     def close_gracefully(self, client: ClientConnection, reason: str = "") -> None:
         """Closes a client's connection without losing the responses already sent or queued.
 
-        The client's input is discarded, and its open requests are abandoned.  Queued responses are written,
-        and then the output side is shut down.  The socket is closed when the client has closed its side or a
-        limit of the lingering close is reached (see ``LingeringClients``).
+        The client's input is discarded, and its open requests end without a response.  Queued responses are
+        written, and then the output side is shut down.  The socket is closed when the client has closed its
+        side or a limit of the lingering close is reached (``LingeringClients``).
         """
         if client.number not in self.open:
             return
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -200,7 +200,7 @@
         self.flush_and_close()
 
     def flush_and_close(self) -> None:
-        """Writes the remaining output, then waits until clients have read it and closed.
+        """Writes the remaining output, then waits up to SHUTDOWN_LINGER_NS for clients to read it and close.
 
         A close with unread input would reset their connections, so the output side is shut down first.
         Input that arrives from then on is discarded and never forwarded to a server.
@@ -401,7 +401,7 @@
     def _has_unread_requests(self, now: int) -> bool:
         """Whether a request waits unread while nothing else delays the exit.
 
-        The kernel has acknowledged such a request to its client, so the client gets a response before the
+        The kernel has already acknowledged the request's bytes, so its client gets a response before the
         exit.
         """
         if not self.reducer.is_shutting_down or self.reducer.state.requests:
@@ -415,7 +415,7 @@
         )
 
     def _exit(self, _effect: effects.Exit) -> None:
-        """Writes the output queued so far; ``run`` ends after this iteration."""
+        """Writes all queued output; ``run`` ends after this iteration."""
         self.flush()
         self.is_stopping = True
 
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -180,7 +180,7 @@
     def test_a_request_after_the_exit_decision_is_not_forwarded(self) -> None:
         """A request that arrives after the exit decision is discarded.
 
-        The client sees a clean end of the connection without a response, and sends the request again.
+        The connection ends cleanly without a response, so the client sends the request again.
         """
         t = Turns(self)
         client, cache = t.served_client()
