--- a/kelpcroft/core/attempt_completion.py
+++ b/kelpcroft/core/attempt_completion.py
@@ -1,4 +1,4 @@
-"""The end of an attempt: taken off the tables, counted, and reported to the decision module once."""
+"""The end of an attempt: removed from the tables, counted, and reported to the decision package once."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.invariants import holds
 
-# Outcomes after which the elapsed time counts as a sample of the route's latency.
+# Outcomes after which the elapsed time is a sample of the route's latency.
 TIMED_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)
-# Fill results that mean that the origin, or the server filled from, refused or failed.
+# Fill results that report that the origin or another fill source rejected the fetch or failed.
 SOURCE_FAILURES = (FillResult.SOURCE_REFUSED, FillResult.SOURCE_BROKE, FillResult.ORIGIN_FAILED)
 
 
@@ -29,14 +29,14 @@
         source_wait_ns: int = 0,
         load_report: dict[str, float] | None = None,
     ) -> None:
-        """End an attempt: its tables, what learns from it, and the decision module, in this order.
+        """End an attempt: update the tables, the estimators and the decision package, in this order.
 
         Args:
-            attempt: One that has not ended.
+            attempt: An attempt that has not ended.
             outcome: How it ended.
-            fill_result: How the server's own fetch went, as its answer reports it.
+            fill_result: Result of the server's fill, as its response reports it.
             source_wait_ns: Wait for the fill source's first byte; 0 = not reported.
-            load_report: What the server reports of itself.
+            load_report: The load that the server reports; None = no report.
         """
         state = self.state
         if not holds(state.attempts.pop(attempt.number, None) is not None, "an attempt ends once"):
@@ -70,7 +70,7 @@
         source_wait_ns: int,
         load_report: dict[str, float] | None,
     ) -> None:
-        """Give the end to the origin's concurrency limit, the fleet size estimate and the route's latency."""
+        """Report the end to the origin concurrency limit, the fleet size estimate and the route's latency."""
         state = self.state
         if attempt.asks_origin and state.origin_limit is not None:
             is_late = self.is_late_at_origin(attempt, outcome, fill_result, source_wait_ns)
@@ -88,7 +88,7 @@
             allowance.record_latency(state.now, state.now - attempt.started_ns)
 
     def remove_from_tables(self, attempt: Attempt) -> None:
-        """Take an attempt off its connection and its request."""
+        """Remove an attempt from its connection and its request."""
         request, connection = attempt.request, attempt.connection
         connection.unsent.pop(request.message.trace_id, None)
         connection.in_flight.pop(request.message.trace_id, None)
@@ -98,7 +98,7 @@
         self.state.touched_requests.append(request)
 
     def record_execution(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Count the end, and note whether the attempt may have run."""
+        """Count the outcome, and record whether the attempt may have been executed."""
         request = attempt.request
         self.state.counters[outcome.name.lower()] += 1
         request.may_have_executed = not outcome.proves_not_executed
@@ -106,7 +106,7 @@
             self.record_not_executed(attempt)
 
     def record_not_executed(self, attempt: Attempt) -> None:
-        """An attempt has certainly not run: its idempotency key is not bound by it."""
+        """Record that an attempt was certainly not executed: it does not bind its idempotency key."""
         message = attempt.request.message
         if message.idempotency_key:
             self.state.idempotency_keys.record_not_executed(
@@ -114,7 +114,7 @@
             )
 
     def record_fleet_report(self, server: str, outstanding: float) -> None:
-        """How many requests a server has in all, beside how many of them are this router's."""
+        """Report a server's outstanding requests, and how many of them are from this router."""
         state = self.state
         assert state.fleet_size is not None
         own = sum(len(connection.in_flight) for connection in state.connections.by_server.get(server, ()))
@@ -128,7 +128,7 @@
         source_wait_ns: int,
         load_report: dict[str, float],
     ) -> None:
-        """The step ``ended`` of the trace."""
+        """Trace the step ``ended``: an attempt has ended."""
         self.state.trace(
             "ended",
             id=attempt.request.message.trace_id,
@@ -147,7 +147,7 @@
     def is_late_at_origin(
         self, attempt: Attempt, outcome: Outcome, fill_result: FillResult, source_wait_ns: int
     ) -> bool | None:
-        """Whether the origin took too long over a fetch; None where its end does not show it."""
+        """Whether the origin was too slow for a fetch; None if the attempt's end does not show it."""
         if outcome in (Outcome.TIMEOUT, Outcome.FULL) or fill_result in SOURCE_FAILURES:
             return True
         if outcome is not Outcome.OK:
--- a/kelpcroft/core/attempt_sending.py
+++ b/kelpcroft/core/attempt_sending.py
@@ -1,4 +1,4 @@
-"""The beginning of an attempt: from the decision module's ForwardRequest to its bytes on a connection."""
+"""The start of an attempt, from the decision package's ForwardRequest to its bytes on a connection."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 if TYPE_CHECKING:
     from kelpcroft.routes import RequestAllowance
 
-MAX_CONNECTIONS_PER_ATTEMPT = 3  # tried for one attempt while each breaks at once
+MAX_CONNECTIONS_PER_ATTEMPT = 3  # connections used for one attempt while each is lost before it is sent
 
 
 class AttemptSender:
-    """Makes attempts and writes them to their connections."""
+    """Creates attempts and sends them on their connections."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
     def forward(self, action: api.ForwardRequest) -> None:
         """Send an attempt, now or when its connection is established.
 
-        Where it can't be sent the decision module hears of its end in the same input.
+        If it cannot be sent, its end is reported to the decision package while the same input is handled.
         """
         state = self.state
         request = state.requests.get(int(action.id))
@@ -62,7 +62,7 @@
     def register(
         self, action: api.ForwardRequest, request: OpenRequest, index: int, connection: PooledConnection
     ) -> Attempt:
-        """A new attempt in the tables."""
+        """Create an attempt and add it to the tables."""
         state = self.state
         state.last_number += 1
         attempt = Attempt(state.last_number, request, action, state.now, index, connection)
@@ -78,9 +78,10 @@
         return attempt
 
     def schedule_timeout(self, attempt: Attempt) -> None:
-        """End the attempt at its time limit, and at the request's deadline at the latest.
+        """Schedule the attempt timeout, at the latest at the request's deadline.
 
-        The decision module learns of the end at the deadline: its final answer goes out within the slack.
+        The decision package receives the end at the deadline, and its final response is sent within the
+        response slack.
         """
         due_ns = attempt.request.deadline_ns
         if attempt.forward.timeout_ns:
@@ -89,10 +90,10 @@
         self.state.effects.append(ScheduleTimer(due_ns, key))
 
     def charge(self, request: OpenRequest, allowance: RequestAllowance) -> None:
-        """Take a retry or a hedge from the route's budget, and schedule the next hedge.
+        """Charge a retry or a hedge to the route's budget, and schedule the next hedge.
 
-        The first attempt costs nothing, nor does a retry of what has certainly not run; a retry after a
-        back-off was paid for when the back-off began.
+        The first attempt is not charged, nor is a retry after an attempt that was certainly not executed.
+        A retry after a back-off was charged when the back-off began.
         """
         state = self.state
         paid = True
@@ -108,9 +109,9 @@
             state.effects.append(ScheduleTimer(state.now + allowance.hedge_delay_ns, key))
 
     def retry_connection(self, attempt: Attempt) -> bool:
-        """Whether an attempt waits for another connection now.
+        """Move an attempt to another connection; return whether it was moved.
 
-        Nothing was sent on a connection that broke at once, and its reset is no evidence against the server.
+        Nothing was sent on the lost connection, and its reset is not evidence against the server.
         """
         if attempt.request.is_answered:
             return False
@@ -125,7 +126,7 @@
         return True
 
     def send_or_queue(self, attempt: Attempt) -> None:
-        """Write an attempt, or let it wait until its connection is established."""
+        """Send an attempt, or queue it until its connection is established."""
         connection, trace_id = attempt.connection, attempt.request.message.trace_id
         if connection.is_connected:
             connection.in_flight[trace_id] = attempt.number
@@ -134,10 +135,10 @@
             connection.unsent[trace_id] = attempt.number
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt.  Its time limit is what is left of it now."""
+        """Send an attempt with the rest of its timeout."""
         state, forward = self.state, attempt.forward
         if attempt.request.is_answered:
-            # Its client has left, or has its answer: what waited for its connection is not sent on.
+            # The client has left or has its response, so an attempt that waited for a connection is not sent.
             self.completion.finish(attempt, Outcome.MOOT)
             return
         if not self.bind_idempotency_key(attempt):
@@ -151,11 +152,11 @@
         state.effects.append(send_effect(attempt, max(1, (due_ns - state.now) // MS)))
 
     def bind_idempotency_key(self, attempt: Attempt) -> bool:
-        """Note that a key may run from now on; a class that may run more than once needs none.
+        """Record that a key may be executed from now on; a safe class needs no record.
 
         Returns:
-            False where the attempt must not be sent: it was chosen in time, and waited for its connection
-            until its key's window was over.
+            False if the attempt must not be sent: it was chosen within its key's deduplication window, but
+            the window ended while the attempt waited for its connection.
         """
         state, message = self.state, attempt.request.message
         if not message.idempotency_key:
@@ -180,17 +181,17 @@
         return True
 
     def watch_for_silence(self, connection: PooledConnection) -> None:
-        """See to it that a timer looks whether anything comes on a connection."""
+        """Schedule the silence timer of a connection, unless it has one."""
         if connection.has_silence_timer:
             return
         connection.has_silence_timer = True
-        # Where health checks are allowed the first look comes at half the time: it sends one.
+        # If health checks are allowed, the timer first fires at half the limit, to send a health check.
         parts = 2 if self.state.settings.limits.may_probe else 1
         limit_ns = self.response_times.silence_limit_ns() // parts
         self.state.schedule(limit_ns, TimerKind.CONNECTION_SILENCE, connection.number)
 
     def trace_send(self, attempt: Attempt, due_ns: int) -> None:
-        """The step ``sent`` of the trace."""
+        """Trace the step ``sent``: an attempt was sent."""
         forward = attempt.forward
         self.state.trace(
             "sent",
@@ -207,7 +208,7 @@
 
 
 def send_effect(attempt: Attempt, timeout_ms: int) -> SendAttempt:
-    """What the loop is asked to write for an attempt."""
+    """The effect with which the event loop sends an attempt."""
     forward = attempt.forward
     message: ClientRequest = attempt.request.message
     return SendAttempt(
--- a/kelpcroft/core/attempts.py
+++ b/kelpcroft/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: answers, time-outs, connections established or lost, cancellation, back-off, hedges."""
+"""Attempts in flight: responses, timeouts, connects and lost connections, cancellation, back-off, hedges."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 from kelpcroft.decision.interface import Outcome
 from kelpcroft.invariants import holds
 
-RECENT_RESPONSE_NS = SECOND  # a server that answered so lately lives, though it refuses a connection
+# A server that responded within this time is running, even if it refuses a connection.
+RECENT_RESPONSE_NS = SECOND
 
 
 class Attempts:
-    """What becomes of attempts once they are made.  Each one ends once, by ``AttemptCompletion``."""
+    """Handles inputs, timers and actions that concern attempts.  ``AttemptCompletion`` ends each one once."""
 
     def __init__(self, state: State, requests: ClientRequests) -> None:
         self.state = state
@@ -41,7 +42,7 @@
         self.sender = AttemptSender(state, self.connections, self.completion, self.response_times)
 
     def on_response(self, response: ServerResponse) -> None:
-        """A server has answered an attempt or a health check, or what was none or is over."""
+        """Handle a server's response; it may match no attempt or health check that is in flight."""
         state = self.state
         connection = state.connections.by_number.get(response.connection)
         if connection is None:
@@ -49,7 +50,7 @@
         connection.last_response_ns = state.now
         number = connection.in_flight.pop(response.attempt_id, None)
         if number is None:
-            # It crossed the cancellation, or is a second copy, or nobody's.
+            # It crossed the cancellation on the wire, is a duplicate, or has an id that was never sent.
             state.counters["answers unasked"] += 1
             return
         if response.outcome is not Outcome.OK:
@@ -62,11 +63,12 @@
         self.take_response(state.attempts[number], response)
 
     def take_response(self, attempt: Attempt, response: ServerResponse) -> None:
-        """End an attempt by its server's answer, and answer its request where that serves it."""
+        """End an attempt with its server's response, and serve the request if the response is a success."""
         state, message = self.state, attempt.request.message
         outcome = response.outcome
         if response.not_modified and not is_copy_of_client(response.etag, message.etag):
-            # It calls a copy current that the client did not name, or another: that is no answer to this.
+            # The response confirms a copy that is not the one the client holds (or the client named none),
+            # so it cannot serve this request.
             state.counters["copies not named"] += 1
             outcome = Outcome.ERROR
         else:
@@ -80,7 +82,7 @@
         self.completion.finish(attempt, outcome, response.note, response.source_wait_ns, response.load_report)
 
     def on_connected(self, number: int) -> None:
-        """A connection is established: what waited for it is written."""
+        """Handle an established connection: send the attempts and health checks that waited for it."""
         state = self.state
         connection = state.connections.by_number.get(number)
         if connection is None:
@@ -92,9 +94,9 @@
         if state.is_tracing:
             state.trace("up", server=connection.server, link=number, waiting=len(connection.unsent))
         waiting, connection.unsent = connection.unsent, {}
-        connection.in_flight.update(
-            waiting
-        )  # all at once: one that ends here must not leave an idle connection
+        # All of them are added before the first is sent: an attempt that ends while it is sent must not leave
+        # the connection empty, which would release it.
+        connection.in_flight.update(waiting)
         for attempt_id, waiting_number in waiting.items():
             if waiting_number in state.health_checks:
                 state.effects.append(SendHealthCheck(number, attempt_id))
@@ -102,17 +104,17 @@
                 self.sender.send(state.attempts[waiting_number])
 
     def on_connect_timeout(self, number: int) -> None:
-        """A connection that is not established by now is given up."""
+        """Close a connection that was not established within the connect timeout."""
         connection = self.state.connections.by_number.get(number)
         if connection is not None and not connection.is_connected:
             self.state.effects.append(CloseServerConnection(number))
-            self.on_connection_lost(ServerConnectionLost(number, "no connection in time", True))
+            self.on_connection_lost(ServerConnectionLost(number, "connect timeout", True))
 
     def on_connection_lost(self, lost: ServerConnectionLost) -> None:
-        """A connection has ended, or could not be had.
+        """Handle a connection that ended or could not be established.
 
-        Before it was established nothing was sent, so nothing ran; what was in flight when it broke may have
-        run.
+        Attempts that waited for the connection were not sent, so they were not executed.  Those in flight
+        when the connection was lost may have been executed.
         """
         state = self.state
         connection = state.connections.remove(lost.connection)
@@ -132,10 +134,11 @@
             self.lose(number, Outcome.RESET, attempt_id in lost.unsent_attempt_ids)
 
     def is_crowded(self, connection: PooledConnection) -> bool:
-        """Whether a server that refuses a connection has merely no place for one more.
+        """Whether a server that refused a connection is only at its connection limit.
 
-        One that answered on another connection just now is not gone.  What waited takes the others, and
-        where it cannot, the decision module chooses anew.
+        A server that responded on another connection within RECENT_RESPONSE_NS is running.  The waiting
+        attempts are sent on the other connections; for those that cannot be, the decision package chooses
+        again.
         """
         if connection.is_connected:
             return False
@@ -145,7 +148,7 @@
         return False
 
     def log_connection_lost(self, connection: PooledConnection, lost: ServerConnectionLost) -> None:
-        """The trace's step, and a line where anything was out."""
+        """Trace a lost connection, and log it if it carried attempts or health checks."""
         load = connection.load()
         if self.state.is_tracing:
             self.state.trace(
@@ -160,16 +163,16 @@
         if load:
             self.state.log(
                 "link.lost",
-                f"connection to {connection.server} lost with {load} out: {lost.reason}",
+                f"connection to {connection.server} lost with {load} requests on it: {lost.reason}",
                 "warning",
                 {"server": connection.server, "out": load, "why": lost.reason},
             )
 
     def lose(self, number: int, outcome: Outcome, was_unsent: bool) -> None:
-        """End what a lost connection carried, or have it wait for another one.
+        """End an attempt or health check of a lost connection, or queue the attempt on another connection.
 
         Args:
-            number: Of an attempt or a health check.
+            number: Number of the attempt or health check.
             outcome: How it ended.
             was_unsent: Not all of its bytes were written.
         """
@@ -179,7 +182,7 @@
             return
         attempt = self.state.attempts[number]
         if was_unsent and attempt.is_sent:
-            # Nobody can have run it, and it goes out as if it had waited.
+            # No server can have executed it, so it is treated as one that still waits for its connection.
             attempt.is_sent = False
             outcome = Outcome.MOOT
             self.state.counters["never written"] += 1
@@ -188,7 +191,7 @@
             self.completion.finish(attempt, outcome)
 
     def on_timeout(self, number: int) -> None:
-        """An attempt's time is over.  One that still waits for its connection has certainly not run."""
+        """End an attempt that timed out.  One that still waits for its connection was not executed."""
         attempt = self.state.attempts.get(number)
         if attempt is None:
             return
@@ -196,13 +199,14 @@
             self.completion.finish(attempt, Outcome.MOOT)
             return
         if attempt.connection.last_response_ns <= attempt.started_ns:
-            # Nothing at all since: the machine may be cut off, and come back behind another connection.
+            # The connection has been silent since the attempt began: the machine may be cut off from the
+            # network, and be reachable again only through a new connection.
             attempt.connection.is_retiring = True
         self.withdraw(attempt)
         self.completion.finish(attempt, Outcome.TIMEOUT)
 
     def cancel(self, action: api.Cancel) -> None:
-        """Stop waiting for an attempt of a request, answered or not."""
+        """Cancel an attempt, whether or not its request already has its final response."""
         number = self.state.attempt_numbers.get((action.id, action.attempt))
         if number is None:
             return
@@ -212,13 +216,13 @@
         self.completion.finish(attempt, Outcome.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Give a sent attempt up at its server, its connection being others' too."""
+        """Send the server a cancellation of a sent attempt; the connection stays open for other attempts."""
         connection, attempt_id = attempt.connection, attempt.request.message.trace_id
         connection.retired_ids[attempt_id] = self.state.now
         self.state.effects.append(CancelAttempt(connection.number, attempt_id))
 
     def abandon(self, request: OpenRequest) -> None:
-        """What still waits for its connection, of a request that is over, ends now."""
+        """End the attempts of a finished request that still wait for a connection."""
         for index in range(request.attempts_made):
             number = self.state.attempt_numbers.get((request.id, index), 0)
             attempt = self.state.attempts.get(number)
@@ -226,16 +230,17 @@
                 self.completion.finish(attempt, Outcome.MOOT)
 
     def cancel_matching(self, is_stale: Callable[[Attempt], bool]) -> None:
-        """Rules 3 and 5: what still waits for its connection was chosen before this news.
+        """End the attempts that wait for a connection and that an update has made invalid (rules 3 and 5).
 
-        The decision module chooses anew, as it would otherwise be sent up to a connection's time after it.
+        They were chosen before the update, and would be sent up to a connect timeout after it.  The decision
+        package chooses again.
         """
         stale = [a for a in self.state.attempts.values() if not a.is_sent and is_stale(a)]
         for attempt in stale:
             self.completion.finish(attempt, Outcome.MOOT)
 
     def back_off(self, action: api.BackOff) -> None:
-        """A request waits for its next attempt, which its route pays for now."""
+        """Start a request's back-off; the next attempt is charged to the route's retry budget now."""
         request = self.state.requests.get(int(action.id))
         if request is None or not holds(not request.is_backing_off, "a request waits once"):
             return
@@ -246,14 +251,14 @@
         self.state.effects.append(ScheduleTimer(action.until_ns, key))
 
     def on_backoff_elapsed(self, number: int) -> None:
-        """A request's wait between two attempts is over."""
+        """Report the end of a request's back-off to the decision package."""
         request = self.state.requests.get(number)
         if request is not None and request.is_backing_off:
             self.state.touched_requests.append(request)
             self.state.events.append(api.BackoffElapsed(request.id))
 
     def on_hedge_due(self, number: int, attempts_made: int) -> None:
-        """An attempt is out long enough for a second copy, if it is the last that was made."""
+        """Report that a hedge is due, if no attempt was made since the timer was set and one is in flight."""
         request = self.state.requests.get(number)
         if request is None or request.allowance is None:
             return
@@ -263,5 +268,5 @@
 
 
 def is_copy_of_client(response_etag: str, client_etag: str) -> bool:
-    """Whether a server that calls a copy current means the one that the client holds."""
+    """Whether a server's "not modified" response refers to the copy that the client holds."""
     return bool(client_etag) and response_etag.strip('"') == client_etag
--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests: which are accepted, and the one final answer of each."""
+"""Admission of client requests, and the single final response to each of them."""
 
 from __future__ import annotations
 
@@ -18,32 +18,33 @@
 
 FinalAnswer = SendResponse | RejectRequest | FailRequest
 
-# How a request ended, in the words of the step trace (``ROUTER_TRACE``) ...
+# How a request ended, as written in the step trace (``ROUTER_TRACE``).
 TRACE_WORDS: dict[type[Effect], str] = {
     SendResponse: "Serve",
     RejectRequest: "Decline",
     FailRequest: "Break",
 }
-# ... and in those of the statistics on the control address.
+# How a request ended, as written in the statistics on the control address.
 STATISTICS_WORDS: dict[type[Effect], str] = {
     SendResponse: "served",
     RejectRequest: "refused",
     FailRequest: "failed",
 }
-CLIENT_GONE = "gone"  # in both, where nobody wants an answer any more
+CLIENT_GONE = "gone"  # in the trace and the statistics: the client no longer waits for a response
 
 
 class ClientRequests:
-    """Takes requests in and answers each of them once."""
+    """Admits client requests and sends one final response to each of them."""
 
     def __init__(self, state: State) -> None:
         self.state = state
 
     def on_request(self, message: ClientRequest) -> None:
-        """Take a request in, or answer it at once.
+        """Admit a request, or send its final response immediately.
 
-        Misbehaving clients get an error or a close here, before anything is sent on for them: servers would
-        answer with errors, which would count against the server and the other request with the same id.
+        A misbehaving client receives an error, or its connection is closed, before an attempt is made for
+        it.  Servers would respond with errors, which would count against the server and against the other
+        request with the same id.
         """
         state = self.state
         if self.close_misbehaving_client(message):
@@ -52,8 +53,8 @@
         if request_class is None or not self.is_usable(message, request_class):
             self.fail_unusable(message, request_class)
             return
-        # Also where it is to run once for now, as in the passage to a file that makes its class keyed: the
-        # client's retry after it must find what this one has done.
+        # A key is recorded for unsafe classes too.  A class that a reload makes keyed is unsafe during the
+        # settings transition, and a retry after the transition must find the execution of this request.
         is_keyed = request_class.idempotency is not Idempotency.SAFE and bool(message.idempotency_key)
         reason = self.reject_reason(message, is_keyed)
         if reason:
@@ -62,12 +63,12 @@
         self.take(message, request_class, is_keyed)
 
     def close_misbehaving_client(self, message: ClientRequest) -> bool:
-        """Close a client that uses a number twice or has too much open.  Whether it was one."""
+        """Close a client that reuses an open request's number or has too many open; return whether it did."""
         open_here = self.state.requests_by_client.get(message.client, {})
         if message.request_number in open_here:
-            reason = f"call {message.request_number} is open already"
+            reason = f"request number {message.request_number} is already open"
         elif len(open_here) >= MAX_OPEN_REQUESTS_PER_CLIENT:
-            reason = "too many calls open"
+            reason = "too many open requests"
         else:
             return False
         self.state.counters["hung up on"] += 1
@@ -75,7 +76,7 @@
         return True
 
     def is_usable(self, message: ClientRequest, request_class: RequestClass) -> bool:
-        """Whether a request can be sent on as it is."""
+        """Whether a request is valid: it can be forwarded unchanged."""
         if message.validation_error:
             return False
         if message.remaining_time_ns > 2 * request_class.deadline_ns > 0:
@@ -85,7 +86,7 @@
         return request_class.idempotency is not Idempotency.KEYED or bool(message.idempotency_key)
 
     def fail_unusable(self, message: ClientRequest, request_class: RequestClass | None) -> None:
-        """The final answer to a request that could be read and not used."""
+        """Fail a request that was decoded but is not valid."""
         self.state.counters["not usable"] += 1
         if self.state.statistics is not None and request_class is not None:
             weight = request_class.priority_weight
@@ -93,11 +94,11 @@
         self.state.effects.append(FailRequest(message.client, message.request_number))
 
     def reject_reason(self, message: ClientRequest, is_keyed: bool) -> str:
-        """Why a usable request is not taken, as the counter's name; "" where it is."""
+        """The name of the counter for the reason why a valid request is rejected; "" if it is admitted."""
         state = self.state
         if is_keyed:
             if (message.request_class, message.idempotency_key) in state.idempotency_keys.in_use:
-                # Its first request is under way here: two of one key are never out together.
+                # Another request with this key is open here.  Two are never in flight at the same time.
                 return "keys in use"
             if state.idempotency_keys.is_full(state.now):
                 return "keys too many"
@@ -107,7 +108,7 @@
         return ""
 
     def take(self, message: ClientRequest, request_class: RequestClass, is_keyed: bool) -> None:
-        """Take a request in and hand it to the decision module."""
+        """Admit a request and pass it to the decision package."""
         state = self.state
         state.last_number += 1
         number = state.last_number
@@ -135,7 +136,7 @@
         state.events.append(decision_request(request, prior_execution, prior_attempt_unknown))
 
     def route_allowance(self, message: ClientRequest, request_class: RequestClass) -> RequestAllowance | None:
-        """What the request's route lets it cost; None without a route."""
+        """The attempts and budgets that the request's route allows it; None if there are no routes."""
         if self.state.routes is None:
             return None
         return self.state.routes.admit(
@@ -151,7 +152,7 @@
         )
 
     def trace_taken(self, message: ClientRequest) -> None:
-        """The step ``taken`` of the trace."""
+        """Trace the step ``taken``: a request was admitted."""
         self.state.trace(
             "taken",
             id=message.trace_id,
@@ -163,14 +164,15 @@
         )
 
     def reject(self, message: ClientRequest, reason: str) -> None:
-        """The final answer to a request that is not taken: a rejection, after which a retry is harmless.
+        """Reject a request that is not admitted: the client may retry it without harm.
 
-        It fails instead where an earlier request of its key may have run and a repeat elsewhere would run it
-        again (rule 2, which holds for every rejection, also for those that the decision module never sees).
+        The request fails instead if an earlier request with its key may have been executed and a retry
+        through another router would execute it again.  This is rule 2, which holds for every rejection,
+        including those that the decision package does not receive.
 
         Args:
             message: The request.
-            reason: The counter's name.
+            reason: Name of the counter for the reason.
         """
         state = self.state
         state.counters[reason] += 1
@@ -184,11 +186,11 @@
             state.effects.append(RejectRequest(message.client, message.request_number, 0))
 
     def is_retry_harmful(self, message: ClientRequest, request_class: RequestClass) -> bool:
-        """Whether a retry at another router might run what one of the same key has run."""
+        """Whether a retry through another router might repeat an execution for the same key."""
         if request_class.idempotency is Idempotency.SAFE or not message.idempotency_key:
             return False
         if request_class.idempotency is Idempotency.KEYED and request_class.dedup_scope == "all":
-            return False  # servers drop the repeat, wherever it is sent
+            return False  # every server drops the repeat
         keys = self.state.idempotency_keys
         if (message.request_class, message.idempotency_key) in keys.in_use:
             return True
@@ -196,7 +198,7 @@
         return earlier is not None
 
     def finish(self, request: OpenRequest, answer: FinalAnswer | None) -> None:
-        """Give the final answer, or none where the client wants none."""
+        """End a request: send its final response, or none (``answer`` is None) if its client left."""
         if not holds(not request.is_answered, "one final answer for each request"):
             return
         state = self.state
@@ -220,7 +222,7 @@
             state.effects.append(answer)
 
     def remove_from_tables(self, request: OpenRequest) -> None:
-        """Take a request that has its final answer out of the tables."""
+        """Remove a request that has ended from the tables."""
         state, message = self.state, request.message
         del state.requests[int(request.id)]
         state.open_trace_ids.discard(message.trace_id)
@@ -232,7 +234,7 @@
             del state.requests_by_client[message.client]
 
     def record_statistics(self, request: OpenRequest, answer: FinalAnswer | None) -> None:
-        """Note what became of a request.  Its time counts from the client's send."""
+        """Add a request's end to the statistics.  Its elapsed time counts from when the client sent it."""
         state, message = self.state, request.message
         request_class = state.classes.get(message.request_class)
         if request_class is None or state.statistics is None:
@@ -252,12 +254,12 @@
         )
 
     def client_disconnected(self, request: OpenRequest) -> None:
-        """The client has stopped waiting."""
+        """End a request whose client cancelled it or disconnected."""
         self.finish(request, None)
         self.state.events.append(api.ClientDisconnected(request.id))
 
     def reject_or_fail(self, action: api.Reject | api.Fail) -> None:
-        """Give the decision module's final answer, at once."""
+        """Send the rejection or failure that the decision package has decided on."""
         request = self.state.requests.get(int(action.id))
         if request is None:
             return
@@ -273,12 +275,12 @@
 def decision_request(
     request: OpenRequest, prior_execution: api.PossibleExecution | None, prior_attempt_unknown: bool
 ) -> api.Request:
-    """A request in the decision module's terms.
+    """The request event that the decision package receives.
 
     Args:
-        request: One that was taken.
-        prior_execution: What an earlier request of its key may have done.
-        prior_attempt_unknown: It is a retry of a key that this router has not seen.
+        request: A request that was admitted.
+        prior_execution: The possible execution of an earlier request with the same key.
+        prior_attempt_unknown: The request is a retry with a key that this router has no record of.
     """
     message = request.message
     return api.Request(
--- a/kelpcroft/core/clients.py
+++ b/kelpcroft/core/clients.py
@@ -1,4 +1,4 @@
-"""What clients' connections bring: requests, cancellations, health requests, and their own ends."""
+"""Inputs from client connections: requests, cancellations, health requests, connects and disconnects."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Clients:
-    """Takes clients' inputs, as far as the process takes clients."""
+    """Handles inputs from clients.  Requests are admitted only while the router is in service."""
 
     def __init__(
         self,
@@ -35,14 +35,14 @@
         self.endpoint_list = endpoint_list
 
     def on_request(self, message: ClientRequest) -> None:
-        """A client's request has come."""
+        """Handle a client's request, or reject it while the router is out of service."""
         if self.process.service_state.admits_requests(self.state.now):
             self.requests.on_request(message)
         else:
             self.requests.reject(message, "sent away")
 
     def on_cancel(self, message: CancelRequest) -> None:
-        """A client has stopped waiting for a request."""
+        """Handle a client's cancellation of a request."""
         open_here = self.state.requests_by_client.get(message.client, {})
         request = open_here.get(message.request_number)
         if request is not None:
@@ -50,22 +50,25 @@
             self.abandon(request)
 
     def on_connected(self, message: ClientConnected) -> None:
-        """A client's connection was taken."""
+        """Record an accepted client connection."""
         self.process.clients.add(message.client)
 
     def on_disconnected(self, message: ClientDisconnected) -> None:
-        """A client's connection has ended: its open requests are abandoned."""
+        """Handle the end of a client's connection: its open requests end without a response."""
         self.process.clients.discard(message.client)
         for request in list(self.state.requests_by_client.get(message.client, {}).values()):
             self.abandon(request)
         self.state.requests_by_client.pop(message.client, None)
 
     def abandon(self, request: OpenRequest) -> None:
-        """A client has stopped waiting: nothing further begins, wherever cancelling is allowed or not."""
+        """End a request that its client no longer waits for.
+
+        No further attempt begins for it, even where the settings forbid cancelling attempts in flight.
+        """
         self.requests.client_disconnected(request)
         self.attempts.abandon(request)
 
     def on_health_request(self, message: HealthRequest) -> None:
-        """A client asks whether this router is ready."""
+        """Respond to a client's health request: whether this router is ready."""
         reason = self.process.not_ready_reason(self.endpoint_list.has_list)
         self.state.effects.append(SendHealth(message.client, message.request_number, not reason))
--- a/kelpcroft/core/connection_pool.py
+++ b/kelpcroft/core/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to servers as the reducer keeps them: which stand, and what is out on each.  Pure."""
+"""The reducer's table of connections to servers, with the attempts that each one carries.  Pure."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 from kelpcroft.core.inputs import EndpointRecord
 from kelpcroft.decision.statistics import mix64
 
-ATTEMPTS_BEFORE_NEW_CONNECTION = 8  # that one connection carries, before one more is opened
-# For attempts that share connections: past so many, those that are open carry more.  No hard bound: one that
-# needs a connection of its own, or finds no room on these, may still open one.
+ATTEMPTS_BEFORE_NEW_CONNECTION = 8  # attempts on one connection before another connection is opened
+# Attempts that share connections open no more than this; the open ones then carry more.  It is not a hard
+# bound: an attempt that needs a connection of its own, or finds no room on these, may still open one.
 MAX_CONNECTIONS_PER_SERVER = 8
-# A server that has no place for one more connection is called again after so long, doubling with each refusal
-# in a row, half more or less by chance.
+# Back-off after a server at its connection limit refuses a connection.  It doubles with each consecutive
+# refusal, with a random jitter of plus or minus half.
 REFUSAL_BACKOFF_NS = 100_000_000
-MAX_REFUSAL_BACKOFF_NS = 6_400_000_000
+MAX_REFUSAL_BACKOFF_NS = 6_400_000_000  # upper limit of the back-off, before jitter
 
 
 @dataclass(slots=True)
 class PooledConnection:
-    """One connection to a server.  Ids on it are the clients' trace ids, or a health check's own.
+    """One connection to a server.  Attempt ids on it are clients' trace ids or health check ids.
 
     Attributes:
-        number: The pool's own, never used twice.
+        number: Number that the pool gave it; never reused.
         server: The server's name.
         is_connected: It is established.
-        unsent: Numbers by id of what waits until it is established.
-        in_flight: Numbers by id of what is written and unanswered.
-        retired_ids: Ids that ended without a final answer, and when.
-        last_response_ns: When the last answer came on it, or it was established.
+        unsent: Attempts and health checks that wait until it is established: their numbers by id.
+        in_flight: Attempts and health checks that were sent and have no response yet: their numbers by id.
+        retired_ids: Ids that may not be used again on it yet, and when each of them ended.
+        last_response_ns: When the last response was received on it, or it was established.
         idle_since_ns: When it last became idle, or was established.
-        is_retiring: It takes nothing new, and is closed once it is empty.
+        is_retiring: Nothing new is sent on it, and it is closed once it is empty.
         last_check_ns: When a health check was last sent because it was silent.
-        has_silence_timer: A timer looks whether it has fallen silent.
-        is_exclusive: It carries one that must not fail with others.
-        has_partial_response: Part of an answer has come.
+        has_silence_timer: A timer that checks for silence is scheduled.
+        is_exclusive: It carries an attempt that must not share a connection.
+        has_partial_response: A response has been received in part.
     """
 
     number: int
@@ -56,11 +56,11 @@
         return len(self.unsent) + len(self.in_flight)
 
     def can_carry(self, attempt_id: str, max_load: int, exclusive: bool) -> bool:
-        """Whether one more may go out here.
+        """Whether one more attempt may be sent on this connection.
 
-        An id that was given up or answered here must not be used here again: an answer that crossed the
-        cancellation, or a second copy, would be taken for the second attempt's.  On a connection that is
-        idle with half an answer nothing goes out: the rest may never come.
+        An id that was cancelled or received a response here must not be used here again: a response that
+        crossed the cancellation on the wire, or a duplicate response, would be matched to the new attempt.
+        Nothing is sent on an idle connection with a partial response: the rest may never arrive.
         """
         load = self.load()
         if self.is_retiring or load >= max_load:
@@ -78,23 +78,23 @@
 
 @dataclass(slots=True)
 class Refusal:
-    """A server that has refused a connection while it answers on others."""
+    """A server that refused a connection while it responds on others."""
 
-    until_ns: int  # no connection is tried before
-    backoff_ns: int  # the last wait, before chance
+    until_ns: int  # no connection is attempted before this time
+    backoff_ns: int  # the latest back-off, before jitter
 
 
 class ConnectionPool:
     """All connections to servers.
 
     Attributes:
-        by_number: Those that are open or being opened.
-        by_server: The same, by the server's name; a server without any has no entry.
-        refusals: Servers without a place for one more.
+        by_number: Connections that are open or being opened.
+        by_server: The same connections by server name; a server without connections has no entry.
+        refusals: Servers at their connection limit, by name.
     """
 
     def __init__(self, max_connections: int, max_attempts_per_connection: int, seed: int = 0) -> None:
-        """Make an empty pool; ``seed``: the router's own, so that no two of them call again in step."""
+        """Create an empty pool; ``seed`` differs per router, so that routers do not reconnect in step."""
         self.max_connections = max_connections
         self.max_attempts_per_connection = max_attempts_per_connection
         self.seed = seed
@@ -104,7 +104,7 @@
         self.created_count = 0
 
     def record_refusal(self, server: str, now: int) -> None:
-        """A server that answers on other connections has refused one more: its places are taken."""
+        """Record that a server that responds on other connections refused one more: it is at its limit."""
         last = self.refusals.get(server)
         backoff_ns = REFUSAL_BACKOFF_NS
         if last is not None:
@@ -113,21 +113,22 @@
         self.refusals[server] = Refusal(now + int(backoff_ns * (0.5 + chance)), backoff_ns)
 
     def may_connect(self, server: str, now: int) -> bool:
-        """Whether one more connection may be opened there, as far as the server is concerned."""
+        """Whether the server's refusal back-off, if any, is over; the pool's own limits are not checked."""
         refusal = self.refusals.get(server)
         return refusal is None or now >= refusal.until_ns
 
     def find(
         self, server: str, attempt_id: str, exclusive: bool = False, now: int = 0
     ) -> PooledConnection | None:
-        """A connection with room, the fullest first, so that few are open and the rest become idle.
+        """The fullest connection with room, so that few are open and the others become idle.
 
-        One that is established goes before one that is being opened.  Few attempts share one, as an answer
-        that cannot be read fails all in flight on its connection: past ATTEMPTS_BEFORE_NEW_CONNECTION one
-        more is opened, and where that may not be, the least loaded carries more.
+        An established connection is preferred to one that is being opened.  Few attempts share a
+        connection, because a response that cannot be decoded fails all attempts in flight on it: from
+        ATTEMPTS_BEFORE_NEW_CONNECTION attempts on, another connection is opened.  If none may be opened, the
+        least loaded connection carries more.
 
         Returns:
-            None where one more is to be opened, or none has room.
+            None if another connection is to be opened, or if no connection has room.
         """
         best: PooledConnection | None = None
         least_loaded: PooledConnection | None = None
@@ -150,7 +151,7 @@
         return None if may_open else least_loaded
 
     def add(self, endpoint: EndpointRecord) -> PooledConnection | None:
-        """A new connection, to be opened; None when there are too many."""
+        """Add a connection that is to be opened; None if the pool is full."""
         if len(self.by_number) >= self.max_connections:
             return None
         self.created_count += 1
@@ -160,7 +161,7 @@
         return connection
 
     def remove(self, number: int) -> PooledConnection | None:
-        """Take out a connection that has ended; None where it is none of the pool's any more."""
+        """Remove a connection that has ended; None if it is no longer in the pool."""
         connection = self.by_number.pop(number, None)
         if connection is not None:
             others = self.by_server[connection.server]
@@ -171,7 +172,7 @@
 
 
 def is_preferred(connection: PooledConnection, other: PooledConnection) -> bool:
-    """Whether a connection is established and the other is not, or carries more where both are alike."""
+    """Whether only this connection is established or, if both or neither are, it carries more."""
     if connection.is_connected is not other.is_connected:
         return connection.is_connected
     return connection.load() > other.load()
--- a/kelpcroft/core/descriptors.py
+++ b/kelpcroft/core/descriptors.py
@@ -1,32 +1,32 @@
-"""How a process shares its descriptors out, so that no kind of connection can take those of another.  Pure.
+"""Division of the process's descriptors among the kinds of connections, each with a share of its own.  Pure.
 
-Idle clients may fill their share while the list service is down: connections to the feed, to servers
-and from the control address's callers must still be possible.  The shares add up to no more than there are.
+Even if idle clients use up their share while the list service is down, connections to the feed, to servers
+and from control clients must still be possible.  The shares add up to no more than the available descriptors.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MIN_DESCRIPTORS = 64  # under this no useful number of clients and servers fits
-# Clients hold at most one descriptor of so many, as the platform promises, and the spare ones over it: some
-# are closed and not yet gone when others come.
+MIN_DESCRIPTORS = 64  # with fewer, no useful number of clients and servers fits
+# The platform promises that clients hold at most one in CLIENT_DIVISOR descriptors.
 CLIENT_DIVISOR = 3
+# Descriptors for clients beyond that: some connections are closed but not yet released when others arrive.
 SPARE_CLIENTS = 8
-# One descriptor of so many for clients that are being let go ...
+# One in DRAINING_DIVISOR descriptors is for client connections that are being closed.
 DRAINING_DIVISOR = 32
-MIN_DRAINING_CLIENTS = 2
-# ... and for callers of the control address.
+MIN_DRAINING_CLIENTS = 2  # lower bound of that share
+# One in CALLER_DIVISOR descriptors is for control clients.
 CALLER_DIVISOR = 32
-MIN_CALLERS = 4
-MAX_CALLERS = 32
-# Streams, selector, pipe of signals, two listeners, the feed, files read again.
+MIN_CALLERS = 4  # lower bound of that share
+MAX_CALLERS = 32  # upper bound of that share
+# For the standard streams, the selector, the signal pipe, two listeners, the feed and files being reloaded.
 OWN_DESCRIPTORS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """How many connections of each kind may be open."""
+    """Maximum number of open connections of each kind."""
 
     clients: int
     draining_clients: int
@@ -35,7 +35,7 @@
 
 
 def allocate_descriptors(descriptors: int) -> DescriptorBudget:
-    """Share out so many descriptors, MIN_DESCRIPTORS at the least."""
+    """Divide the process's descriptors, of which there are at least MIN_DESCRIPTORS."""
     clients = descriptors // CLIENT_DIVISOR + SPARE_CLIENTS
     draining = max(MIN_DRAINING_CLIENTS, descriptors // DRAINING_DIVISOR)
     callers = min(MAX_CALLERS, max(MIN_CALLERS, descriptors // CALLER_DIVISOR))
--- a/kelpcroft/core/effects.py
+++ b/kelpcroft/core/effects.py
@@ -1,6 +1,6 @@
-"""What the reducer asks for: the loop carries it out, in this order.
+"""Effects that the reducer requests; the event loop performs them in the order of the list.
 
-No codec's field names appear here.  Names that end in ``_ns`` are nanoseconds of the Unix clock, or spans.
+No codec's field names appear here.  Names that end in ``_ns`` are Unix times or durations in nanoseconds.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @message
 class SendResponse:
-    """Final answer: served; ``not_modified`` tells the client that the copy it holds is the one."""
+    """Final response: served; with ``not_modified`` the copy that the client holds is current."""
 
     client: int
     request_number: int
@@ -22,7 +22,7 @@
 
 @message
 class RejectRequest:
-    """Final answer: refused; a retry is harmless, after ``retry_after_ns`` if that is above 0."""
+    """Final response: rejected; a retry is harmless, after ``retry_after_ns`` if that is above 0."""
 
     client: int
     request_number: int
@@ -31,7 +31,7 @@
 
 @message
 class FailRequest:
-    """Final answer: failed; nothing is promised of a retry."""
+    """Final response: failed; nothing is promised about the effect of a retry."""
 
     client: int
     request_number: int
@@ -39,7 +39,7 @@
 
 @message
 class SendHealth:
-    """Answer to HealthRequest."""
+    """Response to HealthRequest."""
 
     client: int
     request_number: int
@@ -56,14 +56,14 @@
 
 @message
 class DrainClients:
-    """Close each client once it has no answer pending and nothing half read (a drain), or keep them."""
+    """Start or stop a drain: close each client once it awaits no response and no message is half read."""
 
     is_enabled: bool
 
 
 @message
 class StopAccepting:
-    """Take no new connections."""
+    """Accept no more client connections."""
 
 
 # To servers -----------------------------------------------------------------------------------------------
@@ -82,22 +82,22 @@
     """Send an attempt.
 
     Attributes:
-        connection: An established one.
+        connection: Number of an established connection.
         attempt_id: The request's trace id.
-        request_class: Name of its class.
-        object_id: As it came.
-        part_id: As it came.
-        timeout_ms: How long the server may take.
+        request_class: Name of the request's class.
+        object_id: The object, unchanged from the client's request.
+        part_id: The part of the object, unchanged from the client's request.
+        timeout_ms: How long the server may take to respond.
         source: Server that a miss is filled from; "" = no fill.
         retention_rank: How long the server should keep the copy; 0 = not at all.
-        max_age_ms: Oldest copy that will do; 0 = the fresh time of the class.
-        join_fill: Wait for a fill of the same that is under way.
-        cache_only: The source gives only what it holds.
-        no_parent_copy: The parent keeps no copy of what it passes on.
-        refresh_behind: Serve an ageing copy and fetch it anew behind.
-        etag: Of the copy that the client holds; "" = none.
-        body: As it came.
-        idempotency_key: As it came; "" = none.
+        max_age_ms: Maximum age of a copy that may be served; 0 = the freshness lifetime of the class.
+        join_fill: Wait for a fill of the same part that is in progress.
+        cache_only: The fill source serves only a copy that it already holds.
+        no_parent_copy: The parent keeps no copy of the data that it forwards.
+        refresh_behind: Serve an ageing copy and refresh it in the background.
+        etag: ETag of the copy that the client holds; "" = none.
+        body: Unchanged from the client's request.
+        idempotency_key: Unchanged from the client's request; "" = none.
     """
 
     connection: int
@@ -120,7 +120,7 @@
 
 @message
 class CancelAttempt:
-    """Give an attempt up at its server."""
+    """Cancel a sent attempt at its server."""
 
     connection: int
     attempt_id: str
@@ -128,7 +128,7 @@
 
 @message
 class SendHealthCheck:
-    """Ask a server for its load."""
+    """Send a health check, which requests the server's load."""
 
     connection: int
     attempt_id: str
@@ -146,13 +146,14 @@
 
 @message
 class PollFeed:
-    """Ask the feed for what comes after an event.
+    """Send the feed a watch request for the events after a given event.
 
     Attributes:
-        after_event: Its number.
-        wait_ms: How long the feed may wait for news before it answers.
-        response_timeout_ns: Past that wait, its answer has begun by then, and goes on so soon.
-        log_fingerprint: Of that event, for a control replica; None = the feed is no such.
+        after_event: Number of the given event.
+        wait_ms: How long the feed may wait for further events before it responds.
+        response_timeout_ns: How long the feed may be silent after that wait, or within its response.
+        log_fingerprint: Log fingerprint at the given event, for a control replica; None = the feed is not a
+            control replica.
     """
 
     after_event: int
@@ -163,7 +164,7 @@
 
 @message
 class SwitchFeed:
-    """Leave the feed where it is, and find it at another address from now on."""
+    """Disconnect from the feed, and use another address for it from now on."""
 
     address: tuple[str, int]
 
@@ -173,7 +174,7 @@
 
 @message
 class ScheduleTimer:
-    """Deliver TimerFired with this key at a time."""
+    """Deliver TimerFired with this key at the time ``at_ns``."""
 
     at_ns: int
     key: TimerKey
@@ -181,7 +182,7 @@
 
 @message
 class LogEvent:
-    """An event for the people on call: its name, a sentence, a level and what it is about."""
+    """A log event for operators: its name, a message, a level and its fields."""
 
     event: str
     text: str
@@ -191,7 +192,7 @@
 
 @message
 class ControlResponse:
-    """The answer to a request on the control address: yes or no, and the fields of its JSON body."""
+    """Response to a control request: success or not, and the fields of its JSON body."""
 
     caller: int
     ok: bool
@@ -200,13 +201,13 @@
 
 @message
 class PersistServiceState:
-    """Leave the state of service for the router's next process (an upgrade).
+    """Store the service state for the router's successor process (an upgrade).
 
     Attributes:
-        is_in_service: Or drained by an operator.
-        since_ns: Since then.
-        ended_at_ns: This process ends now; 0 = it does not.
-        shutdown_began_ns: With an end: when SIGTERM came.
+        is_in_service: True = in service, False = drained by an operator.
+        since_ns: When that state began.
+        ended_at_ns: When this process ends, if that is now; 0 = it continues.
+        shutdown_began_ns: With ``ended_at_ns``: when SIGTERM was received.
     """
 
     is_in_service: bool
@@ -217,19 +218,19 @@
 
 @message
 class ReadPredecessorState:
-    """Look for the predecessor's record of its end; if there is one, deliver PredecessorEnded."""
+    """Read the predecessor's record of its end; if there is one, deliver PredecessorEnded."""
 
 
 @message
 class SetStateEndpoint:
-    """Serve the state on the control address, or no more; the first time, deliver ProcessIdentity."""
+    """Start or stop serving the state on the control address; the first start delivers ProcessIdentity."""
 
     is_enabled: bool
 
 
 @message
 class Exit:
-    """Flush what is written, then end with success."""
+    """Flush all pending output, then exit with status 0."""
 
 
 Effect = (
--- a/kelpcroft/core/health_checks.py
+++ b/kelpcroft/core/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: a server is asked for its load, on a connection that attempts use as well."""
+"""Health checks, which request a server's load on a connection that attempts use too."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class HealthChecks:
-    """Sends health checks and reports the end of each one to the decision module once."""
+    """Sends health checks, and reports the end of each one to the decision package once."""
 
     def __init__(self, state: State, connections: ServerConnections) -> None:
         self.state = state
         self.connections = connections
 
     def check_server(self, action: api.Probe) -> None:
-        """Ask a server for its load, on any connection to it."""
+        """Send a health check on any connection to a server."""
         connection = self.connections.acquire(action.server, None)
         if connection is None:
             self.state.events.append(api.ProbeFinished(action.server, Outcome.MOOT, 0))
@@ -27,7 +27,7 @@
             self.send(connection)
 
     def send(self, connection: PooledConnection) -> None:
-        """Send a check on a connection, now or when it is established; its time-out is the connect one."""
+        """Send a check on a connection, now or when it is established.  It has the connect timeout."""
         state = self.state
         state.last_number += 1
         number = state.last_number
@@ -41,7 +41,7 @@
             connection.unsent[check_id] = number
 
     def on_timeout(self, number: int) -> None:
-        """A check's time is over."""
+        """End a check that timed out."""
         check = self.state.health_checks.pop(number, None)
         if check is not None:
             check.connection.in_flight.pop(check.id, None)
@@ -51,6 +51,6 @@
     def finish(
         self, check: HealthCheck, outcome: Outcome, load_report: dict[str, float] | None = None
     ) -> None:
-        """Report a check's end to the decision module."""
+        """Report a check's end to the decision package."""
         elapsed_ns = self.state.now - check.started_ns
         self.state.events.append(api.ProbeFinished(check.server, outcome, elapsed_ns, load_report or {}))
--- a/kelpcroft/core/housekeeping.py
+++ b/kelpcroft/core/housekeeping.py
@@ -1,4 +1,4 @@
-"""What is done once a second: idle connections closed, old ids forgotten, the fleet's size and counters."""
+"""Periodic work: closing idle connections, expiring retired ids, updating fleet size, logging counters."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from kelpcroft.core.server_connections import ServerConnections
 from kelpcroft.core.state import SECOND, State
 
-HOUSEKEEPING_INTERVAL_NS = SECOND
-COUNTERS_INTERVAL_NS = 10 * SECOND  # between lines of counters in the log
-IDLE_CLOSE_SHARE = 0.7  # of the servers' idle time, after which we close: a send never meets their close
-RETIRED_ID_NS = 10 * SECOND  # how long a given-up or answered id is kept off its connection
+HOUSEKEEPING_INTERVAL_NS = SECOND  # between two rounds of housekeeping
+COUNTERS_INTERVAL_NS = 10 * SECOND  # between log lines with the counters
+# Idle connections are closed after this share of the servers' idle timeout, so that no attempt is sent while
+# the server closes the connection.
+IDLE_CLOSE_SHARE = 0.7
+RETIRED_ID_NS = 10 * SECOND  # how long a cancelled or answered id may not be used again on its connection
 
 
 class Housekeeping:
-    """The periodic work of one router."""
+    """Runs the periodic work of one router."""
 
     def __init__(
         self, state: State, connections: ServerConnections, operator_settings: OperatorSettings
@@ -32,7 +34,7 @@
         self.counters_logged_ns = self.state.now
 
     def on_timer(self) -> None:
-        """One round, and the next one scheduled."""
+        """Run one round, and schedule the next one."""
         state = self.state
         state.schedule(HOUSEKEEPING_INTERVAL_NS, TimerKind.HOUSEKEEPING)
         if state.fleet_size is not None:
@@ -45,7 +47,7 @@
             self.log_counters()
 
     def forget_retired_ids(self, connection: PooledConnection) -> None:
-        """Ids that ended long ago may be used on their connection again."""
+        """Let ids that were retired more than RETIRED_ID_NS ago be used on their connection again."""
         now = self.state.now
         old = [
             attempt_id
@@ -56,11 +58,11 @@
             del connection.retired_ids[attempt_id]
 
     def close_if_idle(self, connection: PooledConnection, idle_limit_ns: int) -> None:
-        """Close an idle connection before its server does: a request must not meet that close.
+        """Close an idle connection before its server does, so that no attempt is sent during that close.
 
         Args:
-            connection: One of the pool's.
-            idle_limit_ns: How long it may be idle; 0 = for ever.
+            connection: A connection of the pool.
+            idle_limit_ns: How long it may be idle; 0 = no limit.
         """
         if not connection.is_connected or connection.load() or not idle_limit_ns:
             return
@@ -69,6 +71,6 @@
             self.connections.release(connection)
 
     def log_counters(self) -> None:
-        """Counters for the log, broken invariants with them."""
+        """Log the counters, including violated invariants."""
         self.counters_logged_ns = self.state.now
         log_counters(self.state)
--- a/kelpcroft/core/idempotency_keys.py
+++ b/kelpcroft/core/idempotency_keys.py
@@ -1,12 +1,13 @@
-"""Idempotency keys that may have run: where, and since when.  Pure: the time is an argument.
+"""Idempotency keys that may have been executed, each with the place and time.  Pure: the time is an argument.
 
-A client's retry is a new request with the key of the first.  Servers of one group drop its repeats for the
-window, counted from the first send that may have run; past it, or at a server outside the group, a repeat
-would run again.  So what one request of a key has done binds the next one of that key.
+A client's retry is a new request with the key of the first request.  The servers of one deduplication scope
+drop repeats of a key during the deduplication window, which is counted from the first send that may have been
+executed.  After the window, or at a server outside the scope, a repeat would be executed again.  The possible
+execution of one request therefore limits where and when the next request with the same key may be sent.
 
-A record is kept for the longer of the class's deduplication window and its deadline: after the first no
-repeat may be sent, and until the second one may still be asked for.  The table is bounded: where it is full
-no new key is taken, which does no harm, as nothing of it has run.
+A record is kept for the longer of the class's deduplication window and its deadline: after the window no
+repeat may be sent, and until the deadline a client may still request a repeat.  The table is bounded: when it
+is full, requests with new keys are rejected, which does no harm because nothing was executed for them.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 
 from kelpcroft.decision.interface import PossibleExecution, RequestClass
 
-MAX_KEYS = 65_536  # some 10 MB at the longest keys
+MAX_KEYS = 65_536  # about 10 MB with the longest keys
 KeyId = tuple[str, str]  # the request's class and the client's key
 
 
 @dataclass(slots=True)
 class KeyRecord:
-    """A key's first send that may have run.
+    """The first send of a key that may have been executed.
 
     Attributes:
-        execution: Where and when.
-        attempt_number: Of that attempt: proof that it never ran takes the record back.
-        expires_ns: Until when it binds.
+        execution: Where and when it was sent.
+        attempt_number: Number of that attempt; the record is deleted if the attempt proves not executed.
+        expires_ns: When the record expires.
     """
 
     execution: PossibleExecution
@@ -39,8 +40,8 @@
     """All keys of one router.
 
     Attributes:
-        records: In the order of their first sends.
-        in_use: Keys of requests that owe their answer.
+        records: Records in the order of their first sends.
+        in_use: Keys of requests that have no final response yet.
     """
 
     def __init__(self, max_keys: int = MAX_KEYS) -> None:
@@ -49,19 +50,19 @@
         self.in_use: set[KeyId] = set()
 
     def is_full(self, now: int) -> bool:
-        """Whether no further key can be taken."""
+        """Whether the table has no room for another key."""
         self.drop_expired(now)
         return len(self.records) >= self.max_keys
 
     def find(self, now: int, class_name: str, key: str) -> PossibleExecution | None:
-        """The first send of a key that may have run."""
+        """The first send of a key that may have been executed; None if there is no valid record."""
         record = self.records.get((class_name, key))
         return record.execution if record and now < record.expires_ns else None
 
     def record_send(
         self, now: int, request_class: RequestClass, key: str, attempt_number: int, zone: str, cell: int
     ) -> None:
-        """An attempt goes out to a server of this zone and cell; only the first that may have run counts."""
+        """Record an attempt sent to a server of this zone and cell, unless the key has a valid record."""
         key_id = request_class.name, key
         record = self.records.get(key_id)
         if record is None or now >= record.expires_ns:
@@ -71,15 +72,16 @@
             self.records[key_id] = KeyRecord(execution, attempt_number, now + kept_ns)
 
     def record_not_executed(self, class_name: str, key: str, attempt_number: int) -> None:
-        """An attempt has certainly not run."""
+        """Delete the record of an attempt that was certainly not executed."""
         record = self.records.get((class_name, key))
         if record and record.attempt_number == attempt_number:
             del self.records[class_name, key]
 
     def drop_expired(self, now: int) -> None:
-        """Forget those that can bind nobody any more.
+        """Delete expired records from the front of the table.
 
-        Classes differ in how long, so one of a short window may wait behind one of a long window.
+        Classes differ in how long records are kept, so an expired record may remain behind a longer-lived
+        one.
         """
         while self.records:
             key_id, record = next(iter(self.records.items()))
--- a/kelpcroft/core/request_statistics.py
+++ b/kelpcroft/core/request_statistics.py
@@ -1,31 +1,31 @@
-"""What became of requests, by class, since this process began: for those who compare routers.  Pure.
+"""Results of requests by class since the start of this process, for the comparison of routers.  Pure.
 
-Kept only where the operator's file asks for it (``control state=#true``).  Its length is bounded: classes
-past MAX_CLASSES are counted together.
+The statistics are kept only if the operator's file enables them (``control state=#true``).  Their size is
+bounded: classes beyond MAX_CLASSES are counted together.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_CLASSES = 64
-OTHER_CLASSES = "(others)"
+MAX_CLASSES = 64  # classes with counts of their own
+OTHER_CLASSES = "(others)"  # name under which all other classes are counted
 
 
 @dataclass(slots=True)
 class ClassCounts:
-    """Requests of a class that ended, and the worth that they asked for and got in time.
+    """Counts of the ended requests of a class, and the sums of their priority weights.
 
     Attributes:
-        asked: All of them; those that were given up early count in no worth.
-        served: Answered.
-        late: Of the served, those past their latency objective.
-        refused: Rejected: a retry is harmless.
-        failed: Answered with a failure.
-        gone: Their clients left.
-        attempts: Made for all of them.
-        worth: Priority weights of what was asked for.
-        in_time: Priority weights of what was served within the objective.
+        asked: All ended requests.
+        served: Requests that were served.
+        late: Served requests that missed their latency objective.
+        refused: Rejected requests: a retry is harmless.
+        failed: Requests that failed.
+        gone: Requests that their clients cancelled or whose clients disconnected.
+        attempts: Attempts made for all of them.
+        worth: Sum of the priority weights of all requests not ended by their clients within the objective.
+        in_time: Sum of the priority weights of the requests served within the objective.
     """
 
     asked: int = 0
@@ -40,13 +40,13 @@
 
 
 class RequestStatistics:
-    """All classes of one process."""
+    """The counts of all classes in one process."""
 
     def __init__(self) -> None:
         self.classes: dict[str, ClassCounts] = {}
 
     def counts_of(self, class_name: str) -> ClassCounts:
-        """A class's counts; those of all others together where there are too many classes."""
+        """The counts of a class, or the shared counts of all classes beyond MAX_CLASSES."""
         counts = self.classes.get(class_name)
         if counts is None:
             if len(self.classes) >= MAX_CLASSES:
@@ -57,14 +57,14 @@
     def record_end(self, class_name: str, how: str, attempts: int, worth: float, in_time: bool) -> None:
         """Count a request's end.
 
-        A request that its client gave up after its time was not answered in time; one that was given up
-        early asked for nothing in the end.
+        A request that its client cancelled after the latency objective counts as not served in time.  One
+        that was cancelled earlier adds no priority weight.
 
         Args:
             class_name: The request's class.
             how: "served", "refused", "failed" or "gone".
-            attempts: How many were made for it.
-            worth: Its class's priority weight.
+            attempts: Number of attempts made for it.
+            worth: The priority weight of its class.
             in_time: It ended within its latency objective.
         """
         counts = self.counts_of(class_name)
--- a/kelpcroft/core/server_connections.py
+++ b/kelpcroft/core/server_connections.py
@@ -1,4 +1,4 @@
-"""Taking a connection to a server for an attempt, and giving it back."""
+"""Acquisition and release of connections to servers, with the effects that open and close them."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class ServerConnections:
-    """Opens and closes what the pool keeps: the effects that go with it."""
+    """Opens, reuses and closes the connections of the pool."""
 
     def __init__(self, state: State) -> None:
         self.state = state
 
     def acquire(self, server: str, request: OpenRequest | None) -> PooledConnection | None:
-        """A connection that takes one more, opened if need be.
+        """A connection with room for one more attempt; a new one is opened if necessary.
 
-        What must not run twice goes out on one of its own: it could not be repeated if another's answer
-        spoilt the connection.
+        An attempt of an unsafe class has a connection of its own: it could not be repeated if a response to
+        another attempt made the connection unusable.
 
         Args:
             server: Name of the server.
-            request: For which request; None for a health check.
+            request: The request that the attempt is for; None for a health check.
 
         Returns:
-            None where no connection has room and no further one may be opened.
+            None if no connection has room and no other may be opened.
         """
         state = self.state
         attempt_id = ""
@@ -46,7 +46,7 @@
         return connection
 
     def open(self, endpoint: EndpointRecord) -> PooledConnection | None:
-        """Open one more connection to a server; None where the pool is full."""
+        """Open another connection to a server; None if the pool is full."""
         state = self.state
         connection = state.connections.add(endpoint)
         if connection is None:
@@ -64,7 +64,7 @@
         return connection
 
     def release(self, connection: PooledConnection) -> None:
-        """Note an idle connection; close it where nothing more may be sent on it."""
+        """Mark a connection idle if it is empty, and close it if it is retiring."""
         if connection.load() or connection.number not in self.state.connections.by_number:
             return
         connection.idle_since_ns = self.state.now
@@ -73,7 +73,7 @@
             self.state.effects.append(CloseServerConnection(connection.number))
 
     def retire_server(self, server: str) -> None:
-        """A server takes nothing new: its connections go once they are empty."""
+        """Retire all connections to a server: each is closed once it is empty."""
         self.state.connections.refusals.pop(server, None)
         for connection in list(self.state.connections.by_server.get(server, ())):
             connection.is_retiring = True
--- a/kelpcroft/core/silence_detection.py
+++ b/kelpcroft/core/silence_detection.py
@@ -1,4 +1,4 @@
-"""Connections that became silent while their server answers on others, or with many attempts in flight."""
+"""Detection of connections that are silent while their server responds on others, or while heavily loaded."""
 
 from __future__ import annotations
 
@@ -10,22 +10,26 @@
 from kelpcroft.core.response_times import MIN_SILENCE_LIMIT_NS
 from kelpcroft.core.state import State
 
-SUSPECT_LOAD = 3  # with so many in flight on it, the server need not have answered on another connection
-CHECK_ANSWER_NS = MIN_SILENCE_LIMIT_NS // 2  # a health check has this long before silence counts again
-MIN_TIMER_NS = MIN_SILENCE_LIMIT_NS // 4
+# With this many attempts in flight on a silent connection, it is suspect even if the server has not responded
+# on another one.
+SUSPECT_LOAD = 3
+CHECK_ANSWER_NS = MIN_SILENCE_LIMIT_NS // 2  # a health check must be answered within this time
+MIN_TIMER_NS = MIN_SILENCE_LIMIT_NS // 4  # shortest interval between two checks of a connection for silence
 
 
 class SilenceDetector:
-    """Closes a connection on which nothing comes while its server answers on others.
+    """Closes a connection that receives no response while its server responds on others.
 
-    It does so too with SUSPECT_LOAD in flight on it, and never where one that must not run twice is (an
-    exclusive connection).
+    A connection with SUSPECT_LOAD attempts in flight is closed even if the server does not respond on others.
+    An exclusive connection is never closed: it carries an attempt that must not be executed twice.
 
-    The answers may never come though it stays open, and it would draw more requests as the fullest.
+    A connection can stay open although its responses will never arrive, and as the fullest connection it
+    would be given more attempts.
 
-    Slow fills look just so: the copies that are there are answered, what waits for the origin gathers on
-    one connection.  Given up and sent again, it asks the slow origin for all of it once more.  So where
-    health checks are allowed the connection itself is asked first, and stays if it answers.
+    Slow fills have the same symptom: hits receive their responses, while attempts that wait for the origin
+    gather on one connection.  If those were abandoned and sent again, the slow origin would receive all the
+    fetches a second time.  If health checks are allowed, a health check is therefore sent on the connection
+    first, and the connection stays open if it is answered.
     """
 
     def __init__(self, state: State, attempts: Attempts) -> None:
@@ -33,7 +37,7 @@
         self.attempts = attempts
 
     def on_timer(self, number: int) -> None:
-        """Look whether anything has come on a connection."""
+        """Check a connection for silence: send a health check on it, close it, or schedule the next check."""
         state = self.state
         connection = state.connections.by_number.get(number)
         if connection is None:
@@ -62,20 +66,20 @@
         )
 
     def answers_elsewhere(self, connection: PooledConnection, since_ns: int) -> bool:
-        """Whether the server has answered on another connection since a time."""
+        """Whether the server has responded on another connection since ``since_ns``."""
         for other in self.state.connections.by_server[connection.server]:
             if other is not connection and other.last_response_ns > since_ns:
                 return True
         return False
 
     def check(self, connection: PooledConnection) -> None:
-        """Ask on the connection itself whether it answers at all."""
+        """Send a health check on the connection."""
         connection.last_check_ns = self.state.now
         self.state.counters["connections asked"] += 1
         self.attempts.health_checks.send(connection)
 
     def close(self, connection: PooledConnection) -> None:
-        """Give up a connection and what is out on it."""
+        """Close a connection; its attempts are reported as reset."""
         self.state.counters["quiet connections"] += 1
         self.state.effects.append(CloseServerConnection(connection.number))
-        self.attempts.on_connection_lost(ServerConnectionLost(connection.number, "nothing has come on it"))
+        self.attempts.on_connection_lost(ServerConnectionLost(connection.number, "silence timeout"))
