--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -1,4 +1,4 @@
-"""No descriptor is left: the router goes on, and whoever asks goes before whoever rests."""
+"""Descriptor exhaustion: the router keeps running, and idle clients are closed in favour of active ones."""
 
 from __future__ import annotations
 
@@ -21,16 +21,18 @@
 
 class Shares(unittest.TestCase):
     def test_they_add_up(self) -> None:
-        """Callers of the control address had no share: with all others at their most they were over it."""
+        """Control clients had no share: with all other kinds at their limits they exceeded the total."""
         for most in range(MIN_DESCRIPTORS, 5_000):
             shares = allocate_descriptors(most)
             kinds = (shares.clients, shares.draining_clients, shares.control_callers, shares.servers)
             assert all(kind > 0 for kind in kinds), (most, shares)
-            assert sum(kinds) < most, "and some are the process's own"
-            assert shares.clients >= most // 3, "clients hold a third, by the platform's word"
+            assert sum(kinds) < most, "some descriptors are left for the process itself"
+            assert shares.clients >= most // 3, "the platform promises that clients hold at most a third"
 
     def test_the_system_may_give_fewer(self) -> None:
-        """The settings' figure was believed: under a lower limit a dial found none and ended the process."""
+        """The configured number was used unchecked: under a lower system limit a connect to a server found no
+        descriptor and ended the process.
+        """
         config = parse_config(EXAMPLE, {})
         assert limit_to_system_descriptors(config, 1024) is config
         less = limit_to_system_descriptors(config, 100)
@@ -57,61 +59,62 @@
 
 class NoneLeft(unittest.TestCase):
     def test_a_dial_takes_the_place_of_one_that_rests(self) -> None:
-        """``dial`` made a fresh socket in the handler of the very error that says there is none: it was
-        raised again and ended the process, with all that it had taken.
+        """``dial`` created a new socket in the handler of the error that reports missing descriptors.  The
+        error was raised again and ended the process with all its open requests.
         """
         t = Turns(self)
-        t.until(t.taken("feed").read, "the list is watched")
+        t.until(t.taken("feed").read, "a watch request is sent")
         rests, asks = t.client(), t.client()
         t.turn(SECOND)
         asks.send(call(1))
         with t.no_descriptors():
-            t.until(lambda: rests.read() or rests.ended, "the one that rests is let go")
+            t.until(lambda: rests.read() or rests.ended, "the idle client is closed")
         cache = t.taken("cache1")
-        t.until(cache.pulls, "the attempt comes")
+        t.until(cache.pulls, "the attempt arrives")
         cache.send(done(*cache.pulls()))
-        t.until(asks.answers, "it is answered")
+        t.until(asks.answers, "the request is served")
         assert asks.answers() == [[1, 1, None, [b"by", {}]]]
 
     def test_a_dial_that_cannot_be_made_ends_in_an_answer(self) -> None:
         t = Turns(self)
-        t.until(t.taken("feed").read, "the list is watched")
+        t.until(t.taken("feed").read, "a watch request is sent")
         asks = t.client()
         asks.send(call(1))
         with t.no_descriptors():
-            t.until(asks.answers, "it is given up at once")
+            t.until(asks.answers, "the request ends immediately")
         assert asks.answers()[0][2][0] == "Shed"
         asks.send(call(2))
-        t.until(t.taken("cache1").pulls, "later ones are served")
+        t.until(t.taken("cache1").pulls, "later requests are sent to a server")
 
     def test_the_list_is_asked_for_again_once_there_is_one(self) -> None:
-        """``poll`` did the same as ``dial``."""
+        """``poll`` created a new socket in the error handler, as ``dial`` did, and ended the process."""
         t = Turns(self, feed=False)
         t.until(
-            lambda: t.loop.feed.connection is None and not t.loop.transport.failed_opens, "nobody listens"
+            lambda: t.loop.feed.connection is None and not t.loop.transport.failed_opens,
+            "the connect has failed",
         )
         with t.no_descriptors():
             for _ in range(5):
-                t.turn(500 * MS, turns=3)  # called again and again, without a socket
+                t.turn(500 * MS, turns=3)  # each attempt to send a watch request finds no descriptor
         assert t.loop.feed.connection is None
         host, port = t.loop.feed_address
         t.listeners["feed"] = back = socket.create_server((host, port))
         self.addCleanup(back.close)
         back.setblocking(False)
         t.turn(500 * MS)
-        t.until(t.taken("feed").read, "the list is asked for")
+        t.until(t.taken("feed").read, "a watch request is sent")
 
     def test_a_listener_that_cannot_accept_is_left_alone_for_a_while(self) -> None:
-        """It was ready in every turn: the loop spun, and wrote a line each time."""
+        """The listener was ready in every iteration: the loop spun and logged a line each time."""
         t = Turns(self)
         came = [t.client()]
-        came[0].send(call(1))  # nobody rests, so nobody goes
-        t.until(lambda: t.loop.reducer.state.requests_by_client, "it is taken")
+        came[0].send(call(1))  # no client is idle, so none is closed
+        t.until(lambda: t.loop.reducer.state.requests_by_client, "the request is admitted")
         waits = socket.create_connection(t.address, WAIT_S)
         self.addCleanup(waits.close)
         with t.no_descriptors():
-            t.until(lambda: not t.loop.acceptor.listener.is_listening, "it is left alone")
+            t.until(lambda: not t.loop.acceptor.listener.is_listening, "the listener is paused")
             t.turn(turns=20)
             assert len([log for log in t.logged if log.event == "accept.failed"]) == 1
         t.turn(200 * MS)
-        t.until(lambda: len(t.loop.clients.open) == 2, "it is tried again")
+        t.until(lambda: len(t.loop.clients.open) == 2, "accepting is resumed")
--- a/tests/core/test_gone.py
+++ b/tests/core/test_gone.py
@@ -1,4 +1,4 @@
-"""A client that closed or cancelled is gone: no attempt, first or further, begins for it."""
+"""Requests whose client disconnected or cancelled: no first or further attempt is made for them."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 class Gone(unittest.TestCase):
     def asked(self, t: Turns) -> tuple[Peer, Peer]:
-        """A client whose attempt is out at the cache."""
+        """A client whose attempt is in flight, and the cache that received it."""
         client = t.client()
         client.send(call(1))
         cache = t.taken("cache1")
-        t.until(cache.pulls, "the attempt comes")
+        t.until(cache.pulls, "the attempt arrives")
         return client, cache
 
     def nothing_more(self, t: Turns, cache: Peer) -> None:
-        """Only the first attempt was ever sent, at whichever server."""
+        """Asserts that no attempt was sent to any server after the first one."""
         t.turn(SECOND)
         assert len(cache.pulls()) == 1
         for name in ("cache1", "parent", "origin"):
             t.none(name)
 
     def test_no_further_attempt_behind_a_close_in_the_same_turn(self) -> None:
-        """Servers were read before clients: the answer that failed had the next attempt sent, and then the
-        close was read.
+        """An attempt was sent for a disconnected client: servers' sockets were read before clients' sockets,
+        so a server's miss led to the next attempt before the client's close was read.
         """
         for last in (b"", cancel(1)):
             with self.subTest(last=last):
@@ -45,13 +45,13 @@
                 self.nothing_more(t, cache)
 
     def test_no_further_attempt_behind_a_close_in_a_long_turn(self) -> None:
-        """The close comes while other servers' answers are read."""
+        """The client closes its connection while responses of other servers are being read."""
         t = Turns(self, only=("cache1", "cache2", "parent", "origin"))
         client, other = t.client(), t.client()
         for n in range(1, 9):
             (client if n == 1 else other).send(call(n, entity=f"{n:016x}"))
         caches = [t.taken("cache1"), t.taken("cache2")]
-        t.until(lambda: sum(len(c.pulls()) for c in caches) == 8, "all are out")
+        t.until(lambda: sum(len(c.pulls()) for c in caches) == 8, "all attempts are in flight")
         (mine,) = [c for c in caches if f"{1:016x}" in c.pulls()]
         serve, read = t.loop.handle_ready, []
 
@@ -74,7 +74,7 @@
             return sorted(look(timeout), key=lambda found: found[0].data is late)
 
         t.selector.select = ordered  # type: ignore[method-assign]
-        t.until(lambda: len(other.answers()) == 7, "the others are answered")
+        t.until(lambda: len(other.answers()) == 7, "the other requests have their responses")
         assert read[0] is early
         t.turn(SECOND)
         assert sum(len(c.pulls()) for c in caches) == 8
@@ -82,7 +82,9 @@
             t.none(name)
 
     def test_a_request_with_its_close_unread_is_not_sent_on(self) -> None:
-        """A router short of CPU read a request half a second late, sent it, and found the close behind it."""
+        """A router short of CPU read a request half a second late, and sent its attempt before it read the
+        close that followed the request.
+        """
         t = Turns(self)
         client = t.client()
         t.selector.hidden.add(t.socket_of(client))
@@ -95,7 +97,9 @@
             t.none(name)
 
     def test_what_waits_for_its_connection_is_not_sent_on(self) -> None:
-        """Where attempts may not be called off, one that waited went out when its connection stood."""
+        """With ``may_cancel`` off, an attempt that waited for its connection was sent when the connection was
+        established, although its client had cancelled the request.
+        """
         for may in (False, True):
             with self.subTest(may_cancel=may):
                 t = Turns(self, allowed={"may_cancel": may})
@@ -116,11 +120,11 @@
                 client.send(call(1))
                 cache = t.taken("cache1")
                 client.send(cancel(1))
-                t.until(lambda t=t: not t.loop.reducer.state.requests, "it is gone")
+                t.until(lambda t=t: not t.loop.reducer.state.requests, "the request has ended")
                 t.selector.hidden.clear()
                 t.until(
                     lambda t=t: all(s.is_connected for s in t.loop.servers.open.values()),
-                    "the connection stands",
+                    "the connection is established",
                 )
                 t.turn(turns=3)
                 assert cache.read() == b""
@@ -129,19 +133,19 @@
     def test_a_request_that_is_read_and_not_taken_can_be_cancelled(self) -> None:
         t = Turns(self)
         client, cache = self.asked(t)
-        t.tick_ns = 2 * CLIENT_REQUESTS_TURN_NS  # every look at the clock: nothing is taken in its turn
+        t.tick_ns = 2 * CLIENT_REQUESTS_TURN_NS  # each clock reading uses up the iteration's time
         client.send(call(2))
-        t.until(lambda: t.loop.clients.with_pending, "it is read")
+        t.until(lambda: t.loop.clients.with_pending, "the request is read")
         client.send(cancel(2))
         t.until(lambda: not any(c.pending_messages for c in t.loop.clients.open.values()), "it is cancelled")
         t.tick_ns = 0
         t.turn(200 * MS)
         assert (len(cache.pulls()), t.loop.reducer.state.counters["taken"]) == (1, 1)
         client.send(call(3))
-        t.until(lambda: t.loop.reducer.state.counters["taken"] == 2, "later ones are taken")
+        t.until(lambda: t.loop.reducer.state.counters["taken"] == 2, "later requests are admitted")
 
     def test_time_between_reading_and_taking_counts(self) -> None:
-        """Patience counts from the client's send, wherever the request waits."""
+        """A request's remaining time counts from when the client sent it, wherever the request waits."""
         t = Turns(self)
         client, _cache = self.asked(t)
         (ours,) = t.loop.clients.open.values()
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys over several requests of one client: never two sends outside the group or the window."""
+"""Idempotency keys of repeated requests: no repeat outside the deduplication scope or window."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(steps)
     def test_first_send_that_may_have_run(self, found: list[tuple[str, int, int]]) -> None:
-        """Against a plain list of all sends."""
+        """The table agrees with a model that keeps a list of all sends."""
         keys, now, sends, made = IdempotencyKeys(), 0, [], 0
         for what, nonce, amount in found:
             now += S // 10
@@ -53,7 +53,7 @@
         for n in range(3):
             assert not keys.is_full(n)
             keys.record_send(n, CLS, str(n), n, "z", 0)
-        assert keys.is_full(S), "no entry is pushed out: what it binds is still to come"
+        assert keys.is_full(S), "no valid record is evicted: a retry of its key may still arrive"
         assert not keys.is_full(5 * S)
         assert len(keys.records) == 2
 
@@ -67,7 +67,7 @@
 def order(
     v: VirtualRouter, when: int, nonce: str, patience_ms: int = 900, retry: bool = False
 ) -> inputs.ClientRequest:
-    """One request for an order; its story is under its trace id."""
+    """Schedules a request of the class ``order``; its record is in ``records`` under its trace id."""
     story = v.schedule_request(when, "order", patience_ms)
     c = story.request
     call = inputs.ClientRequest(
@@ -98,8 +98,8 @@
         return sorted((x.sent_ns, x.server, x.fate) for s in v.records.values() for x in s.attempts)
 
     def test_a_retry_goes_to_the_group_of_the_first_within_its_window(self) -> None:
-        """Each request was judged alone: a retry went to any cache, a second after another zone's or cell's
-        may have run it, and past the window.
+        """Requests with the same key were routed independently: a retry was sent to any cache, a second after
+        a cache of another zone or cell may have executed the first request, and also after the window.
         """
         for group in ("zone", "cell"):
             for seed in range(30):
@@ -138,8 +138,9 @@
         assert v.records[late.trace_id].attempts
 
     def test_a_retry_of_a_key_not_seen_here_is_sent_once(self) -> None:
-        """Its first try was another process's: the router was upgraded, or killed, in between.  Where and
-        when that was sent nobody knows; a second send may be past the window, or in another group.
+        """The first request was sent by another process, because the router was upgraded or killed in
+        between.  The place and time of that send are unknown: a second send may be after the window or
+        outside the deduplication scope.
         """
         for group, due in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
             for retry, least in ((True, 1), (False, 2)):
@@ -174,7 +175,7 @@
 
 
 class Retuned(unittest.TestCase):
-    """SIGHUP while keys are about: what was sent before it binds what comes after."""
+    """Reloads (SIGHUP) while keys are recorded: sends before the reload limit retries after it."""
 
     def retuned(self, v: VirtualRouter, when: int, **change: object) -> None:
         raw = copy.deepcopy(v.config.raw)
@@ -185,7 +186,7 @@
         return [type(f) for _, f in v.records[call.trace_id].final_effects]
 
     def test_a_class_that_becomes_keyed_takes_clients_with_and_without_a_key(self) -> None:
-        """Those who did not know the new file yet were failed at once."""
+        """Requests of clients that did not send a key yet failed immediately after the reload."""
         v = world("all", {"done": 1.0})
         self.retuned(v, 0, idempotency="safe", dedup_window_ns=0)
         self.retuned(v, 10 * S, idempotency="keyed", dedup_window_ns=3 * S)
@@ -205,7 +206,7 @@
         v.run(20 * S)
         assert [len(v.records[c.trace_id].attempts) for c in (first, again)] == [1, 0]
         assert self.finals(v, again) == [effects.FailRequest], (
-            "a refusal would let the client run it elsewhere"
+            "a rejection would let the client execute it through another router"
         )
 
     def test_a_window_that_shrinks_binds_at_once(self) -> None:
--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the program on their own: one test for each failure found, and for what guards against one."""
+"""Single components: one test for each failure that was found, and for each safeguard against one."""
 
 from __future__ import annotations
 
@@ -31,14 +31,16 @@
 
 class Parts(unittest.TestCase):
     def test_patience_counts_from_the_send(self) -> None:
-        """Requests that had waited unread in a busy router were answered after their clients had gone."""
+        """Requests that had waited unread in a busy router were served after their clients' deadlines."""
         data = msgpack.packb([0, 1, "page", [{"trace": TRACE, "patience": "900", "entity": TRACE}, b""]])
         (taken,) = ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(data), 400 * MS)
         assert isinstance(taken, inputs.ClientRequest)
         assert taken.remaining_time_ns == 500 * MS
 
     def test_bad_requests_are_not_sent_on(self) -> None:
-        """Servers answer them with errors or close, which told against servers and others' requests."""
+        """Servers answer bad requests with an error or a close, which counted against the servers and against
+        other clients' requests.
+        """
         good = {"trace": TRACE, "patience": "900", "entity": TRACE, "block": "0", "family": "17"}
         bad = [
             {**good, key: value}
@@ -67,8 +69,8 @@
         assert len(only(effects.CloseClient, r.handle(NOW, call(99)))) == 1
 
     def test_a_message_has_an_end(self) -> None:
-        """Nested lists grow in memory as they come, far past the bytes that wait to be decoded; and hundreds
-        of requests at once, withdrawn or not, were each sent on.
+        """Nested lists grew in memory as they were received, far beyond the size of their bytes.  Also,
+        hundreds of requests that a client sent at once were all forwarded, whether it cancelled them or not.
         """
         codec = ClientCodec(1, BUFFER_BYTES)
         with pytest.raises(ClientProtocolError):
@@ -84,7 +86,9 @@
             )
 
     def test_silent_and_idle_clients_make_room(self) -> None:
-        """Clients that asked once and stayed held every place; no one else was taken until they went."""
+        """Clients that sent one request and stayed connected used up all places: no other client was accepted
+        until they disconnected.
+        """
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: NOW))
         self.addCleanup(loop.selector.close)
         loop.reducer.start(NOW)
@@ -102,17 +106,17 @@
         loop.sweep(NOW)
         assert list(loop.clients.open) == [3, 4]
         loop.reducer.handle(NOW, call(1, client=3))
-        assert not loop.acceptor.evict_idle_client(), "one is served, the other was heard just now"
+        assert not loop.acceptor.evict_idle_client(), "one has an open request, the other was just active"
         loop.reducer.handle(NOW, inputs.CancelRequest(3, 1))
         assert loop.acceptor.evict_idle_client()
         assert list(loop.clients.open) == [4]
         loop.clients.open[4].partial_since_ns = NOW - SILENT_CLIENT_TIMEOUT_NS - MS
         loop.sweep(NOW)
-        assert list(loop.clients.open) == [], "half a message, and then nothing"
+        assert list(loop.clients.open) == [], "the client was silent after half a message"
 
     def test_requests_are_read_for_a_bounded_time(self) -> None:
-        """All clients were read before the feed was looked at again; turns grew longer than the purge rule
-        allows.  What is left over remembers since when it may have waited.
+        """All clients were read before the feed was read again, so an iteration could exceed the time that
+        the purge rule allows.  Clients left unread keep the time since which their requests may have waited.
         """
         ticks = iter(range(NOW, NOW + 10**12, CLIENT_REQUESTS_TURN_NS // 2))
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: next(ticks)))
@@ -127,7 +131,9 @@
         assert all(p.unread_since_ns == NOW - 5 for p in peers[len(served) :])
 
     def test_waits_for_a_connection_are_chosen_anew_on_a_purge(self) -> None:
-        """An attempt without an age limit must not be sent up to a dial's time after the purge was told."""
+        """An attempt that waited for its connection was sent without an age limit, up to a connect timeout
+        after the purge was received.
+        """
         r = router()
         (_dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW),)))
@@ -135,7 +141,7 @@
         assert pull.max_age_ms > 0
 
     def test_a_given_up_id_is_kept_off_its_connection(self) -> None:
-        """An answer that crossed its KILL would pass for that of the next attempt with the same id."""
+        """A response that crossed its KILL on the wire would be matched to the next attempt with that id."""
         r = router()
         (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW, inputs.ServerConnected(dial.connection))
@@ -150,7 +156,9 @@
         assert r.handle(NOW, late) == []
 
     def test_an_answered_id_is_kept_off_its_connection(self) -> None:
-        """A second copy of a miss ended the next attempt, which ran on: one that must not run twice did."""
+        """A duplicate of a miss ended the next attempt while its server still executed it, so a request that
+        must not be executed twice was.
+        """
         r = router()
         (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW, inputs.ServerConnected(dial.connection))
@@ -163,7 +171,7 @@
         assert len(r.state.attempts) == 1
 
     def test_a_connection_reset_when_new_tells_nothing(self) -> None:
-        """It counted as refused: the server was dead, and cold when it was back."""
+        """The reset counted as a refused connection: the server was ejected, and later treated as cold."""
         r = router()
         (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         (again,) = only(
@@ -179,7 +187,9 @@
         assert any(n.is_ejected for n in r.state.policy.endpoints.values())
 
     def test_a_quiet_connection_is_given_up(self) -> None:
-        """Its answers never came though it stayed open; as the fullest it drew all its server was sent."""
+        """Responses never arrived on a connection that stayed open; as the fullest connection it was given
+        all attempts for its server.
+        """
         r = router()
         (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1, patience=4_900)))
         (wake,) = [
@@ -196,7 +206,7 @@
         )
         r.handle(NOW + 2 * MS, heard)
         assert only(effects.CloseServerConnection, r.handle(later, inputs.TimerFired(wake.key))) == [], (
-            "one on its own may be slow"
+            "a single attempt may be slow"
         )
         r.handle(later, call(4))
         effect_list = r.handle(later + SECOND, inputs.TimerFired(wake.key))
@@ -204,16 +214,17 @@
             effects.CloseServerConnection(dial.connection)
         ]
         (again,) = only(effects.OpenServerConnection, effect_list)
-        assert again.address == dial.address, "what may run again is tried on the same server"
+        assert again.address == dial.address, "repeatable attempts are sent to the same server"
         assert (
             len(only(effects.SendAttempt, r.handle(later + SECOND, inputs.ServerConnected(again.connection))))
             == 3
         )
 
     def test_a_connection_behind_slow_fills_is_asked_before_it_is_given_up(self) -> None:
-        """While the store was slow, what waited for it gathered on a few connections.  Each was given up
-        after half a second and all of it asked for once more, at every cache of the zone, for twelve seconds:
-        352 of 3,533 attempts in one router, and half of all requests in time.
+        """While the origin was slow, attempts that waited for it gathered on a few connections.  Each
+        connection was closed after half a second and all its attempts were sent again, to every cache of the
+        zone, for twelve seconds: 352 of 3,533 attempts in one router, with half of all requests served in
+        time.
         """
         for answers in (True, False):
             r = router()
@@ -243,8 +254,8 @@
             due = NOW + r.attempts.response_times.silence_limit_ns()
             effect_list = r.handle(due, inputs.TimerFired(wake.key))
             assert bool(only(effects.CloseServerConnection, effect_list)) == (not answers)
-            assert len(r.state.attempts) == 4, "what was out is out, or goes out anew"
-            if answers:  # and again where nothing comes for as long after the answer
+            assert len(r.state.attempts) == 4, "the attempts are still in flight, or wait to be sent again"
+            if answers:  # another check follows after the same silence
                 due = wake.at_ns + MS + r.attempts.response_times.silence_limit_ns()
                 (check,) = only(effects.SendHealthCheck, r.handle(due, inputs.TimerFired(wake.key)))
                 assert only(
@@ -252,7 +263,9 @@
                 )
 
     def test_few_share_a_connection_and_an_order_shares_none(self) -> None:
-        """One answer that could not be read failed 28 requests, and orders among them for good."""
+        """One response that could not be decoded failed 28 requests, among them orders, which cannot be
+        retried.
+        """
         links = ConnectionPool(64, 32)
         endpoint = inputs.EndpointRecord("s", "127.0.0.1:1", "edge-1", "box", 0, "in_service", 1.0, 0)
         for n in range(2 * ATTEMPTS_BEFORE_NEW_CONNECTION):
@@ -272,7 +285,7 @@
         assert links.find("s", "next") == links.by_number[1]
 
     def test_an_answer_that_stops_short_gives_its_connection_up(self) -> None:
-        """Its connection stayed open and all that was out on it waited until their clients had gone."""
+        """The connection stayed open, and all attempts on it waited until their clients had cancelled."""
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: NOW))
         self.addCleanup(loop.selector.close)
         for number, data in ((1, GOOD), (2, GOOD[:9])):
@@ -286,7 +299,9 @@
         assert list(loop.servers.open) == [1]
 
     def test_a_small_age_limit_is_never_none(self) -> None:
-        """0 on the wire means the fresh time: a limit under a millisecond would have allowed any copy."""
+        """0 on the wire means the freshness lifetime: an age limit under a millisecond, rounded down to 0,
+        would have allowed any fresh copy.
+        """
         r = router()
         (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW, inputs.ServerConnected(dial.connection))
@@ -295,7 +310,9 @@
         assert pull.max_age_ms == 1
 
     def test_answers_in_any_pieces(self) -> None:
-        """Mypyc once took the codec's body for absent for good; each cut of the bytes gives the same."""
+        """Code compiled by mypyc took the codec's body as absent forever.  Every split of the bytes must
+        decode to the same responses.
+        """
         data = (
             b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$8\r\ntell=old\r\n$5\r\nby\r\nt\r\n"
             b"*4\r\n$1\r\nb\r\n$4\r\nLACK\r\n$1\r\n-\r\n$0\r\n\r\n"
@@ -319,12 +336,14 @@
             with self.subTest(bad=bad[:40]):
                 codec = ServerCodec(1)
                 found = codec.receive_data(memoryview(GOOD + bad))
-                # What came whole ahead of it is good, if what follows begins as an answer does.
+                # A complete response before the bad bytes is used if those begin like a response.
                 assert [a.attempt_id for a in found] == (["g"] if bad.startswith(b"*") else [])
                 assert codec.error != ""
 
     def test_a_body_said_to_be_longer_is_not_passed_on(self) -> None:
-        """It took four bytes from the next answer's head, and those end as a body does."""
+        """A body with too large a length took four bytes from the start of the next response, and the bytes
+        that it took end as a body does.
+        """
         codec = ServerCodec(1)
         assert codec.receive_data(memoryview(GOOD.replace(b"$2\r\n", b"$6\r\n") + GOOD)) == []
         assert codec.error != ""
--- a/tests/program/test_exchanges.py
+++ b/tests/program/test_exchanges.py
@@ -1,4 +1,4 @@
-"""The program on its sockets, against recorded byte exchanges (tests/exchanges)."""
+"""The complete program over its sockets, against recorded byte exchanges (tests/exchanges)."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
         Player(self, ONE).play("served.txt")
 
     def test_failures(self) -> None:
-        """A write whose connection broke may have run: it was neither to be repeated nor to be refused."""
+        """A write whose connection was lost may have been executed: neither repeat nor reject it."""
         Player(self, ONE).play("failures.txt")
 
     def test_write_not_run(self) -> None:
         Player(self, ONE).play("write_not_run.txt")
 
     def test_nonce(self) -> None:
-        """The idempotency key of keyed classes was neither read nor sent on: servers that drop repeats by it
-        ran each attempt as a new request.
+        """The idempotency key of keyed classes was neither read nor forwarded: servers, which drop repeats by
+        key, executed each attempt as a new request.
         """
         Player(self, ONE, orders=KEYED).play("nonce.txt")
 
     def test_size(self) -> None:
-        """A told size was dropped.  One that is no size is as none told."""
+        """A reported size was discarded.  An invalid size is treated as not reported."""
         Player(self, ONE).play("size.txt")
 
     def test_cancel(self) -> None:
-        """Closing the connection instead of KILL would give up what others have out on it."""
+        """Closing the connection instead of sending KILL would abandon the other attempts in flight on it."""
         Player(self, ONE).play("cancel.txt")
 
     def test_deadline(self) -> None:
@@ -46,44 +46,50 @@
         Player(self, ONE).play("feed.txt")
 
     def test_malformed(self) -> None:
-        """Nothing that a peer sends may end the process, which serves everyone else."""
+        """No input from a peer may end the process, which serves all other clients."""
         Player(self, ONE).play("malformed.txt")
 
     def test_reload(self) -> None:
-        """SIGHUP ended the program, and whatever it had taken was lost."""
+        """SIGHUP ended the program, and all its open requests were lost."""
         player = Player(self, ONE)
         player.play("reload.txt")
         player.log.seek(0)
         assert "configuration not taken: feed: " in player.log.read()
 
     def test_retune(self) -> None:
-        """A file read again with a fault was taken in part, feed and all; a class that came was refused."""
+        """A reloaded file with an error was applied in part, even its feed; an added class was rejected."""
         Player(self, ONE).play("retune.txt")
 
     def test_handover(self) -> None:
-        """Both processes bound the clients' address: the second could not start while the first served."""
+        """Both processes bound the client address: the successor could not start while its predecessor
+        served.
+        """
         Player(self, ONE, inherit=True).play("handover.txt")
 
     def test_handover_of_a_drain(self) -> None:
-        """A drained router that was upgraded said yes at once, and took clients sent elsewhere."""
+        """The successor of a drained router reported ready immediately, and accepted clients that had been
+        sent to other routers.
+        """
         Player(self, ONE, inherit=True).play("handover_drained.txt")
 
     def test_planned_end(self) -> None:
         Player(self, ONE).play("planned_end.txt")
 
     def test_control(self) -> None:
-        """Readiness, a drain and its end on the control address, and every kind of bad call."""
+        """Control requests for readiness, a drain and its end, and every kind of bad control request."""
         Player(self, ONE).play("control.txt")
 
     def test_refused_connection(self) -> None:
-        """A cache that refuses connections has run nothing: the request goes on elsewhere, a write too."""
+        """A cache that refuses connections has executed nothing: the request is sent to another server, even
+        a write.
+        """
         player = Player(self, ONE)
         player.listeners.pop("cache1").close()
         player.play("refused_connection.txt")
 
 
 class Start(unittest.TestCase):
-    """Bad configuration: one line that names the key, and exit code 2."""
+    """Invalid configuration: the program prints one line that names the key and exits with code 2."""
 
     def refused(self, key: str, **changes: object) -> None:
         raw = {**EXAMPLE, **changes}
--- a/tests/support/exchange_player.py
+++ b/tests/support/exchange_player.py
@@ -1,22 +1,23 @@
-"""Starts the program and plays recorded byte exchanges against it.  Knows sockets and bytes, no protocol.
+"""Player of recorded byte exchanges against the program.  It handles sockets and bytes, and no protocol.
 
-A recording is text.  A line is a peer's name and what it does; texts are Python bytes literals, and {NAME} in
-one stands for what an earlier line kept.
+A recording is a text file.  Each line has the name of a peer (or ``program``), an operation and its argument.
+Data are Python bytes literals, in which {NAME} is replaced by the bytes that an earlier line captured.
 
-    client > b'...'      the peer writes (its connection is made when it is first needed); a peer
-                         named mgmt or mgmt-NAME connects to the control address
-    client < b'...'      the peer reads just these bytes; (?P<name>...) in a line marked ~ keeps some
-    client ~ b'...'      the same with a regular expression
+    client > b'...'      the peer writes; its connection is made when it is first needed, and a peer named
+                         mgmt or mgmt-NAME connects to the control address
+    client < b'...'      the peer reads exactly these bytes
+    client ~ b'...'      the peer reads bytes that match a regular expression; (?P<name>...) captures some
     client x             the peer closes its connection
     client .             the program has closed the connection
-    program term         SIGTERM;  program exit N: it ends with this code
-    program feed NAME    a configuration that names this peer as the feed, then SIGHUP
-    program spoil        one that cannot be used, then SIGHUP
-    program file KIND    one of FILES, then SIGHUP
-    program log TEXT     wait until the program's log has said TEXT once more than before
+    program term         send SIGTERM to the program
+    program exit N       the program exits with this code
+    program feed NAME    write a configuration that names this peer as the feed, then send SIGHUP
+    program spoil        write a configuration that cannot be used, then send SIGHUP
+    program file KIND    write the file of this kind from FILES, then send SIGHUP
+    program log TEXT     wait until the program's log contains TEXT once more than before
     program second       (with ``inherit``) start a second process on the same listening socket, with a
                          control address of its own for peers named mgmt2 or mgmt2-NAME; term and exit
-                         stay with the first
+                         still apply to the first process
 """
 
 from __future__ import annotations
@@ -40,10 +41,10 @@
 
 ROOT = Path(__file__).parent.parent.parent
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_bytes())
-PROGRAM = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now plays against what `run` starts
+PROGRAM = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: test the compiled program
 KEYED = {"idempotency": "keyed", "group": "all", "dedup_window_ns": 3 * 10**9}
-ONE = ("cache1", "parent", "origin")  # with one cache in the zone it is plain where a request goes
-WAIT_S = 20  # a test that waits so long has failed; none passes or fails by less
+ONE = ("cache1", "parent", "origin")  # with one cache in the zone, the route of a request is unique
+WAIT_S = 20  # a test that waits this long has failed; no test result depends on a shorter time
 SERVERS = {
     "cache1": ("s-c1", "edge-1", "box"),
     "cache2": ("s-c2", "edge-1", "box"),
@@ -58,7 +59,7 @@
     return json.dumps(raw).encode()
 
 
-# Files read at SIGHUP: each of the broken kinds, and a good one in which a class comes.
+# Configuration files for reloads: each kind of invalid file, and a valid one that adds a class.
 FILES: dict[str, Callable[[dict[str, Any]], bytes]] = {
     "empty": lambda raw: b"",
     "half": lambda raw: json.dumps(raw).encode()[:200],
@@ -72,7 +73,7 @@
 
 
 class Player:
-    """One run of the program with its feed and its servers."""
+    """One run of the program, with the listening sockets of its feed and its servers."""
 
     def __init__(
         self,
@@ -81,8 +82,13 @@
         inherit: bool = False,
         orders: dict[str, Any] | None = None,
     ) -> None:
-        """``inherit``: the clients' listening socket is made here and handed down as ROUTER_FD.  ``orders``:
-        what the settings say otherwise of the class of orders.
+        """Starts the program.
+
+        Args:
+            case: The test, which cleans up after the run.
+            only: Names of the servers in the endpoint list.
+            inherit: The client listening socket is created here, and inherited as ROUTER_FD.
+            orders: Settings of the order class that differ from the example.
         """
         self.case = case
         self.listeners: dict[str, socket.socket] = {}
@@ -153,7 +159,7 @@
             sock.close()
 
     def sock(self, name: str) -> socket.socket:
-        """The connection of a peer: accepted where it listens, else made to the program."""
+        """The connection of a peer: accepted if the peer listens, else made to the program."""
         if name not in self.socks:
             base = name.split("-")[0]
             if base in self.listeners:
@@ -170,10 +176,10 @@
             except ConnectionRefusedError:
                 continue
         self.log.seek(0)
-        raise AssertionError(f"the program has ended: {self.log.read()}")
+        raise AssertionError(f"the program has exited: {self.log.read()}")
 
     def wait_for(self, text: str) -> None:
-        """Until the log has said ``text`` once more than when this was last asked."""
+        """Waits until the log contains ``text`` once more than at the previous call with this text."""
         seen = self.said.get(text, 0)
         for _ in range(WAIT_S * 100):
             self.log.seek(0)
@@ -181,7 +187,7 @@
                 self.said[text] = seen + 1
                 return
             time.sleep(0.01)
-        self.case.fail(f"the log did not say {text!r}")
+        self.case.fail(f"the log does not contain {text!r} once more")
 
     def read(self, name: str, pattern: re.Pattern[bytes], size: int | None) -> None:
         got = b""
@@ -199,7 +205,7 @@
         self.kept.update({k: v.decode() for k, v in match.groupdict().items()})
 
     def play(self, recording: str) -> None:
-        """All lines of a recording."""
+        """Plays all lines of a recording."""
         for number, line in enumerate((ROOT / "tests/exchanges" / recording).read_text().splitlines(), 1):
             if not line.strip() or line.startswith("#"):
                 continue
