--- a/kelpcroft/core/attempt_completion.py
+++ b/kelpcroft/core/attempt_completion.py
@@ -47,7 +47,7 @@
         self.record_execution(attempt, outcome)
         if state.is_tracing:
             self.trace_end(attempt, outcome, fill_result, source_wait_ns, load_report or {})
-        self.learn(attempt, outcome, fill_result, source_wait_ns, load_report)
+        self.update_estimators(attempt, outcome, fill_result, source_wait_ns, load_report)
         state.events.append(
             api.AttemptEnded(
                 request.id,
@@ -62,7 +62,7 @@
             )
         )
 
-    def learn(
+    def update_estimators(
         self,
         attempt: Attempt,
         outcome: Outcome,
@@ -117,8 +117,10 @@
         """Report a server's outstanding requests, and how many of them are from this router."""
         state = self.state
         assert state.fleet_size is not None
-        own = sum(len(connection.in_flight) for connection in state.connections.by_server.get(server, ()))
-        state.fleet_size.record_report(state.now, outstanding, own + 1)
+        own_outstanding = sum(
+            len(connection.in_flight) for connection in state.connections.by_server.get(server, ())
+        )
+        state.fleet_size.record_report(state.now, outstanding, own_outstanding + 1)
 
     def trace_end(
         self,
--- a/kelpcroft/core/attempt_sending.py
+++ b/kelpcroft/core/attempt_sending.py
@@ -96,14 +96,14 @@
         A retry after a back-off was charged when the back-off began.
         """
         state = self.state
-        paid = True
+        within_budget = True
         if request.attempts_in_flight:
-            paid = allowance.spend_hedge(state.now)
+            within_budget = allowance.spend_hedge(state.now)
             state.counters["copies"] += 1
         elif request.attempts_made > 1 and request.may_have_executed and not request.is_backing_off:
-            paid = allowance.spend_retry(state.now)
+            within_budget = allowance.spend_retry(state.now)
         request.is_backing_off = False
-        holds(paid, "no budget is overdrawn")
+        holds(within_budget, "no budget is overdrawn")
         if allowance.hedge_delay_ns:
             key = TimerKey(TimerKind.HEDGE, int(request.id), request.attempts_made)
             state.effects.append(ScheduleTimer(state.now + allowance.hedge_delay_ns, key))
@@ -145,7 +145,7 @@
             self.completion.finish(attempt, Outcome.MOOT)
             return
         attempt.is_sent = True
-        self.watch_for_silence(attempt.connection)
+        self.schedule_silence_timer(attempt.connection)
         due_ns = min(attempt.started_ns + forward.timeout_ns, attempt.request.deadline_ns)
         if state.is_tracing:
             self.trace_send(attempt, due_ns)
@@ -164,9 +164,11 @@
         request_class = state.classes.get(message.request_class)
         if request_class is None or request_class.idempotency is Idempotency.SAFE:
             return True
-        earlier = state.idempotency_keys.find(state.now, message.request_class, message.idempotency_key)
-        if earlier is not None and request_class.idempotency is Idempotency.KEYED:
-            window_ends_ns = earlier.sent_ns + request_class.dedup_window_ns
+        prior_execution = state.idempotency_keys.find(
+            state.now, message.request_class, message.idempotency_key
+        )
+        if prior_execution is not None and request_class.idempotency is Idempotency.KEYED:
+            window_ends_ns = prior_execution.sent_ns + request_class.dedup_window_ns
             if state.now + state.settings.clock_tick_ns >= window_ends_ns:
                 return False
         endpoint = state.endpoints.get(attempt.forward.server)
@@ -180,15 +182,15 @@
         )
         return True
 
-    def watch_for_silence(self, connection: PooledConnection) -> None:
+    def schedule_silence_timer(self, connection: PooledConnection) -> None:
         """Schedule the silence timer of a connection, unless it has one."""
         if connection.has_silence_timer:
             return
         connection.has_silence_timer = True
         # If health checks are allowed, the timer first fires at half the limit, to send a health check.
-        parts = 2 if self.state.settings.limits.may_probe else 1
-        limit_ns = self.response_times.silence_limit_ns() // parts
-        self.state.schedule(limit_ns, TimerKind.CONNECTION_SILENCE, connection.number)
+        divisor = 2 if self.state.settings.limits.may_probe else 1
+        delay_ns = self.response_times.silence_timeout_ns() // divisor
+        self.state.schedule(delay_ns, TimerKind.CONNECTION_SILENCE, connection.number)
 
     def trace_send(self, attempt: Attempt, due_ns: int) -> None:
         """Trace the step ``sent``: an attempt was sent."""
--- a/kelpcroft/core/attempts.py
+++ b/kelpcroft/core/attempts.py
@@ -60,9 +60,9 @@
         if check is not None:
             self.health_checks.finish(check, response.outcome, response.load_report)
             return
-        self.take_response(state.attempts[number], response)
+        self.finish_with_response(state.attempts[number], response)
 
-    def take_response(self, attempt: Attempt, response: ServerResponse) -> None:
+    def finish_with_response(self, attempt: Attempt, response: ServerResponse) -> None:
         """End an attempt with its server's response, and serve the request if the response is a success."""
         state, message = self.state, attempt.request.message
         outcome = response.outcome
@@ -74,10 +74,10 @@
         else:
             self.response_times.record(state.now - attempt.started_ns)
             if outcome is Outcome.OK and not attempt.request.is_answered:
-                answer = SendResponse(
+                final_response = SendResponse(
                     message.client, message.request_number, response.body, response.not_modified
                 )
-                self.requests.finish(attempt.request, answer)
+                self.requests.finish(attempt.request, final_response)
                 state.counters["served"] += 1
         self.completion.finish(attempt, outcome, response.note, response.source_wait_ns, response.load_report)
 
@@ -93,15 +93,15 @@
         state.connections.refusals.pop(connection.server, None)
         if state.is_tracing:
             state.trace("up", server=connection.server, link=number, waiting=len(connection.unsent))
-        waiting, connection.unsent = connection.unsent, {}
+        queued, connection.unsent = connection.unsent, {}
         # All of them are added before the first is sent: an attempt that ends while it is sent must not leave
         # the connection empty, which would release it.
-        connection.in_flight.update(waiting)
-        for attempt_id, waiting_number in waiting.items():
-            if waiting_number in state.health_checks:
+        connection.in_flight.update(queued)
+        for attempt_id, queued_number in queued.items():
+            if queued_number in state.health_checks:
                 state.effects.append(SendHealthCheck(number, attempt_id))
             else:
-                self.sender.send(state.attempts[waiting_number])
+                self.sender.send(state.attempts[queued_number])
 
     def on_connect_timeout(self, number: int) -> None:
         """Close a connection that was not established within the connect timeout."""
@@ -110,30 +110,30 @@
             self.state.effects.append(CloseServerConnection(number))
             self.on_connection_lost(ServerConnectionLost(number, "connect timeout", True))
 
-    def on_connection_lost(self, lost: ServerConnectionLost) -> None:
+    def on_connection_lost(self, message: ServerConnectionLost) -> None:
         """Handle a connection that ended or could not be established.
 
         Attempts that waited for the connection were not sent, so they were not executed.  Those in flight
         when the connection was lost may have been executed.
         """
         state = self.state
-        connection = state.connections.remove(lost.connection)
+        connection = state.connections.remove(message.connection)
         if connection is None:
             return
-        self.log_connection_lost(connection, lost)
-        is_crowded = lost.is_unreachable and self.is_crowded(connection)
-        if is_crowded:
+        self.log_connection_lost(connection, message)
+        is_at_connection_limit = message.is_unreachable and self.is_at_connection_limit(connection)
+        if is_at_connection_limit:
             state.counters["no place"] += 1
             state.connections.record_refusal(connection.server, state.now)
         unsent_outcome = Outcome.MOOT
-        if lost.is_unreachable and not is_crowded:
+        if message.is_unreachable and not is_at_connection_limit:
             unsent_outcome = Outcome.CONNECT_FAILED
         for attempt_id, number in list(connection.unsent.items()):
-            self.lose(number, unsent_outcome, attempt_id in lost.unsent_attempt_ids)
+            self.end_or_requeue(number, unsent_outcome, attempt_id in message.unsent_attempt_ids)
         for attempt_id, number in list(connection.in_flight.items()):
-            self.lose(number, Outcome.RESET, attempt_id in lost.unsent_attempt_ids)
+            self.end_or_requeue(number, Outcome.RESET, attempt_id in message.unsent_attempt_ids)
 
-    def is_crowded(self, connection: PooledConnection) -> bool:
+    def is_at_connection_limit(self, connection: PooledConnection) -> bool:
         """Whether a server that refused a connection is only at its connection limit.
 
         A server that responded on another connection within RECENT_RESPONSE_NS is running.  The waiting
@@ -147,28 +147,28 @@
                 return True
         return False
 
-    def log_connection_lost(self, connection: PooledConnection, lost: ServerConnectionLost) -> None:
+    def log_connection_lost(self, connection: PooledConnection, message: ServerConnectionLost) -> None:
         """Trace a lost connection, and log it if it carried attempts or health checks."""
         load = connection.load()
         if self.state.is_tracing:
             self.state.trace(
                 "lost",
                 server=connection.server,
-                link=lost.connection,
+                link=message.connection,
                 up=connection.is_connected,
-                why=lost.reason,
-                down=lost.is_unreachable,
+                why=message.reason,
+                down=message.is_unreachable,
                 load=load,
             )
         if load:
             self.state.log(
                 "link.lost",
-                f"connection to {connection.server} lost with {load} requests on it: {lost.reason}",
+                f"connection to {connection.server} lost with {load} requests on it: {message.reason}",
                 "warning",
-                {"server": connection.server, "out": load, "why": lost.reason},
+                {"server": connection.server, "out": load, "why": message.reason},
             )
 
-    def lose(self, number: int, outcome: Outcome, was_unsent: bool) -> None:
+    def end_or_requeue(self, number: int, outcome: Outcome, was_unsent: bool) -> None:
         """End an attempt or health check of a lost connection, or queue the attempt on another connection.
 
         Args:
@@ -202,7 +202,7 @@
             # The connection has been silent since the attempt began: the machine may be cut off from the
             # network, and be reachable again only through a new connection.
             attempt.connection.is_retiring = True
-        self.withdraw(attempt)
+        self.cancel_at_server(attempt)
         self.completion.finish(attempt, Outcome.TIMEOUT)
 
     def cancel(self, action: api.Cancel) -> None:
@@ -212,16 +212,16 @@
             return
         attempt = self.state.attempts[number]
         if attempt.is_sent:
-            self.withdraw(attempt)
+            self.cancel_at_server(attempt)
         self.completion.finish(attempt, Outcome.CANCELLED)
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel_at_server(self, attempt: Attempt) -> None:
         """Send the server a cancellation of a sent attempt; the connection stays open for other attempts."""
         connection, attempt_id = attempt.connection, attempt.request.message.trace_id
         connection.retired_ids[attempt_id] = self.state.now
         self.state.effects.append(CancelAttempt(connection.number, attempt_id))
 
-    def abandon(self, request: OpenRequest) -> None:
+    def end_unsent(self, request: OpenRequest) -> None:
         """End the attempts of a finished request that still wait for a connection."""
         for index in range(request.attempts_made):
             number = self.state.attempt_numbers.get((request.id, index), 0)
@@ -229,14 +229,14 @@
             if attempt is not None and not attempt.is_sent:
                 self.completion.finish(attempt, Outcome.MOOT)
 
-    def cancel_matching(self, is_stale: Callable[[Attempt], bool]) -> None:
+    def cancel_matching(self, is_invalid: Callable[[Attempt], bool]) -> None:
         """End the attempts that wait for a connection and that an update has made invalid (rules 3 and 5).
 
         They were chosen before the update, and would be sent up to a connect timeout after it.  The decision
         package chooses again.
         """
-        stale = [a for a in self.state.attempts.values() if not a.is_sent and is_stale(a)]
-        for attempt in stale:
+        invalid = [a for a in self.state.attempts.values() if not a.is_sent and is_invalid(a)]
+        for attempt in invalid:
             self.completion.finish(attempt, Outcome.MOOT)
 
     def back_off(self, action: api.BackOff) -> None:
--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -16,16 +16,16 @@
 
 MAX_OPEN_REQUESTS_PER_CLIENT = 32
 
-FinalAnswer = SendResponse | RejectRequest | FailRequest
+FinalResponse = SendResponse | RejectRequest | FailRequest
 
 # How a request ended, as written in the step trace (``ROUTER_TRACE``).
-TRACE_WORDS: dict[type[Effect], str] = {
+TRACE_RESULTS: dict[type[Effect], str] = {
     SendResponse: "Serve",
     RejectRequest: "Decline",
     FailRequest: "Break",
 }
 # How a request ended, as written in the statistics on the control address.
-STATISTICS_WORDS: dict[type[Effect], str] = {
+STATISTICS_RESULTS: dict[type[Effect], str] = {
     SendResponse: "served",
     RejectRequest: "refused",
     FailRequest: "failed",
@@ -50,8 +50,8 @@
         if self.close_misbehaving_client(message):
             return
         request_class = state.classes.get(message.request_class)
-        if request_class is None or not self.is_usable(message, request_class):
-            self.fail_unusable(message, request_class)
+        if request_class is None or not self.is_valid(message, request_class):
+            self.fail_invalid(message, request_class)
             return
         # A key is recorded for unsafe classes too.  A class that a reload makes keyed is unsafe during the
         # settings transition, and a retry after the transition must find the execution of this request.
@@ -60,14 +60,14 @@
         if reason:
             self.reject(message, reason)
             return
-        self.take(message, request_class, is_keyed)
+        self.admit(message, request_class, is_keyed)
 
     def close_misbehaving_client(self, message: ClientRequest) -> bool:
         """Close a client that reuses an open request's number or has too many open; return whether it did."""
-        open_here = self.state.requests_by_client.get(message.client, {})
-        if message.request_number in open_here:
+        requests_of_client = self.state.requests_by_client.get(message.client, {})
+        if message.request_number in requests_of_client:
             reason = f"request number {message.request_number} is already open"
-        elif len(open_here) >= MAX_OPEN_REQUESTS_PER_CLIENT:
+        elif len(requests_of_client) >= MAX_OPEN_REQUESTS_PER_CLIENT:
             reason = "too many open requests"
         else:
             return False
@@ -75,7 +75,7 @@
         self.state.effects.append(CloseClient(message.client, reason))
         return True
 
-    def is_usable(self, message: ClientRequest, request_class: RequestClass) -> bool:
+    def is_valid(self, message: ClientRequest, request_class: RequestClass) -> bool:
         """Whether a request is valid: it can be forwarded unchanged."""
         if message.validation_error:
             return False
@@ -85,7 +85,7 @@
             return False
         return request_class.idempotency is not Idempotency.KEYED or bool(message.idempotency_key)
 
-    def fail_unusable(self, message: ClientRequest, request_class: RequestClass | None) -> None:
+    def fail_invalid(self, message: ClientRequest, request_class: RequestClass | None) -> None:
         """Fail a request that was decoded but is not valid."""
         self.state.counters["not usable"] += 1
         if self.state.statistics is not None and request_class is not None:
@@ -107,7 +107,7 @@
             return "too many open"
         return ""
 
-    def take(self, message: ClientRequest, request_class: RequestClass, is_keyed: bool) -> None:
+    def admit(self, message: ClientRequest, request_class: RequestClass, is_keyed: bool) -> None:
         """Admit a request and pass it to the decision package."""
         state = self.state
         state.last_number += 1
@@ -131,7 +131,7 @@
         state.counters["taken"] += 1
         state.touched_requests.append(request)
         if state.is_tracing:
-            self.trace_taken(message)
+            self.trace_admitted(message)
         prior_attempt_unknown = is_keyed and message.is_retry and prior_execution is None
         state.events.append(decision_request(request, prior_execution, prior_attempt_unknown))
 
@@ -151,7 +151,7 @@
             message.queued_ns,
         )
 
-    def trace_taken(self, message: ClientRequest) -> None:
+    def trace_admitted(self, message: ClientRequest) -> None:
         """Trace the step ``taken``: a request was admitted."""
         self.state.trace(
             "taken",
@@ -194,11 +194,11 @@
         keys = self.state.idempotency_keys
         if (message.request_class, message.idempotency_key) in keys.in_use:
             return True
-        earlier = keys.find(self.state.now, message.request_class, message.idempotency_key)
-        return earlier is not None
+        prior_execution = keys.find(self.state.now, message.request_class, message.idempotency_key)
+        return prior_execution is not None
 
-    def finish(self, request: OpenRequest, answer: FinalAnswer | None) -> None:
-        """End a request: send its final response, or none (``answer`` is None) if its client left."""
+    def finish(self, request: OpenRequest, response: FinalResponse | None) -> None:
+        """End a request: send its final response, or none (``response`` is None) if its client left."""
         if not holds(not request.is_answered, "one final answer for each request"):
             return
         state = self.state
@@ -207,19 +207,19 @@
         if request.allowance is not None:
             request.allowance.release()
         if state.statistics is not None:
-            self.record_statistics(request, answer)
+            self.record_statistics(request, response)
         if state.is_tracing:
             state.trace(
                 "final",
                 id=request.message.trace_id,
                 cls=request.message.request_class,
                 tries=request.attempts_made,
-                how=TRACE_WORDS[type(answer)] if answer else CLIENT_GONE,
+                how=TRACE_RESULTS[type(response)] if response else CLIENT_GONE,
                 out=request.attempts_in_flight,
                 left=request.deadline_ns - state.now,
             )
-        if answer:
-            state.effects.append(answer)
+        if response:
+            state.effects.append(response)
 
     def remove_from_tables(self, request: OpenRequest) -> None:
         """Remove a request that has ended from the tables."""
@@ -228,12 +228,12 @@
         state.open_trace_ids.discard(message.trace_id)
         if message.idempotency_key:
             state.idempotency_keys.in_use.discard((message.request_class, message.idempotency_key))
-        open_here = state.requests_by_client[message.client]
-        del open_here[message.request_number]
-        if not open_here:
+        requests_of_client = state.requests_by_client[message.client]
+        del requests_of_client[message.request_number]
+        if not requests_of_client:
             del state.requests_by_client[message.client]
 
-    def record_statistics(self, request: OpenRequest, answer: FinalAnswer | None) -> None:
+    def record_statistics(self, request: OpenRequest, response: FinalResponse | None) -> None:
         """Add a request's end to the statistics.  Its elapsed time counts from when the client sent it."""
         state, message = self.state, request.message
         request_class = state.classes.get(message.request_class)
@@ -247,13 +247,13 @@
         )
         state.statistics.record_end(
             request_class.name,
-            STATISTICS_WORDS[type(answer)] if answer else CLIENT_GONE,
+            STATISTICS_RESULTS[type(response)] if response else CLIENT_GONE,
             request.attempts_made,
             request_class.priority_weight,
             in_time,
         )
 
-    def client_disconnected(self, request: OpenRequest) -> None:
+    def finish_without_response(self, request: OpenRequest) -> None:
         """End a request whose client cancelled it or disconnected."""
         self.finish(request, None)
         self.state.events.append(api.ClientDisconnected(request.id))
--- a/kelpcroft/core/clients.py
+++ b/kelpcroft/core/clients.py
@@ -43,11 +43,11 @@
 
     def on_cancel(self, message: CancelRequest) -> None:
         """Handle a client's cancellation of a request."""
-        open_here = self.state.requests_by_client.get(message.client, {})
-        request = open_here.get(message.request_number)
+        requests_of_client = self.state.requests_by_client.get(message.client, {})
+        request = requests_of_client.get(message.request_number)
         if request is not None:
             self.state.counters["cancelled by client"] += 1
-            self.abandon(request)
+            self.end_request(request)
 
     def on_connected(self, message: ClientConnected) -> None:
         """Record an accepted client connection."""
@@ -57,16 +57,16 @@
         """Handle the end of a client's connection: its open requests end without a response."""
         self.process.clients.discard(message.client)
         for request in list(self.state.requests_by_client.get(message.client, {}).values()):
-            self.abandon(request)
+            self.end_request(request)
         self.state.requests_by_client.pop(message.client, None)
 
-    def abandon(self, request: OpenRequest) -> None:
+    def end_request(self, request: OpenRequest) -> None:
         """End a request that its client no longer waits for.
 
         No further attempt begins for it, even where the settings forbid cancelling attempts in flight.
         """
-        self.requests.client_disconnected(request)
-        self.attempts.abandon(request)
+        self.requests.finish_without_response(request)
+        self.attempts.end_unsent(request)
 
     def on_health_request(self, message: HealthRequest) -> None:
         """Respond to a client's health request: whether this router is ready."""
--- a/kelpcroft/core/connection_pool.py
+++ b/kelpcroft/core/connection_pool.py
@@ -105,12 +105,12 @@
 
     def record_refusal(self, server: str, now: int) -> None:
         """Record that a server that responds on other connections refused one more: it is at its limit."""
-        last = self.refusals.get(server)
+        previous = self.refusals.get(server)
         backoff_ns = REFUSAL_BACKOFF_NS
-        if last is not None:
-            backoff_ns = min(2 * last.backoff_ns, MAX_REFUSAL_BACKOFF_NS)
-        chance = mix64(self.seed ^ mix64(self.created_count)) / 2**64
-        self.refusals[server] = Refusal(now + int(backoff_ns * (0.5 + chance)), backoff_ns)
+        if previous is not None:
+            backoff_ns = min(2 * previous.backoff_ns, MAX_REFUSAL_BACKOFF_NS)
+        jitter = mix64(self.seed ^ mix64(self.created_count)) / 2**64
+        self.refusals[server] = Refusal(now + int(backoff_ns * (0.5 + jitter)), backoff_ns)
 
     def may_connect(self, server: str, now: int) -> bool:
         """Whether the server's refusal back-off, if any, is over; the pool's own limits are not checked."""
@@ -164,9 +164,9 @@
         """Remove a connection that has ended; None if it is no longer in the pool."""
         connection = self.by_number.pop(number, None)
         if connection is not None:
-            others = self.by_server[connection.server]
-            others.remove(connection)
-            if not others:
+            server_connections = self.by_server[connection.server]
+            server_connections.remove(connection)
+            if not server_connections:
                 del self.by_server[connection.server]
         return connection
 
--- a/kelpcroft/core/descriptors.py
+++ b/kelpcroft/core/descriptors.py
@@ -16,12 +16,12 @@
 # One in DRAINING_DIVISOR descriptors is for client connections that are being closed.
 DRAINING_DIVISOR = 32
 MIN_DRAINING_CLIENTS = 2  # lower bound of that share
-# One in CALLER_DIVISOR descriptors is for control clients.
-CALLER_DIVISOR = 32
-MIN_CALLERS = 4  # lower bound of that share
-MAX_CALLERS = 32  # upper bound of that share
+# One in CONTROL_CLIENT_DIVISOR descriptors is for control clients.
+CONTROL_CLIENT_DIVISOR = 32
+MIN_CONTROL_CLIENTS = 4  # lower bound of that share
+MAX_CONTROL_CLIENTS = 32  # upper bound of that share
 # For the standard streams, the selector, the signal pipe, two listeners, the feed and files being reloaded.
-OWN_DESCRIPTORS = 16
+PROCESS_DESCRIPTORS = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,9 @@
 def allocate_descriptors(descriptors: int) -> DescriptorBudget:
     """Divide the process's descriptors, of which there are at least MIN_DESCRIPTORS."""
     clients = descriptors // CLIENT_DIVISOR + SPARE_CLIENTS
-    draining = max(MIN_DRAINING_CLIENTS, descriptors // DRAINING_DIVISOR)
-    callers = min(MAX_CALLERS, max(MIN_CALLERS, descriptors // CALLER_DIVISOR))
-    servers = descriptors - clients - draining - callers - OWN_DESCRIPTORS
-    return DescriptorBudget(clients, draining, callers, servers)
+    draining_clients = max(MIN_DRAINING_CLIENTS, descriptors // DRAINING_DIVISOR)
+    control_clients = min(
+        MAX_CONTROL_CLIENTS, max(MIN_CONTROL_CLIENTS, descriptors // CONTROL_CLIENT_DIVISOR)
+    )
+    servers = descriptors - clients - draining_clients - control_clients - PROCESS_DESCRIPTORS
+    return DescriptorBudget(clients, draining_clients, control_clients, servers)
--- a/kelpcroft/core/idempotency_keys.py
+++ b/kelpcroft/core/idempotency_keys.py
@@ -67,9 +67,9 @@
         record = self.records.get(key_id)
         if record is None or now >= record.expires_ns:
             self.records.pop(key_id, None)
-            kept_ns = max(request_class.dedup_window_ns, request_class.deadline_ns)
+            retention_ns = max(request_class.dedup_window_ns, request_class.deadline_ns)
             execution = PossibleExecution(zone, cell, now)
-            self.records[key_id] = KeyRecord(execution, attempt_number, now + kept_ns)
+            self.records[key_id] = KeyRecord(execution, attempt_number, now + retention_ns)
 
     def record_not_executed(self, class_name: str, key: str, attempt_number: int) -> None:
         """Delete the record of an attempt that was certainly not executed."""
--- a/kelpcroft/core/request_statistics.py
+++ b/kelpcroft/core/request_statistics.py
@@ -17,26 +17,27 @@
     """Counts of the ended requests of a class, and the sums of their priority weights.
 
     Attributes:
-        asked: All ended requests.
+        ended: All ended requests.
         served: Requests that were served.
         late: Served requests that missed their latency objective.
-        refused: Rejected requests: a retry is harmless.
+        rejected: Rejected requests: a retry is harmless.
         failed: Requests that failed.
-        gone: Requests that their clients cancelled or whose clients disconnected.
+        cancelled: Requests that their clients cancelled or whose clients disconnected.
         attempts: Attempts made for all of them.
-        worth: Sum of the priority weights of all requests not ended by their clients within the objective.
-        in_time: Sum of the priority weights of the requests served within the objective.
+        priority_weight: Sum of the priority weights of all requests, except those that their clients ended
+            within the objective.
+        weight_in_time: Sum of the priority weights of the requests served within the objective.
     """
 
-    asked: int = 0
+    ended: int = 0
     served: int = 0
     late: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
-    gone: int = 0
+    cancelled: int = 0
     attempts: int = 0
-    worth: float = 0.0
-    in_time: float = 0.0
+    priority_weight: float = 0.0
+    weight_in_time: float = 0.0
 
 
 class RequestStatistics:
@@ -54,7 +55,9 @@
             counts = self.classes.setdefault(class_name, ClassCounts())
         return counts
 
-    def record_end(self, class_name: str, how: str, attempts: int, worth: float, in_time: bool) -> None:
+    def record_end(
+        self, class_name: str, result: str, attempts: int, priority_weight: float, in_time: bool
+    ) -> None:
         """Count a request's end.
 
         A request that its client cancelled after the latency objective counts as not served in time.  One
@@ -62,42 +65,42 @@
 
         Args:
             class_name: The request's class.
-            how: "served", "refused", "failed" or "gone".
+            result: "served", "refused", "failed" or "gone".
             attempts: Number of attempts made for it.
-            worth: The priority weight of its class.
+            priority_weight: The priority weight of its class.
             in_time: It ended within its latency objective.
         """
         counts = self.counts_of(class_name)
-        counts.asked += 1
+        counts.ended += 1
         counts.attempts += attempts
-        if how == "served":
+        if result == "served":
             counts.served += 1
             counts.late += not in_time
-        elif how == "refused":
-            counts.refused += 1
-        elif how == "failed":
+        elif result == "refused":
+            counts.rejected += 1
+        elif result == "failed":
             counts.failed += 1
         else:
-            counts.gone += 1
+            counts.cancelled += 1
             if in_time:
                 return
-        counts.worth += worth
-        if how == "served" and in_time:
-            counts.in_time += worth
+        counts.priority_weight += priority_weight
+        if result == "served" and in_time:
+            counts.weight_in_time += priority_weight
 
     def as_json(self) -> dict[str, dict[str, float]]:
         """All counts by class.  The keys are on the wire of the control address."""
         return {
             class_name: {
-                "asked": counts.asked,
+                "asked": counts.ended,
                 "served": counts.served,
                 "late": counts.late,
-                "refused": counts.refused,
+                "refused": counts.rejected,
                 "failed": counts.failed,
-                "gone": counts.gone,
+                "gone": counts.cancelled,
                 "attempts": counts.attempts,
-                "worth": round(counts.worth, 3),
-                "in_time": round(counts.in_time, 3),
+                "worth": round(counts.priority_weight, 3),
+                "in_time": round(counts.weight_in_time, 3),
             }
             for class_name, counts in self.classes.items()
         }
--- a/kelpcroft/core/silence_detection.py
+++ b/kelpcroft/core/silence_detection.py
@@ -7,14 +7,14 @@
 from kelpcroft.core.effects import CloseServerConnection
 from kelpcroft.core.inputs import ServerConnectionLost
 from kelpcroft.core.messages import TimerKind
-from kelpcroft.core.response_times import MIN_SILENCE_LIMIT_NS
+from kelpcroft.core.response_times import MIN_SILENCE_TIMEOUT_NS
 from kelpcroft.core.state import State
 
 # With this many attempts in flight on a silent connection, it is suspect even if the server has not responded
 # on another one.
 SUSPECT_LOAD = 3
-CHECK_ANSWER_NS = MIN_SILENCE_LIMIT_NS // 2  # a health check must be answered within this time
-MIN_TIMER_NS = MIN_SILENCE_LIMIT_NS // 4  # shortest interval between two checks of a connection for silence
+CHECK_TIMEOUT_NS = MIN_SILENCE_TIMEOUT_NS // 2  # a health check must be answered within this time
+MIN_TIMER_NS = MIN_SILENCE_TIMEOUT_NS // 4  # shortest interval between two checks of a connection for silence
 
 
 class SilenceDetector:
@@ -43,36 +43,40 @@
         if connection is None:
             return
         connection.has_silence_timer = False
-        started = [state.attempts[n].started_ns for n in connection.in_flight.values() if n in state.attempts]
-        if connection.is_exclusive or not started:
+        start_times_ns = [
+            state.attempts[n].started_ns for n in connection.in_flight.values() if n in state.attempts
+        ]
+        if connection.is_exclusive or not start_times_ns:
             return
-        silent_since_ns = max(min(started), connection.last_response_ns)
+        silent_since_ns = max(min(start_times_ns), connection.last_response_ns)
         silence_ns = state.now - silent_since_ns
-        limit_ns = self.attempts.response_times.silence_limit_ns()
+        timeout_ns = self.attempts.response_times.silence_timeout_ns()
         may_check = state.settings.limits.may_probe
-        is_suspect = self.answers_elsewhere(connection, silent_since_ns) or len(started) >= SUSPECT_LOAD
+        is_suspect = (
+            self.responds_elsewhere(connection, silent_since_ns) or len(start_times_ns) >= SUSPECT_LOAD
+        )
         was_checked = connection.last_check_ns > silent_since_ns
-        if may_check and is_suspect and not was_checked and silence_ns >= limit_ns // 2:
+        if may_check and is_suspect and not was_checked and silence_ns >= timeout_ns // 2:
             was_checked = True
-            self.check(connection)
-        awaits_check = may_check and state.now - connection.last_check_ns < CHECK_ANSWER_NS
-        if silence_ns >= limit_ns and is_suspect and not awaits_check:
+            self.send_check(connection)
+        is_awaiting_check = may_check and state.now - connection.last_check_ns < CHECK_TIMEOUT_NS
+        if silence_ns >= timeout_ns and is_suspect and not is_awaiting_check:
             self.close(connection)
             return
-        wait_ns = limit_ns // 2 if may_check and not was_checked else limit_ns
+        wait_ns = timeout_ns // 2 if may_check and not was_checked else timeout_ns
         connection.has_silence_timer = True
         state.schedule(
             max(silent_since_ns + wait_ns - state.now, MIN_TIMER_NS), TimerKind.CONNECTION_SILENCE, number
         )
 
-    def answers_elsewhere(self, connection: PooledConnection, since_ns: int) -> bool:
+    def responds_elsewhere(self, connection: PooledConnection, since_ns: int) -> bool:
         """Whether the server has responded on another connection since ``since_ns``."""
         for other in self.state.connections.by_server[connection.server]:
             if other is not connection and other.last_response_ns > since_ns:
                 return True
         return False
 
-    def check(self, connection: PooledConnection) -> None:
+    def send_check(self, connection: PooledConnection) -> None:
         """Send a health check on the connection."""
         connection.last_check_ns = self.state.now
         self.state.counters["connections asked"] += 1
--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -89,8 +89,8 @@
     "answers nothing": (
         (
             "kelpcroft/core/client_requests.py",
-            "        if answer:\n            state.effects.append(answer)\n",
-            "        if answer and state.last_number % 10:\n            state.effects.append(answer)\n",
+            "        if response:\n            state.effects.append(response)\n",
+            "        if response and state.last_number % 10:\n            state.effects.append(response)\n",
         ),
     ),
     "runs twice": (
--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -237,7 +237,7 @@
                 for e in r.handle(NOW, inputs.ServerConnected(dial.connection))
                 if isinstance(e, effects.ScheduleTimer)
             ]
-            assert wake.at_ns == NOW + r.attempts.response_times.silence_limit_ns() // 2
+            assert wake.at_ns == NOW + r.attempts.response_times.silence_timeout_ns() // 2
             for number in (2, 3, 4):
                 r.handle(NOW + MS, call(number, patience=4_900))
             effect_list = r.handle(wake.at_ns, inputs.TimerFired(wake.key))
@@ -251,12 +251,12 @@
                     dial.connection, check.attempt_id, Outcome.OK, FillResult.NONE, 0, {}, False, b""
                 )
                 r.handle(wake.at_ns + MS, fit)
-            due = NOW + r.attempts.response_times.silence_limit_ns()
+            due = NOW + r.attempts.response_times.silence_timeout_ns()
             effect_list = r.handle(due, inputs.TimerFired(wake.key))
             assert bool(only(effects.CloseServerConnection, effect_list)) == (not answers)
             assert len(r.state.attempts) == 4, "the attempts are still in flight, or wait to be sent again"
             if answers:  # another check follows after the same silence
-                due = wake.at_ns + MS + r.attempts.response_times.silence_limit_ns()
+                due = wake.at_ns + MS + r.attempts.response_times.silence_timeout_ns()
                 (check,) = only(effects.SendHealthCheck, r.handle(due, inputs.TimerFired(wake.key)))
                 assert only(
                     effects.CloseServerConnection, r.handle(due + 200 * MS, inputs.TimerFired(wake.key))
