--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -20,14 +20,16 @@
 
 
 class Shares(unittest.TestCase):
-    def test_they_add_up(self) -> None:
+    def test_shares_leave_descriptors_for_the_process(self) -> None:
         """Control clients had no share: with all other kinds at their limits they exceeded the total."""
-        for most in range(MIN_DESCRIPTORS, 5_000):
-            shares = allocate_descriptors(most)
+        for descriptors in range(MIN_DESCRIPTORS, 5_000):
+            shares = allocate_descriptors(descriptors)
             kinds = (shares.clients, shares.draining_clients, shares.control_callers, shares.servers)
-            assert all(kind > 0 for kind in kinds), (most, shares)
-            assert sum(kinds) < most, "some descriptors are left for the process itself"
-            assert shares.clients >= most // 3, "the platform promises that clients hold at most a third"
+            assert all(kind > 0 for kind in kinds), (descriptors, shares)
+            assert sum(kinds) < descriptors, "some descriptors are left for the process itself"
+            assert shares.clients >= descriptors // 3, (
+                "the platform promises that clients hold at most a third"
+            )
 
     def test_the_system_may_give_fewer(self) -> None:
         """The configured number was used unchecked: under a lower system limit a connect to a server found no
@@ -35,8 +37,8 @@
         """
         config = parse_config(EXAMPLE, {})
         assert limit_to_system_descriptors(config, 1024) is config
-        less = limit_to_system_descriptors(config, 100)
-        assert (less.max_descriptors, [d.place for d in less.warnings]) == (100, ["limits.sockets"])
+        limited = limit_to_system_descriptors(config, 100)
+        assert (limited.max_descriptors, [d.place for d in limited.warnings]) == (100, ["limits.sockets"])
         with pytest.raises(ConfigError) as caught:
             limit_to_system_descriptors(config, MIN_DESCRIPTORS - 1)
         assert "the system gives this process 63 descriptors; 64" in str(caught.value)
@@ -58,35 +60,35 @@
 
 
 class NoneLeft(unittest.TestCase):
-    def test_a_dial_takes_the_place_of_one_that_rests(self) -> None:
+    def test_a_connect_closes_an_idle_client(self) -> None:
         """``dial`` created a new socket in the handler of the error that reports missing descriptors.  The
         error was raised again and ended the process with all its open requests.
         """
         t = Turns(self)
         t.until(t.taken("feed").read, "a watch request is sent")
-        rests, asks = t.client(), t.client()
+        idle, active = t.client(), t.client()
         t.turn(SECOND)
-        asks.send(call(1))
+        active.send(call(1))
         with t.no_descriptors():
-            t.until(lambda: rests.read() or rests.ended, "the idle client is closed")
+            t.until(lambda: idle.read() or idle.ended, "the idle client is closed")
         cache = t.taken("cache1")
         t.until(cache.pulls, "the attempt arrives")
         cache.send(done(*cache.pulls()))
-        t.until(asks.answers, "the request is served")
-        assert asks.answers() == [[1, 1, None, [b"by", {}]]]
+        t.until(active.answers, "the request is served")
+        assert active.answers() == [[1, 1, None, [b"by", {}]]]
 
     def test_a_dial_that_cannot_be_made_ends_in_an_answer(self) -> None:
         t = Turns(self)
         t.until(t.taken("feed").read, "a watch request is sent")
-        asks = t.client()
-        asks.send(call(1))
+        client = t.client()
+        client.send(call(1))
         with t.no_descriptors():
-            t.until(asks.answers, "the request ends immediately")
-        assert asks.answers()[0][2][0] == "Shed"
-        asks.send(call(2))
+            t.until(client.answers, "the request ends immediately")
+        assert client.answers()[0][2][0] == "Shed"
+        client.send(call(2))
         t.until(t.taken("cache1").pulls, "later requests are sent to a server")
 
-    def test_the_list_is_asked_for_again_once_there_is_one(self) -> None:
+    def test_the_feed_is_polled_again_once_a_descriptor_is_free(self) -> None:
         """``poll`` created a new socket in the error handler, as ``dial`` did, and ended the process."""
         t = Turns(self, feed=False)
         t.until(
@@ -98,20 +100,20 @@
                 t.turn(500 * MS, turns=3)  # each attempt to send a watch request finds no descriptor
         assert t.loop.feed.connection is None
         host, port = t.loop.feed_address
-        t.listeners["feed"] = back = socket.create_server((host, port))
-        self.addCleanup(back.close)
-        back.setblocking(False)
+        t.listeners["feed"] = listener = socket.create_server((host, port))
+        self.addCleanup(listener.close)
+        listener.setblocking(False)
         t.turn(500 * MS)
         t.until(t.taken("feed").read, "a watch request is sent")
 
     def test_a_listener_that_cannot_accept_is_left_alone_for_a_while(self) -> None:
         """The listener was ready in every iteration: the loop spun and logged a line each time."""
         t = Turns(self)
-        came = [t.client()]
-        came[0].send(call(1))  # no client is idle, so none is closed
+        clients = [t.client()]
+        clients[0].send(call(1))  # no client is idle, so none is closed
         t.until(lambda: t.loop.reducer.state.requests_by_client, "the request is admitted")
-        waits = socket.create_connection(t.address, WAIT_S)
-        self.addCleanup(waits.close)
+        pending = socket.create_connection(t.address, WAIT_S)
+        self.addCleanup(pending.close)
         with t.no_descriptors():
             t.until(lambda: not t.loop.acceptor.listener.is_listening, "the listener is paused")
             t.turn(turns=20)
--- a/tests/core/test_gone.py
+++ b/tests/core/test_gone.py
@@ -8,7 +8,7 @@
 
 from kelpcroft.net.event_loop import CLIENT_REQUESTS_TURN_NS, LONG_TURN_FLUSH_INTERVAL_NS
 from kelpcroft.net.server_connections import ServerConnection
-from kelpcroft.net.transport import Connection as Ours
+from kelpcroft.net.transport import Connection as RouterConnection
 from tests.support.loop_turns import MS, SECOND, Peer, Turns, call, done
 
 
@@ -17,7 +17,7 @@
 
 
 class Gone(unittest.TestCase):
-    def asked(self, t: Turns) -> tuple[Peer, Peer]:
+    def client_with_attempt(self, t: Turns) -> tuple[Peer, Peer]:
         """A client whose attempt is in flight, and the cache that received it."""
         client = t.client()
         client.send(call(1))
@@ -25,7 +25,7 @@
         t.until(cache.pulls, "the attempt arrives")
         return client, cache
 
-    def nothing_more(self, t: Turns, cache: Peer) -> None:
+    def assert_no_further_attempt(self, t: Turns, cache: Peer) -> None:
         """Asserts that no attempt was sent to any server after the first one."""
         t.turn(SECOND)
         assert len(cache.pulls()) == 1
@@ -36,46 +36,50 @@
         """An attempt was sent for a disconnected client: servers' sockets were read before clients' sockets,
         so a server's miss led to the next attempt before the client's close was read.
         """
-        for last in (b"", cancel(1)):
-            with self.subTest(last=last):
+        for data in (b"", cancel(1)):
+            with self.subTest(data=data):
                 t = Turns(self)
-                client, cache = self.asked(t)
-                client.send(last) if last else client.close()
+                client, cache = self.client_with_attempt(t)
+                client.send(data) if data else client.close()
                 cache.send(done(cache.pulls()[0], b"", b"LACK", b"-"))
-                self.nothing_more(t, cache)
+                self.assert_no_further_attempt(t, cache)
 
     def test_no_further_attempt_behind_a_close_in_a_long_turn(self) -> None:
         """The client closes its connection while responses of other servers are being read."""
         t = Turns(self, only=("cache1", "cache2", "parent", "origin"))
         client, other = t.client(), t.client()
-        for n in range(1, 9):
-            (client if n == 1 else other).send(call(n, entity=f"{n:016x}"))
+        for number in range(1, 9):
+            (client if number == 1 else other).send(call(number, entity=f"{number:016x}"))
         caches = [t.taken("cache1"), t.taken("cache2")]
         t.until(lambda: sum(len(c.pulls()) for c in caches) == 8, "all attempts are in flight")
-        (mine,) = [c for c in caches if f"{1:016x}" in c.pulls()]
-        serve, read = t.loop.handle_ready, []
+        (cache_of_client,) = [c for c in caches if f"{1:016x}" in c.pulls()]
+        handle_ready, peers_read = t.loop.handle_ready, []
 
-        def slow(peer: Ours, events: int) -> None:
-            if isinstance(peer, ServerConnection) and not read:
+        def close_client_while_reading(peer: RouterConnection, events: int) -> None:
+            if isinstance(peer, ServerConnection) and not peers_read:
                 client.close()
                 t.now += LONG_TURN_FLUSH_INTERVAL_NS
-            read.append(peer)
-            serve(peer, events)
-
-        t.loop.handle_ready = slow  # type: ignore[method-assign]
-        (late,) = [s for s in t.loop.servers.open.values() if s.sock.getpeername() == mine.sock.getsockname()]
-        (early,) = [s for s in t.loop.servers.open.values() if s is not late]
+            peers_read.append(peer)
+            handle_ready(peer, events)
+
+        t.loop.handle_ready = close_client_while_reading  # type: ignore[method-assign]
+        (client_server,) = [
+            s
+            for s in t.loop.servers.open.values()
+            if s.sock.getpeername() == cache_of_client.sock.getsockname()
+        ]
+        (other_server,) = [s for s in t.loop.servers.open.values() if s is not client_server]
         for cache in caches:
             for id in cache.pulls():
                 cache.send(done(id, b"", b"LACK", b"-") if id == f"{1:016x}" else done(id))
-        look = t.selector.select
+        select = t.selector.select
 
-        def ordered(timeout: float | None = None) -> list:  # type: ignore[type-arg]
-            return sorted(look(timeout), key=lambda found: found[0].data is late)
+        def client_server_last(timeout: float | None = None) -> list:  # type: ignore[type-arg]
+            return sorted(select(timeout), key=lambda ready: ready[0].data is client_server)
 
-        t.selector.select = ordered  # type: ignore[method-assign]
+        t.selector.select = client_server_last  # type: ignore[method-assign]
         t.until(lambda: len(other.answers()) == 7, "the other requests have their responses")
-        assert read[0] is early
+        assert peers_read[0] is other_server
         t.turn(SECOND)
         assert sum(len(c.pulls()) for c in caches) == 8
         for name in ("cache1", "cache2", "parent", "origin"):
@@ -96,25 +100,25 @@
         for name in ("cache1", "parent", "origin"):
             t.none(name)
 
-    def test_what_waits_for_its_connection_is_not_sent_on(self) -> None:
+    def test_an_attempt_that_waits_for_its_connection_is_not_sent(self) -> None:
         """With ``may_cancel`` off, an attempt that waited for its connection was sent when the connection was
         established, although its client had cancelled the request.
         """
-        for may in (False, True):
-            with self.subTest(may_cancel=may):
-                t = Turns(self, allowed={"may_cancel": may})
+        for may_cancel in (False, True):
+            with self.subTest(may_cancel=may_cancel):
+                t = Turns(self, allowed={"may_cancel": may_cancel})
                 client = t.client()
-                watch = t.loop.transport.set_interest
+                set_interest = t.loop.transport.set_interest
 
                 def hide(
-                    peer: Ours,
+                    peer: RouterConnection,
                     events: int,
                     t: Turns = t,  # type: ignore[no-untyped-def]
-                    watch=watch,
+                    set_interest=set_interest,
                 ) -> None:
                     if isinstance(peer, ServerConnection):
                         t.selector.hidden.add(peer.sock)
-                    watch(peer, events)
+                    set_interest(peer, events)
 
                 t.loop.transport.set_interest = hide  # type: ignore[method-assign]
                 client.send(call(1))
@@ -132,7 +136,7 @@
 
     def test_a_request_that_is_read_and_not_taken_can_be_cancelled(self) -> None:
         t = Turns(self)
-        client, cache = self.asked(t)
+        client, cache = self.client_with_attempt(t)
         t.tick_ns = 2 * CLIENT_REQUESTS_TURN_NS  # each clock reading uses up the iteration's time
         client.send(call(2))
         t.until(lambda: t.loop.clients.with_pending, "the request is read")
@@ -147,12 +151,12 @@
     def test_time_between_reading_and_taking_counts(self) -> None:
         """A request's remaining time counts from when the client sent it, wherever the request waits."""
         t = Turns(self)
-        client, _cache = self.asked(t)
-        (ours,) = t.loop.clients.open.values()
+        client, _cache = self.client_with_attempt(t)
+        (connection,) = t.loop.clients.open.values()
         client.send(call(2, patience=900))
-        t.loop.read_disconnects([(ours, 1)], t.now)
-        assert len(ours.pending_messages) == 1
+        t.loop.read_disconnects([(connection, 1)], t.now)
+        assert len(connection.pending_messages) == 1
         t.now += 200 * MS
-        t.loop.clients.dispatch_pending(ours)
+        t.loop.clients.dispatch_pending(connection)
         (_, second) = t.loop.reducer.state.requests.values()
         assert second.message.remaining_time_ns == 700 * MS
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -14,41 +14,41 @@
 from kelpcroft.core.idempotency_keys import IdempotencyKeys
 from kelpcroft.decision import interface as api
 from testbed.virtual import EXAMPLE, MS, START, S, VirtualRouter
-from tests.support.exchange_player import KEYED, ONE, Player
+from tests.support.exchange_player import KEYED_CLASS, ONE_CACHE, Player
 
 CLS = api.RequestClass("order", api.Idempotency.KEYED, dedup_window_ns=3 * S, deadline_ns=5 * S)
-STEPS = st.sampled_from(["sent", "not run", "wait"])
-steps = st.lists(st.tuples(STEPS, st.integers(0, 3), st.integers(1, 9)), max_size=40)
+STEP_NAMES = st.sampled_from(["sent", "not run", "wait"])
+step_sequences = st.lists(st.tuples(STEP_NAMES, st.integers(0, 3), st.integers(1, 9)), max_size=40)
 
 
 class Table(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(steps)
-    def test_first_send_that_may_have_run(self, found: list[tuple[str, int, int]]) -> None:
+    @given(step_sequences)
+    def test_first_send_that_may_have_run(self, sequence: list[tuple[str, int, int]]) -> None:
         """The table agrees with a model that keeps a list of all sends."""
-        keys, now, sends, made = IdempotencyKeys(), 0, [], 0
-        for what, nonce, amount in found:
+        keys, now, sends, attempt_number = IdempotencyKeys(), 0, [], 0
+        for step, key_number, seconds in sequence:
             now += S // 10
-            if what == "wait":
-                now += amount * S
-            elif what == "sent":
-                made += 1
-                keys.record_send(now, CLS, str(nonce), made, "z", 0)
-                live = [x for x in sends if x[0] == nonce and now < x[2] + 5 * S]
-                if not live:
-                    sends = [x for x in sends if x[0] != nonce]
-                    sends.append((nonce, made, now))
+            if step == "wait":
+                now += seconds * S
+            elif step == "sent":
+                attempt_number += 1
+                keys.record_send(now, CLS, str(key_number), attempt_number, "z", 0)
+                valid = [x for x in sends if x[0] == key_number and now < x[2] + 5 * S]
+                if not valid:
+                    sends = [x for x in sends if x[0] != key_number]
+                    sends.append((key_number, attempt_number, now))
             else:
-                last = [x for x in sends if x[0] == nonce][-1:]
-                if last:
-                    keys.record_not_executed("order", str(nonce), last[0][1])
-                    sends.remove(last[0])
-            for n in range(4):
-                live = [x for x in sends if x[0] == n and now < x[2] + 5 * S]
-                ran = keys.find(now, "order", str(n))
-                assert (ran.sent_ns if ran else None) == (live[0][2] if live else None)
-
-    def test_it_has_an_end(self) -> None:
+                latest = [x for x in sends if x[0] == key_number][-1:]
+                if latest:
+                    keys.record_not_executed("order", str(key_number), latest[0][1])
+                    sends.remove(latest[0])
+            for number in range(4):
+                valid = [x for x in sends if x[0] == number and now < x[2] + 5 * S]
+                execution = keys.find(now, "order", str(number))
+                assert (execution.sent_ns if execution else None) == (valid[0][2] if valid else None)
+
+    def test_table_is_bounded(self) -> None:
         keys = IdempotencyKeys(3)
         for n in range(3):
             assert not keys.is_full(n)
@@ -58,39 +58,39 @@
         assert len(keys.records) == 2
 
 
-def world(group: str, fates: dict[str, float], seed: int = 1, window: int = 3 * S) -> VirtualRouter:
+def keyed_router(group: str, fates: dict[str, float], seed: int = 1, window: int = 3 * S) -> VirtualRouter:
     classes = [dict(c) for c in EXAMPLE["settings"]["classes"]]
     classes[1].update(idempotency="keyed", group=group, dedup_window_ns=window)
     return VirtualRouter(None, seed, fates, settings={"classes": classes})
 
 
-def order(
-    v: VirtualRouter, when: int, nonce: str, patience_ms: int = 900, retry: bool = False
+def schedule_order(
+    v: VirtualRouter, when: int, key: str, remaining_ms: int = 900, retry: bool = False
 ) -> inputs.ClientRequest:
     """Schedules a request of the class ``order``; its record is in ``records`` under its trace id."""
-    story = v.schedule_request(when, "order", patience_ms)
-    c = story.request
-    call = inputs.ClientRequest(
-        c.client,
-        c.request_number,
-        c.request_class,
-        c.trace_id,
-        c.remaining_time_ns,
-        c.object_id,
-        c.part_id,
-        c.object_number,
-        c.part_number,
-        c.group,
+    record = v.schedule_request(when, "order", remaining_ms)
+    template = record.request
+    request = inputs.ClientRequest(
+        template.client,
+        template.request_number,
+        template.request_class,
+        template.trace_id,
+        template.remaining_time_ns,
+        template.object_id,
+        template.part_id,
+        template.object_number,
+        template.part_number,
+        template.group,
         retry,
         "",
         b"order",
-        idempotency_key=nonce,
+        idempotency_key=key,
     )
-    for n, event in enumerate(v.heap):
-        if event.message is c:
-            v.heap[n] = event._replace(message=call)
-    story.request = call
-    return call
+    for position, event in enumerate(v.heap):
+        if event.message is template:
+            v.heap[position] = event._replace(message=request)
+    record.request = request
+    return request
 
 
 class Retries(unittest.TestCase):
@@ -103,37 +103,39 @@
         """
         for group in ("zone", "cell"):
             for seed in range(30):
-                v = world(group, {"silent": 0.5, "done": 0.2, "broke": 0.2, "wait": 0.1}, seed, 1500 * MS)
+                v = keyed_router(
+                    group, {"silent": 0.5, "done": 0.2, "broke": 0.2, "wait": 0.1}, seed, 1500 * MS
+                )
                 for n in range(5):
-                    order(v, n * 550 * MS, "k", patience_ms=500)
+                    schedule_order(v, n * 550 * MS, "k", remaining_ms=500)
                 v.run(20 * S)
                 sends = self.sends(v)
-                ran = [x for x in sends if x[2] not in ("wait", "lack", "past")]
-                if not ran:
+                executed = [x for x in sends if x[2] not in ("wait", "lack", "past")]
+                if not executed:
                     continue
-                first = ran[0]
-                homes = {e.address: (e.zone, e.cell) for e in v.reducer.state.endpoints.values()}
-                for at, server, _ in sends:
-                    if at > first[0]:
-                        assert at < first[0] + 1500 * MS, (group, seed)
-                        mine, other = homes[first[1]], homes[server]
-                        assert (mine if group == "cell" else mine[0]) == (
-                            other if group == "cell" else other[0]
+                first = executed[0]
+                places = {e.address: (e.zone, e.cell) for e in v.reducer.state.endpoints.values()}
+                for sent_ns, server, _ in sends:
+                    if sent_ns > first[0]:
+                        assert sent_ns < first[0] + 1500 * MS, (group, seed)
+                        first_place, place = places[first[1]], places[server]
+                        assert (first_place if group == "cell" else first_place[0]) == (
+                            place if group == "cell" else place[0]
                         ), (group, seed)
 
     def test_past_the_window_it_is_refused_or_fails_without_a_send(self) -> None:
-        for group, due in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
-            v = world(group, {"silent": 1.0}, window=S)
-            first, late = order(v, 0, "k"), order(v, 2 * S, "k")
+        for group, expected in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
+            v = keyed_router(group, {"silent": 1.0}, window=S)
+            first, late = schedule_order(v, 0, "k"), schedule_order(v, 2 * S, "k")
             v.run(10 * S)
             assert len(v.records[first.trace_id].attempts) == 1
             assert v.records[late.trace_id].attempts == []
-            assert isinstance(v.records[late.trace_id].final_effects[0][1], due)
+            assert isinstance(v.records[late.trace_id].final_effects[0][1], expected)
 
     def test_what_certainly_did_not_run_binds_nothing(self) -> None:
-        v = world("zone", {"wait": 1.0}, window=S)
-        order(v, 0, "k")
-        late = order(v, 2 * S, "k")
+        v = keyed_router("zone", {"wait": 1.0}, window=S)
+        schedule_order(v, 0, "k")
+        late = schedule_order(v, 2 * S, "k")
         v.run(10 * S)
         assert v.records[late.trace_id].attempts
 
@@ -142,97 +144,103 @@
         between.  The place and time of that send are unknown: a second send may be after the window or
         outside the deduplication scope.
         """
-        for group, due in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
-            for retry, least in ((True, 1), (False, 2)):
+        for group, expected in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
+            for retry, expected_sends in ((True, 1), (False, 2)):
                 sends = 0
                 for seed in range(20):
-                    v = world(group, {"broke": 0.8, "wait": 0.2}, seed)
-                    call = order(v, 0, "k", retry=retry)
+                    v = keyed_router(group, {"broke": 0.8, "wait": 0.2}, seed)
+                    request = schedule_order(v, 0, "k", retry=retry)
                     v.run(10 * S)
-                    ran = [x for x in v.records[call.trace_id].attempts if x.fate == "broke"]
-                    sends = max(sends, len(ran))
-                    if retry and ran:
-                        assert isinstance(v.records[call.trace_id].final_effects[0][1], due)
-                (self.assertEqual if retry else self.assertGreaterEqual)(sends, least, group)
+                    executed = [x for x in v.records[request.trace_id].attempts if x.fate == "broke"]
+                    sends = max(sends, len(executed))
+                    if retry and executed:
+                        assert isinstance(v.records[request.trace_id].final_effects[0][1], expected)
+                (self.assertEqual if retry else self.assertGreaterEqual)(sends, expected_sends, group)
 
     def test_two_of_one_key_are_never_out_together(self) -> None:
-        for group, due in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
-            v = world(group, {"silent": 1.0})
-            first, second = order(v, 0, "k"), order(v, 100 * MS, "k")
+        for group, expected in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
+            v = keyed_router(group, {"silent": 1.0})
+            first, second = schedule_order(v, 0, "k"), schedule_order(v, 100 * MS, "k")
             v.run(10 * S)
             assert len(v.records[first.trace_id].attempts) == 1
             assert v.records[second.trace_id].attempts == []
-            assert isinstance(v.records[second.trace_id].final_effects[0][1], due)
+            assert isinstance(v.records[second.trace_id].final_effects[0][1], expected)
 
     def test_tables_are_empty_after_a_storm(self) -> None:
-        v, random = world("all", {"silent": 0.3, "done": 0.5, "broke": 0.2}), Random(4)
+        v, random = keyed_router("all", {"silent": 0.3, "done": 0.5, "broke": 0.2}), Random(4)
         for _ in range(300):
-            order(v, random.randrange(20 * S), str(random.randrange(60)))
+            schedule_order(v, random.randrange(20 * S), str(random.randrange(60)))
         v.run(40 * S)
         assert v.reducer.state.idempotency_keys.in_use == set()
         v.reducer.state.idempotency_keys.drop_expired(v.now + 60 * S)
         assert len(v.reducer.state.idempotency_keys.records) == 0
 
 
-class Retuned(unittest.TestCase):
+class Reloads(unittest.TestCase):
     """Reloads (SIGHUP) while keys are recorded: sends before the reload limit retries after it."""
 
-    def retuned(self, v: VirtualRouter, when: int, **change: object) -> None:
+    def schedule_reload(self, v: VirtualRouter, when: int, **changes: object) -> None:
         raw = copy.deepcopy(v.config.raw)
-        raw["settings"]["classes"][1].update(change)
+        raw["settings"]["classes"][1].update(changes)
         v.schedule(START + when, inputs.ConfigFileRead("config.json", orjson.dumps(raw)))
 
-    def finals(self, v: VirtualRouter, call: inputs.ClientRequest) -> list[type]:
-        return [type(f) for _, f in v.records[call.trace_id].final_effects]
+    def final_response_types(self, v: VirtualRouter, request: inputs.ClientRequest) -> list[type]:
+        return [type(f) for _, f in v.records[request.trace_id].final_effects]
 
     def test_a_class_that_becomes_keyed_takes_clients_with_and_without_a_key(self) -> None:
         """Requests of clients that did not send a key yet failed immediately after the reload."""
-        v = world("all", {"done": 1.0})
-        self.retuned(v, 0, idempotency="safe", dedup_window_ns=0)
-        self.retuned(v, 10 * S, idempotency="keyed", dedup_window_ns=3 * S)
-        early, late, keyed = order(v, 10_500 * MS, ""), order(v, 13 * S, ""), order(v, 10_500 * MS, "k")
+        v = keyed_router("all", {"done": 1.0})
+        self.schedule_reload(v, 0, idempotency="safe", dedup_window_ns=0)
+        self.schedule_reload(v, 10 * S, idempotency="keyed", dedup_window_ns=3 * S)
+        early, late, keyed = (
+            schedule_order(v, 10_500 * MS, ""),
+            schedule_order(v, 13 * S, ""),
+            schedule_order(v, 10_500 * MS, "k"),
+        )
         v.run(20 * S)
-        assert [self.finals(v, c) for c in (early, late, keyed)] == [
+        assert [self.final_response_types(v, c) for c in (early, late, keyed)] == [
             [effects.SendResponse],
             [effects.FailRequest],
             [effects.SendResponse],
         ]
 
     def test_within_the_passage_it_runs_once_and_its_retry_after_it_is_bound(self) -> None:
-        v = world("zone", {"silent": 1.0}, window=S)
-        self.retuned(v, 0, idempotency="safe", dedup_window_ns=0)
-        self.retuned(v, 10 * S, idempotency="keyed", dedup_window_ns=S)
-        first, again = order(v, 11 * S, "k"), order(v, 12_500 * MS, "k")
+        v = keyed_router("zone", {"silent": 1.0}, window=S)
+        self.schedule_reload(v, 0, idempotency="safe", dedup_window_ns=0)
+        self.schedule_reload(v, 10 * S, idempotency="keyed", dedup_window_ns=S)
+        first, retry = schedule_order(v, 11 * S, "k"), schedule_order(v, 12_500 * MS, "k")
         v.run(20 * S)
-        assert [len(v.records[c.trace_id].attempts) for c in (first, again)] == [1, 0]
-        assert self.finals(v, again) == [effects.FailRequest], (
+        assert [len(v.records[c.trace_id].attempts) for c in (first, retry)] == [1, 0]
+        assert self.final_response_types(v, retry) == [effects.FailRequest], (
             "a rejection would let the client execute it through another router"
         )
 
     def test_a_window_that_shrinks_binds_at_once(self) -> None:
         for window, sends in ((5 * S, 1), (S, 0)):
-            v = world("all", {"silent": 1.0}, window=5 * S)
-            first = order(v, 0, "k")
-            self.retuned(v, 1_500 * MS, dedup_window_ns=window)
-            again = order(v, 2 * S, "k")
+            v = keyed_router("all", {"silent": 1.0}, window=5 * S)
+            first = schedule_order(v, 0, "k")
+            self.schedule_reload(v, 1_500 * MS, dedup_window_ns=window)
+            retry = schedule_order(v, 2 * S, "k")
             v.run(20 * S)
-            assert [len(v.records[c.trace_id].attempts) for c in (first, again)] == [1, sends], window
+            assert [len(v.records[c.trace_id].attempts) for c in (first, retry)] == [1, sends], window
 
     def test_a_class_that_goes_and_comes_back_remembers_its_keys(self) -> None:
-        v = world("all", {"silent": 1.0}, window=S)
-        order(v, 0, "k")
+        v = keyed_router("all", {"silent": 1.0}, window=S)
+        schedule_order(v, 0, "k")
         raw = copy.deepcopy(v.config.raw)
         raw["settings"]["classes"][1] = {**raw["settings"]["classes"][0], **raw["settings"]["classes"][1]}
-        gone = copy.deepcopy(raw)
-        del gone["settings"]["classes"][1]
-        v.schedule(START + 10 * MS, inputs.ConfigFileRead("config.json", orjson.dumps(gone)))
+        without_class = copy.deepcopy(raw)
+        del without_class["settings"]["classes"][1]
+        v.schedule(START + 10 * MS, inputs.ConfigFileRead("config.json", orjson.dumps(without_class)))
         v.schedule(START + 2_200 * MS, inputs.ConfigFileRead("config.json", orjson.dumps(raw)))
-        late = order(v, 2_500 * MS, "k")
+        late = schedule_order(v, 2_500 * MS, "k")
         v.run(20 * S)
         assert v.records[late.trace_id].attempts == []
-        assert self.finals(v, late) == [effects.RejectRequest]
+        assert self.final_response_types(v, late) == [effects.RejectRequest]
 
 
 class OnTheWire(unittest.TestCase):
     def test_retry_of_a_key(self) -> None:
-        Player(self, ONE, orders={**KEYED, "dedup_window_ns": S, "group": "zone"}).play("nonce_retry.txt")
+        Player(self, ONE_CACHE, orders={**KEYED_CLASS, "dedup_window_ns": S, "group": "zone"}).play(
+            "nonce_retry.txt"
+        )
--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -33,17 +33,17 @@
     def test_patience_counts_from_the_send(self) -> None:
         """Requests that had waited unread in a busy router were served after their clients' deadlines."""
         data = msgpack.packb([0, 1, "page", [{"trace": TRACE, "patience": "900", "entity": TRACE}, b""]])
-        (taken,) = ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(data), 400 * MS)
-        assert isinstance(taken, inputs.ClientRequest)
-        assert taken.remaining_time_ns == 500 * MS
+        (request,) = ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(data), 400 * MS)
+        assert isinstance(request, inputs.ClientRequest)
+        assert request.remaining_time_ns == 500 * MS
 
     def test_bad_requests_are_not_sent_on(self) -> None:
         """Servers answer bad requests with an error or a close, which counted against the servers and against
         other clients' requests.
         """
-        good = {"trace": TRACE, "patience": "900", "entity": TRACE, "block": "0", "family": "17"}
-        bad = [
-            {**good, key: value}
+        valid = {"trace": TRACE, "patience": "900", "entity": TRACE, "block": "0", "family": "17"}
+        invalid = [
+            {**valid, key: value}
             for key, value in (
                 ("trace", "ab"),
                 ("entity", TRACE.upper()),
@@ -56,19 +56,19 @@
                 ("cached", "a=b"),
             )
         ]
-        bodies = [[0, 1, "page", [good, b"x" * 48_001]]]
-        for message in [[0, 1, "page", [fields, b""]] for fields in bad] + bodies:
+        too_long = [[0, 1, "page", [valid, b"x" * 48_001]]]
+        for message in [[0, 1, "page", [fields, b""]] for fields in invalid] + too_long:
             with self.subTest(message=str(message)[:200]), pytest.raises(ClientProtocolError):
                 ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(msgpack.packb(message)))
         r = router()
         assert len(only(effects.OpenServerConnection, r.handle(NOW, call(1)))) == 1
-        for other in (call(1, client=2), call(2, cls="none"), call(3, patience=90_000)):
-            assert r.handle(NOW, other) == [effects.FailRequest(other.client, other.request_number)]
+        for request in (call(1, client=2), call(2, cls="none"), call(3, patience=90_000)):
+            assert r.handle(NOW, request) == [effects.FailRequest(request.client, request.request_number)]
         for number in range(4, 4 + 31):
             assert only(effects.CloseClient, r.handle(NOW, call(number))) == []
         assert len(only(effects.CloseClient, r.handle(NOW, call(99)))) == 1
 
-    def test_a_message_has_an_end(self) -> None:
+    def test_a_message_has_a_maximum_size(self) -> None:
         """Nested lists grew in memory as they were received, far beyond the size of their bytes.  Also,
         hundreds of requests that a client sent at once were all forwarded, whether it cancelled them or not.
         """
@@ -77,12 +77,12 @@
             for _ in range(8):
                 assert codec.receive_data(memoryview((b"\x9f" + b"\x90" * 14) * 1024)) == []
                 assert codec.has_partial_message()
-        good = {"trace": TRACE, "patience": "900", "entity": TRACE}
-        calls = [msgpack.packb([0, n, "page", [good, b""]]) for n in range(1, 34)]
-        assert len(ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(b"".join(calls[:32])))) == 32
+        fields = {"trace": TRACE, "patience": "900", "entity": TRACE}
+        requests = [msgpack.packb([0, n, "page", [fields, b""]]) for n in range(1, 34)]
+        assert len(ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(b"".join(requests[:32])))) == 32
         with pytest.raises(ClientProtocolError):
             ClientCodec(1, BUFFER_BYTES).receive_data(
-                memoryview(b"".join([*calls, msgpack.packb([2, "cancel", [1]])]))
+                memoryview(b"".join([*requests, msgpack.packb([2, "cancel", [1]])]))
             )
 
     def test_silent_and_idle_clients_make_room(self) -> None:
@@ -92,7 +92,7 @@
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: NOW))
         self.addCleanup(loop.selector.close)
         loop.reducer.start(NOW)
-        for number, said, age in (
+        for number, has_sent_message, age in (
             (1, False, SILENT_CLIENT_TIMEOUT_NS),
             (2, True, IDLE_CLIENT_TIMEOUT_NS),
             (3, True, SILENT_CLIENT_TIMEOUT_NS),
@@ -100,7 +100,7 @@
         ):
             client = ClientConnection(loop.clients, number, socket.socket(), NOW - age - MS)
             loop.clients.open[number] = client
-            client.has_sent_message = said
+            client.has_sent_message = has_sent_message
             self.addCleanup(client.sock.close)
         loop.clients.open[3].partial_since_ns = NOW - MS
         loop.sweep(NOW)
@@ -121,37 +121,39 @@
         ticks = iter(range(NOW, NOW + 10**12, CLIENT_REQUESTS_TURN_NS // 2))
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: next(ticks)))
         self.addCleanup(loop.selector.close)
-        served: list[int] = []
-        loop.handle_ready = lambda peer, events: served.append(peer.number)  # type: ignore[method-assign]
+        peers_read: list[int] = []
+        loop.handle_ready = lambda peer, events: peers_read.append(peer.number)  # type: ignore[method-assign]
         peers = [ClientConnection(loop.clients, n, socket.socket(), NOW) for n in range(6)]
         for peer in peers:
             self.addCleanup(peer.sock.close)
         loop.dispatch_requests([(peer, 1) for peer in peers], NOW - 5)
-        assert 0 < len(served) < 6
-        assert all(p.unread_since_ns == NOW - 5 for p in peers[len(served) :])
+        assert 0 < len(peers_read) < 6
+        assert all(p.unread_since_ns == NOW - 5 for p in peers[len(peers_read) :])
 
-    def test_waits_for_a_connection_are_chosen_anew_on_a_purge(self) -> None:
+    def test_attempts_waiting_for_a_connection_are_chosen_again_on_a_purge(self) -> None:
         """An attempt that waited for its connection was sent without an age limit, up to a connect timeout
         after the purge was received.
         """
         r = router()
-        (_dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (_opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW),)))
-        (pull,) = only(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
-        assert pull.max_age_ms > 0
+        (attempt,) = only(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
+        assert attempt.max_age_ms > 0
 
     def test_a_given_up_id_is_kept_off_its_connection(self) -> None:
         """A response that crossed its KILL on the wire would be matched to the next attempt with that id."""
         r = router()
-        (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
-        r.handle(NOW, inputs.ServerConnected(dial.connection))
-        (kill,) = only(effects.CancelAttempt, r.handle(NOW, inputs.CancelRequest(1, 1)))
+        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        r.handle(NOW, inputs.ServerConnected(opening.connection))
+        (cancellation,) = only(effects.CancelAttempt, r.handle(NOW, inputs.CancelRequest(1, 1)))
         assert (
-            r.state.connections.find(r.state.connections.by_number[dial.connection].server, kill.attempt_id)
+            r.state.connections.find(
+                r.state.connections.by_number[opening.connection].server, cancellation.attempt_id
+            )
             is None
         )
         late = inputs.ServerResponse(
-            dial.connection, kill.attempt_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"late"
+            opening.connection, cancellation.attempt_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"late"
         )
         assert r.handle(NOW, late) == []
 
@@ -160,30 +162,32 @@
         must not be executed twice was.
         """
         r = router()
-        (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
-        r.handle(NOW, inputs.ServerConnected(dial.connection))
+        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        r.handle(NOW, inputs.ServerConnected(opening.connection))
         miss = inputs.ServerResponse(
-            dial.connection, call(1).trace_id, Outcome.MISS, FillResult.SOURCE_LACKS, 0, {}, False, b""
+            opening.connection, call(1).trace_id, Outcome.MISS, FillResult.SOURCE_LACKS, 0, {}, False, b""
         )
-        (other,) = only(effects.OpenServerConnection, r.handle(NOW, miss))
-        assert other.connection != dial.connection
+        (next_opening,) = only(effects.OpenServerConnection, r.handle(NOW, miss))
+        assert next_opening.connection != opening.connection
         assert r.handle(NOW, miss) == []
         assert len(r.state.attempts) == 1
 
-    def test_a_connection_reset_when_new_tells_nothing(self) -> None:
+    def test_reset_of_a_new_connection_is_no_evidence(self) -> None:
         """The reset counted as a refused connection: the server was ejected, and later treated as cold."""
         r = router()
-        (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
-        (again,) = only(
+        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (reopening,) = only(
             effects.OpenServerConnection,
-            r.handle(NOW, inputs.ServerConnectionLost(dial.connection, "ECONNRESET")),
+            r.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNRESET")),
+        )
+        assert reopening.address == opening.address
+        assert (
+            len(only(effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(reopening.connection)))) == 1
         )
-        assert again.address == dial.address
-        assert len(only(effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(again.connection)))) == 1
         assert not any(n.is_ejected for n in r.state.policy.endpoints.values())
         r = router()
-        (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
-        r.handle(NOW, inputs.ServerConnectionLost(dial.connection, "ECONNREFUSED", True))
+        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        r.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNREFUSED", True))
         assert any(n.is_ejected for n in r.state.policy.endpoints.values())
 
     def test_a_quiet_connection_is_given_up(self) -> None:
@@ -191,32 +195,37 @@
         all attempts for its server.
         """
         r = router()
-        (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1, patience=4_900)))
-        (wake,) = [
+        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1, patience=4_900)))
+        (silence_timer,) = [
             e
-            for e in r.handle(NOW, inputs.ServerConnected(dial.connection))
+            for e in r.handle(NOW, inputs.ServerConnected(opening.connection))
             if isinstance(e, effects.ScheduleTimer)
         ]
-        assert wake.key == (messages.TimerKind.CONNECTION_SILENCE, dial.connection, 0)
+        assert silence_timer.key == (messages.TimerKind.CONNECTION_SILENCE, opening.connection, 0)
         for number in (2, 3):
             r.handle(NOW + MS, call(number, patience=4_900))
-        later = wake.at_ns + SECOND
-        heard = inputs.ServerResponse(
-            dial.connection, call(2).trace_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"two"
-        )
-        r.handle(NOW + 2 * MS, heard)
-        assert only(effects.CloseServerConnection, r.handle(later, inputs.TimerFired(wake.key))) == [], (
-            "a single attempt may be slow"
+        later = silence_timer.at_ns + SECOND
+        response = inputs.ServerResponse(
+            opening.connection, call(2).trace_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"two"
         )
+        r.handle(NOW + 2 * MS, response)
+        assert (
+            only(effects.CloseServerConnection, r.handle(later, inputs.TimerFired(silence_timer.key))) == []
+        ), "a single attempt may be slow"
         r.handle(later, call(4))
-        effect_list = r.handle(later + SECOND, inputs.TimerFired(wake.key))
+        effect_list = r.handle(later + SECOND, inputs.TimerFired(silence_timer.key))
         assert only(effects.CloseServerConnection, effect_list) == [
-            effects.CloseServerConnection(dial.connection)
+            effects.CloseServerConnection(opening.connection)
         ]
-        (again,) = only(effects.OpenServerConnection, effect_list)
-        assert again.address == dial.address, "repeatable attempts are sent to the same server"
+        (reopening,) = only(effects.OpenServerConnection, effect_list)
+        assert reopening.address == opening.address, "repeatable attempts are sent to the same server"
         assert (
-            len(only(effects.SendAttempt, r.handle(later + SECOND, inputs.ServerConnected(again.connection))))
+            len(
+                only(
+                    effects.SendAttempt,
+                    r.handle(later + SECOND, inputs.ServerConnected(reopening.connection)),
+                )
+            )
             == 3
         )
 
@@ -231,60 +240,61 @@
             r.state.settings = replace(
                 r.state.settings, limits=replace(r.state.settings.limits, may_probe=True)
             )
-            (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1, patience=4_900)))
-            (wake,) = [
+            (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1, patience=4_900)))
+            (silence_timer,) = [
                 e
-                for e in r.handle(NOW, inputs.ServerConnected(dial.connection))
+                for e in r.handle(NOW, inputs.ServerConnected(opening.connection))
                 if isinstance(e, effects.ScheduleTimer)
             ]
-            assert wake.at_ns == NOW + r.attempts.response_times.silence_timeout_ns() // 2
+            assert silence_timer.at_ns == NOW + r.attempts.response_times.silence_timeout_ns() // 2
             for number in (2, 3, 4):
                 r.handle(NOW + MS, call(number, patience=4_900))
-            effect_list = r.handle(wake.at_ns, inputs.TimerFired(wake.key))
+            effect_list = r.handle(silence_timer.at_ns, inputs.TimerFired(silence_timer.key))
             (check,) = only(effects.SendHealthCheck, effect_list)
             assert (check.connection, only(effects.CloseServerConnection, effect_list)) == (
-                dial.connection,
+                opening.connection,
                 [],
             )
             if answers:
-                fit = inputs.ServerResponse(
-                    dial.connection, check.attempt_id, Outcome.OK, FillResult.NONE, 0, {}, False, b""
+                check_response = inputs.ServerResponse(
+                    opening.connection, check.attempt_id, Outcome.OK, FillResult.NONE, 0, {}, False, b""
                 )
-                r.handle(wake.at_ns + MS, fit)
+                r.handle(silence_timer.at_ns + MS, check_response)
             due = NOW + r.attempts.response_times.silence_timeout_ns()
-            effect_list = r.handle(due, inputs.TimerFired(wake.key))
+            effect_list = r.handle(due, inputs.TimerFired(silence_timer.key))
             assert bool(only(effects.CloseServerConnection, effect_list)) == (not answers)
             assert len(r.state.attempts) == 4, "the attempts are still in flight, or wait to be sent again"
             if answers:  # another check follows after the same silence
-                due = wake.at_ns + MS + r.attempts.response_times.silence_timeout_ns()
-                (check,) = only(effects.SendHealthCheck, r.handle(due, inputs.TimerFired(wake.key)))
+                due = silence_timer.at_ns + MS + r.attempts.response_times.silence_timeout_ns()
+                (check,) = only(effects.SendHealthCheck, r.handle(due, inputs.TimerFired(silence_timer.key)))
                 assert only(
-                    effects.CloseServerConnection, r.handle(due + 200 * MS, inputs.TimerFired(wake.key))
+                    effects.CloseServerConnection,
+                    r.handle(due + 200 * MS, inputs.TimerFired(silence_timer.key)),
                 )
 
     def test_few_share_a_connection_and_an_order_shares_none(self) -> None:
         """One response that could not be decoded failed 28 requests, among them orders, which cannot be
         retried.
         """
-        links = ConnectionPool(64, 32)
+        pool = ConnectionPool(64, 32)
         endpoint = inputs.EndpointRecord("s", "127.0.0.1:1", "edge-1", "box", 0, "in_service", 1.0, 0)
         for n in range(2 * ATTEMPTS_BEFORE_NEW_CONNECTION):
-            link = links.find("s", str(n)) or links.add(endpoint)
-            assert link
-            link.in_flight[str(n)] = n
-        assert [link.load() for link in links.by_number.values()] == [
+            connection = pool.find("s", str(n)) or pool.add(endpoint)
+            assert connection
+            connection.in_flight[str(n)] = n
+        assert [connection.load() for connection in pool.by_number.values()] == [
             ATTEMPTS_BEFORE_NEW_CONNECTION,
             ATTEMPTS_BEFORE_NEW_CONNECTION,
         ]
-        assert links.find("s", "order", exclusive=True) is None
-        link = links.add(endpoint)
-        assert link
-        link.is_exclusive, link.in_flight = True, {"order": 99}
-        assert links.find("s", "next") is None
-        links.max_connections = 3
-        assert links.find("s", "next") == links.by_number[1]
+        assert pool.find("s", "order", exclusive=True) is None
+        connection = pool.add(endpoint)
+        assert connection
+        connection.is_exclusive, connection.in_flight = True, {"order": 99}
+        assert pool.find("s", "next") is None
+        pool.max_connections = 3
+        assert pool.find("s", "next") == pool.by_number[1]
 
-    def test_an_answer_that_stops_short_gives_its_connection_up(self) -> None:
+    def test_an_incomplete_response_closes_its_connection(self) -> None:
         """The connection stayed open, and all attempts on it waited until their clients had cancelled."""
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: NOW))
         self.addCleanup(loop.selector.close)
@@ -298,16 +308,16 @@
         loop.sweep(NOW)
         assert list(loop.servers.open) == [1]
 
-    def test_a_small_age_limit_is_never_none(self) -> None:
+    def test_a_small_age_limit_is_not_sent_as_0(self) -> None:
         """0 on the wire means the freshness lifetime: an age limit under a millisecond, rounded down to 0,
         would have allowed any fresh copy.
         """
         r = router()
-        (dial,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
-        r.handle(NOW, inputs.ServerConnected(dial.connection))
+        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        r.handle(NOW, inputs.ServerConnected(opening.connection))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW + MS),)))
-        (pull,) = only(effects.SendAttempt, r.handle(NOW + MS, call(2)))
-        assert pull.max_age_ms == 1
+        (attempt,) = only(effects.SendAttempt, r.handle(NOW + MS, call(2)))
+        assert attempt.max_age_ms == 1
 
     def test_answers_in_any_pieces(self) -> None:
         """Code compiled by mypyc took the codec's body as absent forever.  Every split of the bytes must
@@ -319,25 +329,32 @@
         )
         for cut in range(len(data)):
             codec = ServerCodec(1)
-            found = codec.receive_data(memoryview(data)[:cut]) + codec.receive_data(memoryview(data)[cut:])
-            assert [(a.attempt_id, a.outcome, a.note, bytes(a.body)) for a in found] == [
+            responses = codec.receive_data(memoryview(data)[:cut]) + codec.receive_data(
+                memoryview(data)[cut:]
+            )
+            assert [
+                (response.attempt_id, response.outcome, response.note, bytes(response.body))
+                for response in responses
+            ] == [
                 ("a", Outcome.OK, FillResult.STALE, b"by\r\nt"),
                 ("b", Outcome.MISS, FillResult.NONE, b""),
             ]
 
-    def test_what_is_no_answer(self) -> None:
-        for bad in (
+    def test_invalid_responses_are_errors(self) -> None:
+        for invalid in (
             b"*900000000\r\n",
             b"+OK\r\n",
             b"*4\r\n$2\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$0\r\n\r\n",
             b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$999999\r\n",
             b"*4\r\n$" + b"1" * 5_000,
         ):
-            with self.subTest(bad=bad[:40]):
+            with self.subTest(invalid=invalid[:40]):
                 codec = ServerCodec(1)
-                found = codec.receive_data(memoryview(GOOD + bad))
+                responses = codec.receive_data(memoryview(GOOD + invalid))
                 # A complete response before the bad bytes is used if those begin like a response.
-                assert [a.attempt_id for a in found] == (["g"] if bad.startswith(b"*") else [])
+                assert [response.attempt_id for response in responses] == (
+                    ["g"] if invalid.startswith(b"*") else []
+                )
                 assert codec.error != ""
 
     def test_a_body_said_to_be_longer_is_not_passed_on(self) -> None:
@@ -350,20 +367,20 @@
 
     def test_backlog_keeps_bytes_and_gives_buffers_back(self) -> None:
         pool = BufferPool(64)
-        ours, theirs = socket.socketpair()
-        self.addCleanup(ours.close)
-        self.addCleanup(theirs.close)
-        ours.setblocking(False)
+        sender, receiver = socket.socketpair()
+        self.addCleanup(sender.close)
+        self.addCleanup(receiver.close)
+        sender.setblocking(False)
         backlog, sent = WriteBuffer(pool), [bytes([n]) * 300_000 for n in range(8)]
-        for piece in sent:
-            backlog.add([piece])
-            assert backlog.write(ours)
+        for chunk in sent:
+            backlog.add([chunk])
+            assert backlog.write(sender)
         assert pool.in_use > 0
-        got = b""
-        while len(got) < 8 * 300_000:
-            got += theirs.recv(1 << 20)
-            assert backlog.write(ours)
-        assert got == b"".join(sent)
+        received = b""
+        while len(received) < 8 * 300_000:
+            received += receiver.recv(1 << 20)
+            assert backlog.write(sender)
+        assert received == b"".join(sent)
         assert (pool.in_use, backlog.stored_bytes()) == (0, 0)
 
 
--- a/tests/program/test_exchanges.py
+++ b/tests/program/test_exchanges.py
@@ -11,79 +11,79 @@
 
 import orjson
 
-from tests.support.exchange_player import EXAMPLE, KEYED, ONE, ROOT, WAIT_S, Player
+from tests.support.exchange_player import EXAMPLE, KEYED_CLASS, ONE_CACHE, ROOT, WAIT_S, Player
 
 
 class Exchanges(unittest.TestCase):
     def test_served(self) -> None:
-        Player(self, ONE).play("served.txt")
+        Player(self, ONE_CACHE).play("served.txt")
 
     def test_failures(self) -> None:
         """A write whose connection was lost may have been executed: neither repeat nor reject it."""
-        Player(self, ONE).play("failures.txt")
+        Player(self, ONE_CACHE).play("failures.txt")
 
     def test_write_not_run(self) -> None:
-        Player(self, ONE).play("write_not_run.txt")
+        Player(self, ONE_CACHE).play("write_not_run.txt")
 
     def test_nonce(self) -> None:
         """The idempotency key of keyed classes was neither read nor forwarded: servers, which drop repeats by
         key, executed each attempt as a new request.
         """
-        Player(self, ONE, orders=KEYED).play("nonce.txt")
+        Player(self, ONE_CACHE, orders=KEYED_CLASS).play("nonce.txt")
 
     def test_size(self) -> None:
         """A reported size was discarded.  An invalid size is treated as not reported."""
-        Player(self, ONE).play("size.txt")
+        Player(self, ONE_CACHE).play("size.txt")
 
     def test_cancel(self) -> None:
         """Closing the connection instead of sending KILL would abandon the other attempts in flight on it."""
-        Player(self, ONE).play("cancel.txt")
+        Player(self, ONE_CACHE).play("cancel.txt")
 
     def test_deadline(self) -> None:
-        Player(self, ONE).play("deadline.txt")
+        Player(self, ONE_CACHE).play("deadline.txt")
 
     def test_feed(self) -> None:
-        Player(self, ONE).play("feed.txt")
+        Player(self, ONE_CACHE).play("feed.txt")
 
     def test_malformed(self) -> None:
         """No input from a peer may end the process, which serves all other clients."""
-        Player(self, ONE).play("malformed.txt")
+        Player(self, ONE_CACHE).play("malformed.txt")
 
     def test_reload(self) -> None:
         """SIGHUP ended the program, and all its open requests were lost."""
-        player = Player(self, ONE)
+        player = Player(self, ONE_CACHE)
         player.play("reload.txt")
         player.log.seek(0)
         assert "configuration not taken: feed: " in player.log.read()
 
     def test_retune(self) -> None:
         """A reloaded file with an error was applied in part, even its feed; an added class was rejected."""
-        Player(self, ONE).play("retune.txt")
+        Player(self, ONE_CACHE).play("retune.txt")
 
     def test_handover(self) -> None:
         """Both processes bound the client address: the successor could not start while its predecessor
         served.
         """
-        Player(self, ONE, inherit=True).play("handover.txt")
+        Player(self, ONE_CACHE, inherit=True).play("handover.txt")
 
     def test_handover_of_a_drain(self) -> None:
         """The successor of a drained router reported ready immediately, and accepted clients that had been
         sent to other routers.
         """
-        Player(self, ONE, inherit=True).play("handover_drained.txt")
+        Player(self, ONE_CACHE, inherit=True).play("handover_drained.txt")
 
     def test_planned_end(self) -> None:
-        Player(self, ONE).play("planned_end.txt")
+        Player(self, ONE_CACHE).play("planned_end.txt")
 
     def test_control(self) -> None:
         """Control requests for readiness, a drain and its end, and every kind of bad control request."""
-        Player(self, ONE).play("control.txt")
+        Player(self, ONE_CACHE).play("control.txt")
 
     def test_refused_connection(self) -> None:
         """A cache that refuses connections has executed nothing: the request is sent to another server, even
         a write.
         """
-        player = Player(self, ONE)
+        player = Player(self, ONE_CACHE)
         player.listeners.pop("cache1").close()
         player.play("refused_connection.txt")
 
@@ -91,12 +91,12 @@
 class Start(unittest.TestCase):
     """Invalid configuration: the program prints one line that names the key and exits with code 2."""
 
-    def refused(self, key: str, **changes: object) -> None:
+    def assert_start_fails(self, key: str, **changes: object) -> None:
         raw = {**EXAMPLE, **changes}
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             path.write_bytes(orjson.dumps(raw))
-            done = subprocess.run(
+            process = subprocess.run(
                 [sys.executable, "-m", "kelpcroft"],
                 cwd=ROOT,
                 capture_output=True,
@@ -104,9 +104,9 @@
                 timeout=WAIT_S,
                 env={**os.environ, "ROUTER_CONFIG": str(path)},
             )
-        assert done.returncode == 2, done.stderr
-        assert done.stderr.count("\n") == 1, done.stderr
-        assert key in done.stderr
+        assert process.returncode == 2, process.stderr
+        assert process.stderr.count("\n") == 1, process.stderr
+        assert key in process.stderr
 
     def test_bad_keys(self) -> None:
         settings = EXAMPLE["settings"]
@@ -121,7 +121,7 @@
             ("listen", {"listen": "192.0.2.1:9"}),
         ):
             with self.subTest(key=key):
-                self.refused(key, **changes)
+                self.assert_start_fails(key, **changes)
 
 
 if __name__ == "__main__":
--- a/tests/support/exchange_player.py
+++ b/tests/support/exchange_player.py
@@ -13,7 +13,7 @@
     program exit N       the program exits with this code
     program feed NAME    write a configuration that names this peer as the feed, then send SIGHUP
     program spoil        write a configuration that cannot be used, then send SIGHUP
-    program file KIND    write the file of this kind from FILES, then send SIGHUP
+    program file KIND    write the file of this kind from RELOAD_FILES, then send SIGHUP
     program log TEXT     wait until the program's log contains TEXT once more than before
     program second       (with ``inherit``) start a second process on the same listening socket, with a
                          control address of its own for peers named mgmt2 or mgmt2-NAME; term and exit
@@ -42,8 +42,8 @@
 ROOT = Path(__file__).parent.parent.parent
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_bytes())
 PROGRAM = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: test the compiled program
-KEYED = {"idempotency": "keyed", "group": "all", "dedup_window_ns": 3 * 10**9}
-ONE = ("cache1", "parent", "origin")  # with one cache in the zone, the route of a request is unique
+KEYED_CLASS = {"idempotency": "keyed", "group": "all", "dedup_window_ns": 3 * 10**9}
+ONE_CACHE = ("cache1", "parent", "origin")  # with one cache in the zone, the route of a request is unique
 WAIT_S = 20  # a test that waits this long has failed; no test result depends on a shorter time
 SERVERS = {
     "cache1": ("s-c1", "edge-1", "box"),
@@ -53,22 +53,22 @@
 }
 
 
-def _classes(raw: dict[str, Any], change: Callable[[list[dict[str, Any]]], object]) -> bytes:
+def _with_changed_classes(raw: dict[str, Any], change: Callable[[list[dict[str, Any]]], object]) -> bytes:
     raw = copy.deepcopy(raw)
     change(raw["settings"]["classes"])
     return json.dumps(raw).encode()
 
 
 # Configuration files for reloads: each kind of invalid file, and a valid one that adds a class.
-FILES: dict[str, Callable[[dict[str, Any]], bytes]] = {
+RELOAD_FILES: dict[str, Callable[[dict[str, Any]], bytes]] = {
     "empty": lambda raw: b"",
     "half": lambda raw: json.dumps(raw).encode()[:200],
     "unkeyed": lambda raw: json.dumps({k: v for k, v in raw.items() if k != "settings"}).encode(),
-    "deadline": lambda raw: _classes(raw, lambda c: c[0].update(give_up_ns=-5)),
+    "deadline": lambda raw: _with_changed_classes(raw, lambda c: c[0].update(give_up_ns=-5)),
     "attempts": lambda raw: json.dumps(
         {**raw, "settings": {**raw["settings"], "limits": {**raw["settings"]["limits"], "most_tries": 0}}}
     ).encode(),
-    "fresh": lambda raw: _classes(raw, lambda c: c.append({**c[0], "name": "fresh"})),
+    "fresh": lambda raw: _with_changed_classes(raw, lambda c: c.append({**c[0], "name": "fresh"})),
 }
 
 
@@ -78,7 +78,7 @@
     def __init__(
         self,
         case: unittest.TestCase,
-        only: tuple[str, ...] = tuple(SERVERS),
+        listed: tuple[str, ...] = tuple(SERVERS),
         inherit: bool = False,
         orders: dict[str, Any] | None = None,
     ) -> None:
@@ -86,34 +86,34 @@
 
         Args:
             case: The test, which cleans up after the run.
-            only: Names of the servers in the endpoint list.
+            listed: Names of the servers in the endpoint list.
             inherit: The client listening socket is created here, and inherited as ROUTER_FD.
             orders: Settings of the order class that differ from the example.
         """
         self.case = case
         self.listeners: dict[str, socket.socket] = {}
-        self.socks: dict[str, socket.socket] = {}
-        self.kept: dict[str, str] = {}
-        self.said: dict[str, int] = {}
+        self.connections: dict[str, socket.socket] = {}
+        self.captured: dict[str, str] = {}
+        self.log_counts: dict[str, int] = {}
         for name in (*SERVERS, "feed", "moved"):
             self.listeners[name] = socket.create_server(("127.0.0.1", 0))
             self.listeners[name].settimeout(WAIT_S)
-        self.held = socket.create_server(("127.0.0.1", 0)) if inherit else None
+        self.client_listener = socket.create_server(("127.0.0.1", 0)) if inherit else None
         with socket.create_server(("127.0.0.1", 0)) as free:
-            self.address = self.held.getsockname() if self.held else free.getsockname()
-        self.mgmts = {"mgmt": self.free()}
+            self.address = self.client_listener.getsockname() if self.client_listener else free.getsockname()
+        self.control_addresses = {"mgmt": self.free_address()}
         endpoints = [
-            {"name": server, "address": self.at(n), "zone": zone, "type": kind, "status": "active"}
+            {"name": server, "address": self.address_of(n), "zone": zone, "type": kind, "status": "active"}
             for n, (server, zone, kind) in SERVERS.items()
-            if n in only
+            if n in listed
         ]
-        members = {"index": 1, "snapshot": True, "endpoints": endpoints}
+        endpoint_list = {"index": 1, "snapshot": True, "endpoints": endpoints}
         self.config = {
             **EXAMPLE,
             "listen": f"127.0.0.1:{self.address[1]}",
-            "feed": self.at("feed"),
-            "mgmt": f"127.0.0.1:{self.mgmts['mgmt'][1]}",
-            "known": {"n": 1, "events": [{"n": 1, "members": members}]},
+            "feed": self.address_of("feed"),
+            "mgmt": f"127.0.0.1:{self.control_addresses['mgmt'][1]}",
+            "known": {"n": 1, "events": [{"n": 1, "members": endpoint_list}]},
         }
         settings = copy.deepcopy(EXAMPLE["settings"])
         settings["classes"][1].update(orders or {})
@@ -128,26 +128,26 @@
         case.addCleanup(self.close)
 
     @staticmethod
-    def free() -> tuple[str, int]:
+    def free_address() -> tuple[str, int]:
         with socket.create_server(("127.0.0.1", 0)) as free:
             return free.getsockname()[:2]  # type: ignore[no-any-return]
 
-    def start(self, more: dict[str, str]) -> subprocess.Popen[bytes]:
-        env = {**os.environ, "ROUTER_CONFIG": str(self.path), "TMPDIR": self.folder.name, **more}
-        if self.held:
-            env["ROUTER_FD"] = str(self.held.fileno())
+    def start(self, extra_env: dict[str, str]) -> subprocess.Popen[bytes]:
+        env = {**os.environ, "ROUTER_CONFIG": str(self.path), "TMPDIR": self.folder.name, **extra_env}
+        if self.client_listener:
+            env["ROUTER_FD"] = str(self.client_listener.fileno())
         self.programs.append(
             subprocess.Popen(
                 [sys.executable, "-m", "kelpcroft"],
                 cwd=PROGRAM,
                 stderr=self.log,
                 env=env,
-                pass_fds=(self.held.fileno(),) if self.held else (),
+                pass_fds=(self.client_listener.fileno(),) if self.client_listener else (),
             )
         )
         return self.programs[-1]
 
-    def at(self, name: str) -> str:
+    def address_of(self, name: str) -> str:
         return f"127.0.0.1:{self.listeners[name].getsockname()[1]}"
 
     def close(self) -> None:
@@ -155,21 +155,25 @@
             program.kill()
             program.wait()
         self.log.close()
-        for sock in (*self.socks.values(), *self.listeners.values(), *([self.held] if self.held else [])):
+        for sock in (
+            *self.connections.values(),
+            *self.listeners.values(),
+            *([self.client_listener] if self.client_listener else []),
+        ):
             sock.close()
 
-    def sock(self, name: str) -> socket.socket:
+    def connection(self, name: str) -> socket.socket:
         """The connection of a peer: accepted if the peer listens, else made to the program."""
-        if name not in self.socks:
+        if name not in self.connections:
             base = name.split("-")[0]
             if base in self.listeners:
-                self.socks[name], _ = self.listeners[base].accept()
+                self.connections[name], _ = self.listeners[base].accept()
             else:
-                self.socks[name] = self.dial(self.mgmts.get(base, self.address))
-            self.socks[name].settimeout(WAIT_S)
-        return self.socks[name]
+                self.connections[name] = self.connect(self.control_addresses.get(base, self.address))
+            self.connections[name].settimeout(WAIT_S)
+        return self.connections[name]
 
-    def dial(self, address: tuple[str, int]) -> socket.socket:
+    def connect(self, address: tuple[str, int]) -> socket.socket:
         while any(program.poll() is None for program in self.programs):
             try:
                 return socket.create_connection(address, WAIT_S)
@@ -180,29 +184,31 @@
 
     def wait_for(self, text: str) -> None:
         """Waits until the log contains ``text`` once more than at the previous call with this text."""
-        seen = self.said.get(text, 0)
+        count = self.log_counts.get(text, 0)
         for _ in range(WAIT_S * 100):
             self.log.seek(0)
-            if self.log.read().count(text) > seen:
-                self.said[text] = seen + 1
+            if self.log.read().count(text) > count:
+                self.log_counts[text] = count + 1
                 return
             time.sleep(0.01)
         self.case.fail(f"the log does not contain {text!r} once more")
 
     def read(self, name: str, pattern: re.Pattern[bytes], size: int | None) -> None:
-        got = b""
-        while (size is None and not pattern.fullmatch(got)) or (size is not None and len(got) < size):
+        received = b""
+        while (size is None and not pattern.fullmatch(received)) or (
+            size is not None and len(received) < size
+        ):
             try:
-                more = self.sock(name).recv(1 if size is None else size - len(got))
+                chunk = self.connection(name).recv(1 if size is None else size - len(received))
             except TimeoutError:
-                more = b""
-            if not more:
+                chunk = b""
+            if not chunk:
                 break
-            got += more
-        match = pattern.fullmatch(got)
-        assert match is not None, f"{name} read {got!r}, expected {pattern.pattern!r}"
+            received += chunk
+        match = pattern.fullmatch(received)
+        assert match is not None, f"{name} read {received!r}, expected {pattern.pattern!r}"
         assert match
-        self.kept.update({k: v.decode() for k, v in match.groupdict().items()})
+        self.captured.update({k: v.decode() for k, v in match.groupdict().items()})
 
     def play(self, recording: str) -> None:
         """Plays all lines of a recording."""
@@ -212,33 +218,35 @@
             with self.case.subTest(recording=recording, line=number):
                 self.step(*line.split(maxsplit=2))
 
-    def step(self, name: str, what: str, text: str = "") -> None:
+    def step(self, name: str, operation: str, argument: str = "") -> None:
         data = b""
-        if text and name != "program":
-            data = ast.literal_eval(re.sub(r"\{(\w+)\}", lambda m: self.kept[m[1]], text))
-        if what == ">":
-            self.sock(name).sendall(data)
-        elif what == "<":
+        if argument and name != "program":
+            data = ast.literal_eval(re.sub(r"\{(\w+)\}", lambda m: self.captured[m[1]], argument))
+        if operation == ">":
+            self.connection(name).sendall(data)
+        elif operation == "<":
             self.read(name, re.compile(re.escape(data), re.S), len(data))
-        elif what == "~":
+        elif operation == "~":
             self.read(name, re.compile(data, re.S), None)
-        elif what == "x":
-            self.socks.pop(name).close()
-        elif what == ".":
+        elif operation == "x":
+            self.connections.pop(name).close()
+        elif operation == ".":
             with contextlib.suppress(ConnectionResetError):
-                assert self.sock(name).recv(1) == b""
-        elif what == "term":
+                assert self.connection(name).recv(1) == b""
+        elif operation == "term":
             self.program.send_signal(signal.SIGTERM)
-        elif what == "file":
-            self.path.write_bytes(FILES[text](self.config))
+        elif operation == "file":
+            self.path.write_bytes(RELOAD_FILES[argument](self.config))
             self.program.send_signal(signal.SIGHUP)
-        elif what == "log":
-            self.wait_for(text)
-        elif what == "second":
-            self.mgmts["mgmt2"] = self.free()
-            self.start({"ROUTER_MGMT": f"127.0.0.1:{self.mgmts['mgmt2'][1]}"})
-        elif what in ("feed", "spoil"):
-            self.path.write_text(json.dumps({**self.config, "feed": self.at(text) if text else None}))
+        elif operation == "log":
+            self.wait_for(argument)
+        elif operation == "second":
+            self.control_addresses["mgmt2"] = self.free_address()
+            self.start({"ROUTER_MGMT": f"127.0.0.1:{self.control_addresses['mgmt2'][1]}"})
+        elif operation in ("feed", "spoil"):
+            self.path.write_text(
+                json.dumps({**self.config, "feed": self.address_of(argument) if argument else None})
+            )
             self.program.send_signal(signal.SIGHUP)
         else:
-            assert (what, self.program.wait(WAIT_S)) == ("exit", int(text))
+            assert (operation, self.program.wait(WAIT_S)) == ("exit", int(argument))
