--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from kelpcroft.routes import RequestAllowance
 
-MAX_OPEN_REQUESTS_PER_CLIENT = 32
+MAX_OPEN_REQUESTS_PER_CLIENT = 32  # a client that exceeds this is disconnected
 
 FinalResponse = SendResponse | RejectRequest | FailRequest
 
--- a/kelpcroft/core/housekeeping.py
+++ b/kelpcroft/core/housekeeping.py
@@ -14,7 +14,7 @@
 # Idle connections are closed after this share of the servers' idle timeout, so that no attempt is sent while
 # the server closes the connection.
 IDLE_CLOSE_SHARE = 0.7
-RETIRED_ID_NS = 10 * SECOND  # how long a cancelled or answered id may not be used again on its connection
+RETIRED_ID_NS = 10 * SECOND  # how long a retired id may not be used again on its connection
 
 
 class Housekeeping:
--- a/kelpcroft/core/silence_detection.py
+++ b/kelpcroft/core/silence_detection.py
@@ -13,12 +13,12 @@
 # With this many attempts in flight on a silent connection, it is suspect even if the server has not responded
 # on another one.
 SUSPECT_LOAD = 3
-CHECK_TIMEOUT_NS = MIN_SILENCE_TIMEOUT_NS // 2  # a health check must be answered within this time
+CHECK_TIMEOUT_NS = MIN_SILENCE_TIMEOUT_NS // 2  # after a health check, how long to wait for its response
 MIN_TIMER_NS = MIN_SILENCE_TIMEOUT_NS // 4  # shortest interval between two checks of a connection for silence
 
 
 class SilenceDetector:
-    """Closes a connection that receives no response while its server responds on others.
+    """Closes a connection that is silent for the silence timeout while its server responds on others.
 
     A connection with SUSPECT_LOAD attempts in flight is closed even if the server does not respond on others.
     An exclusive connection is never closed: it carries an attempt that must not be executed twice.
@@ -29,7 +29,7 @@
     Slow fills have the same symptom: hits receive their responses, while attempts that wait for the origin
     gather on one connection.  If those were abandoned and sent again, the slow origin would receive all the
     fetches a second time.  If health checks are allowed, a health check is therefore sent on the connection
-    first, and the connection stays open if it is answered.
+    first, and the connection stays open if the server responds to it.
     """
 
     def __init__(self, state: State, attempts: Attempts) -> None:
