--- a/kelpcroft/core/attempts.py
+++ b/kelpcroft/core/attempts.py
@@ -121,19 +121,19 @@
         if connection is None:
             return
         self.log_connection_lost(connection, message)
-        is_at_connection_limit = message.is_unreachable and self.is_at_connection_limit(connection)
-        if is_at_connection_limit:
+        is_crowded = message.is_unreachable and self.is_crowded(connection)
+        if is_crowded:
             state.counters["no place"] += 1
             state.connections.record_refusal(connection.server, state.now)
         unsent_outcome = Outcome.MOOT
-        if message.is_unreachable and not is_at_connection_limit:
+        if message.is_unreachable and not is_crowded:
             unsent_outcome = Outcome.CONNECT_FAILED
         for attempt_id, number in list(connection.unsent.items()):
             self.end_or_requeue(number, unsent_outcome, attempt_id in message.unsent_attempt_ids)
         for attempt_id, number in list(connection.in_flight.items()):
             self.end_or_requeue(number, Outcome.RESET, attempt_id in message.unsent_attempt_ids)
 
-    def is_at_connection_limit(self, connection: PooledConnection) -> bool:
+    def is_crowded(self, connection: PooledConnection) -> bool:
         """Whether a server that refused a connection is only at its connection limit.
 
         A server that responded on another connection within RECENT_RESPONSE_NS is running.  The waiting
@@ -202,7 +202,7 @@
             # The connection has been silent since the attempt began: the machine may be cut off from the
             # network, and be reachable again only through a new connection.
             attempt.connection.is_retiring = True
-        self.cancel_at_server(attempt)
+        self.withdraw(attempt)
         self.completion.finish(attempt, Outcome.TIMEOUT)
 
     def cancel(self, action: api.Cancel) -> None:
@@ -212,16 +212,16 @@
             return
         attempt = self.state.attempts[number]
         if attempt.is_sent:
-            self.cancel_at_server(attempt)
+            self.withdraw(attempt)
         self.completion.finish(attempt, Outcome.CANCELLED)
 
-    def cancel_at_server(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         """Send the server a cancellation of a sent attempt; the connection stays open for other attempts."""
         connection, attempt_id = attempt.connection, attempt.request.message.trace_id
         connection.retired_ids[attempt_id] = self.state.now
         self.state.effects.append(CancelAttempt(connection.number, attempt_id))
 
-    def end_unsent(self, request: OpenRequest) -> None:
+    def abandon(self, request: OpenRequest) -> None:
         """End the attempts of a finished request that still wait for a connection."""
         for index in range(request.attempts_made):
             number = self.state.attempt_numbers.get((request.id, index), 0)
--- a/kelpcroft/core/clients.py
+++ b/kelpcroft/core/clients.py
@@ -66,7 +66,7 @@
         No further attempt begins for it, even where the settings forbid cancelling attempts in flight.
         """
         self.requests.finish_without_response(request)
-        self.attempts.end_unsent(request)
+        self.attempts.abandon(request)
 
     def on_health_request(self, message: HealthRequest) -> None:
         """Respond to a client's health request: whether this router is ready."""
