--- a/kelpcroft/core/connection_pool.py
+++ b/kelpcroft/core/connection_pool.py
@@ -27,7 +27,8 @@
         is_connected: It is established.
         unsent: Attempts and health checks that wait until it is established: their numbers by id.
         in_flight: Attempts and health checks that were sent and have no response yet: their numbers by id.
-        retired_ids: Ids that may not be used again on it yet, and when each of them ended.
+        retired_ids: Ids that were cancelled or received a response other than OK, and when; they may not be
+            used again on it yet.
         last_response_ns: When the last response was received on it, or it was established.
         idle_since_ns: When it last became idle, or was established.
         is_retiring: Nothing new is sent on it, and it is closed once it is empty.
@@ -58,8 +59,8 @@
     def can_carry(self, attempt_id: str, max_load: int, exclusive: bool) -> bool:
         """Whether one more attempt may be sent on this connection.
 
-        An id that was cancelled or received a response here must not be used here again: a response that
-        crossed the cancellation on the wire, or a duplicate response, would be matched to the new attempt.
+        A retired id must not be used here again: a response that crossed the cancellation on the wire, or a
+        duplicate response, would be matched to the new attempt.
         Nothing is sent on an idle connection with a partial response: the rest may never arrive.
         """
         load = self.load()
