--- a/kelpcroft/decision/actions.py
+++ b/kelpcroft/decision/actions.py
@@ -1,7 +1,7 @@
-"""Actions: what the decisions ask for.
+"""Actions, the outputs of the decision package.
 
-The caller carries actions out in the order in which they are returned.  Times are integer nanoseconds of the
-events' clock (names end in ``_ns``).
+The caller executes actions in the order in which they are returned.  Times are integer nanoseconds of the
+clock of the events (names end in ``_ns``).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class RetentionRank(IntEnum):
-    """How long a cache should keep a copy, as the servers' wire puts it."""
+    """Rank by which a cache decides how long to keep a copy; the values are sent to the servers."""
 
     DO_NOT_KEEP = 0
     ONCE = 1
@@ -21,19 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """Send one attempt to a cache (or directly to a parent or the origin), with what to do on a miss.
+    """Sends one attempt to a cache, or directly to a parent or the origin, with instructions for a miss.
 
     Attributes:
         id: The request.
-        server: The server that is asked.
-        timeout_ns: How long to wait for the answer.
-        fill_source: Where a miss is filled from; with the same server nothing is filled.
-        max_age_ns: The oldest copy that will do; 0 for the class's freshness lifetime.
-        retention_rank: How long the copy is kept: see ``RetentionRank``.
-        coalesce: Wait for a fill that is under way.
-        cached_only: The fill source gives only what it holds.
-        no_parent_copy: The parent keeps no copy of what passes through it.
-        refresh_in_background: Serve an ageing copy, and fetch it anew after that.
+        server: The server that the attempt is sent to.
+        timeout_ns: The attempt timeout.
+        fill_source: The server that a miss is filled from; if it equals ``server``, nothing is filled.
+        max_age_ns: The maximum age of an acceptable copy; 0 for the class's freshness lifetime.
+        retention_rank: How long to keep the copy: see ``RetentionRank``.
+        coalesce: Wait for a fill of the object that is already in progress.
+        cached_only: The fill source sends only a copy that it already holds.
+        no_parent_copy: The parent keeps no copy of objects that pass through it.
+        refresh_in_background: Serve an ageing copy, and fetch a new one afterwards.
     """
 
     id: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancels an attempt."""
 
     id: str
     attempt: int
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected; a new try does no harm, from ``retry_after_ns`` on."""
+    """Sends the final response "rejected": the client may safely retry after ``retry_after_ns``."""
 
     id: str
     retry_after_ns: int = 0
@@ -66,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; it may have been executed."""
+    """Sends the final response "failed": the request may have been executed."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class BackOff:
-    """A request is retried at a clock time, of which ``BackoffElapsed`` tells; its route has paid for it."""
+    """Requests ``BackoffElapsed`` at a clock time, for a retry that is already charged to its budget."""
 
     id: str
     until_ns: int
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for ``TimerExpired`` at a clock time."""
+    """Requests ``TimerExpired`` at a clock time."""
 
     label: int
     at_ns: int
@@ -89,19 +89,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Probe a server."""
+    """Probes a server."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on."""
+    """Subscribes to changes of the endpoint list at the discovery service."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """Writes a log line for operators."""
 
     text: str
 
--- a/kelpcroft/decision/endpoint.py
+++ b/kelpcroft/decision/endpoint.py
@@ -1,8 +1,8 @@
-"""One server as this router knows it: a cache, a parent or the origin.
+"""State that this router keeps of one server: a cache, a parent or the origin.
 
-An ``Endpoint`` holds what the list of servers says and what this router has measured.  What follows from it
-is decided elsewhere: ejection in ``outlier_ejection``, warm-up budgets in ``slow_start``, order in
-``cache_selection`` and ``fill_sources``.
+An ``Endpoint`` holds the server's row of the endpoint list and the measurements of this router.  Decisions
+that use them are made in other modules: ejection in ``outlier_ejection``, budgets during warm-up in
+``slow_start``, ranking in ``cache_selection`` and ``fill_sources``.
 """
 
 from __future__ import annotations
@@ -17,41 +17,44 @@
 from kelpcroft.decision.statistics import DecayingSum, MeanDeviation, SlidingWindowSum, rendezvous_score
 from kelpcroft.decision.units import MS, SECOND_NS
 
-# Without new samples a score moves half of its way to the average in this time: slow servers are tried again
+# Time in which a score without new samples moves halfway to the average, so that slow servers receive
+# requests again
 SCORE_HALF_LIFE_NS: Final = 4 * SECOND_NS
-UTILIZATION_GAIN: Final = 0.05  # weight of a new load report in the mean utilisation
-# Reports of load move at most so many times the objects to a server, or from it
+UTILIZATION_GAIN: Final = 0.05  # weight of a new load report in the mean utilization
+# Largest factor by which load reports raise a server's share of the objects, or lower it
 MAX_LOAD_PREFERENCE: Final = 4.0
-ENDPOINT_GAIN: Final = 0.3  # weight of a new sample in one server's figures, of which a router sees few
-WORK_SPAN_NS: Final = 4 * SECOND_NS  # offered or completed work of this long ago counts 1/e
-MAX_COLD_UTILIZATION: Final = 0.7  # how busy a cold cache may get by its reports ...
-MIN_COLD_UTILIZATION: Final = 0.25  # ... of which a lower one counts as this much
-LONG_AGO_NS: Final = 10**15  # further back than any rule looks: 11 days
+# Weight of a new sample in the running means of one server, of which one router receives few samples
+ENDPOINT_GAIN: Final = 0.3
+WORK_SPAN_NS: Final = 4 * SECOND_NS  # offered or completed work of this age counts 1/e
+MAX_COLD_UTILIZATION: Final = 0.7  # highest reported utilization up to which a cold cache is loaded
+MIN_COLD_UTILIZATION: Final = 0.25  # a lower reported utilization of a cold cache counts as this value
+LONG_AGO_NS: Final = 10**15  # 11 days, longer than the interval of any rule
 
 
 class Endpoint:
-    """One server: its line of the list, and what its answers and reports tell.
+    """One server: its row of the endpoint list, and measurements from its responses and load reports.
 
     Attributes:
-        server: Its line of the list.
-        is_listed: True while the list has it.
-        outlier_state: Whether it is ejected, and when it gets its next trial request.
-        hash_seed: What makes its rendezvous scores its own; the same at every router.
-        started_ns: Its last start, by the list, or inferred.
-        at_capacity_until_ns: Until then it is asked last, as it has rejected a request of this router.
-        requests_in_flight: Attempts of this router that are out at it.
-        requests_awaiting_fill: Those of them that wait for their fill source, and so take no capacity of its
-            own.
-        last_hit_sent_ns: When the latest request was sent that it has answered from its own copy.
-        fills_requested: Fills that this router has asked it for as a parent.
-        log_first_byte_ns: Natural logarithm of its time to the first byte, in nanoseconds; fills that failed
-            or are overdue count as slow ones.
-        first_byte_updated_ns: When that figure last changed.
-        slowdown: Its answer times over what they take at the least: see ``LatencyModel.record_latency``.
-        work_sent: Transfer times of what was sent to it of late.
-        work_completed: Transfer times of what it has answered.
-        utilization: How busy it reports to be, 1 for fully.
-        mean_utilization: The same over a while.
+        server: The server's row of the endpoint list.
+        is_listed: True while the server is in the endpoint list.
+        outlier_state: Whether the server is ejected, and when it receives its next trial request.
+        hash_seed: The seed of the server's rendezvous scores, the same at every router.
+        started_ns: The last start of the server, listed or inferred.
+        at_capacity_until_ns: The time until which the server ranks last, as it has rejected a request of this
+            router.
+        requests_in_flight: The number of this router's attempts in flight at the server.
+        requests_awaiting_fill: The number of those attempts that wait for their fill source, and so use none
+            of the server's own capacity.
+        last_hit_sent_ns: When the latest request was sent that the server served from its own copy.
+        fills_requested: The number of fills that this router has requested from the server as a parent.
+        log_first_byte_ns: Natural logarithm of the server's time to first byte, in nanoseconds; fills that
+            failed or are overdue count as slow ones.
+        first_byte_updated_ns: When ``log_first_byte_ns`` last changed.
+        slowdown: Response time as a multiple of the expected minimum: see ``LatencyModel.record_latency``.
+        work_sent: Transfer time of the requests sent to the server within a recent window.
+        work_completed: Transfer time of the requests that the server has completed, decaying with time.
+        utilization: The last reported utilization; 1 is full.
+        mean_utilization: The running mean of the reported utilization.
     """
 
     def __init__(self, server: Server) -> None:
@@ -75,14 +78,14 @@
 
     @property
     def is_ejected(self) -> bool:
-        """True while it gets trial requests only."""
+        """True while the server receives only trial requests."""
         return self.outlier_state.is_ejected
 
     def warm_fraction(self, now_ns: int, rules: Rules) -> float:
-        """Return the share of its capacity that the server has at the least, 1 once it is warm.
+        """Return the minimum share of its capacity that the server has now, which is 1 once it is warm.
 
-        A server is cold at its start and while it is ejected, and warms up linearly in the stated time.  The
-        origin keeps nothing and so is never cold.
+        A server is cold when it starts and while it is ejected, and warms up linearly within the warm-up time
+        of the rules.  The origin has no cache and so is never cold.
         """
         role = self.server.role
         if role is Role.PARENT:
@@ -98,24 +101,24 @@
         return cold_share + (1 - cold_share) * max(0, now_ns - self.started_ns) / warm_up_ns
 
     def record_restart(self, at_ns: int) -> None:
-        """Record a start, listed or inferred: work completed before does not show what it can do now."""
+        """Record a start, listed or inferred; work completed before it does not show current capacity."""
         if at_ns > self.started_ns:
             self.work_completed = DecayingSum(WORK_SPAN_NS)
         self.started_ns = at_ns
 
     def spare_capacity(self, now_ns: int) -> float:
-        """Return the transfer time per unit of time that it can give this router at ``MAX_COLD_UTILIZATION``.
+        """Return the transfer time per unit of time that this router may use up to ``MAX_COLD_UTILIZATION``.
 
-        The figure follows from what it has completed of late and how busy it was with that.
+        It is derived from the work that the server has recently completed and the utilization it reported.
         """
         completed = self.work_completed.value_at(now_ns)
         return completed / WORK_SPAN_NS * MAX_COLD_UTILIZATION / max(self.utilization, MIN_COLD_UTILIZATION)
 
     def load_preference(self, zone_mean: float, min_utilization: float) -> float:
-        """Return how much more it should get, as it reports to be less busy than the zone's mean.
+        """Return the factor on the server's weight, above 1 if its utilization is below the zone's mean.
 
-        Utilisations under ``min_utilization`` are alike: to move objects to the idlest server costs their
-        copies, and a server without copies is idle for that very reason.
+        Utilizations under ``min_utilization`` count as equal: moving objects to the least busy server loses
+        their copies, and a server without copies is idle precisely because it has none.
         """
         preference = 1.0
         if self.mean_utilization.sample_count:
@@ -124,11 +127,11 @@
         return min(MAX_LOAD_PREFERENCE, max(1 / MAX_LOAD_PREFERENCE, preference))
 
     def latency_score(self, now_ns: int, average_log_ns: float) -> float:
-        """Return its time to the first byte over its weight; without new samples, that nears the average.
+        """Return the time to first byte divided by the weight; it nears the average without new samples.
 
         Args:
             now_ns: The time.
-            average_log_ns: The logarithm of the average time to the first byte of its peers.
+            average_log_ns: The mean logarithm of the time to first byte of the ranked servers.
         """
         own_share = 0.0
         if self.log_first_byte_ns.sample_count:
@@ -137,16 +140,16 @@
         return math.exp(average_log_ns + own_share * (own_log_ns - average_log_ns)) / self.server.weight
 
     def record_first_byte(self, now_ns: int, time_ns: float) -> None:
-        """Take in one time to the first byte."""
+        """Record one time to first byte."""
         self.log_first_byte_ns.add(math.log(max(time_ns, MS)))
         self.first_byte_updated_ns = now_ns
 
     def available_capacity(self, now_ns: int, rules: Rules) -> float:
-        """Return the transfers that it can carry now, by the list's weight."""
+        """Return the number of parallel transfers that the server has capacity for now, from its weight."""
         if self.is_ejected:
             return 0.0
         return self.server.weight * self.warm_fraction(now_ns, rules)
 
     def rendezvous_rank(self, object_hash: int, weight: float) -> float:
-        """Return its weighted rendezvous score for an object: the largest one is the object's home."""
+        """Return the weighted rendezvous score for an object; the object's home has the highest score."""
         return weight * rendezvous_score(object_hash ^ self.hash_seed)
--- a/kelpcroft/decision/endpoint_directory.py
+++ b/kelpcroft/decision/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The servers that this router knows, as the list of servers tells them."""
+"""Directory of the servers in the endpoint list, by name and by role."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 
 
 def is_usable(endpoint: Endpoint) -> bool:
-    """Return True if a server is in the list and not draining."""
+    """Return True if a server is in the endpoint list and not draining."""
     return endpoint.is_listed and endpoint.server.state == "in_service"
 
 
 class EndpointDirectory:
-    """All known servers by name, and those that may be used by role.
+    """All servers by name, and the usable servers by role.
 
-    The lists by role keep a request from looking through the whole fleet.  They change with the list of
-    servers and only then, at once: a server that drains gets nothing from the next request on.
+    The lists by role avoid a scan of the complete fleet for each request.  They are rebuilt immediately with
+    each change of the endpoint list and at no other time, so that a draining server receives nothing from the
+    next request on.
 
     Attributes:
-        by_name: All that are known, also those that drain or have left the list.
-        zone_caches: Usable caches of the own zone.
+        by_name: All servers, including those that drain or have left the list.
+        zone_caches: Usable caches of the router's own zone.
         parents: Usable parents of all zones.
         origins: Usable origins.
     """
 
     def __init__(self, zone: str, histories: ObjectHistories) -> None:
-        """Start empty.
+        """Create an empty directory.
 
         Args:
             zone: The router's own zone.
-            histories: What is remembered of objects: the copies of a restarted cache are removed there.
+            histories: The object histories, from which the copies of a restarted cache are removed.
         """
         self.zone = zone
         self.histories = histories
@@ -40,7 +41,7 @@
         self.origins: list[Endpoint] = []
 
     def apply(self, event: ServerList) -> None:
-        """Take in a list of servers or changes to it."""
+        """Apply a complete endpoint list or changes to it."""
         if event.form != "update":
             for endpoint in self.by_name.values():
                 endpoint.is_listed = False
@@ -58,7 +59,7 @@
         self._index_by_role()
 
     def _drop_terminated(self) -> None:
-        """Forget servers that are gone for good (names are not used again) with nothing in flight there."""
+        """Remove terminated servers that have no attempts in flight; their names are not reused."""
         self.by_name = {
             name: endpoint
             for name, endpoint in self.by_name.items()
--- a/kelpcroft/decision/events.py
+++ b/kelpcroft/decision/events.py
@@ -1,7 +1,7 @@
-"""Events: what goes into the decisions.
+"""Events, the inputs of the decision package.
 
-The caller hands events over in the order in which they happen.  Times are integer nanoseconds of one clock
-that never runs back (names end in ``_ns``); sizes are KB.
+The caller passes events in the order in which they occur.  Times are integer nanoseconds of one monotonic
+clock (names end in ``_ns``); sizes are in KB.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Role(Enum):
-    """What a server is: an edge cache, a parent at a hub, or the origin."""
+    """Role of a server: an edge cache, a parent cache in a hub zone, or the origin."""
 
     CACHE = "cache"
     PARENT = "parent"
@@ -21,58 +21,58 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended.
+    """Outcome of an attempt.
 
-    The values are those of the wires; counters and the log write the names, so neither may change.
+    The values are sent on the wire, and counters and the log contain the names, so neither may change.
     """
 
     OK = 100
-    MISS = 101  # the server holds no copy, and none was filled
+    MISS = 101  # the server holds no copy, and did not fill one
     ERROR = 301
     FULL = 302  # rejected: the server is at capacity
     TIMEOUT = 303
     CONNECT_FAILED = 304
     RESET = 305  # the connection was lost
     CANCELLED = 306
-    MOOT = 307  # withdrawn before it was sent
+    MOOT = 307  # withdrawn before the attempt was sent
 
     @property
     def proves_not_executed(self) -> bool:
-        """True if the attempt certainly had no effect."""
+        """True if the outcome rules out that the attempt had an effect."""
         return self in (Outcome.MISS, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class FillResult(IntEnum):
-    """What an answer tells of its fill.
+    """Result of the cache lookup or fill behind a response, as the response reports it.
 
-    The values are those of the wires; the log writes the names, so neither may change.
+    The values are sent on the wire, and the log contains the names, so neither may change.
     """
 
     NONE = 0  # not reported
     HIT = 1
     FILLED = 2
     FILLED_FROM_ORIGIN = 3
-    JOINED = 4  # answered by a fill that was under way
+    JOINED = 4  # served by a fill that was already in progress
     STALE = 5
     SOURCE_REFUSED = 6
     SOURCE_BROKE = 7
-    SOURCE_LACKS = 8  # the source was asked for what it holds, and holds no copy
-    NO_FILL_PLACE = 9  # the cache has as many fills under way as it can have
+    SOURCE_LACKS = 8  # the fill source was to send only a copy that it held, and held none
+    NO_FILL_PLACE = 9  # the cache has its maximum number of fills in progress
     ORIGIN_FAILED = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One line of the list of servers.
+    """One server of the endpoint list.
 
     Attributes:
-        name: Its name, which a replacement never takes over.
-        role: What it is.
-        zone: Where it is.
-        cell: Its failure domain within the zone.
+        name: The name, which a replacement server never reuses.
+        role: The role.
+        zone: The zone.
+        cell: The failure domain within the zone.
         state: "in_service", "terminating" or "terminated".
-        weight: Its capacity relative to others, above 0.
-        started_ns: Clock time of its last start; 0 for long ago.
+        weight: The capacity relative to other servers, above 0.
+        started_ns: Clock time of the last start; 0 for a start long ago.
     """
 
     name: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PossibleExecution:
-    """An attempt that may have executed: at a server of this zone and cell, sent at this time."""
+    """An attempt that may have executed: the zone and cell of its server, and the time it was sent."""
 
     zone: str
     cell: int
@@ -95,19 +95,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRetryPolicy:
-    """What a route lets one request cost.  The defaults bound nothing.
+    """Limits that a route sets on the attempts of one request.  The defaults set no limit.
 
     Attributes:
-        attempt_timeout_ns: One attempt's time at the most; 0 for no bound.
-        max_attempts: Attempts that may have executed, hedges apart; 0 for no bound.
-        retry_on: Of the ends that may have executed, those that are retried; None for all.
-        max_reroutes: Further attempts after an end that proves that nothing was executed; -1 for no bound.
-        max_hedges: Second attempts while one is out.
-        backoff_ns: The waits before each retry; the last one holds for all further ones.
-        retry_after_ns: How long a client whose request is given up is asked to wait before a retry.
-        has_retry_budget: The route pays for further attempts: see ``AttemptEnded.retry_budget_available``.
-        concurrency_limit_reached: Too many requests of the route are in flight: this one is to be rejected.
-        shortens_deadline: ``Request.time_remaining_ns`` ends before the client's own wait does.
+        attempt_timeout_ns: The maximum attempt timeout; 0 for no limit.
+        max_attempts: The maximum number of attempts that may have executed, not counting hedges; 0 for no
+            limit.
+        retry_on: The outcomes after which a request that may have executed is retried; None for all.
+        max_reroutes: The maximum number of further attempts after outcomes that prove that nothing was
+            executed; -1 for no limit.
+        max_hedges: The maximum number of second attempts while another attempt is in flight.
+        backoff_ns: The delays before the first and each later retry; the last delay applies to all further
+            retries.
+        retry_after_ns: The delay before a retry that a rejection gives to the client.
+        has_retry_budget: True if further attempts are charged to a budget of the route: see
+            ``AttemptEnded.retry_budget_available``.
+        concurrency_limit_reached: True if too many requests of the route are in flight, so that this request
+            is rejected.
+        shortens_deadline: True if ``Request.time_remaining_ns`` ends before the client stops waiting.
     """
 
     attempt_timeout_ns: int = 0
@@ -124,12 +129,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """News of the servers.
+    """A change of the endpoint list.
 
     Attributes:
-        form: "update" (changes), "replace" or "restored" (all there are), "unavailable" (discovery has
-            failed).
-        servers: Their lines.
+        form: "update" (only the servers that changed), "replace" or "restored" (the complete list), or
+            "unavailable" (discovery has failed).
+        servers: The servers.
     """
 
     form: str
@@ -138,23 +143,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request: this router owes it one final answer within ``time_remaining_ns``.
+    """A client's request, which must receive one final response within ``time_remaining_ns``.
 
     Attributes:
-        id: Its id, by which all later events and actions refer to it.
-        class_name: The name of its class.
-        time_remaining_ns: How long its client still waits.
+        id: The id by which all later events and actions refer to the request.
+        class_name: The name of the request class.
+        time_remaining_ns: How long the client still waits.
         object_id: The object.
-        part: The part of the object; 0 where it has none.
+        part: The part of the object; 0 if the object has no parts.
         purge_group: The group with which the object may be purged.
-        size_kb: The object's size; 0 where that is not known.
-        is_write: True if it changes something.
-        is_retry: True if its client has sent it before.
-        tenant: Whose it is.
-        retry_policy: What its route lets it cost; None for the router's own way in all.
-        prior_execution: An earlier request of the same idempotency key that may have executed.
-        prior_attempt_unknown: Keyed: a retry of what this router has not seen, so where and when it was sent
-            is unknown.
+        size_kb: The object's size; 0 if it is unknown.
+        is_write: True for a write.
+        is_retry: True if the client has sent the request before.
+        tenant: The tenant that the request belongs to.
+        retry_policy: The limits of the request's route; None if only the router's own limits apply.
+        prior_execution: An earlier request with the same idempotency key that may have executed.
+        prior_attempt_unknown: Keyed classes: True for a retry of a request that this router has not received,
+            so that the place and time of the earlier attempt are unknown.
     """
 
     id: str
@@ -174,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """Streamed classes: the answer has begun, and the client owns the attempt."""
+    """The response of a streamed class has begun, so the request stays with this attempt."""
 
     id: str
     attempt: int
@@ -184,19 +189,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """One attempt's end.
+    """The end of an attempt.
 
     Attributes:
         id: The request.
-        attempt: The attempt's number within it, from 0.
-        server: The server that was asked.
-        outcome: How it ended.
-        elapsed_ns: How long it took.
-        is_final: True if the request needs no answer any more.
-        fill_result: What the answer tells of its fill.
-        first_byte_ns: The wait for the fill source's first byte or failure; 0 where that is not known.
+        attempt: The attempt's number within the request, from 0.
+        server: The server that the attempt was sent to.
+        outcome: The outcome.
+        elapsed_ns: The time from sending the attempt to its end.
+        is_final: True if the request needs no further response.
+        fill_result: The fill result that the response reports.
+        first_byte_ns: The time until the fill source's first byte or failure; 0 if it is unknown.
         load_report: The server's load, by the names of ``Settings.load_report_fields``.
-        retry_budget_available: True if the route's budget pays for one more attempt.
+        retry_budget_available: True if the route's retry budget has room for one more attempt.
     """
 
     id: str
@@ -213,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HedgeDue:
-    """An attempt has been out for so long that its route wants a second one beside it."""
+    """The hedge delay of a request's route has passed since an attempt was sent; a second attempt is due."""
 
     id: str
     retry_budget_available: bool
@@ -221,28 +226,28 @@
 
 @dataclass(frozen=True, slots=True)
 class BackoffElapsed:
-    """The wait that a ``BackOff`` asked for is over."""
+    """The delay of a ``BackOff`` action has passed."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has left: its request is over without an answer."""
+    """The client has disconnected; its request ends without a response."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer that a ``SetTimer`` asked for."""
+    """A timer that was set by a ``SetTimer`` action has expired."""
 
     label: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeFinished:
-    """A probe's end."""
+    """The end of a probe."""
 
     server: str
     outcome: Outcome
@@ -252,7 +257,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another router."""
+    """A message from another router."""
 
     sender: int
     payload: str
@@ -269,9 +274,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Settings were read again while the router runs: from now on its classes and limits are these.
+    """The settings were reloaded while the router runs; the new classes and limits take effect immediately.
 
-    A request in flight keeps the class it came with, and the attempts it was allowed then if those are fewer.
+    A request in flight keeps the class that it arrived with.  It is limited to the number of attempts allowed
+    at its arrival, or to the new number if that is lower.
     """
 
     settings: Settings
@@ -279,13 +285,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterShare:
-    """What this process may spend of its router's budgets.
+    """The share of its router's budgets that this process may use.
 
     Attributes:
-        share: Its part of the budgets for cold servers: under 1 while another process of the same router may
-            be sending too.
-        origin_fills_allowed: Whether the origin may be asked for one more copy that is kept: not while a
-            process begins and has as many out there as it may.
+        share: The share of the budgets for cold servers, under 1 while another process of the same router may
+            be sending requests too.
+        origin_fills_allowed: True if one more fill of a cacheable object may be requested from the origin.
+            False while the process starts and has the maximum number of fetches from the origin in flight.
     """
 
     share: float
--- a/kelpcroft/decision/interface.py
+++ b/kelpcroft/decision/interface.py
@@ -1,6 +1,6 @@
-"""The types that go into the decisions and come out of them, in one place.
+"""Public types of the decision package: its settings, its inputs (events) and its outputs (actions).
 
-They are defined in ``settings``, ``events`` and ``actions``.  No decision stands here.
+They are defined in ``settings``, ``events`` and ``actions``; this module only exports them.
 """
 
 from __future__ import annotations
--- a/kelpcroft/decision/outlier_ejection.py
+++ b/kelpcroft/decision/outlier_ejection.py
@@ -1,8 +1,9 @@
-"""Outlier ejection: who is to blame for a failure, and trial requests for those that are ejected.
+"""Outlier ejection: attribution of failures to servers, and trial requests for ejected servers.
 
-The evidence of one server is kept in its ``OutlierState``.  An answer that failed may be the fault of the
-cache that was asked, of the server it filled from, or of the origin behind that; where the answer does not
-tell, a server that has answered since the attempt was sent is not to blame.
+The failures of each server are counted in its ``OutlierState``.  A failed attempt may have been caused by the
+cache that received it, by the fill source of that cache, or by the origin behind the fill source.  If the
+response does not report the cause, the failure is not attributed to a server that has succeeded since the
+attempt was sent.
 """
 
 from __future__ import annotations
@@ -18,32 +19,32 @@
 from kelpcroft.decision.settings import Idempotency
 from kelpcroft.decision.statistics import MeanDeviation
 
-# An error that blames nobody: the server lives, the request may be at fault
+# Weight of an error without a reported cause: the server has responded, and the request may be the cause
 UNATTRIBUTED_ERROR_SCORE: Final = 0.3
-FAILURE_SCORE: Final = 1  # one failure that its server is to blame for
+FAILURE_SCORE: Final = 1  # weight of one failure that is attributed to a server
 
 
 class OutlierEjection:
-    """Ejects servers that fail, and takes them back when a trial request succeeds."""
+    """Ejects servers that fail, and restores them when a trial request succeeds."""
 
     def __init__(self, state: RouterState) -> None:
         self.state = state
 
     def is_trial_due(self, request: InFlightRequest, endpoint: Endpoint) -> bool:
-        """Return True if an ejected server may be tried with this request: a safe one, not tried before."""
+        """Return True if a trial of an ejected server is due and the request is safe and unsent."""
         is_safe = request.request_class.idempotency is Idempotency.SAFE
         has_no_attempt = request.attempts_sent == 0
         return is_safe and has_no_attempt and self.state.now_ns >= endpoint.outlier_state.next_trial_ns
 
     def ejected_origin(self) -> Endpoint | None:
-        """Return the first origin that is ejected, if any."""
+        """Return the first ejected origin, if there is one."""
         return next((origin for origin in self.state.directory.origins if origin.is_ejected), None)
 
     def record_success(self, endpoint: Endpoint) -> None:
-        """Record an answer of a server; an ejected one is back.
+        """Record a success of a server, which restores an ejected server.
 
-        If its process was lost, it is cold until shown otherwise, though the list does not show a start
-        yet.
+        If its process had stopped, the server counts as started now and therefore cold, even if the endpoint
+        list does not show the start yet.
         """
         if not endpoint.outlier_state.record_success(self.state.now_ns):
             return
@@ -54,12 +55,17 @@
             self.state.histories.drop_known_copies(endpoint.server.name)
 
     def record_failure(self, endpoint: Endpoint, weight: float, process_stopped: bool) -> None:
-        """Record a failure that a server is to blame for, which may eject it."""
+        """Record a failure that is attributed to a server, which may eject the server."""
         if endpoint.outlier_state.record_failure(self.state.now_ns, weight, process_stopped):
             self.state.actions.append(Log(f"endpoint ejected, trial requests only: {_label(endpoint)}"))
 
     def record_unattributed_failure(self, attempt: Attempt, weight: int) -> None:
-        """Record a failure without a cause: a server that has answered since is not to blame."""
+        """Record a failure without a reported cause.
+
+        The failure is attributed to the server of the attempt, or to the fill source if that server has
+        succeeded since the attempt was sent.  If both have, or if the suspect is the origin, nothing is
+        recorded.
+        """
         suspect = attempt.endpoint
         if suspect.outlier_state.last_success_ns > attempt.sent_ns:
             suspect = attempt.fill_source
@@ -68,9 +74,9 @@
             self.record_failure(suspect, weight, False)
 
     def attribute_failure(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Record the failure of an attempt against the server that is to blame, if any can be."""
+        """Record the failure of an attempt for the server that caused it, if that can be determined."""
         if event.outcome in (Outcome.MISS, Outcome.CANCELLED, Outcome.MOOT, Outcome.RESET):
-            return  # a lost connection is no lost server: whether one is there, the next connection tells
+            return  # a lost connection does not mean a stopped server: the next connection will show that
         source = attempt.fill_source
         is_unreported = self.is_unreported_source_failure(attempt, event)
         if event.outcome is Outcome.CONNECT_FAILED:
@@ -84,7 +90,8 @@
         elif event.fill_result is FillResult.SOURCE_BROKE or (
             is_unreported and self._took_connect_timeout(event)
         ):
-            # One that was not reached is lost; one that broke off may have met a fill's time limit in a jam.
+            # A source that could not be reached has failed.  A source whose transfer broke off may only have
+            # exceeded the time limit of a fill under overload.
             weight = EJECTION_FAILURE_SCORE if event.outcome is Outcome.FULL else FAILURE_SCORE
             self.record_failure(source, weight, True)
         elif event.fill_result is FillResult.NONE and event.outcome is Outcome.ERROR:
@@ -93,7 +100,7 @@
             self.record_unattributed_failure(attempt, FAILURE_SCORE)
 
     def is_unreported_source_failure(self, attempt: Attempt, event: AttemptEnded) -> bool:
-        """Return True if a fill source failed, though answers do not tell it: the cache has answered."""
+        """Return True if the cache responded that a fill failed, in a deployment that reports no causes."""
         return (
             attempt.is_filled()
             and self.state.settings.notes != "all"
@@ -106,5 +113,5 @@
 
 
 def _label(endpoint: Endpoint) -> str:
-    """Return what a log line calls a server."""
+    """Return the label of a server in log lines."""
     return f"{endpoint.server.role.value} {endpoint.server.name}"
--- a/kelpcroft/decision/outlier_state.py
+++ b/kelpcroft/decision/outlier_state.py
@@ -1,9 +1,9 @@
-"""Outlier ejection of one server: whether it gets requests, by the evidence of its own answers.
+"""Outlier ejection state of one server, which follows from the successes and failures recorded for it.
 
-A server is ejected after ``EJECTION_FAILURE_SCORE`` of failures in a row.  From then on it is half open: it
-gets single trial requests, each after a longer interval, until one succeeds (the circuit breaker of Nygard's
-"Release It!", with the outlier detection of service meshes).  Who is to blame for a failure is decided in
-``outlier_ejection``.
+A server is ejected when the failures since its last success reach ``EJECTION_FAILURE_SCORE``.  It is then
+half open: it receives single trial requests at increasing intervals until one succeeds (the circuit breaker
+of Nygard's "Release It!", with the outlier detection of service meshes).  ``outlier_ejection`` decides which
+server a failure is attributed to.
 """
 
 from __future__ import annotations
@@ -12,22 +12,24 @@
 
 from kelpcroft.decision.units import SECOND_NS
 
-# Failures in a row that eject a server; one refused connection weighs as much
+# Sum of failure weights without a success that ejects a server; one refused connection has this weight
 EJECTION_FAILURE_SCORE: Final = 3
-MIN_TRIAL_INTERVAL_NS: Final = SECOND_NS  # until an ejected server's first trial request, then doubling ...
-MAX_TRIAL_INTERVAL_NS: Final = 8 * SECOND_NS  # ... up to this
+# Interval before the first trial request to an ejected server; it doubles with each further trial
+MIN_TRIAL_INTERVAL_NS: Final = SECOND_NS
+MAX_TRIAL_INTERVAL_NS: Final = 8 * SECOND_NS  # longest interval between trial requests
 
 
 class OutlierState:
-    """Whether one server is ejected; the only owner of that fact.
+    """Whether one server is ejected; no other object stores this.
 
     Attributes:
-        failure_score: Weight of the failures since the last success.
-        is_ejected: True while the server gets trial requests only.
-        last_success_ns: When it last answered.
-        next_trial_ns: From when an ejected server may get its next trial request.
+        failure_score: Sum of the weights of the failures since the last success.
+        is_ejected: True while the server receives only trial requests.
+        last_success_ns: When a success of the server was last recorded.
+        next_trial_ns: The earliest time of the next trial request to an ejected server.
         trial_interval_ns: The interval between the next two trial requests.
-        process_stopped: True if the last failure was that of a stopped process, which comes back cold.
+        process_stopped: True if the last failure shows that the server's process has stopped, so that the
+            server will be cold when it is available again.
     """
 
     def __init__(self) -> None:
@@ -39,7 +41,7 @@
         self.process_stopped = False
 
     def record_success(self, now_ns: int) -> bool:
-        """Record an answer, which ends an ejection; return True if there was one to end."""
+        """Record a success, which ends an ejection; return True if the server was ejected."""
         was_ejected = self.is_ejected
         self.failure_score = 0.0
         self.is_ejected = False
@@ -48,15 +50,15 @@
         return was_ejected
 
     def record_trial(self, now_ns: int) -> None:
-        """Record that a trial request was sent, and put the next one off.
+        """Record that a trial request was sent, and schedule the next one.
 
-        Each trial costs a client's request and every router sends its own, so they grow rarer.
+        The intervals grow because each trial may cost a client its request, and every router sends its own.
         """
         self.next_trial_ns = now_ns + self.trial_interval_ns
         self.trial_interval_ns = min(2 * self.trial_interval_ns, MAX_TRIAL_INTERVAL_NS)
 
     def record_failure(self, now_ns: int, weight: float, process_stopped: bool) -> bool:
-        """Record a failure that the server is to blame for; return True if it ejects the server."""
+        """Record a failure that is attributed to the server; return True if it ejects the server."""
         self.failure_score = self.failure_score + weight
         self.process_stopped = process_stopped
         if not self.is_ejected and self.failure_score >= EJECTION_FAILURE_SCORE:
--- a/kelpcroft/decision/policy.py
+++ b/kelpcroft/decision/policy.py
@@ -1,11 +1,12 @@
-"""The decisions of one router: hands each event to the parts that decide, and returns what they ask for.
+"""Entry point of the decision package: passes each event to the modules it concerns, returns their actions.
 
-The types that go in and come out are listed in kelpcroft/decision/interface.py.
+The types of events and actions are listed in kelpcroft/decision/interface.py.
 
-The ordinary path (docs/design.md): a hash of the object picks the edge cache of the own zone
-(``cache_selection``); for a miss, a list of sources (holding sibling, quickest parent, backup, origin) is
-tried in turn (``fill_sources``); a server that fails is ejected and gets only trial requests until one
-succeeds (``outlier_ejection``).  All else here is a guard round that path.
+The ordinary path (docs/design.md): a hash of the object selects an edge cache of the router's own zone
+(``cache_selection``).  A miss there is filled from the first usable server of a ranked list: a sibling that
+holds the object, the fastest parent, a backup parent, the origin (``fill_sources``).  A server that fails is
+ejected and receives only trial requests until one of them succeeds (``outlier_ejection``).  The other modules
+protect this path against overload, cold servers, outdated copies and repeated execution.
 """
 
 from __future__ import annotations
@@ -49,19 +50,19 @@
 from kelpcroft.decision.statistics import MeanDeviation, mix64
 from kelpcroft.decision.units import MS, SECOND_NS
 
-TICK_TIMER: Final = 0  # the timers' labels: the look at what is in flight ...
-RESUBSCRIBE_TIMER: Final = 1  # ... and the next call to discovery
-TICK_NS: Final = 50 * MS  # between looks at what is in flight
-RESUBSCRIBE_DELAY_NS: Final = SECOND_NS  # after a failed call to discovery
-PART_HASH_FACTOR: Final = 65_537  # parts of one object are placed apart
+TICK_TIMER: Final = 0  # label of the timer for the periodic check of the requests in flight
+RESUBSCRIBE_TIMER: Final = 1  # label of the timer for the next discovery subscription
+TICK_NS: Final = 50 * MS  # interval between checks of the requests in flight
+RESUBSCRIBE_DELAY_NS: Final = SECOND_NS  # delay before subscribing again after discovery has failed
+PART_HASH_FACTOR: Final = 65_537  # gives each part of an object a hash of its own
 
 
 class RoutingPolicy:
-    """The decisions of one router.
+    """Decides for one router which actions follow from each event.
 
-    It does no I/O and reads no clock: ``handle`` is given the time, which never runs back, and returns the
-    actions in the order in which they are to be carried out.  The same events at the same times give the same
-    actions.
+    It does no I/O and reads no clock: the caller passes the time, which never decreases, to ``handle``, which
+    returns the actions in the order in which they are to be executed.  The same events at the same times
+    produce the same actions.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -83,56 +84,56 @@
         self.retries = Retries(self.state, self.forwarding, self.completion)
         self.is_tick_scheduled = False
 
-    # What others may read
+    # State that other packages may read
 
     @property
     def settings(self) -> Settings:
-        """The settings in use."""
+        """The settings in effect."""
         return self.state.settings
 
     @property
     def endpoints(self) -> dict[str, Endpoint]:
-        """The known servers by name."""
+        """The servers of the endpoint list by name, with those that drain or have left the list."""
         return self.state.directory.by_name
 
     @property
     def requests_in_flight(self) -> dict[str, InFlightRequest]:
-        """The requests that are owed an answer or have attempts out, by id."""
+        """The requests that await their final response or have attempts in flight, by id."""
         return self.state.requests_in_flight
 
     @property
     def transfer_time(self) -> dict[str, MeanDeviation]:
-        """The measured transfer time of each class, in nanoseconds."""
+        """The running mean of the transfer time of each class, in nanoseconds."""
         return self.latency_model.transfer_time
 
     @property
     def router_share(self) -> float:
-        """This process's part of its router's budgets for cold servers."""
+        """This process's share of its router's budgets for cold servers."""
         return self.state.router_share
 
     @property
     def origin_fills_allowed(self) -> bool:
-        """False while the origin may not be asked for one more fill that is kept."""
+        """False while no further fill of a cacheable object may be requested from the origin."""
         return self.state.origin_fills_allowed
 
     # Events
 
     def start(self, now_ns: int) -> list[Action]:
-        """Return the router's first actions."""
+        """Return the actions of a router that starts."""
         self.state.now_ns = now_ns
         return [Subscribe()] if self.state.settings.discovery == "ask" else []
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Take in one event, and return what it makes the router do.
+        """Apply one event and return the actions that follow from it.
 
         Args:
-            now_ns: The time, which never runs back.
-            event: What happened.  One that concerns a request that is gone changes nothing, nor does any
-                ``ProbeFinished`` or ``PeerMessage``.
+            now_ns: The time, which never decreases.
+            event: The event.  An event of a request that has already ended is ignored, as are all
+                ``ProbeFinished`` and ``PeerMessage`` events.
         """
         self.state.now_ns = now_ns
         self.state.actions = []
-        # By how often they come: compiled, isinstance is one comparison.
+        # Ordered by how often each event occurs; in the compiled build an isinstance test is one comparison.
         if isinstance(event, Request):
             self._handle_request(event)
         elif isinstance(event, AttemptEnded):
@@ -154,7 +155,7 @@
         return self.state.actions
 
     def _handle_request_event(self, event: RequestEvent) -> None:
-        """Take in what concerns one request that is in flight."""
+        """Apply an event that concerns one request in flight."""
         request = self.state.requests_in_flight.get(event.id)
         if request is None:
             return
@@ -199,7 +200,7 @@
         self._schedule_tick()
 
     def _handle_attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from an attempt's end; then close its request or try again."""
+        """Record the end of an attempt, then close its request or send the next attempt."""
         request = self.state.requests_in_flight.get(event.id)
         if request is None:
             return
@@ -225,7 +226,10 @@
             self.state.actions.append(Subscribe())
 
     def _check_requests_in_flight(self) -> None:
-        """Look every ``TICK_NS``, while requests are in flight, for silence, lateness and old purges."""
+        """Check for silent servers, late requests and expired purges.
+
+        The check runs every ``TICK_NS`` while requests are in flight.
+        """
         self.is_tick_scheduled = False
         for cache in self.state.directory.zone_caches:
             cache.requests_awaiting_fill = 0
--- a/kelpcroft/decision/requests.py
+++ b/kelpcroft/decision/requests.py
@@ -1,4 +1,4 @@
-"""Records of the requests in flight and of their attempts.  Nothing is decided here."""
+"""Records of the requests in flight and of their attempts."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 
 class Attempt:
-    """One attempt that is in flight.
+    """One attempt in flight.
 
-    No dataclass: one is made for each request that is sent on, and compiled, a plain class is made faster.
+    It is not a dataclass: an instance is created for each attempt, and in the compiled build instances of a
+    plain class are created faster.
 
     Attributes:
-        endpoint: The server that was asked.
-        fill_source: The server from which a miss is filled; ``endpoint`` itself where nothing is filled.
-        sent_ns: When it was sent.
-        is_trial: True if it tries an ejected server.
+        endpoint: The server that the attempt was sent to.
+        fill_source: The server from which a miss is filled; ``endpoint`` itself if nothing is filled.
+        sent_ns: When the attempt was sent.
+        is_trial: True if the server or its fill source was ejected when the attempt was sent.
     """
 
     __slots__ = ("endpoint", "fill_source", "is_trial", "sent_ns")
@@ -31,40 +32,42 @@
         self.is_trial = is_trial
 
     def is_filled(self) -> bool:
-        """Return True if a miss at the server is filled from another one."""
+        """Return True if a miss at the server is filled from another server."""
         return self.fill_source is not self.endpoint
 
     def filling_endpoint(self) -> Endpoint:
-        """Return who fills it: the fill source, or the parent or origin that was asked directly."""
+        """Return the fill source, or the parent or origin that the attempt was sent to directly."""
         return self.fill_source if self.endpoint.server.role is Role.CACHE else self.endpoint
 
 
 class InFlightRequest:
-    """A request that is still owed its answer, or whose attempts are still in flight.
+    """A request that awaits its final response, or whose attempts are still in flight.
 
     Attributes:
-        request: The request as it came.
-        request_class: Its class as of then: a change of settings leaves it alone.
-        object_hash: What places its object at a cache and a parent.
-        start_ns: When it came.
-        deadline_ns: When its client stops waiting.
-        attempts_in_flight: Its attempts that are out, by their number.
-        attempts_sent: How many were sent.
-        max_attempts: How many were allowed when it came.
-        is_closed: True once it has its final answer; attempts may still be out.
-        response_started: True once a streamed answer has begun.
-        timeliness_recorded: True once the admission controller knows whether it is late.
-        expects_fill: True if no cache is known to hold the object.
-        cache_only: True if there is no room for its fill: only a hit is wanted.
-        bypasses_cache: True if its zone's caches have no room for it: it goes straight to a parent.
-        reset_count: Attempts lost with their connection.
-        retry_count: Attempts sent after one that may have executed.
-        reroute_count: Attempts sent after one that certainly has not.
-        hedge_count: Second attempts sent while another was out.
-        excluded_servers: Names of the servers that it should not be sent to again.
-        excluded_sources: Names of the fill sources that have failed for it.
-        history: What is remembered of the object; None where it can't be cached.
-        possible_execution: The first attempt that may have executed, of any request of its idempotency key.
+        request: The request as it arrived.
+        request_class: The request's class at its arrival, which a change of settings does not affect.
+        object_hash: The hash by which a cache and a parent are selected for the object.
+        start_ns: When the request arrived.
+        deadline_ns: When the client stops waiting.
+        attempts_in_flight: The attempts in flight, by their number.
+        attempts_sent: The number of attempts sent.
+        max_attempts: The maximum number of attempts, as of the request's arrival.
+        is_closed: True once the request has its final response; attempts may still be in flight.
+        response_started: True once a streamed response has begun.
+        timeliness_recorded: True once admission control has recorded whether the request is late.
+        expects_fill: True if, at the request's arrival, no cache was known to hold the object.
+        cache_only: True if there is no capacity for a fill, so that only a hit can serve the request.
+        bypasses_cache: True if the zone's caches have no capacity for the request, so that it is sent
+            directly to a parent.
+        reset_count: The number of retries at the same server after a lost connection.
+        retry_count: The number of attempts sent after an attempt that may have executed.
+        reroute_count: The number of attempts sent after an attempt that certainly did not execute.
+        hedge_count: The number of second attempts sent while another was in flight.
+        excluded_servers: Names of the servers that the request should not be sent to again.
+        excluded_sources: Names of the fill sources that have failed for this request.
+        history: The request history of the object; None if the request is uncacheable.
+        possible_execution: The first attempt that may have executed, of any request with the same idempotency
+            key.
     """
 
     def __init__(
--- a/kelpcroft/decision/router_state.py
+++ b/kelpcroft/decision/router_state.py
@@ -1,4 +1,4 @@
-"""What all parts of the decisions share: settings, the time of the event, servers, requests and actions."""
+"""State that the modules of the decision package share: settings, time, servers, requests and actions."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 
 
 class RouterState:
-    """The shared state of one router's decisions.
+    """The state of one router that the modules of the decision package share.
 
     Attributes:
-        settings: The settings as of the last change.
-        request_classes: Its classes by name.
-        now_ns: The time of the event that is handled.
-        actions: What that event makes the router do, in order.
-        histories: What is remembered of objects.
-        directory: The known servers.
-        requests_in_flight: Requests that are owed an answer or have attempts out, by their id, in order of
-            arrival.
-        router_share: This process's part of its router's budgets for cold servers; under 1 while another
-            process of the same router may be sending too.
-        origin_fills_allowed: False while the origin may not be asked for one more fill that is kept.
+        settings: The settings in effect.
+        request_classes: The request classes of those settings, by name.
+        now_ns: The time of the event that is being handled.
+        actions: The actions that follow from that event so far, in order.
+        histories: The request history of recently requested objects.
+        directory: The servers of the endpoint list.
+        requests_in_flight: Requests that await their final response or have attempts in flight, by their id,
+            in order of arrival.
+        router_share: This process's share of its router's budgets for cold servers, under 1 while another
+            process of the same router may be sending requests too.
+        origin_fills_allowed: False while no further fill of a cacheable object may be requested from the
+            origin.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -39,10 +40,10 @@
         self.change_settings(settings)
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other classes and limits from now on.
+        """Put new classes and limits into effect.
 
-        Requests in flight keep their class, and the attempts they were allowed if those are fewer.  The own
-        zone stays what it was at the start.
+        Requests in flight keep their class.  They are limited to the number of attempts allowed at their
+        arrival, or to the new number if that is lower.  The router's own zone does not change.
         """
         self.settings = settings
         self.request_classes = {request_class.name: request_class for request_class in settings.classes}
--- a/kelpcroft/decision/settings.py
+++ b/kelpcroft/decision/settings.py
@@ -1,7 +1,8 @@
-"""Settings of the decisions: what the deployment and its operators tell a router at its start.
+"""Settings of the decision package, which a router receives from its deployment and operators.
 
-Types only: no decision and no tuned value stands here.  Times are integer nanoseconds (names end in ``_ns``);
-sizes are KB.  Where a setting has a value for "not known", the router does without it.
+The module defines types only; thresholds and algorithms are in the modules that use them.  Times are integer
+nanoseconds (names end in ``_ns``); sizes are in KB.  If a setting has its value for "unknown", the router
+works without that setting.
 """
 
 from __future__ import annotations
@@ -10,18 +11,19 @@
 from enum import Enum
 from typing import Final
 
-MAX_LATE_FILL_NS: Final = 60 * 10**9  # the longest that a client, and so a fill that was under way, may wait
+# Longest wait of a client, and so the longest time that a fill which is in progress may still take
+MAX_LATE_FILL_NS: Final = 60 * 10**9
 
 
 class SettingsError(ValueError):
-    """A setting that cannot be used; the message names its key and the reason."""
+    """Raised for an invalid setting; the message contains its key and the reason."""
 
 
 class Idempotency(Enum):
     """Whether a request may be executed more than once."""
 
     SAFE = "safe"  # any number of times
-    KEYED = "keyed"  # servers drop repeats of its key, for a time and among some of them
+    KEYED = "keyed"  # servers drop repeats of the request's key, for a limited time and within a scope
     UNSAFE = "unsafe"  # at most once
 
 
@@ -30,21 +32,22 @@
     """One class of requests.
 
     Attributes:
-        name: Its name, by which requests refer to it.
-        idempotency: Whether its requests may be executed more than once.
-        dedup_scope: Keyed: the servers that drop each other's repeats: "all", "zone" or "cell".
-        dedup_window_ns: Keyed: repeats are dropped for this long after the first send that may have executed.
-        latency_objective_ns: An answer within this ...
-        objective_transfer_multiple: ... plus this many times the request's own transfer time earns its full
-            worth.
-        deadline_ns: How long its clients wait at the most.
-        priority_weight: The worth of an answer in time.
-        late_value_share: The share of that worth which a late answer still earns.
-        streamed: An attempt that has begun to answer belongs to the client; no other is then wanted.
-        uncacheable: It is executed at the origin and leaves no copy.
-        multipart: Its objects have parts, which are cached each by itself.
-        freshness_lifetime_ns: How long a copy may be served; 0 for until it is purged.
-        stale_grace_ns: How much longer a copy may be served at ``stale_value_share`` of the worth.
+        name: The name by which requests refer to the class.
+        idempotency: Whether requests may be executed more than once.
+        dedup_scope: Keyed classes: the servers that drop each other's repeats: "all", "zone" or "cell".
+        dedup_window_ns: Keyed classes: how long repeats are dropped, from the first attempt that may have
+            executed.
+        latency_objective_ns: The fixed component of the latency objective.
+        objective_transfer_multiple: The multiple of the request's own transfer time that is added to
+            ``latency_objective_ns``; a response within the sum has its full value.
+        deadline_ns: The longest time that clients wait.
+        priority_weight: The value of a response within the latency objective.
+        late_value_share: The share of that value which a late response still has.
+        streamed: Once an attempt has begun to respond, the request stays with it: no other attempt is sent.
+        uncacheable: Requests are executed at the origin, and no copy is kept.
+        multipart: Objects have parts, each of which is cached separately.
+        freshness_lifetime_ns: How long a copy may be served; 0 if it may be served until it is purged.
+        stale_grace_ns: How much longer a copy may be served at ``stale_value_share`` of the value.
         stale_value_share: See ``stale_grace_ns``.
     """
 
@@ -67,18 +70,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment allows.
+    """Features that the deployment allows, and its limits.
 
     Attributes:
-        may_cancel: Attempts that are out may be cancelled.
+        may_cancel: Attempts in flight may be cancelled.
         may_probe: Servers may be probed.
         may_message_peers: Routers may send each other messages.
-        may_hedge: Two attempts of one request may be out together.
-        may_send_retry_after: A rejection may tell the client when to come back.
-        max_retry_after_ns: How far off that may be.
-        max_attempts: Attempts of one request.
-        max_open_requests: Requests in flight in one router; 0 where that is not known.
-        connect_timeout_ns: The servers' own time-out for connections; 0 where that is not known.
+        may_hedge: Two attempts of one request may be in flight at the same time.
+        may_send_retry_after: A rejection may state when the client should retry.
+        max_retry_after_ns: The maximum delay that a rejection may state.
+        max_attempts: The maximum number of attempts of one request.
+        max_open_requests: The maximum number of requests in flight in one router; 0 if it is unknown.
+        connect_timeout_ns: The servers' own connect timeout; 0 if it is unknown.
     """
 
     may_cancel: bool = False
@@ -94,21 +97,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Figures of the five rules that the platform checks.
+    """Parameters of the five rules that the platform checks.
 
     Attributes:
-        response_slack_ns: Rule 1: how long after its deadline a request may still be answered.
-        drain_grace_ns: Rule 3: how long after it drains a server may still be sent requests.
-        cold_capacity_share: Rule 4: the share of its capacity that a cache has at its start, at the least.
-        warm_up_ns: By then it has all of it.
-        overload_collapse_multiple: More than this times its present capacity ...
-        overload_collapse_ns: ... for this long makes it collapse; parents too.
-        parent_cold_capacity_share: As ``cold_capacity_share``, of parents.
-        parent_warm_up_ns: As ``warm_up_ns``, of parents.
-        parent_overload_collapse_multiple: As ``overload_collapse_multiple``, of parents.
+        response_slack_ns: Rule 1: how long after its deadline a request may still receive its response.
+        drain_grace_ns: Rule 3: how long after its drain begins a server may still receive requests.
+        cold_capacity_share: Rule 4: the minimum share of its capacity that a cache has when it starts.
+        warm_up_ns: Rule 4: the time after its start at which a cache has its full capacity.
+        overload_collapse_multiple: Rule 4: the multiple of its current capacity above which a cache is
+            overloaded.
+        overload_collapse_ns: Rule 4: how long a cache or a parent withstands such an overload before it
+            collapses.
+        parent_cold_capacity_share: As ``cold_capacity_share``, for parents.
+        parent_warm_up_ns: As ``warm_up_ns``, for parents.
+        parent_overload_collapse_multiple: As ``overload_collapse_multiple``, for parents.
         purge_grace_ns: Rule 5: how long after a purge an older copy may still be served.
-        purge_sweep_ns: By then servers have dropped purged copies themselves.
-        discovery_poll_limit_ns: Where discovery is asked: a change of the list counts as known after this.
+        purge_sweep_ns: Rule 5: the time after a purge by which servers have dropped the purged copies
+            themselves.
+        discovery_poll_limit_ns: With polled discovery, the time after which a router is expected to have
+            received a change of the endpoint list.
     """
 
     response_slack_ns: int = 0
@@ -126,39 +133,39 @@
 
     @property
     def purge_retention_ns(self) -> int:
-        """How long a purge matters: past the servers' own sweep, a fill that was under way may still land."""
+        """How long a purge is kept: after the servers' own sweep, fills in progress may still be stored."""
         return self.purge_sweep_ns + MAX_LATE_FILL_NS
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a router is given at its start.
+    """All settings of a router.
 
     Attributes:
-        zone: Its own zone.
+        zone: The router's own zone.
         zones: All zones, in the deployment's order.
-        classes: The classes of requests.
-        limits: What the deployment allows.
-        rules: Figures of the rules.
-        seed: Of chance, where any is used.
-        router_index: Its number among the routers of all zones, from 0.
-        instances: Routers in all zones.
-        zone_instances: Routers in its zone.
-        hub_index_by_zone: For each zone, the place of its hub in ``zones``.
-        fill_link_kb_per_s: The zone's link for fills; 0 where that is not known.
-        max_transfer_kb_per_s: The pace of one transfer to a client at the most; 0 where that is not known.
-        allows_cache_bypass: Parents and the origin take requests directly.
-        siblings: Caches that may be a fill's source: "off", "location" or "any".
-        coalesces_fills: A request may join a fill that is under way.
-        notes: What answers tell of their fill: "all", "hit" (whether it was a hit) or "off".
-        discovery: How the list of servers comes: "push" or "ask".
-        weight_source: What a server's weight means: "off", "nominal", "rough" or "live".
+        classes: The request classes.
+        limits: The features that the deployment allows, and its limits.
+        rules: Parameters of the rules.
+        seed: The seed of random choices, if any are made.
+        router_index: The router's number among the routers of all zones, from 0.
+        instances: The number of routers in all zones.
+        zone_instances: The number of routers in the router's own zone.
+        hub_index_by_zone: For each zone, the index of its hub zone in ``zones``.
+        fill_link_kb_per_s: The capacity of the zone's link for fills; 0 if it is unknown.
+        max_transfer_kb_per_s: The maximum rate of one transfer to a client; 0 if it is unknown.
+        allows_cache_bypass: Parents and the origin accept requests directly.
+        siblings: The caches that may be fill sources: "off", "location" or "any".
+        coalesces_fills: A request may join a fill of its object that is already in progress.
+        notes: The fill results that responses report: "all", "hit" (only whether it was a hit) or "off".
+        discovery: How the endpoint list is delivered: "push" or "ask" (on request).
+        weight_source: The source of the servers' weights: "off", "nominal", "rough" or "live".
         load_report_mode: How servers report their load: "inline", "on_probe" or "off".
         load_report_fields: The names of a load report's values, in order.
-        clock_tick_ns: The grain of the clock.
+        clock_tick_ns: The resolution of the clock.
 
     Raises:
-        SettingsError: A value is not among those above.
+        SettingsError: A value is not one of those listed above.
     """
 
     zone: str
@@ -184,7 +191,8 @@
     clock_tick_ns: int = 1
 
     def __post_init__(self) -> None:
-        # The messages name fields, some by their name on the simulator's wire: operators read them.
+        # Operators read these messages, so they use the name of the setting, for some of them the name on the
+        # simulator's wire.
         for key, is_wrong, reason in (
             ("zone", self.zone not in self.zones, "is not one of zones"),
             ("classes", not self.classes, "is empty"),
--- a/kelpcroft/decision/units.py
+++ b/kelpcroft/decision/units.py
@@ -1,4 +1,4 @@
-"""Units of time of the decisions: integer nanoseconds."""
+"""Units of time in the decision package, as integer nanoseconds."""
 
 from __future__ import annotations
 
