--- a/kelpcroft/decision/admission.py
+++ b/kelpcroft/decision/admission.py
@@ -1,10 +1,11 @@
-"""Admission control by price: under overload the dearest requests are rejected first.
-
-A request's price is its transfer time over its class's priority weight.  There are two controllers, one for
-all requests, which caches must carry, and one for requests that look like fills, which parents, links and the
-origin must carry too.  Each rejects prices over a threshold, which too many late answers multiply by
-``THRESHOLD_DECREASE`` and answers in time by ``THRESHOLD_INCREASE`` or more.  Where the capacity is known, or
-gauges show overload before any answer is late, the threshold is lower at once.
+"""Admission control by price: under overload the requests with the highest price are rejected first.
+
+A request's price is its transfer time divided by its class's priority weight.  There are two controllers: one
+for all cacheable requests, which load the caches, and one for expected fills, which also load parents, links
+and the origin.  Each controller rejects requests whose price is above a threshold.  Too many late responses
+multiply the threshold by ``THRESHOLD_DECREASE``; each response in time multiplies it by at least
+``THRESHOLD_INCREASE``.  If the capacity is known, or a gauge shows overload, a lower threshold applies
+immediately, before any response is late.
 """
 
 from __future__ import annotations
@@ -20,49 +21,49 @@
 from kelpcroft.decision.statistics import DecayingSum, LinearDecay, MeanDeviation, price_threshold
 from kelpcroft.decision.units import SECOND_NS
 
-MAX_COST_THRESHOLD: Final = 6.0  # in mean prices; at this the threshold admits all
-MIN_COST_THRESHOLD: Final = 0.4  # in mean prices; some work is always let in
-MAX_LATE_SHARE: Final = 0.2  # recent share of late answers that lowers the threshold
-LATE_SHARE_GAIN: Final = 0.2  # weight of one answer in that share
-THRESHOLD_DECREASE: Final = 0.45  # what too many late answers multiply the threshold by
-THRESHOLD_INCREASE: Final = 1.02  # what an answer in time multiplies it by, at the least
-# What a second with answers in time multiplies it by, at the least ...
+MAX_COST_THRESHOLD: Final = 6.0  # highest threshold, in mean prices, at which all requests are admitted
+MIN_COST_THRESHOLD: Final = 0.4  # lowest threshold, in mean prices, so that some requests are always admitted
+MAX_LATE_SHARE: Final = 0.2  # recent share of late responses above which the threshold is lowered
+LATE_SHARE_GAIN: Final = 0.2  # weight of one response in the recent share of late responses
+THRESHOLD_DECREASE: Final = 0.45  # factor by which too many late responses lower the threshold
+THRESHOLD_INCREASE: Final = 1.02  # smallest factor by which one response in time raises the threshold
+# Smallest factor by which the responses in time of one second raise the threshold
 THRESHOLD_INCREASE_PER_SECOND: Final = 1.25
-THRESHOLD_INCREASE_PER_SECOND_WITH_SLACK: Final = 2.0  # ... or with answers in a third of the objective
-# Threshold, in mean prices, where a gauge shows that what is there just fits ...
-FULL_LOAD_THRESHOLD: Final = 3.0
-OVERLOAD_DECAY: Final = 1.35  # ... times exp(-OVERLOAD_DECAY) for each 1 by which the gauge is over 1
-LOAD_SIGNAL_DECAY_NS: Final = SECOND_NS  # without a new reading a gauge falls by 1 in this time
-MAX_SOURCE_WAIT_SHARE: Final = 1 / 3  # of what an answer can spare, a fill source may take this share
-MAX_RECENT_ARRIVALS: Final = 64  # requests kept to place the capacity threshold
+# The same if those responses take less than a third of the latency objective
+THRESHOLD_INCREASE_PER_SECOND_WITH_SLACK: Final = 2.0
+FULL_LOAD_THRESHOLD: Final = 3.0  # threshold, in mean prices, at a gauge value of 1 (exactly full)
+OVERLOAD_DECAY: Final = 1.35  # FULL_LOAD_THRESHOLD is multiplied by exp(-OVERLOAD_DECAY * (gauge - 1))
+LOAD_SIGNAL_DECAY_NS: Final = SECOND_NS  # time in which a gauge falls by 1 without a new reading
+MAX_SOURCE_WAIT_SHARE: Final = 1 / 3  # share of a response's slack that the wait for a fill source may take
+MAX_RECENT_ARRIVALS: Final = 64  # number of recent requests from which the capacity threshold is computed
 MAX_PLANNED_CACHE_SHARE: Final = 0.95  # share of the caches' stated capacity that may be planned for
 MAX_PLANNED_FILL_SHARE: Final = 1.0  # share of the parents' stated capacity that may be planned for
-FILL_SHARE_GAIN: Final = 0.05  # weight of one answer in the share of expected fills that are ones
-MIN_PRIORITY_WEIGHT: Final = 1e-9  # a class of no worth has a price too
-ANSWERS_WITH_SLACK: Final = 3  # an answer within the objective over this shows slack
+FILL_SHARE_GAIN: Final = 0.05  # weight of one response in the share of expected fills that were fills
+MIN_PRIORITY_WEIGHT: Final = 1e-9  # keeps the price of a class with priority weight 0 finite
+ANSWERS_WITH_SLACK: Final = 3  # a response within the latency objective divided by this has slack
 
 
 class AdmissionController:
-    """Rejects the requests with the highest price first when answers come late, or soon will.
+    """Rejects the requests with the highest price first when responses are late or are about to be.
 
     Thresholds are multiples of the mean price, so that they hold for any mix of classes and sizes.
 
     Attributes:
-        cost_threshold: The highest price admitted by the timeliness of answers.
-        capacity_threshold: The highest price admitted by the stated capacity, as a price; infinity where all
-            fits.
-        mean_price: Mean price of the requests that came.
-        late_share: Recent share of late answers.
-        raised_ns: When the last answer in time raised the threshold.
+        cost_threshold: The highest admitted price, as it follows from the timeliness of responses.
+        capacity_threshold: The highest admitted price, as it follows from the stated capacity; it is an
+            absolute price, infinity if all requests fit.
+        mean_price: Mean price of the requests that arrived.
+        late_share: Recent share of late responses.
+        raised_ns: When a response in time last raised the threshold.
         lowered_ns: When the threshold was last lowered.
-        last_evidence_ns: When the last answer came to a request admitted since the threshold was lowered, or
-            when the threshold was raised for want of such answers.
-        recent_arrivals: Price and transfer time of the last requests.
-        offered_work: Transfer time of the requests that came, fading.
-        link_load: Gauge of the link that carries fills, 1 for full.
-        cache_load: Gauge of the caches' capacity, 1 for full.
-        source_wait: Gauge of the wait for fill sources, 1 for as long as it may be.
-        mean_source_wait: Mean of the samples behind that gauge.
+        last_evidence_ns: When the last response was received to a request admitted since the threshold was
+            lowered, or when the threshold was raised because there were no such responses.
+        recent_arrivals: Price and transfer time of the most recent requests.
+        offered_work: Transfer time of the requests that arrived, decaying with time.
+        link_load: Gauge of the load of the link that carries fills; 1 is full.
+        cache_load: Gauge of the load of the caches; 1 is full.
+        source_wait: Gauge of the wait for fill sources; 1 is the longest acceptable wait.
+        mean_source_wait: Running mean of the samples of ``source_wait``.
     """
 
     def __init__(self) -> None:
@@ -81,14 +82,15 @@
         self.mean_source_wait = MeanDeviation(0.0, AVERAGE_GAIN)
 
     def record_latency(self, is_late: bool, start_ns: int, now_ns: int, has_slack: bool = False) -> None:
-        """Take in whether one answer was late.
+        """Record whether one response was late.
 
         Args:
-            is_late: Whether it took longer than its latency objective.
-            start_ns: When its request came: one admitted before the last cut tells nothing of the cut's
-                effect.
+            is_late: True if the response took longer than its latency objective.
+            start_ns: When the request arrived.  A request that was admitted before the threshold was last
+                lowered does not show the effect of that change, and is ignored.
             now_ns: The time.
-            has_slack: Whether it took less than a third of the objective, which raises the threshold sooner.
+            has_slack: True if the response took less than a third of the objective, which raises the
+                threshold faster.
         """
         if start_ns < self.lowered_ns:
             return
@@ -102,7 +104,11 @@
             self._raise_threshold(now_ns, has_slack)
 
     def _raise_threshold(self, now_ns: int, has_slack: bool) -> None:
-        """Raise the threshold for an answer in time, and by the second: few answers come when it is low."""
+        """Raise the threshold for a response in time.
+
+        The factor also depends on the time since the last raise, because there are few responses while the
+        threshold is low.
+        """
         elapsed_s = min(now_ns - self.raised_ns, SECOND_NS) / SECOND_NS
         per_second = THRESHOLD_INCREASE_PER_SECOND_WITH_SLACK if has_slack else THRESHOLD_INCREASE_PER_SECOND
         raised = self.cost_threshold * max(THRESHOLD_INCREASE, per_second**elapsed_s)
@@ -110,10 +116,11 @@
         self.raised_ns = now_ns
 
     def record_arrival(self, price: float, work_ns: float, now_ns: int) -> None:
-        """Take in a request, admitted or not: its price and its transfer time."""
+        """Record the price and the transfer time of a request that arrived, whether admitted or not."""
         last_change_ns = max(self.last_evidence_ns, self.lowered_ns)
         if self.cost_threshold < MAX_COST_THRESHOLD and now_ns - last_change_ns > SECOND_NS:
-            # Requests of one price may all be rejected at the lowest threshold: no answer would raise it.
+            # If all requests have the same price, all may be rejected at the lowest threshold, and then no
+            # response would raise it.
             raised = self.cost_threshold * THRESHOLD_INCREASE_PER_SECOND
             self.cost_threshold = min(MAX_COST_THRESHOLD, raised)
             self.last_evidence_ns = now_ns
@@ -122,10 +129,10 @@
         self.recent_arrivals.append((price, work_ns))
 
     def limit_to_capacity(self, capacity: float) -> None:
-        """Admit the cheapest requests that fit a capacity, before any answer is late.
+        """Admit only as many of the lowest-priced requests as fit a capacity, before any response is late.
 
         Args:
-            capacity: Transfers that can be carried at a time; infinity where it is not known.
+            capacity: The number of parallel transfers that there is capacity for; infinity if it is unknown.
         """
         total = self.offered_work.total
         capacity_share = capacity * WORK_SPAN_NS / total if total else math.inf
@@ -135,10 +142,11 @@
             self.capacity_threshold = math.inf
 
     def record_source_wait(self, now_ns: int, share: float) -> None:
-        """Take in which share of the time that its answer could spare a fill source took.
+        """Record the wait for a fill source, as a share of the slack of the response.
 
-        At ``MAX_SOURCE_WAIT_SHARE`` the source's queue is long enough.  A wait past the objective counts no
-        more than one up to it: it would keep fills out, and so all news of fill sources, for long after.
+        At ``MAX_SOURCE_WAIT_SHARE`` the source's queue has its longest acceptable length.  A share above 1
+        counts as 1: more would reject fills, and so stop all measurements of fill sources, for a long time
+        afterwards.
         """
         self.mean_source_wait.add(min(1.0, share) / MAX_SOURCE_WAIT_SHARE)
         self.source_wait.record(now_ns, self.mean_source_wait.mean)
@@ -146,8 +154,8 @@
     def admits(self, price: float, now_ns: int = 0) -> bool:
         """Return True if a request of this price is admitted.
 
-        A gauge that shows overload counts at once: late answers tell seconds later, and by then the queue is
-        there.
+        A gauge that shows overload takes effect immediately: late responses show the overload seconds later,
+        when the queue has already built up.
         """
         fullest = max(
             self.link_load.value_at(now_ns),
@@ -164,12 +172,12 @@
 
 
 class Admission:
-    """Decides whether a request is admitted, and feeds the two controllers.
+    """Decides whether a request is admitted, and supplies the two controllers with measurements.
 
     Attributes:
-        all_requests: The controller of all requests that can be cached: they load the caches.
-        fills: The controller of those that look like fills: they load links, parents and the origin too.
-        actual_fill_share: Share of the expected fills that turn out to be ones.
+        all_requests: The controller of all cacheable requests, which load the caches.
+        fills: The controller of expected fills, which also load links, parents and the origin.
+        actual_fill_share: The share of the expected fills that actually were fills.
     """
 
     def __init__(self, state: RouterState, latency_model: LatencyModel) -> None:
@@ -180,25 +188,31 @@
         self.actual_fill_share = 0.5
 
     def controller(self, is_fill: bool) -> AdmissionController:
-        """Return the controller that an answer is reported to."""
+        """Return the controller that a response is reported to."""
         return self.fills if is_fill else self.all_requests
 
     def is_fill_link_full(self) -> bool:
-        """Return True if the link that carries fills is full by its last report, less its decay since."""
+        """Return True if the fill link is full by its last report, reduced by the decay since then."""
         return self.fills.link_load.value_at(self.state.now_ns) >= 1
 
     def admit(self, request: InFlightRequest) -> bool:
-        """Decide whether a request is admitted, if only for a hit or past the caches; mark it accordingly."""
+        """Decide whether a request is admitted, and set its ``cache_only`` and ``bypasses_cache``.
+
+        A request may be admitted with the restriction that only a hit serves it, or that it bypasses the
+        caches.
+        """
         now_ns = self.state.now_ns
         work_ns = self.latency_model.expected_transfer_ns(request)
         price = self._price(request, work_ns)
         self._update_cache_capacity(price, work_ns)
         if request.expects_fill:
             self._update_fill_capacity(price, work_ns)
-            # Too dear a fill may still be a hit: ask its cache, without a fill, before it is rejected.
+            # An expected fill whose price is too high may still be a hit: it is sent to its cache without a
+            # fill source before it is rejected.
             request.cache_only = not self.fills.admits(price, now_ns)
         fits_caches = self.all_requests.admits(price, now_ns)
-        # Exception: what the caches have no room for goes straight to a parent, if link and parents have.
+        # Exception: a request that the caches have no capacity for is sent directly to a parent, if the link
+        # and the parents have capacity.
         request.bypasses_cache = (
             not fits_caches
             and self.state.settings.allows_cache_bypass
@@ -208,19 +222,24 @@
         return fits_caches or request.bypasses_cache
 
     def _price(self, request: InFlightRequest, work_ns: float) -> float:
-        """Return transfer time over priority weight, times 2/3 to 2 by object: no edge at equal prices."""
+        """Return the transfer time divided by the priority weight, times a factor of 2/3 to 2 by object hash.
+
+        The factor spreads the prices of otherwise equal requests, so that a threshold does not admit or
+        reject all of them together.
+        """
         weight = max(request.request_class.priority_weight, MIN_PRIORITY_WEIGHT)
         uniform = (request.object_hash >> 11) / 2**53
         return work_ns / weight / (0.5 + uniform)
 
     def _update_cache_capacity(self, price: float, work_ns: float) -> None:
-        """Take in one request, and what the zone's caches can carry now."""
+        """Record one request, and the current load and capacity of the zone's caches."""
         now_ns = self.state.now_ns
         settings = self.state.settings
         caches = self.state.directory.zone_caches if settings.weight_source != "off" else []
         capacity = self._capacity(caches) / settings.zone_instances
         if capacity:
-            # What waits takes nothing of a cache: for its time-out at an ejected one, for its fill elsewhere.
+            # Attempts that wait use no capacity of a cache: at an ejected cache they wait for their timeout,
+            # at the others for their fill source.
             active = sum(
                 cache.requests_in_flight - cache.requests_awaiting_fill
                 for cache in caches
@@ -231,7 +250,7 @@
         self.all_requests.limit_to_capacity(MAX_PLANNED_CACHE_SHARE * capacity if capacity else math.inf)
 
     def _update_fill_capacity(self, price: float, work_ns: float) -> None:
-        """Take in one request that looks like a fill, and what parents and the link can carry now."""
+        """Record one expected fill, and the current capacity of the parents and the fill link."""
         settings = self.state.settings
         parents = self.state.directory.parents if settings.weight_source != "off" else []
         parent_capacity = MAX_PLANNED_FILL_SHARE * self._capacity(parents) / settings.instances
@@ -245,12 +264,16 @@
         self.fills.limit_to_capacity(capacity / self.actual_fill_share)
 
     def _capacity(self, endpoints: list[Endpoint]) -> float:
-        """Return the transfers that servers can carry now."""
+        """Return the number of parallel transfers that servers have capacity for now."""
         rules = self.state.settings.rules
         return sum(endpoint.available_capacity(self.state.now_ns, rules) for endpoint in endpoints)
 
     def record_timeliness(self, request: InFlightRequest, is_late: bool, is_fill: bool) -> None:
-        """Report each request to a controller once, as soon as it is late: in a jam the quick end first."""
+        """Report each request to a controller once, as soon as it is late.
+
+        Waiting for its end would bias the share of late responses, because under overload fast requests end
+        first.
+        """
         if request.timeliness_recorded:
             return
         request.timeliness_recorded = True
@@ -259,12 +282,12 @@
         self.controller(is_fill).record_latency(is_late, request.start_ns, self.state.now_ns, has_slack)
 
     def record_fill_expectation(self, was_fill: bool) -> None:
-        """Take in whether a request that looked like a fill was one."""
+        """Record whether an expected fill actually was a fill."""
         change = FILL_SHARE_GAIN * (was_fill - self.actual_fill_share)
         self.actual_fill_share = max(FILL_SHARE_GAIN, self.actual_fill_share + change)
 
     def withdraw_offered_work(self, request: InFlightRequest) -> None:
-        """Take back what a client that has left was not sent: bursts may be called off at once."""
+        """Subtract the work not done for a client that disconnected: bursts may be cancelled immediately."""
         now_ns = self.state.now_ns
         undone_ns = self.latency_model.expected_transfer_ns(request) - (now_ns - request.start_ns)
         if undone_ns <= 0 or request.request_class.uncacheable:
--- a/kelpcroft/decision/attempt_feedback.py
+++ b/kelpcroft/decision/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt, or its silence, tells of the cache, its fill source and the object."""
+"""Feedback from attempts: what their end or their silence shows about cache, fill source and object."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.units import MS
 
-AT_CAPACITY_PAUSE_NS: Final = 200 * MS  # a cache that rejected a request is asked last for this long
-MIN_WARM_HIT_SHARE: Final = 0.02  # a cache with fewer hits has just started, whatever the list says
-MAX_PLAUSIBLE_LOAD: Final = 1e4  # a report of more is no load
+AT_CAPACITY_PAUSE_NS: Final = 200 * MS  # how long a cache that rejected a request ranks last
+# A cache that reports a smaller share of hits has just started, even if the endpoint list does not show it
+MIN_WARM_HIT_SHARE: Final = 0.02
+MAX_PLAUSIBLE_LOAD: Final = 1e4  # a higher value in a load report is invalid and ignored
 
 
 class AttemptFeedback:
-    """Hands what an attempt shows to the parts that learn from it."""
+    """Passes the results of attempts to the latency model, admission control and outlier ejection."""
 
     def __init__(
         self, state: RouterState, latency_model: LatencyModel, admission: Admission, ejection: OutlierEjection
@@ -32,10 +33,10 @@
         self.ejection = ejection
 
     def record_end(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn from an attempt's end.
+        """Record the end of an attempt.
 
-        The order matters: expected times are those from before this end, until the success of the object
-        itself.
+        The order matters: each step before ``_record_success`` compares the attempt with the expected times
+        as they were before this end; ``_record_success`` then updates the object's own times.
         """
         if request.expects_fill and (
             event.fill_result is not FillResult.NONE or event.outcome is Outcome.MISS
@@ -59,7 +60,7 @@
         self.ejection.attribute_failure(attempt, event)
 
     def _record_timeliness(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Tell admission control whether the request was late; a server at capacity counts as late."""
+        """Report to admission control whether the request was late; a server at capacity counts as late."""
         if event.outcome not in (Outcome.OK, Outcome.FULL) or attempt.is_trial:
             return
         if event.fill_result is FillResult.NONE:
@@ -70,7 +71,7 @@
         self.admission.record_timeliness(request, is_late, was_fill)
 
     def _record_failed_fill(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Count a fill that failed as a slow one of whoever fills."""
+        """Record a failed fill as a slow one, for the server that fills."""
         filling = attempt.filling_endpoint()
         if event.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             self.record_missing_answer(request, attempt)
@@ -79,11 +80,11 @@
             or event.fill_result in (FillResult.SOURCE_BROKE, FillResult.SOURCE_REFUSED)
             or (filling is attempt.endpoint and event.outcome in (Outcome.ERROR, Outcome.FULL))
         ):
-            # It costs what a late answer costs, however quick it is.
+            # A failed fill costs as much as a late response, however fast the failure is.
             filling.record_first_byte(self.state.now_ns, self.latency_model.latency_objective_ns(request))
 
     def _record_latency(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn how long answers take, at the server too where the object's own transfer time is known."""
+        """Record the latency for the class, and for the server if the object's own transfer time is known."""
         if event.outcome not in (Outcome.OK, Outcome.TIMEOUT):
             return
         slowdown = self.latency_model.record_latency(request, event.elapsed_ns)
@@ -91,7 +92,7 @@
             attempt.endpoint.slowdown.add(slowdown)
 
     def _record_success(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn from an answer: its server lives and holds the object now."""
+        """Record a successful response: the server is available and now holds the object."""
         now_ns = self.state.now_ns
         endpoint = attempt.endpoint
         self.ejection.record_success(endpoint)
@@ -118,23 +119,23 @@
     def _record_fill(
         self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded, transfer_ns: float
     ) -> None:
-        """Learn from a fill: its source lives, and took this long."""
+        """Record a successful fill: the fill source is available, and its time to first byte."""
         self.ejection.record_success(attempt.fill_source)
         if event.fill_result is FillResult.FILLED_FROM_ORIGIN:
             for origin in self.state.directory.origins:
                 self.ejection.record_success(origin)
-        # Past the first byte, what the transfer lost to a crowded link counts too, or a parent that answers
-        # a few requests quickly would keep its rank.
+        # The delay of the transfer by a congested link counts too, not only the time to first byte.
+        # Otherwise a parent that responds to a few requests quickly would keep its rank.
         wait_ns = max(event.first_byte_ns, event.elapsed_ns - transfer_ns)
         attempt.filling_endpoint().record_first_byte(self.state.now_ns, wait_ns)
         slack_ns = self.latency_model.latency_objective_ns(request) - transfer_ns
         self.admission.fills.record_source_wait(self.state.now_ns, wait_ns / max(MS, slack_ns))
 
     def record_missing_answer(self, request: InFlightRequest, attempt: Attempt) -> None:
-        """Take in an answer that is overdue as a slow fill, sooner than its end would show it.
+        """Record an overdue response as a slow fill, before the attempt ends.
 
-        The time past the expected transfer time counts as time to the first byte of the parent or
-        origin that fills, if it is above its mean.
+        The time beyond the expected transfer time counts as time to first byte of the parent or origin that
+        fills, if it is above that server's mean.
         """
         filling = attempt.filling_endpoint()
         overdue_ns = self.state.now_ns - attempt.sent_ns - self.latency_model.expected_transfer_ns(request)
@@ -144,14 +145,16 @@
             filling.record_first_byte(self.state.now_ns, overdue_ns)
 
     def record_silence(self, request: InFlightRequest) -> None:
-        """Look at the attempts of a request that are out: silence and lateness tell before any end does."""
+        """Check a request's attempts in flight for silence and lateness, without waiting for their end."""
         attempts = request.attempts_in_flight
         for attempt in attempts.values():
-            # Silence well past the usual time: one such attempt ejects a server.  It is not cancelled.
+            # One attempt that is silent well beyond the usual time ejects a server.  The attempt is not
+            # cancelled.
             if self._is_silent(request, attempt):
                 self.ejection.record_unattributed_failure(attempt, EJECTION_FAILURE_SCORE)
         expected_ns = self.latency_model.expected_transfer_ns(request)
-        # A copy asked for long after it is answered by now: it waits for its source, not for its cache.
+        # The cache has since served a hit that was requested much later than this attempt, so the attempt
+        # waits for its fill source and not for the cache.
         awaiting_fill = [
             attempt
             for attempt in attempts.values()
@@ -172,12 +175,12 @@
         return self.state.now_ns - attempt.sent_ns > self.latency_model.expected_latency_ns(request)
 
     def record_load_report(self, endpoint: Endpoint, report: dict[str, float]) -> None:
-        """Take in a cache's load, which all routers share: one of them alone sees too little.
+        """Record a cache's load report, which covers all routers; one router's own responses are too few.
 
         Args:
             endpoint: The cache.
-            report: ``utilization``, ``x0`` (share of hits) and ``x1`` (load of its link), as far as it tells
-                them.
+            report: ``utilization``, ``x0`` (share of hits) and ``x1`` (load of the cache's link), each of
+                which may be absent.
         """
         utilization = report.get("utilization", endpoint.utilization)
         if utilization != endpoint.utilization and 0 <= utilization < MAX_PLAUSIBLE_LOAD:
@@ -189,4 +192,4 @@
         hit_share = report.get("x0", 1.0)
         age_ns = self.state.now_ns - endpoint.started_ns
         if 0 <= hit_share < MIN_WARM_HIT_SHARE and age_ns > self.state.settings.rules.warm_up_ns:
-            endpoint.started_ns = self.state.now_ns  # as if it started now, whatever the list says
+            endpoint.started_ns = self.state.now_ns  # count as started now, whatever the endpoint list shows
--- a/kelpcroft/decision/cache_selection.py
+++ b/kelpcroft/decision/cache_selection.py
@@ -1,8 +1,9 @@
 """Cache selection: weighted rendezvous hashing with bounded loads.
 
 Each object has one home among the caches of the zone, the same at every router (highest random weight, Thaler
-and Ravishankar, 1998).  A cache that holds many more requests than the zone's mean per weight is tried last
-(consistent hashing with bounded loads, Mirrokni et al., 2018), as is one that has rejected a request lately.
+and Ravishankar, 1998).  A cache with many more requests in flight than the zone's mean per weight ranks last
+(consistent hashing with bounded loads, Mirrokni et al., 2018), as does a cache that has recently rejected a
+request.
 """
 
 from __future__ import annotations
@@ -16,23 +17,26 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.slow_start import SlowStart
 
-# A cache may hold this many times the zone's mean of requests per weight ...
+# Requests in flight per weight that a cache may have, as a multiple of the zone's mean
 MAX_LOAD_OVER_MEAN: Final = 1.75
-MIN_REQUESTS_BEFORE_BOUND: Final = 4.0  # ... but always this many of ours, so that chance alone moves nothing
-MIN_COMPARED_UTILIZATION: Final = 0.1  # reported utilisations under this are alike
-MAX_SLOWDOWN_RATIO: Final = 3.0  # a cache this much slower than the zone's quickest gets less ...
-MIN_SLOW_CACHE_SHARE: Final = 0.25  # ... down to this share of its objects
-MIN_SLOWDOWN: Final = 1e-9  # keeps a division from 0
+# Requests in flight of this router that a cache may always have, so that random variation alone moves no
+# object
+MIN_REQUESTS_BEFORE_BOUND: Final = 4.0
+MIN_COMPARED_UTILIZATION: Final = 0.1  # reported utilizations below this value count as equal
+# Slowdown, as a multiple of that of the zone's fastest cache, above which a cache receives fewer objects
+MAX_SLOWDOWN_RATIO: Final = 3.0
+MIN_SLOW_CACHE_SHARE: Final = 0.25  # smallest share of its objects that a slow cache keeps
+MIN_SLOWDOWN: Final = 1e-9  # prevents a division by 0
 
 
 class Candidate:
-    """A cache that may take an object; the one to try first sorts first.
+    """A cache that a request may be sent to; candidates sort in the order in which to try them.
 
     Attributes:
         endpoint: The cache.
-        rank: Its weighted rendezvous score for the object; the highest is the object's home.
-        weight: The weight that bounds its load.
-        is_overloaded: True if it holds too much for its weight, or is at capacity.
+        rank: The cache's weighted rendezvous score for the object; the highest score is the object's home.
+        weight: The weight from which the cache's load limit is computed.
+        is_overloaded: True if the cache has too many requests in flight for its weight, or is at capacity.
     """
 
     __slots__ = ("endpoint", "is_overloaded", "rank", "weight")
@@ -67,9 +71,9 @@
         self.ejection = ejection
 
     def ranked_caches(self, request: InFlightRequest) -> list[Endpoint]:
-        """Return the caches that may be asked, in the order to try: by hash, the overloaded last.
+        """Return the caches that may serve the request in the order to try: by hash, overloaded caches last.
 
-        An ejected cache comes first if a trial request is due and the hash would give it the object anyway.
+        An ejected cache comes first if a trial request is due and the hash would select the cache anyway.
         """
         live: list[Candidate] = []
         trials: list[Candidate] = []
@@ -88,7 +92,7 @@
                     trials.append(Candidate(cache, rank, 0.0))
                 continue
             if request.cache_only and warm_fraction < 1:
-                continue  # it would find nothing, and counts against the cold budget
+                continue  # a hit is unlikely there, and the request would use up the cold cache's budget
             preference = cache.load_preference(zone_mean, min_utilization)
             weight = cache.server.weight * warm_fraction * preference
             total_requests = total_requests + cache.requests_in_flight
@@ -103,7 +107,7 @@
         return due_trials[:1] + self._by_rank(live, per_weight)
 
     def _by_rank(self, candidates: list[Candidate], max_requests_per_weight: float) -> list[Endpoint]:
-        """Return caches by rank, but those that hold too much or are at capacity last."""
+        """Return caches by rank, with overloaded caches and caches at capacity last."""
         for candidate in candidates:
             endpoint = candidate.endpoint
             max_requests = max(MIN_REQUESTS_BEFORE_BOUND, max_requests_per_weight * candidate.weight)
@@ -114,12 +118,12 @@
         return [candidate.endpoint for candidate in sorted(candidates)]
 
     def _is_trial_allowed(self, cache: Endpoint, request: InFlightRequest, warm_fraction: float) -> bool:
-        """Return True if an ejected cache may get this request as a trial."""
+        """Return True if this request may be sent to an ejected cache as a trial."""
         is_due = self.ejection.is_trial_due(request, cache)
         return is_due and self.slow_start.has_budget_at(cache, request, warm_fraction)
 
     def _mean_utilization(self) -> float:
-        """Return the mean utilisation of the zone's caches that report any, else 1."""
+        """Return the mean utilization of those caches of the zone that report it, or 1 if none does."""
         reported = [
             cache.mean_utilization.mean
             for cache in self.state.directory.zone_caches
@@ -128,19 +132,19 @@
         return sum(reported) / len(reported) if reported else 1.0
 
     def _min_compared_utilization(self) -> float:
-        """Return the utilisation under which caches are alike: higher where the list has weights to go by."""
+        """Return the utilization below which caches count as equal; it is higher if the list has weights."""
         if self.state.settings.weight_source == "off":
             return MIN_COMPARED_UTILIZATION
         return MAX_COLD_UTILIZATION
 
     def _slow_limit(self) -> float:
-        """Return the slowdown from which a cache gets less."""
+        """Return the slowdown above which a cache receives fewer objects."""
         quickest = min([cache.slowdown.mean for cache in self.state.directory.zone_caches], default=1.0)
         return MAX_SLOWDOWN_RATIO * quickest
 
     def _share_by_slowdown(self, cache: Endpoint, slow_limit: float) -> float:
-        """Return the share of its objects that a cache keeps: under 1 for one much slower than its peers.
+        """Return the share of its objects that a cache keeps, under 1 if it is much slower than its peers.
 
-        That is an exception to the hash: the cache has a hot object, or is failing slowly.
+        This is an exception to the hash, for a cache that holds a hot object or fails gradually.
         """
         return min(1.0, max(MIN_SLOW_CACHE_SHARE, slow_limit / max(cache.slowdown.mean, MIN_SLOWDOWN)))
--- a/kelpcroft/decision/fill_sources.py
+++ b/kelpcroft/decision/fill_sources.py
@@ -1,7 +1,7 @@
 """Fill sources: the ordered list of servers from which a miss is filled.
 
-From "Squid: The Definitive Guide", section 10.10: a sibling that holds the object, the quickest parent, a
-backup parent, the origin.  docs/design.md tells what differs here.
+The order is that of "Squid: The Definitive Guide", section 10.10: a sibling that holds the object, the
+fastest parent, a backup parent, the origin.  docs/design.md describes the differences.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from kelpcroft.decision.slow_start import SlowStart
 from kelpcroft.decision.units import SECOND_NS
 
-# Parents within this multiple of the best score share fills by object hash
+# Parents with a score within this multiple of the best score share fills by object hash
 MAX_PARENT_SCORE_RATIO: Final = 3.0
-# The origin shares them too where the best parent is this many times slower
+# The origin shares fills too if the best parent is more than this many times slower
 MIN_ORIGIN_ADVANTAGE: Final = 2.0
-# A sibling's copy is believed in this long after an answer showed it
+# How long after a response from a sibling the sibling is assumed to hold the object
 KNOWN_COPY_LIFETIME_NS: Final = 10 * SECOND_NS
 
 
 class FillSources:
-    """Ranks the servers that may fill a miss, or answer past the caches."""
+    """Ranks the servers that may fill a miss, or respond directly if the caches are bypassed."""
 
     def __init__(self, state: RouterState, slow_start: SlowStart, ejection: OutlierEjection) -> None:
         self.state = state
@@ -38,10 +38,10 @@
 
         Args:
             request: The request.
-            cache: The cache that is asked; None to go past the caches.
+            cache: The cache that the request is sent to; None to bypass the caches.
 
         Returns:
-            The sources; for a request that only a hit may answer, the cache itself.
+            The sources; the cache itself for a request that only a hit may serve.
         """
         if request.cache_only and cache is not None:
             return [cache]
@@ -69,7 +69,7 @@
         ]
 
     def _holding_sibling(self, request: InFlightRequest, cache: Endpoint) -> list[Endpoint]:
-        """Return, in a list, the first sibling (or none) that recent answers showed to hold the object."""
+        """Return a list with the first sibling that recent responses showed to hold the object, if any."""
         if self.state.settings.siblings == "off" or request.history is None:
             return []
         known_copies = request.history.known_copies
@@ -80,7 +80,8 @@
             for name, answered_ns in known_copies.items()
             if self._is_copy_believed(request, name, answered_ns)
         ]
-        # All are asked for their budget, though one is returned: it advances each one's window of work sent.
+        # The budget of each sibling is checked although only one sibling is returned, because the check
+        # advances the sibling's window of work sent.
         return [sibling for sibling in siblings if self._may_fill_from_sibling(request, sibling)][:1]
 
     def _is_copy_believed(self, request: InFlightRequest, name: str, answered_ns: int) -> bool:
@@ -94,8 +95,9 @@
     def _ranked_parents(self, request: InFlightRequest) -> list[Endpoint]:
         """Return the parents in the order to try.
 
-        First comes an ejected one whose trial is due, then the hash's pick, which may be an origin, then the
-        other live ones.  Where none is live, all ejected ones whose trials are due.
+        An ejected parent whose trial is due comes first, then the server selected by hash, which may be an
+        origin, then the other live parents.  If no parent is live, all ejected parents whose trials are due
+        are returned.
         """
         allowed = [
             parent
@@ -114,15 +116,16 @@
         return [*trials[:1], first, *[parent for parent in live if parent is not first]]
 
     def _is_trial_allowed(self, request: InFlightRequest, parent: Endpoint) -> bool:
-        """Return True if an ejected parent may get this request as a trial."""
+        """Return True if this request may be sent to an ejected parent as a trial."""
         is_due = parent.is_ejected and self.ejection.is_trial_due(request, parent)
         return is_due and self.slow_start.has_budget(parent, request)
 
     def _pick_by_score(self, request: InFlightRequest, live: list[Endpoint]) -> Endpoint:
-        """Return the hash's pick of the parents with a low score: time to the first byte over weight.
+        """Return the server that the hash selects among those with a low score (time to first byte / weight).
 
-        Those near the best share fills, so that an object keeps to one parent, in inverse proportion to their
-        scores: all routers rank alike, and the best one fills up.
+        Parents with a score near the best one share the objects in inverse proportion to their scores, and
+        the hash keeps each object at one parent.  If only the best parent were used, it would be overloaded,
+        as all routers rank parents alike.
         """
         origins = self._comparable_origins(request)
         scores = self._latency_scores([*live, *origins])
@@ -130,7 +133,7 @@
         near = [
             parent for parent in live if scores[parent.server.name] <= best_score * MAX_PARENT_SCORE_RATIO
         ]
-        # Exception: where all parents are much slower than the origin, it gets a share.
+        # Exception: if all parents are much slower than the origin, the origin receives a share.
         near += [
             origin for origin in origins if scores[origin.server.name] * MIN_ORIGIN_ADVANTAGE < best_score
         ]
@@ -144,7 +147,7 @@
         return picked
 
     def _comparable_origins(self, request: InFlightRequest) -> list[Endpoint]:
-        """Return the origins whose time to the first byte is known, for a request that they may fill."""
+        """Return the origins that may fill the request and whose time to first byte has been measured."""
         if request.request_class.uncacheable:
             return []
         return [
@@ -156,7 +159,7 @@
         ]
 
     def _latency_scores(self, endpoints: list[Endpoint]) -> dict[str, float]:
-        """Return the score of each server by its name; lower is quicker."""
+        """Return the score of each server by name; a lower score is faster."""
         measured = [
             endpoint.log_first_byte_ns.mean
             for endpoint in endpoints
@@ -174,5 +177,5 @@
 
 
 def _backup_order(parent: Endpoint) -> tuple[int, str]:
-    """The backup parent is the one that was asked for the fewest fills."""
+    """Return the sort key of backup parents: the parent with the fewest requested fills comes first."""
     return parent.fills_requested, parent.server.name
--- a/kelpcroft/decision/forwarding.py
+++ b/kelpcroft/decision/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: sends a request's next attempt."""
+"""Forwarding: sends the next attempt of a request."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from kelpcroft.decision.route_selection import Route, RouteSelection
 from kelpcroft.decision.router_state import RouterState
 
-REUSED_REQUEST_COUNT: Final = 1.5  # requests of late from which a copy is kept longer ...
-HOT_REQUEST_COUNT: Final = 4.0  # ... and longest
+REUSED_REQUEST_COUNT: Final = 1.5  # recent requests of an object from which its copy is kept longer
+HOT_REQUEST_COUNT: Final = 4.0  # recent requests of an object from which its copy is kept longest
 
 
 class Forwarding:
@@ -39,7 +39,7 @@
         self.completion = completion
 
     def send_next_attempt(self, request: InFlightRequest) -> None:
-        """Send the next attempt of a request, or end it where none is left."""
+        """Send the next attempt of a request, or end the request if no further attempt is possible."""
         remaining_ns = request.deadline_ns - self.state.now_ns
         route = None
         if remaining_ns > 0 and not self.has_no_attempt_left(request):
@@ -50,11 +50,11 @@
             self.send(request, route, remaining_ns)
 
     def has_no_attempt_left(self, request: InFlightRequest) -> bool:
-        """Return True if a request has had all its attempts: by the limit when it came or now, if lower."""
+        """Return True if a request has used all its attempts; the lower of old and new limit applies."""
         return request.attempts_sent >= min(request.max_attempts, self.state.settings.limits.max_attempts)
 
     def send(self, request: InFlightRequest, route: Route, remaining_ns: int) -> None:
-        """Send one attempt, and count it against every budget that it touches."""
+        """Send one attempt, and charge it to the budgets of its servers."""
         endpoint = route.endpoint
         source = route.fill_source
         is_trial = endpoint.is_ejected or source.is_ejected
@@ -92,7 +92,7 @@
             source.fills_requested += 1
 
     def _retention_rank(self, request: InFlightRequest) -> RetentionRank:
-        """Return how long the cache should keep the copy: by recent requests of the object, for its size."""
+        """Return how long the cache should keep the copy, by the object's recent requests and size."""
         if request.request_class.uncacheable:
             return RetentionRank.DO_NOT_KEEP
         reuse = self._reuse(request)
@@ -103,7 +103,7 @@
         return RetentionRank.ONCE
 
     def _reuse(self, request: InFlightRequest) -> float:
-        """Return the requests of an object of late; of one that is larger than the mean, the fewer count."""
+        """Return the object's recent request count, scaled by the mean size over the object's size."""
         if request.history is None:
             return 0.0
         smallness = 1.0
@@ -113,9 +113,9 @@
         return request.history.request_count * smallness
 
     def _spares_origin(self, request: InFlightRequest, source: Endpoint) -> bool:
-        """Return True if a parent should give only what it holds, as the origin behind it is ejected.
+        """Return True if a parent should send only a copy that it holds, as the origin behind it is ejected.
 
-        A request that may try that origin goes the whole way, and is recorded as its trial.
+        A request that may be a trial of that origin is not restricted, and is recorded as its trial.
         """
         origin = self.ejection.ejected_origin()
         if origin is None or source.server.role is not Role.PARENT or request.request_class.uncacheable:
--- a/kelpcroft/decision/idempotency.py
+++ b/kelpcroft/decision/idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency: whether another attempt of a request can do harm."""
+"""Idempotency: whether another attempt of a request is safe."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 
 
 class IdempotencyGuard:
-    """Keeps a request from a second execution that its class does not allow."""
+    """Prevents repeated executions of a request that its class does not allow."""
 
     def __init__(self, state: RouterState) -> None:
         self.state = state
 
     def may_send(self, request: InFlightRequest, endpoint: Endpoint) -> bool:
-        """Return True if an attempt at this server, in addition to those before, can do no harm.
+        """Return True if an attempt at this server is safe in addition to the earlier attempts.
 
-        A safe request may always be sent again; a keyed one within the time and among the servers that drop
-        repeats of its key; an unsafe one only while no attempt may have executed.
+        A safe request may always be sent again.  A keyed request may be sent again within its deduplication
+        window to the servers that drop repeats of its key.  An unsafe request may be sent again only while no
+        attempt may have executed.
         """
         request_class = request.request_class
         is_safe = request_class.idempotency is Idempotency.SAFE
@@ -37,7 +38,7 @@
 
 
 def _drops_repeats(dedup_scope: str, endpoint: Endpoint, executed: PossibleExecution) -> bool:
-    """Return True if a server drops repeats of what may have been executed there."""
+    """Return True if a server drops repeats of a request that may have executed in that zone and cell."""
     if dedup_scope == "all":
         return True
     if dedup_scope == "zone":
--- a/kelpcroft/decision/request_completion.py
+++ b/kelpcroft/decision/request_completion.py
@@ -1,4 +1,4 @@
-"""Final answers, and the end of a request's attempts."""
+"""Request completion: final responses, and cancellation of the remaining attempts."""
 
 from __future__ import annotations
 
@@ -7,24 +7,27 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.settings import Idempotency
 
-EVERY_ATTEMPT = -1  # no attempt has this number
+EVERY_ATTEMPT = -1  # no attempt has this number, so that none is excepted
 
 
 class RequestCompletion:
-    """Ends requests: each gets one final answer, and no attempt of it is left behind."""
+    """Ends requests: each receives one final response, and its attempts are tracked until they end."""
 
     def __init__(self, state: RouterState) -> None:
         self.state = state
 
     def close(self, request: InFlightRequest) -> None:
-        """End a request that has its answer: attempts in flight are cancelled, and forgotten at their end."""
+        """Close a request that has its final response.
+
+        Its attempts in flight are cancelled; the request is removed once the last of them has ended.
+        """
         request.is_closed = True
         self.cancel_attempts(request, EVERY_ATTEMPT)
         if not request.attempts_in_flight:
             self.state.requests_in_flight.pop(request.request.id, None)
 
     def cancel_attempts(self, request: InFlightRequest, except_number: int) -> None:
-        """Cancel all attempts of a request that are out but one, where the deployment allows it."""
+        """Cancel all attempts in flight of a request except one, if the deployment allows cancellation."""
         if not self.state.settings.limits.may_cancel:
             return
         for number in request.attempts_in_flight:
@@ -32,12 +35,12 @@
                 self.state.actions.append(Cancel(request.request.id, number))
 
     def fail(self, request: InFlightRequest) -> None:
-        """Answer that a request has failed, whatever became of it."""
+        """Send the final response "failed"; the request may or may not have been executed."""
         self.state.actions.append(Fail(request.request.id))
         self.close(request)
 
     def reject_or_fail(self, request: InFlightRequest) -> None:
-        """Answer where nothing more can be tried: with a rejection, if a client's retry does no harm."""
+        """Send the final response of a request without further attempts: a rejection if a retry is safe."""
         if self._may_invite_retry(request):
             self.state.actions.append(Reject(request.request.id, self._retry_after_ns(request)))
             self.close(request)
@@ -45,7 +48,7 @@
             self.fail(request)
 
     def _may_invite_retry(self, request: InFlightRequest) -> bool:
-        """Return True if the client's own retry can do no harm."""
+        """Return True if a retry by the client is safe."""
         request_class = request.request_class
         may_have_executed = (
             request.possible_execution is not None
@@ -57,7 +60,7 @@
         return request_class.idempotency is Idempotency.KEYED and request_class.dedup_scope == "all"
 
     def _retry_after_ns(self, request: InFlightRequest) -> int:
-        """Return how long the client is asked to wait before a retry; 0 to ask nothing."""
+        """Return the delay before a retry that the rejection states; 0 for none."""
         retry_policy = request.request.retry_policy
         limits = self.state.settings.limits
         if retry_policy is None or not limits.may_send_retry_after:
--- a/kelpcroft/decision/retries.py
+++ b/kelpcroft/decision/retries.py
@@ -1,7 +1,7 @@
-"""Retries, rerouting, back-off and hedging: what follows an attempt that ended without an answer.
+"""Retries, rerouting, back-off and hedging: the further attempts of a request.
 
-An attempt after one that may have executed is a *retry*; one after an attempt that certainly did nothing is a
-*reroute*.  A second attempt while another is out is a *hedge*.
+An attempt after an attempt that may have executed is a *retry*.  An attempt after an attempt that certainly
+did not execute is a *reroute*.  A second attempt while another is in flight is a *hedge*.
 """
 
 from __future__ import annotations
@@ -15,18 +15,17 @@
 from kelpcroft.decision.requests import Attempt, InFlightRequest
 from kelpcroft.decision.router_state import RouterState
 
-# Further attempts earned by each request (a retry budget by token bucket) ...
-RETRY_TOKENS_PER_REQUEST: Final = 0.2
-MAX_RETRY_TOKENS: Final = 20.0  # ... and how many may be saved up
-MAX_SAME_SERVER_RESETS: Final = 2  # lost connections after which a request still tries the same server again
+RETRY_TOKENS_PER_REQUEST: Final = 0.2  # tokens that each request adds to the retry budget (a token bucket)
+MAX_RETRY_TOKENS: Final = 20.0  # capacity of the token bucket; each further attempt costs one token
+MAX_SAME_SERVER_RESETS: Final = 2  # lost connections after which a request is still sent to the same server
 
 
 class Retries:
     """Decides on further attempts of a request.
 
     Attributes:
-        retry_tokens: Further attempts that this router may send of its own accord; a route may have a budget
-            of its own, which is kept outside of the decisions.
+        retry_tokens: The number of further attempts that this router's own budget currently allows.  A route
+            may have a separate budget, which is kept outside the decision package.
     """
 
     def __init__(self, state: RouterState, forwarding: Forwarding, completion: RequestCompletion) -> None:
@@ -36,11 +35,11 @@
         self.retry_tokens: float = MAX_RETRY_TOKENS
 
     def earn_tokens(self) -> None:
-        """Earn part of a retry by a new request."""
+        """Add the tokens of a new request to the retry budget."""
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
 
     def after_failure(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Try again after the last attempt in flight ended without an answer, or give the final answer."""
+        """Send another attempt after the last attempt in flight failed, or send the final response."""
         retry_policy = request.request.retry_policy
         is_past_deadline = self.state.now_ns >= request.deadline_ns
         if retry_policy and (
@@ -51,8 +50,8 @@
         elif is_past_deadline:
             self.completion.fail(request)
         elif event.outcome is Outcome.RESET and request.reset_count < MAX_SAME_SERVER_RESETS:
-            # The copy is there, or on its way: elsewhere it would be filled once more.
-            # The guard against a second execution still holds.
+            # The server holds the copy or is filling it; another server would have to fill it again.
+            # Route selection still applies the guard against a second execution.
             request.reset_count += 1
             self._send_again(request, not event.outcome.proves_not_executed)
         else:
@@ -60,7 +59,7 @@
             self._spend_and_send_again(request, event)
 
     def _exclude_failed(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Mark the server or the fill source that this request should not try again."""
+        """Exclude the server or the fill source that failed from further attempts of this request."""
         is_source_fault = event.outcome is Outcome.MISS or event.fill_result in (
             FillResult.SOURCE_REFUSED,
             FillResult.SOURCE_BROKE,
@@ -83,7 +82,10 @@
             request.excluded_servers.add(attempt.endpoint.server.name)
 
     def _spend_and_send_again(self, request: InFlightRequest, event: AttemptEnded) -> None:
-        """Pay for the next attempt and send it: a miss is free, and a route with a budget pays itself."""
+        """Charge the next attempt to the retry budget and send it.
+
+        An attempt after a miss is free, as is an attempt of a route that has its own budget.
+        """
         retry_policy = request.request.retry_policy
         is_miss = event.outcome is Outcome.MISS
         is_free = is_miss or (retry_policy is not None and retry_policy.has_retry_budget)
@@ -100,7 +102,7 @@
     def _route_allows_next(
         self, request: InFlightRequest, retry_policy: RouteRetryPolicy, event: AttemptEnded
     ) -> bool:
-        """Return True if the route lets a request go on after this end."""
+        """Return True if the route allows another attempt after this end."""
         if event.outcome.proves_not_executed:
             return retry_policy.max_reroutes < 0 or request.reroute_count < retry_policy.max_reroutes
         has_attempt_left = (
@@ -111,7 +113,7 @@
         return has_attempt_left and is_retryable and is_paid_for
 
     def _send_again(self, request: InFlightRequest, may_have_executed: bool) -> None:
-        """Send the next attempt; after one that may have executed, when the route's back-off is over."""
+        """Send the next attempt, after the route's back-off if the last attempt may have executed."""
         if not may_have_executed:
             request.reroute_count += 1
             self.forwarding.send_next_attempt(request)
@@ -121,12 +123,12 @@
         if until_ns == self.state.now_ns:
             self.forwarding.send_next_attempt(request)
         elif until_ns >= request.deadline_ns:
-            self.completion.reject_or_fail(request)  # at once: the back-off would outlast the client
+            self.completion.reject_or_fail(request)  # immediately: the back-off would end after the deadline
         else:
             self.state.actions.append(BackOff(request.request.id, until_ns))
 
     def _backoff_ns(self, request: InFlightRequest) -> int:
-        """Return the route's wait before a retry; its last one holds for all further retries."""
+        """Return the route's delay before a retry; its last delay applies to all further retries."""
         retry_policy = request.request.retry_policy
         if retry_policy is None or not retry_policy.backoff_ns:
             return 0
@@ -134,7 +136,7 @@
         return retry_policy.backoff_ns[min(request.retry_count, last) - 1]
 
     def hedge(self, request: InFlightRequest, event: HedgeDue) -> None:
-        """Send a second attempt of what is out, at another server or not at all."""
+        """Send a second attempt of a request in flight, if another server is available for it."""
         if not self._may_hedge(request, event):
             return
         busy = {attempt.endpoint.server.name for attempt in request.attempts_in_flight.values()}
--- a/kelpcroft/decision/route_selection.py
+++ b/kelpcroft/decision/route_selection.py
@@ -1,4 +1,4 @@
-"""Route selection: the servers of a request's next attempt."""
+"""Route selection: chooses the servers of a request's next attempt."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     """The servers of an attempt.
 
     Attributes:
-        endpoint: The server that is asked.
-        fill_source: The server that fills a miss there.
+        endpoint: The server that the attempt is sent to.
+        fill_source: The server from which a miss there is filled.
     """
 
     __slots__ = ("endpoint", "fill_source")
@@ -28,7 +28,7 @@
 
 
 class RouteSelection:
-    """Picks a cache and a fill source, or a server past the caches."""
+    """Selects a cache and a fill source, or a parent or origin if the caches are bypassed."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self.sources = sources
 
     def pick_route(self, request: InFlightRequest) -> Route | None:
-        """Return the servers of the next attempt; None if there are none."""
+        """Return the servers of the next attempt, or None if no server can be used."""
         if not request.bypasses_cache:
             for cache in self.caches.ranked_caches(request):
                 for source in self.sources.ranked_sources(request, cache):
@@ -53,7 +53,7 @@
         return self._pick_bypass_route(request)
 
     def _pick_bypass_route(self, request: InFlightRequest) -> Route | None:
-        """Return a parent or the origin, asked directly where no cache of the zone can take a request."""
+        """Return a direct route to a parent or the origin, if no cache of the zone can take the request."""
         if not self.state.settings.allows_cache_bypass:
             return None
         if not request.request_class.uncacheable and (
--- a/kelpcroft/decision/slow_start.py
+++ b/kelpcroft/decision/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: how much a server that warms up may be sent.
+"""Slow start: limits the work that is sent to a server while it warms up.
 
-A cold cache or parent collapses if it is sent more than a stated multiple of its present capacity for a
-stated time.  Each router spends at most its own part of that, as no router sees what the others send.
+A cold cache or parent collapses if it receives more than ``overload_collapse_multiple`` times its current
+capacity for ``overload_collapse_ns``.  Each router sends at most its own share of that, because no router
+can observe the requests of the others.
 """
 
 from __future__ import annotations
@@ -17,17 +18,18 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.statistics import mix64
 
-# What routers spend of the work that would collapse a server: their estimates of it differ
+# Share of the work that would collapse a server that the routers may send it; their estimates of it differ
 MAX_COLLAPSE_BUDGET_SHARE: Final = 0.6
-# Without weights, the capacity assumed of a server over this router's load on its peers: in a jam those get
-# more than they can do
+# Capacity assumed for a server without a weight, as a share of this router's load on the server's peers:
+# under overload, peers receive more than they have capacity for
 UNKNOWN_CAPACITY_OVER_LOAD: Final = 0.5
-# Routers take this many times the turns that a request needs: a span touches two turns, and hashes cluster
+# Factor on the number of turns that the cost of a request calls for: an interval of overload_collapse_ns
+# overlaps two turns, and the hashes of router numbers cluster
 TURNS_PER_REQUEST: Final = 3
 
 
 class SlowStart:
-    """The budgets of servers that are not warm."""
+    """Budgets for servers that are not warm."""
 
     def __init__(self, state: RouterState, latency_model: LatencyModel, admission: Admission) -> None:
         self.state = state
@@ -35,28 +37,28 @@
         self.admission = admission
 
     def has_budget(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
-        """Return True if a server may be sent one more request; a warm server always may.
+        """Return True if one more request may be sent to a server; for a warm server this is always True.
 
-        Trial requests and requests that a server rejected are counted as sent.
+        Trial requests and requests that the server rejected count as sent.
         """
         warm_fraction = endpoint.warm_fraction(self.state.now_ns, self.state.settings.rules)
         return self.has_budget_at(endpoint, request, warm_fraction)
 
     def has_budget_at(self, endpoint: Endpoint, request: InFlightRequest, warm_fraction: float) -> bool:
-        """Return the same where the warm fraction is at hand."""
+        """Return ``has_budget`` for a warm fraction that the caller has already computed."""
         rules = self.state.settings.rules
         sent_ns = endpoint.work_sent.sum_since(self.state.now_ns - rules.overload_collapse_ns)
         if warm_fraction >= 1:
             return True
         budget_ns = self._budget_ns(endpoint, warm_fraction)
         cost_ns = self.latency_model.budget_cost(request)
-        # Two processes of one router share its turns, so neither may take one.
+        # Two processes of the same router have the same turns, so neither of them may use a turn.
         if budget_ns >= cost_ns or not budget_ns or self.state.router_share < 1:
             return sent_ns + cost_ns <= budget_ns
         return not endpoint.work_sent.samples and self._has_turn(cost_ns, budget_ns)
 
     def _budget_ns(self, endpoint: Endpoint, warm_fraction: float) -> float:
-        """Return the transfer time that this router may send within the time that collapses a server."""
+        """Return the transfer time that this router may send to a server per ``overload_collapse_ns``."""
         settings = self.state.settings
         rules = settings.rules
         if endpoint.server.role is Role.PARENT:
@@ -74,17 +76,21 @@
         return max(by_rule_ns, endpoint.spare_capacity(self.state.now_ns) * rules.overload_collapse_ns)
 
     def _has_turn(self, cost_ns: float, budget_ns: float) -> bool:
-        """Return True if it is this router's turn: budgets under one request are spent in turn, by a hash."""
+        """Return True if it is this router's turn to send one request.
+
+        If a router's budget is less than one request, the routers send in turn, in an order given by a hash
+        of their numbers.
+        """
         settings = self.state.settings
         turns = math.ceil(TURNS_PER_REQUEST * cost_ns / budget_ns)
         span = self.state.now_ns // settings.rules.overload_collapse_ns
         return (span + mix64(settings.router_index)) % turns == 0
 
     def mean_peer_load(self, endpoint: Endpoint) -> float:
-        """Return this router's part of the capacity to assume of a server where the list has no weights.
+        """Return this router's share of the capacity assumed for a server if the list has no weights.
 
-        It is ``UNKNOWN_CAPACITY_OVER_LOAD`` of the transfer time per unit of time that this router sends a
-        warm peer on average, and at the least this router's part of one transfer.
+        It is ``UNKNOWN_CAPACITY_OVER_LOAD`` times the transfer time per unit of time that this router sends
+        to a warm peer on average, and at least this router's share of one transfer.
         """
         settings = self.state.settings
         now_ns = self.state.now_ns
@@ -98,7 +104,7 @@
             if peer is not endpoint and peer.warm_fraction(now_ns, settings.rules) >= 1
         ]
         if not loads and endpoint.server.role is Role.CACHE:
-            # All are cold: the zone was built for what its clients ask.
+            # No peer is warm: assume that the zone's caches have capacity for the load of its clients.
             offered = self.admission.all_requests.offered_work.value_at(now_ns)
             loads = [offered / WORK_SPAN_NS / len(self.state.directory.zone_caches)]
         mean = UNKNOWN_CAPACITY_OVER_LOAD * sum(loads) / len(loads) if loads else 0.0
