--- a/kelpcroft/decision/__init__.py
+++ b/kelpcroft/decision/__init__.py
@@ -1,20 +1,20 @@
-"""The decisions of a router, as a library: which server, whether to retry, what is rejected.
+"""Decisions of a router as a library: server selection, retries and admission.
 
-It owns what a router has measured of servers, objects and classes, and the requests in flight.  It does no
-I/O, reads no clock and imports nothing of the rest of kelpcroft; the standard library is enough.
+The package holds the router's measurements of servers, objects and classes, and the requests in flight.  It
+does no I/O, reads no clock and imports no other package of kelpcroft, only the standard library.
 
-Start with ``interface`` (what goes in and comes out) and ``policy`` (``RoutingPolicy.handle``: which part
-takes which event).  The parts, in the order in which a request meets them:
+Start with ``interface`` (the input and output types) and ``policy`` (``RoutingPolicy.handle``, which passes
+each event to the modules that handle it).  The modules, in the order in which they handle a request:
 
-- ``admission``: is it admitted?  By price, with ``latency_model`` for expected times.
-- ``cache_selection``: which cache?  A hash with bounded load; ``idempotency`` and ``slow_start`` rule servers
-  out.
-- ``fill_sources``: where is a miss filled from?
-- ``route_selection``: these two for one attempt, or a server past the caches.
-- ``forwarding``: the attempt itself; ``freshness`` says how old a copy may be.
-- ``attempt_feedback``: what its end tells, and ``outlier_ejection``: who is to blame.
-- ``retries``: another attempt, a hedge, or (``request_completion``) the final answer.
+- ``admission``: decides by price whether the request is admitted; ``latency_model`` provides expected times.
+- ``cache_selection``: selects a cache by a hash with bounded loads; ``idempotency`` and ``slow_start``
+  exclude servers.
+- ``fill_sources``: ranks the servers from which a miss is filled.
+- ``route_selection``: combines these two for one attempt, or selects a server that bypasses the caches.
+- ``forwarding``: sends the attempt; ``freshness`` limits the age of the copy.
+- ``attempt_feedback``: evaluates the end of the attempt; ``outlier_ejection`` attributes failures to servers.
+- ``retries``: sends another attempt or a hedge; ``request_completion`` sends the final response.
 
-``router_state`` is what they share, with ``endpoint_directory``, ``endpoint``, ``object_history`` and
-``requests`` as its records; ``statistics`` is their arithmetic.
+``router_state`` is the state that these modules share; its records are in ``endpoint_directory``,
+``endpoint``, ``object_history`` and ``requests``.  ``statistics`` provides hashes and running means.
 """
--- a/kelpcroft/decision/freshness.py
+++ b/kelpcroft/decision/freshness.py
@@ -1,4 +1,4 @@
-"""Freshness: which copies are too old after a purge."""
+"""Freshness: age limits that exclude copies from before a purge."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.units import MS
 
-PURGE_MARGIN_NS: Final = MS  # an age limit is this much younger than the purge
+PURGE_MARGIN_NS: Final = MS  # how much an age limit is shorter than the time since the purge
 
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """The latest purge of an object or a group: when it was, and until when it matters."""
+    """The latest purge of an object or a group: its time, and the time until which it must be kept."""
 
     purged_ns: int
     relevant_until_ns: int
 
 
 class Freshness:
-    """The purges of late, and the age limits that follow from them.
+    """Keeps recent purges and computes age limits from them.
 
     Attributes:
         object_purges: Purges of single objects, by object.
@@ -35,7 +35,7 @@
         self.group_purges: dict[int, Purge] = {}
 
     def record_purge(self, event: Purged) -> None:
-        """Take in a purge; it matters until no fill that was under way then can land any more."""
+        """Record a purge, which is kept until no fill that was then in progress can still be stored."""
         purged_ns = self.state.now_ns - event.ago_ns
         until_ns = self.state.now_ns + self.state.settings.rules.purge_retention_ns
         if event.object_id is None:
@@ -48,17 +48,17 @@
         purges[key] = Purge(max(purged_ns, known.purged_ns if known else 0), until_ns)
 
     def forget_old_purges(self) -> None:
-        """Forget the purges that no longer matter."""
+        """Remove the purges that no longer affect any copy."""
         now_ns = self.state.now_ns
         self.object_purges = {k: p for k, p in self.object_purges.items() if p.relevant_until_ns >= now_ns}
         self.group_purges = {k: p for k, p in self.group_purges.items() if p.relevant_until_ns >= now_ns}
 
     def max_age_ns(self, request: InFlightRequest) -> int:
-        """Return the age of the oldest copy that will do for a request; 0 where its class's own limit does.
+        """Return the maximum age of an acceptable copy; 0 if only the limit of the request's class applies.
 
-        While copies from before a purge may be about, only those younger than the purge will do, and the
-        limit is never 0.  That holds past the servers' own sweep too: a copy filled just before the purge may
-        land after it.
+        While copies from before a purge may exist, only copies younger than the purge are acceptable, and the
+        limit is never 0.  This remains so after the servers' own sweep, because a copy that was read just
+        before the purge may be stored after the sweep.
         """
         object_purge = self.object_purges.get(request.request.object_id)
         group_purge = self.group_purges.get(request.request.purge_group)
--- a/kelpcroft/decision/object_history.py
+++ b/kelpcroft/decision/object_history.py
@@ -1,4 +1,4 @@
-"""What is remembered of objects: how often they are requested, how fast sent, which caches hold them."""
+"""Request history of objects: request counts, shortest response times, and caches that hold a copy."""
 
 from __future__ import annotations
 
@@ -7,20 +7,22 @@
 
 from kelpcroft.decision.units import SECOND_NS
 
-MAX_OBJECT_HISTORIES: Final = 20_000  # beyond that the least recently requested is forgotten
-REQUEST_COUNT_HALF_LIFE_NS: Final = 15 * SECOND_NS  # an object's request count halves in this time
+MAX_OBJECT_HISTORIES: Final = 20_000  # histories kept; the least recently requested object is removed first
+REQUEST_COUNT_HALF_LIFE_NS: Final = 15 * SECOND_NS  # time in which an object's request count halves
 
 
 class ObjectHistory:
-    """What is remembered of one part of an object.
+    """The request history of one object, or of one part of an object that has parts.
 
-    No dataclass: one is made for each new object, and compiled, a plain class is made faster.
+    It is not a dataclass: an instance is created for each new object, and in the compiled build instances of
+    a plain class are created faster.
 
     Attributes:
-        request_count: Requests, halving with time.
-        requested_ns: When it was last requested.
-        min_response_ns: The least time that an answer took, 0 until there was one.
-        known_copies: Names of the caches that answers showed to hold it, each with the time of the answer.
+        request_count: Number of requests, halving with time.
+        requested_ns: When the object was last requested.
+        min_response_ns: The shortest response time, 0 before the first response.
+        known_copies: Names of the caches that responses showed to hold the object, each with the time of the
+            response.
     """
 
     def __init__(self, requested_ns: int) -> None:
@@ -30,14 +32,14 @@
         self.known_copies: dict[str, int] = {}
 
     def record_request(self, now_ns: int) -> None:
-        """Count one more request."""
+        """Count one request."""
         age_ns = now_ns - self.requested_ns
         self.request_count = self.request_count * 0.5 ** (age_ns / REQUEST_COUNT_HALF_LIFE_NS) + 1
         self.requested_ns = now_ns
 
 
 class ObjectHistories:
-    """The histories of the objects that were requested last, at most ``MAX_OBJECT_HISTORIES``."""
+    """The histories of the most recently requested objects, at most ``MAX_OBJECT_HISTORIES``."""
 
     def __init__(self) -> None:
         self.by_hash: OrderedDict[int, ObjectHistory] = OrderedDict()
@@ -46,7 +48,7 @@
         return len(self.by_hash)
 
     def record_request(self, object_hash: int, now_ns: int) -> ObjectHistory:
-        """Count a request of an object, and return the object's history."""
+        """Count a request of an object and return the object's history."""
         history = self.by_hash.setdefault(object_hash, ObjectHistory(now_ns))
         self.by_hash.move_to_end(object_hash)
         history.record_request(now_ns)
@@ -55,6 +57,6 @@
         return history
 
     def drop_known_copies(self, server: str) -> None:
-        """Forget what a cache was shown to hold: it has restarted, and is empty."""
+        """Remove all known copies of a server that has restarted and is therefore empty."""
         for history in self.by_hash.values():
             history.known_copies.pop(server, None)
--- a/kelpcroft/decision/statistics.py
+++ b/kelpcroft/decision/statistics.py
@@ -1,6 +1,6 @@
-"""Arithmetic of the decisions, which decides nothing: hashes, running means, sums over a span of time.
+"""Statistics and hashes of the decision package: rendezvous scores, running means, windowed sums.
 
-Times are integer nanoseconds of one clock that never runs back.
+Times are integer nanoseconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import Final
 
 MAX_UINT64: Final = 0xFFFFFFFFFFFFFFFF
-HASH_RANGE: Final = 18446744073709551617  # 2**64 + 1: a hash plus 1 is above 0 and below it
+HASH_RANGE: Final = 18446744073709551617  # 2**64 + 1, so that 0 < hash + 1 < HASH_RANGE
 
 
 def mix64(value: int) -> int:
@@ -25,8 +25,9 @@
 def rendezvous_score(key: int) -> float:
     """Return a key's score for weighted rendezvous hashing by the logarithmic method.
 
-    The score is above 0.  Of several keys, each has the largest product of weight and score as often as its
-    share of all weights says (Schindelhauer and Schomaker, "Weighted Distributed Hash Tables", 2005).
+    The score is above 0.  Among several keys, the probability that a key has the largest product of weight
+    and score is its share of the total weight (Schindelhauer and Schomaker, "Weighted Distributed Hash
+    Tables", 2005).
     """
     return -1 / math.log((mix64(key) + 1) / HASH_RANGE)
 
@@ -36,10 +37,10 @@
 
     Args:
         priced_work: Pairs of price and work, in any order.
-        share: The share of all work that fits, 1 for all of it.
+        share: The share of all work that fits; 1 is all of it.
 
     Returns:
-        The price of the first work that no longer fits; infinity where all of it does.
+        The price of the first work that no longer fits; infinity if all of it fits.
     """
     cheapest_first = sorted(priced_work)
     remaining = share * sum(work for _, work in cheapest_first)
@@ -53,15 +54,15 @@
 class MeanDeviation:
     """Running mean and mean deviation of a quantity, each an exponentially weighted moving average (EWMA).
 
-    The two are kept as TCP's retransmission timer keeps them (Jacobson, 1988; RFC 6298).
+    The two are updated as in TCP's retransmission timer (Jacobson, 1988; RFC 6298).
     """
 
     def __init__(self, mean: float, min_gain: float) -> None:
-        """Start from a guess of the mean, which the first sample replaces.
+        """Start from an assumed mean, which the first sample replaces.
 
         Args:
-            mean: The mean until there is a sample.
-            min_gain: The weight of a new sample once there are many; while there are few it weighs more.
+            mean: The mean before the first sample.
+            min_gain: The weight of a new sample after many samples; with few samples the weight is higher.
         """
         self.mean = mean
         self.mean_deviation = mean / 2
@@ -69,7 +70,7 @@
         self.min_gain = min_gain
 
     def add(self, sample: float) -> None:
-        """Take in one sample, in the unit of the mean."""
+        """Add one sample, in the unit of the mean."""
         gain = max(self.min_gain, 1 / (self.sample_count + 1))
         self.mean_deviation += gain * (abs(sample - self.mean) - self.mean_deviation)
         self.mean += gain * (sample - self.mean)
@@ -77,10 +78,10 @@
 
 
 class SlidingWindowSum:
-    """The sum of what came in a window that ends now.
+    """The sum of the samples within a window that ends now.
 
-    It is kept as it changes: adding the window up for each request of a zone with a cold cache took all of a
-    busy router's CPU.  Its memory is that of the window's samples.
+    The sum is updated incrementally: adding up the window for each request of a zone with a cold cache used
+    all the CPU time of a busy router.  The memory used is that of the window's samples.
     """
 
     def __init__(self) -> None:
@@ -93,16 +94,16 @@
         self.total += amount
 
     def sum_since(self, start_ns: int) -> float:
-        """Return the sum of what came after a time, which only advances; what came before is forgotten."""
+        """Return the sum of the samples after a time, which must never decrease; drop earlier samples."""
         while self.samples and self.samples[0][0] <= start_ns:
             self.total -= self.samples.popleft()[1]
         if not self.samples:
-            self.total = 0.0  # what subtraction leaves of rounding goes too
+            self.total = 0.0  # remove the rounding error of the subtractions
         return self.total
 
 
 class DecayingSum:
-    """A sum with exponential decay: what came ``time_constant_ns`` ago counts 1/e."""
+    """A sum with exponential decay: an amount of age ``time_constant_ns`` counts 1/e."""
 
     def __init__(self, time_constant_ns: int) -> None:
         self.time_constant_ns = time_constant_ns
@@ -115,12 +116,12 @@
         self.updated_ns = now_ns
 
     def value_at(self, now_ns: int) -> float:
-        """Return the sum as of a time."""
+        """Return the sum at a time."""
         return self.total * math.exp((self.updated_ns - now_ns) / self.time_constant_ns)
 
 
 class LinearDecay:
-    """The last reading of a gauge, which falls by 1 in every ``unit_decay_ns`` without a new reading."""
+    """The last reading of a gauge, which falls by 1 per ``unit_decay_ns`` until there is a new reading."""
 
     def __init__(self, unit_decay_ns: int) -> None:
         self.unit_decay_ns = unit_decay_ns
@@ -128,10 +129,10 @@
         self.updated_ns = 0
 
     def record(self, now_ns: int, value: float) -> None:
-        """Take in a reading made at a time that never runs back."""
+        """Record a reading at a time that never decreases."""
         self.value = value
         self.updated_ns = now_ns
 
     def value_at(self, now_ns: int) -> float:
-        """Return the reading as of a time; it may fall below 0."""
+        """Return the value at a time; it may fall below 0."""
         return self.value - (now_ns - self.updated_ns) / self.unit_decay_ns
--- a/kelpcroft/simulator_adapter.py
+++ b/kelpcroft/simulator_adapter.py
@@ -1,7 +1,8 @@
-"""Adapter: the simulator's wire on standard input and output, one routing policy for each simulated router.
+"""Adapter between the simulator's wire, on standard input and output, and the decision package.
 
-It translates and nothing else.  A malformed line ends it with status 2 and a message that names the line; an
-error inside the decisions is reported on the wire as the fault that it is.
+It runs one routing policy for each simulated router and only translates events and actions.  A malformed line
+ends the process with status 2 and an error message that contains the line.  An exception raised inside the
+decision package is reported on the wire as an ``Exception`` message.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 from kelpcroft.decision.policy import RoutingPolicy
 from kelpcroft.settings_wire import MachineKinds, parse_settings
 
-Message = list[Any]  # one line of the wire: its name, then values by their place
-MIN_FIELD_COUNTS: Final = {  # values that follow a message's name, at the least
+Message = list[Any]  # one line of the wire: the message's name, followed by positional values
+MIN_FIELD_COUNTS: Final = {  # minimum number of values after the name of each message
     "Hello": 3,
     "Down": 1,
     "Roster": 2,
@@ -30,28 +31,28 @@
     "Mail": 3,
     "Purged": 4,
 }
-MIN_ROSTER_ENTRY_FIELDS: Final = 5
-MIN_TURN_FIELDS: Final = 3
-MAX_QUOTED_LINE: Final = 200  # characters of a malformed line that are quoted
+MIN_ROSTER_ENTRY_FIELDS: Final = 5  # minimum number of values of one server in a "Roster" message
+MIN_TURN_FIELDS: Final = 3  # minimum length of a "Turn" message: its name, the time and the batch number
+MAX_QUOTED_LINE: Final = 200  # maximum number of characters of a malformed line in the error message
 MALFORMED_STATUS: Final = 2  # exit status after a malformed line
-COALESCE_FLAG: Final = 1  # the switches of a "Get"
-CACHED_ONLY_FLAG: Final = 2
-NO_PARENT_COPY_FLAG: Final = 4
-REFRESH_FLAG: Final = 8
+COALESCE_FLAG: Final = 1  # flag of a "Get" message for ``ForwardRequest.coalesce``
+CACHED_ONLY_FLAG: Final = 2  # flag of a "Get" message for ``ForwardRequest.cached_only``
+NO_PARENT_COPY_FLAG: Final = 4  # flag of a "Get" message for ``ForwardRequest.no_parent_copy``
+REFRESH_FLAG: Final = 8  # flag of a "Get" message for ``ForwardRequest.refresh_in_background``
 
 
 class MalformedLineError(Exception):
-    """A line that the simulator's protocol does not have."""
+    """Raised for a line that does not follow the simulator's protocol."""
 
 
 class SimulatedRouter:
-    """One router of the simulation: its policy, and what is needed to read its lines.
+    """One router of the simulation: its routing policy, and the names needed to parse its messages.
 
     Attributes:
-        kinds: How its settings name the kinds of machine.
+        kinds: The names that the router's settings give to the kinds of machine.
         report_fields: The names of a load report's values.
-        policy: Its decisions.
-        startup_actions: What it does first.
+        policy: The router's routing policy.
+        startup_actions: The actions of the router when it starts.
     """
 
     def __init__(self, now_ns: int, seed: int, options: dict[str, Any]) -> None:
@@ -62,13 +63,13 @@
         self.startup_actions = self.policy.start(now_ns)
 
     def parse_report(self, values: list[float] | None) -> dict[str, float]:
-        """Return a load report by the names of its fields, without those that are absent."""
+        """Return a load report as a mapping from field names to values, without absent values."""
         named = zip(self.report_fields, values or [], strict=False)
         return {name: value for name, value in named if value is not None}
 
 
 class AddressedActions(NamedTuple):
-    """What a simulated router does, and its number."""
+    """The actions of a simulated router, with the router's number."""
 
     router: int
     actions: Iterable[api.Action]
@@ -77,13 +78,13 @@
 def parse_event(
     name: str, values: Message, router: SimulatedRouter, rosters: dict[int, list[Message]]
 ) -> api.Event:
-    """Return one event of the wire as one of the decisions'.
+    """Parse one event of the wire into an event of the decision package.
 
     Args:
         name: The event's name.
-        values: Its values; the first is the router's number.
-        router: The router that it is for.
-        rosters: The lists of servers that were sent so far, by their number.
+        values: The event's values; the first is the router's number.
+        router: The router that receives the event.
+        rosters: The endpoint lists received so far, by their number.
     """
     event: api.Event
     match name:
@@ -156,12 +157,12 @@
 
 
 def _value_at(values: Message, index: int, default: Any) -> Any:
-    """Return a value that may be absent at a line's end."""
+    """Return a value of a message, or the default if the value is null or missing at the end."""
     return values[index] if index < len(values) and values[index] is not None else default
 
 
 def encode_action(router: int, action: api.Action) -> Message:
-    """Return one action of the decisions as a line of the wire."""
+    """Encode one action of the decision package as a message of the wire."""
     match action:
         case api.ForwardRequest():
             line = _encode_forward(router, action)
@@ -181,7 +182,8 @@
             line = ["WriteLog", router, text]
         case _:
             raise MalformedLineError(
-                f"{type(action).__name__} has no words on this wire, and without bounds is not asked for"
+                f"the simulator's wire has no message for {type(action).__name__},"
+                " which a policy returns only for routes with a retry policy"
             )
     return line
 
@@ -207,13 +209,13 @@
 
 
 class SimulatorHost:
-    """Reads batches of events and writes the actions that they cause.
+    """Reads batches of events and writes the actions that follow from them.
 
     Attributes:
-        out: Where lines are written.
+        out: The stream that messages are written to.
         now_ns: The time of the open batch.
-        rosters: The lists of servers that were sent so far, by their number.
-        routers: The routers that are up, by their number.
+        rosters: The endpoint lists received so far, by their number.
+        routers: The running routers, by their number.
     """
 
     def __init__(self, out: IO[str]) -> None:
@@ -223,7 +225,7 @@
         self.routers: dict[int, SimulatedRouter] = {}
 
     def run(self, lines: Iterable[str]) -> None:
-        """Serve all batches until input ends.
+        """Process all batches until the end of input.
 
         Raises:
             SystemExit: A line is malformed.
@@ -238,17 +240,17 @@
                 exit_malformed(number, text, error)
 
     def _read_framed(self, message: Any, open_batch: int | None) -> int | None:
-        """Take in one line; return the number of the batch that is open after it, if one is."""
+        """Process one message; return the number of the batch that is open after it, or None."""
         if isinstance(message, list) and message[:1] == ["Turn"]:
             if open_batch is not None or len(message) < MIN_TURN_FIELDS:
-                raise MalformedLineError("Turn out of place or not two numbers")
+                raise MalformedLineError("Turn inside an open batch, or without time and batch number")
             if not all(isinstance(value, int) for value in message[1:3]):
-                raise MalformedLineError("Turn out of place or not two numbers")
+                raise MalformedLineError("Turn: time or batch number is not an integer")
             self.now_ns = message[1]
             batch: int = message[2]
             return batch
         if open_batch is None:
-            raise MalformedLineError("outside a batch")
+            raise MalformedLineError("message outside a batch")
         if message == ["End"]:
             self.write_line(["Next", open_batch])
             self.out.flush()
@@ -257,24 +259,24 @@
         return open_batch
 
     def read_line(self, message: Any) -> None:
-        """Take in one line of the open batch, and write what it causes."""
+        """Process one message of the open batch, and write the actions that follow from it."""
         if not isinstance(message, list) or not message or message[0] not in MIN_FIELD_COUNTS:
-            raise MalformedLineError("not a known message")
+            raise MalformedLineError("unknown message")
         name = message[0]
         if len(message) - 1 < MIN_FIELD_COUNTS[name]:
             raise MalformedLineError(
-                f"{name}: {len(message) - 1} values where {MIN_FIELD_COUNTS[name]} are due"
+                f"{name}: {len(message) - 1} values, expected at least {MIN_FIELD_COUNTS[name]}"
             )
         if name == "Roster":
             self._read_roster(message)
             return
         if not isinstance(message[1], int):
-            raise MalformedLineError(f"{name}: instance {message[1]!r} is not a number")
+            raise MalformedLineError(f"{name}: instance {message[1]!r} is not an integer")
         try:
             addressed = self.dispatch(message)
         except MalformedLineError:
             raise
-        except Exception as error:  # the decisions' own fault: the wire has a message for it
+        except Exception as error:  # a failure of the decision package, for which the wire has a message
             print(f"decision error: {error!r}", file=sys.stderr)
             self.write_line(["Exception", message[1], f"{type(error).__name__}: {error}"])
             return
@@ -286,11 +288,11 @@
         if not isinstance(entries, list) or any(
             not isinstance(entry, list) or len(entry) < MIN_ROSTER_ENTRY_FIELDS for entry in entries
         ):
-            raise MalformedLineError("Roster: an entry is too short")
+            raise MalformedLineError("Roster: not a list of servers, or a server with too few values")
         self.rosters[number] = entries
 
     def dispatch(self, message: Message) -> AddressedActions:
-        """Hand one event to its router; return what the router does."""
+        """Pass one event to its router and return the router's actions."""
         name = message[0]
         values = message[1:]
         number = values[0]
@@ -314,18 +316,18 @@
         return AddressedActions(number, router.policy.handle(self.now_ns, event))
 
     def write_line(self, value: Message) -> None:
-        """Write one line."""
+        """Write one message as a line."""
         self.out.write(json.dumps(value, separators=(",", ":")) + "\n")
 
 
 def exit_malformed(number: int, text: str, error: Exception) -> NoReturn:
-    """Name a malformed line and its fault on standard error, and end with a failure."""
+    """Report a malformed line and its error on standard error, and exit with a failure status."""
     print(f"line {number}: {error}: {text.strip()[:MAX_QUOTED_LINE]}", file=sys.stderr)
     raise SystemExit(MALFORMED_STATUS)
 
 
 def main() -> None:
-    """Serve standard input."""
+    """Process messages from standard input."""
     SimulatorHost(sys.stdout).run(sys.stdin)
 
 
