--- a/tests/decision/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -1,5 +1,7 @@
-"""Limits that act on what is there, before any answer is late.  Lateness told seconds after the queue had
-grown: at both sites an overloaded zone swung between full links and idle ones.
+"""Limits that take effect on the current load, before any response is late.
+
+With late responses as the only signal, which showed overload seconds after the queue had built up, an
+overloaded zone alternated between full links and idle links in both deployments.
 """
 
 from __future__ import annotations
@@ -16,11 +18,11 @@
 from kelpcroft.decision.statistics import LinearDecay
 from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy, servers
 
-CACHES = 20.0  # transfers at full pace of the four caches of ``kit.servers``
+CACHES = 20.0  # parallel transfers at full rate that the four caches of ``servers`` have capacity for
 
 
 def burst(p: RoutingPolicy, now: int, count: int, kb: float, name: str = "b") -> list[bool]:
-    """So many requests of one size at once: which were sent."""
+    """Send ``count`` requests of one size at the same time; return for each whether it was forwarded."""
     return [bool(fetches(ask(p, now, f"{name}{n}", n + 1000 * len(name), size_kb=kb))) for n in range(count)]
 
 
@@ -28,8 +30,8 @@
     def test_told_weights_hold_before_anything_is_late(self) -> None:
         p = policy()
         sent = burst(p, S, 200, 400.0)
-        assert all(sent[: int(CACHES)]), "what fits is taken"
-        assert sum(sent) < 5 * CACHES, "a jam of ten times what fits was taken whole"
+        assert all(sent[: int(CACHES)]), "requests within capacity are admitted"
+        assert sum(sent) < 5 * CACHES, "most of a burst of ten times the capacity was admitted"
 
     def test_small_ones_are_taken_where_large_ones_are_not(self) -> None:
         p = policy()
@@ -46,7 +48,7 @@
         assert all(burst(p, S + 950 * MS, int(CACHES) // 2, 400.0, "after"))
 
     def test_what_is_stuck_at_a_dead_cache_keeps_nobody_out(self) -> None:
-        """A cache that fell silent held its attempts until their time-out; the zone refused two in five."""
+        """Attempts at a silent cache stayed in flight until timeout; the zone rejected 2 of 5 requests."""
         p = policy()
         out = [f for n in range(60) for f in fetches(ask(p, S, f"r{n}", n, size_kb=400.0))]
         for f in out:
@@ -58,8 +60,9 @@
         assert p.admission.all_requests.cache_load.value < 1.0
 
     def test_what_the_caches_have_no_room_for_goes_straight_to_a_parent(self) -> None:
-        """A zone had two caches left: two thirds of what it was asked was refused for half a minute, with its
-        link at a third of what fits.  Not where the link is full, nor where it is not allowed.
+        """A zone with only two caches left rejected two thirds of its requests for half a minute, while its
+        fill link was used to a third.  Requests must not bypass the caches if the link is full, or if the
+        deployment does not allow it.
         """
         for direct, link, straight in ((True, 0.4, True), (True, 3.0, False), (False, 0.4, False)):
             with self.subTest(allows_cache_bypass=direct, link=link):
@@ -72,7 +75,7 @@
                 assert not any(f.server == "o" for f in later)
 
     def test_what_the_caches_have_no_room_for_never_goes_straight_to_the_origin(self) -> None:
-        """While hubs are empty or dead, a whole fleet's overflow went to the origin, past what it can do."""
+        """While hubs were empty or down, the fleet's excess load went to the origin, beyond its capacity."""
         p = policy(allows_cache_bypass=True)
         burst(p, S, 60, 400.0)
         for name in ("p0", "p1"):
@@ -81,7 +84,7 @@
         assert not any(f.server == "o" for f in later)
 
     def test_a_burst_that_is_called_off_at_once_keeps_nobody_out(self) -> None:
-        """A client that asked for hundreds and cancelled them filled the offered work of four seconds."""
+        """Hundreds of requests that a client sent and cancelled counted as offered work of four seconds."""
         refused = {}
         for called_off in (True, False):
             p = policy()
@@ -94,7 +97,7 @@
                     p.handle(S + MS, api.ClientDisconnected(f"b{n}"))
             refused[called_off] = sum(not sent for sent in burst(p, S + 50 * MS, 10, 600.0, "after"))
         assert refused[True] == 0
-        assert refused[False] > 0, "work that was done is load"
+        assert refused[False] > 0, "completed work counts as load"
 
     def test_a_share_of_several_routers(self) -> None:
         alone, one_of_four = policy(), policy(zone_instances=4)
@@ -102,13 +105,17 @@
 
 
 class SlowStore(unittest.TestCase):
-    """With the store slow, fills waited two seconds at their caches; they counted as transfers of the caches'
-    links, and as lateness of hits, and of the requests that only a copy was wanted for two in five were
-    refused for twelve seconds.
+    """While the origin was slow, fills waited two seconds at their caches.  They counted as transfers over
+    the caches' links and as late hits, and for twelve seconds 2 of 5 requests that a copy could have served
+    were rejected.
     """
 
     def stuck(self, passed: bool) -> RoutingPolicy:
-        """60 requests out that wait for their source; ``passed``: copies asked for later were answered."""
+        """Return a policy with 60 requests in flight that wait for their fill source.
+
+        Args:
+            passed: Whether hits that were requested later have already been served.
+        """
         p = policy()
         for n in range(60):
             ask(p, S, f"w{n}", n, size_kb=300.0)
@@ -122,25 +129,28 @@
         for passed in (True, False):
             p = self.stuck(passed)
             hits = [bool(fetches(ask(p, S + 600 * MS, f"n{n}", 2_000 + n, size_kb=600.0))) for n in range(10)]
-            assert all(hits) == passed, "without that evidence the caches may well be full"
+            assert all(hits) == passed, "without later hits the caches may be full"
 
     def test_it_is_no_lateness_of_hits(self) -> None:
         for passed in (True, False):
             p = self.stuck(passed)
             for held in p.requests_in_flight.values():
-                held.expects_fill = False  # copies of them were seen: they look like hits
+                held.expects_fill = False  # as if copies were known, so that hits are expected
             p.handle(S + 2_500 * MS, api.TimerExpired(TICK_TIMER))
             assert (p.admission.all_requests.cost_threshold < MAX_COST_THRESHOLD) == (not passed)
             assert (p.admission.fills.cost_threshold < MAX_COST_THRESHOLD) == passed
 
 
 class ColdBudget(unittest.TestCase):
-    """Rule 4 counts work.  At the class's mean a few large requests pushed a cold server over, and what it
-    gave before its restart was taken for what it can give after.
+    """Rule 4 limits work, not requests.  With the class's mean as the cost of each request, a few large
+    requests overloaded a cold server, and the work completed before a restart counted as capacity after it.
     """
 
     def cold(self, **more: Any) -> RoutingPolicy:
-        """All caches started at 100 s: 0.6 * 2 * 0.2 * 5 = 1.2 s of work a second each."""
+        """Return a policy whose caches all started at 100 s: each has a budget of 1.2 s of work per second.
+
+        The budget is 0.6 * 2 * 0.2 * 5 = 1.2.
+        """
         lines = [replace(s, started_ns=100 * S) if s.role is api.Role.CACHE else s for s in servers()]
         return policy(lines, **more)
 
@@ -152,9 +162,9 @@
                 held = p.requests_in_flight[f.id]
                 if f.server in ("c0", "c1", "c2", "c3"):
                     sent = p.endpoints[f.server].work_sent.total
-                    assert sent <= 1.2 * S, "0.02 s and 1.5 s are not alike"
+                    assert sent <= 1.2 * S, "requests of 0.02 s and of 1.5 s have different costs"
                     assert p.latency_model.expected_transfer_ns(held) < 1.2 * S
-        assert sum(p.endpoints[f"c{n}"].work_sent.total > 0 for n in range(4)) > 2, "small ones go there"
+        assert sum(p.endpoints[f"c{n}"].work_sent.total > 0 for n in range(4)) > 2, "small requests go there"
 
     def test_one_larger_than_the_budget_goes_alone(self) -> None:
         p = self.cold()
@@ -166,8 +176,8 @@
             if f.server.startswith("c")
             and p.endpoints[f.server].warm_fraction(p.state.now_ns, p.settings.rules) < 0.3
         ]
-        assert sent, "a cold zone that is asked for large ones only serves some"
-        assert len(sent) == len(set(sent)), "two of them in one second"
+        assert sent, "a cold zone that receives only large requests must serve some of them"
+        assert len(sent) == len(set(sent)), "two large requests in one second"
 
     def test_a_restart_ends_what_was_known_of_its_strength(self) -> None:
         p = policy()
@@ -179,12 +189,12 @@
         assert node.spare_capacity(100 * S) == 0.0
         node.work_completed.add(100 * S, 2.0 * S)
         p.handle(101 * S, api.ServerList("update", lines))
-        assert node.spare_capacity(101 * S) > 0.0, "the same start told again ends nothing"
+        assert node.spare_capacity(101 * S) > 0.0, "a start that was already recorded resets nothing"
 
 
 class RankBySize(unittest.TestCase):
     def rank(self, item: int, kb: float) -> int:
-        """At which rank an object of this size is kept that is asked for a third time."""
+        """Return the retention rank of an object of this size at its third request."""
         p = policy()
         for n in range(40):
             (f,) = fetches(ask(p, S + n * MS, f"w{n}", 1_000 + n, size_kb=400.0))
@@ -195,13 +205,13 @@
         return f.retention_rank
 
     def test_room_goes_where_it_answers_most_requests(self) -> None:
-        """Sizes vary widely: a large copy takes the room of many small ones."""
+        """Sizes vary widely: a large copy takes the space of many small ones."""
         assert [self.rank(1, kb) for kb in (100.0, 400.0, 0.0, 3000.0)] == [3, 2, 2, 1]
 
 
 class SourcesWaits(unittest.TestCase):
     def fills(self, p: RoutingPolicy, start: int, wait_ms: int) -> None:
-        """Fills answered well, each after its source had been waited for so long."""
+        """Complete 30 fills, each after a wait of ``wait_ms`` for its fill source."""
         for n in range(30):
             now = start + n * 20 * MS
             (f,) = fetches(ask(p, now, f"w{start}-{n}", 5_000 + n + start // S * 100, size_kb=100.0))
@@ -220,7 +230,7 @@
             )
 
     def looks(self, p: RoutingPolicy, now: int) -> int:
-        """How many of 20 large objects that nobody holds are only looked for."""
+        """Return how many of 20 requests for large objects without known copies are sent without a fill."""
         found = [fetches(ask(p, now, f"l{now}-{n}", 90_000 + n, size_kb=900.0)) for n in range(20)]
         return sum(bool(f) and f[0].fill_source == f[0].server for f in found)
 
@@ -234,7 +244,7 @@
         p = policy()
         self.fills(p, S, 5_000)
         assert self.looks(p, 2 * S) == 20
-        assert self.looks(p, 8 * S) == 0, "no fill went out that could have told of a shorter queue"
+        assert self.looks(p, 8 * S) == 0, "without fills, no measurement could show the shorter queue"
 
     def test_one_wait_beyond_reason_does_not_shut_fills_out(self) -> None:
         gate = AdmissionController()
@@ -249,7 +259,7 @@
         assert [level.value_at(t * S) for t in (5, 6, 8)] == [3.0, 2.0, 0.0]
 
     def test_idle_caches_draw_no_objects_where_weights_are_told(self) -> None:
-        """One that came back empty was idle for waiting on its fills, and drew four times its objects."""
+        """A cache that restarted empty was idle while it waited for fills, and got four times its objects."""
         moved = {}
         for weights in ("rough", "off"):
             p = policy(weight_source=weights)
@@ -259,7 +269,7 @@
             after = [p.caches.ranked_caches(self.held(p, n))[0].server.name for n in range(400)]
             moved[weights] = sum(a != b for a, b in zip(homes, after, strict=True))
         assert moved["rough"] < 20
-        assert moved["off"] > 60, "where no weights are told the reports tell of capacity"
+        assert moved["off"] > 60, "without weights, load reports are the only measure of capacity"
 
     def held(self, p: RoutingPolicy, item: int) -> InFlightRequest:
         (f,) = fetches(ask(p, S, f"h{len(p.requests_in_flight)}-{item}", item, size_kb=1.0))
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -1,4 +1,4 @@
-"""One test for each failure found, named by its symptom."""
+"""Regression tests: one test for each failure found, named after its symptom."""
 
 from __future__ import annotations
 
@@ -15,7 +15,9 @@
 
 
 def test_large_objects_are_not_cut_short() -> None:
-    """Time-outs from a class's usual time made large objects of unknown size fail and be sent again."""
+    """With timeouts derived from the usual time of a class, large objects of unknown size timed out and were
+    sent again.
+    """
     p = policy()
     for n in range(50):
         (f,) = fetches(ask(p, S + n * 100 * MS, f"r{n}", n))
@@ -37,7 +39,9 @@
 
 
 def test_backlog_of_late_answers_cuts_once() -> None:
-    """Answers to requests taken before a cut kept cutting, until links stood idle behind the gate."""
+    """Late responses to requests admitted before the threshold was lowered kept lowering it, until the links
+    were idle.
+    """
     gate = AdmissionController()
     for _ in range(100):
         gate.record_latency(True, 5, 10)
@@ -53,7 +57,9 @@
 
 
 def test_gate_opens_with_few_answers() -> None:
-    """Behind a closed gate few are answered, so opening by answers alone left links idle for half a day."""
+    """At a low threshold there are few responses.  When only responses raised it, links were idle for half a
+    day.
+    """
     gate = AdmissionController()
     gate.cost_threshold = MIN_COST_THRESHOLD
     for n in range(1, 16):
@@ -62,8 +68,8 @@
 
 
 def test_gate_that_admits_nothing_opens_again() -> None:
-    """After a spell of errors requests of one price were refused for good: at the least cutoff none was taken
-    whose answer could have opened it.
+    """After a period of errors, requests that all had the same price were rejected permanently: at the lowest
+    threshold none was admitted whose response could have raised it.
     """
     gate = AdmissionController()
     gate.cost_threshold = MIN_COST_THRESHOLD
@@ -75,14 +81,14 @@
         admitted.append(gate.admits(20.0))
     assert not any(admitted[:10])
     assert any(admitted[10:60])
-    gate.record_latency(True, 99 * S, 99 * S)  # what hears of answers keeps to them
+    gate.record_latency(True, 99 * S, 99 * S)  # arrivals raise it only without responses
     cutoff = gate.cost_threshold
     gate.record_arrival(20.0, 20.0, 99 * S + 500 * MS)
     assert gate.cost_threshold == cutoff
 
 
 def test_shed_fill_is_looked_for_before_refusal() -> None:
-    """Shedding presumed fills also refused objects that the cache held."""
+    """Rejection of expected fills also rejected requests for objects that the cache held."""
     p = policy()
     p.admission.fills.cost_threshold = 1e-9
     (f,) = fetches(ask(p, S, "r", 5, size_kb=100.0))
@@ -112,7 +118,7 @@
             end(p, S + 100 * MS, f, Outcome.OK, note=FillResult.HIT)
     actions = p.handle(10 * S, api.TimerExpired(0))
     assert p.endpoints[silent].is_ejected
-    assert not any(isinstance(a, api.Cancel) for a in actions)  # large objects went half done
+    assert not any(isinstance(a, api.Cancel) for a in actions)  # cancelling cut off large objects midway
     at = [f for n in range(100) for f in fetches(ask(p, 12 * S + n * MS, f"q{n}", n)) if f.server == silent]
     assert len(at) == 1
     end(p, 12 * S + 200 * MS, at[0], Outcome.OK, note=FillResult.HIT)
@@ -186,7 +192,7 @@
 
 
 def test_recent_sends_are_a_kept_sum() -> None:
-    """One cold cache made each request add up all sends of its warm peers: 91 us became 324 us."""
+    """With one cold cache, each request added up all work sent to its warm peers: 91 us became 324 us."""
     p = policy(weight_source="off")
     for n in range(200):
         (f,) = fetches(ask(p, S + n * 20 * MS, f"r{n}", n))
--- a/tests/decision/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -1,4 +1,4 @@
-"""Failures found on large fleets, one test each: hundreds of routers that act alike and share nothing."""
+"""Regression tests for failures in large fleets: hundreds of routers that act alike and share no state."""
 
 from __future__ import annotations
 
@@ -28,8 +28,9 @@
 
 @pytest.mark.parametrize("apart", [1, 24])
 def test_cold_parent_gets_turns_within_its_budget(apart: int) -> None:
-    """A router's part of the budget was under one request, so a restarted parent never got a fill.  With
-    turns by number alone, routers of one zone, numbered a multiple apart, all took the same (ha226a3).
+    """A router's share of the budget was less than one request, so a restarted parent never received a fill.
+    With turns by router number alone, the routers of one zone, whose numbers differ by a multiple of the
+    number of turns, all had the same turn (ha226a3).
     """
     start, weight, unit = 100 * S, 20.0, 0.3
     lines = [replace(x, started_ns=start if x.name == "p0" else 0) for x in servers() if x.name != "p1"]
@@ -41,12 +42,14 @@
                 sent[step] += f.fill_source == "p0"
     assert sum(sent.values()) > 0
     for step in range(37):
-        low = 0.07 + 0.93 * step * 0.25 / 20  # its share at the start of this second
+        low = 0.07 + 0.93 * step * 0.25 / 20  # the parent's warm fraction at the start of this second
         assert sum(sent[step + k] for k in range(4)) * unit <= 2.0 * low * weight
 
 
 def test_trials_of_all_routers_do_not_topple_a_server_that_comes_back_cold() -> None:
-    """Parents back within a second were toppled by routers that the list had not told of the restart."""
+    """Parents that restarted within a second collapsed under the load of routers whose endpoint list did not
+    show the restart yet.
+    """
     at, now = 0, 100 * S
     for n, p in enumerate(fleet([x for x in servers() if x.name != "p1"])):
         p.state.now_ns = now
@@ -66,7 +69,7 @@
 
 
 def test_lost_connections_tell_nothing_of_a_server() -> None:
-    """Each answer that could not be read made its cache dead and then cold, and the rest took its load."""
+    """Each unreadable response ejected its cache, which then counted as cold, and the others got its load."""
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
     (g,) = fetches(end(p, S + MS, f, Outcome.RESET))
@@ -111,7 +114,11 @@
 
 
 def offered(p: RoutingPolicy, start: int, rate: int, seconds: int) -> int:
-    """How many of that many requests a second of 0.3 s each are refused, all hits answered at once."""
+    """Send ``rate`` requests of 0.3 s each per second, and complete each admitted one immediately as a hit.
+
+    Returns:
+        The number of rejected requests.
+    """
     refused = 0
     for n in range(rate * seconds):
         now = start + n * S // rate
@@ -123,11 +130,11 @@
 
 
 def test_load_is_shed_as_soon_as_caches_go() -> None:
-    """Answers are late only seconds after three of four caches drain; the told links tell at once."""
+    """Responses are late only seconds after three of four caches drain; the weights show it immediately."""
     p = policy()
-    assert offered(p, 10 * S, 40, 10) == 0  # 12 transfers' worth a second for links of 20
+    assert offered(p, 10 * S, 40, 10) == 0  # 12 s of transfers per second with capacity for 20
     p.handle(20 * S, api.ServerList("update", tuple(replace(x, state="terminating") for x in servers()[1:4])))
-    assert 0.3 < offered(p, 20 * S, 40, 5) / 200 < 0.8  # 12 for links of 5
+    assert 0.3 < offered(p, 20 * S, 40, 5) / 200 < 0.8  # 12 s of transfers per second with capacity for 5
     p.handle(25 * S, api.ServerList("update", tuple(servers()[1:4])))
     assert offered(p, 26 * S, 40, 5) == 0
 
@@ -146,7 +153,7 @@
 
 
 def test_gate_opens_sooner_on_answers_with_time_to_spare() -> None:
-    """After a jam it stayed shut for ten seconds before idle caches."""
+    """After an overload the threshold stayed low for ten seconds while the caches were idle."""
     cutoffs = []
     for spare in (False, True):
         gate = AdmissionController()
@@ -158,7 +165,7 @@
 
 
 def test_slow_cache_loses_part_of_its_objects() -> None:
-    """One of two caches was full while the other stood half idle, as a hot object's hash put it there."""
+    """One of two caches was full because a hot object was hashed to it, while the other was half idle."""
     shares = []
     for slowness in (1.0, 8.0):
         p = policy()
@@ -174,7 +181,7 @@
 
 
 def test_parents_share_by_weight_when_equally_quick() -> None:
-    """All locations filled from the parent with the widest link, and the others stood idle."""
+    """All zones filled from the parent with the fastest link, and the other parents were idle."""
     lines = [replace(x, weight={"p0": 40.0, "p1": 20.0}.get(x.name, x.weight)) for x in servers()]
     p = policy(lines)
     sent = Counter(f.fill_source for n in range(600) for f in fetches(ask(p, S, f"r{n}", n)))
@@ -207,7 +214,7 @@
 
 
 def test_replaced_servers_are_forgotten() -> None:
-    """Replacements have new names, so a router that lived long remembered every server there ever was."""
+    """Replacements have new names, so a long-running router kept a record of every server ever listed."""
     p = policy()
     for n in range(300):
         old, new = (api.Server(f"n{k}", api.Role.CACHE, "a", 0, weight=5) for k in (n, n + 1))
@@ -220,7 +227,7 @@
 
 
 def test_only_hits_for_long_do_not_stop_the_bound() -> None:
-    """The share of presumed fills that are ones must stay above 0, as it divides."""
+    """The share of expected fills that actually are fills must stay above 0, as it is a divisor."""
     p = policy(siblings="off")
     for n in range(20_000):
         for f in fetches(ask(p, S + n * MS, f"r{n}", n, size_kb=1.0)):
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -1,4 +1,7 @@
-"""Failures of about 40 routers that each see little, one test each.  No bench, no socket, no clock."""
+"""Failures of fleets of about 40 routers, each of which receives few requests.
+
+The tests use no testbed processes, no sockets and no real clock.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +29,14 @@
     outcome: Outcome = Outcome.OK,
     took: int = 100 * MS,
 ) -> list[api.Action]:
-    """An attempt's end with a report of how full the location's link is."""
+    """End an attempt, with a load report of the zone's link."""
     return p.handle(
         now, api.AttemptEnded(f.id, 0, f.server, outcome, took, outcome is Outcome.OK, note, 0, {"x1": link})
     )
 
 
 def warmed(**changes: object) -> RoutingPolicy:
-    """A router that has seen a few requests of usual size, all hits."""
+    """Return a policy that has handled a few requests of usual size, all of them hits."""
     p = policy(weight_source="off", max_transfer_kb_per_s=0.0, allows_cache_bypass=True, **changes)
     for n in range(20):
         (f,) = fetches(ask(p, S + n * 50 * MS, f"w{n}", 1000 + n))
@@ -52,8 +55,8 @@
 
 
 class SlowParent(unittest.TestCase):
-    """One of two parents sent answers at an eighth of its pace.  Each router went on giving it fills, as an
-    answer that did not come in time told nothing of the parent.
+    """One of two parents sent responses at an eighth of its rate.  Each router kept using it for fills,
+    because a response that was overdue was not recorded for the parent.
     """
 
     def test_fills_leave_a_parent_whose_answers_do_not_come(self) -> None:
@@ -78,7 +81,7 @@
             return found.count("p0") / len(found)
 
         assert share(5 * S, 10 * S) > 0.35
-        assert share(14 * S, 18 * S) < 0.15, "four seconds later hardly any router uses it"
+        assert share(14 * S, 18 * S) < 0.15, "four seconds later, few fills still use the slow parent"
 
     def test_the_origin_shares_fills_when_the_only_parent_is_far_slower(self) -> None:
         random = Random(2)
@@ -94,7 +97,7 @@
 
         lines = [x for x in EVEN if x.name != "p1"]
         fleet = PolicyFleet([policy(lines, **THIN, router_index=n) for n in range(40)], reply)
-        for n in range(40):  # writes run at the origin, which is how its time is known
+        for n in range(40):  # writes are executed at the origin, so its time is known
             for k in range(5):
                 fleet.schedule(
                     S + k * 100 * MS, n, api.Request(f"w{n}-{k}", "unsafe", 3 * S, k, is_write=True)
@@ -108,8 +111,8 @@
 
 
 class FailingParent(unittest.TestCase):
-    """A parent failed many fills, and did so at once: its time to first byte stayed as good as any, and each
-    answer in between took its strikes away.
+    """A parent failed many fills, and failed them immediately: its time to first byte stayed as low as that
+    of the others, and each successful response in between reset its failure score.
     """
 
     def test_failed_fills_count_as_late_ones(self) -> None:
@@ -134,12 +137,13 @@
         now = {f.fill_source for n in range(40) for f in fetches(ask(p, 7 * S, f"now{n}", 1000 + n))}
         assert now == {"p1"}
         later = [f.fill_source for n in range(40) for f in fetches(ask(p, 40 * S, f"later{n}", 2000 + n))]
-        assert later.count("p0") > 5, "tried again: it may have been mended"
+        assert later.count("p0") > 5, "it must be tried again, as it may have been repaired"
 
 
 class UnequalCaches(unittest.TestCase):
-    """Small caches reported to be 105% busy beside large or cold ones at 10 to 30%: weights are not told, so
-    the hash gave each the same, and a router's own answer times are too few to tell.
+    """Small caches reported a utilization of 105% while large or cold ones reported 10 to 30%.  Without
+    weights the hash gave each cache the same share, and one router has too few response times to detect the
+    difference.
     """
 
     def test_objects_go_where_less_load_is_reported(self) -> None:
@@ -166,12 +170,12 @@
                 (f,) = fetches(ask(router, 25 * S, f"home{n}-{item}", item))
                 homes.setdefault(item, set()).add(f.server)
         alike = sum(len(found) == 1 for found in homes.values())
-        assert alike > 50, "the routers go by the same reports, so most objects have one home"
+        assert alike > 50, "the routers use the same reports, so most objects have one home"
 
 
 class ColdZone(unittest.TestCase):
-    """A whole zone came back cold, its routers restarted with it.  None had a warm cache to compare with, so
-    each cache was held to be able to do one transfer, and stood idle while its clients were refused.
+    """A complete zone restarted cold, together with its routers.  No router had a warm cache to compare with,
+    so each cache was assumed to have capacity for one transfer, and was idle while its clients were rejected.
     """
 
     ROUTERS, CAPACITY, UNIT = 9, 12.0, 0.25
@@ -211,7 +215,7 @@
         return fleet, start
 
     def check(self, fleet: PolicyFleet, start: int, since: int) -> None:
-        """The rule over all routers, in every window of two seconds; and that the caches are put to use."""
+        """Check rule 4 over all routers in every window of two seconds, and that the caches are used."""
         for name in ("c0", "c1", "c2", "c3"):
             sends = [at - start for at, f in fleet.attempts if f.server == name]
             for step in range(since // (100 * MS), 130):
@@ -225,7 +229,7 @@
         self.check(*self.fleet(told=True), 0)
 
     def test_its_caches_are_found_out_within_seconds(self) -> None:
-        """No router had an answer of them yet, and their turns came once in half a minute."""
+        """No router had received a response from them yet, and each router had a turn only every 30 s."""
         fleet, start = self.fleet(told=True)
         for name in ("c0", "c1", "c2", "c3"):
             early = sum(2 * S <= at - start < 4 * S for at, f in fleet.attempts if f.server == name)
@@ -233,7 +237,7 @@
 
     def test_a_cold_cache_that_reports_little_load_gets_more(self) -> None:
         def admits(busy: float) -> bool:
-            """Whether one more may go to a cold cache that has given 4.5 s of answers and been sent 1.5 s."""
+            """Return whether a cold cache with 4.5 s of work completed and 1.5 s sent may get one more."""
             p = policy([replace(x, started_ns=100 * S) for x in EVEN], **THIN, **COLD, zone_instances=8)
             (f,) = fetches(ask(p, 100 * S, "r", 1))
             node = p.endpoints[f.server]
@@ -252,8 +256,9 @@
 
 
 class FullLink(unittest.TestCase):
-    """All copies went void at once, and every router of the zone went on asking for fills.  Fills whose
-    clients have left run on, so the link held sixty times what fits until the day's end.
+    """All copies became invalid at the same time, and every router of the zone kept requesting fills.  Fills
+    continue after their clients have disconnected, so the link carried sixty times its capacity until the end
+    of the day.
     """
 
     def test_no_fill_over_a_link_that_is_told_to_be_jammed(self) -> None:
@@ -261,16 +266,16 @@
         (f,) = fetches(ask(p, 3 * S, "last", 1))
         answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         looks = [fetches(ask(p, 3 * S + (n + 3) * 50 * MS, f"n{n}", n)) for n in range(2, 22)]
-        assert [f.fill_source == f.server for (f,) in looks] == [True] * 20, "looks, and no fills"
+        assert [f.fill_source == f.server for (f,) in looks] == [True] * 20, "sent for a hit only"
         ended = [answer(p, 4500 * MS, f, FillResult.NONE, 12.0, Outcome.MISS) for (f,) in looks]
-        assert all(isinstance(a, api.Reject) for (a,) in ended), "refused at once"
+        assert all(isinstance(a, api.Reject) for (a,) in ended), "rejected immediately after the miss"
 
     def test_what_is_held_is_still_asked_for(self) -> None:
         p = warmed()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
         answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         (f,) = fetches(ask(p, 3 * S + 200 * MS, "again", 1000))
-        assert f.fill_source != f.server, "held here: the gate of fills has no say"
+        assert f.fill_source != f.server, "an object with a known copy is not subject to the limit on fills"
 
     def test_reports_that_make_no_sense_change_nothing(self) -> None:
         p = warmed()
@@ -310,7 +315,7 @@
         assert f.fill_source != f.server
 
     def test_looks_pass_cold_caches_by(self) -> None:
-        """They found nothing there, and used up what the cold cache could be sent."""
+        """Requests for a hit only missed at cold caches, and used up the budgets of the cold caches."""
         p = warmed()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
         answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
@@ -324,7 +329,7 @@
         assert asked == {"c2", "c3"}
 
     def test_no_way_round_a_jammed_link(self) -> None:
-        """With no cache to ask, requests went straight to parents, which takes the same link."""
+        """Without a usable cache, requests were sent directly to parents, over the same link."""
         p = warmed()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
         answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
@@ -335,8 +340,8 @@
 
 
 class BadListEvents(unittest.TestCase):
-    """One event that could not be read failed its whole poll, which was asked for again without end: what
-    stood behind it, drains and purges, was never heard.
+    """One event that could not be parsed failed its complete watch request, which was repeated endlessly.
+    The events after it, drains and purges, were never received.
     """
 
     LINE = {"name": "c9", "address": "127.0.0.1:9", "zone": "a", "type": "small", "status": "active"}
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -1,4 +1,7 @@
-"""The five rules at the module's interface, one guard a test, and random days that assert them all."""
+"""The five rules of the platform at the interface of the decision package.
+
+Each test checks one safeguard; the tests with random events check all rules on each action.
+"""
 
 from __future__ import annotations
 
@@ -112,7 +115,7 @@
 
 @pytest.mark.parametrize(("place", "budget"), [(0, 2.0 * 0.2 * 5), (5, 2.0 * 0.07 * 20)])
 def test_cold_server_gets_no_more_than_its_budget(place: int, budget: float) -> None:
-    """A burst must not topple a server that has just started, as a cache or as a parent."""
+    """A burst must not make a cache or a parent collapse that has just started."""
     start = 100 * S
     cold = replace(servers()[place], started_ns=start)
     p = policy([cold, *(s for s in servers() if s.role is not cold.role or s.name == "c1")])
@@ -137,7 +140,7 @@
 
 
 def test_purge_limit_outlives_the_servers_own_sweep() -> None:
-    """A copy that left the origin just before the purge landed after the sweep and was served later."""
+    """A copy that left the origin just before the purge was stored after the sweep, and was served later."""
     p = policy()
     p.handle(10 * S, api.Purged(7, 3, 200 * MS))
     (f,) = fetches(ask(p, 17 * S, "r", 7, purge_group=3))
@@ -163,7 +166,7 @@
 
 
 def random_day(seed: int, variant: int) -> str:
-    """Random events; asserts the rules on each action and returns all actions as text."""
+    """Pass random events to a policy, check the rules on each action, and return all actions as text."""
     rng, s = random.Random(seed), settings(**VARIANTS[variant])  # type: ignore[arg-type]
     p, lines, now = RoutingPolicy(s), {x.name: x for x in servers()}, S
     said, purged, log = dict(lines), {}, []
@@ -219,7 +222,7 @@
             if key in out and now >= out[key][1] + out[key][0].timeout_ns:
                 finish(key, Outcome.TIMEOUT)
         for name, (_, _, due) in list(open_.items()):
-            assert now <= due or any(k[0] == name for k in out), "held past its deadline"
+            assert now <= due or any(k[0] == name for k in out), "no final response by the deadline"
         roll = rng.random()
         if roll < 0.45:
             cls, item = rng.choice(s.classes), rng.randrange(30)
--- a/tests/decision/test_untold_failures.py
+++ b/tests/decision/test_untold_failures.py
@@ -1,4 +1,4 @@
-"""Deployments that tell how an answer was filled, and not why a fill failed (``notes_given`` hit or off)."""
+"""Attribution of failed fills where responses do not report the cause (``notes_given`` is hit or off)."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 class Untold(unittest.TestCase):
     def refused(self, notes: str, took: int, note: FillResult = FillResult.NONE) -> tuple[bool, bool]:
-        """One fill that its cache did not take after so long: whether its source and its cache are dead."""
+        """Reject one fill after ``took``; return whether its source and its cache are ejected then."""
         p = policy(notes=notes, connect_timeout_ns=400 * MS)
         (f,) = fetches(ask(p, S, "r", 1))
         end(p, S + took, f, Outcome.FULL, took=took, note=note)
         return p.endpoints[f.fill_source].is_ejected, p.endpoints[f.server].is_ejected
 
     def test_a_source_that_was_not_reached_in_a_dials_time_is_dead(self) -> None:
-        """Five of twelve parents were silent for five seconds, and nearly all of 200 routers went on naming
-        them: each fill was turned away after 0.83 s, the cache was blamed, and when the parents came back
-        cold they had all of it at once and fell.
+        """Five of twelve parents were silent for five seconds, and nearly all of 200 routers kept using them
+        as fill sources.  Each fill was rejected after 0.83 s and the failure was attributed to the cache.
+        When the parents were back, cold, they received the full load immediately and collapsed.
         """
         for notes in ("hit", "off"):
             assert self.refused(notes, 831 * MS) == (True, False)
-            assert self.refused(notes, 50 * MS) == (False, False), "full, as far as anyone can tell"
-        assert self.refused("all", 831 * MS) == (False, False), "there it would have been told"
+            assert self.refused(notes, 50 * MS) == (False, False), "may just be at capacity"
+        assert self.refused("all", 831 * MS) == (False, False), "the response would have reported the cause"
         assert self.refused("all", 50 * MS, FillResult.SOURCE_BROKE) == (True, False)
 
     def test_it_is_cold_when_it_is_back(self) -> None:
@@ -53,8 +53,9 @@
         assert p.endpoints[f.fill_source].log_first_byte_ns.sample_count == 1
 
     def test_an_origin_that_turns_all_away_is_spared(self) -> None:
-        """It was asked for each fill that its parents turned away, 765 a second where 100 fit, and worked off
-        for five seconds what nobody waited for any more; no order was taken meanwhile.
+        """The origin received each fill that its parents had rejected, 765 per second with capacity for 100.
+        For five seconds it processed requests whose clients no longer waited, and accepted no order
+        request.
         """
         p = policy(notes="hit", connect_timeout_ns=400 * MS)
         (origin,) = p.state.directory.origins
@@ -70,4 +71,4 @@
         assert origin.is_ejected
         assert count == EJECTION_FAILURE_SCORE
         (g,) = fetches(ask(p, S + 30 * MS, "fill", 99))
-        assert g.cached_only, "parents give what they hold"
+        assert g.cached_only, "parents send only copies that they hold"
--- a/tests/support/policy_fixtures.py
+++ b/tests/support/policy_fixtures.py
@@ -1,4 +1,7 @@
-"""Helpers of the tests: settings, a list of servers, and short names.  No model of any server."""
+"""Helpers for tests of the decision package: settings, an endpoint list and short names.
+
+There is no model of a server; the tests pass the events themselves.
+"""
 
 from __future__ import annotations
 
