--- a/kelpcroft/decision/admission.py
+++ b/kelpcroft/decision/admission.py
@@ -40,7 +40,7 @@
 MAX_PLANNED_FILL_SHARE: Final = 1.0  # share of the parents' stated capacity that may be planned for
 FILL_SHARE_GAIN: Final = 0.05  # weight of one response in the share of expected fills that were fills
 MIN_PRIORITY_WEIGHT: Final = 1e-9  # keeps the price of a class with priority weight 0 finite
-ANSWERS_WITH_SLACK: Final = 3  # a response within the latency objective divided by this has slack
+SLACK_DIVISOR: Final = 3  # a response within the latency objective divided by this has slack
 
 
 class AdmissionController:
@@ -111,8 +111,8 @@
         """
         elapsed_s = min(now_ns - self.raised_ns, SECOND_NS) / SECOND_NS
         per_second = THRESHOLD_INCREASE_PER_SECOND_WITH_SLACK if has_slack else THRESHOLD_INCREASE_PER_SECOND
-        raised = self.cost_threshold * max(THRESHOLD_INCREASE, per_second**elapsed_s)
-        self.cost_threshold = min(MAX_COST_THRESHOLD, raised)
+        new_threshold = self.cost_threshold * max(THRESHOLD_INCREASE, per_second**elapsed_s)
+        self.cost_threshold = min(MAX_COST_THRESHOLD, new_threshold)
         self.raised_ns = now_ns
 
     def record_arrival(self, price: float, work_ns: float, now_ns: int) -> None:
@@ -121,8 +121,8 @@
         if self.cost_threshold < MAX_COST_THRESHOLD and now_ns - last_change_ns > SECOND_NS:
             # If all requests have the same price, all may be rejected at the lowest threshold, and then no
             # response would raise it.
-            raised = self.cost_threshold * THRESHOLD_INCREASE_PER_SECOND
-            self.cost_threshold = min(MAX_COST_THRESHOLD, raised)
+            new_threshold = self.cost_threshold * THRESHOLD_INCREASE_PER_SECOND
+            self.cost_threshold = min(MAX_COST_THRESHOLD, new_threshold)
             self.last_evidence_ns = now_ns
         self.offered_work.add(now_ns, work_ns)
         self.mean_price.add(price)
@@ -157,12 +157,12 @@
         A gauge that shows overload takes effect immediately: late responses show the overload seconds later,
         when the queue has already built up.
         """
-        fullest = max(
+        highest_load = max(
             self.link_load.value_at(now_ns),
             self.cache_load.value_at(now_ns),
             self.source_wait.value_at(now_ns),
         )
-        overload = fullest - 1
+        overload = highest_load - 1
         threshold = self.cost_threshold
         if overload > 0:
             threshold = min(threshold, FULL_LOAD_THRESHOLD * math.exp(-OVERLOAD_DECAY * overload))
@@ -278,7 +278,7 @@
             return
         request.timeliness_recorded = True
         elapsed_ns = self.state.now_ns - request.start_ns
-        has_slack = ANSWERS_WITH_SLACK * elapsed_ns < self.latency_model.latency_objective_ns(request)
+        has_slack = SLACK_DIVISOR * elapsed_ns < self.latency_model.latency_objective_ns(request)
         self.controller(is_fill).record_latency(is_late, request.start_ns, self.state.now_ns, has_slack)
 
     def record_fill_expectation(self, was_fill: bool) -> None:
@@ -289,10 +289,10 @@
     def withdraw_offered_work(self, request: InFlightRequest) -> None:
         """Subtract the work not done for a client that disconnected: bursts may be cancelled immediately."""
         now_ns = self.state.now_ns
-        undone_ns = self.latency_model.expected_transfer_ns(request) - (now_ns - request.start_ns)
-        if undone_ns <= 0 or request.request_class.uncacheable:
+        remaining_work_ns = self.latency_model.expected_transfer_ns(request) - (now_ns - request.start_ns)
+        if remaining_work_ns <= 0 or request.request_class.uncacheable:
             return
         controllers = [self.fills, self.all_requests] if request.expects_fill else [self.all_requests]
         for controller in controllers:
-            work = controller.offered_work
-            work.add(now_ns, -min(undone_ns, work.value_at(now_ns)))
+            offered_work = controller.offered_work
+            offered_work.add(now_ns, -min(remaining_work_ns, offered_work.value_at(now_ns)))
--- a/kelpcroft/decision/attempt_feedback.py
+++ b/kelpcroft/decision/attempt_feedback.py
@@ -72,16 +72,18 @@
 
     def _record_failed_fill(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
         """Record a failed fill as a slow one, for the server that fills."""
-        filling = attempt.filling_endpoint()
+        filling_endpoint = attempt.filling_endpoint()
         if event.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
-            self.record_missing_answer(request, attempt)
+            self.record_overdue_response(request, attempt)
         elif (
             self.ejection.is_unreported_source_failure(attempt, event)
             or event.fill_result in (FillResult.SOURCE_BROKE, FillResult.SOURCE_REFUSED)
-            or (filling is attempt.endpoint and event.outcome in (Outcome.ERROR, Outcome.FULL))
+            or (filling_endpoint is attempt.endpoint and event.outcome in (Outcome.ERROR, Outcome.FULL))
         ):
             # A failed fill costs as much as a late response, however fast the failure is.
-            filling.record_first_byte(self.state.now_ns, self.latency_model.latency_objective_ns(request))
+            filling_endpoint.record_first_byte(
+                self.state.now_ns, self.latency_model.latency_objective_ns(request)
+            )
 
     def _record_latency(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
         """Record the latency for the class, and for the server if the object's own transfer time is known."""
@@ -104,12 +106,12 @@
             self.latency_model.record_measured_transfer(request, event.elapsed_ns)
         history = request.history
         if history is not None:
-            least_ns = min(history.min_response_ns or event.elapsed_ns, event.elapsed_ns)
-            history.min_response_ns = least_ns
+            min_response_ns = min(history.min_response_ns or event.elapsed_ns, event.elapsed_ns)
+            history.min_response_ns = min_response_ns
             history.known_copies[endpoint.server.name] = now_ns
         if event.fill_result is FillResult.HIT:
             endpoint.last_hit_sent_ns = max(endpoint.last_hit_sent_ns, attempt.sent_ns)
-        if attempt.is_filled() and event.fill_result in (
+        if attempt.has_fill_source() and event.fill_result in (
             FillResult.FILLED,
             FillResult.FILLED_FROM_ORIGIN,
             FillResult.JOINED,
@@ -131,18 +133,18 @@
         slack_ns = self.latency_model.latency_objective_ns(request) - transfer_ns
         self.admission.fills.record_source_wait(self.state.now_ns, wait_ns / max(MS, slack_ns))
 
-    def record_missing_answer(self, request: InFlightRequest, attempt: Attempt) -> None:
+    def record_overdue_response(self, request: InFlightRequest, attempt: Attempt) -> None:
         """Record an overdue response as a slow fill, before the attempt ends.
 
         The time beyond the expected transfer time counts as time to first byte of the parent or origin that
         fills, if it is above that server's mean.
         """
-        filling = attempt.filling_endpoint()
+        filling_endpoint = attempt.filling_endpoint()
         overdue_ns = self.state.now_ns - attempt.sent_ns - self.latency_model.expected_transfer_ns(request)
-        if overdue_ns <= 0 or filling.server.role is Role.CACHE:
+        if overdue_ns <= 0 or filling_endpoint.server.role is Role.CACHE:
             return
-        if math.log(overdue_ns) > filling.log_first_byte_ns.mean:
-            filling.record_first_byte(self.state.now_ns, overdue_ns)
+        if math.log(overdue_ns) > filling_endpoint.log_first_byte_ns.mean:
+            filling_endpoint.record_first_byte(self.state.now_ns, overdue_ns)
 
     def record_silence(self, request: InFlightRequest) -> None:
         """Check a request's attempts in flight for silence and lateness, without waiting for their end."""
@@ -166,7 +168,7 @@
             return
         if not request.timeliness_recorded:
             for attempt in attempts.values():
-                self.record_missing_answer(request, attempt)
+                self.record_overdue_response(request, attempt)
         self.admission.record_timeliness(request, True, request.expects_fill or len(awaiting_fill) > 0)
 
     def _is_silent(self, request: InFlightRequest, attempt: Attempt) -> bool:
--- a/kelpcroft/decision/cache_selection.py
+++ b/kelpcroft/decision/cache_selection.py
@@ -75,13 +75,13 @@
 
         An ejected cache comes first if a trial request is due and the hash would select the cache anyway.
         """
-        live: list[Candidate] = []
+        candidates: list[Candidate] = []
         trials: list[Candidate] = []
         total_requests = 0
         total_weight = 0.0
         zone_mean = self._mean_utilization()
         min_utilization = self._min_compared_utilization()
-        slow_limit = self._slow_limit()
+        slowdown_limit = self._slowdown_limit()
         for cache in self.state.directory.zone_caches:
             if cache.server.name in request.excluded_servers or not self.idempotency.may_send(request, cache):
                 continue
@@ -98,15 +98,17 @@
             total_requests = total_requests + cache.requests_in_flight
             total_weight = total_weight + weight
             if self.slow_start.has_budget_at(cache, request, warm_fraction):
-                share = self._share_by_slowdown(cache, slow_limit)
+                share = self._share_by_slowdown(cache, slowdown_limit)
                 rank = cache.rendezvous_rank(request.object_hash, weight * share)
-                live.append(Candidate(cache, rank, weight))
-        per_weight = MAX_LOAD_OVER_MEAN * (total_requests + 1) / total_weight if total_weight else 0.0
-        best_rank = max([candidate.rank for candidate in live], default=0.0)
+                candidates.append(Candidate(cache, rank, weight))
+        max_requests_per_weight = (
+            MAX_LOAD_OVER_MEAN * (total_requests + 1) / total_weight if total_weight else 0.0
+        )
+        best_rank = max([candidate.rank for candidate in candidates], default=0.0)
         due_trials = [candidate.endpoint for candidate in trials if candidate.rank > best_rank]
-        return due_trials[:1] + self._by_rank(live, per_weight)
+        return due_trials[:1] + self._order_by_rank(candidates, max_requests_per_weight)
 
-    def _by_rank(self, candidates: list[Candidate], max_requests_per_weight: float) -> list[Endpoint]:
+    def _order_by_rank(self, candidates: list[Candidate], max_requests_per_weight: float) -> list[Endpoint]:
         """Return caches by rank, with overloaded caches and caches at capacity last."""
         for candidate in candidates:
             endpoint = candidate.endpoint
@@ -137,14 +139,14 @@
             return MIN_COMPARED_UTILIZATION
         return MAX_COLD_UTILIZATION
 
-    def _slow_limit(self) -> float:
+    def _slowdown_limit(self) -> float:
         """Return the slowdown above which a cache receives fewer objects."""
-        quickest = min([cache.slowdown.mean for cache in self.state.directory.zone_caches], default=1.0)
-        return MAX_SLOWDOWN_RATIO * quickest
+        min_slowdown = min([cache.slowdown.mean for cache in self.state.directory.zone_caches], default=1.0)
+        return MAX_SLOWDOWN_RATIO * min_slowdown
 
-    def _share_by_slowdown(self, cache: Endpoint, slow_limit: float) -> float:
+    def _share_by_slowdown(self, cache: Endpoint, slowdown_limit: float) -> float:
         """Return the share of its objects that a cache keeps, under 1 if it is much slower than its peers.
 
         This is an exception to the hash, for a cache that holds a hot object or fails gradually.
         """
-        return min(1.0, max(MIN_SLOW_CACHE_SHARE, slow_limit / max(cache.slowdown.mean, MIN_SLOWDOWN)))
+        return min(1.0, max(MIN_SLOW_CACHE_SHARE, slowdown_limit / max(cache.slowdown.mean, MIN_SLOWDOWN)))
--- a/kelpcroft/decision/endpoint_directory.py
+++ b/kelpcroft/decision/endpoint_directory.py
@@ -46,15 +46,15 @@
             for endpoint in self.by_name.values():
                 endpoint.is_listed = False
         for server in event.servers:
-            known = self.by_name.get(server.name)
-            if known is None:
+            existing = self.by_name.get(server.name)
+            if existing is None:
                 self.by_name[server.name] = Endpoint(server)
                 continue
-            if server.started_ns > known.server.started_ns:
-                known.record_restart(server.started_ns)  # the list overrides an inferred start
+            if server.started_ns > existing.server.started_ns:
+                existing.record_restart(server.started_ns)  # the list overrides an inferred start
                 self.histories.drop_known_copies(server.name)
-            known.server = server
-            known.is_listed = True
+            existing.server = server
+            existing.is_listed = True
         self._drop_terminated()
         self._index_by_role()
 
--- a/kelpcroft/decision/fill_sources.py
+++ b/kelpcroft/decision/fill_sources.py
@@ -48,9 +48,9 @@
         origins = self._allowed_origins(request)
         if request.request_class.uncacheable:
             return origins or self._ranked_parents(request)
-        sources = self._holding_sibling(request, cache) if cache is not None else []
+        sources = self._sibling_with_copy(request, cache) if cache is not None else []
         parents = self._ranked_parents(request)
-        backups = sorted(parents[1:], key=_backup_order)
+        backups = sorted(parents[1:], key=_backup_sort_key)
         sources += parents[:1]
         sources += backups[:1] if origins else backups
         return sources + [
@@ -68,7 +68,7 @@
             if origin.server.name not in request.excluded_sources
         ]
 
-    def _holding_sibling(self, request: InFlightRequest, cache: Endpoint) -> list[Endpoint]:
+    def _sibling_with_copy(self, request: InFlightRequest, cache: Endpoint) -> list[Endpoint]:
         """Return a list with the first sibling that recent responses showed to hold the object, if any."""
         if self.state.settings.siblings == "off" or request.history is None:
             return []
@@ -77,16 +77,16 @@
             return []
         siblings = [
             self.state.directory.by_name[name]
-            for name, answered_ns in known_copies.items()
-            if self._is_copy_believed(request, name, answered_ns)
+            for name, response_ns in known_copies.items()
+            if self._is_copy_usable(request, name, response_ns)
         ]
         # The budget of each sibling is checked although only one sibling is returned, because the check
         # advances the sibling's window of work sent.
         return [sibling for sibling in siblings if self._may_fill_from_sibling(request, sibling)][:1]
 
-    def _is_copy_believed(self, request: InFlightRequest, name: str, answered_ns: int) -> bool:
-        is_fresh = self.state.now_ns - answered_ns < KNOWN_COPY_LIFETIME_NS
-        return is_fresh and name in self.state.directory.by_name and name not in request.excluded_sources
+    def _is_copy_usable(self, request: InFlightRequest, name: str, response_ns: int) -> bool:
+        is_recent = self.state.now_ns - response_ns < KNOWN_COPY_LIFETIME_NS
+        return is_recent and name in self.state.directory.by_name and name not in request.excluded_sources
 
     def _may_fill_from_sibling(self, request: InFlightRequest, sibling: Endpoint) -> bool:
         is_live_cache = not sibling.is_ejected and sibling.server.role is Role.CACHE
@@ -112,15 +112,15 @@
         ]
         if not live:
             return trials
-        first = self._pick_by_score(request, live)
-        return [*trials[:1], first, *[parent for parent in live if parent is not first]]
+        selected = self._select_by_score(request, live)
+        return [*trials[:1], selected, *[parent for parent in live if parent is not selected]]
 
     def _is_trial_allowed(self, request: InFlightRequest, parent: Endpoint) -> bool:
         """Return True if this request may be sent to an ejected parent as a trial."""
         is_due = parent.is_ejected and self.ejection.is_trial_due(request, parent)
         return is_due and self.slow_start.has_budget(parent, request)
 
-    def _pick_by_score(self, request: InFlightRequest, live: list[Endpoint]) -> Endpoint:
+    def _select_by_score(self, request: InFlightRequest, live: list[Endpoint]) -> Endpoint:
         """Return the server that the hash selects among those with a low score (time to first byte / weight).
 
         Parents with a score near the best one share the objects in inverse proportion to their scores, and
@@ -130,21 +130,21 @@
         origins = self._comparable_origins(request)
         scores = self._latency_scores([*live, *origins])
         best_score = min([scores[parent.server.name] for parent in live])
-        near = [
+        eligible = [
             parent for parent in live if scores[parent.server.name] <= best_score * MAX_PARENT_SCORE_RATIO
         ]
         # Exception: if all parents are much slower than the origin, the origin receives a share.
-        near += [
+        eligible += [
             origin for origin in origins if scores[origin.server.name] * MIN_ORIGIN_ADVANTAGE < best_score
         ]
-        picked = near[0]
-        picked_rank = self._parent_rank(request, picked, scores)
-        for candidate in near[1:]:
+        selected = eligible[0]
+        selected_rank = self._parent_rank(request, selected, scores)
+        for candidate in eligible[1:]:
             rank = self._parent_rank(request, candidate, scores)
-            if rank > picked_rank:
-                picked = candidate
-                picked_rank = rank
-        return picked
+            if rank > selected_rank:
+                selected = candidate
+                selected_rank = rank
+        return selected
 
     def _comparable_origins(self, request: InFlightRequest) -> list[Endpoint]:
         """Return the origins that may fill the request and whose time to first byte has been measured."""
@@ -160,14 +160,15 @@
 
     def _latency_scores(self, endpoints: list[Endpoint]) -> dict[str, float]:
         """Return the score of each server by name; a lower score is faster."""
-        measured = [
+        log_times = [
             endpoint.log_first_byte_ns.mean
             for endpoint in endpoints
             if endpoint.log_first_byte_ns.sample_count
         ]
-        average = sum(measured) / len(measured) if measured else 0.0
+        average_log_ns = sum(log_times) / len(log_times) if log_times else 0.0
         return {
-            endpoint.server.name: endpoint.latency_score(self.state.now_ns, average) for endpoint in endpoints
+            endpoint.server.name: endpoint.latency_score(self.state.now_ns, average_log_ns)
+            for endpoint in endpoints
         }
 
     def _parent_rank(self, request: InFlightRequest, endpoint: Endpoint, scores: dict[str, float]) -> float:
@@ -176,6 +177,6 @@
         return endpoint.rendezvous_rank(request.object_hash, weight)
 
 
-def _backup_order(parent: Endpoint) -> tuple[int, str]:
+def _backup_sort_key(parent: Endpoint) -> tuple[int, str]:
     """Return the sort key of backup parents: the parent with the fewest requested fills comes first."""
     return parent.fills_requested, parent.server.name
--- a/kelpcroft/decision/forwarding.py
+++ b/kelpcroft/decision/forwarding.py
@@ -42,14 +42,14 @@
         """Send the next attempt of a request, or end the request if no further attempt is possible."""
         remaining_ns = request.deadline_ns - self.state.now_ns
         route = None
-        if remaining_ns > 0 and not self.has_no_attempt_left(request):
-            route = self.routes.pick_route(request)
+        if remaining_ns > 0 and not self.has_used_all_attempts(request):
+            route = self.routes.select_route(request)
         if route is None:
             self.completion.reject_or_fail(request)
         else:
             self.send(request, route, remaining_ns)
 
-    def has_no_attempt_left(self, request: InFlightRequest) -> bool:
+    def has_used_all_attempts(self, request: InFlightRequest) -> bool:
         """Return True if a request has used all its attempts; the lower of old and new limit applies."""
         return request.attempts_sent >= min(request.max_attempts, self.state.settings.limits.max_attempts)
 
@@ -58,13 +58,13 @@
         endpoint = route.endpoint
         source = route.fill_source
         is_trial = endpoint.is_ejected or source.is_ejected
-        self._count_against_budgets(request, endpoint, source)
+        self._charge_budgets(request, endpoint, source)
         number = request.attempts_sent
         request.attempts_in_flight[number] = Attempt(endpoint, source, self.state.now_ns, is_trial)
         endpoint.requests_in_flight += 1
         rank = self._retention_rank(request)
         is_sibling = source.server.role is Role.CACHE and source is not endpoint
-        cached_only = self._spares_origin(request, source) or is_sibling
+        cached_only = self._must_skip_origin(request, source) or is_sibling
         request.attempts_sent = number + 1
         self.state.actions.append(
             ForwardRequest(
@@ -81,13 +81,13 @@
             )
         )
 
-    def _count_against_budgets(self, request: InFlightRequest, endpoint: Endpoint, source: Endpoint) -> None:
-        touched = [endpoint] if source is endpoint else [endpoint, source]
-        for server in touched:
-            if server.is_ejected:
-                server.outlier_state.record_trial(self.state.now_ns)
-            if server.server.role is not Role.ORIGIN:
-                server.work_sent.add(self.state.now_ns, self.latency_model.budget_cost(request))
+    def _charge_budgets(self, request: InFlightRequest, endpoint: Endpoint, source: Endpoint) -> None:
+        charged_endpoints = [endpoint] if source is endpoint else [endpoint, source]
+        for charged in charged_endpoints:
+            if charged.is_ejected:
+                charged.outlier_state.record_trial(self.state.now_ns)
+            if charged.server.role is not Role.ORIGIN:
+                charged.work_sent.add(self.state.now_ns, self.latency_model.budget_cost(request))
         if source.server.role is Role.PARENT:
             source.fills_requested += 1
 
@@ -95,24 +95,24 @@
         """Return how long the cache should keep the copy, by the object's recent requests and size."""
         if request.request_class.uncacheable:
             return RetentionRank.DO_NOT_KEEP
-        reuse = self._reuse(request)
-        if reuse >= HOT_REQUEST_COUNT:
+        request_count = self._scaled_request_count(request)
+        if request_count >= HOT_REQUEST_COUNT:
             return RetentionRank.HOT
-        if reuse >= REUSED_REQUEST_COUNT:
+        if request_count >= REUSED_REQUEST_COUNT:
             return RetentionRank.REUSED
         return RetentionRank.ONCE
 
-    def _reuse(self, request: InFlightRequest) -> float:
+    def _scaled_request_count(self, request: InFlightRequest) -> float:
         """Return the object's recent request count, scaled by the mean size over the object's size."""
         if request.history is None:
             return 0.0
-        smallness = 1.0
+        size_factor = 1.0
         if self.latency_model.has_known_size(request):
             mean_ns = self.latency_model.transfer_time[request.request_class.name].mean
-            smallness = mean_ns / self.latency_model.expected_transfer_ns(request)
-        return request.history.request_count * smallness
+            size_factor = mean_ns / self.latency_model.expected_transfer_ns(request)
+        return request.history.request_count * size_factor
 
-    def _spares_origin(self, request: InFlightRequest, source: Endpoint) -> bool:
+    def _must_skip_origin(self, request: InFlightRequest, source: Endpoint) -> bool:
         """Return True if a parent should send only a copy that it holds, as the origin behind it is ejected.
 
         A request that may be a trial of that origin is not restricted, and is recorded as its trial.
--- a/kelpcroft/decision/freshness.py
+++ b/kelpcroft/decision/freshness.py
@@ -37,17 +37,17 @@
     def record_purge(self, event: Purged) -> None:
         """Record a purge, which is kept until no fill that was then in progress can still be stored."""
         purged_ns = self.state.now_ns - event.ago_ns
-        until_ns = self.state.now_ns + self.state.settings.rules.purge_retention_ns
+        relevant_until_ns = self.state.now_ns + self.state.settings.rules.purge_retention_ns
         if event.object_id is None:
-            self._record(self.group_purges, event.purge_group, purged_ns, until_ns)
+            self._record(self.group_purges, event.purge_group, purged_ns, relevant_until_ns)
         else:
-            self._record(self.object_purges, event.object_id, purged_ns, until_ns)
+            self._record(self.object_purges, event.object_id, purged_ns, relevant_until_ns)
 
-    def _record(self, purges: dict[int, Purge], key: int, purged_ns: int, until_ns: int) -> None:
-        known = purges.get(key)
-        purges[key] = Purge(max(purged_ns, known.purged_ns if known else 0), until_ns)
+    def _record(self, purges: dict[int, Purge], key: int, purged_ns: int, relevant_until_ns: int) -> None:
+        previous = purges.get(key)
+        purges[key] = Purge(max(purged_ns, previous.purged_ns if previous else 0), relevant_until_ns)
 
-    def forget_old_purges(self) -> None:
+    def remove_old_purges(self) -> None:
         """Remove the purges that no longer affect any copy."""
         now_ns = self.state.now_ns
         self.object_purges = {k: p for k, p in self.object_purges.items() if p.relevant_until_ns >= now_ns}
--- a/kelpcroft/decision/latency_model.py
+++ b/kelpcroft/decision/latency_model.py
@@ -38,9 +38,9 @@
         self.latency_ratio: dict[str, MeanDeviation] = {}
         self.transfer_time: dict[str, MeanDeviation] = {}
         self.unloaded_transfer_time: dict[str, float] = {}
-        self.follow_classes()
+        self.update_classes()
 
-    def follow_classes(self) -> None:
+    def update_classes(self) -> None:
         """Start measurements of new classes; remove those of deleted classes without requests in flight."""
         in_flight = {request.request_class.name for request in self.state.requests_in_flight.values()}
         names = set(self.state.request_classes) | in_flight
@@ -82,8 +82,8 @@
         The cost is the class's mean transfer time, or the request's own if its size is known and it is
         longer.
         """
-        own = self.expected_transfer_ns(request) if self.has_known_size(request) else 0.0
-        return max(self.transfer_time[request.request_class.name].mean, own)
+        own_transfer_ns = self.expected_transfer_ns(request) if self.has_known_size(request) else 0.0
+        return max(self.transfer_time[request.request_class.name].mean, own_transfer_ns)
 
     def expected_latency_ns(self, request: InFlightRequest) -> int:
         """Return the latency above which a response is unusually slow for its class.
@@ -91,8 +91,8 @@
         ``is_late`` compares with the latency objective instead.
         """
         ratio = self.latency_ratio[request.request_class.name]
-        latest_ratio = ratio.mean + EXPECTED_DEVIATIONS * ratio.mean_deviation
-        return int((self.expected_transfer_ns(request) + BASE_LATENCY_NS) * latest_ratio)
+        max_ratio = ratio.mean + EXPECTED_DEVIATIONS * ratio.mean_deviation
+        return int((self.expected_transfer_ns(request) + BASE_LATENCY_NS) * max_ratio)
 
     def attempt_timeout_ns(self, request: InFlightRequest, is_trial: bool, remaining_ns: int) -> int:
         """Return the timeout of an attempt: the request's remaining time, or less.
@@ -115,8 +115,8 @@
         if not self.has_own_transfer_time(request):
             usual_ns = min(self.unloaded_transfer_time[name], self.transfer_time[name].mean)
             transfer_ns = UNKNOWN_SIZE_FACTOR * usual_ns
-        objective = request.request_class
-        return objective.latency_objective_ns + objective.objective_transfer_multiple * transfer_ns
+        request_class = request.request_class
+        return request_class.latency_objective_ns + request_class.objective_transfer_multiple * transfer_ns
 
     def is_late(self, request: InFlightRequest) -> bool:
         """Return True if more time than the latency objective has passed since a request arrived."""
@@ -146,5 +146,5 @@
         name = request.request_class.name
         self.transfer_time[name].add(float(elapsed_ns))
         if self.transfer_time[name].sample_count > 1 / TRANSFER_TIME_GAIN:
-            risen_ns = self.unloaded_transfer_time[name] * UNLOADED_TIME_GROWTH
-            self.unloaded_transfer_time[name] = min(risen_ns, self.transfer_time[name].mean)
+            max_unloaded_ns = self.unloaded_transfer_time[name] * UNLOADED_TIME_GROWTH
+            self.unloaded_transfer_time[name] = min(max_unloaded_ns, self.transfer_time[name].mean)
--- a/kelpcroft/decision/outlier_ejection.py
+++ b/kelpcroft/decision/outlier_ejection.py
@@ -88,7 +88,7 @@
             for origin in self.state.directory.origins:
                 self.record_failure(origin, FAILURE_SCORE, False)
         elif event.fill_result is FillResult.SOURCE_BROKE or (
-            is_unreported and self._took_connect_timeout(event)
+            is_unreported and self._reached_connect_timeout(event)
         ):
             # A source that could not be reached has failed.  A source whose transfer broke off may only have
             # exceeded the time limit of a fill under overload.
@@ -102,13 +102,13 @@
     def is_unreported_source_failure(self, attempt: Attempt, event: AttemptEnded) -> bool:
         """Return True if the cache responded that a fill failed, in a deployment that reports no causes."""
         return (
-            attempt.is_filled()
+            attempt.has_fill_source()
             and self.state.settings.notes != "all"
             and event.outcome is Outcome.FULL
             and event.fill_result is FillResult.NONE
         )
 
-    def _took_connect_timeout(self, event: AttemptEnded) -> bool:
+    def _reached_connect_timeout(self, event: AttemptEnded) -> bool:
         return 0 < self.state.settings.limits.connect_timeout_ns <= event.elapsed_ns
 
 
--- a/kelpcroft/decision/policy.py
+++ b/kelpcroft/decision/policy.py
@@ -146,7 +146,7 @@
             self.freshness.record_purge(event)
         elif isinstance(event, SettingsChanged):
             self.state.change_settings(event.settings)
-            self.latency_model.follow_classes()
+            self.latency_model.update_classes()
         elif isinstance(event, RouterShare):
             self.state.router_share = event.share
             self.state.origin_fills_allowed = event.origin_fills_allowed
@@ -188,7 +188,7 @@
         if event.retry_policy and event.retry_policy.concurrency_limit_reached:
             self.completion.reject_or_fail(request)
             return
-        self.retries.earn_tokens()
+        self.retries.add_tokens()
         if not request_class.uncacheable:
             history = self.state.histories.record_request(object_hash, self.state.now_ns)
             request.history = history
@@ -235,7 +235,7 @@
             cache.requests_awaiting_fill = 0
         for request in list(self.state.requests_in_flight.values()):
             self.feedback.record_silence(request)
-        self.freshness.forget_old_purges()
+        self.freshness.remove_old_purges()
         if self.state.requests_in_flight:
             self._schedule_tick()
 
--- a/kelpcroft/decision/request_completion.py
+++ b/kelpcroft/decision/request_completion.py
@@ -7,7 +7,7 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.settings import Idempotency
 
-EVERY_ATTEMPT = -1  # no attempt has this number, so that none is excepted
+NO_ATTEMPT = -1  # no attempt has this number, so that none is excepted
 
 
 class RequestCompletion:
@@ -22,7 +22,7 @@
         Its attempts in flight are cancelled; the request is removed once the last of them has ended.
         """
         request.is_closed = True
-        self.cancel_attempts(request, EVERY_ATTEMPT)
+        self.cancel_attempts(request, NO_ATTEMPT)
         if not request.attempts_in_flight:
             self.state.requests_in_flight.pop(request.request.id, None)
 
@@ -41,13 +41,13 @@
 
     def reject_or_fail(self, request: InFlightRequest) -> None:
         """Send the final response of a request without further attempts: a rejection if a retry is safe."""
-        if self._may_invite_retry(request):
+        if self._is_client_retry_safe(request):
             self.state.actions.append(Reject(request.request.id, self._retry_after_ns(request)))
             self.close(request)
         else:
             self.fail(request)
 
-    def _may_invite_retry(self, request: InFlightRequest) -> bool:
+    def _is_client_retry_safe(self, request: InFlightRequest) -> bool:
         """Return True if a retry by the client is safe."""
         request_class = request.request_class
         may_have_executed = (
--- a/kelpcroft/decision/requests.py
+++ b/kelpcroft/decision/requests.py
@@ -31,7 +31,7 @@
         self.sent_ns = sent_ns
         self.is_trial = is_trial
 
-    def is_filled(self) -> bool:
+    def has_fill_source(self) -> bool:
         """Return True if a miss at the server is filled from another server."""
         return self.fill_source is not self.endpoint
 
--- a/kelpcroft/decision/retries.py
+++ b/kelpcroft/decision/retries.py
@@ -34,7 +34,7 @@
         self.completion = completion
         self.retry_tokens: float = MAX_RETRY_TOKENS
 
-    def earn_tokens(self) -> None:
+    def add_tokens(self) -> None:
         """Add the tokens of a new request to the retry budget."""
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
 
@@ -44,7 +44,7 @@
         is_past_deadline = self.state.now_ns >= request.deadline_ns
         if retry_policy and (
             (retry_policy.shortens_deadline and is_past_deadline)
-            or not self._route_allows_next(request, retry_policy, event)
+            or not self._route_allows_attempt(request, retry_policy, event)
         ):
             self.completion.reject_or_fail(request)
         elif is_past_deadline:
@@ -56,11 +56,11 @@
             self._send_again(request, not event.outcome.proves_not_executed)
         else:
             self._exclude_failed(request, attempt, event)
-            self._spend_and_send_again(request, event)
+            self._charge_and_send_again(request, event)
 
     def _exclude_failed(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
         """Exclude the server or the fill source that failed from further attempts of this request."""
-        is_source_fault = event.outcome is Outcome.MISS or event.fill_result in (
+        is_source_failure = event.outcome is Outcome.MISS or event.fill_result in (
             FillResult.SOURCE_REFUSED,
             FillResult.SOURCE_BROKE,
             FillResult.SOURCE_LACKS,
@@ -71,17 +71,17 @@
             Outcome.CONNECT_FAILED,
             Outcome.RESET,
         )
-        is_filled = attempt.is_filled()
+        has_fill_source = attempt.has_fill_source()
         source_name = attempt.fill_source.server.name
-        if is_filled and (is_source_fault or not is_cause_known):
+        if has_fill_source and (is_source_failure or not is_cause_known):
             request.excluded_sources.add(source_name)
             has_no_copy = event.fill_result is FillResult.SOURCE_LACKS or event.outcome is Outcome.MISS
             if request.history is not None and has_no_copy:
                 request.history.known_copies.pop(source_name, None)
-        if not (is_filled and is_source_fault):
+        if not (has_fill_source and is_source_failure):
             request.excluded_servers.add(attempt.endpoint.server.name)
 
-    def _spend_and_send_again(self, request: InFlightRequest, event: AttemptEnded) -> None:
+    def _charge_and_send_again(self, request: InFlightRequest, event: AttemptEnded) -> None:
         """Charge the next attempt to the retry budget and send it.
 
         An attempt after a miss is free, as is an attempt of a route that has its own budget.
@@ -99,18 +99,18 @@
             self.retry_tokens -= 1
         self._send_again(request, not event.outcome.proves_not_executed)
 
-    def _route_allows_next(
+    def _route_allows_attempt(
         self, request: InFlightRequest, retry_policy: RouteRetryPolicy, event: AttemptEnded
     ) -> bool:
         """Return True if the route allows another attempt after this end."""
         if event.outcome.proves_not_executed:
             return retry_policy.max_reroutes < 0 or request.reroute_count < retry_policy.max_reroutes
-        has_attempt_left = (
+        is_below_max_attempts = (
             not retry_policy.max_attempts or request.retry_count + 1 < retry_policy.max_attempts
         )
         is_retryable = retry_policy.retry_on is None or event.outcome in retry_policy.retry_on
-        is_paid_for = event.retry_budget_available or not retry_policy.has_retry_budget
-        return has_attempt_left and is_retryable and is_paid_for
+        is_within_budget = event.retry_budget_available or not retry_policy.has_retry_budget
+        return is_below_max_attempts and is_retryable and is_within_budget
 
     def _send_again(self, request: InFlightRequest, may_have_executed: bool) -> None:
         """Send the next attempt, after the route's back-off if the last attempt may have executed."""
@@ -119,33 +119,33 @@
             self.forwarding.send_next_attempt(request)
             return
         request.retry_count += 1
-        until_ns = self.state.now_ns + self._backoff_ns(request)
-        if until_ns == self.state.now_ns:
+        retry_at_ns = self.state.now_ns + self._backoff_ns(request)
+        if retry_at_ns == self.state.now_ns:
             self.forwarding.send_next_attempt(request)
-        elif until_ns >= request.deadline_ns:
+        elif retry_at_ns >= request.deadline_ns:
             self.completion.reject_or_fail(request)  # immediately: the back-off would end after the deadline
         else:
-            self.state.actions.append(BackOff(request.request.id, until_ns))
+            self.state.actions.append(BackOff(request.request.id, retry_at_ns))
 
     def _backoff_ns(self, request: InFlightRequest) -> int:
         """Return the route's delay before a retry; its last delay applies to all further retries."""
         retry_policy = request.request.retry_policy
         if retry_policy is None or not retry_policy.backoff_ns:
             return 0
-        last = len(retry_policy.backoff_ns)
-        return retry_policy.backoff_ns[min(request.retry_count, last) - 1]
+        delay_count = len(retry_policy.backoff_ns)
+        return retry_policy.backoff_ns[min(request.retry_count, delay_count) - 1]
 
     def hedge(self, request: InFlightRequest, event: HedgeDue) -> None:
         """Send a second attempt of a request in flight, if another server is available for it."""
         if not self._may_hedge(request, event):
             return
-        busy = {attempt.endpoint.server.name for attempt in request.attempts_in_flight.values()}
-        busy -= request.excluded_servers
-        request.excluded_servers |= busy
+        in_flight_servers = {attempt.endpoint.server.name for attempt in request.attempts_in_flight.values()}
+        in_flight_servers -= request.excluded_servers
+        request.excluded_servers |= in_flight_servers
         route = (
-            self.forwarding.routes.pick_route(request) if self.state.now_ns < request.deadline_ns else None
+            self.forwarding.routes.select_route(request) if self.state.now_ns < request.deadline_ns else None
         )
-        request.excluded_servers -= busy
+        request.excluded_servers -= in_flight_servers
         if route is not None:
             request.hedge_count += 1
             self.forwarding.send(request, route, request.deadline_ns - self.state.now_ns)
@@ -158,4 +158,4 @@
             return False
         if request.hedge_count >= retry_policy.max_hedges:
             return False
-        return not self.forwarding.has_no_attempt_left(request)
+        return not self.forwarding.has_used_all_attempts(request)
--- a/kelpcroft/decision/route_selection.py
+++ b/kelpcroft/decision/route_selection.py
@@ -44,15 +44,15 @@
         self.caches = caches
         self.sources = sources
 
-    def pick_route(self, request: InFlightRequest) -> Route | None:
+    def select_route(self, request: InFlightRequest) -> Route | None:
         """Return the servers of the next attempt, or None if no server can be used."""
         if not request.bypasses_cache:
             for cache in self.caches.ranked_caches(request):
                 for source in self.sources.ranked_sources(request, cache):
                     return Route(cache, source)
-        return self._pick_bypass_route(request)
+        return self._select_bypass_route(request)
 
-    def _pick_bypass_route(self, request: InFlightRequest) -> Route | None:
+    def _select_bypass_route(self, request: InFlightRequest) -> Route | None:
         """Return a direct route to a parent or the origin, if no cache of the zone can take the request."""
         if not self.state.settings.allows_cache_bypass:
             return None
@@ -62,7 +62,7 @@
             return None
         origins = self.state.directory.origins
         for endpoint in self.sources.ranked_sources(request, None):
-            is_spared_origin = request.bypasses_cache and endpoint.server.role is Role.ORIGIN
-            if self.idempotency.may_send(request, endpoint) and not is_spared_origin:
+            is_excluded_origin = request.bypasses_cache and endpoint.server.role is Role.ORIGIN
+            if self.idempotency.may_send(request, endpoint) and not is_excluded_origin:
                 return Route(endpoint, origins[0] if origins else endpoint)
         return None
--- a/kelpcroft/decision/slow_start.py
+++ b/kelpcroft/decision/slow_start.py
@@ -47,14 +47,14 @@
     def has_budget_at(self, endpoint: Endpoint, request: InFlightRequest, warm_fraction: float) -> bool:
         """Return ``has_budget`` for a warm fraction that the caller has already computed."""
         rules = self.state.settings.rules
-        sent_ns = endpoint.work_sent.sum_since(self.state.now_ns - rules.overload_collapse_ns)
+        work_sent_ns = endpoint.work_sent.sum_since(self.state.now_ns - rules.overload_collapse_ns)
         if warm_fraction >= 1:
             return True
         budget_ns = self._budget_ns(endpoint, warm_fraction)
         cost_ns = self.latency_model.budget_cost(request)
         # Two processes of the same router have the same turns, so neither of them may use a turn.
         if budget_ns >= cost_ns or not budget_ns or self.state.router_share < 1:
-            return sent_ns + cost_ns <= budget_ns
+            return work_sent_ns + cost_ns <= budget_ns
         return not endpoint.work_sent.samples and self._has_turn(cost_ns, budget_ns)
 
     def _budget_ns(self, endpoint: Endpoint, warm_fraction: float) -> float:
@@ -70,10 +70,10 @@
         if settings.weight_source != "off":
             capacity = endpoint.server.weight
         else:
-            capacity = self.mean_peer_load(endpoint) * routers
+            capacity = self.assumed_capacity_share(endpoint) * routers
         share = self.state.router_share * MAX_COLLAPSE_BUDGET_SHARE * multiple * warm_fraction
-        by_rule_ns = share * capacity * rules.overload_collapse_ns / routers
-        return max(by_rule_ns, endpoint.spare_capacity(self.state.now_ns) * rules.overload_collapse_ns)
+        rule_budget_ns = share * capacity * rules.overload_collapse_ns / routers
+        return max(rule_budget_ns, endpoint.spare_capacity(self.state.now_ns) * rules.overload_collapse_ns)
 
     def _has_turn(self, cost_ns: float, budget_ns: float) -> bool:
         """Return True if it is this router's turn to send one request.
@@ -83,10 +83,10 @@
         """
         settings = self.state.settings
         turns = math.ceil(TURNS_PER_REQUEST * cost_ns / budget_ns)
-        span = self.state.now_ns // settings.rules.overload_collapse_ns
-        return (span + mix64(settings.router_index)) % turns == 0
+        interval_index = self.state.now_ns // settings.rules.overload_collapse_ns
+        return (interval_index + mix64(settings.router_index)) % turns == 0
 
-    def mean_peer_load(self, endpoint: Endpoint) -> float:
+    def assumed_capacity_share(self, endpoint: Endpoint) -> float:
         """Return this router's share of the capacity assumed for a server if the list has no weights.
 
         It is ``UNKNOWN_CAPACITY_OVER_LOAD`` times the transfer time per unit of time that this router sends
@@ -97,9 +97,9 @@
         is_parent = endpoint.server.role is Role.PARENT
         peers = self.state.directory.parents if is_parent else self.state.directory.zone_caches
         routers = settings.instances if is_parent else settings.zone_instances
-        span_ns = max(1, settings.rules.overload_collapse_ns)
+        window_ns = max(1, settings.rules.overload_collapse_ns)
         loads = [
-            peer.work_sent.sum_since(now_ns - span_ns) / span_ns
+            peer.work_sent.sum_since(now_ns - window_ns) / window_ns
             for peer in peers
             if peer is not endpoint and peer.warm_fraction(now_ns, settings.rules) >= 1
         ]
@@ -107,5 +107,5 @@
             # No peer is warm: assume that the zone's caches have capacity for the load of its clients.
             offered = self.admission.all_requests.offered_work.value_at(now_ns)
             loads = [offered / WORK_SPAN_NS / len(self.state.directory.zone_caches)]
-        mean = UNKNOWN_CAPACITY_OVER_LOAD * sum(loads) / len(loads) if loads else 0.0
-        return max(mean, 1 / routers)
+        assumed_share = UNKNOWN_CAPACITY_OVER_LOAD * sum(loads) / len(loads) if loads else 0.0
+        return max(assumed_share, 1 / routers)
--- a/kelpcroft/simulator_adapter.py
+++ b/kelpcroft/simulator_adapter.py
@@ -165,31 +165,31 @@
     """Encode one action of the decision package as a message of the wire."""
     match action:
         case api.ForwardRequest():
-            line = _encode_forward(router, action)
+            message = _encode_forward(router, action)
         case api.Cancel(request_id, attempt):
-            line = ["Revoke", router, request_id, attempt]
+            message = ["Revoke", router, request_id, attempt]
         case api.Reject(request_id, retry_after_ns):
-            line = ["Refuse", router, request_id, retry_after_ns]
+            message = ["Refuse", router, request_id, retry_after_ns]
         case api.Fail(request_id):
-            line = ["Lose", router, request_id]
+            message = ["Lose", router, request_id]
         case api.SetTimer(label, at_ns):
-            line = ["Schedule", router, label, at_ns]
+            message = ["Schedule", router, label, at_ns]
         case api.Probe(server):
-            line = ["Probe", router, server]
+            message = ["Probe", router, server]
         case api.Subscribe():
-            line = ["KeepInformed", router, True]
+            message = ["KeepInformed", router, True]
         case api.Log(text):
-            line = ["WriteLog", router, text]
+            message = ["WriteLog", router, text]
         case _:
             raise MalformedLineError(
                 f"the simulator's wire has no message for {type(action).__name__},"
                 " which a policy returns only for routes with a retry policy"
             )
-    return line
+    return message
 
 
 def _encode_forward(router: int, action: api.ForwardRequest) -> Message:
-    switches = (
+    flags = (
         action.coalesce * COALESCE_FLAG
         + action.cached_only * CACHED_ONLY_FLAG
         + action.no_parent_copy * NO_PARENT_COPY_FLAG
@@ -201,7 +201,7 @@
         action.id,
         action.server,
         action.timeout_ns,
-        switches,
+        flags,
         action.fill_source,
         action.max_age_ns,
         action.retention_rank,
@@ -231,15 +231,15 @@
             SystemExit: A line is malformed.
         """
         open_batch: int | None = None
-        for number, text in enumerate(lines, 1):
-            if not text.strip():
+        for line_number, line in enumerate(lines, 1):
+            if not line.strip():
                 continue
             try:
-                open_batch = self._read_framed(json.loads(text), open_batch)
+                open_batch = self._process_framed(json.loads(line), open_batch)
             except (MalformedLineError, json.JSONDecodeError) as error:
-                exit_malformed(number, text, error)
+                exit_malformed(line_number, line, error)
 
-    def _read_framed(self, message: Any, open_batch: int | None) -> int | None:
+    def _process_framed(self, message: Any, open_batch: int | None) -> int | None:
         """Process one message; return the number of the batch that is open after it, or None."""
         if isinstance(message, list) and message[:1] == ["Turn"]:
             if open_batch is not None or len(message) < MIN_TURN_FIELDS:
@@ -255,10 +255,10 @@
             self.write_line(["Next", open_batch])
             self.out.flush()
             return None
-        self.read_line(message)
+        self.process_message(message)
         return open_batch
 
-    def read_line(self, message: Any) -> None:
+    def process_message(self, message: Any) -> None:
         """Process one message of the open batch, and write the actions that follow from it."""
         if not isinstance(message, list) or not message or message[0] not in MIN_FIELD_COUNTS:
             raise MalformedLineError("unknown message")
