--- a/tests/decision/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -18,7 +18,7 @@
 from kelpcroft.decision.statistics import LinearDecay
 from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy, servers
 
-CACHES = 20.0  # parallel transfers at full rate that the four caches of ``servers`` have capacity for
+CACHE_CAPACITY = 20.0  # parallel transfers at full rate that the four caches of ``servers`` have capacity for
 
 
 def burst(p: RoutingPolicy, now: int, count: int, kb: float, name: str = "b") -> list[bool]:
@@ -26,40 +26,40 @@
     return [bool(fetches(ask(p, now, f"{name}{n}", n + 1000 * len(name), size_kb=kb))) for n in range(count)]
 
 
-class InFlight(unittest.TestCase):
-    def test_told_weights_hold_before_anything_is_late(self) -> None:
+class CapacityLimits(unittest.TestCase):
+    def test_weights_limit_admission_before_any_response_is_late(self) -> None:
         p = policy()
         sent = burst(p, S, 200, 400.0)
-        assert all(sent[: int(CACHES)]), "requests within capacity are admitted"
-        assert sum(sent) < 5 * CACHES, "most of a burst of ten times the capacity was admitted"
+        assert all(sent[: int(CACHE_CAPACITY)]), "requests within capacity are admitted"
+        assert sum(sent) < 5 * CACHE_CAPACITY, "most of a burst of ten times the capacity was admitted"
 
-    def test_small_ones_are_taken_where_large_ones_are_not(self) -> None:
+    def test_small_requests_are_admitted_when_large_ones_are_not(self) -> None:
         p = policy()
         burst(p, S, 60, 400.0)
         small, large = burst(p, S, 20, 10.0, "small"), burst(p, S, 20, 2_000.0, "large")
         assert sum(small) > 15
         assert sum(large) == 0
 
-    def test_all_are_taken_again_once_what_was_out_has_ended(self) -> None:
+    def test_all_are_admitted_again_after_the_attempts_in_flight_end(self) -> None:
         p = policy()
-        out = [f for n in range(200) for f in fetches(ask(p, S, f"r{n}", n, size_kb=400.0))]
-        for f in out:
-            end(p, S + 900 * MS, f, Outcome.OK, took=900 * MS, note=FillResult.HIT)
-        assert all(burst(p, S + 950 * MS, int(CACHES) // 2, 400.0, "after"))
+        forwards = [f for n in range(200) for f in fetches(ask(p, S, f"r{n}", n, size_kb=400.0))]
+        for f in forwards:
+            end(p, S + 900 * MS, f, Outcome.OK, elapsed_ns=900 * MS, fill_result=FillResult.HIT)
+        assert all(burst(p, S + 950 * MS, int(CACHE_CAPACITY) // 2, 400.0, "after"))
 
-    def test_what_is_stuck_at_a_dead_cache_keeps_nobody_out(self) -> None:
+    def test_attempts_at_an_ejected_cache_do_not_count_as_load(self) -> None:
         """Attempts at a silent cache stayed in flight until timeout; the zone rejected 2 of 5 requests."""
         p = policy()
-        out = [f for n in range(60) for f in fetches(ask(p, S, f"r{n}", n, size_kb=400.0))]
-        for f in out:
+        forwards = [f for n in range(60) for f in fetches(ask(p, S, f"r{n}", n, size_kb=400.0))]
+        for f in forwards:
             if f.server != "c0":
-                end(p, S + 400 * MS, f, Outcome.OK, took=400 * MS, note=FillResult.HIT)
+                end(p, S + 400 * MS, f, Outcome.OK, elapsed_ns=400 * MS, fill_result=FillResult.HIT)
         assert p.endpoints["c0"].requests_in_flight > 8
         p.ejection.record_failure(p.endpoints["c0"], 3, True)
         assert all(burst(p, S + 500 * MS, 10, 400.0, "after"))
         assert p.admission.all_requests.cache_load.value < 1.0
 
-    def test_what_the_caches_have_no_room_for_goes_straight_to_a_parent(self) -> None:
+    def test_requests_beyond_the_caches_capacity_go_to_a_parent(self) -> None:
         """A zone with only two caches left rejected two thirds of its requests for half a minute, while its
         fill link was used to a third.  Requests must not bypass the caches if the link is full, or if the
         deployment does not allow it.
@@ -74,7 +74,7 @@
                 assert any(f.server.startswith("p") for f in later) == straight
                 assert not any(f.server == "o" for f in later)
 
-    def test_what_the_caches_have_no_room_for_never_goes_straight_to_the_origin(self) -> None:
+    def test_requests_beyond_the_caches_capacity_never_go_to_the_origin(self) -> None:
         """While hubs were empty or down, the fleet's excess load went to the origin, beyond its capacity."""
         p = policy(allows_cache_bypass=True)
         burst(p, S, 60, 400.0)
@@ -83,62 +83,62 @@
         later = [f for n in range(20) for f in fetches(ask(p, S, f"l{n}", 5_000 + n, size_kb=400.0))]
         assert not any(f.server == "o" for f in later)
 
-    def test_a_burst_that_is_called_off_at_once_keeps_nobody_out(self) -> None:
+    def test_a_burst_that_is_cancelled_immediately_does_not_count_as_load(self) -> None:
         """Hundreds of requests that a client sent and cancelled counted as offered work of four seconds."""
-        refused = {}
-        for called_off in (True, False):
+        rejected = {}
+        for is_cancelled in (True, False):
             p = policy()
             for n in range(400):
                 for f in fetches(ask(p, S, f"b{n}", n, size_kb=400.0)):
-                    if called_off:
+                    if is_cancelled:
                         p.handle(S + MS, api.ClientDisconnected(f.id))
-                    end(p, S + 2 * MS, f, Outcome.CANCELLED if called_off else Outcome.OK, took=MS)
-                if called_off and f"b{n}" in p.requests_in_flight:
+                    end(p, S + 2 * MS, f, Outcome.CANCELLED if is_cancelled else Outcome.OK, elapsed_ns=MS)
+                if is_cancelled and f"b{n}" in p.requests_in_flight:
                     p.handle(S + MS, api.ClientDisconnected(f"b{n}"))
-            refused[called_off] = sum(not sent for sent in burst(p, S + 50 * MS, 10, 600.0, "after"))
-        assert refused[True] == 0
-        assert refused[False] > 0, "completed work counts as load"
+            rejected[is_cancelled] = sum(not sent for sent in burst(p, S + 50 * MS, 10, 600.0, "after"))
+        assert rejected[True] == 0
+        assert rejected[False] > 0, "completed work counts as load"
 
-    def test_a_share_of_several_routers(self) -> None:
+    def test_routers_share_the_capacity(self) -> None:
         alone, one_of_four = policy(), policy(zone_instances=4)
         assert sum(burst(alone, S, 100, 400.0)) > 2 * sum(burst(one_of_four, S, 100, 400.0))
 
 
-class SlowStore(unittest.TestCase):
+class SlowOrigin(unittest.TestCase):
     """While the origin was slow, fills waited two seconds at their caches.  They counted as transfers over
     the caches' links and as late hits, and for twelve seconds 2 of 5 requests that a copy could have served
     were rejected.
     """
 
-    def stuck(self, passed: bool) -> RoutingPolicy:
+    def waiting_requests(self, has_later_hits: bool) -> RoutingPolicy:
         """Return a policy with 60 requests in flight that wait for their fill source.
 
         Args:
-            passed: Whether hits that were requested later have already been served.
+            has_later_hits: Whether hits that were requested later have already been served.
         """
         p = policy()
         for n in range(60):
             ask(p, S, f"w{n}", n, size_kb=300.0)
-        for n in range(40 if passed else 0):
+        for n in range(40 if has_later_hits else 0):
             for f in fetches(ask(p, S + 500 * MS, f"h{n}", 1_000 + n, size_kb=10.0)):
-                end(p, S + 510 * MS, f, Outcome.OK, note=FillResult.HIT)
+                end(p, S + 510 * MS, f, Outcome.OK, fill_result=FillResult.HIT)
         p.handle(S + 550 * MS, api.TimerExpired(TICK_TIMER))
         return p
 
-    def test_what_waits_for_its_source_takes_no_link(self) -> None:
-        for passed in (True, False):
-            p = self.stuck(passed)
+    def test_attempts_that_wait_for_their_source_use_no_cache_capacity(self) -> None:
+        for has_later_hits in (True, False):
+            p = self.waiting_requests(has_later_hits)
             hits = [bool(fetches(ask(p, S + 600 * MS, f"n{n}", 2_000 + n, size_kb=600.0))) for n in range(10)]
-            assert all(hits) == passed, "without later hits the caches may be full"
+            assert all(hits) == has_later_hits, "without later hits the caches may be full"
 
-    def test_it_is_no_lateness_of_hits(self) -> None:
-        for passed in (True, False):
-            p = self.stuck(passed)
-            for held in p.requests_in_flight.values():
-                held.expects_fill = False  # as if copies were known, so that hits are expected
+    def test_a_late_fill_is_not_recorded_as_a_late_hit(self) -> None:
+        for has_later_hits in (True, False):
+            p = self.waiting_requests(has_later_hits)
+            for request in p.requests_in_flight.values():
+                request.expects_fill = False  # as if copies were known, so that hits are expected
             p.handle(S + 2_500 * MS, api.TimerExpired(TICK_TIMER))
-            assert (p.admission.all_requests.cost_threshold < MAX_COST_THRESHOLD) == (not passed)
-            assert (p.admission.fills.cost_threshold < MAX_COST_THRESHOLD) == passed
+            assert (p.admission.all_requests.cost_threshold < MAX_COST_THRESHOLD) == (not has_later_hits)
+            assert (p.admission.fills.cost_threshold < MAX_COST_THRESHOLD) == has_later_hits
 
 
 class ColdBudget(unittest.TestCase):
@@ -154,19 +154,19 @@
         lines = [replace(s, started_ns=100 * S) if s.role is api.Role.CACHE else s for s in servers()]
         return policy(lines, **more)
 
-    def test_told_sizes_count(self) -> None:
+    def test_known_sizes_count(self) -> None:
         p = self.cold()
         for n in range(60):
             kb = 20.0 if n % 3 else 1_500.0
             for f in fetches(ask(p, 100 * S + n * MS, f"r{n}", n, size_kb=kb)):
-                held = p.requests_in_flight[f.id]
+                request = p.requests_in_flight[f.id]
                 if f.server in ("c0", "c1", "c2", "c3"):
                     sent = p.endpoints[f.server].work_sent.total
                     assert sent <= 1.2 * S, "requests of 0.02 s and of 1.5 s have different costs"
-                    assert p.latency_model.expected_transfer_ns(held) < 1.2 * S
+                    assert p.latency_model.expected_transfer_ns(request) < 1.2 * S
         assert sum(p.endpoints[f"c{n}"].work_sent.total > 0 for n in range(4)) > 2, "small requests go there"
 
-    def test_one_larger_than_the_budget_goes_alone(self) -> None:
+    def test_a_request_larger_than_the_budget_is_sent_alone(self) -> None:
         p = self.cold()
         sent = [
             (now, f.server)
@@ -179,37 +179,37 @@
         assert sent, "a cold zone that receives only large requests must serve some of them"
         assert len(sent) == len(set(sent)), "two large requests in one second"
 
-    def test_a_restart_ends_what_was_known_of_its_strength(self) -> None:
+    def test_a_restart_resets_the_measured_capacity(self) -> None:
         p = policy()
-        node = p.endpoints["c0"]
-        node.work_completed.add(100 * S, 200.0 * S)
-        assert node.spare_capacity(100 * S) > 10
+        endpoint = p.endpoints["c0"]
+        endpoint.work_completed.add(100 * S, 200.0 * S)
+        assert endpoint.spare_capacity(100 * S) > 10
         lines = tuple(replace(s, started_ns=100 * S) if s.name == "c0" else s for s in servers())
         p.handle(100 * S, api.ServerList("update", lines))
-        assert node.spare_capacity(100 * S) == 0.0
-        node.work_completed.add(100 * S, 2.0 * S)
+        assert endpoint.spare_capacity(100 * S) == 0.0
+        endpoint.work_completed.add(100 * S, 2.0 * S)
         p.handle(101 * S, api.ServerList("update", lines))
-        assert node.spare_capacity(101 * S) > 0.0, "a start that was already recorded resets nothing"
+        assert endpoint.spare_capacity(101 * S) > 0.0, "a start that was already recorded resets nothing"
 
 
 class RankBySize(unittest.TestCase):
-    def rank(self, item: int, kb: float) -> int:
+    def retention_rank_of(self, item: int, kb: float) -> int:
         """Return the retention rank of an object of this size at its third request."""
         p = policy()
         for n in range(40):
             (f,) = fetches(ask(p, S + n * MS, f"w{n}", 1_000 + n, size_kb=400.0))
-            end(p, S + n * MS, f, Outcome.OK, note=FillResult.FILLED)
+            end(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.FILLED)
         for n in range(3):
             (f,) = fetches(ask(p, 2 * S + n * MS, f"r{n}", item, size_kb=kb))
-            end(p, 2 * S + n * MS, f, Outcome.OK, note=FillResult.FILLED)
+            end(p, 2 * S + n * MS, f, Outcome.OK, fill_result=FillResult.FILLED)
         return f.retention_rank
 
-    def test_room_goes_where_it_answers_most_requests(self) -> None:
+    def test_small_objects_are_kept_longer_than_large_ones(self) -> None:
         """Sizes vary widely: a large copy takes the space of many small ones."""
-        assert [self.rank(1, kb) for kb in (100.0, 400.0, 0.0, 3000.0)] == [3, 2, 2, 1]
+        assert [self.retention_rank_of(1, kb) for kb in (100.0, 400.0, 0.0, 3000.0)] == [3, 2, 2, 1]
 
 
-class SourcesWaits(unittest.TestCase):
+class SourceWaits(unittest.TestCase):
     def fills(self, p: RoutingPolicy, start: int, wait_ms: int) -> None:
         """Complete 30 fills, each after a wait of ``wait_ms`` for its fill source."""
         for n in range(30):
@@ -229,7 +229,7 @@
                 ),
             )
 
-    def looks(self, p: RoutingPolicy, now: int) -> int:
+    def hit_only_count(self, p: RoutingPolicy, now: int) -> int:
         """Return how many of 20 requests for large objects without known copies are sent without a fill."""
         found = [fetches(ask(p, now, f"l{now}-{n}", 90_000 + n, size_kb=900.0)) for n in range(20)]
         return sum(bool(f) and f[0].fill_source == f[0].server for f in found)
@@ -238,44 +238,44 @@
         for wait_ms, due in ((20, False), (580, True)):
             p = policy()
             self.fills(p, S, wait_ms)
-            assert (self.looks(p, 2 * S) >= 15) == due, f"sources wait {wait_ms} ms"
+            assert (self.hit_only_count(p, 2 * S) >= 15) == due, f"sources wait {wait_ms} ms"
 
-    def test_they_come_in_again_without_a_word_of_it(self) -> None:
+    def test_large_fills_are_admitted_again_without_a_new_measurement(self) -> None:
         p = policy()
         self.fills(p, S, 5_000)
-        assert self.looks(p, 2 * S) == 20
-        assert self.looks(p, 8 * S) == 0, "without fills, no measurement could show the shorter queue"
+        assert self.hit_only_count(p, 2 * S) == 20
+        assert self.hit_only_count(p, 8 * S) == 0, "without fills, nothing measures the shorter queue"
 
-    def test_one_wait_beyond_reason_does_not_shut_fills_out(self) -> None:
-        gate = AdmissionController()
-        gate.record_source_wait(S, 1e12)
-        assert gate.source_wait.value_at(S) <= 1 / MAX_SOURCE_WAIT_SHARE
+    def test_one_extreme_wait_does_not_block_fills(self) -> None:
+        controller = AdmissionController()
+        controller.record_source_wait(S, 1e12)
+        assert controller.source_wait.value_at(S) <= 1 / MAX_SOURCE_WAIT_SHARE
 
 
-class Told(unittest.TestCase):
+class LoadSignals(unittest.TestCase):
     def test_falls_by_one_in_each_span(self) -> None:
         level = LinearDecay(S)
         level.record(5 * S, 3.0)
         assert [level.value_at(t * S) for t in (5, 6, 8)] == [3.0, 2.0, 0.0]
 
-    def test_idle_caches_draw_no_objects_where_weights_are_told(self) -> None:
+    def test_idle_caches_attract_no_objects_if_weights_are_known(self) -> None:
         """A cache that restarted empty was idle while it waited for fills, and got four times its objects."""
         moved = {}
         for weights in ("rough", "off"):
             p = policy(weight_source=weights)
-            homes = [p.caches.ranked_caches(self.held(p, n))[0].server.name for n in range(400)]
+            homes = [p.caches.ranked_caches(self.completed_request(p, n))[0].server.name for n in range(400)]
             for name, busy in (("c0", 0.05), ("c1", 0.5), ("c2", 0.5), ("c3", 0.5)):
                 p.feedback.record_load_report(p.endpoints[name], {"utilization": busy})
-            after = [p.caches.ranked_caches(self.held(p, n))[0].server.name for n in range(400)]
+            after = [p.caches.ranked_caches(self.completed_request(p, n))[0].server.name for n in range(400)]
             moved[weights] = sum(a != b for a, b in zip(homes, after, strict=True))
         assert moved["rough"] < 20
         assert moved["off"] > 60, "without weights, load reports are the only measure of capacity"
 
-    def held(self, p: RoutingPolicy, item: int) -> InFlightRequest:
+    def completed_request(self, p: RoutingPolicy, item: int) -> InFlightRequest:
         (f,) = fetches(ask(p, S, f"h{len(p.requests_in_flight)}-{item}", item, size_kb=1.0))
-        held = p.requests_in_flight[f.id]
-        end(p, S, f, Outcome.OK, note=FillResult.HIT, took=MS)
-        return held
+        request = p.requests_in_flight[f.id]
+        end(p, S, f, Outcome.OK, fill_result=FillResult.HIT, elapsed_ns=MS)
+        return request
 
 
 if __name__ == "__main__":
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -21,73 +21,73 @@
     p = policy()
     for n in range(50):
         (f,) = fetches(ask(p, S + n * 100 * MS, f"r{n}", n))
-        end(p, S + n * 100 * MS + 20 * MS, f, Outcome.OK, took=20 * MS, note=FillResult.HIT)
+        end(p, S + n * 100 * MS + 20 * MS, f, Outcome.OK, elapsed_ns=20 * MS, fill_result=FillResult.HIT)
     (f,) = fetches(ask(p, 10 * S, "large", 99))
     assert f.timeout_ns == 3 * S
 
 
-def test_jam_sheds_the_dearest_first() -> None:
-    gate = AdmissionController()
+def test_overload_rejects_the_highest_price_first() -> None:
+    controller = AdmissionController()
     for n in range(200):
-        gate.record_arrival(float(1 + n % 2), 1.0, n)
+        controller.record_arrival(float(1 + n % 2), 1.0, n)
     for n in range(400):
-        gate.record_latency(True, n, n)
-    assert gate.cost_threshold == MIN_COST_THRESHOLD
-    gate.cost_threshold = 1.0
-    assert gate.admits(1.0)
-    assert not gate.admits(20.0)
+        controller.record_latency(True, n, n)
+    assert controller.cost_threshold == MIN_COST_THRESHOLD
+    controller.cost_threshold = 1.0
+    assert controller.admits(1.0)
+    assert not controller.admits(20.0)
 
 
-def test_backlog_of_late_answers_cuts_once() -> None:
+def test_backlog_of_late_responses_lowers_the_threshold_once() -> None:
     """Late responses to requests admitted before the threshold was lowered kept lowering it, until the links
     were idle.
     """
-    gate = AdmissionController()
+    controller = AdmissionController()
     for _ in range(100):
-        gate.record_latency(True, 5, 10)
-    assert MIN_COST_THRESHOLD < gate.cost_threshold < MAX_COST_THRESHOLD
+        controller.record_latency(True, 5, 10)
+    assert MIN_COST_THRESHOLD < controller.cost_threshold < MAX_COST_THRESHOLD
 
 
-def test_gate_opens_again() -> None:
-    gate = AdmissionController()
-    gate.cost_threshold = MIN_COST_THRESHOLD
+def test_threshold_rises_again() -> None:
+    controller = AdmissionController()
+    controller.cost_threshold = MIN_COST_THRESHOLD
     for n in range(300):
-        gate.record_latency(False, n, n)
-    assert gate.cost_threshold == MAX_COST_THRESHOLD
+        controller.record_latency(False, n, n)
+    assert controller.cost_threshold == MAX_COST_THRESHOLD
 
 
-def test_gate_opens_with_few_answers() -> None:
+def test_threshold_rises_with_few_responses() -> None:
     """At a low threshold there are few responses.  When only responses raised it, links were idle for half a
     day.
     """
-    gate = AdmissionController()
-    gate.cost_threshold = MIN_COST_THRESHOLD
+    controller = AdmissionController()
+    controller.cost_threshold = MIN_COST_THRESHOLD
     for n in range(1, 16):
-        gate.record_latency(False, n * S, n * S)
-    assert gate.cost_threshold == MAX_COST_THRESHOLD
+        controller.record_latency(False, n * S, n * S)
+    assert controller.cost_threshold == MAX_COST_THRESHOLD
 
 
-def test_gate_that_admits_nothing_opens_again() -> None:
+def test_threshold_that_admits_nothing_rises_again() -> None:
     """After a period of errors, requests that all had the same price were rejected permanently: at the lowest
     threshold none was admitted whose response could have raised it.
     """
-    gate = AdmissionController()
-    gate.cost_threshold = MIN_COST_THRESHOLD
-    gate.lowered_ns = S
+    controller = AdmissionController()
+    controller.cost_threshold = MIN_COST_THRESHOLD
+    controller.lowered_ns = S
     admitted = []
     for n in range(100):
         now = 2 * S + n * 100 * MS
-        gate.record_arrival(20.0, 20.0, now)
-        admitted.append(gate.admits(20.0))
+        controller.record_arrival(20.0, 20.0, now)
+        admitted.append(controller.admits(20.0))
     assert not any(admitted[:10])
     assert any(admitted[10:60])
-    gate.record_latency(True, 99 * S, 99 * S)  # arrivals raise it only without responses
-    cutoff = gate.cost_threshold
-    gate.record_arrival(20.0, 20.0, 99 * S + 500 * MS)
-    assert gate.cost_threshold == cutoff
+    controller.record_latency(True, 99 * S, 99 * S)  # arrivals raise it only without responses
+    threshold = controller.cost_threshold
+    controller.record_arrival(20.0, 20.0, 99 * S + 500 * MS)
+    assert controller.cost_threshold == threshold
 
 
-def test_shed_fill_is_looked_for_before_refusal() -> None:
+def test_fill_beyond_capacity_is_sent_for_a_hit_before_rejection() -> None:
     """Rejection of expected fills also rejected requests for objects that the cache held."""
     p = policy()
     p.admission.fills.cost_threshold = 1e-9
@@ -96,11 +96,11 @@
     assert api.Reject("r") in end(p, S + MS, f, Outcome.MISS)
 
 
-def test_failing_origin_is_not_asked_by_each_parent_try() -> None:
+def test_failing_origin_receives_only_trial_requests_through_parents() -> None:
     p = policy()
     for n in range(3):
         (f, *_) = fetches(ask(p, S + n * MS, f"r{n}", n))
-        end(p, S + n * MS, f, Outcome.FULL, note=FillResult.ORIGIN_FAILED)
+        end(p, S + n * MS, f, Outcome.FULL, fill_result=FillResult.ORIGIN_FAILED)
     later = [f for n in range(10, 20) for f in fetches(ask(p, S + n * MS, f"q{n}", n))]
     assert any(f.cached_only for f in later)
     assert all(f.cached_only for f in later if f.fill_source != f.server)
@@ -108,37 +108,39 @@
     assert sum(not f.cached_only for f in trials if f.fill_source != f.server) == 1
 
 
-def test_silent_cache_is_dead_then_gets_only_trials() -> None:
+def test_silent_cache_is_ejected_and_then_receives_only_trials() -> None:
     p = policy(weight_source="off")
     names = [f"r{n}" for n in range(40)]
     sent = {n: fetches(ask(p, S, n, i, time_remaining_ns=60 * S))[0] for i, n in enumerate(names)}
     silent = sent["r0"].server
     for f in sent.values():
         if f.server != silent:
-            end(p, S + 100 * MS, f, Outcome.OK, note=FillResult.HIT)
+            end(p, S + 100 * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     actions = p.handle(10 * S, api.TimerExpired(0))
     assert p.endpoints[silent].is_ejected
     assert not any(isinstance(a, api.Cancel) for a in actions)  # cancelling cut off large objects midway
-    at = [f for n in range(100) for f in fetches(ask(p, 12 * S + n * MS, f"q{n}", n)) if f.server == silent]
-    assert len(at) == 1
-    end(p, 12 * S + 200 * MS, at[0], Outcome.OK, note=FillResult.HIT)
+    trials = [
+        f for n in range(100) for f in fetches(ask(p, 12 * S + n * MS, f"q{n}", n)) if f.server == silent
+    ]
+    assert len(trials) == 1
+    end(p, 12 * S + 200 * MS, trials[0], Outcome.OK, fill_result=FillResult.HIT)
     assert not p.endpoints[silent].is_ejected
 
 
-def test_restart_is_cold_before_the_list_tells() -> None:
+def test_restarted_server_is_cold_before_the_list_shows_it() -> None:
     p = policy()
-    node = p.endpoints["c0"]
-    p.ejection.record_failure(node, 2, True)
-    p.ejection.record_failure(node, 2, True)
-    assert node.is_ejected
-    p.ejection.record_success(node)
-    assert node.warm_fraction(p.state.now_ns, p.settings.rules) == p.settings.rules.cold_capacity_share
+    endpoint = p.endpoints["c0"]
+    p.ejection.record_failure(endpoint, 2, True)
+    p.ejection.record_failure(endpoint, 2, True)
+    assert endpoint.is_ejected
+    p.ejection.record_success(endpoint)
+    assert endpoint.warm_fraction(p.state.now_ns, p.settings.rules) == p.settings.rules.cold_capacity_share
 
 
-def test_sibling_that_holds_the_object_is_asked_first() -> None:
+def test_sibling_that_holds_the_object_is_the_first_fill_source() -> None:
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
-    end(p, S + MS, f, Outcome.OK, note=FillResult.HIT)
+    end(p, S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
     p.handle(S, api.ServerList("update", (api.Server(f.server, api.Role.CACHE, "a", weight=1e-6),)))
     (g,) = fetches(ask(p, 2 * S, "s", 1))
     assert g.server != f.server
@@ -152,12 +154,12 @@
     p = policy()
     for n in range(21_000):
         for f in fetches(ask(p, S + n * MS, f"r{n}", n)):
-            end(p, S + n * MS, f, Outcome.OK, note=FillResult.HIT)
+            end(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert len(p.state.histories) <= 20_000
     assert not p.requests_in_flight
 
 
-def test_failed_subscription_is_asked_again_later() -> None:
+def test_failed_subscription_is_repeated_later() -> None:
     p = policy(discovery="ask")
     (timer,) = p.handle(S, api.ServerList("unavailable"))
     assert isinstance(timer, api.SetTimer)
@@ -178,7 +180,7 @@
     assert "line " in capsys.readouterr().err
 
 
-def test_error_in_the_module_is_reported_on_the_wire() -> None:
+def test_error_in_the_decision_package_is_reported_on_the_wire() -> None:
     out = io.StringIO()
     options = {"az": "a", "dcs": ["a"], "classes": [{"name": "x"}], "limits": {"most_tries": 2}}
     lines = [
@@ -191,16 +193,16 @@
     assert json.loads(out.getvalue().splitlines()[-2])[0] == "Exception"
 
 
-def test_recent_sends_are_a_kept_sum() -> None:
+def test_recent_sends_are_summed_incrementally() -> None:
     """With one cold cache, each request added up all work sent to its warm peers: 91 us became 324 us."""
     p = policy(weight_source="off")
     for n in range(200):
         (f,) = fetches(ask(p, S + n * 20 * MS, f"r{n}", n))
-        end(p, S + n * 20 * MS + MS, f, Outcome.OK, took=MS, note=FillResult.HIT)
+        end(p, S + n * 20 * MS + MS, f, Outcome.OK, elapsed_ns=MS, fill_result=FillResult.HIT)
     now = 6 * S
-    for node in p.endpoints.values():
-        expected = sum(w for t, w in node.work_sent.samples if t > now - S // 2)
-        assert abs(node.work_sent.sum_since(now - S // 2) - expected) < 1e-3
-        assert len(node.work_sent.samples) <= 200
-        assert node.work_sent.sum_since(now) == 0.0
-        assert not node.work_sent.samples
+    for endpoint in p.endpoints.values():
+        expected = sum(w for t, w in endpoint.work_sent.samples if t > now - S // 2)
+        assert abs(endpoint.work_sent.sum_since(now - S // 2) - expected) < 1e-3
+        assert len(endpoint.work_sent.samples) <= 200
+        assert endpoint.work_sent.sum_since(now) == 0.0
+        assert not endpoint.work_sent.samples
--- a/tests/decision/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -46,18 +46,20 @@
         assert sum(sent[step + k] for k in range(4)) * unit <= 2.0 * low * weight
 
 
-def test_trials_of_all_routers_do_not_topple_a_server_that_comes_back_cold() -> None:
+def test_trials_of_all_routers_do_not_overload_a_server_that_restarts_cold() -> None:
     """Parents that restarted within a second collapsed under the load of routers whose endpoint list did not
     show the restart yet.
     """
-    at, now = 0, 100 * S
+    trials, now = 0, 100 * S
     for n, p in enumerate(fleet([x for x in servers() if x.name != "p1"])):
         p.state.now_ns = now
         p.ejection.record_failure(p.endpoints["p0"], 3, True)
         for step in range(4):
-            fs = fetches(ask(p, now + 2 * S + step * 250 * MS, f"r{step}", n * 1000 + step, size_kb=300.0))
-            at += sum(f.fill_source == "p0" for f in fs)
-    assert at * 0.3 <= 2.0 * 0.07 * 20
+            forwards = fetches(
+                ask(p, now + 2 * S + step * 250 * MS, f"r{step}", n * 1000 + step, size_kb=300.0)
+            )
+            trials += sum(f.fill_source == "p0" for f in forwards)
+    assert trials * 0.3 <= 2.0 * 0.07 * 20
 
 
 def test_one_refused_connection_is_enough() -> None:
@@ -68,7 +70,7 @@
     assert g.server != f.server
 
 
-def test_lost_connections_tell_nothing_of_a_server() -> None:
+def test_lost_connections_do_not_eject_a_server() -> None:
     """Each unreadable response ejected its cache, which then counted as cold, and the others got its load."""
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
@@ -79,28 +81,28 @@
     assert not p.endpoints[f.server].is_ejected
 
 
-def test_unreachable_source_is_dead_at_once() -> None:
+def test_unreachable_source_is_ejected_immediately() -> None:
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
-    end(p, S + MS, f, Outcome.FULL, note=FillResult.SOURCE_BROKE)
+    end(p, S + MS, f, Outcome.FULL, fill_result=FillResult.SOURCE_BROKE)
     assert p.endpoints[f.fill_source].is_ejected
     assert not p.endpoints[f.server].is_ejected
 
 
 def test_trials_grow_rarer_up_to_a_limit() -> None:
     p = policy()
-    health = p.endpoints["c0"].outlier_state
+    outlier_state = p.endpoints["c0"].outlier_state
     p.ejection.record_failure(p.endpoints["c0"], 3, False)
     waits = []
     for _ in range(6):
-        now = health.next_trial_ns
-        health.record_trial(now)
-        waits.append(health.next_trial_ns - now)
+        now = outlier_state.next_trial_ns
+        outlier_state.record_trial(now)
+        waits.append(outlier_state.next_trial_ns - now)
     assert waits == sorted(waits)
     assert waits[0] < waits[-1] == MAX_TRIAL_INTERVAL_NS
-    health.record_success(0)
-    health.record_trial(0)
-    assert health.next_trial_ns == waits[0]
+    outlier_state.record_success(0)
+    outlier_state.record_trial(0)
+    assert outlier_state.next_trial_ns == waits[0]
 
 
 def test_list_corrects_a_guessed_start() -> None:
@@ -108,60 +110,60 @@
     p.state.now_ns = 50 * S
     p.ejection.record_failure(p.endpoints["c0"], 3, True)
     p.ejection.record_success(p.endpoints["c0"])
-    told = replace(servers()[0], started_ns=45 * S)
-    p.handle(52 * S, api.ServerList("update", (told,)))
+    corrected = replace(servers()[0], started_ns=45 * S)
+    p.handle(52 * S, api.ServerList("update", (corrected,)))
     assert p.endpoints["c0"].started_ns == 45 * S
 
 
-def offered(p: RoutingPolicy, start: int, rate: int, seconds: int) -> int:
+def rejections(p: RoutingPolicy, start: int, rate: int, seconds: int) -> int:
     """Send ``rate`` requests of 0.3 s each per second, and complete each admitted one immediately as a hit.
 
     Returns:
         The number of rejected requests.
     """
-    refused = 0
+    rejected = 0
     for n in range(rate * seconds):
         now = start + n * S // rate
         for a in ask(p, now, f"q{start}-{n}", n % 40, size_kb=300.0):
-            refused += isinstance(a, api.Reject)
+            rejected += isinstance(a, api.Reject)
             if isinstance(a, api.ForwardRequest):
-                end(p, now, a, Outcome.OK, took=300 * MS, note=FillResult.HIT)
-    return refused
+                end(p, now, a, Outcome.OK, elapsed_ns=300 * MS, fill_result=FillResult.HIT)
+    return rejected
 
 
-def test_load_is_shed_as_soon_as_caches_go() -> None:
+def test_requests_are_rejected_as_soon_as_caches_drain() -> None:
     """Responses are late only seconds after three of four caches drain; the weights show it immediately."""
     p = policy()
-    assert offered(p, 10 * S, 40, 10) == 0  # 12 s of transfers per second with capacity for 20
+    assert rejections(p, 10 * S, 40, 10) == 0  # 12 s of transfers per second with capacity for 20
     p.handle(20 * S, api.ServerList("update", tuple(replace(x, state="terminating") for x in servers()[1:4])))
-    assert 0.3 < offered(p, 20 * S, 40, 5) / 200 < 0.8  # 12 s of transfers per second with capacity for 5
+    assert 0.3 < rejections(p, 20 * S, 40, 5) / 200 < 0.8  # 12 s of transfers per second with capacity for 5
     p.handle(25 * S, api.ServerList("update", tuple(servers()[1:4])))
-    assert offered(p, 26 * S, 40, 5) == 0
+    assert rejections(p, 26 * S, 40, 5) == 0
 
 
-def test_untold_links_shed_nothing_in_advance() -> None:
-    assert offered(policy(weight_source="off"), 10 * S, 400, 2) == 0
+def test_without_weights_nothing_is_rejected_in_advance() -> None:
+    assert rejections(policy(weight_source="off"), 10 * S, 400, 2) == 0
 
 
-def test_bound_lets_in_the_cheapest() -> None:
-    gate = AdmissionController()
+def test_capacity_limit_admits_the_lowest_price() -> None:
+    controller = AdmissionController()
     for n in range(64):
-        gate.record_arrival(1.0 + n % 2 * 9, 1.0, n)
-    gate.limit_to_capacity(0.5 * gate.offered_work.total / (4 * S))
-    assert gate.admits(1.0)
-    assert not gate.admits(10.1)
+        controller.record_arrival(1.0 + n % 2 * 9, 1.0, n)
+    controller.limit_to_capacity(0.5 * controller.offered_work.total / (4 * S))
+    assert controller.admits(1.0)
+    assert not controller.admits(10.1)
 
 
-def test_gate_opens_sooner_on_answers_with_time_to_spare() -> None:
+def test_threshold_rises_faster_on_responses_with_slack() -> None:
     """After an overload the threshold stayed low for ten seconds while the caches were idle."""
-    cutoffs = []
+    thresholds = []
     for spare in (False, True):
-        gate = AdmissionController()
-        gate.cost_threshold = MIN_COST_THRESHOLD
+        controller = AdmissionController()
+        controller.cost_threshold = MIN_COST_THRESHOLD
         for n in range(1, 4):
-            gate.record_latency(False, n * S, n * S, spare)
-        cutoffs.append(gate.cost_threshold)
-    assert cutoffs[0] * 2 < cutoffs[1]
+            controller.record_latency(False, n * S, n * S, spare)
+        thresholds.append(controller.cost_threshold)
+    assert thresholds[0] * 2 < thresholds[1]
 
 
 def test_slow_cache_loses_part_of_its_objects() -> None:
@@ -173,7 +175,7 @@
         shares.append(Counter[str]())
         for n in range(400):
             (f,) = fetches(ask(p, S, f"r{n}", n))
-            end(p, S, f, Outcome.OK, note=FillResult.HIT)
+            end(p, S, f, Outcome.OK, fill_result=FillResult.HIT)
             shares[-1][f.server] += 1
     before, after = shares
     assert 0 < after["c0"] < 0.6 * before["c0"]
@@ -213,7 +215,7 @@
     assert sum(seen.values()) < 40
 
 
-def test_replaced_servers_are_forgotten() -> None:
+def test_replaced_servers_are_removed() -> None:
     """Replacements have new names, so a long-running router kept a record of every server ever listed."""
     p = policy()
     for n in range(300):
@@ -221,15 +223,15 @@
         gone = replace(old, state="terminated")
         p.handle(S + n * S, api.ServerList("update", (gone, new)))
         for f in fetches(ask(p, S + n * S, f"r{n}", n)):
-            end(p, S + n * S + MS, f, Outcome.OK, note=FillResult.HIT)
+            end(p, S + n * S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert len(p.endpoints) <= len(servers()) + 2
     assert all(len(n.work_sent.samples) <= 300 for n in p.endpoints.values())
 
 
-def test_only_hits_for_long_do_not_stop_the_bound() -> None:
+def test_a_long_run_of_hits_keeps_the_fill_share_above_zero() -> None:
     """The share of expected fills that actually are fills must stay above 0, as it is a divisor."""
     p = policy(siblings="off")
     for n in range(20_000):
         for f in fetches(ask(p, S + n * MS, f"r{n}", n, size_kb=1.0)):
-            end(p, S + n * MS, f, Outcome.OK, note=FillResult.HIT)
+            end(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert p.admission.actual_fill_share > 0
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -20,38 +20,41 @@
 from tests.support.policy_fixtures import MS, S, ask, fetches, policy, servers
 
 
-def answer(
+def end_with_report(
     p: RoutingPolicy,
     now: int,
     f: api.ForwardRequest,
-    note: FillResult,
+    fill_result: FillResult,
     link: float,
     outcome: Outcome = Outcome.OK,
-    took: int = 100 * MS,
+    elapsed_ns: int = 100 * MS,
 ) -> list[api.Action]:
     """End an attempt, with a load report of the zone's link."""
     return p.handle(
-        now, api.AttemptEnded(f.id, 0, f.server, outcome, took, outcome is Outcome.OK, note, 0, {"x1": link})
+        now,
+        api.AttemptEnded(
+            f.id, 0, f.server, outcome, elapsed_ns, outcome is Outcome.OK, fill_result, 0, {"x1": link}
+        ),
     )
 
 
-def warmed(**changes: object) -> RoutingPolicy:
+def warm_policy(**changes: object) -> RoutingPolicy:
     """Return a policy that has handled a few requests of usual size, all of them hits."""
     p = policy(weight_source="off", max_transfer_kb_per_s=0.0, allows_cache_bypass=True, **changes)
     for n in range(20):
         (f,) = fetches(ask(p, S + n * 50 * MS, f"w{n}", 1000 + n))
-        answer(p, S + n * 50 * MS + 100 * MS, f, FillResult.HIT, 0.5)
+        end_with_report(p, S + n * 50 * MS + 100 * MS, f, FillResult.HIT, 0.5)
     return p
 
 
-THIN = {"weight_source": "off", "max_transfer_kb_per_s": 0.0, "instances": 40}
+NO_WEIGHTS = {"weight_source": "off", "max_transfer_kb_per_s": 0.0, "instances": 40}
 COLD = {
     "cold_capacity_share": 0.17,
     "warm_up_ns": 15 * S,
     "overload_collapse_multiple": 2.5,
     "overload_collapse_ns": 2 * S,
 }
-EVEN = [replace(x, weight=1.0) for x in servers()]
+EQUAL_SERVERS = [replace(x, weight=1.0) for x in servers()]
 
 
 class SlowParent(unittest.TestCase):
@@ -68,7 +71,7 @@
                 return None
             return int(random.lognormvariate(0, 0.8) * 250 * MS), Outcome.OK, FillResult.FILLED, {}
 
-        fleet = PolicyFleet([policy(**THIN, router_index=n) for n in range(40)], reply)
+        fleet = PolicyFleet([policy(**NO_WEIGHTS, router_index=n) for n in range(40)], reply)
         fleet.schedule_requests(2 * S, 18 * S, 250 * MS, random)
         fleet.run(22 * S)
 
@@ -87,16 +90,16 @@
         random = Random(2)
 
         def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
-            took = 2500 * MS if f.fill_source == "p0" and now > 4 * S else 300 * MS
+            elapsed_ns = 2500 * MS if f.fill_source == "p0" and now > 4 * S else 300 * MS
             return (
-                took,
+                elapsed_ns,
                 Outcome.OK,
                 FillResult.FILLED_FROM_ORIGIN if f.fill_source == "o" else FillResult.FILLED,
                 {},
             )
 
-        lines = [x for x in EVEN if x.name != "p1"]
-        fleet = PolicyFleet([policy(lines, **THIN, router_index=n) for n in range(40)], reply)
+        lines = [x for x in EQUAL_SERVERS if x.name != "p1"]
+        fleet = PolicyFleet([policy(lines, **NO_WEIGHTS, router_index=n) for n in range(40)], reply)
         for n in range(40):  # writes are executed at the origin, so its time is known
             for k in range(5):
                 fleet.schedule(
@@ -116,7 +119,7 @@
     """
 
     def test_failed_fills_count_as_late_ones(self) -> None:
-        p = policy(EVEN, **THIN)
+        p = policy(EQUAL_SERVERS, **NO_WEIGHTS)
         for n in range(60):
             (f,) = fetches(ask(p, S + n * 100 * MS, f"r{n}", n))
             broke = f.fill_source == "p0" and n % 2 == 0
@@ -155,22 +158,24 @@
             if f.server not in sends:
                 return 250 * MS, Outcome.OK, FillResult.FILLED, {}
             sends[f.server].append(now)
-            lately = sum(now - 1300 * MS < at <= now - 300 * MS for at in sends[f.server][-200:]) * 0.25
-            busy = round(lately / capacity[f.server], 3)
-            return 250 * MS, Outcome.OK, FillResult.HIT, {"utilization": busy, "x0": 0.7, "x1": 0.3}
+            recent_work = sum(now - 1300 * MS < at <= now - 300 * MS for at in sends[f.server][-200:]) * 0.25
+            utilization = round(recent_work / capacity[f.server], 3)
+            return 250 * MS, Outcome.OK, FillResult.HIT, {"utilization": utilization, "x0": 0.7, "x1": 0.3}
 
-        fleet = PolicyFleet([policy(EVEN, **THIN, zone_instances=8, router_index=n) for n in range(8)], reply)
+        fleet = PolicyFleet(
+            [policy(EQUAL_SERVERS, **NO_WEIGHTS, zone_instances=8, router_index=n) for n in range(8)], reply
+        )
         fleet.schedule_requests(2 * S, 20 * S, 100 * MS, random, 300)
         fleet.run(24 * S)
-        late = {name: sum(at > 12 * S for at in found) / capacity[name] for name, found in sends.items()}
-        assert max(late.values()) / min(late.values()) < 1.7, late
+        late_load = {name: sum(at > 12 * S for at in found) / capacity[name] for name, found in sends.items()}
+        assert max(late_load.values()) / min(late_load.values()) < 1.7, late_load
         homes: dict[int, set[str]] = {}
         for n, router in enumerate(fleet.routers):
             for item in range(100):
                 (f,) = fetches(ask(router, 25 * S, f"home{n}-{item}", item))
                 homes.setdefault(item, set()).add(f.server)
-        alike = sum(len(found) == 1 for found in homes.values())
-        assert alike > 50, "the routers use the same reports, so most objects have one home"
+        objects_with_one_home = sum(len(found) == 1 for found in homes.values())
+        assert objects_with_one_home > 50, "the routers use the same reports, so most objects have one home"
 
 
 class ColdZone(unittest.TestCase):
@@ -180,27 +185,34 @@
 
     ROUTERS, CAPACITY, UNIT = 9, 12.0, 0.25
 
-    def fleet(self, told: bool) -> tuple[PolicyFleet, int]:
+    def fleet(self, listed: bool) -> tuple[PolicyFleet, int]:
         start, random = 100 * S, Random(3)
-        work: dict[str, list[int]] = {}
+        sends_by_server: dict[str, list[int]] = {}
 
         def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
-            sends = work.setdefault(f.server, [])
+            sends = sends_by_server.setdefault(f.server, [])
             sends.append(now)
             if f.server not in ("c0", "c1", "c2", "c3"):
                 return 300 * MS, Outcome.OK, FillResult.FILLED, {}
-            share = min(1.0, 0.2 + 0.8 * (now - start) / (15 * S))
-            lately = sum(now - 1300 * MS < at <= now - 300 * MS for at in sends) * self.UNIT
-            busy = lately / (share * self.CAPACITY)
-            took = int(self.UNIT * S * max(1.0, busy))
-            return took, Outcome.OK, FillResult.FILLED, {"utilization": busy, "x0": 0.01, "x1": 0.5}
+            warm_fraction = min(1.0, 0.2 + 0.8 * (now - start) / (15 * S))
+            recent_work = sum(now - 1300 * MS < at <= now - 300 * MS for at in sends) * self.UNIT
+            utilization = recent_work / (warm_fraction * self.CAPACITY)
+            elapsed_ns = int(self.UNIT * S * max(1.0, utilization))
+            return (
+                elapsed_ns,
+                Outcome.OK,
+                FillResult.FILLED,
+                {"utilization": utilization, "x0": 0.01, "x1": 0.5},
+            )
 
-        lines = [replace(x, started_ns=start) if told and x.role is api.Role.CACHE else x for x in EVEN]
+        lines = [
+            replace(x, started_ns=start) if listed and x.role is api.Role.CACHE else x for x in EQUAL_SERVERS
+        ]
         fleet = PolicyFleet(
             [
                 policy(
                     lines,
-                    **THIN,
+                    **NO_WEIGHTS,
                     **COLD,
                     allows_cache_bypass=True,
                     router_index=n,
@@ -220,36 +232,41 @@
             sends = [at - start for at, f in fleet.attempts if f.server == name]
             for step in range(since // (100 * MS), 130):
                 at = step * 100 * MS
-                share = 0.2 + 0.8 * at / (15 * S)
+                warm_fraction = 0.2 + 0.8 * at / (15 * S)
                 window = sum(at <= x < at + 2 * S for x in sends) * self.UNIT
-                assert window <= 2.5 * share * self.CAPACITY * 2, (name, at)
+                assert window <= 2.5 * warm_fraction * self.CAPACITY * 2, (name, at)
             assert sum(10 * S <= x < 14 * S for x in sends) / 4 > 6, name
 
-    def test_told_caches_are_used_within_the_rule(self) -> None:
-        self.check(*self.fleet(told=True), 0)
+    def test_listed_cold_caches_are_used_within_the_rule(self) -> None:
+        self.check(*self.fleet(listed=True), 0)
 
-    def test_its_caches_are_found_out_within_seconds(self) -> None:
+    def test_cold_caches_receive_requests_within_seconds(self) -> None:
         """No router had received a response from them yet, and each router had a turn only every 30 s."""
-        fleet, start = self.fleet(told=True)
+        fleet, start = self.fleet(listed=True)
         for name in ("c0", "c1", "c2", "c3"):
             early = sum(2 * S <= at - start < 4 * S for at, f in fleet.attempts if f.server == name)
             assert early > 2, name
 
     def test_a_cold_cache_that_reports_little_load_gets_more(self) -> None:
-        def admits(busy: float) -> bool:
+        def admits(utilization: float) -> bool:
             """Return whether a cold cache with 4.5 s of work completed and 1.5 s sent may get one more."""
-            p = policy([replace(x, started_ns=100 * S) for x in EVEN], **THIN, **COLD, zone_instances=8)
+            p = policy(
+                [replace(x, started_ns=100 * S) for x in EQUAL_SERVERS],
+                **NO_WEIGHTS,
+                **COLD,
+                zone_instances=8,
+            )
             (f,) = fetches(ask(p, 100 * S, "r", 1))
-            node = p.endpoints[f.server]
-            node.work_completed.add(100 * S, 4.5 * S)
-            node.work_sent.add(100 * S, 1.5 * S)
-            p.feedback.record_load_report(node, {"utilization": busy})
-            return p.slow_start.has_budget(node, p.requests_in_flight["r"])
+            endpoint = p.endpoints[f.server]
+            endpoint.work_completed.add(100 * S, 4.5 * S)
+            endpoint.work_sent.add(100 * S, 1.5 * S)
+            p.feedback.record_load_report(endpoint, {"utilization": utilization})
+            return p.slow_start.has_budget(endpoint, p.requests_in_flight["r"])
 
         assert (admits(0.2), admits(2.0)) == (True, False)
 
-    def test_few_hits_told_make_a_cache_cold_before_the_list_does(self) -> None:
-        fleet, start = self.fleet(told=False)
+    def test_a_low_hit_share_makes_a_cache_cold_before_the_list_does(self) -> None:
+        fleet, start = self.fleet(listed=False)
         self.check(fleet, start, 500 * MS)
         for router in fleet.routers:
             assert all(router.endpoints[f"c{n}"].started_ns > 0 for n in range(4))
@@ -261,24 +278,27 @@
     of the day.
     """
 
-    def test_no_fill_over_a_link_that_is_told_to_be_jammed(self) -> None:
-        p = warmed()
+    def test_no_fill_over_a_link_that_is_reported_as_overloaded(self) -> None:
+        p = warm_policy()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
-        answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
-        looks = [fetches(ask(p, 3 * S + (n + 3) * 50 * MS, f"n{n}", n)) for n in range(2, 22)]
-        assert [f.fill_source == f.server for (f,) in looks] == [True] * 20, "sent for a hit only"
-        ended = [answer(p, 4500 * MS, f, FillResult.NONE, 12.0, Outcome.MISS) for (f,) in looks]
+        end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
+        hit_only_requests = [fetches(ask(p, 3 * S + (n + 3) * 50 * MS, f"n{n}", n)) for n in range(2, 22)]
+        assert [f.fill_source == f.server for (f,) in hit_only_requests] == [True] * 20, "sent for a hit only"
+        ended = [
+            end_with_report(p, 4500 * MS, f, FillResult.NONE, 12.0, Outcome.MISS)
+            for (f,) in hit_only_requests
+        ]
         assert all(isinstance(a, api.Reject) for (a,) in ended), "rejected immediately after the miss"
 
-    def test_what_is_held_is_still_asked_for(self) -> None:
-        p = warmed()
+    def test_objects_with_a_known_copy_are_still_requested(self) -> None:
+        p = warm_policy()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
-        answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
+        end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         (f,) = fetches(ask(p, 3 * S + 200 * MS, "again", 1000))
         assert f.fill_source != f.server, "an object with a known copy is not subject to the limit on fills"
 
     def test_reports_that_make_no_sense_change_nothing(self) -> None:
-        p = warmed()
+        p = warm_policy()
         nan, inf = float("nan"), float("inf")
         odd = (
             {"x0": 0.5},
@@ -292,47 +312,47 @@
                 3 * S + n * 100 * MS + MS,
                 api.AttemptEnded(f.id, 0, f.server, Outcome.OK, MS, True, FillResult.HIT, 0, report),
             )
-        node = p.endpoints[f.server]
-        assert (node.utilization, p.admission.fills.link_load.value) == (0.5, 0.4)
-        assert node.mean_utilization.mean < 1.0
+        endpoint = p.endpoints[f.server]
+        assert (endpoint.utilization, p.admission.fills.link_load.value) == (0.5, 0.4)
+        assert endpoint.mean_utilization.mean < 1.0
 
     def test_fills_go_on_once_the_link_is_free(self) -> None:
-        p = warmed()
+        p = warm_policy()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
-        answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
+        end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         (f,) = fetches(ask(p, 3 * S + 200 * MS, "look", 2))
-        answer(p, 3 * S + 210 * MS, f, FillResult.NONE, 0.8, Outcome.MISS)
+        end_with_report(p, 3 * S + 210 * MS, f, FillResult.NONE, 0.8, Outcome.MISS)
         (f,) = fetches(ask(p, 3 * S + 300 * MS, "fill", 3))
         assert f.fill_source != f.server
 
-    def test_an_old_report_fades(self) -> None:
-        p = warmed()
+    def test_an_old_report_decays(self) -> None:
+        p = warm_policy()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
-        answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
+        end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         (f,) = fetches(ask(p, 7 * S, "soon", 2))
         assert f.fill_source == f.server
         (f,) = fetches(ask(p, 16 * S, "later", 3))
         assert f.fill_source != f.server
 
-    def test_looks_pass_cold_caches_by(self) -> None:
+    def test_hit_only_requests_avoid_cold_caches(self) -> None:
         """Requests for a hit only missed at cold caches, and used up the budgets of the cold caches."""
-        p = warmed()
+        p = warm_policy()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
-        answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
+        end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         p.handle(
             3 * S + 110 * MS,
             api.ServerList(
                 "update", tuple(replace(x, started_ns=3 * S) for x in servers() if x.name in ("c0", "c1"))
             ),
         )
-        asked = {f.server for n in range(40) for f in fetches(ask(p, 3200 * MS, f"l{n}", 2 + n))}
-        assert asked == {"c2", "c3"}
+        servers_used = {f.server for n in range(40) for f in fetches(ask(p, 3200 * MS, f"l{n}", 2 + n))}
+        assert servers_used == {"c2", "c3"}
 
-    def test_no_way_round_a_jammed_link(self) -> None:
+    def test_no_bypass_over_an_overloaded_link(self) -> None:
         """Without a usable cache, requests were sent directly to parents, over the same link."""
-        p = warmed()
+        p = warm_policy()
         (f,) = fetches(ask(p, 3 * S, "last", 1))
-        answer(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
+        end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         gone = tuple(x for x in servers() if x.role is not api.Role.CACHE)
         p.handle(3 * S + 150 * MS, api.ServerList("replace", gone))
         (a,) = [x for x in ask(p, 3 * S + 200 * MS, "none", 2) if not isinstance(x, api.SetTimer)]
@@ -358,7 +378,7 @@
         (7, "event None"),
     )
 
-    def test_a_bad_event_is_named_and_those_behind_it_are_heard(self) -> None:
+    def test_a_bad_event_is_reported_and_the_events_after_it_are_applied(self) -> None:
         good = {"n": 3, "purge": {"key": "00000000000000ff", "at": 1_764_576_000_000}}
         for bad, field in self.BAD:
             with self.subTest(field=field, bad=bad):
@@ -372,7 +392,7 @@
                 (line,) = [x for x in world.log if x.event == "feed.refused"]
                 assert field in line.text
 
-    def test_an_answer_that_is_none_is_refused(self) -> None:
+    def test_an_invalid_watch_response_is_refused(self) -> None:
         for raw in ({}, {"n": 1}, {"n": "x", "events": []}, [], {"n": 1, "events": 3}):
             with self.subTest(raw=raw), pytest.raises(FeedError):
                 parse_watch_response(raw)
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -34,18 +34,18 @@
 def test_time_out_at_the_deadline_still_gets_fail() -> None:
     p = policy()
     (f,) = fetches(ask(p, S, "r", time_remaining_ns=S))
-    actions = end(p, 2 * S, f, Outcome.TIMEOUT, took=S)
+    actions = end(p, 2 * S, f, Outcome.TIMEOUT, elapsed_ns=S)
     assert api.Fail("r") in actions
     assert not fetches(actions)
 
 
 @pytest.mark.parametrize("lines", [[], [replace(s, state="terminating") for s in servers()]])
-def test_nothing_usable_is_one_refusal(lines: list[api.Server]) -> None:
+def test_no_usable_server_gives_one_rejection(lines: list[api.Server]) -> None:
     actions = ask(policy(lines), S, "r")
     assert [a for a in actions if isinstance(a, (api.Reject, api.Fail))] == [api.Reject("r")]
 
 
-def test_unknown_ids_are_passed_over() -> None:
+def test_unknown_ids_are_ignored() -> None:
     p = policy()
     assert p.handle(S, api.ClientDisconnected("never")) == []
     assert p.handle(S, api.AttemptEnded("never", 0, "c0", Outcome.OK, 1, True)) == []
@@ -83,8 +83,8 @@
     cell = {s.name: s.cell for s in servers()}
     assert again
     assert all(cell[a.server] == cell[f.server] or group == "zone" for a in again)
-    refused = end(p, S + 2 * MS, again[0], Outcome.RESET, 1)
-    assert not any(isinstance(a, api.Reject) for a in refused)
+    actions = end(p, S + 2 * MS, again[0], Outcome.RESET, 1)
+    assert not any(isinstance(a, api.Reject) for a in actions)
 
 
 def test_keyed_window_counts_from_the_first_send() -> None:
@@ -121,8 +121,8 @@
     p = policy([cold, *(s for s in servers() if s.role is not cold.role or s.name == "c1")])
     sent = 0
     for n in range(400):
-        fs = fetches(ask(p, start + n * MS, f"r{n}", n, size_kb=300.0))
-        sent += sum(cold.name in (f.server, f.fill_source) for f in fs)
+        forwards = fetches(ask(p, start + n * MS, f"r{n}", n, size_kb=300.0))
+        sent += sum(cold.name in (f.server, f.fill_source) for f in forwards)
     assert 0 < sent * 0.3 <= budget
 
 
@@ -165,81 +165,94 @@
 ]
 
 
-def random_day(seed: int, variant: int) -> str:
+def run_random_events(seed: int, variant: int) -> str:
     """Pass random events to a policy, check the rules on each action, and return all actions as text."""
     rng, s = random.Random(seed), settings(**VARIANTS[variant])  # type: ignore[arg-type]
-    p, lines, now = RoutingPolicy(s), {x.name: x for x in servers()}, S
-    said, purged, log = dict(lines), {}, []
-    open_: dict[str, tuple[api.RequestClass, int, int]] = {}
-    out: dict[tuple[str, int], tuple[api.ForwardRequest, int]] = {}
-    tries: dict[str, int] = {}
-    ran: dict[str, tuple[int, str]] = {}
+    p, initial_servers, now = RoutingPolicy(s), {x.name: x for x in servers()}, S
+    listed, purged, log = dict(initial_servers), {}, []
+    open_requests: dict[str, tuple[api.RequestClass, int, int]] = {}
+    in_flight: dict[tuple[str, int], tuple[api.ForwardRequest, int]] = {}
+    attempt_counts: dict[str, int] = {}
+    possible_executions: dict[str, tuple[int, str]] = {}
 
     def check(actions: list[api.Action]) -> None:
         for a in actions:
             log.append(repr(a))
             if isinstance(a, api.ForwardRequest):
-                cls, item, _ = open_[a.id]
-                assert said[a.server].state == said[a.fill_source].state == "in_service"
-                assert said[a.server].role is not api.Role.CACHE or said[a.server].zone == "a"
-                assert said[a.server].role is api.Role.CACHE or s.allows_cache_bypass
+                cls, item, _ = open_requests[a.id]
+                assert listed[a.server].state == listed[a.fill_source].state == "in_service"
+                assert listed[a.server].role is not api.Role.CACHE or listed[a.server].zone == "a"
+                assert listed[a.server].role is api.Role.CACHE or s.allows_cache_bypass
                 assert item not in purged or 0 < a.max_age_ns < max(now - purged[item], 2 * MS)
-                going = [k for k in out if k[0] == a.id]
-                assert not going or (s.limits.may_hedge and cls.idempotency is api.Idempotency.SAFE)
-                if a.id in ran:
+                others_in_flight = [k for k in in_flight if k[0] == a.id]
+                assert not others_in_flight or (
+                    s.limits.may_hedge and cls.idempotency is api.Idempotency.SAFE
+                )
+                if a.id in possible_executions:
                     assert cls.idempotency is not api.Idempotency.UNSAFE
-                    assert cls.idempotency is api.Idempotency.SAFE or now < ran[a.id][0] + cls.dedup_window_ns
-                    assert cls.dedup_scope != "cell" or said[a.server].cell == said[ran[a.id][1]].cell
-                out[(a.id, tries[a.id])] = (a, now)
-                tries[a.id] += 1
-                assert tries[a.id] <= s.limits.max_attempts
+                    assert (
+                        cls.idempotency is api.Idempotency.SAFE
+                        or now < possible_executions[a.id][0] + cls.dedup_window_ns
+                    )
+                    assert (
+                        cls.dedup_scope != "cell"
+                        or listed[a.server].cell == listed[possible_executions[a.id][1]].cell
+                    )
+                in_flight[(a.id, attempt_counts[a.id])] = (a, now)
+                attempt_counts[a.id] += 1
+                assert attempt_counts[a.id] <= s.limits.max_attempts
             elif isinstance(a, (api.Reject, api.Fail)):
-                cls = open_.pop(a.id)[0]
-                if isinstance(a, api.Reject) and (a.id in ran or any(k[0] == a.id for k in out)):
+                cls = open_requests.pop(a.id)[0]
+                if isinstance(a, api.Reject) and (
+                    a.id in possible_executions or any(k[0] == a.id for k in in_flight)
+                ):
                     keyed_all = (cls.idempotency, cls.dedup_scope) == (api.Idempotency.KEYED, "all")
                     assert cls.idempotency is api.Idempotency.SAFE or keyed_all
             elif isinstance(a, api.Cancel):
                 assert s.limits.may_cancel
-                assert a.attempt < tries[a.id]
+                assert a.attempt < attempt_counts[a.id]
 
     def finish(key: tuple[str, int], outcome: Outcome) -> None:
-        f, sent = out.pop(key)
-        if not outcome.proves_not_executed and f.id not in ran:
-            ran[f.id] = (sent, f.server)
-        over = f.id not in open_ or outcome is Outcome.OK
+        f, sent = in_flight.pop(key)
+        if not outcome.proves_not_executed and f.id not in possible_executions:
+            possible_executions[f.id] = (sent, f.server)
+        is_final = f.id not in open_requests or outcome is Outcome.OK
         if outcome is Outcome.OK:
-            open_.pop(f.id, None)
-        note = rng.choice(list(api.FillResult)) if s.notes == "all" else api.FillResult.NONE
+            open_requests.pop(f.id, None)
+        fill_result = rng.choice(list(api.FillResult)) if s.notes == "all" else api.FillResult.NONE
         check(
-            p.handle(now, api.AttemptEnded(f.id, key[1], f.server, outcome, now - sent, over, note, 5 * MS))
+            p.handle(
+                now,
+                api.AttemptEnded(f.id, key[1], f.server, outcome, now - sent, is_final, fill_result, 5 * MS),
+            )
         )
 
     check(p.start(now))
-    check(p.handle(now, api.ServerList("restored", tuple(lines.values()))))
+    check(p.handle(now, api.ServerList("restored", tuple(initial_servers.values()))))
     for n in range(1500):
         now += rng.randrange(0, 40) * MS
-        for key in sorted(out):
-            if key in out and now >= out[key][1] + out[key][0].timeout_ns:
+        for key in sorted(in_flight):
+            if key in in_flight and now >= in_flight[key][1] + in_flight[key][0].timeout_ns:
                 finish(key, Outcome.TIMEOUT)
-        for name, (_, _, due) in list(open_.items()):
-            assert now <= due or any(k[0] == name for k in out), "no final response by the deadline"
-        roll = rng.random()
-        if roll < 0.45:
+        for name, (_, _, due) in list(open_requests.items()):
+            assert now <= due or any(k[0] == name for k in in_flight), "no final response by the deadline"
+        event_choice = rng.random()
+        if event_choice < 0.45:
             cls, item = rng.choice(s.classes), rng.randrange(30)
-            open_[f"r{n}"], tries[f"r{n}"] = (cls, item, now + S), 0
+            open_requests[f"r{n}"], attempt_counts[f"r{n}"] = (cls, item, now + S), 0
             size = rng.choice([0, 50.0])
             check(p.handle(now, api.Request(f"r{n}", cls.name, S, item, purge_group=0, size_kb=size)))
-        elif roll < 0.85 and out:
-            finish(rng.choice(sorted(out)), rng.choice([Outcome.OK] * 6 + list(Outcome)))
-        elif roll < 0.9:
+        elif event_choice < 0.85 and in_flight:
+            finish(rng.choice(sorted(in_flight)), rng.choice([Outcome.OK] * 6 + list(Outcome)))
+        elif event_choice < 0.9:
             item = rng.randrange(30)
             purged[item] = now - 50 * MS
             check(p.handle(now, api.Purged(item, 0, 50 * MS)))
-        elif roll < 0.95:
-            x = rng.choice(sorted(lines))
+        elif event_choice < 0.95:
+            x = rng.choice(sorted(initial_servers))
             state = rng.choice(["in_service", "in_service", "terminating", "terminated"])
-            said[x] = replace(lines[x], state=state, started_ns=rng.choice([0, now]))
-            check(p.handle(now, api.ServerList("update", (said[x],))))
+            listed[x] = replace(initial_servers[x], state=state, started_ns=rng.choice([0, now]))
+            check(p.handle(now, api.ServerList("update", (listed[x],))))
         else:
             check(p.handle(now, api.TimerExpired(0)))
     assert len(p.requests_in_flight) < 400
@@ -249,16 +262,17 @@
 
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 @pytest.mark.parametrize("seed", range(4))
-def test_random_days_keep_the_rules(seed: int, variant: int) -> None:
-    assert random_day(seed, variant) == random_day(seed, variant)
+def test_random_events_keep_the_rules(seed: int, variant: int) -> None:
+    assert run_random_events(seed, variant) == run_random_events(seed, variant)
 
 
 def test_same_actions_under_another_hash_seed() -> None:
     code = (
-        "import tests.decision.test_rules as rules, zlib; print(zlib.crc32(rules.random_day(1, 2).encode()))"
+        "import tests.decision.test_rules as rules, zlib; "
+        "print(zlib.crc32(rules.run_random_events(1, 2).encode()))"
     )
     path = os.getcwd()
-    seen = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", code],
             check=True,
@@ -268,4 +282,4 @@
         ).stdout
         for seed in ("1", "2")
     }
-    assert len(seen) == 1
+    assert len(outputs) == 1
--- a/tests/decision/test_untold_failures.py
+++ b/tests/decision/test_untold_failures.py
@@ -9,50 +9,54 @@
 from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy
 
 
-class Untold(unittest.TestCase):
-    def refused(self, notes: str, took: int, note: FillResult = FillResult.NONE) -> tuple[bool, bool]:
-        """Reject one fill after ``took``; return whether its source and its cache are ejected then."""
+class UnreportedFillFailures(unittest.TestCase):
+    def reject_fill(
+        self, notes: str, elapsed_ns: int, fill_result: FillResult = FillResult.NONE
+    ) -> tuple[bool, bool]:
+        """Reject one fill after ``elapsed_ns``; return whether its source and its cache are ejected then."""
         p = policy(notes=notes, connect_timeout_ns=400 * MS)
         (f,) = fetches(ask(p, S, "r", 1))
-        end(p, S + took, f, Outcome.FULL, took=took, note=note)
+        end(p, S + elapsed_ns, f, Outcome.FULL, elapsed_ns=elapsed_ns, fill_result=fill_result)
         return p.endpoints[f.fill_source].is_ejected, p.endpoints[f.server].is_ejected
 
-    def test_a_source_that_was_not_reached_in_a_dials_time_is_dead(self) -> None:
+    def test_a_source_not_reached_within_the_connect_timeout_is_ejected(self) -> None:
         """Five of twelve parents were silent for five seconds, and nearly all of 200 routers kept using them
         as fill sources.  Each fill was rejected after 0.83 s and the failure was attributed to the cache.
         When the parents were back, cold, they received the full load immediately and collapsed.
         """
         for notes in ("hit", "off"):
-            assert self.refused(notes, 831 * MS) == (True, False)
-            assert self.refused(notes, 50 * MS) == (False, False), "may just be at capacity"
-        assert self.refused("all", 831 * MS) == (False, False), "the response would have reported the cause"
-        assert self.refused("all", 50 * MS, FillResult.SOURCE_BROKE) == (True, False)
+            assert self.reject_fill(notes, 831 * MS) == (True, False)
+            assert self.reject_fill(notes, 50 * MS) == (False, False), "may just be at capacity"
+        assert self.reject_fill("all", 831 * MS) == (False, False), (
+            "the response would have reported the cause"
+        )
+        assert self.reject_fill("all", 50 * MS, FillResult.SOURCE_BROKE) == (True, False)
 
-    def test_it_is_cold_when_it_is_back(self) -> None:
+    def test_a_restored_parent_is_cold(self) -> None:
         p = policy(notes="hit", connect_timeout_ns=400 * MS)
         (f,) = fetches(ask(p, S, "r", 1))
-        end(p, 2 * S, f, Outcome.FULL, took=831 * MS)
-        node = p.endpoints[f.fill_source]
-        assert node.server.role == Role.PARENT
-        p.ejection.record_success(node)
+        end(p, 2 * S, f, Outcome.FULL, elapsed_ns=831 * MS)
+        source = p.endpoints[f.fill_source]
+        assert source.server.role == Role.PARENT
+        p.ejection.record_success(source)
         assert (
-            node.warm_fraction(p.state.now_ns, p.settings.rules)
+            source.warm_fraction(p.state.now_ns, p.settings.rules)
             == p.settings.rules.parent_cold_capacity_share
         )
 
-    def test_a_dials_time_that_is_not_told_tells_nothing(self) -> None:
+    def test_no_source_is_ejected_if_the_connect_timeout_is_unknown(self) -> None:
         p = policy(notes="hit")
         (f,) = fetches(ask(p, S, "r", 1))
-        end(p, 2 * S, f, Outcome.FULL, took=831 * MS)
+        end(p, 2 * S, f, Outcome.FULL, elapsed_ns=831 * MS)
         assert not p.endpoints[f.fill_source].is_ejected
 
-    def test_a_source_that_turns_fills_away_gets_fewer(self) -> None:
+    def test_a_rejected_fill_counts_as_a_slow_one(self) -> None:
         p = policy(notes="hit", connect_timeout_ns=400 * MS)
         (f,) = fetches(ask(p, S, "r", 1))
-        end(p, S + 10 * MS, f, Outcome.FULL, took=10 * MS)
+        end(p, S + 10 * MS, f, Outcome.FULL, elapsed_ns=10 * MS)
         assert p.endpoints[f.fill_source].log_first_byte_ns.sample_count == 1
 
-    def test_an_origin_that_turns_all_away_is_spared(self) -> None:
+    def test_an_origin_that_rejects_all_requests_is_ejected(self) -> None:
         """The origin received each fill that its parents had rejected, 765 per second with capacity for 100.
         For five seconds it processed requests whose clients no longer waited, and accepted no order
         request.
@@ -65,7 +69,7 @@
             for f in fetches(actions):
                 if f.fill_source == origin.server.name:
                     count += 1
-                    end(p, S + n * MS, f, Outcome.FULL, took=MS)
+                    end(p, S + n * MS, f, Outcome.FULL, elapsed_ns=MS)
             if origin.is_ejected:
                 break
         assert origin.is_ejected
--- a/tests/support/policy_fixtures.py
+++ b/tests/support/policy_fixtures.py
@@ -49,7 +49,7 @@
     limits = api.Limits(may_cancel=True, may_hedge=False, max_attempts=6)
     limits = replace(limits, **{k: changes.pop(k) for k in list(changes) if hasattr(limits, k)})
     rules = replace(RULES, **{k: changes.pop(k) for k in list(changes) if hasattr(RULES, k)})
-    base: dict[str, Any] = {
+    values: dict[str, Any] = {
         "zone": "a",
         "zones": ("a", "b", "h1", "h2"),
         "classes": (SAFE, KEYED, UNSAFE),
@@ -61,7 +61,7 @@
         "max_transfer_kb_per_s": 1000.0,
         "clock_tick_ns": 2 * MS,
     }
-    return api.Settings(**{**base, **changes})
+    return api.Settings(**{**values, **changes})
 
 
 def servers() -> list[api.Server]:
@@ -74,11 +74,13 @@
     ]
 
 
-def policy(lines: list[api.Server] | None = None, **changes: Any) -> RoutingPolicy:
-    made = RoutingPolicy(settings(**changes))
-    made.start(S)
-    made.handle(S, api.ServerList("restored", tuple(servers() if lines is None else lines)))
-    return made
+def policy(listed_servers: list[api.Server] | None = None, **changes: Any) -> RoutingPolicy:
+    routing_policy = RoutingPolicy(settings(**changes))
+    routing_policy.start(S)
+    routing_policy.handle(
+        S, api.ServerList("restored", tuple(servers() if listed_servers is None else listed_servers))
+    )
+    return routing_policy
 
 
 def ask(
@@ -97,9 +99,11 @@
     f: api.ForwardRequest,
     outcome: api.Outcome,
     attempt: int = 0,
-    took: int = 10 * MS,
-    note: api.FillResult = api.FillResult.NONE,
+    elapsed_ns: int = 10 * MS,
+    fill_result: api.FillResult = api.FillResult.NONE,
     final: bool | None = None,
 ) -> list[api.Action]:
-    done = outcome is api.Outcome.OK if final is None else final
-    return p.handle(now, api.AttemptEnded(f.id, attempt, f.server, outcome, took, done, note))
+    is_final = outcome is api.Outcome.OK if final is None else final
+    return p.handle(
+        now, api.AttemptEnded(f.id, attempt, f.server, outcome, elapsed_ns, is_final, fill_result)
+    )
