--- a/kelpcroft/decision/outlier_ejection.py
+++ b/kelpcroft/decision/outlier_ejection.py
@@ -76,7 +76,7 @@
     def attribute_failure(self, attempt: Attempt, event: AttemptEnded) -> None:
         """Record the failure of an attempt for the server that caused it, if that can be determined."""
         if event.outcome in (Outcome.MISS, Outcome.CANCELLED, Outcome.MOOT, Outcome.RESET):
-            return  # a lost connection does not mean a stopped server: the next connection will show that
+            return  # after a lost connection, the next connect shows whether the server is available
         source = attempt.fill_source
         is_unreported = self.is_unreported_source_failure(attempt, event)
         if event.outcome is Outcome.CONNECT_FAILED:
@@ -90,8 +90,8 @@
         elif event.fill_result is FillResult.SOURCE_BROKE or (
             is_unreported and self._reached_connect_timeout(event)
         ):
-            # A source that could not be reached has failed.  A source whose transfer broke off may only have
-            # exceeded the time limit of a fill under overload.
+            # Outcome FULL: the cache could not reach the source, so the source has stopped.  Any other
+            # outcome: the transfer broke off, which may only be the time limit of a fill under overload.
             weight = EJECTION_FAILURE_SCORE if event.outcome is Outcome.FULL else FAILURE_SCORE
             self.record_failure(source, weight, True)
         elif event.fill_result is FillResult.NONE and event.outcome is Outcome.ERROR:
--- a/kelpcroft/decision/request_completion.py
+++ b/kelpcroft/decision/request_completion.py
@@ -7,7 +7,7 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.settings import Idempotency
 
-NO_ATTEMPT = -1  # no attempt has this number, so that none is excepted
+NO_ATTEMPT = -1  # value of ``except_number`` that matches no attempt, so that all attempts are cancelled
 
 
 class RequestCompletion:
@@ -27,7 +27,7 @@
             self.state.requests_in_flight.pop(request.request.id, None)
 
     def cancel_attempts(self, request: InFlightRequest, except_number: int) -> None:
-        """Cancel all attempts in flight of a request except one, if the deployment allows cancellation."""
+        """Cancel all attempts of a request in flight but one, if the deployment allows cancellation."""
         if not self.state.settings.limits.may_cancel:
             return
         for number in request.attempts_in_flight:
--- a/kelpcroft/decision/retries.py
+++ b/kelpcroft/decision/retries.py
@@ -17,7 +17,8 @@
 
 RETRY_TOKENS_PER_REQUEST: Final = 0.2  # tokens that each request adds to the retry budget (a token bucket)
 MAX_RETRY_TOKENS: Final = 20.0  # capacity of the token bucket; each further attempt costs one token
-MAX_SAME_SERVER_RESETS: Final = 2  # lost connections after which a request is still sent to the same server
+# Maximum number of lost connections of a request after which it is sent to the same server again
+MAX_SAME_SERVER_RESETS: Final = 2
 
 
 class Retries:
--- a/kelpcroft/decision/slow_start.py
+++ b/kelpcroft/decision/slow_start.py
@@ -23,8 +23,8 @@
 # Capacity assumed for a server without a weight, as a share of this router's load on the server's peers:
 # under overload, peers receive more than they have capacity for
 UNKNOWN_CAPACITY_OVER_LOAD: Final = 0.5
-# Factor on the number of turns that the cost of a request calls for: an interval of overload_collapse_ns
-# overlaps two turns, and the hashes of router numbers cluster
+# Intervals per cycle of turns, as a multiple of a request's cost over the router's budget: any window of
+# overload_collapse_ns overlaps two turns, and the hashes of router numbers cluster
 TURNS_PER_REQUEST: Final = 3
 
 
@@ -78,8 +78,8 @@
     def _has_turn(self, cost_ns: float, budget_ns: float) -> bool:
         """Return True if it is this router's turn to send one request.
 
-        If a router's budget is less than one request, the routers send in turn, in an order given by a hash
-        of their numbers.
+        If a router's budget is less than one request, the routers take turns.  A turn lasts
+        ``overload_collapse_ns``, and a hash of the router's number determines which turns it has.
         """
         settings = self.state.settings
         turns = math.ceil(TURNS_PER_REQUEST * cost_ns / budget_ns)
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize(("place", "budget"), [(0, 2.0 * 0.2 * 5), (5, 2.0 * 0.07 * 20)])
 def test_cold_server_gets_no_more_than_its_budget(place: int, budget: float) -> None:
-    """A burst must not make a cache or a parent collapse that has just started."""
+    """A burst must not overload a cache or a parent that has just started."""
     start = 100 * S
     cold = replace(servers()[place], started_ns=start)
     p = policy([cold, *(s for s in servers() if s.role is not cold.role or s.name == "c1")])
