--- a/tests/decision/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -1,4 +1,4 @@
-"""Failures found on large fleets, one test each: hundreds of routers that act alike and share nothing."""
+"""Regression tests for failures in large fleets: hundreds of routers that act alike and share no state."""
 
 from __future__ import annotations
 
@@ -28,8 +28,9 @@
 
 @pytest.mark.parametrize("apart", [1, 24])
 def test_cold_parent_gets_turns_within_its_budget(apart: int) -> None:
-    """A router's part of the budget was under one request, so a restarted parent never got a fill.  With
-    turns by number alone, routers of one zone, numbered a multiple apart, all took the same (ha226a3).
+    """A router's share of the budget was less than one request, so a restarted parent never received a fill.
+    With turns by router number alone, the routers of one zone, whose numbers differ by a multiple of the
+    number of turns, all had the same turn (ha226a3).
     """
     start, weight, unit = 100 * S, 20.0, 0.3
     lines = [replace(x, started_ns=start if x.name == "p0" else 0) for x in servers() if x.name != "p1"]
@@ -41,20 +42,24 @@
                 sent[step] += f.fill_source == "p0"
     assert sum(sent.values()) > 0
     for step in range(37):
-        low = 0.07 + 0.93 * step * 0.25 / 20  # its share at the start of this second
+        low = 0.07 + 0.93 * step * 0.25 / 20  # the parent's warm fraction at the start of this second
         assert sum(sent[step + k] for k in range(4)) * unit <= 2.0 * low * weight
 
 
-def test_trials_of_all_routers_do_not_topple_a_server_that_comes_back_cold() -> None:
-    """Parents back within a second were toppled by routers that the list had not told of the restart."""
-    at, now = 0, 100 * S
+def test_trials_of_all_routers_do_not_overload_a_server_that_restarts_cold() -> None:
+    """Parents that restarted within a second collapsed under the load of routers whose endpoint list did not
+    show the restart yet.
+    """
+    trials, now = 0, 100 * S
     for n, p in enumerate(fleet([x for x in servers() if x.name != "p1"])):
         p.state.now_ns = now
         p.ejection.record_failure(p.endpoints["p0"], 3, True)
         for step in range(4):
-            fs = fetches(ask(p, now + 2 * S + step * 250 * MS, f"r{step}", n * 1000 + step, size_kb=300.0))
-            at += sum(f.fill_source == "p0" for f in fs)
-    assert at * 0.3 <= 2.0 * 0.07 * 20
+            forwards = fetches(
+                ask(p, now + 2 * S + step * 250 * MS, f"r{step}", n * 1000 + step, size_kb=300.0)
+            )
+            trials += sum(f.fill_source == "p0" for f in forwards)
+    assert trials * 0.3 <= 2.0 * 0.07 * 20
 
 
 def test_one_refused_connection_is_enough() -> None:
@@ -65,8 +70,8 @@
     assert g.server != f.server
 
 
-def test_lost_connections_tell_nothing_of_a_server() -> None:
-    """Each answer that could not be read made its cache dead and then cold, and the rest took its load."""
+def test_lost_connections_do_not_eject_a_server() -> None:
+    """Each unreadable response ejected its cache, which then counted as cold, and the others got its load."""
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
     (g,) = fetches(end(p, S + MS, f, Outcome.RESET))
@@ -76,28 +81,28 @@
     assert not p.endpoints[f.server].is_ejected
 
 
-def test_unreachable_source_is_dead_at_once() -> None:
+def test_unreachable_source_is_ejected_immediately() -> None:
     p = policy()
     (f,) = fetches(ask(p, S, "r", 1))
-    end(p, S + MS, f, Outcome.FULL, note=FillResult.SOURCE_BROKE)
+    end(p, S + MS, f, Outcome.FULL, fill_result=FillResult.SOURCE_BROKE)
     assert p.endpoints[f.fill_source].is_ejected
     assert not p.endpoints[f.server].is_ejected
 
 
 def test_trials_grow_rarer_up_to_a_limit() -> None:
     p = policy()
-    health = p.endpoints["c0"].outlier_state
+    outlier_state = p.endpoints["c0"].outlier_state
     p.ejection.record_failure(p.endpoints["c0"], 3, False)
     waits = []
     for _ in range(6):
-        now = health.next_trial_ns
-        health.record_trial(now)
-        waits.append(health.next_trial_ns - now)
+        now = outlier_state.next_trial_ns
+        outlier_state.record_trial(now)
+        waits.append(outlier_state.next_trial_ns - now)
     assert waits == sorted(waits)
     assert waits[0] < waits[-1] == MAX_TRIAL_INTERVAL_NS
-    health.record_success(0)
-    health.record_trial(0)
-    assert health.next_trial_ns == waits[0]
+    outlier_state.record_success(0)
+    outlier_state.record_trial(0)
+    assert outlier_state.next_trial_ns == waits[0]
 
 
 def test_list_corrects_a_guessed_start() -> None:
@@ -105,60 +110,64 @@
     p.state.now_ns = 50 * S
     p.ejection.record_failure(p.endpoints["c0"], 3, True)
     p.ejection.record_success(p.endpoints["c0"])
-    told = replace(servers()[0], started_ns=45 * S)
-    p.handle(52 * S, api.ServerList("update", (told,)))
+    corrected = replace(servers()[0], started_ns=45 * S)
+    p.handle(52 * S, api.ServerList("update", (corrected,)))
     assert p.endpoints["c0"].started_ns == 45 * S
 
 
-def offered(p: RoutingPolicy, start: int, rate: int, seconds: int) -> int:
-    """How many of that many requests a second of 0.3 s each are refused, all hits answered at once."""
-    refused = 0
+def rejections(p: RoutingPolicy, start: int, rate: int, seconds: int) -> int:
+    """Send ``rate`` requests of 0.3 s each per second, and complete each admitted one immediately as a hit.
+
+    Returns:
+        The number of rejected requests.
+    """
+    rejected = 0
     for n in range(rate * seconds):
         now = start + n * S // rate
         for a in ask(p, now, f"q{start}-{n}", n % 40, size_kb=300.0):
-            refused += isinstance(a, api.Reject)
+            rejected += isinstance(a, api.Reject)
             if isinstance(a, api.ForwardRequest):
-                end(p, now, a, Outcome.OK, took=300 * MS, note=FillResult.HIT)
-    return refused
+                end(p, now, a, Outcome.OK, elapsed_ns=300 * MS, fill_result=FillResult.HIT)
+    return rejected
 
 
-def test_load_is_shed_as_soon_as_caches_go() -> None:
-    """Answers are late only seconds after three of four caches drain; the told links tell at once."""
+def test_requests_are_rejected_as_soon_as_caches_drain() -> None:
+    """Responses are late only seconds after three of four caches drain; the weights show it immediately."""
     p = policy()
-    assert offered(p, 10 * S, 40, 10) == 0  # 12 transfers' worth a second for links of 20
+    assert rejections(p, 10 * S, 40, 10) == 0  # 12 s of transfers per second with capacity for 20
     p.handle(20 * S, api.ServerList("update", tuple(replace(x, state="terminating") for x in servers()[1:4])))
-    assert 0.3 < offered(p, 20 * S, 40, 5) / 200 < 0.8  # 12 for links of 5
+    assert 0.3 < rejections(p, 20 * S, 40, 5) / 200 < 0.8  # 12 s of transfers per second with capacity for 5
     p.handle(25 * S, api.ServerList("update", tuple(servers()[1:4])))
-    assert offered(p, 26 * S, 40, 5) == 0
+    assert rejections(p, 26 * S, 40, 5) == 0
 
 
-def test_untold_links_shed_nothing_in_advance() -> None:
-    assert offered(policy(weight_source="off"), 10 * S, 400, 2) == 0
+def test_without_weights_nothing_is_rejected_in_advance() -> None:
+    assert rejections(policy(weight_source="off"), 10 * S, 400, 2) == 0
 
 
-def test_bound_lets_in_the_cheapest() -> None:
-    gate = AdmissionController()
+def test_capacity_limit_admits_the_lowest_price() -> None:
+    controller = AdmissionController()
     for n in range(64):
-        gate.record_arrival(1.0 + n % 2 * 9, 1.0, n)
-    gate.limit_to_capacity(0.5 * gate.offered_work.total / (4 * S))
-    assert gate.admits(1.0)
-    assert not gate.admits(10.1)
+        controller.record_arrival(1.0 + n % 2 * 9, 1.0, n)
+    controller.limit_to_capacity(0.5 * controller.offered_work.total / (4 * S))
+    assert controller.admits(1.0)
+    assert not controller.admits(10.1)
 
 
-def test_gate_opens_sooner_on_answers_with_time_to_spare() -> None:
-    """After a jam it stayed shut for ten seconds before idle caches."""
-    cutoffs = []
+def test_threshold_rises_faster_on_responses_with_slack() -> None:
+    """After an overload the threshold stayed low for ten seconds while the caches were idle."""
+    thresholds = []
     for spare in (False, True):
-        gate = AdmissionController()
-        gate.cost_threshold = MIN_COST_THRESHOLD
+        controller = AdmissionController()
+        controller.cost_threshold = MIN_COST_THRESHOLD
         for n in range(1, 4):
-            gate.record_latency(False, n * S, n * S, spare)
-        cutoffs.append(gate.cost_threshold)
-    assert cutoffs[0] * 2 < cutoffs[1]
+            controller.record_latency(False, n * S, n * S, spare)
+        thresholds.append(controller.cost_threshold)
+    assert thresholds[0] * 2 < thresholds[1]
 
 
 def test_slow_cache_loses_part_of_its_objects() -> None:
-    """One of two caches was full while the other stood half idle, as a hot object's hash put it there."""
+    """One of two caches was full because a hot object was hashed to it, while the other was half idle."""
     shares = []
     for slowness in (1.0, 8.0):
         p = policy()
@@ -166,7 +175,7 @@
         shares.append(Counter[str]())
         for n in range(400):
             (f,) = fetches(ask(p, S, f"r{n}", n))
-            end(p, S, f, Outcome.OK, note=FillResult.HIT)
+            end(p, S, f, Outcome.OK, fill_result=FillResult.HIT)
             shares[-1][f.server] += 1
     before, after = shares
     assert 0 < after["c0"] < 0.6 * before["c0"]
@@ -174,7 +183,7 @@
 
 
 def test_parents_share_by_weight_when_equally_quick() -> None:
-    """All locations filled from the parent with the widest link, and the others stood idle."""
+    """All zones filled from the parent with the fastest link, and the other parents were idle."""
     lines = [replace(x, weight={"p0": 40.0, "p1": 20.0}.get(x.name, x.weight)) for x in servers()]
     p = policy(lines)
     sent = Counter(f.fill_source for n in range(600) for f in fetches(ask(p, S, f"r{n}", n)))
@@ -206,23 +215,23 @@
     assert sum(seen.values()) < 40
 
 
-def test_replaced_servers_are_forgotten() -> None:
-    """Replacements have new names, so a router that lived long remembered every server there ever was."""
+def test_replaced_servers_are_removed() -> None:
+    """Replacements have new names, so a long-running router kept a record of every server ever listed."""
     p = policy()
     for n in range(300):
         old, new = (api.Server(f"n{k}", api.Role.CACHE, "a", 0, weight=5) for k in (n, n + 1))
         gone = replace(old, state="terminated")
         p.handle(S + n * S, api.ServerList("update", (gone, new)))
         for f in fetches(ask(p, S + n * S, f"r{n}", n)):
-            end(p, S + n * S + MS, f, Outcome.OK, note=FillResult.HIT)
+            end(p, S + n * S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert len(p.endpoints) <= len(servers()) + 2
     assert all(len(n.work_sent.samples) <= 300 for n in p.endpoints.values())
 
 
-def test_only_hits_for_long_do_not_stop_the_bound() -> None:
-    """The share of presumed fills that are ones must stay above 0, as it divides."""
+def test_a_long_run_of_hits_keeps_the_fill_share_above_zero() -> None:
+    """The share of expected fills that actually are fills must stay above 0, as it is a divisor."""
     p = policy(siblings="off")
     for n in range(20_000):
         for f in fetches(ask(p, S + n * MS, f"r{n}", n, size_kb=1.0)):
-            end(p, S + n * MS, f, Outcome.OK, note=FillResult.HIT)
+            end(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert p.admission.actual_fill_share > 0
