--- a/kelpcroft/net/client_codec.py
+++ b/kelpcroft/net/client_codec.py
@@ -1,8 +1,8 @@
-"""Clients' MessagePack-RPC: bytes in, messages out, and answers as bytes.  No socket here.
+"""Codec of the clients' MessagePack-RPC: decodes messages and encodes responses.  No socket here.
 
-A request is ``[0, call, method, [fields, body]]``, a cancel ``[2, "cancel", [call, ...]]``, an answer
-``[1, call, error, result]``.  The names of fields are those of the wire (``entity``, ``patience``,
-``nonce``); what they are called in the code is in ``ClientCodec._request``.
+A request is ``[0, call, method, [fields, body]]``, a cancel ``[2, "cancel", [call, ...]]``, a response
+``[1, call, error, result]``, where ``call`` is the number of the request.  Fields have the names of the wire
+(``entity``, ``patience``, ``nonce``); ``ClientCodec._request`` maps them to the names used in the code.
 """
 
 from __future__ import annotations
@@ -20,43 +20,45 @@
 
 NS_PER_MS: Final = 1_000_000
 
-MAX_MESSAGE_BYTES: Final = 65_536  # what nested lists make of them in memory is some sixty times as much
-MAX_BODY_BYTES: Final = 48_000  # of a request
-MAX_FIELDS: Final = 64  # of a request
-MAX_FIELD_BYTES: Final = 1_024
+# Size of one message.  Nested lists decoded from a message take some sixty times as much memory.
+MAX_MESSAGE_BYTES: Final = 65_536
+MAX_BODY_BYTES: Final = 48_000  # size of a request's body
+MAX_FIELDS: Final = 64  # number of fields in a request
+MAX_FIELD_BYTES: Final = 1_024  # length of a field, and of any other string in a message
 MAX_OPEN_CALLS_PER_CLIENT: Final = 32  # requests that a client may have open on one connection
-MAX_CALLS_PER_CANCEL: Final = 1_024
-MAX_PART_NUMBER: Final = 9_999
-MAX_GROUP_NUMBER: Final = 255
-MAX_REMAINING_TIME_MS: Final = 60_000
-MAX_SIZE_KB: Final = 1e9
-MAX_IDEMPOTENCY_KEY_CHARS: Final = 128
-MAX_COUNT_DIGITS: Final = 12
-MAX_SIZE_CHARS: Final = 32
-IDENTIFIER_CHARS: Final = 16  # of objects, traces and copies: 64 bits as hex digits
-UNPACKER_READ_BYTES: Final = 4_096
-
-# Visible ASCII but for the two characters that part servers' fields.
+MAX_CALLS_PER_CANCEL: Final = 1_024  # requests that one message may cancel
+MAX_PART_NUMBER: Final = 9_999  # largest part number that a request may name
+MAX_GROUP_NUMBER: Final = 255  # largest group number that a request may name
+MAX_REMAINING_TIME_MS: Final = 60_000  # longest remaining time that a request may name
+MAX_SIZE_KB: Final = 1e9  # a part's size over this is ignored
+MAX_IDEMPOTENCY_KEY_CHARS: Final = 128  # length of an idempotency key
+MAX_COUNT_DIGITS: Final = 12  # digits of a field with a number
+MAX_SIZE_CHARS: Final = 32  # length of the field with a part's size; a longer one is ignored
+IDENTIFIER_CHARS: Final = 16  # length of the ids of objects, traces and copies: 64 bits as hex digits
+UNPACKER_READ_BYTES: Final = 4_096  # initial size of the unpacker's buffer
+
+# Visible ASCII except comma and equals sign, which separate the fields of a server's command.
 IDEMPOTENCY_KEY = re.compile(rf"[!-+\--<>-~]{{1,{MAX_IDEMPOTENCY_KEY_CHARS}}}")
 HEX_DIGITS = frozenset("0123456789abcdef")
 
-REQUEST: Final = 0  # the first element of a message
+# The kind of a message is its first element.
+REQUEST: Final = 0
 ANSWER: Final = 1
 NOTIFICATION: Final = 2
 NO_FIELDS = b"\x80"  # an empty map
-NOT_MODIFIED_FIELDS = msgpack.packb({"keep": "1"})  # the copy that the client holds is the one
+NOT_MODIFIED_FIELDS = msgpack.packb({"keep": "1"})  # the client's copy is current
 
 ClientMessage = ClientRequest | CancelRequest | HealthRequest
 
 
 class ClientProtocolError(ProtocolError):
-    """Bytes that are no message of this protocol."""
+    """Bytes that are not a valid message of this protocol."""
 
 
 class Fields(dict[Any, Any]):
-    """A map as it came, which knows whether an idempotency key stood in it twice.
+    """A decoded map that records whether it contained the idempotency key twice.
 
-    A dict keeps the last one only.
+    A plain dict keeps only the last value of a repeated key.
     """
 
     __slots__ = ("has_two_keys",)
@@ -68,19 +70,19 @@
 
 
 class ClientCodec:
-    """The messages of one client's connection."""
+    """Decodes the messages of one client connection."""
 
     def __init__(self, client: int, read_size: int) -> None:
-        """Begins at the start of a connection.
+        """Creates the codec of a new connection.
 
         Args:
-            client: the connection's number, which goes into each message.
-            read_size: bytes that ``receive_data`` is given at once, at the most.
+            client: number of the connection, which each message contains.
+            read_size: the most bytes that one call of ``receive_data`` is given.
         """
         self.client = client
-        self.queued_ns = 0  # how long the bytes being decoded may have waited to be read
+        self.queued_ns = 0  # how long the bytes being decoded may have waited before they were read
         self.received_bytes = 0
-        self.decoded_bytes = 0  # of those, in whole messages
+        self.decoded_bytes = 0  # how many of the received bytes belong to complete messages
         self.unpacker = msgpack.Unpacker(
             raw=False,
             read_size=UNPACKER_READ_BYTES,
@@ -94,15 +96,16 @@
         )
 
     def receive_data(self, data: memoryview, queued_ns: int = 0) -> list[ClientMessage]:
-        """The messages that these bytes complete.
+        """Decodes bytes and returns the messages that they complete.
 
         Args:
-            data: what was read; nothing of it is kept by reference.
-            queued_ns: how long they may have waited to be read: a request's remaining time counts from the
-                client's send, so this is taken off it.
+            data: the bytes that were read; the codec keeps no reference to them.
+            queued_ns: how long the bytes may have waited before they were read.  It is subtracted from the
+                remaining time of each request, which counts from the moment the client sent the request.
 
         Raises:
-            ClientProtocolError: they are no messages, or too many or too large ones.
+            ClientProtocolError: the bytes are not valid messages, or a message is too large, or there are too
+                many requests at once.
         """
         self.queued_ns = queued_ns
         self.received_bytes += len(data)
@@ -111,16 +114,16 @@
             messages = self._whole_messages()
         except ClientProtocolError:
             raise
-        except Exception as error:  # msgpack raises many kinds, all of them for bytes that are not its own
+        except Exception as error:  # msgpack raises many types of exception, all of them for malformed bytes
             raise ClientProtocolError(f"{type(error).__name__}: {error}") from error
         if self.received_bytes - self.decoded_bytes > MAX_MESSAGE_BYTES:
-            raise ClientProtocolError(f"a message of more than {MAX_MESSAGE_BYTES} bytes")
+            raise ClientProtocolError(f"a message is over {MAX_MESSAGE_BYTES} bytes")
         return messages
 
     def _whole_messages(self) -> list[ClientMessage]:
-        """What the unpacker has whole; at most so many requests at once as a client may have open."""
+        """Returns all complete messages; together they may open ``MAX_OPEN_CALLS_PER_CLIENT`` requests."""
         messages: list[ClientMessage] = []
-        open_calls: set[int] = set()  # that came with these bytes, so none is answered yet
+        open_calls: set[int] = set()  # requests in these bytes, none of which has a response yet
         for raw in self.unpacker:
             self.decoded_bytes = self.unpacker.tell()
             for message in self._messages(raw):
@@ -134,11 +137,11 @@
         return messages
 
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether an incomplete message has been received."""
         return self.received_bytes > self.decoded_bytes
 
     def _messages(self, raw: Any) -> list[ClientMessage]:
-        """What one decoded message says: one thing, or a cancel of several requests."""
+        """Converts one decoded message: a request or a health check, or one cancel for each request named."""
         if isinstance(raw, list) and len(raw) == 3 and raw[0] == NOTIFICATION:
             if raw[1] == "cancel" and isinstance(raw[2], list) and all(type(x) is int for x in raw[2]):
                 return [CancelRequest(self.client, number) for number in raw[2]]
@@ -161,7 +164,7 @@
     def _request(
         self, number: int, request_class: str, fields: dict[str, Any], body: bytes | str
     ) -> ClientRequest:
-        """A request's fields, each checked: what a server cannot use must not come to it in our name."""
+        """Converts a request and checks its fields: no server may receive a value that it cannot use."""
         trace_id = _identifier(fields, "trace")
         object_id = _identifier(fields, "entity")
         etag = _identifier(fields, "cached") if "cached" in fields else ""
@@ -195,7 +198,7 @@
 
 
 def _identifier(fields: dict[str, Any], key: str) -> str:
-    """A field of 16 hex digits."""
+    """Returns a field of 16 hex digits."""
     text = fields.get(key)
     if not isinstance(text, str) or len(text) != IDENTIFIER_CHARS or not HEX_DIGITS.issuperset(text):
         raise ClientProtocolError(f"{key}: {str(text)[:40]!r} is not {IDENTIFIER_CHARS} hex digits")
@@ -203,7 +206,7 @@
 
 
 def _count(fields: dict[str, Any], key: str, default: str | None, maximum: int) -> int:
-    """A field that counts something, as decimal digits."""
+    """Returns the number in a field of decimal digits."""
     text = fields.get(key, default)
     if not isinstance(text, str) or not text.isascii() or not text.isdigit() or len(text) > MAX_COUNT_DIGITS:
         raise ClientProtocolError(f"{key}: {str(text)[:40]!r} is not a whole number")
@@ -213,23 +216,23 @@
 
 
 def _idempotency_key(fields: dict[str, Any]) -> tuple[str, str]:
-    """The idempotency key, and why the request cannot be used where the key cannot.
+    """Returns the idempotency key, and the reason if it is invalid; the request is then invalid as well.
 
-    A server that read another key than the client meant would run a repeat as a new request.
+    If a server read another key than the client meant, it would run a repeated request as a new one.
     """
     text = fields.get("nonce")
     if text is None and "nonce" not in fields:
         return "", ""
     if getattr(fields, "has_two_keys", False):
-        return "", "nonce: stands twice"
+        return "", "nonce: is given twice"
     if not isinstance(text, str) or not IDEMPOTENCY_KEY.fullmatch(text):
-        allowed = f"1 to {MAX_IDEMPOTENCY_KEY_CHARS} visible characters but , and ="
+        allowed = f"1 to {MAX_IDEMPOTENCY_KEY_CHARS} visible characters except , and ="
         return "", f"nonce: {str(text)[:40]!r} is not {allowed}"
     return text, ""
 
 
 def _size_kb(fields: dict[str, Any]) -> float:
-    """The part's size in KB as the settings count; 0 where it is absent or cannot be used."""
+    """Returns the part's size in KB, in the unit of the settings; 0 if it is absent or cannot be used."""
     text = fields.get("size")
     if not isinstance(text, str) or len(text) > MAX_SIZE_CHARS:
         return 0.0
@@ -240,11 +243,11 @@
     return size_kb if math.isfinite(size_kb) and 0 < size_kb <= MAX_SIZE_KB else 0.0
 
 
-# Answers --------------------------------------------------------------------------------------------------
+# Responses ------------------------------------------------------------------------------------------------
 
 
 def encode_response(request_number: int, body: Body, not_modified: bool) -> tuple[Body, ...]:
-    """The answer to a request that was served, in pieces so that the body's bytes are not copied."""
+    """Encodes the response to a served request, in chunks so that the bytes of the body are not copied."""
     size = len(body)
     head = b"\x94\x01" + msgpack.packb(request_number) + b"\xc0\x92" + _binary_head(size)
     fields = NOT_MODIFIED_FIELDS if not_modified else NO_FIELDS
@@ -252,7 +255,7 @@
 
 
 def _binary_head(size: int) -> bytes:
-    """What goes before so many bytes of a MessagePack binary: bin 8, bin 16 or bin 32."""
+    """Encodes the header of a MessagePack binary of ``size`` bytes: bin 8, bin 16 or bin 32."""
     if size < 1 << 8:
         return b"\xc4" + size.to_bytes(1, "big")
     if size < 1 << 16:
@@ -261,16 +264,19 @@
 
 
 def encode_rejection(request_number: int, retry_after_ns: int) -> bytes:
-    """The answer to a request that was rejected; a pause is rounded up, so that nobody comes back early."""
+    """Encodes the response to a rejected request.
+
+    The time until a retry is rounded up to whole milliseconds, so that no client retries too early.
+    """
     fields = {"pause": str(-(-retry_after_ns // NS_PER_MS))} if retry_after_ns > 0 else {}
     return bytes(msgpack.packb([ANSWER, request_number, ["Shed", fields], None]))
 
 
 def encode_failure(request_number: int) -> bytes:
-    """The answer to a request that has failed."""
+    """Encodes the response to a failed request."""
     return bytes(msgpack.packb([ANSWER, request_number, ["Fault", {}], None]))
 
 
 def encode_health(request_number: int, is_ready: bool) -> bytes:
-    """The answer to a health check."""
+    """Encodes the response to a health check."""
     return bytes(msgpack.packb([ANSWER, request_number, None, [is_ready, {}]]))
--- a/kelpcroft/net/control_codec.py
+++ b/kelpcroft/net/control_codec.py
@@ -1,15 +1,15 @@
-"""The control address: HTTP/1.1, one call per connection.  No socket here.
+"""Codec of the control address: HTTP/1.1, one control request per connection.  No socket here.
 
-Bytes in, one call or one refusal out; answers as bytes.
+It decodes the bytes of a connection to one control request or one error response, and encodes responses.
 
-    GET /control/ready            200 if this process takes clients, else 503
-    GET /control/state            200: what this process is and did, where the operator's file asks for it
-    PUT /control/out-of-service   200: clients are sent away (a drain)
-    PUT /control/in-service       200: clients are taken again
+    GET /control/ready            200 if this process accepts clients, else 503
+    GET /control/state            200: the state of this process, if the operator's file enables this request
+    PUT /control/out-of-service   200: the clients are drained
+    PUT /control/in-service       200: clients are accepted again
 
-What is not such a call is answered here, before the reducer hears of it: a head over ``MAX_HEAD_BYTES`` 431,
-a body over ``MAX_BODY_BYTES`` 413, an unknown path 404, a known path with another method 405, anything else
-that HTTP/1.1 does not allow 400.  Every answer closes the connection.
+The codec itself responds to all other bytes, and the reducer is not involved: with status 431 to a head over
+``MAX_HEAD_BYTES``, 413 to a body over ``MAX_BODY_BYTES``, 404 to an unknown path, 405 to a known path with
+another method, and 400 to anything else that HTTP/1.1 does not allow.  Every response closes the connection.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 from kelpcroft.core.inputs import ControlVerb
 
-MAX_HEAD_BYTES: Final = 4_096  # the request line and headers together
-MAX_BODY_BYTES: Final = 1_024  # of a body, which is not used
-READ_BYTES: Final = 4_096  # the one buffer of each connection
-MAX_ERROR_CHARS: Final = 200  # of a parser's error in an answer
+MAX_HEAD_BYTES: Final = 4_096  # size of the request line and the headers together
+MAX_BODY_BYTES: Final = 1_024  # size of a body, which is ignored
+READ_BYTES: Final = 4_096  # most bytes of one read, and so the only buffer of a connection
+MAX_ERROR_CHARS: Final = 200  # length of a parser's error in a response
 
 
 class Call(NamedTuple):
-    """What is known at a path."""
+    """The control request that one path stands for, and its method."""
 
     method: bytes
     verb: ControlVerb
@@ -45,51 +45,53 @@
 
 
 class _LimitExceededError(Exception):
-    """Raised by a callback, out of the parser; ``ControlCodec.exceeded_limit`` says which limit."""
+    """Raised by a callback to stop the parser; ``ControlCodec.exceeded_limit`` has the status code."""
 
 
 class ControlCodec:
-    """One caller's connection: ``receive_data`` until it returns a verb or an answer.
+    """Decodes the request of one control client's connection.
 
-    Nothing more is read then.  Its ``on_...`` methods are called by httptools while it parses.
+    ``receive_data`` is called until it returns a control request or a response; later bytes are ignored.
+    httptools calls the ``on_...`` methods while it parses.
     """
 
     def __init__(self, serves_state: bool = False) -> None:
-        """``serves_state``: the operator's file asks for /control/state."""
+        """``serves_state``: the operator's file enables GET /control/state."""
         self.serves_state = serves_state
         self.parser = httptools.HttpRequestParser(self)
-        self.head_bytes = 0  # so far
-        self.body_bytes = 0  # so far
+        self.head_bytes = 0  # bytes of the head so far
+        self.body_bytes = 0  # bytes of the body so far
         self.url = b""
         self.has_head = False
         self.is_complete = False
-        self.is_done = False  # a verb or an answer has been given
-        self.head_only = False  # HEAD: the answer has no body
-        self.exceeded_limit: HTTPStatus | None = None  # found by a callback, which can only raise
+        self.is_done = False  # a control request or a response has been returned
+        self.head_only = False  # the method is HEAD: the response has no body
+        # The status code of an exceeded limit: a callback, which can only raise, sets it first.
+        self.exceeded_limit: HTTPStatus | None = None
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Handles some bytes of the target."""
         self.url += url
         if len(self.url) > MAX_HEAD_BYTES:
             self._exceed(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Handles one header."""
         if name.lower() == b"content-length" and value.strip().isdigit() and int(value) > MAX_BODY_BYTES:
             self._exceed(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """The head is all there."""
+        """Handles the end of the head."""
         self.has_head = True
 
     def on_body(self, body: bytes) -> None:
-        """Some bytes of the body."""
+        """Handles some bytes of the body."""
         self.body_bytes += len(body)
         if self.body_bytes > MAX_BODY_BYTES:
             self._exceed(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
-        """The call is all there."""
+        """Handles the end of the request."""
         self.is_complete = True
 
     def _exceed(self, status: HTTPStatus) -> None:
@@ -97,12 +99,13 @@
         raise _LimitExceededError
 
     def receive_data(self, data: bytes | memoryview) -> ControlVerb | bytes | None:
-        """What these bytes complete.
+        """Decodes bytes of the request.
 
-        Each byte of the head is counted before the parser may keep it.
+        Each byte of the head is counted before the parser can store it.
 
         Returns:
-            A verb for the reducer, an answer to write and close with, or None for more to come.
+            A control request for the reducer, or a response after which the connection is closed, or None if
+            the request is still incomplete.
         """
         if self.is_done:
             return None
@@ -112,7 +115,7 @@
         return result
 
     def _refuse_long_head(self, data: bytes) -> bytes | None:
-        """Counts the bytes of the head; the answer where they are too many."""
+        """Counts the bytes of the head; returns an error response if there are too many."""
         if self.has_head:
             return None
         end = data.find(b"\r\n\r\n")
@@ -134,7 +137,7 @@
         return self._result() if self.is_complete else None
 
     def _refuse(self, error: Exception) -> bytes:
-        """The answer to bytes that the parser, or a callback of it, does not take."""
+        """Encodes the response to bytes that the parser or one of its callbacks has rejected."""
         if self.exceeded_limit is HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE:
             return _encode_error(self.exceeded_limit, f"the head is over {MAX_HEAD_BYTES} bytes")
         if self.exceeded_limit is HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
@@ -144,7 +147,7 @@
         return _encode_error(HTTPStatus.BAD_REQUEST, f"not HTTP/1.1: {error}"[:MAX_ERROR_CHARS])
 
     def _result(self) -> ControlVerb | bytes:
-        """The whole request: which call it is, or why it is none."""
+        """Returns the control request that the complete request stands for, or an error response."""
         try:
             path = httptools.parse_url(self.url).path
         except httptools.HttpParserInvalidURLError:
@@ -171,12 +174,12 @@
         )
 
     def has_partial_message(self) -> bool:
-        """Whether a call has begun and not ended."""
+        """Whether an incomplete request has been received."""
         return self.head_bytes > 0 and not self.is_done
 
 
 def reply(ok: bool, fields: Mapping[str, object], head_only: bool = False) -> bytes:
-    """The answer to a call that the reducer took: 200, or 503 for a no."""
+    """Encodes the response to a control request that the reducer handled: 200, or 503 if not ``ok``."""
     status = HTTPStatus.OK if ok else HTTPStatus.SERVICE_UNAVAILABLE
     return _encode_answer(status, fields, head_only=head_only)
 
@@ -188,7 +191,7 @@
 def _encode_answer(
     status: HTTPStatus, fields: Mapping[str, object], *headers: tuple[bytes, bytes], head_only: bool = False
 ) -> bytes:
-    """A whole answer that closes the connection, with a JSON body."""
+    """Encodes a complete response with a JSON body, after which the connection is closed."""
     body = orjson.dumps(fields) + b"\n"
     lines = [
         f"HTTP/1.1 {status.value} {status.phrase}".encode(),
--- a/kelpcroft/net/event_stream.py
+++ b/kelpcroft/net/event_stream.py
@@ -1,8 +1,8 @@
-"""Cuts a long response of the feed into its events while it comes, so that memory holds one event at a time.
+"""Splitter of a long response of the feed: events are returned as they arrive, so memory holds one at a time.
 
-The response is ``{"n":LAST,"events":[...]}`` with its keys in any order and any white space.  Only brackets
-and strings are looked at; what stands between them is for the JSON parser, an event at a time, and what is
-neither an object nor an array is no event.  No socket here.
+The response is ``{"n":LAST,"events":[...]}`` with its keys in any order and any white space.  The splitter
+examines brackets and strings only; the JSON parser handles the rest, one event at a time.  An element of
+``events`` that is neither an object nor an array is not an event and is skipped.  No socket here.
 """
 
 from __future__ import annotations
@@ -10,38 +10,38 @@
 import re
 from typing import Final
 
-MAX_EVENT_BYTES: Final = 2 << 20  # a list of 10,000 servers; a longer one is left out
-MAX_ENVELOPE_BYTES: Final = 1 << 16  # of all that is not an event
-MAX_STRING_BYTES: Final = 1 << 16  # of a string; one that has not ended is looked at again with each read
-EVENTS_KEY: Final = b'"events"'
-EVENTS_DEPTH: Final = 2  # open brackets within the array of events: the response's object, and the array
-# A string, a bracket, or the quotation mark of a string whose end has not come.
+MAX_EVENT_BYTES: Final = 2 << 20  # an event with a list of 10,000 servers fits; a longer event is left out
+MAX_ENVELOPE_BYTES: Final = 1 << 16  # size of everything outside the events
+MAX_STRING_BYTES: Final = 1 << 16  # size of a string; an incomplete string is scanned again with each read
+EVENTS_KEY: Final = b'"events"'  # the key of the array of events, as a JSON string
+EVENTS_DEPTH: Final = 2  # open brackets inside the array of events: the response's object, and the array
+# A string, a bracket, or the opening quotation mark of a string that is still incomplete.
 TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\[\]]', re.DOTALL)
 
 
 class EventSplitter:
-    """One response."""
+    """Splits one response."""
 
     def __init__(self) -> None:
-        self.envelope = b""  # all but the events
-        self.rest = b""  # looked at, and neither in the envelope nor a whole event
-        self.scanned = 0  # bytes of ``rest``
-        self.depth = 0  # open brackets
+        self.envelope = b""  # the response without its events
+        self.rest = b""  # received bytes that are neither in the envelope nor part of a complete event
+        self.scanned = 0  # how many bytes of ``rest`` have been scanned
+        self.depth = 0  # number of open brackets
         self.key = b""  # the last string in the response's object
         self.in_events = False  # the array of events is open
         self.in_event = False  # an event is open: ``rest`` begins with it
-        self.is_skipping = False  # and it is too long
-        self.error = ""  # why these bytes cannot be cut any further
+        self.is_skipping = False  # the open event is too long and is discarded
+        self.error = ""  # why the response cannot be split any further; empty if it can
 
     def receive_data(self, data: bytes) -> list[bytes | None]:
-        """The events that these bytes complete, None for one too long to keep; see ``error``."""
+        """Returns the events that these bytes complete, or None for one that is too long; sets ``error``."""
         text = self.rest + data
         events = list[bytes | None]()
-        start = 0  # of what is not handed on yet
+        start = 0  # offset of the first byte that is in neither the envelope nor ``events``
         at = self.scanned
         for match in TOKEN.finditer(text, self.scanned):
             token = match[0]
-            if token == b'"':  # the rest of this string is still to come
+            if token == b'"':  # this string is incomplete
                 at = match.start()
                 break
             at = match.end()
@@ -61,7 +61,7 @@
         return events
 
     def _open_bracket(self, token: bytes, text: bytes, start: int, end: int) -> int:
-        """A bracket that ends at ``end``; returns from where on nothing is handed on yet."""
+        """Handles an opening bracket that ends at ``end``; returns the new ``start`` of ``receive_data``."""
         if self.in_events and self.depth == EVENTS_DEPTH:
             start = end - len(token)
             self.in_event = True
@@ -74,7 +74,7 @@
         return start
 
     def _close_bracket(self, text: bytes, start: int, end: int, events: list[bytes | None]) -> int:
-        """A bracket that ends at ``end``; returns from where on nothing is handed on yet."""
+        """Handles a closing bracket that ends at ``end``; returns the new ``start`` of ``receive_data``."""
         if self.in_event and self.depth == EVENTS_DEPTH:
             is_too_long = self.is_skipping or end - start > MAX_EVENT_BYTES
             events.append(None if is_too_long else text[start:end])
@@ -86,7 +86,7 @@
         return start
 
     def _keep(self, text: bytes, start: int, end: int) -> None:
-        """Keeps what is left for the next bytes; nothing of it grows without bound."""
+        """Keeps the remaining bytes until the next bytes arrive, within the limits of this module."""
         if self.in_event:
             if self.is_skipping or end - start > MAX_EVENT_BYTES:
                 self.is_skipping = True
@@ -99,12 +99,12 @@
         self.rest = text[start:]
         self.scanned = end - start
         if len(self.rest) - self.scanned > MAX_STRING_BYTES:
-            self.error = f"a string of over {MAX_STRING_BYTES} bytes"
+            self.error = f"a string is over {MAX_STRING_BYTES} bytes"
         if len(self.envelope) > MAX_ENVELOPE_BYTES:
-            self.error = f"over {MAX_ENVELOPE_BYTES} bytes that are no events"
+            self.error = f"the response has over {MAX_ENVELOPE_BYTES} bytes outside its events"
 
     def end(self) -> bytes:
-        """The response without its events, once its last byte has come; see ``error``."""
+        """Returns the response without its events after its last byte; sets ``error`` if it is incomplete."""
         if self.depth or self.rest:
-            self.error = "it ends within an event"
+            self.error = "the response is incomplete"
         return self.envelope
--- a/kelpcroft/net/feed_codec.py
+++ b/kelpcroft/net/feed_codec.py
@@ -1,9 +1,10 @@
-"""The feed of servers and purges: polls out as HTTP/1.1, responses in.  No socket here.
+"""Codec of the feed of endpoints and purges: encodes watch requests and decodes responses, as HTTP/1.1.
 
-A response is ``{"n": LAST, "events": [...]}``; a control replica adds ``mark`` and ``as_of``.  One of up to
-``MAX_WHOLE_RESPONSE_BYTES`` is parsed as one.  A longer one, as for a router that was cut off for hours, is
-taken event by event while it comes: each piece is a ``WatchResponse`` with ``has_more``, so that what came
-before a response breaks off is kept, and memory holds one piece.
+A response is ``{"n": LAST, "events": [...]}``; a control replica adds ``mark`` and ``as_of``.  A response of
+up to ``MAX_WHOLE_RESPONSE_BYTES`` is parsed in one step.  A longer response, such as a router receives after
+hours without the feed, is parsed event by event while it arrives: each chunk becomes a ``WatchResponse`` with
+``has_more``.  So the events that arrived before a response breaks off are kept, and memory holds one chunk at
+a time.  No socket here.
 """
 
 from __future__ import annotations
@@ -22,11 +23,13 @@
 
 NS_PER_MS: Final = 1_000_000
 NS_PER_S: Final = 1_000 * NS_PER_MS
-MAX_RETRY_AFTER_S: Final = 3_600
-MAX_WHOLE_RESPONSE_BYTES: Final = 256 << 10  # that is parsed as one: some 3,000 purges
-MAX_SNAPSHOT_BYTES: Final = 4 << 20  # the same of a control replica, whose responses are bounded
-MAX_RESPONSE_BYTES: Final = 16 << 20  # what came until then is kept, the rest is asked for anew
-# A server's state, by the word on the wire.
+MAX_RETRY_AFTER_S: Final = 3_600  # a longer Retry-After is shortened to this
+# A response up to this size is parsed in one step: some 3,000 purges.
+MAX_WHOLE_RESPONSE_BYTES: Final = 256 << 10
+MAX_SNAPSHOT_BYTES: Final = 4 << 20  # the same size for a control replica, whose responses are bounded
+# A longer response is an error: its events up to this size are kept, and the rest is requested again.
+MAX_RESPONSE_BYTES: Final = 16 << 20
+# The state of a server by its ``status`` on the wire.
 ENDPOINT_STATES = {"active": "in_service", "leaving": "terminating", "left": "terminated"}
 
 FeedEvent = EndpointUpdate | Purge
@@ -40,13 +43,14 @@
 def encode_poll(
     address: tuple[str, int], after_event: int, wait_ms: int, log_fingerprint: str | None = None
 ) -> bytes:
-    """One long poll.
+    """Encodes one watch request.
 
     Args:
         address: the feed's host and port.
-        after_event: what comes after the event of this number is asked for.
-        wait_ms: how long the feed may wait for news before it answers.
-        log_fingerprint: of that event, for a control replica; None = the feed is no such.
+        after_event: the events after the one of this number are requested.
+        wait_ms: how long the feed may wait for an event before it sends a response.
+        log_fingerprint: the fingerprint of event ``after_event``, for a control replica; None = the feed is
+            not a control replica.
     """
     mark = f"&mark={log_fingerprint}" if log_fingerprint is not None else ""
     return (
@@ -59,17 +63,17 @@
 
 
 def _parse_endpoint(line: dict[str, Any]) -> EndpointRecord:
-    """One line of the list.
+    """Parses one endpoint of the list.
 
     Raises:
-        FeedError: a value cannot be used; other errors of the same meaning come from the conversions, see
-            ``_parse_event_or_reason``.
+        FeedError: a value cannot be used.  The conversions raise other exceptions for the same cause;
+            ``_parse_event_or_reason`` catches them.
     """
     state = line["status"]
     if state not in ENDPOINT_STATES:
         raise FeedError(f"status: {state!r} is not one of {', '.join(ENDPOINT_STATES)}")
     if int(line.get("since_ms") or 0) < 0 or float(line.get("weight") or 1) < 0:
-        raise FeedError("since_ms or weight: is under 0")
+        raise FeedError("since_ms or weight: is less than 0")
     host, colon, port = str(line["address"]).rpartition(":")
     if not host or not colon or not port.isdigit():
         raise FeedError(f"address: {line['address']!r} is not host:port")
@@ -87,13 +91,13 @@
 
 
 def _parse_event(raw: dict[str, Any]) -> FeedEvent | None:
-    """One event; None for a kind that is not known here."""
+    """Parses one event; returns None for an event of an unknown kind."""
     if "members" in raw:
         members = raw["members"]
         endpoints = tuple(map(_parse_endpoint, members["endpoints"]))
         repeated = [name for name, count in Counter(e.name for e in endpoints).items() if count > 1]
         if repeated:
-            raise FeedError(f"endpoints: {repeated[0]!r} is named twice")
+            raise FeedError(f"endpoints: {repeated[0]!r} is listed more than once")
         return EndpointUpdate(bool(members.get("snapshot")), endpoints, int(raw.get("n") or 0))
     if "purge" in raw:
         purge = raw["purge"]
@@ -107,7 +111,7 @@
 
 
 def _parse_event_or_reason(raw: Any) -> tuple[FeedEvent | None, str]:
-    """One event, or why it cannot be used."""
+    """Parses one event; returns the reason as well if it cannot be used."""
     try:
         return _parse_event(raw), ""
     except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -117,9 +121,10 @@
 
 
 class _Events:
-    """Events of one response: those that can be used, and why others cannot.
+    """The usable events of one response, and for each other event the reason why it cannot be used.
 
-    What cannot be used is left out whole, as an event behind it may tell of a drain.
+    An unusable event is left out as a whole, and the events after it are used, because one of them may
+    announce a drain.
     """
 
     def __init__(self) -> None:
@@ -135,10 +140,11 @@
 
 
 def parse_watch_response(raw: Any) -> WatchResponse:
-    """The feed's response, or ``known`` of the configuration, as decoded JSON.
+    """Converts a response of the feed, or ``known`` of the configuration, from decoded JSON.
 
     Raises:
-        FeedError: it is no response; an event that cannot be used is named in ``unusable_events`` instead.
+        FeedError: it is not a response.  An event that cannot be used raises nothing: it is reported in
+            ``unusable_events``.
     """
     try:
         last_event, raw_events = int(raw["n"]), list(raw["events"])
@@ -159,17 +165,17 @@
 
 
 def _parse_piece(texts: list[bytes | None]) -> WatchResponse:
-    """Events of a response that goes on, up to the highest number among them."""
+    """Parses events of an incomplete response; ``last_event`` is the highest number among them."""
     last_event = 0
     found = _Events()
     for text in texts:
         try:
             raw = None if text is None else orjson.loads(text)
         except orjson.JSONDecodeError as error:
-            found.unusable.append(f"an event: {error}")
+            found.unusable.append(f"an event is not JSON: {error}")
             continue
         if raw is None:
-            found.unusable.append("an event: it is too long")
+            found.unusable.append("an event is too long")
             continue
         found.add(raw)
         if isinstance(raw, dict) and type(raw.get("n")) is int:
@@ -181,25 +187,25 @@
 
 
 class FeedResponseCodec(Generic[T]):
-    """The responses of one connection, in turn, as values of one kind.
+    """Decodes the responses of one connection, in order, to values of one type.
 
-    Its ``on_...`` methods are called by httptools while it parses; what they raise comes out of
-    ``receive_data``.
+    httptools calls the ``on_...`` methods while it parses; ``receive_data`` raises their errors again as
+    FeedError.
     """
 
     def __init__(self, max_whole_bytes: int = MAX_WHOLE_RESPONSE_BYTES) -> None:
-        """``max_whole_bytes``: a response up to this is parsed as one."""
+        """``max_whole_bytes``: size up to which a response is parsed in one step."""
         self.max_whole_bytes = max_whole_bytes
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.splitter: EventSplitter | None = None  # of a response that is too long to be parsed as one
-        self.body_bytes_read = 0  # of the response that is coming
-        self.completed: list[T] = []  # by the bytes that were received last
+        self.splitter: EventSplitter | None = None  # splits a response that is too long for one step
+        self.body_bytes_read = 0  # body bytes of the current response so far
+        self.completed: list[T] = []  # values completed by the bytes that were received last
         self.keeps_alive = True  # the connection stays open after this response
-        self.retry_after_ns = 0  # of a response that is an error
+        self.retry_after_ns = 0  # Retry-After of an error response; 0 if it has none
 
     def parse_response(self, raw: Any) -> T:
-        """A response, or what is left of one whose events came in pieces.
+        """Converts a response, or the remainder of a response whose events were split off.
 
         Raises:
             FeedError: it cannot be used.
@@ -207,14 +213,15 @@
         raise NotImplementedError
 
     def parse_piece(self, found: list[bytes | None]) -> T:
-        """Events of a response that goes on; None for one that was too long to keep."""
+        """Converts events of an incomplete response; None stands for an event that was too long to keep."""
         raise NotImplementedError
 
     def receive_data(self, data: memoryview) -> list[T]:
-        """The responses, or pieces of them, that these bytes complete.
+        """Decodes bytes and returns the responses, or chunks of a response, that they complete.
 
         Raises:
-            FeedError: they are no response, or an error; what came whole before is in ``completed``.
+            FeedError: the bytes are not a valid response, or it is an error response.  Values that were
+                completed before the error are in ``completed``.
         """
         self.completed = []
         try:
@@ -226,23 +233,23 @@
         return self.completed
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Prepares for the next response."""
         self.body.clear()
         self.splitter = None
         self.body_bytes_read = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header; Retry-After is known in seconds only, not as a date."""
+        """Handles one header; Retry-After is supported in seconds only, not as a date."""
         if name.lower() == b"retry-after" and value.strip().isdigit():
             self.retry_after_ns = min(int(value), MAX_RETRY_AFTER_S) * NS_PER_S
 
     def on_body(self, body: bytes) -> None:
-        """Some bytes of the body."""
+        """Handles some bytes of the body."""
         self.body_bytes_read += len(body)
         if self.parser.get_status_code() != HTTPStatus.OK:
             return
         if self.body_bytes_read > MAX_RESPONSE_BYTES:
-            raise FeedError(f"the answer is over {MAX_RESPONSE_BYTES} bytes")
+            raise FeedError(f"the response is over {MAX_RESPONSE_BYTES} bytes")
         if self.splitter is None:
             self.body += body
             if len(self.body) <= self.max_whole_bytes:
@@ -257,7 +264,7 @@
             raise FeedError(self.splitter.error)
 
     def on_message_complete(self) -> None:
-        """A response is all there."""
+        """Handles the end of a response."""
         self.keeps_alive = bool(self.parser.should_keep_alive())
         if self.parser.get_status_code() != HTTPStatus.OK:
             raise FeedError(f"status {self.parser.get_status_code()}")
@@ -272,12 +279,12 @@
 
 
 class FeedCodec(FeedResponseCodec[WatchResponse]):
-    """A router's: events as it knows them."""
+    """The codec of a router's connection: decodes the events to inputs of the reducer."""
 
     def parse_response(self, raw: Any) -> WatchResponse:
-        """A response with the bytes that its body took."""
+        """Converts a response and adds the size of its body."""
         return replace(parse_watch_response(raw), bytes_read=self.body_bytes_read)
 
     def parse_piece(self, found: list[bytes | None]) -> WatchResponse:
-        """Events of a response that goes on."""
+        """Converts events of an incomplete response."""
         return _parse_piece(found)
--- a/kelpcroft/net/server_codec.py
+++ b/kelpcroft/net/server_codec.py
@@ -1,8 +1,9 @@
-"""Servers' RESP: commands as bytes, and responses from bytes.  No socket here.
+"""Codec of the servers' RESP: encodes commands and decodes responses.  No socket here.
 
-Own code, as hiredis' reader allocates a list of whatever length an array's head claims: a dozen bytes from a
-broken peer made it ask for 7 GB (docs/design/architecture-history.md).  A response is four strings (the
-attempt's id, a word for its outcome, fields and the body), so little is lost by reading no other RESP.
+The parser is part of this module because the reader of hiredis allocates a list of whatever length the header
+of an array states: a dozen bytes from a faulty peer made it request 7 GB of memory
+(docs/design/architecture-history.md).  A response is always four strings (the attempt's id, an outcome word,
+fields and the body), so support for any other RESP is not needed.
 """
 
 from __future__ import annotations
@@ -20,15 +21,18 @@
 
 NS_PER_MS: Final = 1_000_000
 
-MAX_HEAD_BYTES: Final = 4_096  # of a response without its body
-MAX_HEAD_LINES: Final = 8
-MAX_BODY_BYTES: Final = 262_144  # an object has 240,000 at most
-MAX_COPIED_BYTES: Final = 1_024  # a longer last word of a command stays a piece of its own
-MAX_CACHED_REPORTS: Final = 256
+MAX_HEAD_BYTES: Final = 4_096  # size of a response without its body
+MAX_HEAD_LINES: Final = 8  # lines of a response without its body
+MAX_BODY_BYTES: Final = 262_144  # size of a response's body; an object has at most 240,000 bytes
+# A longer last string of a command is not copied: it stays a chunk of its own.
+MAX_COPIED_BYTES: Final = 1_024
+MAX_CACHED_REPORTS: Final = 256  # parsed load reports that are kept for reuse
 
+# The first bytes of every response.
 HEAD_START = b"*4\r\n$"
+# A response up to its body: three strings, each after its length, and the length of the body.
 HEAD = re.compile(rb"\*4\r\n" + rb"\$(\d{1,6})\r\n([^\r\n]*)\r\n" * 3 + rb"\$(\d{1,6})\r\n")
-NOT_MODIFIED_WORD: Final = "KEEP"  # the copy that the client holds is the one
+NOT_MODIFIED_WORD: Final = "KEEP"  # the client's copy is current
 OUTCOMES = {
     "DONE": Outcome.OK,
     NOT_MODIFIED_WORD: Outcome.OK,
@@ -51,7 +55,7 @@
     "crowded": FillResult.NO_FILL_PLACE,
     "behind": FillResult.ORIGIN_FAILED,
 }
-# An attempt's options on the wire, by join_fill, cache_only, no_parent_copy and refresh_behind.
+# An attempt's options on the wire, keyed by (join_fill, cache_only, no_parent_copy, refresh_behind).
 OPTIONS = {
     flags: "+".join(letter for letter, flag in zip("jhnr", flags, strict=True) if flag)
     for flags in product((False, True), repeat=4)
@@ -59,14 +63,14 @@
 
 
 class ServerProtocolError(ProtocolError):
-    """Bytes that are no response of this protocol."""
+    """Bytes that are not a valid response of this protocol."""
 
 
 # Commands -------------------------------------------------------------------------------------------------
 
 
 def encode_attempt(attempt: SendAttempt) -> list[Body]:
-    """The command that sends an attempt."""
+    """Encodes the command that sends an attempt."""
     fields = [
         f"cls={attempt.request_class}",
         f"item={attempt.object_id}",
@@ -90,17 +94,17 @@
 
 
 def encode_cancel(cancel: CancelAttempt) -> list[Body]:
-    """The command that gives an attempt up."""
+    """Encodes the command that cancels an attempt."""
     return _command(b"KILL", cancel.attempt_id.encode())
 
 
 def encode_health_check(health_check: SendHealthCheck) -> list[Body]:
-    """The command that asks a server how it is."""
+    """Encodes the command that requests a health check."""
     return _command(b"METER", health_check.attempt_id.encode())
 
 
 def _command(*words: Body) -> list[Body]:
-    """A RESP array; a long last word stays a piece of its own, so that its bytes are not copied."""
+    """Encodes a RESP array; a long last string stays a chunk of its own, so that its bytes are not copied."""
     head = b"*%d\r\n" % len(words)
     for word in words[:-1]:
         head += b"$%d\r\n%s\r\n" % (len(word), word)
@@ -113,23 +117,23 @@
 
 
 class ServerCodec:
-    """The responses on one connection."""
+    """Decodes the responses on one server connection."""
 
     def __init__(self, connection: int) -> None:
-        """``connection``: its number, which goes into each response."""
+        """``connection``: number of the connection, which each response contains."""
         self.connection = connection
-        self.head = b""  # of a response, not all there yet
-        # Id, word and fields of the response whose body is being filled.
+        self.head = b""  # the incomplete head of the next response
+        # Attempt id, outcome word and fields of the response whose body is being received.
         self.words = ("", "", "")
-        self.body: bytearray | None = None  # its line end included
-        self.filled_bytes = 0  # of the body
-        self.error = ""  # why nothing more can be read
+        self.body: bytearray | None = None  # the body being received, with its line end
+        self.filled_bytes = 0  # how many bytes of the body have been received
+        self.error = ""  # why no further response can be decoded; empty if one can
 
     def receive_data(self, data: memoryview) -> list[ServerResponse]:
-        """The responses that these bytes complete.
+        """Decodes bytes and returns the responses that they complete.
 
-        Those ahead of bytes that are none are good; ``error`` then says why the connection is of no further
-        use.
+        Responses ahead of malformed bytes are valid; ``error`` then gives the reason why the connection
+        cannot be used any longer.
         """
         responses: list[ServerResponse] = []
         try:
@@ -139,11 +143,15 @@
         return responses
 
     def has_partial_message(self) -> bool:
-        """Whether a response has begun and not ended."""
+        """Whether an incomplete response has been received."""
         return self.body is not None or bool(self.head)
 
     def _decode(self, data: memoryview, responses: list[ServerResponse]) -> None:
-        """Adds the responses that these bytes complete to the list, also before it raises."""
+        """Adds the responses that these bytes complete to the list, also those ahead of malformed bytes.
+
+        Raises:
+            ServerProtocolError: some of the bytes are malformed.
+        """
         at = 0
         while at < len(data):
             body = self.body
@@ -155,30 +163,30 @@
             self.filled_bytes += count
             at += count
             if self.filled_bytes == len(body):
-                # What follows at once is looked at too: a body said to be four bytes longer than it is takes
-                # them from the next response's head, and ends as a body should.
+                # The next byte is checked as well: a body whose stated length is four bytes too large takes
+                # the first line of the next response ("*4" and its line end), so it ends in a line end too.
                 if not body.endswith(b"\r\n") or bytes(data[at : at + 1]) not in (b"", b"*"):
-                    raise ServerProtocolError("a body does not end where it should")
+                    raise ServerProtocolError("a body does not end at its stated length")
                 del body[-2:]
                 responses.append(self._response(body))
                 self.body = None
 
     def _read_head(self, data: memoryview) -> int:
-        """Reads a response's head, up to its body; returns how many of these bytes belong to it."""
+        """Decodes a response's head, up to its body; returns how many of these bytes belong to it."""
         bytes_before = len(self.head)
         self.head += bytes(data)
         match = HEAD.match(self.head)
         if match is None:
             if not self._may_become_head():
-                raise ServerProtocolError(f"not an answer: {self.head[:60]!r}")
+                raise ServerProtocolError(f"not a response: {self.head[:60]!r}")
             return len(data)
         words = match.group(2, 4, 6)
         sizes = match.group(1, 3, 5)
         if any(len(word) != int(size) for word, size in zip(words, sizes, strict=True)):
-            raise ServerProtocolError(f"a word's length is not what it says: {self.head[:60]!r}")
+            raise ServerProtocolError(f"a string does not have its stated length: {self.head[:60]!r}")
         size = int(match.group(7))
         if size > MAX_BODY_BYTES:
-            raise ServerProtocolError(f"a body of {size} bytes")
+            raise ServerProtocolError(f"a body of {size} bytes is over {MAX_BODY_BYTES} bytes")
         try:
             attempt_id, word, fields = words
             self.words = attempt_id.decode(), word.decode(), fields.decode()
@@ -190,7 +198,7 @@
         return match.end() - bytes_before
 
     def _may_become_head(self) -> bool:
-        """Whether more bytes may make a response's head of what is there."""
+        """Whether the bytes received so far can become a response's head when more bytes arrive."""
         return (
             len(self.head) < MAX_HEAD_BYTES
             and self.head.count(b"\r\n") < MAX_HEAD_LINES
@@ -198,18 +206,18 @@
         )
 
     def _response(self, body: bytearray) -> ServerResponse:
-        """The four strings as a message."""
+        """Converts the four strings of a response to a message."""
         attempt_id, word, field_text = self.words
         outcome = OUTCOMES.get(word)
         if outcome is None:
-            raise ServerProtocolError(f"{word[:40]!r} is not an answer's word")
+            raise ServerProtocolError(f"{word[:40]!r} is not an outcome word")
         fields = _parse_fields(field_text)
         try:
             source_wait_ns = int(float(fields.get("slow") or 0) * NS_PER_MS)
             load_report = _parse_load_report(fields.get("meter", ""))
         except (ValueError, OverflowError) as error:
             raise ServerProtocolError(str(error)) from error
-        # A word of a later day says nothing here.
+        # A word that is unknown here, as from a newer server, counts as no fill result.
         fill_result = FILL_RESULTS.get(fields.get("tell", ""), FillResult.NONE)
         not_modified = word == NOT_MODIFIED_WORD
         etag = fields.get("sum", "") if not_modified else ""
@@ -227,7 +235,7 @@
 
 
 def _parse_fields(text: str) -> dict[str, str]:
-    """``name=value,name=value`` or ``-``."""
+    """Parses ``name=value,name=value``, or ``-`` for no fields."""
     if text in ("-", ""):
         return {}
     pairs = [pair.partition("=") for pair in text.split(",")]
@@ -238,6 +246,9 @@
 
 @lru_cache(maxsize=MAX_CACHED_REPORTS)
 def _parse_load_report(text: str) -> dict[str, float]:
-    """``inflight:7;util:0.61``.  A server's report is the same for some hundred milliseconds."""
+    """Parses ``inflight:7;util:0.61``.
+
+    The results are cached because a server sends the same report for some hundred milliseconds.
+    """
     pairs = (pair.partition(":") for pair in text.split(";") if pair)
     return {name: float(value) for name, _, value in pairs}
--- a/kelpcroft/net/upstream_codec.py
+++ b/kelpcroft/net/upstream_codec.py
@@ -1,6 +1,6 @@
-"""What a control replica receives from upstream: answers of the feed, with their events as they came.
+"""Codec of a control replica's upstream: decodes the feed's responses and leaves their events unchanged.
 
-No socket here.  Events are handed on to watchers whatever they hold, so they are not looked into.
+Events are passed on to watchers whatever they contain, so the codec does not inspect them.  No socket here.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class UpstreamCodec(FeedResponseCodec[UpstreamResponse]):
-    """Answers of a list service or of another replica."""
+    """Decodes the responses of a list service or of another replica."""
 
     def parse_response(self, raw: Any) -> UpstreamResponse:
-        """One answer.
+        """Converts one response.
 
         Raises:
             FeedError: it has no number or no list of events.
@@ -26,7 +26,7 @@
             isinstance(raw, dict) and type(raw.get("n")) is int and isinstance(raw.get("events"), list)
         )
         if not is_response:
-            raise FeedError("not an answer with n and events")
+            raise FeedError("not a response with n and events")
         fingerprint = raw.get("mark")
         as_of_ms = raw.get("as_of")
         return UpstreamResponse(
@@ -37,7 +37,10 @@
         )
 
     def parse_piece(self, encoded_events: list[bytes | None]) -> UpstreamResponse:
-        """Events of a long answer; one that cannot be read is left out."""
+        """Converts events of a long response.
+
+        An event that was too long to keep becomes None; an event that is not JSON is left out.
+        """
         events = []
         for encoded in encoded_events:
             try:
--- a/kelpcroft/net/watch_codec.py
+++ b/kelpcroft/net/watch_codec.py
@@ -1,10 +1,10 @@
-"""The wire of a control replica's watchers: calls in, answers out, in the feed's form.  No socket here.
+"""Codec of a control replica's watchers: decodes requests and encodes responses, in the feed's protocol.
 
     GET /v1/events?SUB=<event number>&wait=<ms>[&mark=<fingerprint>]
     GET /control/state
 
-A router asks with ``mark``, which is a fingerprint of the log (``kelpcroft.control_log.log``).  Who asks
-without it is served by the number alone.
+A router sends ``mark``, a fingerprint of the log (``kelpcroft.control_log.log``).  For a watcher that sends
+no ``mark`` the position is the event number alone.  No socket here.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 from kelpcroft.control_log.follower import LogPosition
 
-MAX_HEAD_BYTES = 4_096  # of one call
-MAX_PIPELINED_CALLS = 4  # of one connection that may come at once
+MAX_HEAD_BYTES = 4_096  # size of one request's head
+MAX_PIPELINED_CALLS = 4  # requests that one connection may send at once
 EVENTS_PATH = b"/v1/events"
 STATE_PATH = b"/control/state"
 EVENTS_QUERY = re.compile(rb"SUB=(\d{1,18})&wait=(\d{1,9})(?:&mark=([0-9a-f]{0,32}))?")
@@ -25,37 +25,37 @@
 
 
 class WatchRequestError(ValueError):
-    """Bytes that are no call; the text says why, and is sent to the caller."""
+    """Bytes that are not a valid request; the text gives the reason and is sent to the watcher."""
 
 
 @dataclass(frozen=True, slots=True)
 class EventsRequest:
-    """A call for events after a position."""
+    """A watch request for the events after a position."""
 
     position: LogPosition
-    knows_fingerprints: bool  # the position has one, which may be ""
-    wait_ns: int  # how long to wait for news
+    knows_fingerprints: bool  # the request has a fingerprint, which may be ""
+    wait_ns: int  # how long the replica may wait for an event before it sends a response
 
 
 @dataclass(frozen=True, slots=True)
 class StateRequest:
-    """A call for what the replica is and did."""
+    """A request for the status of the replica."""
 
 
 class WatchServerCodec:
-    """Calls of one connection.  Its ``on_...`` methods are called by httptools while it parses."""
+    """Decodes the requests of one connection.  httptools calls the ``on_...`` methods while it parses."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
-        self._head_bytes = 0  # of the call that has begun
+        self._head_bytes = 0  # bytes of the current request so far
         self._completed: list[EventsRequest | StateRequest] = []
 
     def receive_data(self, data: bytes) -> list[EventsRequest | StateRequest]:
-        """The calls that these bytes complete.
+        """Decodes bytes and returns the requests that they complete.
 
         Raises:
-            WatchRequestError: they are no call that is known here, or too long.
+            WatchRequestError: the bytes are not a supported request, or a request is too long.
         """
         self._completed = []
         self._head_bytes += len(data)
@@ -70,15 +70,15 @@
         return self._completed
 
     def on_url(self, url: bytes) -> None:
-        """Part of the call's path and query."""
+        """Handles some bytes of the request's path and query."""
         self._url += url
 
     def on_body(self, _body: bytes) -> None:
-        """A call has none."""
+        """Raises an error: a request has no body."""
         raise WatchRequestError("a call with a body")
 
     def on_message_complete(self) -> None:
-        """A call is whole."""
+        """Handles the end of a request."""
         url = self._url
         self._url = b""
         self._head_bytes = 0
@@ -90,7 +90,11 @@
 
 
 def parse_request(url: bytes) -> EventsRequest | StateRequest:
-    """A call by its path and query.  Raises WatchRequestError."""
+    """Parses the path and query of a request.
+
+    Raises:
+        WatchRequestError: it is not a supported request.
+    """
     path, _, query = url.partition(b"?")
     if path == STATE_PATH:
         return StateRequest()
@@ -105,7 +109,7 @@
 
 
 def encode_response(body: bytes) -> bytes:
-    """An answer with a JSON body."""
+    """Encodes a response with a JSON body."""
     return b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s" % (
         len(body),
         body,
@@ -113,7 +117,7 @@
 
 
 def encode_refusal(reason: str, retry_after_s: int) -> bytes:
-    """A watcher is turned away for now; its connection may go on."""
+    """Encodes the response to a request that is rejected for now; the connection stays usable."""
     text = reason.encode()
     return b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: %d\r\nContent-Length: %d\r\n\r\n%s" % (
         retry_after_s,
@@ -123,7 +127,7 @@
 
 
 def encode_bad_request(reason: str) -> bytes:
-    """A call that cannot be read; the connection ends after it."""
+    """Encodes the response to malformed bytes; the connection is closed after it."""
     text = reason.encode()
     return b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s" % (
         len(text),
