--- a/kelpcroft/net/control_endpoint.py
+++ b/kelpcroft/net/control_endpoint.py
@@ -1,4 +1,4 @@
-"""The control address: one call a connection, one answer, then the end."""
+"""Control address: each connection carries one control request and one response, then it is closed."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     Transport,
 )
 
-CALLER_TIMEOUT_NS: Final = 5 * SECOND  # a caller has so long for its call and to read the answer
+CALLER_TIMEOUT_NS: Final = 5 * SECOND  # time for a control client to send its request and read the response
 
 
 class ControlConnection(Connection):
-    """A caller's connection to the control address."""
+    """A control client's connection."""
 
     def __init__(self, handler: ControlEndpoint, number: int, sock: socket.socket, now: int) -> None:
         super().__init__(handler, sock, now)
@@ -33,11 +33,11 @@
         self.codec = control_codec.ControlCodec(handler.serves_state)
         self.is_connected = True
         self.opened_ns = now
-        self.is_answered = False  # the answer is written, or waits to be; what comes after is not read
+        self.is_answered = False  # the request is complete or has its response; later bytes are ignored
 
 
 class ControlEndpoint(ConnectionHandler[ControlConnection]):
-    """The control address and its callers."""
+    """The control address and its clients."""
 
     def __init__(self, transport: Transport, acceptor: ClientAcceptor, max_callers: int) -> None:
         super().__init__(transport)
@@ -45,11 +45,11 @@
         self.max_callers = max_callers
         self.listener = Listener(transport)
         self.callers: dict[int, ControlConnection] = {}
-        self.serves_state = False  # GET /control/state is answered
+        self.serves_state = False  # GET /control/state is enabled
         self.has_told_identity = False
 
     def listen(self, sock: socket.socket | None) -> None:
-        """Listens on a socket that is given, or at the address that the configuration names, if any."""
+        """Listens on the given socket, or at the control address of the configuration, if any."""
         address = self.transport.config.control_address
         if sock is None and address is not None:
             sock = bind_listener("mgmt", address)
@@ -60,7 +60,7 @@
         self.transport.log("control.listens", f"control address on {at}", {"at": at})
 
     def accept(self) -> None:
-        """Takes callers that wait; past their bound the longest open goes for a new one."""
+        """Accepts waiting connections; at their limit a new one replaces the oldest one."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock = self.listener.accept()
@@ -80,9 +80,9 @@
             self.transport.set_interest(caller, READABLE)
 
     def _free_descriptor(self) -> bool:
-        """Whether a descriptor could be had: of the oldest caller, else of a client.
+        """Frees the descriptor of the oldest control connection, else of a client; returns whether it did.
 
-        Callers go after ``CALLER_TIMEOUT_NS`` by themselves; the oldest makes room at once.
+        Control connections are closed after ``CALLER_TIMEOUT_NS`` in any case; the oldest is closed now.
         """
         if self.callers:
             self._close_oldest()
@@ -95,20 +95,20 @@
     # Effects ----------------------------------------------------------------------------------------------
 
     def respond(self, effect: effects.ControlResponse) -> None:
-        """Answers a call that the reducer took."""
+        """Sends the response to a control request that the reducer handled."""
         caller = self.callers.get(effect.caller)
         if caller is None:
             return
         fields = effect.fields
-        if "instance" in fields:  # the answer to GET /control/state
+        if "instance" in fields:  # the response to GET /control/state
             fields = {**fields, "memory_kb": peak_kb()}
         self._answer(caller, control_codec.reply(effect.ok, fields, caller.codec.head_only))
 
     def set_state_endpoint(self, effect: effects.SetStateEndpoint) -> None:
-        """Serves GET /control/state from now on, or not.
+        """Enables or disables GET /control/state.
 
-        What this program is, is read once, when first asked for: nothing is read and nothing imported where
-        no file switches it on.
+        The identity of this process (its program's digest and its instance name) is determined once, when the
+        request is first enabled: nothing is read or imported for it unless an operator's file enables it.
         """
         self.serves_state = effect.is_enabled
         if effect.is_enabled and not self.has_told_identity:
@@ -124,7 +124,7 @@
     # Events of a connection -------------------------------------------------------------------------------
 
     def read(self, connection: ControlConnection) -> None:
-        """Passes a whole call to the reducer; what is no call is answered here."""
+        """Passes a complete control request to the reducer; queues an error response to any other bytes."""
         try:
             data = connection.sock.recv(control_codec.READ_BYTES)
         except BlockingIOError:
@@ -143,12 +143,12 @@
                 self._answer(connection, result)
 
     def _answer(self, caller: ControlConnection, answer: bytes) -> None:
-        """Queues the one answer; the connection ends once it is written."""
+        """Queues the only response of a connection, which is shut down after the response is written."""
         caller.is_answered = True
         self.transport.queue_write(caller, (answer,))
 
     def all_written(self, connection: ControlConnection) -> None:
-        """Ends our side: the caller's close, or the time of callers, ends the connection."""
+        """Shuts down our side; the connection is closed once the client closes it or its time is over."""
         try:
             connection.sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -157,15 +157,15 @@
     def connection_failed(
         self, connection: ControlConnection, reason: str, is_unreachable: bool = False
     ) -> None:
-        """Does nothing: ``sweep`` closes the connection once the caller's time is over."""
+        """Does nothing: ``sweep`` closes the connection after ``CALLER_TIMEOUT_NS``."""
 
     def close(self, connection: ControlConnection) -> None:
-        """Closes a caller's connection."""
+        """Closes a connection."""
         self.transport.close(connection)
         self.callers.pop(connection.number, None)
 
     def sweep(self, now: int) -> None:
-        """Closes callers whose time is over."""
+        """Closes connections that have been open for longer than ``CALLER_TIMEOUT_NS``."""
         for caller in [c for c in self.callers.values() if now - c.opened_ns > CALLER_TIMEOUT_NS]:
             self.close(caller)
 
--- a/kelpcroft/net/control_replica_server.py
+++ b/kelpcroft/net/control_replica_server.py
@@ -1,7 +1,7 @@
-"""The event loop of a control replica: it carries out what ``kelpcroft.control_log.replica`` decides.
+"""Event loop of a control replica: it carries out the decisions of ``kelpcroft.control_log.replica``.
 
-The sockets themselves are owned by ``control_replica_upstream`` (one connection to whom the replica follows)
-and ``control_replica_watchers`` (the connections of those who follow it).
+``control_replica_upstream`` owns the connection to the replica's upstream, and ``control_replica_watchers``
+owns the connections of its watchers.
 """
 
 from __future__ import annotations
@@ -34,14 +34,15 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-MAX_TURN_WAIT_NS = SECOND // 2  # what has fallen silent is looked for as often
-IDLE_CHECK_INTERVAL_NS = SECOND
-SIGNALS_READ_BYTES = 1 << 16
-SPARE_CONNECTIONS = 64  # beyond the watches: callers for the state, and connections about to end
+MAX_TURN_WAIT_NS = SECOND // 2  # longest wait of one iteration, and so between checks for a silent upstream
+IDLE_CHECK_INTERVAL_NS = SECOND  # time between two searches for idle watchers
+SIGNALS_READ_BYTES = 1 << 16  # most bytes read from the signal pipe at once
+# Connections beyond the limit of watches: for status requests, and connections that are about to be closed.
+SPARE_CONNECTIONS = 64
 
 
 class ReplicaStatus(TypedDict):
-    """``GET /control/state``: the keys, in their order, are read by operators and by older builds."""
+    """Response to ``GET /control/state``; operators and older builds read its keys, in this order."""
 
     last: int
     mark: str
@@ -63,7 +64,7 @@
 
 
 class ControlReplicaServer:
-    """One control replica's loop: waits for its sockets and timers, and decides nothing."""
+    """The event loop of one control replica; it waits for sockets and timers and makes no decisions."""
 
     def __init__(
         self, replica: ControlReplica, listener: socket.socket, clock: Clock, events: EventLog
@@ -91,13 +92,13 @@
         self._signals: int | None = None
         self._is_stopping = False
         self._idle_checked_ns = 0
-        self._response_bytes = 0  # of answers to watchers
+        self._response_bytes = 0  # body bytes of all watch responses
 
     def run(self, signals: int | None = None) -> None:
-        """Serve until a signal asks for the end.
+        """Serves until a signal stops the process.
 
         Args:
-            signals: the reading end of the pipe into which signals' numbers are written.
+            signals: the read end of the pipe to which the numbers of signals are written.
         """
         with self._selector, closing(self._upstream), closing(self._watchers):
             self._selector.register(self._listener, selectors.EVENT_READ, self._watchers.on_listener_ready)
@@ -109,7 +110,7 @@
                 self._run_turn()
 
     def _run_turn(self) -> None:
-        """Wait, read, do what is due."""
+        """Runs one iteration: waits for sockets, handles them and then the timers that are due."""
         for key, events in self._selector.select(self._wait_s(self._clock.now())):
             key.data(events)
         now = self._clock.now()
@@ -121,18 +122,18 @@
             self._watchers.drop_idle(now)
 
     def _wait_s(self, now: int) -> float:
-        """How long there is nothing to do unless a socket is ready."""
+        """Returns how many seconds the selector may wait if no socket becomes ready."""
         due = (self._replica.next_timer_ns(), self._upstream.next_call_ns(), now + MAX_TURN_WAIT_NS)
         return max(0, min(at_ns for at_ns in due if at_ns is not None) - now) / SECOND
 
     def _on_signals(self, _events: int) -> None:
-        """Any signal but SIGHUP ends the process; there is nothing to read again."""
+        """Stops the loop on any signal except SIGHUP, for which there is no file to reload."""
         assert self._signals is not None
         numbers = os.read(self._signals, SIGNALS_READ_BYTES)
         self._is_stopping = any(number != signal.SIGHUP for number in numbers)
 
     def _perform(self, effects: list[Effect]) -> None:
-        """Carry out what the replica decided."""
+        """Carries out the effects that the replica returned."""
         for effect in effects:
             match effect:
                 case SendWatchResponse(watcher_id, body):
@@ -152,7 +153,7 @@
         self._perform(self._replica.on_upstream_failed(self._clock.now(), reason))
 
     def _on_request(self, watcher_id: int, request: EventsRequest | StateRequest) -> None:
-        """One call of a watcher, or of an operator."""
+        """Handles one request of a watcher or of an operator."""
         if isinstance(request, StateRequest):
             self._watchers.write(watcher_id, encode_response(orjson.dumps(self._status())))
             return
@@ -160,7 +161,7 @@
         self._perform(self._replica.on_watch(self._clock.now(), watch))
 
     def _status(self) -> ReplicaStatus:
-        """What an operator asks for."""
+        """Returns the replica's status for ``GET /control/state``."""
         now = self._clock.now()
         replica = self._replica
         counters = replica.counters
--- a/kelpcroft/net/control_replica_upstream.py
+++ b/kelpcroft/net/control_replica_upstream.py
@@ -1,4 +1,4 @@
-"""The connection of a control replica to whom it follows: one at a time, with one call out on it."""
+"""Connection of a control replica to its upstream: one at a time, with at most one outstanding request."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-READ_BYTES = 1 << 16
-CONNECT_TIMEOUT_NS = 400 * MS
+READ_BYTES = 1 << 16  # most bytes read from the connection at once
+CONNECT_TIMEOUT_NS = 400 * MS  # connect timeout
 
 
 class UpstreamConnection:
-    """A connection to upstream, and the call that is out on it.  Times are Unix ns."""
+    """A connection to the upstream and its outstanding request.  Times are Unix ns."""
 
     def __init__(self, address: Address, sock: socket.socket, now: int) -> None:
         self.address = address
@@ -37,7 +37,7 @@
 
 
 class ScheduledCall(NamedTuple):
-    """A call that is due later; the sequence number keeps calls of one moment in their order."""
+    """A request that is due later; the sequence number keeps the order of requests due at the same time."""
 
     due_ns: int
     sequence: int
@@ -45,7 +45,7 @@
 
 
 class UpstreamCaller:
-    """Makes a replica's calls when they are due, and reads their answers."""
+    """Sends a replica's watch requests when they are due, and reads the responses."""
 
     def __init__(
         self,
@@ -55,14 +55,14 @@
         on_response: Callable[[UpstreamResponse], None],
         on_failure: Callable[[str], None],
     ) -> None:
-        """Start without a connection.
+        """Creates the client without a connection.
 
         Args:
-            selector: calls what is registered with a socket when that is ready.
-            clock: tells Unix ns.
-            peers: addresses of control replicas; calls to them name the position's fingerprint.
-            on_response: an answer, or a piece of one, has come.
-            on_failure: a call has failed, for this reason.
+            selector: selector of the loop, which calls the function registered for a socket when it is ready.
+            clock: the time in Unix ns.
+            peers: addresses of control replicas; requests to them contain the position's fingerprint.
+            on_response: called with each response, or chunk of a response.
+            on_failure: called with the reason when a request has failed.
         """
         self._selector = selector
         self._clock = clock
@@ -74,22 +74,22 @@
         self._sequence = 0
 
     def schedule(self, call: CallUpstream) -> None:
-        """Make a call once its delay has passed."""
+        """Schedules a request that is sent when its delay has passed."""
         self._sequence += 1
         due_ns = self._clock.now() + call.delay_ns
         heapq.heappush(self._scheduled, ScheduledCall(due_ns, self._sequence, call))
 
     def next_call_ns(self) -> int | None:
-        """When ``make_due_calls`` is to be called next."""
+        """Returns when ``make_due_calls`` is to be called next."""
         return self._scheduled[0].due_ns if self._scheduled else None
 
     def make_due_calls(self, now: int) -> None:
-        """Make the calls whose time has come."""
+        """Sends the requests that are due."""
         while self._scheduled and self._scheduled[0].due_ns <= now:
             self._call(heapq.heappop(self._scheduled).call)
 
     def give_up_silent_call(self, now: int) -> None:
-        """Fail the call that is out if nothing has been heard for too long."""
+        """Fails the outstanding request if the upstream has been silent for too long."""
         connection = self._connection
         if connection is None or not connection.awaits_response:
             return
@@ -98,17 +98,17 @@
         if connection.is_connected:
             timeout_ns = UPSTREAM_WAIT_NS + UPSTREAM_TIMEOUT_MARGIN_NS
         if now - since_ns > timeout_ns:
-            self._fail("no answer in time")
+            self._fail("no response in time")
 
     def close(self) -> None:
-        """End the connection, if there is one."""
+        """Closes the connection, if there is one."""
         if self._connection is not None:
             self._selector.unregister(self._connection.sock)
             self._connection.sock.close()
             self._connection = None
 
     def _call(self, call: CallUpstream) -> None:
-        """Make a call, on the connection that stands or on a new one."""
+        """Sends a request, on the open connection or on a new one."""
         now = self._clock.now()
         connection = self._connection
         if connection is not None and (call.on_new_connection or connection.address != call.address):
@@ -130,15 +130,15 @@
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.connect_ex(address)  # what is wrong with it shows on the socket
+        sock.connect_ex(address)  # a failure is read from the socket (SO_ERROR) once the selector reports it
         connection = UpstreamConnection(address, sock, now)
         self._selector.register(sock, selectors.EVENT_READ | selectors.EVENT_WRITE, self._on_ready)
         return connection
 
     def _on_ready(self, events: int) -> None:
-        """Handle what the selector reported of the connection."""
+        """Handles the events that the selector reported for the connection."""
         connection = self._connection
-        if connection is None:  # closed since, in this turn
+        if connection is None:  # it was closed earlier in this iteration
             return
         if events & selectors.EVENT_WRITE:
             if not connection.is_connected:
@@ -152,7 +152,7 @@
             self._read(connection)
 
     def _write(self, connection: UpstreamConnection) -> None:
-        """A call is small: what is not taken at once waits for the selector."""
+        """Writes the request, which is small; bytes that the socket does not accept wait for the selector."""
         try:
             sent = connection.sock.send(connection.unwritten)
         except BlockingIOError:
@@ -167,7 +167,7 @@
         self._selector.modify(connection.sock, interest, self._on_ready)
 
     def _read(self, connection: UpstreamConnection) -> None:
-        """Bytes of an answer."""
+        """Reads bytes of a response."""
         try:
             data = connection.sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -176,7 +176,7 @@
             self._fail(str(error))
             return
         if not data:
-            self._fail("closed")
+            self._fail("closed by the upstream")
             return
         connection.last_heard_ns = self._clock.now()
         problem = ""
@@ -184,15 +184,15 @@
             connection.codec.receive_data(memoryview(data))
         except FeedError as error:
             problem = str(error)
-        self._deliver(connection)  # also what came whole before a fault
+        self._deliver(connection)  # also the values that were completed before the error
         if problem and connection is self._connection:
             self._fail(f"malformed: {problem}")
 
     def _deliver(self, connection: UpstreamConnection) -> None:
-        """Hand on the answers, and pieces of one, that have come."""
+        """Passes on the completed responses and chunks of a response."""
         for response in connection.codec.completed:
             if connection is not self._connection and response.has_more:
-                break  # what has begun is of no use any more
+                break  # the connection was closed meanwhile, so this response will never be complete
             if not response.has_more:
                 connection.awaits_response = False
                 if not connection.codec.keeps_alive:
@@ -200,7 +200,7 @@
             self._on_response(response)
 
     def _fail(self, reason: str) -> None:
-        """The connection is gone; a call that was out on it has failed."""
+        """Closes the connection and reports its outstanding request, if any, as failed."""
         was_out = self._connection is not None and self._connection.awaits_response
         self.close()
         if was_out:
--- a/kelpcroft/net/control_replica_watchers.py
+++ b/kelpcroft/net/control_replica_watchers.py
@@ -1,4 +1,4 @@
-"""The connections of those who follow a control replica: routers, other replicas, and operators."""
+"""Connections of a control replica's watchers: routers, other replicas, and operators."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-READ_BYTES = 1 << 16
-MAX_ACCEPTS_PER_TURN = 256
-MAX_UNWRITTEN_BYTES = 8 << 20  # that wait for one watcher
-IDLE_TIMEOUT_NS = 20 * SECOND  # a watcher that calls no more, or reads no more, is closed after this
+READ_BYTES = 1 << 16  # most bytes read from one connection at once
+MAX_ACCEPTS_PER_TURN = 256  # connections accepted before the other sockets are handled
+MAX_UNWRITTEN_BYTES = 8 << 20  # bytes that may be queued for one watcher
+IDLE_TIMEOUT_NS = 20 * SECOND  # a watcher that has neither sent nor read anything for this long is closed
 
 
 class WatcherConnection:
@@ -32,12 +32,12 @@
         self.sock = sock
         self.codec = WatchServerCodec()
         self.unwritten = bytearray()
-        self.last_progress_ns = now  # when it last called or took something
-        self.is_ending = False  # closed once all is written
+        self.last_progress_ns = now  # when the watcher last sent a request or accepted bytes
+        self.is_ending = False  # the connection is closed after all queued bytes are written
 
 
 class WatcherConnections:
-    """Accepts watchers, reads their calls and writes what is for them.  Its length counts the connections."""
+    """Accepts watchers, reads their requests and writes the responses.  ``len()`` counts the connections."""
 
     def __init__(
         self,
@@ -48,15 +48,15 @@
         on_request: Callable[[int, EventsRequest | StateRequest], None],
         on_disconnect: Callable[[int], None],
     ) -> None:
-        """Start with none.
+        """Starts without connections.
 
         Args:
-            selector: calls what is registered with a socket when that is ready.
-            listener: where watchers come in; not closed here.
-            clock: tells Unix ns.
-            max_connections: further ones are closed at once.
-            on_request: a watcher, by its number, has called.
-            on_disconnect: a watcher, by its number, has gone.
+            selector: selector of the loop, which calls the function registered for a socket when it is ready.
+            listener: the listening socket, which is not closed here.
+            clock: the time in Unix ns.
+            max_connections: connections beyond this number are closed immediately.
+            on_request: called with a watcher's number and its request.
+            on_disconnect: called with a watcher's number after its connection was closed.
         """
         self._selector = selector
         self._listener = listener
@@ -71,7 +71,7 @@
         return len(self._connections)
 
     def on_listener_ready(self, _events: int) -> None:
-        """Accept the connections that wait; past the most that are kept they are closed at once."""
+        """Accepts waiting connections; connections beyond the limit are closed immediately."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock, _ = self._listener.accept()
@@ -83,7 +83,7 @@
             self._add(sock)
 
     def write(self, number: int, data: bytes) -> None:
-        """Send bytes to a watcher.  One that has gone gets none; one that reads too little is closed."""
+        """Queues bytes for a watcher, if it is still connected; closes it if it reads too slowly."""
         watcher = self._connections.get(number)
         if watcher is None:
             return
@@ -94,13 +94,13 @@
             self._flush(watcher)
 
     def drop_idle(self, now: int) -> None:
-        """Let those go who neither call nor read any more."""
+        """Closes watchers that have been idle for longer than ``IDLE_TIMEOUT_NS``."""
         for watcher in list(self._connections.values()):
             if now - watcher.last_progress_ns > IDLE_TIMEOUT_NS:
                 self._drop(watcher)
 
     def close(self) -> None:
-        """End all connections."""
+        """Closes all connections."""
         for watcher in list(self._connections.values()):
             self._drop(watcher)
 
@@ -113,14 +113,14 @@
         self._selector.register(sock, selectors.EVENT_READ, partial(self._on_ready, watcher))
 
     def _on_ready(self, watcher: WatcherConnection, events: int) -> None:
-        """Handle what the selector reported of a watcher's connection."""
+        """Handles the events that the selector reported for a watcher's connection."""
         if events & selectors.EVENT_WRITE:
             self._flush(watcher)
         if events & selectors.EVENT_READ and watcher.number in self._connections:
             self._read(watcher)
 
     def _read(self, watcher: WatcherConnection) -> None:
-        """Bytes of calls."""
+        """Reads requests; a malformed one gets a response, after which the connection is closed."""
         try:
             data = watcher.sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -142,7 +142,7 @@
             self._on_request(watcher.number, request)
 
     def _flush(self, watcher: WatcherConnection) -> None:
-        """Write what a watcher's socket takes."""
+        """Writes as many queued bytes as the watcher's socket accepts."""
         if watcher.unwritten:
             try:
                 sent = watcher.sock.send(watcher.unwritten)
@@ -160,7 +160,7 @@
         self._watch_for(watcher)
 
     def _watch_for(self, watcher: WatcherConnection) -> None:
-        """Ask the selector for input, and for room while anything is unwritten."""
+        """Registers for input, and for output while bytes are queued."""
         interest = selectors.EVENT_READ
         if watcher.unwritten:
             interest |= selectors.EVENT_WRITE
@@ -168,7 +168,7 @@
         self._selector.modify(watcher.sock, interest, key.data)
 
     def _drop(self, watcher: WatcherConnection) -> None:
-        """A watcher's connection ends."""
+        """Closes a watcher's connection and reports it."""
         if self._connections.pop(watcher.number, None) is None:
             return
         self._selector.unregister(watcher.sock)
--- a/kelpcroft/net/feed_client.py
+++ b/kelpcroft/net/feed_client.py
@@ -1,4 +1,4 @@
-"""The connection to the feed: long polls for the list of servers and purges, one at a time."""
+"""Connection to the feed: watch requests for the endpoint list and purges, one at a time."""
 
 from __future__ import annotations
 
@@ -18,46 +18,47 @@
 from kelpcroft.net.transport import SECOND, WRITABLE, Connection, ConnectionHandler, Transport
 
 NS_PER_MS: Final = 1_000_000
-# After a stall servers, clients and timers wait at most this long for the feed's response ...
+# After a process stall, servers, clients and timers wait at most this long for the feed's response.
 FEED_ONLY_NS: Final = SECOND // 25
-# ... and two such waits begin at least this far apart.
+# Two of these waits begin at least this far apart.
 FEED_ONLY_INTERVAL_NS: Final = SECOND
 
 
 class FeedConnection(Connection):
-    """A connection to the feed, with the poll that is out on it."""
+    """A connection to the feed, with its outstanding watch request."""
 
     def __init__(self, handler: FeedClient, sock: socket.socket, now: int, is_replica: bool) -> None:
-        """``is_replica``: it is a control replica, whose snapshots are bounded and parsed as one."""
+        """``is_replica``: a control replica, whose snapshots are bounded and parsed in one step."""
         super().__init__(handler, sock, now)
         self.codec = FeedCodec(MAX_SNAPSHOT_BYTES if is_replica else MAX_WHOLE_RESPONSE_BYTES)
-        self.polled_ns = now  # when the poll was sent
-        self.poll_wait_ns = 0  # how long the feed may wait for news before it answers it
-        self.response_timeout_ns = 0  # how long it may be silent past that, or within its response
-        self.last_read_ns = 0  # when bytes last came
+        self.polled_ns = now  # when the watch request was sent
+        self.poll_wait_ns = 0  # how long the feed may wait for an event before it sends a response
+        self.response_timeout_ns = 0  # how long it may be silent after that wait, or within its response
+        self.last_read_ns = 0  # when bytes last arrived
         self.awaits_response = False
 
 
 class FeedClient(ConnectionHandler[FeedConnection]):
-    """Asks the feed; after a stall of the process its response comes before all else."""
+    """Sends watch requests to the feed; after a process stall its response is read before all other input."""
 
     def __init__(self, transport: Transport, connector: Connector) -> None:
         super().__init__(transport)
         self.connector = connector
         self.address = transport.config.feed_address
         self.connection: FeedConnection | None = None
-        self.last_stall_ns = 0  # when the process was last seen to have stood still
-        # Until then servers and clients are not read, as the list is as old as a stall; 0 = all are read.
+        self.last_stall_ns = 0  # when a process stall last interrupted a watch request
+        # Until then servers and clients are not read, because the endpoint list may be older than a process
+        # stall; 0 = all are read.
         self.feed_only_until_ns = 0
 
     # Effects ----------------------------------------------------------------------------------------------
 
     def poll(self, effect: effects.PollFeed) -> None:
-        """Sends a poll, on the connection that stands or on a new one."""
+        """Sends a watch request, on the open connection or on a new one."""
         now = self.transport.clock.now()
         connection = self.connection
         if connection is not None and connection.awaits_response:
-            return  # one poll at a time: a timer from before a switch may ask for a second
+            return  # one watch request at a time: a timer from before a switch may trigger a second one
         if connection is None:
             try:
                 sock = self.connector.connect(self.address)
@@ -75,7 +76,7 @@
         self.transport.queue_write(connection, (request,))
 
     def switch_feed(self, effect: effects.SwitchFeed) -> None:
-        """Leaves the feed where it is, and finds it at another address from now on."""
+        """Closes the connection to the feed; later watch requests go to the new address."""
         self.address = effect.address
         if self.connection is not None:
             self.close(self.connection)
@@ -83,12 +84,12 @@
     # Events of the connection -----------------------------------------------------------------------------
 
     def receive(self, connection: FeedConnection, data: memoryview) -> None:
-        """Tells the reducer the responses, or parts of a long one, that these bytes complete."""
+        """Passes the responses, or chunks of a long one, that these bytes complete to the reducer."""
         connection.last_read_ns = self.transport.clock.now()
         try:
             responses = connection.codec.receive_data(data)
         except FeedError:
-            for response in connection.codec.completed:  # whole events before the error
+            for response in connection.codec.completed:  # complete events before the error
                 self.transport.handle_input(response)
             raise
         for response in responses:
@@ -105,31 +106,31 @@
         reason: str,
         is_unreachable: bool = False,  # noqa: ARG002
     ) -> None:
-        """Closes the connection and tells the reducer that the poll has failed."""
+        """Closes the connection and reports the failed watch request to the reducer."""
         if connection is not self.connection:
             return
         self.feed_only_until_ns = 0
         self.close(connection)
         codec = connection.codec
         self.transport.handle_input(
-            inputs.WatchFailed(reason or "closed", codec.retry_after_ns, codec.body_bytes_read)
+            inputs.WatchFailed(reason or "closed by the feed", codec.retry_after_ns, codec.body_bytes_read)
         )
 
     def close(self, connection: FeedConnection) -> None:
-        """Closes the connection; the next poll opens another."""
+        """Closes the connection; the next watch request opens another."""
         self.transport.close(connection)
         if connection is self.connection:
             self.connection = None
 
-    # Steps of a turn --------------------------------------------------------------------------------------
+    # Steps of an iteration --------------------------------------------------------------------------------
 
     def refresh_after_stall(self) -> None:
-        """Closes the poll that is out after the process stood still; the reducer polls anew with no wait.
+        """Drops the outstanding watch request after a process stall; the reducer sends one without a wait.
 
-        What the feed announced meanwhile binds this router, and the response to the old poll may be from
-        before that.  Until the new response is whole, or for ``FEED_ONLY_NS``, the loop reads no server and
-        no client and fires no timer (``EventLoop.run_turn``).  Control callers, signals, accepts and queued
-        writes go on.
+        Updates that the feed announced during the stall are binding on this router, and the response to the
+        old request may be older than they are.  Until the new response is complete, or for ``FEED_ONLY_NS``,
+        the loop reads no server and no client and fires no timer (``EventLoop.run_turn``).  Control clients,
+        signals, accepts and queued writes are still handled.
         """
         now = self.transport.clock.now()
         connection = self.connection
@@ -139,11 +140,11 @@
             return
         self.last_stall_ns = now
         self.feed_only_until_ns = now + FEED_ONLY_NS
-        self.close(connection)  # the poll on it waits for news, and its response is from before
+        self.close(connection)  # its response may predate the stall
         self.transport.handle_input(inputs.ProcessStalled())
 
     def give_up_if_overdue(self, now: int) -> None:
-        """Gives a poll up whose response does not come in time."""
+        """Fails a watch request whose response is overdue."""
         connection = self.connection
         if (
             connection is not None
@@ -156,4 +157,4 @@
                 connection.response_timeout_ns,
             )
         ):
-            self.connection_failed(connection, "no answer in time")
+            self.connection_failed(connection, "no response in time")
--- a/kelpcroft/net/predecessor_files.py
+++ b/kelpcroft/net/predecessor_files.py
@@ -1,7 +1,7 @@
-"""Files under ``$TMPDIR`` that one process of a router leaves for the next.
+"""Files under ``$TMPDIR`` that a process of a router leaves for its successor.
 
-The service state (its form: ``kelpcroft.store.handover``) and the times of earlier starts (its form:
-``kelpcroft.startup.crash_loop_backoff``).  Each is written whole under another name, then put in place.
+They are the service state (format: ``kelpcroft.store.handover``) and the times of earlier starts (format:
+``kelpcroft.startup.crash_loop_backoff``).  Each file is written under a temporary name, then renamed.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 
 class PredecessorFiles:
-    """Carries out the reducer's effects on the service state."""
+    """Carries out the reducer's effects that write and read the service state."""
 
     def __init__(self, transport: Transport) -> None:
         self.transport = transport
 
     def persist_service_state(self, effect: effects.PersistServiceState) -> None:
-        """Leaves the service state for the router's next process."""
+        """Writes the service state for this process's successor."""
         config = self.transport.config
         if not config.state_dir:
             return
@@ -31,13 +31,13 @@
         except OSError as error:
             self.transport.log(
                 "handover.unwritten",
-                f"state of service not left for the next process: {error}",
+                f"service state not written for the next process: {error}",
                 {"why": str(error)},
                 "warning",
             )
 
     def read_predecessor_state(self, _effect: effects.ReadPredecessorState) -> None:
-        """Tells the reducer if the process beside this one has left word of its end."""
+        """Reports to the reducer if the predecessor, which ran beside this process, has recorded its end."""
         config = self.transport.config
         left = read_handover(config.state_dir, config.name)
         if left is not None and left.ended_at_ns:
@@ -45,7 +45,7 @@
 
 
 def read_handover(folder: str, name: str) -> inputs.PredecessorState | None:
-    """What the router's last process left, if there is a folder for it (``$TMPDIR``)."""
+    """Reads the service state that the predecessor left; None without a folder (``$TMPDIR``) or a file."""
     if not folder:
         return None
     path = handover.file_path(folder, name)
@@ -64,10 +64,11 @@
 def write_handover(folder: str, name: str, now_ns: int, state: effects.PersistServiceState) -> None:
     """Writes the service state.
 
-    An end is added to what the next process has written since, whose service state it is by then.
+    If this process ends and its successor has written the file since the shutdown began, the successor's
+    service state is kept and only the time of the end is added.
 
     Raises:
-        OSError: it could not be written.
+        OSError: the file could not be written.
     """
     path = handover.file_path(folder, name)
     pid = os.getpid()
@@ -83,9 +84,9 @@
 
 
 def crash_loop_delay_ns(folder: str, name: str, now_ns: int) -> int:
-    """Notes a start, and says how long the first call of the list waits by the earlier ones.
+    """Records a start and returns how long earlier starts delay the first request to the list service.
 
-    A folder that does not last, or cannot be written, remembers nothing and costs nothing.
+    Where the folder does not persist or cannot be written, no starts are recorded and there is no delay.
     """
     if not folder:
         return 0
@@ -102,13 +103,13 @@
 
 
 def _read(path: str) -> bytes:
-    """What lies there, up to one byte more than is taken."""
+    """Reads a file up to one byte over its size limit, so that a file over the limit is detected."""
     with open(path, "rb") as file:
         return file.read(handover.MAX_FILE_BYTES + 1)
 
 
 def _replace(path: str, data: bytes) -> None:
-    """Writes a file whole under another name, then puts it in place."""
+    """Writes a file completely under a temporary name, then renames it over the old file."""
     scratch = f"{path}.{os.getpid()}"
     with open(scratch, "wb") as file:
         file.write(data)
