--- a/kelpcroft/diagnostics.py
+++ b/kelpcroft/diagnostics.py
@@ -1,9 +1,9 @@
-"""One diagnostic type for all files that people write for this program: what is wrong, and where.
+"""Diagnostics of all files that operators write for this program: each has a text, a level and a place.
 
-Three checkers produce it: the operator's file and its relatives (``operator_file``), the JSON configuration
-at the start (``deployment_check``) and the JSON configuration read again (``config_reload``).  A JSON value
-is located by its path of keys, a KDL value by line and column.  Pure: no file, socket or clock, and few
-imports, as every router loads it.
+Three packages report them: ``operator_file`` for the operator's file and files of the same format,
+``deployment_check`` for the JSON configuration at the start, and ``config_reload`` for the JSON configuration
+when it is read again.  A JSON value is located by its path of keys, a KDL value by line and column.  Pure: no
+file, socket or clock, and few imports, because every router loads this module.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class FilePosition(NamedTuple):
-    """Line and column in a text file, both from 1; columns count characters.  0, 0 is no position."""
+    """Line and column in a text file, both from 1; columns count characters.  0, 0 means no position."""
 
     line: int = 0
     column: int = 0
@@ -24,27 +24,27 @@
 
 
 class Severity(StrEnum):
-    """What a diagnostic means for the program.  ``kelpcroft check`` prints the values, also as JSON."""
+    """Level of a diagnostic.  ``kelpcroft check`` prints the values, also as JSON."""
 
-    FAULT = "fault"  # it cannot be used
-    DOUBT = "doubt"  # it can be used, and somebody should look
-    UNKNOWN = "unknown"  # a key that no version so far knows; it is passed over
+    FAULT = "fault"  # an error: the file cannot be used
+    DOUBT = "doubt"  # a warning: the file can be used, but an operator should check the place
+    UNKNOWN = "unknown"  # an unknown feature: a key that no version up to this one supports, which is ignored
 
 
 @dataclass(frozen=True, slots=True)
 class Diagnostic:
-    """One thing that is wrong or odd.
+    """One error, warning or unknown feature in a file.
 
     Attributes:
-        place: Path of keys and indices in a JSON configuration, as ``settings.classes[2].give_up_ns``; for
-            a file that is not JSON the line and column in words; empty for the whole file, and for KDL.
-        found: What stands there, or for KDL the whole message.
-        expected: What would do in its place; may be empty.
-        level: What it means for the program.
+        place: Path of keys and indices in a JSON configuration, such as ``settings.classes[2].give_up_ns``;
+            for a file that is not JSON the line and column as text; empty for the whole file, and for KDL.
+        found: Text about the value in the file; for KDL the complete message.
+        expected: Text about a value that would be accepted; may be empty.
+        level: Consequence for the program.
         position: Line and column in a KDL file.
-        code: Name of the rule of a KDL file that is broken.  Stable: scripts may rely on it.
+        code: Name of the violated rule of a KDL file.  It is stable, because scripts may rely on it.
 
-    ``kelpcroft check`` prints them as JSON by these names, ``expected`` as ``wanted``.
+    ``kelpcroft check`` prints these attributes as JSON under their names, but ``expected`` as ``wanted``.
     """
 
     place: str = ""
@@ -56,19 +56,19 @@
 
     @property
     def message(self) -> str:
-        """What was found and what would do, without the place."""
+        """Returns the text about the value found and the value expected, without the place."""
         return f"{self.found}; {self.expected}" if self.expected else self.found
 
     def __str__(self) -> str:
-        """``PLACE: found; expected``: the line of a JSON configuration's diagnostic."""
-        # A fault without a place is the whole file's; an unknown key may be the empty text.
+        """Returns ``PLACE: found; expected``, the line of a JSON configuration's diagnostic."""
+        # An error without a place concerns the whole file; the place of an unknown key may be "".
         is_whole_file = not self.place and self.level is Severity.FAULT
         return f"{'the file' if is_whole_file else self.place}: {self.found}; {self.expected}"
 
     def format_for(self, path: str) -> str:
-        """``PATH:LINE:COL: CODE: message``: the line of a KDL file's diagnostic.
+        """Returns ``PATH:LINE:COL: CODE: message``, the line of a KDL file's diagnostic.
 
-        It is one line whatever the file contains: what cannot be printed is escaped.
+        Characters that cannot be printed are escaped, so it is one line whatever the file contains.
         """
         message = "".join(c if c.isprintable() else f"\\u{ord(c):04x}" for c in self.message)
         return f"{path}:{self.position.line}:{self.position.column}: {self.code}: {message}"
--- a/kelpcroft/invariants.py
+++ b/kelpcroft/invariants.py
@@ -1,18 +1,18 @@
-"""What must always hold: asserted in debug builds, counted in release builds (``python -O``)."""
+"""Invariants: asserted in debug builds, counted in release builds (``python -O``)."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-violations: Counter[str] = Counter()  # how often each invariant did not hold, in this process
+violations: Counter[str] = Counter()  # number of violations of each invariant in this process
 
 
 def holds(condition: bool, invariant: str) -> bool:
-    """Whether an invariant holds.  A debug build stops where it does not; a release build counts it.
+    """Returns whether an invariant holds; if not, a debug build fails and a release build counts it.
 
     Args:
-        condition: What must be true.
-        invariant: A sentence for it: the counter's name in the log.
+        condition: The value of the invariant, which must be true.
+        invariant: The invariant as a sentence, which names its counter in the log.
     """
     if not condition:
         violations[invariant] += 1
@@ -21,5 +21,5 @@
 
 
 def violation_summary() -> str:
-    """The counts for the log; empty while every invariant has held."""
+    """Returns the counts for the log; empty if no invariant was violated."""
     return ", ".join(f"{invariant}: {count}" for invariant, count in sorted(violations.items()))
--- a/kelpcroft/log.py
+++ b/kelpcroft/log.py
@@ -1,9 +1,10 @@
-"""The structured log: one line for each event, JSON or plain, rate-limited by event name.
+"""Structured log: one line for each log event, JSON or plain text, rate-limited by event name.
 
 JSON lines have ``time`` (UTC), ``level``, ``router``, ``event``, ``text`` and the event's own fields.  On a
-terminal a line is ``time LEVEL event: text``.  Of one event MAX_LINES_PER_EVENT lines are written in
-RATE_WINDOW_NS; what is left out is counted, and the count comes with the next line of that event,
-as ``suppressed``.  Traced steps (ROUTER_TRACE=1) are JSON lines of their own form, and none is left out.
+terminal a line is ``time LEVEL event: text``.  At most MAX_LINES_PER_EVENT lines of one event are written in
+RATE_WINDOW_NS; further lines are suppressed and counted, and the next written line of the event has their
+count as ``suppressed``.  Traced steps (ROUTER_TRACE=1) are JSON lines of another format, and none of them is
+suppressed.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 
 from kelpcroft.core.effects import LogEvent
 
-RATE_WINDOW_NS = 10 * 10**9
-MAX_LINES_PER_EVENT = 40  # in a window
-LEVELS = {"info": logging.INFO, "warning": logging.WARNING}
-TRACE_PREFIX = "trace."  # of the names of traced steps
+RATE_WINDOW_NS = 10 * 10**9  # length of the window in which lines are counted
+MAX_LINES_PER_EVENT = 40  # lines of one event in a window
+LEVELS = {"info": logging.INFO, "warning": logging.WARNING}  # levels of ``logging`` by the event's level
+TRACE_PREFIX = "trace."  # prefix of the event names of traced steps
 
 
 @dataclass(slots=True)
 class EventRate:
-    """The lines of one event in the present window."""
+    """The lines of one event in the current window."""
 
     window_began_ns: int
     written: int = 0
@@ -34,13 +35,13 @@
 
 
 class RateLimiter:
-    """Which lines are written.  Its table has one entry for each event name, of which there are few."""
+    """Limits the rate of lines by event name.  ``rates`` has one entry for each of the few event names."""
 
     def __init__(self) -> None:
         self.rates: dict[str, EventRate] = {}
 
     def admit(self, now: int, event: str) -> int | None:
-        """How many lines of an event were left out before this one; None where this one is left out too."""
+        """Returns how many lines of an event were suppressed before this one; None if this one is as well."""
         rate = self.rates.get(event)
         if rate is None:
             rate = self.rates[event] = EventRate(now)
@@ -56,7 +57,7 @@
 
 
 class LogFormatter(logging.Formatter):
-    """A record as JSON, or as plain text."""
+    """Formats a record as JSON or as plain text."""
 
     def __init__(self, router: str, is_plain: bool) -> None:
         super().__init__()
@@ -64,7 +65,7 @@
         self.is_plain = is_plain
 
     def format(self, record: logging.LogRecord) -> str:
-        """One line, without its end."""
+        """Returns one line, without its line end."""
         event, now, fields = record.__dict__["event"], record.__dict__["now"], record.__dict__["fields"]
         timestamp = self.timestamp(now)
         if self.is_plain:
@@ -77,12 +78,12 @@
             "event": event,
             "text": record.getMessage(),
         }
-        # The head's keys come first, and an event's own field can't take the place of one.
+        # The head's keys come first, and a field of the event cannot replace one of them.
         line = {**head, **fields, **head}
         return orjson.dumps(line, default=str, option=orjson.OPT_NON_STR_KEYS).decode()
 
     def timestamp(self, now: int) -> str:
-        """Unix time in ns as UTC to the microsecond."""
+        """Formats Unix time in ns as UTC, in microseconds."""
         seconds, rest_ns = divmod(now, 10**9)
         stamp = self.formatTime(logging.makeLogRecord({"created": seconds}), "%Y-%m-%dT%H:%M:%S")
         return f"{stamp}.{rest_ns // 1000:06d}Z"
@@ -92,11 +93,11 @@
     """Writes events to a stream."""
 
     def __init__(self, router: str, stream: IO[str] | None = None, form: str = "") -> None:
-        """Write to a stream, standard error if None.
+        """Creates the log.
 
         Args:
             router: The router's name.
-            stream: Where to.
+            stream: The stream to write to; None = standard error.
             form: "text" or "json"; "" = plain text on a terminal, else JSON.
         """
         stream = stream or sys.stderr
@@ -111,7 +112,7 @@
         self.logger.addHandler(handler)
 
     def write(self, now: int, log: LogEvent) -> None:
-        """Write one event, unless too many of its name were written of late.
+        """Writes one event, unless too many lines of its name were written in the current window.
 
         Args:
             now: Unix time in ns.
@@ -128,7 +129,7 @@
         self.logger.log(LEVELS[log.level], "%s", log.text, extra=extra)
 
     def write_trace(self, now: int, log: LogEvent) -> None:
-        """Write a traced step.  They are asked for one by one, and all of them are wanted."""
+        """Writes a traced step, without a rate limit: a trace is enabled on purpose and must be complete."""
         step = log.event.removeprefix(TRACE_PREFIX)
         line = {"t": now, "router": self.router, "event": step, **log.fields}
         self.stream.write(orjson.dumps(line, default=str).decode() + "\n")
