--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -1,4 +1,7 @@
-"""Answers of the feed that are too long to be parsed as one: cut into events, and taken by real routers."""
+"""Responses of the feed that are too long to be parsed in one step.
+
+The tests check that they are split into events, that memory stays bounded, and that routers apply them.
+"""
 
 from __future__ import annotations
 
@@ -159,7 +162,7 @@
 
 
 class RealRouters(unittest.TestCase):
-    """Routers as processes, and a feed that tells too much."""
+    """Router processes, and a feed with very long responses."""
 
     def wait(self, found: Any, what: str) -> None:
         until = time.monotonic() + 20
@@ -171,12 +174,12 @@
         return [after for _, after, _ in world.feed_calls[-3:]]
 
     def test_a_router_100_000_events_behind_is_back_in_step(self) -> None:
-        """Purges of hours, a drain among the last: in a few calls it knows all of it."""
+        """Guards against a router that misses a drain behind hours of purges, or catches up too slowly."""
         now = time.time_ns() // 10**6
         with StandInServers() as world:
             world.publish(purge={"key": "1" * 16, "at": now})
             with RouterProcess(world, release=True) as router:
-                self.wait(lambda: 2 in self.last_calls(world), "it calls")
+                self.wait(lambda: 2 in self.last_calls(world), "the router sends a watch request")
                 with world.lock:  # 5.1 purges a second for 5.4 hours
                     world.feed_events += [purge(n, now - (100_002 - n) * 196) for n in range(3, 100_002)]
                     world.feed_events += [
@@ -194,32 +197,33 @@
                         }
                     ]
                     before = len(world.feed_calls)
-                self.wait(lambda: 100_002 in self.last_calls(world), "it is in step")
-                assert len(world.feed_calls) - before < 8, "a few calls"
+                self.wait(lambda: 100_002 in self.last_calls(world), "the router has caught up")
+                assert len(world.feed_calls) - before < 8, "watch requests until it has caught up"
                 client = router.client()
                 served = {client.request("page", object=f"{n:016x}").body for n in range(40)}
-                assert served == {b"by cache2"}, "the drain is in force"
+                assert served == {b"by cache2"}, "the drained server gets no request"
                 events = [line["event"] for line in router.log_events()]
                 assert (events.count("feed.behind"), events.count("feed.lost")) == (1, 0)
                 told = next(line for line in router.log_events() if line["event"] == "feed.pieces")
                 assert (told["events"], told["to"]) == (100000, 100002)
-                assert told["past"] > 99000, "purges that no longer matter"
+                assert told["past"] > 99000, "purges that are too old to matter"
 
     def test_a_feed_that_is_too_long_for_ever_is_asked_seldom(self) -> None:
-        """Its answers bring nothing and never end well: a megabyte each, of which no event can be had."""
+        """Guards against constant retries when each response is megabytes long and has no usable event."""
         with StandInServers() as world, RouterProcess(world, release=True) as router:
-            self.wait(lambda: len(world.feed_calls) >= 1, "it calls")
+            self.wait(lambda: len(world.feed_calls) >= 1, "the router sends a watch request")
             with world.lock:
                 world.feed_events.append({"n": 1, "filler": "x" * (3 * MAX_EVENT_BYTES)})
             self.wait(
-                lambda: any(line["event"] == "feed.lost" for line in router.log_events()), "it is refused"
+                lambda: any(line["event"] == "feed.lost" for line in router.log_events()),
+                "the response is rejected",
             )
             client = router.client()
             before, lines = len(world.feed_calls), len(router.log_events())
-            for part in range(60):  # it goes on serving by what it knows
+            for part in range(60):  # it continues to serve with the endpoint list that it has
                 assert client.request("page", part=part).kind == "served"
                 time.sleep(0.05)
-            assert len(world.feed_calls) - before <= 1, "calls in 3 s"
+            assert len(world.feed_calls) - before <= 1, "watch requests in 3 s"
             assert sum(x["event"] == "feed.lost" for x in router.log_events()[lines:]) <= 1
 
 
--- a/tests/program/test_datagrams.py
+++ b/tests/program/test_datagrams.py
@@ -1,4 +1,4 @@
-"""The relay of datagrams: each fate, and the same one every time."""
+"""The datagram relay of the testbed: it applies each fate, and the same seed drops the same datagrams."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
                 return found
 
     def said(self, relay: DatagramRelay, count: int) -> list[bytes]:
-        """What comes of so many datagrams, sent one after another was taken."""
+        """Sends ``count`` datagrams, each once the relay has received the last; returns the arrivals."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for n in range(count):
                 sock.sendto(b"%d" % n, relay.address)
@@ -57,7 +57,7 @@
         assert len(set(twice)) == 50
         late = self.said(self.relay(DatagramFate(late=0.3, late_s=0.1)), 50)
         assert len(late) == 50
-        assert late != sorted(late, key=int), "some came behind those that followed them"
+        assert late != sorted(late, key=int), "some datagrams were overtaken by later ones"
         assert self.said(self.relay(DatagramFate(silent=True)), 10) == []
 
 
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -1,11 +1,11 @@
-"""Digests of all that leaves a router, a rollout or the decision module over a seeded run in virtual time.
+"""Digests of all output of a router, a rollout or the decision package in a seeded run in virtual time.
 
-Each effect is taken in its wire form: encoded by the program's own codec where there is one, else as a word
-that is fixed here and its field values in order, as JSON.  Names of classes, fields, enum members and modules
-do not enter a digest, so a rename leaves all digests as they are.  Log effects and the reasons that go into
-the log alone (of a closed client connection) are left out.
+Each effect is recorded in its wire form: encoded by the program's own codec if there is one, otherwise as a
+word that is defined here, followed by the effect's field values in order as JSON.  Names of classes, fields,
+enum members and modules are not part of a digest, so a rename changes no digest.  Log effects are left out,
+and so are the reasons that only the log contains (of a closed client connection).
 
-All classes of the program that are told apart stand in the tables ``EFFECTS``, ``TIMERS`` and ``ACTS``.
+The tables ``EFFECTS``, ``TIMERS`` and ``ACTS`` name all classes of the program that a digest distinguishes.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 MS, S = 10**6, 10**9
-FEED = ("127.0.0.1", 8)  # where the feed is until the router is told to use a control replica
+FEED = ("127.0.0.1", 8)  # address of the feed until the router switches to a control replica
 
 TIMERS = {
     messages.TimerKind.DECISION: "decision",
@@ -76,7 +76,7 @@
 
 
 class Digest:
-    """Records with their virtual times, hashed as they come."""
+    """The hash of a sequence of records with their virtual times."""
 
     def __init__(self) -> None:
         self.hash = hashlib.sha256()
@@ -85,33 +85,33 @@
         self.feed_codec = FEED
 
     def add(self, now: int, word: str, peer: int, payload: bytes) -> None:
-        """One record: when, what, to which connection (0 = none), and its bytes."""
+        """Adds a record: its time, word, connection (0 = none) and bytes."""
         self.hash.update(f"{now} {word} {peer} {len(payload)}\n".encode() + payload + b"\n")
         self.count += 1
         self.words.add(word)
 
     def effects(self, now: int, found: list[effects.Effect]) -> None:
-        """What the reducer asked for in one turn."""
+        """Adds the effects that the reducer returned for one input."""
         for e in found:
             word, encode = EFFECTS[type(e)]
             if word != "log":
                 self.add(now, word, *encode(self, e))
 
     def hex(self) -> str:
-        """The digest, of a run in which something was recorded."""
+        """Returns the digest; fails if nothing was recorded."""
         assert self.count > 0, "nothing was recorded"
         return self.hash.hexdigest()
 
 
 def poll(digest: Digest, e: effects.PollFeed) -> tuple[int, bytes]:
-    """A poll as it goes to the feed, and how long the answer is waited for."""
+    """Encodes a watch request as it is sent to the feed, and its response timeout."""
     return 0, feed.encode_poll(digest.feed_codec, e.after_event, e.wait_ms, e.log_fingerprint) + fields(
         e.response_timeout_ns
     )
 
 
 def move(digest: Digest, e: effects.SwitchFeed) -> tuple[int, bytes]:
-    """Another address of the feed, which later polls name."""
+    """Encodes a switch of the feed's address, which later watch requests contain."""
     digest.feed_codec = e.address
     return 0, fields(*e.address)
 
@@ -164,7 +164,7 @@
 
 
 class RecordedDay(SimulatedDay):
-    """A day in a generated deployment."""
+    """A recorded day in a generated deployment."""
 
     def __init__(self, seed: int) -> None:
         self.digest = Digest()
@@ -176,7 +176,7 @@
 
 
 class OperatedDay(RecordedDay):
-    """The same with calls on the control address, health checks and a planned end."""
+    """A recorded day with control requests, health checks and a planned shutdown."""
 
     def start_router(self) -> None:
         super().start_router()
@@ -200,7 +200,7 @@
 
 
 class RecordedVirtual(VirtualRouter):
-    """A router at the deployment of examples/config.json."""
+    """A recorded router in the deployment of examples/config.json."""
 
     def __init__(self, rules: str | None, seed: int, fates: dict[str, float]) -> None:
         self.digest = Digest()
@@ -212,7 +212,7 @@
 
 
 FATES = {"done": 0.7, "lack": 0.06, "wait": 0.06, "broke": 0.08, "past": 0.02, "reset": 0.04, "silent": 0.04}
-RULES: dict[int, str | None] = {  # an operator's file, by seed
+RULES: dict[int, str | None] = {  # the operator's file for each seed
     1: None,
     2: None,
     3: "examples/operator.kdl",
@@ -223,17 +223,17 @@
 
 
 def day(seed: int) -> Digest:
-    """A day of ``testbed.deployments``."""
+    """Returns the digest of a day of ``testbed.deployments``."""
     return RecordedDay(seed).digest
 
 
 def operated_day(seed: int) -> Digest:
-    """A day with control calls and an end."""
+    """Returns the digest of a day with control requests and a shutdown."""
     return OperatedDay(seed).digest
 
 
 def virtual(seed: int) -> Digest:
-    """Some seconds of ``testbed.virtual``, with the operator's file of this seed."""
+    """Returns the digest of some seconds of ``testbed.virtual`` with the operator's file of this seed."""
     path, random = RULES[seed], Random(seed)
     world = RecordedVirtual(
         None if path is None else (ROOT / path).read_text(), seed, {**FATES, "refuse": 0.05}
@@ -259,7 +259,7 @@
 
 
 class RecordedRollout(Rollout):
-    """Every command, and the stored state behind each turn."""
+    """A rollout that records every command, and the stored state after each event."""
 
     def __init__(self, world: SimulatedFleet) -> None:
         super().__init__(world.plan, world.now)
@@ -275,14 +275,14 @@
                 self.digest.add(now, "command", 0, fields(e.router, ACTS[e.kind]))
         snapshot = to_snapshot(self)
         self.history.add(now, "why", 0, fields(snapshot.pop("why")))
-        for key, names in (("bets", 2), ("sides", 3)):  # by zone and class; the program gives them no order
+        for key, names in (("bets", 2), ("sides", 3)):  # by zone and class: the program gives no order
             snapshot[key].sort(key=lambda row, names=names: row[:names])
         self.digest.add(now, "snapshot", 0, orjson.dumps(snapshot))
         return found
 
 
 def recorded_rollout(seed: int) -> RecordedRollout:
-    """A rollout of ``testbed.rollouts``; its troubles go by the seed."""
+    """Runs a rollout of ``testbed.rollouts``; the seed selects the injected failures."""
     odds = {1: 0.0, 2: 0.3, 3: 0.08, 4: 0.3, 5: 0.0, 6: 0.0}[seed]
 
     def harm(_: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
@@ -311,20 +311,20 @@
 
 
 def rollout(seed: int) -> Digest:
-    """Its commands, its stored state after each event, and its outcome."""
+    """Returns the digest of a rollout's commands, its stored state after each event, and its outcome."""
     return recorded_rollout(seed).digest
 
 
 def rollout_history(seed: int) -> Digest:
-    """What is written for people into its stored history."""
+    """Returns the digest of the texts for operators in a rollout's stored history."""
     return recorded_rollout(seed).history
 
 
-# The decision module alone ---------------------------------------------------------------------------------
+# The decision package alone --------------------------------------------------------------------------------
 
 
 class Conversation:
-    """The simulator's side of the adapter's wire: one instance, its servers and clients, by chance."""
+    """The simulator's side of the adapter's protocol: one instance with random servers and clients."""
 
     def __init__(self, seed: int) -> None:
         self.random, self.digest, self.now = Random(seed), Digest(), S
@@ -353,7 +353,7 @@
         heapq.heappush(self.heap, (self.now + after, self.made, line))
 
     def turn(self, *lines: list[Any]) -> None:
-        """One batch, and what its reply asks for."""
+        """Sends one batch and carries out the actions in its response."""
         self.batch += 1
         start = self.out.tell()
         self.host.run(json.dumps(x) for x in (["Turn", self.now, self.batch], *lines, ["End"]))
@@ -387,7 +387,7 @@
             self.later(5 * MS, ["ProbeResult", 0, r.choice([100, 100, 303]), a[2], 5 * MS, report])
 
     def event(self, line: list[Any]) -> None:
-        """One thing that happens."""
+        """Sends the batch for one simulated event."""
         r = self.random
         if line[0] == "end":
             _, id, number, outcome, took = line
@@ -417,7 +417,7 @@
             self.turn(line)
 
     def run(self) -> Digest:
-        """Ten seconds."""
+        """Runs ten seconds and returns the digest."""
         r = self.random
         self.turn(
             ["Hello", 0, r.getrandbits(40), self.options],
@@ -449,7 +449,7 @@
 
 
 def decision(seed: int) -> Digest:
-    """A conversation with the decision module through the simulator's adapter."""
+    """Returns the digest of a conversation with the decision package through the simulator's adapter."""
     return Conversation(seed).run()
 
 
