--- a/kelpcroft/net/client_codec.py
+++ b/kelpcroft/net/client_codec.py
@@ -2,7 +2,7 @@
 
 A request is ``[0, call, method, [fields, body]]``, a cancel ``[2, "cancel", [call, ...]]``, a response
 ``[1, call, error, result]``, where ``call`` is the number of the request.  Fields have the names of the wire
-(``entity``, ``patience``, ``nonce``); ``ClientCodec._request`` maps them to the names used in the code.
+(``entity``, ``patience``, ``nonce``); ``ClientCodec._convert_request`` maps them to the names of the code.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 MAX_FIELDS: Final = 64  # number of fields in a request
 MAX_FIELD_BYTES: Final = 1_024  # length of a field, and of any other string in a message
 MAX_OPEN_CALLS_PER_CLIENT: Final = 32  # requests that a client may have open on one connection
-MAX_CALLS_PER_CANCEL: Final = 1_024  # requests that one message may cancel
+MAX_REQUESTS_PER_CANCEL: Final = 1_024  # requests that one message may cancel
 MAX_PART_NUMBER: Final = 9_999  # largest part number that a request may name
 MAX_GROUP_NUMBER: Final = 255  # largest group number that a request may name
 MAX_REMAINING_TIME_MS: Final = 60_000  # longest remaining time that a request may name
@@ -35,7 +35,7 @@
 MAX_COUNT_DIGITS: Final = 12  # digits of a field with a number
 MAX_SIZE_CHARS: Final = 32  # length of the field with a part's size; a longer one is ignored
 IDENTIFIER_CHARS: Final = 16  # length of the ids of objects, traces and copies: 64 bits as hex digits
-UNPACKER_READ_BYTES: Final = 4_096  # initial size of the unpacker's buffer
+UNPACKER_BUFFER_BYTES: Final = 4_096  # initial size of the unpacker's buffer
 
 # Visible ASCII except comma and equals sign, which separate the fields of a server's command.
 IDEMPOTENCY_KEY = re.compile(rf"[!-+\--<>-~]{{1,{MAX_IDEMPOTENCY_KEY_CHARS}}}")
@@ -43,7 +43,7 @@
 
 # The kind of a message is its first element.
 REQUEST: Final = 0
-ANSWER: Final = 1
+RESPONSE: Final = 1
 NOTIFICATION: Final = 2
 NO_FIELDS = b"\x80"  # an empty map
 NOT_MODIFIED_FIELDS = msgpack.packb({"keep": "1"})  # the client's copy is current
@@ -64,9 +64,9 @@
     __slots__ = ("has_two_keys",)
 
     def __init__(self, pairs: Iterable[tuple[Any, Any]]) -> None:
-        found = list(pairs)
-        super().__init__(found)
-        self.has_two_keys = len(self) < len(found) and [key for key, _ in found].count("nonce") > 1
+        items = list(pairs)
+        super().__init__(items)
+        self.has_two_keys = len(self) < len(items) and [key for key, _ in items].count("nonce") > 1
 
 
 class ClientCodec:
@@ -85,11 +85,11 @@
         self.decoded_bytes = 0  # how many of the received bytes belong to complete messages
         self.unpacker = msgpack.Unpacker(
             raw=False,
-            read_size=UNPACKER_READ_BYTES,
+            read_size=UNPACKER_BUFFER_BYTES,
             max_buffer_size=MAX_MESSAGE_BYTES + read_size,
             max_str_len=MAX_FIELD_BYTES,
             max_bin_len=MAX_BODY_BYTES,
-            max_array_len=MAX_CALLS_PER_CANCEL,
+            max_array_len=MAX_REQUESTS_PER_CANCEL,
             max_map_len=MAX_FIELDS,
             max_ext_len=0,
             object_pairs_hook=Fields,
@@ -111,7 +111,7 @@
         self.received_bytes += len(data)
         try:
             self.unpacker.feed(data)
-            messages = self._whole_messages()
+            messages = self._decode_messages()
         except ClientProtocolError:
             raise
         except Exception as error:  # msgpack raises many types of exception, all of them for malformed bytes
@@ -120,19 +120,19 @@
             raise ClientProtocolError(f"a message is over {MAX_MESSAGE_BYTES} bytes")
         return messages
 
-    def _whole_messages(self) -> list[ClientMessage]:
+    def _decode_messages(self) -> list[ClientMessage]:
         """Returns all complete messages; together they may open ``MAX_OPEN_CALLS_PER_CLIENT`` requests."""
         messages: list[ClientMessage] = []
-        open_calls: set[int] = set()  # requests in these bytes, none of which has a response yet
+        open_requests: set[int] = set()  # requests in these bytes, none of which has a response yet
         for raw in self.unpacker:
             self.decoded_bytes = self.unpacker.tell()
-            for message in self._messages(raw):
+            for message in self._convert_message(raw):
                 messages.append(message)
                 if isinstance(message, CancelRequest):
-                    open_calls.discard(message.request_number)
+                    open_requests.discard(message.request_number)
                     continue
-                open_calls.add(message.request_number)
-                if len(open_calls) > MAX_OPEN_CALLS_PER_CLIENT:
+                open_requests.add(message.request_number)
+                if len(open_requests) > MAX_OPEN_CALLS_PER_CLIENT:
                     raise ClientProtocolError(f"more than {MAX_OPEN_CALLS_PER_CLIENT} requests at once")
         return messages
 
@@ -140,42 +140,42 @@
         """Whether an incomplete message has been received."""
         return self.received_bytes > self.decoded_bytes
 
-    def _messages(self, raw: Any) -> list[ClientMessage]:
+    def _convert_message(self, raw: Any) -> list[ClientMessage]:
         """Converts one decoded message: a request or a health check, or one cancel for each request named."""
         if isinstance(raw, list) and len(raw) == 3 and raw[0] == NOTIFICATION:
             if raw[1] == "cancel" and isinstance(raw[2], list) and all(type(x) is int for x in raw[2]):
-                return [CancelRequest(self.client, number) for number in raw[2]]
+                return [CancelRequest(self.client, request_number) for request_number in raw[2]]
         elif isinstance(raw, list) and len(raw) == 4 and raw[0] == REQUEST:
-            _, number, method, params = raw
+            _, request_number, method, params = raw
             if (
-                type(number) is int
-                and 0 < number < 1 << 32
+                type(request_number) is int
+                and 0 < request_number < 1 << 32
                 and isinstance(method, str)
                 and isinstance(params, list)
                 and params
                 and isinstance(params[0], dict)
             ):
                 if method == "health":
-                    return [HealthRequest(self.client, number)]
+                    return [HealthRequest(self.client, request_number)]
                 if len(params) == 2 and isinstance(params[1], (bytes, str)):
-                    return [self._request(number, method, params[0], params[1])]
+                    return [self._convert_request(request_number, method, params[0], params[1])]
         raise ClientProtocolError(f"not a request, a cancel or a health check: {str(raw)[:80]}")
 
-    def _request(
-        self, number: int, request_class: str, fields: dict[str, Any], body: bytes | str
+    def _convert_request(
+        self, request_number: int, request_class: str, fields: dict[str, Any], body: bytes | str
     ) -> ClientRequest:
         """Converts a request and checks its fields: no server may receive a value that it cannot use."""
-        trace_id = _identifier(fields, "trace")
-        object_id = _identifier(fields, "entity")
-        etag = _identifier(fields, "cached") if "cached" in fields else ""
-        remaining_time_ms = _count(fields, "patience", None, MAX_REMAINING_TIME_MS)
+        trace_id = _parse_identifier(fields, "trace")
+        object_id = _parse_identifier(fields, "entity")
+        etag = _parse_identifier(fields, "cached") if "cached" in fields else ""
+        remaining_time_ms = _parse_count(fields, "patience", None, MAX_REMAINING_TIME_MS)
         if not remaining_time_ms:
             raise ClientProtocolError("patience: is 0")
-        part_number = _count(fields, "block", "0", MAX_PART_NUMBER)
-        idempotency_key, validation_error = _idempotency_key(fields)
+        part_number = _parse_count(fields, "block", "0", MAX_PART_NUMBER)
+        idempotency_key, validation_error = _parse_idempotency_key(fields)
         return ClientRequest(
             client=self.client,
-            request_number=number,
+            request_number=request_number,
             request_class=request_class,
             trace_id=trace_id,
             remaining_time_ns=remaining_time_ms * NS_PER_MS - self.queued_ns,
@@ -183,13 +183,13 @@
             part_id=str(part_number),
             object_number=int(object_id, 16),
             part_number=part_number,
-            group=_count(fields, "family", "0", MAX_GROUP_NUMBER),
+            group=_parse_count(fields, "family", "0", MAX_GROUP_NUMBER),
             is_retry=fields.get("redo") == "1",
             etag=etag,
             body=body.encode() if isinstance(body, str) else body,
             queued_ns=self.queued_ns,
             idempotency_key=idempotency_key,
-            size_kb=_size_kb(fields),
+            size_kb=_parse_size_kb(fields),
             validation_error=validation_error,
         )
 
@@ -197,7 +197,7 @@
 # Fields of a request --------------------------------------------------------------------------------------
 
 
-def _identifier(fields: dict[str, Any], key: str) -> str:
+def _parse_identifier(fields: dict[str, Any], key: str) -> str:
     """Returns a field of 16 hex digits."""
     text = fields.get(key)
     if not isinstance(text, str) or len(text) != IDENTIFIER_CHARS or not HEX_DIGITS.issuperset(text):
@@ -205,7 +205,7 @@
     return text
 
 
-def _count(fields: dict[str, Any], key: str, default: str | None, maximum: int) -> int:
+def _parse_count(fields: dict[str, Any], key: str, default: str | None, maximum: int) -> int:
     """Returns the number in a field of decimal digits."""
     text = fields.get(key, default)
     if not isinstance(text, str) or not text.isascii() or not text.isdigit() or len(text) > MAX_COUNT_DIGITS:
@@ -215,7 +215,7 @@
     return int(text)
 
 
-def _idempotency_key(fields: dict[str, Any]) -> tuple[str, str]:
+def _parse_idempotency_key(fields: dict[str, Any]) -> tuple[str, str]:
     """Returns the idempotency key, and the reason if it is invalid; the request is then invalid as well.
 
     If a server read another key than the client meant, it would run a repeated request as a new one.
@@ -231,7 +231,7 @@
     return text, ""
 
 
-def _size_kb(fields: dict[str, Any]) -> float:
+def _parse_size_kb(fields: dict[str, Any]) -> float:
     """Returns the part's size in KB, in the unit of the settings; 0 if it is absent or cannot be used."""
     text = fields.get("size")
     if not isinstance(text, str) or len(text) > MAX_SIZE_CHARS:
@@ -249,12 +249,12 @@
 def encode_response(request_number: int, body: Body, not_modified: bool) -> tuple[Body, ...]:
     """Encodes the response to a served request, in chunks so that the bytes of the body are not copied."""
     size = len(body)
-    head = b"\x94\x01" + msgpack.packb(request_number) + b"\xc0\x92" + _binary_head(size)
+    head = b"\x94\x01" + msgpack.packb(request_number) + b"\xc0\x92" + _encode_binary_header(size)
     fields = NOT_MODIFIED_FIELDS if not_modified else NO_FIELDS
     return (head, body, fields) if size else (head + fields,)
 
 
-def _binary_head(size: int) -> bytes:
+def _encode_binary_header(size: int) -> bytes:
     """Encodes the header of a MessagePack binary of ``size`` bytes: bin 8, bin 16 or bin 32."""
     if size < 1 << 8:
         return b"\xc4" + size.to_bytes(1, "big")
@@ -269,14 +269,14 @@
     The time until a retry is rounded up to whole milliseconds, so that no client retries too early.
     """
     fields = {"pause": str(-(-retry_after_ns // NS_PER_MS))} if retry_after_ns > 0 else {}
-    return bytes(msgpack.packb([ANSWER, request_number, ["Shed", fields], None]))
+    return bytes(msgpack.packb([RESPONSE, request_number, ["Shed", fields], None]))
 
 
 def encode_failure(request_number: int) -> bytes:
     """Encodes the response to a failed request."""
-    return bytes(msgpack.packb([ANSWER, request_number, ["Fault", {}], None]))
+    return bytes(msgpack.packb([RESPONSE, request_number, ["Fault", {}], None]))
 
 
 def encode_health(request_number: int, is_ready: bool) -> bytes:
     """Encodes the response to a health check."""
-    return bytes(msgpack.packb([ANSWER, request_number, None, [is_ready, {}]]))
+    return bytes(msgpack.packb([RESPONSE, request_number, None, [is_ready, {}]]))
--- a/kelpcroft/net/control_codec.py
+++ b/kelpcroft/net/control_codec.py
@@ -29,18 +29,18 @@
 MAX_ERROR_CHARS: Final = 200  # length of a parser's error in a response
 
 
-class Call(NamedTuple):
+class ControlTarget(NamedTuple):
     """The control request that one path stands for, and its method."""
 
     method: bytes
-    verb: ControlVerb
+    kind: ControlVerb
 
 
-CALLS = {
-    b"/control/ready": Call(b"GET", ControlVerb.READY),
-    b"/control/state": Call(b"GET", ControlVerb.STATE),
-    b"/control/out-of-service": Call(b"PUT", ControlVerb.OUT_OF_SERVICE),
-    b"/control/in-service": Call(b"PUT", ControlVerb.IN_SERVICE),
+CONTROL_TARGETS = {
+    b"/control/ready": ControlTarget(b"GET", ControlVerb.READY),
+    b"/control/state": ControlTarget(b"GET", ControlVerb.STATE),
+    b"/control/out-of-service": ControlTarget(b"PUT", ControlVerb.OUT_OF_SERVICE),
+    b"/control/in-service": ControlTarget(b"PUT", ControlVerb.IN_SERVICE),
 }
 
 
@@ -62,10 +62,10 @@
         self.head_bytes = 0  # bytes of the head so far
         self.body_bytes = 0  # bytes of the body so far
         self.url = b""
-        self.has_head = False
+        self.is_head_complete = False
         self.is_complete = False
         self.is_done = False  # a control request or a response has been returned
-        self.head_only = False  # the method is HEAD: the response has no body
+        self.omits_body = False  # the method is HEAD: the response has no body
         # The status code of an exceeded limit: a callback, which can only raise, sets it first.
         self.exceeded_limit: HTTPStatus | None = None
 
@@ -73,28 +73,28 @@
         """Handles some bytes of the target."""
         self.url += url
         if len(self.url) > MAX_HEAD_BYTES:
-            self._exceed(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._raise_limit_exceeded(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Handles one header."""
         if name.lower() == b"content-length" and value.strip().isdigit() and int(value) > MAX_BODY_BYTES:
-            self._exceed(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            self._raise_limit_exceeded(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
         """Handles the end of the head."""
-        self.has_head = True
+        self.is_head_complete = True
 
     def on_body(self, body: bytes) -> None:
         """Handles some bytes of the body."""
         self.body_bytes += len(body)
         if self.body_bytes > MAX_BODY_BYTES:
-            self._exceed(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            self._raise_limit_exceeded(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
         """Handles the end of the request."""
         self.is_complete = True
 
-    def _exceed(self, status: HTTPStatus) -> None:
+    def _raise_limit_exceeded(self, status: HTTPStatus) -> None:
         self.exceeded_limit = status
         raise _LimitExceededError
 
@@ -110,13 +110,13 @@
         if self.is_done:
             return None
         data = bytes(data)
-        result = self._refuse_long_head(data) or self._parse(data)
+        result = self._reject_long_head(data) or self._parse(data)
         self.is_done = result is not None
         return result
 
-    def _refuse_long_head(self, data: bytes) -> bytes | None:
+    def _reject_long_head(self, data: bytes) -> bytes | None:
         """Counts the bytes of the head; returns an error response if there are too many."""
-        if self.has_head:
+        if self.is_head_complete:
             return None
         end = data.find(b"\r\n\r\n")
         head_bytes = len(data) if end < 0 else end + 4
@@ -133,10 +133,10 @@
         except httptools.HttpParserUpgrade:
             return _encode_error(HTTPStatus.BAD_REQUEST, "no upgrade is offered here")
         except (httptools.HttpParserError, _LimitExceededError) as error:
-            return self._refuse(error)
-        return self._result() if self.is_complete else None
+            return self._encode_parse_error(error)
+        return self._find_request() if self.is_complete else None
 
-    def _refuse(self, error: Exception) -> bytes:
+    def _encode_parse_error(self, error: Exception) -> bytes:
         """Encodes the response to bytes that the parser or one of its callbacks has rejected."""
         if self.exceeded_limit is HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE:
             return _encode_error(self.exceeded_limit, f"the head is over {MAX_HEAD_BYTES} bytes")
@@ -146,31 +146,34 @@
             )
         return _encode_error(HTTPStatus.BAD_REQUEST, f"not HTTP/1.1: {error}"[:MAX_ERROR_CHARS])
 
-    def _result(self) -> ControlVerb | bytes:
+    def _find_request(self) -> ControlVerb | bytes:
         """Returns the control request that the complete request stands for, or an error response."""
         try:
             path = httptools.parse_url(self.url).path
         except httptools.HttpParserInvalidURLError:
             return _encode_error(HTTPStatus.BAD_REQUEST, "the target is not a path")
-        calls = {
-            known: call
-            for known, call in CALLS.items()
-            if self.serves_state or call.verb is not ControlVerb.STATE
+        targets = {
+            known_path: known_target
+            for known_path, known_target in CONTROL_TARGETS.items()
+            if self.serves_state or known_target.kind is not ControlVerb.STATE
         }
-        call = calls.get(path.rstrip(b"/") if len(path) > 1 else path)
-        if call is None:
-            names = [f"{known.method.decode()} {name.decode()}" for name, known in calls.items()]
-            return _encode_answer(HTTPStatus.NOT_FOUND, {"error": "no such call", "calls": names})
+        target = targets.get(path.rstrip(b"/") if len(path) > 1 else path)
+        if target is None:
+            supported = [
+                f"{known_target.method.decode()} {known_path.decode()}"
+                for known_path, known_target in targets.items()
+            ]
+            return _encode_response(HTTPStatus.NOT_FOUND, {"error": "no such call", "calls": supported})
         method = self.parser.get_method()
-        self.head_only = method == b"HEAD"
-        if method == call.method or (self.head_only and call.method == b"GET"):
-            return call.verb
-        allowed = call.method + (b", HEAD" if call.method == b"GET" else b"")
-        return _encode_answer(
+        self.omits_body = method == b"HEAD"
+        if method == target.method or (self.omits_body and target.method == b"GET"):
+            return target.kind
+        allowed = target.method + (b", HEAD" if target.method == b"GET" else b"")
+        return _encode_response(
             HTTPStatus.METHOD_NOT_ALLOWED,
-            {"error": f"{path.decode()} takes {call.method.decode()}"},
+            {"error": f"{path.decode()} takes {target.method.decode()}"},
             (b"Allow", allowed),
-            head_only=self.head_only,
+            omits_body=self.omits_body,
         )
 
     def has_partial_message(self) -> bool:
@@ -178,18 +181,18 @@
         return self.head_bytes > 0 and not self.is_done
 
 
-def reply(ok: bool, fields: Mapping[str, object], head_only: bool = False) -> bytes:
+def reply(ok: bool, fields: Mapping[str, object], omits_body: bool = False) -> bytes:
     """Encodes the response to a control request that the reducer handled: 200, or 503 if not ``ok``."""
     status = HTTPStatus.OK if ok else HTTPStatus.SERVICE_UNAVAILABLE
-    return _encode_answer(status, fields, head_only=head_only)
+    return _encode_response(status, fields, omits_body=omits_body)
 
 
 def _encode_error(status: HTTPStatus, reason: str) -> bytes:
-    return _encode_answer(status, {"error": reason})
+    return _encode_response(status, {"error": reason})
 
 
-def _encode_answer(
-    status: HTTPStatus, fields: Mapping[str, object], *headers: tuple[bytes, bytes], head_only: bool = False
+def _encode_response(
+    status: HTTPStatus, fields: Mapping[str, object], *headers: tuple[bytes, bytes], omits_body: bool = False
 ) -> bytes:
     """Encodes a complete response with a JSON body, after which the connection is closed."""
     body = orjson.dumps(fields) + b"\n"
@@ -201,4 +204,4 @@
         b"Cache-Control: no-store",
         *(name + b": " + value for name, value in headers),
     ]
-    return b"\r\n".join(lines) + b"\r\n\r\n" + (b"" if head_only else body)
+    return b"\r\n".join(lines) + b"\r\n\r\n" + (b"" if omits_body else body)
--- a/kelpcroft/net/control_endpoint.py
+++ b/kelpcroft/net/control_endpoint.py
@@ -21,7 +21,8 @@
     Transport,
 )
 
-CALLER_TIMEOUT_NS: Final = 5 * SECOND  # time for a control client to send its request and read the response
+# Time for a control client to send its request and read the response.
+CONTROL_CLIENT_TIMEOUT_NS: Final = 5 * SECOND
 
 
 class ControlConnection(Connection):
@@ -33,20 +34,20 @@
         self.codec = control_codec.ControlCodec(handler.serves_state)
         self.is_connected = True
         self.opened_ns = now
-        self.is_answered = False  # the request is complete or has its response; later bytes are ignored
+        self.ignores_input = False  # the request is complete or has its response; later bytes are ignored
 
 
 class ControlEndpoint(ConnectionHandler[ControlConnection]):
     """The control address and its clients."""
 
-    def __init__(self, transport: Transport, acceptor: ClientAcceptor, max_callers: int) -> None:
+    def __init__(self, transport: Transport, acceptor: ClientAcceptor, max_connections: int) -> None:
         super().__init__(transport)
         self.acceptor = acceptor
-        self.max_callers = max_callers
+        self.max_connections = max_connections
         self.listener = Listener(transport)
         self.callers: dict[int, ControlConnection] = {}
         self.serves_state = False  # GET /control/state is enabled
-        self.has_told_identity = False
+        self.has_sent_identity = False
 
     def listen(self, sock: socket.socket | None) -> None:
         """Listens on the given socket, or at the control address of the configuration, if any."""
@@ -56,8 +57,8 @@
         if sock is None:
             return
         self.listener.open(sock)
-        at = listening_address(sock)
-        self.transport.log("control.listens", f"control address on {at}", {"at": at})
+        bound_address = listening_address(sock)
+        self.transport.log("control.listens", f"control address on {bound_address}", {"at": bound_address})
 
     def accept(self) -> None:
         """Accepts waiting connections; at their limit a new one replaces the oldest one."""
@@ -72,17 +73,17 @@
                     self.listener.set_listening(False)
                     return
                 continue
-            if len(self.callers) >= self.max_callers:
+            if len(self.callers) >= self.max_connections:
                 self._close_oldest()
             number = self.transport.next_number()
-            caller = ControlConnection(self, number, sock, self.transport.clock.now())
-            self.callers[number] = caller
-            self.transport.set_interest(caller, READABLE)
+            connection = ControlConnection(self, number, sock, self.transport.clock.now())
+            self.callers[number] = connection
+            self.transport.set_interest(connection, READABLE)
 
     def _free_descriptor(self) -> bool:
         """Frees the descriptor of the oldest control connection, else of a client; returns whether it did.
 
-        Control connections are closed after ``CALLER_TIMEOUT_NS`` in any case; the oldest is closed now.
+        The oldest would be closed after ``CONTROL_CLIENT_TIMEOUT_NS`` in any case; it is closed now.
         """
         if self.callers:
             self._close_oldest()
@@ -96,13 +97,13 @@
 
     def respond(self, effect: effects.ControlResponse) -> None:
         """Sends the response to a control request that the reducer handled."""
-        caller = self.callers.get(effect.caller)
-        if caller is None:
+        connection = self.callers.get(effect.caller)
+        if connection is None:
             return
         fields = effect.fields
         if "instance" in fields:  # the response to GET /control/state
             fields = {**fields, "memory_kb": peak_kb()}
-        self._answer(caller, control_codec.reply(effect.ok, fields, caller.codec.head_only))
+        self._send_response(connection, control_codec.reply(effect.ok, fields, connection.codec.omits_body))
 
     def set_state_endpoint(self, effect: effects.SetStateEndpoint) -> None:
         """Enables or disables GET /control/state.
@@ -111,12 +112,12 @@
         request is first enabled: nothing is read or imported for it unless an operator's file enables it.
         """
         self.serves_state = effect.is_enabled
-        if effect.is_enabled and not self.has_told_identity:
+        if effect.is_enabled and not self.has_sent_identity:
             from pathlib import Path
 
             from kelpcroft.store.identity import program_digest
 
-            self.has_told_identity = True
+            self.has_sent_identity = True
             instance = f"{os.getpid()}-{self.transport.clock.now():x}"
             package = Path(__file__).parent.parent
             self.transport.handle_input(inputs.ProcessIdentity(program_digest(package), instance))
@@ -134,18 +135,18 @@
             return
         if not data:
             self.close(connection)
-        elif not connection.is_answered:
+        elif not connection.ignores_input:
             result = connection.codec.receive_data(data)
             if isinstance(result, inputs.ControlVerb):
-                connection.is_answered = True
+                connection.ignores_input = True
                 self.transport.handle_input(inputs.ControlRequest(connection.number, result))
             elif result is not None:
-                self._answer(connection, result)
+                self._send_response(connection, result)
 
-    def _answer(self, caller: ControlConnection, answer: bytes) -> None:
+    def _send_response(self, connection: ControlConnection, response: bytes) -> None:
         """Queues the only response of a connection, which is shut down after the response is written."""
-        caller.is_answered = True
-        self.transport.queue_write(caller, (answer,))
+        connection.ignores_input = True
+        self.transport.queue_write(connection, (response,))
 
     def all_written(self, connection: ControlConnection) -> None:
         """Shuts down our side; the connection is closed once the client closes it or its time is over."""
@@ -157,7 +158,7 @@
     def connection_failed(
         self, connection: ControlConnection, reason: str, is_unreachable: bool = False
     ) -> None:
-        """Does nothing: ``sweep`` closes the connection after ``CALLER_TIMEOUT_NS``."""
+        """Does nothing: ``sweep`` closes the connection after ``CONTROL_CLIENT_TIMEOUT_NS``."""
 
     def close(self, connection: ControlConnection) -> None:
         """Closes a connection."""
@@ -165,10 +166,12 @@
         self.callers.pop(connection.number, None)
 
     def sweep(self, now: int) -> None:
-        """Closes connections that have been open for longer than ``CALLER_TIMEOUT_NS``."""
-        for caller in [c for c in self.callers.values() if now - c.opened_ns > CALLER_TIMEOUT_NS]:
-            self.close(caller)
+        """Closes connections that have been open for longer than ``CONTROL_CLIENT_TIMEOUT_NS``."""
+        for connection in [
+            other for other in self.callers.values() if now - other.opened_ns > CONTROL_CLIENT_TIMEOUT_NS
+        ]:
+            self.close(connection)
 
 
-def _opened_ns(caller: ControlConnection) -> int:
-    return caller.opened_ns
+def _opened_ns(connection: ControlConnection) -> int:
+    return connection.opened_ns
--- a/kelpcroft/net/event_stream.py
+++ b/kelpcroft/net/event_stream.py
@@ -24,60 +24,60 @@
 
     def __init__(self) -> None:
         self.envelope = b""  # the response without its events
-        self.rest = b""  # received bytes that are neither in the envelope nor part of a complete event
-        self.scanned = 0  # how many bytes of ``rest`` have been scanned
+        self.pending = b""  # received bytes that are neither in the envelope nor part of a complete event
+        self.scanned_bytes = 0  # how many bytes of ``pending`` have been scanned
         self.depth = 0  # number of open brackets
-        self.key = b""  # the last string in the response's object
+        self.last_string = b""  # the last string in the response's object
         self.in_events = False  # the array of events is open
-        self.in_event = False  # an event is open: ``rest`` begins with it
-        self.is_skipping = False  # the open event is too long and is discarded
+        self.in_event = False  # an event is open: ``pending`` begins with it
+        self.is_discarding = False  # the open event is too long and is discarded
         self.error = ""  # why the response cannot be split any further; empty if it can
 
     def receive_data(self, data: bytes) -> list[bytes | None]:
         """Returns the events that these bytes complete, or None for one that is too long; sets ``error``."""
-        text = self.rest + data
+        buffer = self.pending + data
         events = list[bytes | None]()
         start = 0  # offset of the first byte that is in neither the envelope nor ``events``
-        at = self.scanned
-        for match in TOKEN.finditer(text, self.scanned):
+        scan_end = self.scanned_bytes
+        for match in TOKEN.finditer(buffer, self.scanned_bytes):
             token = match[0]
             if token == b'"':  # this string is incomplete
-                at = match.start()
+                scan_end = match.start()
                 break
-            at = match.end()
+            scan_end = match.end()
             if token in b"{[":
-                start = self._open_bracket(token, text, start, at)
+                start = self._open_bracket(token, buffer, start, scan_end)
             elif token in b"}]":
                 self.depth -= 1
                 if self.depth < 0:
                     self.error = "more brackets are closed than opened"
                     return events
-                start = self._close_bracket(text, start, at, events)
+                start = self._close_bracket(buffer, start, scan_end, events)
             elif self.depth == 1:
-                self.key = token
+                self.last_string = token
         else:
-            at = len(text)
-        self._keep(text, start, at)
+            scan_end = len(buffer)
+        self._keep_pending(buffer, start, scan_end)
         return events
 
-    def _open_bracket(self, token: bytes, text: bytes, start: int, end: int) -> int:
+    def _open_bracket(self, token: bytes, buffer: bytes, start: int, end: int) -> int:
         """Handles an opening bracket that ends at ``end``; returns the new ``start`` of ``receive_data``."""
         if self.in_events and self.depth == EVENTS_DEPTH:
             start = end - len(token)
             self.in_event = True
-            self.is_skipping = False
+            self.is_discarding = False
         self.depth += 1
-        if self.depth == EVENTS_DEPTH and token == b"[" and self.key == EVENTS_KEY:
-            self.envelope += text[start:end]
+        if self.depth == EVENTS_DEPTH and token == b"[" and self.last_string == EVENTS_KEY:
+            self.envelope += buffer[start:end]
             start = end
             self.in_events = True
         return start
 
-    def _close_bracket(self, text: bytes, start: int, end: int, events: list[bytes | None]) -> int:
+    def _close_bracket(self, buffer: bytes, start: int, end: int, events: list[bytes | None]) -> int:
         """Handles a closing bracket that ends at ``end``; returns the new ``start`` of ``receive_data``."""
         if self.in_event and self.depth == EVENTS_DEPTH:
-            is_too_long = self.is_skipping or end - start > MAX_EVENT_BYTES
-            events.append(None if is_too_long else text[start:end])
+            is_too_long = self.is_discarding or end - start > MAX_EVENT_BYTES
+            events.append(None if is_too_long else buffer[start:end])
             self.in_event = False
             return end
         if self.in_events and self.depth < EVENTS_DEPTH:
@@ -85,26 +85,26 @@
             return end - 1
         return start
 
-    def _keep(self, text: bytes, start: int, end: int) -> None:
+    def _keep_pending(self, buffer: bytes, start: int, end: int) -> None:
         """Keeps the remaining bytes until the next bytes arrive, within the limits of this module."""
         if self.in_event:
-            if self.is_skipping or end - start > MAX_EVENT_BYTES:
-                self.is_skipping = True
+            if self.is_discarding or end - start > MAX_EVENT_BYTES:
+                self.is_discarding = True
                 start = end
         elif self.in_events:
             start = end  # commas and white space between events
         else:
-            self.envelope += text[start:end]
+            self.envelope += buffer[start:end]
             start = end
-        self.rest = text[start:]
-        self.scanned = end - start
-        if len(self.rest) - self.scanned > MAX_STRING_BYTES:
+        self.pending = buffer[start:]
+        self.scanned_bytes = end - start
+        if len(self.pending) - self.scanned_bytes > MAX_STRING_BYTES:
             self.error = f"a string is over {MAX_STRING_BYTES} bytes"
         if len(self.envelope) > MAX_ENVELOPE_BYTES:
             self.error = f"the response has over {MAX_ENVELOPE_BYTES} bytes outside its events"
 
     def end(self) -> bytes:
         """Returns the response without its events after its last byte; sets ``error`` if it is incomplete."""
-        if self.depth or self.rest:
+        if self.depth or self.pending:
             self.error = "the response is incomplete"
         return self.envelope
--- a/kelpcroft/net/feed_client.py
+++ b/kelpcroft/net/feed_client.py
@@ -10,7 +10,7 @@
 from kelpcroft.net.connector import Connector
 from kelpcroft.net.feed_codec import (
     MAX_SNAPSHOT_BYTES,
-    MAX_WHOLE_RESPONSE_BYTES,
+    MAX_UNSPLIT_RESPONSE_BYTES,
     FeedCodec,
     FeedError,
     encode_poll,
@@ -30,9 +30,9 @@
     def __init__(self, handler: FeedClient, sock: socket.socket, now: int, is_replica: bool) -> None:
         """``is_replica``: a control replica, whose snapshots are bounded and parsed in one step."""
         super().__init__(handler, sock, now)
-        self.codec = FeedCodec(MAX_SNAPSHOT_BYTES if is_replica else MAX_WHOLE_RESPONSE_BYTES)
-        self.polled_ns = now  # when the watch request was sent
-        self.poll_wait_ns = 0  # how long the feed may wait for an event before it sends a response
+        self.codec = FeedCodec(MAX_SNAPSHOT_BYTES if is_replica else MAX_UNSPLIT_RESPONSE_BYTES)
+        self.request_sent_ns = now  # when the watch request was sent
+        self.watch_wait_ns = 0  # how long the feed may wait for an event before it sends a response
         self.response_timeout_ns = 0  # how long it may be silent after that wait, or within its response
         self.last_read_ns = 0  # when bytes last arrived
         self.awaits_response = False
@@ -46,7 +46,7 @@
         self.connector = connector
         self.address = transport.config.feed_address
         self.connection: FeedConnection | None = None
-        self.last_stall_ns = 0  # when a process stall last interrupted a watch request
+        self.last_interrupted_ns = 0  # when a process stall last interrupted a watch request
         # Until then servers and clients are not read, because the endpoint list may be older than a process
         # stall; 0 = all are read.
         self.feed_only_until_ns = 0
@@ -68,9 +68,9 @@
             connection = FeedConnection(self, sock, now, effect.log_fingerprint is not None)
             self.connection = connection
             self.transport.set_interest(connection, WRITABLE)
-        connection.polled_ns = now
+        connection.request_sent_ns = now
         connection.awaits_response = True
-        connection.poll_wait_ns = effect.wait_ms * NS_PER_MS
+        connection.watch_wait_ns = effect.wait_ms * NS_PER_MS
         connection.response_timeout_ns = effect.response_timeout_ns
         request = encode_poll(self.address, effect.after_event, effect.wait_ms, effect.log_fingerprint)
         self.transport.queue_write(connection, (request,))
@@ -134,11 +134,11 @@
         """
         now = self.transport.clock.now()
         connection = self.connection
-        if now - self.last_stall_ns < FEED_ONLY_INTERVAL_NS:
+        if now - self.last_interrupted_ns < FEED_ONLY_INTERVAL_NS:
             return
         if connection is None or not connection.awaits_response:
             return
-        self.last_stall_ns = now
+        self.last_interrupted_ns = now
         self.feed_only_until_ns = now + FEED_ONLY_NS
         self.close(connection)  # its response may predate the stall
         self.transport.handle_input(inputs.ProcessStalled())
@@ -151,9 +151,9 @@
             and connection.awaits_response
             and is_overdue(
                 now,
-                connection.polled_ns,
+                connection.request_sent_ns,
                 connection.last_read_ns,
-                connection.poll_wait_ns,
+                connection.watch_wait_ns,
                 connection.response_timeout_ns,
             )
         ):
--- a/kelpcroft/net/feed_codec.py
+++ b/kelpcroft/net/feed_codec.py
@@ -1,10 +1,10 @@
 """Codec of the feed of endpoints and purges: encodes watch requests and decodes responses, as HTTP/1.1.
 
 A response is ``{"n": LAST, "events": [...]}``; a control replica adds ``mark`` and ``as_of``.  A response of
-up to ``MAX_WHOLE_RESPONSE_BYTES`` is parsed in one step.  A longer response, such as a router receives after
-hours without the feed, is parsed event by event while it arrives: each chunk becomes a ``WatchResponse`` with
-``has_more``.  So the events that arrived before a response breaks off are kept, and memory holds one chunk at
-a time.  No socket here.
+up to ``MAX_UNSPLIT_RESPONSE_BYTES`` is parsed in one step.  A longer response, such as a router receives
+after hours without the feed, is parsed event by event while it arrives: each chunk becomes a
+``WatchResponse`` with ``has_more``.  So the events that arrived before a response breaks off are kept, and
+memory holds one chunk at a time.  No socket here.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 NS_PER_S: Final = 1_000 * NS_PER_MS
 MAX_RETRY_AFTER_S: Final = 3_600  # a longer Retry-After is shortened to this
 # A response up to this size is parsed in one step: some 3,000 purges.
-MAX_WHOLE_RESPONSE_BYTES: Final = 256 << 10
+MAX_UNSPLIT_RESPONSE_BYTES: Final = 256 << 10
 MAX_SNAPSHOT_BYTES: Final = 4 << 20  # the same size for a control replica, whose responses are bounded
 # A longer response is an error: its events up to this size are kept, and the rest is requested again.
 MAX_RESPONSE_BYTES: Final = 16 << 20
@@ -62,31 +62,31 @@
 # Events ---------------------------------------------------------------------------------------------------
 
 
-def _parse_endpoint(line: dict[str, Any]) -> EndpointRecord:
+def _parse_endpoint(raw: dict[str, Any]) -> EndpointRecord:
     """Parses one endpoint of the list.
 
     Raises:
         FeedError: a value cannot be used.  The conversions raise other exceptions for the same cause;
             ``_parse_event_or_reason`` catches them.
     """
-    state = line["status"]
-    if state not in ENDPOINT_STATES:
-        raise FeedError(f"status: {state!r} is not one of {', '.join(ENDPOINT_STATES)}")
-    if int(line.get("since_ms") or 0) < 0 or float(line.get("weight") or 1) < 0:
+    status = raw["status"]
+    if status not in ENDPOINT_STATES:
+        raise FeedError(f"status: {status!r} is not one of {', '.join(ENDPOINT_STATES)}")
+    if int(raw.get("since_ms") or 0) < 0 or float(raw.get("weight") or 1) < 0:
         raise FeedError("since_ms or weight: is less than 0")
-    host, colon, port = str(line["address"]).rpartition(":")
+    host, colon, port = str(raw["address"]).rpartition(":")
     if not host or not colon or not port.isdigit():
-        raise FeedError(f"address: {line['address']!r} is not host:port")
-    weight = line.get("weight")
+        raise FeedError(f"address: {raw['address']!r} is not host:port")
+    weight = raw.get("weight")
     return EndpointRecord(
-        name=str(line["name"]),
-        address=str(line["address"]),
-        zone=str(line["zone"]),
-        kind=str(line["type"]),
-        cell=int(line.get("group") or 0),
-        state=ENDPOINT_STATES[state],
+        name=str(raw["name"]),
+        address=str(raw["address"]),
+        zone=str(raw["zone"]),
+        kind=str(raw["type"]),
+        cell=int(raw.get("group") or 0),
+        state=ENDPOINT_STATES[status],
         weight=float(weight) if weight else 1.0,
-        started_ns=int(line.get("since_ms") or 0) * NS_PER_MS,
+        started_ns=int(raw.get("since_ms") or 0) * NS_PER_MS,
     )
 
 
@@ -120,7 +120,7 @@
         return None, f"event {number}: {reason}"
 
 
-class _Events:
+class _ParsedEvents:
     """The usable events of one response, and for each other event the reason why it cannot be used.
 
     An unusable event is left out as a whole, and the events after it are used, because one of them may
@@ -129,12 +129,12 @@
 
     def __init__(self) -> None:
         self.events: list[FeedEvent] = []
-        self.unusable: list[str] = []
+        self.unusable_reasons: list[str] = []
 
     def add(self, raw: Any) -> None:
         event, reason = _parse_event_or_reason(raw)
         if reason:
-            self.unusable.append(reason)
+            self.unusable_reasons.append(reason)
         elif event is not None:
             self.events.append(event)
 
@@ -150,37 +150,39 @@
         last_event, raw_events = int(raw["n"]), list(raw["events"])
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise FeedError(f"{type(error).__name__}: {error}") from error
-    found = _Events()
+    parsed_events = _ParsedEvents()
     for raw_event in raw_events:
-        found.add(raw_event)
-    mark = raw.get("mark")
-    as_of = raw.get("as_of")
+        parsed_events.add(raw_event)
+    fingerprint = raw.get("mark")
+    as_of_ms = raw.get("as_of")
     return WatchResponse(
         last_event,
-        tuple(found.events),
-        tuple(found.unusable),
-        log_fingerprint=mark if isinstance(mark, str) else "",
-        as_of_ms=as_of if type(as_of) is int else 0,
+        tuple(parsed_events.events),
+        tuple(parsed_events.unusable_reasons),
+        log_fingerprint=fingerprint if isinstance(fingerprint, str) else "",
+        as_of_ms=as_of_ms if type(as_of_ms) is int else 0,
     )
 
 
-def _parse_piece(texts: list[bytes | None]) -> WatchResponse:
+def _parse_chunk(encoded_events: list[bytes | None]) -> WatchResponse:
     """Parses events of an incomplete response; ``last_event`` is the highest number among them."""
     last_event = 0
-    found = _Events()
-    for text in texts:
+    parsed_events = _ParsedEvents()
+    for encoded_event in encoded_events:
         try:
-            raw = None if text is None else orjson.loads(text)
+            raw = None if encoded_event is None else orjson.loads(encoded_event)
         except orjson.JSONDecodeError as error:
-            found.unusable.append(f"an event is not JSON: {error}")
+            parsed_events.unusable_reasons.append(f"an event is not JSON: {error}")
             continue
         if raw is None:
-            found.unusable.append("an event is too long")
+            parsed_events.unusable_reasons.append("an event is too long")
             continue
-        found.add(raw)
+        parsed_events.add(raw)
         if isinstance(raw, dict) and type(raw.get("n")) is int:
             last_event = max(last_event, raw["n"])
-    return WatchResponse(last_event, tuple(found.events), tuple(found.unusable), has_more=True)
+    return WatchResponse(
+        last_event, tuple(parsed_events.events), tuple(parsed_events.unusable_reasons), has_more=True
+    )
 
 
 # Responses ------------------------------------------------------------------------------------------------
@@ -193,9 +195,9 @@
     FeedError.
     """
 
-    def __init__(self, max_whole_bytes: int = MAX_WHOLE_RESPONSE_BYTES) -> None:
-        """``max_whole_bytes``: size up to which a response is parsed in one step."""
-        self.max_whole_bytes = max_whole_bytes
+    def __init__(self, max_unsplit_bytes: int = MAX_UNSPLIT_RESPONSE_BYTES) -> None:
+        """``max_unsplit_bytes``: size up to which a response is parsed in one step."""
+        self.max_unsplit_bytes = max_unsplit_bytes
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
         self.splitter: EventSplitter | None = None  # splits a response that is too long for one step
@@ -212,7 +214,7 @@
         """
         raise NotImplementedError
 
-    def parse_piece(self, found: list[bytes | None]) -> T:
+    def parse_chunk(self, encoded_events: list[bytes | None]) -> T:
         """Converts events of an incomplete response; None stands for an event that was too long to keep."""
         raise NotImplementedError
 
@@ -252,14 +254,14 @@
             raise FeedError(f"the response is over {MAX_RESPONSE_BYTES} bytes")
         if self.splitter is None:
             self.body += body
-            if len(self.body) <= self.max_whole_bytes:
+            if len(self.body) <= self.max_unsplit_bytes:
                 return
             self.splitter = EventSplitter()
             body = bytes(self.body)
             self.body.clear()
-        found = self.splitter.receive_data(body)
-        if found:
-            self.completed.append(self.parse_piece(found))
+        encoded_events = self.splitter.receive_data(body)
+        if encoded_events:
+            self.completed.append(self.parse_chunk(encoded_events))
         if self.splitter.error:
             raise FeedError(self.splitter.error)
 
@@ -285,6 +287,6 @@
         """Converts a response and adds the size of its body."""
         return replace(parse_watch_response(raw), bytes_read=self.body_bytes_read)
 
-    def parse_piece(self, found: list[bytes | None]) -> WatchResponse:
+    def parse_chunk(self, encoded_events: list[bytes | None]) -> WatchResponse:
         """Converts events of an incomplete response."""
-        return _parse_piece(found)
+        return _parse_chunk(encoded_events)
--- a/kelpcroft/net/server_codec.py
+++ b/kelpcroft/net/server_codec.py
@@ -90,27 +90,31 @@
         fields.append(f"ways={options}")
     if attempt.etag:
         fields.append(f"cached={attempt.etag}")
-    return _command(b"PULL", attempt.attempt_id.encode(), ",".join(fields).encode(), attempt.body)
+    return _encode_command(b"PULL", attempt.attempt_id.encode(), ",".join(fields).encode(), attempt.body)
 
 
 def encode_cancel(cancel: CancelAttempt) -> list[Body]:
     """Encodes the command that cancels an attempt."""
-    return _command(b"KILL", cancel.attempt_id.encode())
+    return _encode_command(b"KILL", cancel.attempt_id.encode())
 
 
 def encode_health_check(health_check: SendHealthCheck) -> list[Body]:
     """Encodes the command that requests a health check."""
-    return _command(b"METER", health_check.attempt_id.encode())
+    return _encode_command(b"METER", health_check.attempt_id.encode())
 
 
-def _command(*words: Body) -> list[Body]:
+def _encode_command(*strings: Body) -> list[Body]:
     """Encodes a RESP array; a long last string stays a chunk of its own, so that its bytes are not copied."""
-    head = b"*%d\r\n" % len(words)
-    for word in words[:-1]:
-        head += b"$%d\r\n%s\r\n" % (len(word), word)
-    last = words[-1]
-    head += b"$%d\r\n" % len(last)
-    return [head, last, b"\r\n"] if len(last) > MAX_COPIED_BYTES else [head + last + b"\r\n"]
+    head = b"*%d\r\n" % len(strings)
+    for string in strings[:-1]:
+        head += b"$%d\r\n%s\r\n" % (len(string), string)
+    last_string = strings[-1]
+    head += b"$%d\r\n" % len(last_string)
+    return (
+        [head, last_string, b"\r\n"]
+        if len(last_string) > MAX_COPIED_BYTES
+        else [head + last_string + b"\r\n"]
+    )
 
 
 # Responses ------------------------------------------------------------------------------------------------
@@ -124,9 +128,9 @@
         self.connection = connection
         self.head = b""  # the incomplete head of the next response
         # Attempt id, outcome word and fields of the response whose body is being received.
-        self.words = ("", "", "")
+        self.strings = ("", "", "")
         self.body: bytearray | None = None  # the body being received, with its line end
-        self.filled_bytes = 0  # how many bytes of the body have been received
+        self.received_bytes = 0  # how many bytes of the body have been received
         self.error = ""  # why no further response can be decoded; empty if one can
 
     def receive_data(self, data: memoryview) -> list[ServerResponse]:
@@ -152,50 +156,50 @@
         Raises:
             ServerProtocolError: some of the bytes are malformed.
         """
-        at = 0
-        while at < len(data):
+        offset = 0
+        while offset < len(data):
             body = self.body
             if body is None:
-                at += self._read_head(data[at : at + MAX_HEAD_BYTES])
+                offset += self._read_head(data[offset : offset + MAX_HEAD_BYTES])
                 continue
-            count = min(len(data) - at, len(body) - self.filled_bytes)
-            body[self.filled_bytes : self.filled_bytes + count] = data[at : at + count]
-            self.filled_bytes += count
-            at += count
-            if self.filled_bytes == len(body):
+            byte_count = min(len(data) - offset, len(body) - self.received_bytes)
+            body[self.received_bytes : self.received_bytes + byte_count] = data[offset : offset + byte_count]
+            self.received_bytes += byte_count
+            offset += byte_count
+            if self.received_bytes == len(body):
                 # The next byte is checked as well: a body whose stated length is four bytes too large takes
                 # the first line of the next response ("*4" and its line end), so it ends in a line end too.
-                if not body.endswith(b"\r\n") or bytes(data[at : at + 1]) not in (b"", b"*"):
+                if not body.endswith(b"\r\n") or bytes(data[offset : offset + 1]) not in (b"", b"*"):
                     raise ServerProtocolError("a body does not end at its stated length")
                 del body[-2:]
-                responses.append(self._response(body))
+                responses.append(self._convert_response(body))
                 self.body = None
 
     def _read_head(self, data: memoryview) -> int:
         """Decodes a response's head, up to its body; returns how many of these bytes belong to it."""
-        bytes_before = len(self.head)
+        buffered_bytes = len(self.head)
         self.head += bytes(data)
         match = HEAD.match(self.head)
         if match is None:
             if not self._may_become_head():
                 raise ServerProtocolError(f"not a response: {self.head[:60]!r}")
             return len(data)
-        words = match.group(2, 4, 6)
+        strings = match.group(2, 4, 6)
         sizes = match.group(1, 3, 5)
-        if any(len(word) != int(size) for word, size in zip(words, sizes, strict=True)):
+        if any(len(string) != int(size) for string, size in zip(strings, sizes, strict=True)):
             raise ServerProtocolError(f"a string does not have its stated length: {self.head[:60]!r}")
         size = int(match.group(7))
         if size > MAX_BODY_BYTES:
             raise ServerProtocolError(f"a body of {size} bytes is over {MAX_BODY_BYTES} bytes")
         try:
-            attempt_id, word, fields = words
-            self.words = attempt_id.decode(), word.decode(), fields.decode()
+            attempt_id, outcome_word, fields = strings
+            self.strings = attempt_id.decode(), outcome_word.decode(), fields.decode()
         except UnicodeDecodeError as error:
             raise ServerProtocolError(str(error)) from error
         self.body = bytearray(size + 2)
-        self.filled_bytes = 0
+        self.received_bytes = 0
         self.head = b""
-        return match.end() - bytes_before
+        return match.end() - buffered_bytes
 
     def _may_become_head(self) -> bool:
         """Whether the bytes received so far can become a response's head when more bytes arrive."""
@@ -205,12 +209,12 @@
             and (self.head.startswith(HEAD_START) or HEAD_START.startswith(self.head))
         )
 
-    def _response(self, body: bytearray) -> ServerResponse:
+    def _convert_response(self, body: bytearray) -> ServerResponse:
         """Converts the four strings of a response to a message."""
-        attempt_id, word, field_text = self.words
-        outcome = OUTCOMES.get(word)
+        attempt_id, outcome_word, field_text = self.strings
+        outcome = OUTCOMES.get(outcome_word)
         if outcome is None:
-            raise ServerProtocolError(f"{word[:40]!r} is not an outcome word")
+            raise ServerProtocolError(f"{outcome_word[:40]!r} is not an outcome word")
         fields = _parse_fields(field_text)
         try:
             source_wait_ns = int(float(fields.get("slow") or 0) * NS_PER_MS)
@@ -219,7 +223,7 @@
             raise ServerProtocolError(str(error)) from error
         # A word that is unknown here, as from a newer server, counts as no fill result.
         fill_result = FILL_RESULTS.get(fields.get("tell", ""), FillResult.NONE)
-        not_modified = word == NOT_MODIFIED_WORD
+        not_modified = outcome_word == NOT_MODIFIED_WORD
         etag = fields.get("sum", "") if not_modified else ""
         return ServerResponse(
             self.connection,
--- a/kelpcroft/net/upstream_codec.py
+++ b/kelpcroft/net/upstream_codec.py
@@ -36,15 +36,15 @@
             as_of_ms if type(as_of_ms) is int else None,
         )
 
-    def parse_piece(self, encoded_events: list[bytes | None]) -> UpstreamResponse:
+    def parse_chunk(self, encoded_events: list[bytes | None]) -> UpstreamResponse:
         """Converts events of a long response.
 
         An event that was too long to keep becomes None; an event that is not JSON is left out.
         """
         events = []
-        for encoded in encoded_events:
+        for encoded_event in encoded_events:
             try:
-                events.append(orjson.loads(encoded or b"null"))
+                events.append(orjson.loads(encoded_event or b"null"))
             except orjson.JSONDecodeError:
                 continue
         return UpstreamResponse(0, tuple(events), has_more=True)
--- a/kelpcroft/net/watch_codec.py
+++ b/kelpcroft/net/watch_codec.py
@@ -17,7 +17,7 @@
 from kelpcroft.control_log.follower import LogPosition
 
 MAX_HEAD_BYTES = 4_096  # size of one request's head
-MAX_PIPELINED_CALLS = 4  # requests that one connection may send at once
+MAX_PIPELINED_REQUESTS = 4  # requests that one connection may send at once
 EVENTS_PATH = b"/v1/events"
 STATE_PATH = b"/control/state"
 EVENTS_QUERY = re.compile(rb"SUB=(\d{1,18})&wait=(\d{1,9})(?:&mark=([0-9a-f]{0,32}))?")
@@ -84,8 +84,8 @@
         self._head_bytes = 0
         if self._parser.get_method() != b"GET":
             raise WatchRequestError("only GET is known here")
-        if len(self._completed) >= MAX_PIPELINED_CALLS:
-            raise WatchRequestError(f"over {MAX_PIPELINED_CALLS} calls at once")
+        if len(self._completed) >= MAX_PIPELINED_REQUESTS:
+            raise WatchRequestError(f"over {MAX_PIPELINED_REQUESTS} calls at once")
         self._completed.append(parse_request(url))
 
 
@@ -98,12 +98,12 @@
     path, _, query = url.partition(b"?")
     if path == STATE_PATH:
         return StateRequest()
-    found = EVENTS_QUERY.fullmatch(query)
-    if path != EVENTS_PATH or found is None:
+    match = EVENTS_QUERY.fullmatch(query)
+    if path != EVENTS_PATH or match is None:
         raise WatchRequestError(
             f"{path[:40]!r} with {query[:60]!r} is not {EVENTS_PATH.decode()}?SUB=N&wait=MS"
         )
-    number, wait_ms, fingerprint = found.groups()
+    number, wait_ms, fingerprint = match.groups()
     position = LogPosition(int(number), (fingerprint or b"").decode())
     return EventsRequest(position, fingerprint is not None, int(wait_ms) * NS_PER_MS)
 
