--- a/kelpcroft/log.py
+++ b/kelpcroft/log.py
@@ -29,7 +29,7 @@
 class EventRate:
     """The lines of one event in the current window."""
 
-    window_began_ns: int
+    window_start_ns: int
     written: int = 0
     suppressed: int = 0
 
@@ -45,8 +45,8 @@
         rate = self.rates.get(event)
         if rate is None:
             rate = self.rates[event] = EventRate(now)
-        if now - rate.window_began_ns >= RATE_WINDOW_NS:
-            rate.window_began_ns = now
+        if now - rate.window_start_ns >= RATE_WINDOW_NS:
+            rate.window_start_ns = now
             rate.written = 0
         if rate.written >= MAX_LINES_PER_EVENT:
             rate.suppressed += 1
@@ -59,16 +59,16 @@
 class LogFormatter(logging.Formatter):
     """Formats a record as JSON or as plain text."""
 
-    def __init__(self, router: str, is_plain: bool) -> None:
+    def __init__(self, router: str, is_plain_text: bool) -> None:
         super().__init__()
         self.router = router
-        self.is_plain = is_plain
+        self.is_plain_text = is_plain_text
 
     def format(self, record: logging.LogRecord) -> str:
         """Returns one line, without its line end."""
         event, now, fields = record.__dict__["event"], record.__dict__["now"], record.__dict__["fields"]
         timestamp = self.timestamp(now)
-        if self.is_plain:
+        if self.is_plain_text:
             suppressed = f" ({fields['suppressed']} left out before)" if "suppressed" in fields else ""
             return f"{timestamp} {record.levelname} {event}: {record.getMessage()}{suppressed}"
         head = {
@@ -84,9 +84,9 @@
 
     def timestamp(self, now: int) -> str:
         """Formats Unix time in ns as UTC, in microseconds."""
-        seconds, rest_ns = divmod(now, 10**9)
-        stamp = self.formatTime(logging.makeLogRecord({"created": seconds}), "%Y-%m-%dT%H:%M:%S")
-        return f"{stamp}.{rest_ns // 1000:06d}Z"
+        seconds, fraction_ns = divmod(now, 10**9)
+        timestamp = self.formatTime(logging.makeLogRecord({"created": seconds}), "%Y-%m-%dT%H:%M:%S")
+        return f"{timestamp}.{fraction_ns // 1000:06d}Z"
 
 
 class EventLog:
--- a/kelpcroft/net/control_replica_server.py
+++ b/kelpcroft/net/control_replica_server.py
@@ -28,13 +28,14 @@
 from kelpcroft.core.effects import LogEvent
 from kelpcroft.log import EventLog
 from kelpcroft.net.clock import Clock
-from kelpcroft.net.control_replica_upstream import UpstreamCaller
+from kelpcroft.net.control_replica_upstream import UpstreamClient
 from kelpcroft.net.control_replica_watchers import WatcherConnections
 from kelpcroft.net.watch_codec import EventsRequest, StateRequest, encode_refusal, encode_response
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-MAX_TURN_WAIT_NS = SECOND // 2  # longest wait of one iteration, and so between checks for a silent upstream
+# Longest wait of one iteration, and so the longest time between checks for a silent upstream.
+MAX_ITERATION_WAIT_NS = SECOND // 2
 IDLE_CHECK_INTERVAL_NS = SECOND  # time between two searches for idle watchers
 SIGNALS_READ_BYTES = 1 << 16  # most bytes read from the signal pipe at once
 # Connections beyond the limit of watches: for status requests, and connections that are about to be closed.
@@ -74,7 +75,7 @@
         self._clock = clock
         self._events = events
         self._selector = selectors.DefaultSelector()
-        self._upstream = UpstreamCaller(
+        self._upstream = UpstreamClient(
             self._selector,
             clock,
             replica.options.peers,
@@ -107,24 +108,28 @@
                 self._selector.register(signals, selectors.EVENT_READ, self._on_signals)
             self._perform(self._replica.start(self._clock.now()))
             while not self._is_stopping:
-                self._run_turn()
+                self._run_iteration()
 
-    def _run_turn(self) -> None:
+    def _run_iteration(self) -> None:
         """Runs one iteration: waits for sockets, handles them and then the timers that are due."""
         for key, events in self._selector.select(self._wait_s(self._clock.now())):
             key.data(events)
         now = self._clock.now()
-        self._upstream.make_due_calls(now)
-        self._upstream.give_up_silent_call(now)
+        self._upstream.send_due_requests(now)
+        self._upstream.fail_silent_request(now)
         self._perform(self._replica.on_timer(now))
         if now - self._idle_checked_ns > IDLE_CHECK_INTERVAL_NS:
             self._idle_checked_ns = now
-            self._watchers.drop_idle(now)
+            self._watchers.close_idle(now)
 
     def _wait_s(self, now: int) -> float:
         """Returns how many seconds the selector may wait if no socket becomes ready."""
-        due = (self._replica.next_timer_ns(), self._upstream.next_call_ns(), now + MAX_TURN_WAIT_NS)
-        return max(0, min(at_ns for at_ns in due if at_ns is not None) - now) / SECOND
+        due_times_ns = (
+            self._replica.next_timer_ns(),
+            self._upstream.next_request_ns(),
+            now + MAX_ITERATION_WAIT_NS,
+        )
+        return max(0, min(due_ns for due_ns in due_times_ns if due_ns is not None) - now) / SECOND
 
     def _on_signals(self, _events: int) -> None:
         """Stops the loop on any signal except SIGHUP, for which there is no file to reload."""
--- a/kelpcroft/net/control_replica_upstream.py
+++ b/kelpcroft/net/control_replica_upstream.py
@@ -32,19 +32,19 @@
         self.unwritten = b""
         self.is_connected = False
         self.awaits_response = False
-        self.called_ns = now
-        self.last_heard_ns = now
+        self.requested_ns = now
+        self.last_received_ns = now
 
 
-class ScheduledCall(NamedTuple):
+class ScheduledRequest(NamedTuple):
     """A request that is due later; the sequence number keeps the order of requests due at the same time."""
 
     due_ns: int
     sequence: int
-    call: CallUpstream
+    request: CallUpstream
 
 
-class UpstreamCaller:
+class UpstreamClient:
     """Sends a replica's watch requests when they are due, and reads the responses."""
 
     def __init__(
@@ -70,34 +70,34 @@
         self._on_response = on_response
         self._on_failure = on_failure
         self._connection: UpstreamConnection | None = None
-        self._scheduled: list[ScheduledCall] = []  # a heap
+        self._scheduled: list[ScheduledRequest] = []  # a heap
         self._sequence = 0
 
-    def schedule(self, call: CallUpstream) -> None:
+    def schedule(self, request: CallUpstream) -> None:
         """Schedules a request that is sent when its delay has passed."""
         self._sequence += 1
-        due_ns = self._clock.now() + call.delay_ns
-        heapq.heappush(self._scheduled, ScheduledCall(due_ns, self._sequence, call))
+        due_ns = self._clock.now() + request.delay_ns
+        heapq.heappush(self._scheduled, ScheduledRequest(due_ns, self._sequence, request))
 
-    def next_call_ns(self) -> int | None:
-        """Returns when ``make_due_calls`` is to be called next."""
+    def next_request_ns(self) -> int | None:
+        """Returns when ``send_due_requests`` is to be called next."""
         return self._scheduled[0].due_ns if self._scheduled else None
 
-    def make_due_calls(self, now: int) -> None:
+    def send_due_requests(self, now: int) -> None:
         """Sends the requests that are due."""
         while self._scheduled and self._scheduled[0].due_ns <= now:
-            self._call(heapq.heappop(self._scheduled).call)
+            self._send_request(heapq.heappop(self._scheduled).request)
 
-    def give_up_silent_call(self, now: int) -> None:
+    def fail_silent_request(self, now: int) -> None:
         """Fails the outstanding request if the upstream has been silent for too long."""
         connection = self._connection
         if connection is None or not connection.awaits_response:
             return
-        since_ns = max(connection.called_ns, connection.last_heard_ns)
+        silent_since_ns = max(connection.requested_ns, connection.last_received_ns)
         timeout_ns = CONNECT_TIMEOUT_NS
         if connection.is_connected:
             timeout_ns = UPSTREAM_WAIT_NS + UPSTREAM_TIMEOUT_MARGIN_NS
-        if now - since_ns > timeout_ns:
+        if now - silent_since_ns > timeout_ns:
             self._fail("no response in time")
 
     def close(self) -> None:
@@ -107,22 +107,22 @@
             self._connection.sock.close()
             self._connection = None
 
-    def _call(self, call: CallUpstream) -> None:
+    def _send_request(self, request: CallUpstream) -> None:
         """Sends a request, on the open connection or on a new one."""
         now = self._clock.now()
         connection = self._connection
-        if connection is not None and (call.on_new_connection or connection.address != call.address):
+        if connection is not None and (request.on_new_connection or connection.address != request.address):
             self.close()
             connection = None
         if connection is None:
-            connection = self._connect(call.address, now)
+            connection = self._connect(request.address, now)
             self._connection = connection
-        fingerprint = call.position.fingerprint if call.address in self._peers else None
+        fingerprint = request.position.fingerprint if request.address in self._peers else None
         connection.unwritten += encode_poll(
-            call.address, call.position.event_number, call.wait_ns // MS, fingerprint
+            request.address, request.position.event_number, request.wait_ns // MS, fingerprint
         )
         connection.awaits_response = True
-        connection.called_ns = now
+        connection.requested_ns = now
         if connection.is_connected:
             self._write(connection)
 
@@ -142,9 +142,9 @@
             return
         if events & selectors.EVENT_WRITE:
             if not connection.is_connected:
-                code = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-                if code:
-                    self._fail(os.strerror(code))
+                error_code = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+                if error_code:
+                    self._fail(os.strerror(error_code))
                     return
                 connection.is_connected = True
             self._write(connection)
@@ -178,15 +178,15 @@
         if not data:
             self._fail("closed by the upstream")
             return
-        connection.last_heard_ns = self._clock.now()
-        problem = ""
+        connection.last_received_ns = self._clock.now()
+        decode_error = ""
         try:
             connection.codec.receive_data(memoryview(data))
         except FeedError as error:
-            problem = str(error)
+            decode_error = str(error)
         self._deliver(connection)  # also the values that were completed before the error
-        if problem and connection is self._connection:
-            self._fail(f"malformed: {problem}")
+        if decode_error and connection is self._connection:
+            self._fail(f"malformed: {decode_error}")
 
     def _deliver(self, connection: UpstreamConnection) -> None:
         """Passes on the completed responses and chunks of a response."""
@@ -201,7 +201,7 @@
 
     def _fail(self, reason: str) -> None:
         """Closes the connection and reports its outstanding request, if any, as failed."""
-        was_out = self._connection is not None and self._connection.awaits_response
+        was_outstanding = self._connection is not None and self._connection.awaits_response
         self.close()
-        if was_out:
+        if was_outstanding:
             self._on_failure(reason)
--- a/kelpcroft/net/control_replica_watchers.py
+++ b/kelpcroft/net/control_replica_watchers.py
@@ -19,7 +19,7 @@
 MS = 1_000_000
 SECOND = 1_000 * MS
 READ_BYTES = 1 << 16  # most bytes read from one connection at once
-MAX_ACCEPTS_PER_TURN = 256  # connections accepted before the other sockets are handled
+MAX_ACCEPTS_PER_ITERATION = 256  # connections accepted before the other sockets are handled
 MAX_UNWRITTEN_BYTES = 8 << 20  # bytes that may be queued for one watcher
 IDLE_TIMEOUT_NS = 20 * SECOND  # a watcher that has neither sent nor read anything for this long is closed
 
@@ -33,7 +33,7 @@
         self.codec = WatchServerCodec()
         self.unwritten = bytearray()
         self.last_progress_ns = now  # when the watcher last sent a request or accepted bytes
-        self.is_ending = False  # the connection is closed after all queued bytes are written
+        self.closes_after_write = False  # the connection is closed after all queued bytes are written
 
 
 class WatcherConnections:
@@ -72,7 +72,7 @@
 
     def on_listener_ready(self, _events: int) -> None:
         """Accepts waiting connections; connections beyond the limit are closed immediately."""
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock, _ = self._listener.accept()
             except OSError:
@@ -80,7 +80,7 @@
             if len(self._connections) >= self._max_connections:
                 sock.close()
                 continue
-            self._add(sock)
+            self._add_watcher(sock)
 
     def write(self, number: int, data: bytes) -> None:
         """Queues bytes for a watcher, if it is still connected; closes it if it reads too slowly."""
@@ -89,22 +89,22 @@
             return
         watcher.unwritten += data
         if len(watcher.unwritten) > MAX_UNWRITTEN_BYTES:
-            self._drop(watcher)
+            self._close_watcher(watcher)
         else:
             self._flush(watcher)
 
-    def drop_idle(self, now: int) -> None:
+    def close_idle(self, now: int) -> None:
         """Closes watchers that have been idle for longer than ``IDLE_TIMEOUT_NS``."""
         for watcher in list(self._connections.values()):
             if now - watcher.last_progress_ns > IDLE_TIMEOUT_NS:
-                self._drop(watcher)
+                self._close_watcher(watcher)
 
     def close(self) -> None:
         """Closes all connections."""
         for watcher in list(self._connections.values()):
-            self._drop(watcher)
+            self._close_watcher(watcher)
 
-    def _add(self, sock: socket.socket) -> None:
+    def _add_watcher(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._last_number += 1
@@ -128,13 +128,13 @@
         except OSError:
             data = b""
         if not data:
-            self._drop(watcher)
+            self._close_watcher(watcher)
             return
         try:
             requests = watcher.codec.receive_data(data)
         except WatchRequestError as error:
             self.write(watcher.number, encode_bad_request(str(error)))
-            watcher.is_ending = True
+            watcher.closes_after_write = True
             self._flush(watcher)
             return
         watcher.last_progress_ns = self._clock.now()
@@ -149,17 +149,17 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._drop(watcher)
+                self._close_watcher(watcher)
                 return
             if sent:
                 del watcher.unwritten[:sent]
                 watcher.last_progress_ns = self._clock.now()
-        if watcher.is_ending and not watcher.unwritten:
-            self._drop(watcher)
+        if watcher.closes_after_write and not watcher.unwritten:
+            self._close_watcher(watcher)
             return
-        self._watch_for(watcher)
+        self._update_interest(watcher)
 
-    def _watch_for(self, watcher: WatcherConnection) -> None:
+    def _update_interest(self, watcher: WatcherConnection) -> None:
         """Registers for input, and for output while bytes are queued."""
         interest = selectors.EVENT_READ
         if watcher.unwritten:
@@ -167,7 +167,7 @@
         key = self._selector.get_key(watcher.sock)
         self._selector.modify(watcher.sock, interest, key.data)
 
-    def _drop(self, watcher: WatcherConnection) -> None:
+    def _close_watcher(self, watcher: WatcherConnection) -> None:
         """Closes a watcher's connection and reports it."""
         if self._connections.pop(watcher.number, None) is None:
             return
--- a/kelpcroft/net/predecessor_files.py
+++ b/kelpcroft/net/predecessor_files.py
@@ -39,9 +39,9 @@
     def read_predecessor_state(self, _effect: effects.ReadPredecessorState) -> None:
         """Reports to the reducer if the predecessor, which ran beside this process, has recorded its end."""
         config = self.transport.config
-        left = read_handover(config.state_dir, config.name)
-        if left is not None and left.ended_at_ns:
-            self.transport.handle_input(inputs.PredecessorEnded(left.ended_at_ns))
+        state = read_handover(config.state_dir, config.name)
+        if state is not None and state.ended_at_ns:
+            self.transport.handle_input(inputs.PredecessorEnded(state.ended_at_ns))
 
 
 def read_handover(folder: str, name: str) -> inputs.PredecessorState | None:
@@ -50,15 +50,15 @@
         return None
     path = handover.file_path(folder, name)
     try:
-        data = _read(path)
+        data = _read_file(path)
     except FileNotFoundError:
         return None
     except OSError as error:
         return inputs.PredecessorState(None, reason=f"{path}: {error.strerror}")
-    found, reason = handover.decode(data, name, time.time_ns())
-    if found is None:
+    record, reason = handover.decode(data, name, time.time_ns())
+    if record is None:
         return inputs.PredecessorState(None, reason=f"{path}: {reason}")
-    return inputs.PredecessorState(found.in_service, found.since_ns, ended_at_ns=found.ended_ns)
+    return inputs.PredecessorState(record.in_service, record.since_ns, ended_at_ns=record.ended_ns)
 
 
 def write_handover(folder: str, name: str, now_ns: int, state: effects.PersistServiceState) -> None:
@@ -75,12 +75,14 @@
     data = handover.encode(name, pid, now_ns, state.is_in_service, state.since_ns, state.ended_at_ns)
     if state.ended_at_ns:
         try:
-            last, _ = handover.decode(_read(path), name, now_ns)
+            successor, _ = handover.decode(_read_file(path), name, now_ns)
         except OSError:
-            last = None
-        if last is not None and last.pid != pid and last.written_ns > state.shutdown_began_ns:
-            data = handover.encode(name, last.pid, now_ns, last.in_service, last.since_ns, state.ended_at_ns)
-    _replace(path, data)
+            successor = None
+        if successor is not None and successor.pid != pid and successor.written_ns > state.shutdown_began_ns:
+            data = handover.encode(
+                name, successor.pid, now_ns, successor.in_service, successor.since_ns, state.ended_at_ns
+            )
+    _replace_file(path, data)
 
 
 def crash_loop_delay_ns(folder: str, name: str, now_ns: int) -> int:
@@ -92,25 +94,25 @@
         return 0
     path = crash_loop_backoff.file_path(folder, name)
     try:
-        earlier = crash_loop_backoff.decode(_read(path), name, now_ns)
+        earlier_starts_ns = crash_loop_backoff.decode(_read_file(path), name, now_ns)
     except OSError:
-        earlier = []
+        earlier_starts_ns = []
     try:
-        _replace(path, crash_loop_backoff.encode(name, earlier, now_ns))
+        _replace_file(path, crash_loop_backoff.encode(name, earlier_starts_ns, now_ns))
     except OSError:
         return 0
-    return crash_loop_backoff.crash_loop_delay_ns(earlier)
+    return crash_loop_backoff.crash_loop_delay_ns(earlier_starts_ns)
 
 
-def _read(path: str) -> bytes:
+def _read_file(path: str) -> bytes:
     """Reads a file up to one byte over its size limit, so that a file over the limit is detected."""
     with open(path, "rb") as file:
         return file.read(handover.MAX_FILE_BYTES + 1)
 
 
-def _replace(path: str, data: bytes) -> None:
+def _replace_file(path: str, data: bytes) -> None:
     """Writes a file completely under a temporary name, then renames it over the old file."""
-    scratch = f"{path}.{os.getpid()}"
-    with open(scratch, "wb") as file:
+    temporary_path = f"{path}.{os.getpid()}"
+    with open(temporary_path, "wb") as file:
         file.write(data)
-    os.replace(scratch, path)
+    os.replace(temporary_path, path)
--- a/tests/program/test_datagrams.py
+++ b/tests/program/test_datagrams.py
@@ -15,28 +15,28 @@
         self.addCleanup(self.target.close)
 
     def relay(self, fate: DatagramFate, seed: int = 1) -> DatagramRelay:
-        made = DatagramRelay(self.target.getsockname(), fate, seed)
-        self.addCleanup(made.__exit__)
-        return made
+        relay = DatagramRelay(self.target.getsockname(), fate, seed)
+        self.addCleanup(relay.__exit__)
+        return relay
 
-    def heard(self) -> list[bytes]:
-        found = []
+    def received_datagrams(self) -> list[bytes]:
+        datagrams = []
         while True:
             try:
-                found.append(self.target.recvfrom(2_048)[0])
+                datagrams.append(self.target.recvfrom(2_048)[0])
             except TimeoutError:
-                return found
+                return datagrams
 
-    def said(self, relay: DatagramRelay, count: int) -> list[bytes]:
+    def send_and_receive(self, relay: DatagramRelay, count: int) -> list[bytes]:
         """Sends ``count`` datagrams, each once the relay has received the last; returns the arrivals."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for n in range(count):
                 sock.sendto(b"%d" % n, relay.address)
                 while relay.seen <= n:
                     pass
-        return self.heard()
+        return self.received_datagrams()
 
-    def test_they_pass_and_answers_come_back(self) -> None:
+    def test_datagrams_pass_and_responses_come_back(self) -> None:
         relay = self.relay(DatagramFate())
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.settimeout(2)
@@ -46,19 +46,19 @@
             assert sock.recvfrom(2048) == (b"ask back", relay.address)
 
     def test_half_are_lost_the_same_ones_each_time(self) -> None:
-        first = self.said(self.relay(DatagramFate(lost=0.5)), 100)
+        first = self.send_and_receive(self.relay(DatagramFate(lost=0.5)), 100)
         assert 30 < len(first) < 70, len(first)
-        assert self.said(self.relay(DatagramFate(lost=0.5)), 100) == first
-        assert self.said(self.relay(DatagramFate(lost=0.5), seed=2), 100) != first
+        assert self.send_and_receive(self.relay(DatagramFate(lost=0.5)), 100) == first
+        assert self.send_and_receive(self.relay(DatagramFate(lost=0.5), seed=2), 100) != first
 
     def test_repeated_overtaken_and_silent(self) -> None:
-        twice = self.said(self.relay(DatagramFate(repeated=0.5)), 50)
+        twice = self.send_and_receive(self.relay(DatagramFate(repeated=0.5)), 50)
         assert 60 < len(twice) < 90, len(twice)
         assert len(set(twice)) == 50
-        late = self.said(self.relay(DatagramFate(late=0.3, late_s=0.1)), 50)
+        late = self.send_and_receive(self.relay(DatagramFate(late=0.3, late_s=0.1)), 50)
         assert len(late) == 50
         assert late != sorted(late, key=int), "some datagrams were overtaken by later ones"
-        assert self.said(self.relay(DatagramFate(silent=True)), 10) == []
+        assert self.send_and_receive(self.relay(DatagramFate(silent=True)), 10) == []
 
 
 if __name__ == "__main__":
