--- a/kelpcroft/diagnostics.py
+++ b/kelpcroft/diagnostics.py
@@ -61,7 +61,7 @@
 
     def __str__(self) -> str:
         """Returns ``PLACE: found; expected``, the line of a JSON configuration's diagnostic."""
-        # An error without a place concerns the whole file; the place of an unknown key may be "".
+        # An error without a place concerns the whole file; for an unknown key it is the key "".
         is_whole_file = not self.place and self.level is Severity.FAULT
         return f"{'the file' if is_whole_file else self.place}: {self.found}; {self.expected}"
 
--- a/kelpcroft/net/control_replica_upstream.py
+++ b/kelpcroft/net/control_replica_upstream.py
@@ -19,7 +19,7 @@
 MS = 1_000_000
 SECOND = 1_000 * MS
 READ_BYTES = 1 << 16  # most bytes read from the connection at once
-CONNECT_TIMEOUT_NS = 400 * MS  # connect timeout
+CONNECT_TIMEOUT_NS = 400 * MS  # longest time to connect to an upstream
 
 
 class UpstreamConnection:
--- a/kelpcroft/net/event_stream.py
+++ b/kelpcroft/net/event_stream.py
@@ -34,7 +34,7 @@
         self.error = ""  # why the response cannot be split any further; empty if it can
 
     def receive_data(self, data: bytes) -> list[bytes | None]:
-        """Returns the events that these bytes complete, or None for one that is too long; sets ``error``."""
+        """Returns the events that these bytes complete, None in place of a too long event; sets ``error``."""
         buffer = self.pending + data
         events = list[bytes | None]()
         start = 0  # offset of the first byte that is in neither the envelope nor ``events``
--- a/kelpcroft/net/feed_client.py
+++ b/kelpcroft/net/feed_client.py
@@ -39,7 +39,7 @@
 
 
 class FeedClient(ConnectionHandler[FeedConnection]):
-    """Sends watch requests to the feed; after a process stall its response is read before all other input."""
+    """Sends watch requests to the feed; after a process stall the feed is read before servers and clients."""
 
     def __init__(self, transport: Transport, connector: Connector) -> None:
         super().__init__(transport)
@@ -47,7 +47,7 @@
         self.address = transport.config.feed_address
         self.connection: FeedConnection | None = None
         self.last_interrupted_ns = 0  # when a process stall last interrupted a watch request
-        # Until then servers and clients are not read, because the endpoint list may be older than a process
+        # Until then servers and clients are not read, because the endpoint list dates from before a process
         # stall; 0 = all are read.
         self.feed_only_until_ns = 0
 
@@ -140,7 +140,7 @@
             return
         self.last_interrupted_ns = now
         self.feed_only_until_ns = now + FEED_ONLY_NS
-        self.close(connection)  # its response may predate the stall
+        self.close(connection)  # it waits for an event, and its response may predate the stall
         self.transport.handle_input(inputs.ProcessStalled())
 
     def give_up_if_overdue(self, now: int) -> None:
--- a/kelpcroft/net/feed_codec.py
+++ b/kelpcroft/net/feed_codec.py
@@ -111,7 +111,7 @@
 
 
 def _parse_event_or_reason(raw: Any) -> tuple[FeedEvent | None, str]:
-    """Parses one event; returns the reason as well if it cannot be used."""
+    """Returns one parsed event, or None and the reason why it cannot be used."""
     try:
         return _parse_event(raw), ""
     except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -201,7 +201,7 @@
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
         self.splitter: EventSplitter | None = None  # splits a response that is too long for one step
-        self.body_bytes_read = 0  # body bytes of the current response so far
+        self.body_bytes_read = 0  # body bytes of the response in progress
         self.completed: list[T] = []  # values completed by the bytes that were received last
         self.keeps_alive = True  # the connection stays open after this response
         self.retry_after_ns = 0  # Retry-After of an error response; 0 if it has none
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -275,7 +275,7 @@
                 self.digest.add(now, "command", 0, fields(e.router, ACTS[e.kind]))
         snapshot = to_snapshot(self)
         self.history.add(now, "why", 0, fields(snapshot.pop("why")))
-        for key, names in (("bets", 2), ("sides", 3)):  # by zone and class: the program gives no order
+        for key, names in (("bets", 2), ("sides", 3)):  # rows by zone and class, which have no order
             snapshot[key].sort(key=lambda row, names=names: row[:names])
         self.digest.add(now, "snapshot", 0, orjson.dumps(snapshot))
         return found
