--- a/kelpcroft/net/control_endpoint.py
+++ b/kelpcroft/net/control_endpoint.py
@@ -1,4 +1,4 @@
-"""The control address: one call a connection, one answer, then the end."""
+"""Control address: each connection carries one control request and one response, then it is closed."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
     Transport,
 )
 
-CALLER_TIMEOUT_NS: Final = 5 * SECOND  # a caller has so long for its call and to read the answer
+# Time for a control client to send its request and read the response.
+CONTROL_CLIENT_TIMEOUT_NS: Final = 5 * SECOND
 
 
 class ControlConnection(Connection):
-    """A caller's connection to the control address."""
+    """A control client's connection."""
 
     def __init__(self, handler: ControlEndpoint, number: int, sock: socket.socket, now: int) -> None:
         super().__init__(handler, sock, now)
@@ -33,34 +34,34 @@
         self.codec = control_codec.ControlCodec(handler.serves_state)
         self.is_connected = True
         self.opened_ns = now
-        self.is_answered = False  # the answer is written, or waits to be; what comes after is not read
+        self.ignores_input = False  # the request is complete or has its response; later bytes are ignored
 
 
 class ControlEndpoint(ConnectionHandler[ControlConnection]):
-    """The control address and its callers."""
+    """The control address and its clients."""
 
-    def __init__(self, transport: Transport, acceptor: ClientAcceptor, max_callers: int) -> None:
+    def __init__(self, transport: Transport, acceptor: ClientAcceptor, max_connections: int) -> None:
         super().__init__(transport)
         self.acceptor = acceptor
-        self.max_callers = max_callers
+        self.max_connections = max_connections
         self.listener = Listener(transport)
         self.callers: dict[int, ControlConnection] = {}
-        self.serves_state = False  # GET /control/state is answered
-        self.has_told_identity = False
+        self.serves_state = False  # GET /control/state is enabled
+        self.has_sent_identity = False
 
     def listen(self, sock: socket.socket | None) -> None:
-        """Listens on a socket that is given, or at the address that the configuration names, if any."""
+        """Listens on the given socket, or at the control address of the configuration, if any."""
         address = self.transport.config.control_address
         if sock is None and address is not None:
             sock = bind_listener("mgmt", address)
         if sock is None:
             return
         self.listener.open(sock)
-        at = listening_address(sock)
-        self.transport.log("control.listens", f"control address on {at}", {"at": at})
+        bound_address = listening_address(sock)
+        self.transport.log("control.listens", f"control address on {bound_address}", {"at": bound_address})
 
     def accept(self) -> None:
-        """Takes callers that wait; past their bound the longest open goes for a new one."""
+        """Accepts waiting connections; at their limit a new one replaces the oldest one."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock = self.listener.accept()
@@ -72,17 +73,17 @@
                     self.listener.set_listening(False)
                     return
                 continue
-            if len(self.callers) >= self.max_callers:
+            if len(self.callers) >= self.max_connections:
                 self._close_oldest()
             number = self.transport.next_number()
-            caller = ControlConnection(self, number, sock, self.transport.clock.now())
-            self.callers[number] = caller
-            self.transport.set_interest(caller, READABLE)
+            connection = ControlConnection(self, number, sock, self.transport.clock.now())
+            self.callers[number] = connection
+            self.transport.set_interest(connection, READABLE)
 
     def _free_descriptor(self) -> bool:
-        """Whether a descriptor could be had: of the oldest caller, else of a client.
+        """Frees the descriptor of the oldest control connection, else of a client; returns whether it did.
 
-        Callers go after ``CALLER_TIMEOUT_NS`` by themselves; the oldest makes room at once.
+        The oldest would be closed after ``CONTROL_CLIENT_TIMEOUT_NS`` in any case; it is closed now.
         """
         if self.callers:
             self._close_oldest()
@@ -95,28 +96,28 @@
     # Effects ----------------------------------------------------------------------------------------------
 
     def respond(self, effect: effects.ControlResponse) -> None:
-        """Answers a call that the reducer took."""
-        caller = self.callers.get(effect.caller)
-        if caller is None:
+        """Sends the response to a control request that the reducer handled."""
+        connection = self.callers.get(effect.caller)
+        if connection is None:
             return
         fields = effect.fields
-        if "instance" in fields:  # the answer to GET /control/state
+        if "instance" in fields:  # the response to GET /control/state
             fields = {**fields, "memory_kb": peak_kb()}
-        self._answer(caller, control_codec.reply(effect.ok, fields, caller.codec.head_only))
+        self._send_response(connection, control_codec.reply(effect.ok, fields, connection.codec.omits_body))
 
     def set_state_endpoint(self, effect: effects.SetStateEndpoint) -> None:
-        """Serves GET /control/state from now on, or not.
+        """Enables or disables GET /control/state.
 
-        What this program is, is read once, when first asked for: nothing is read and nothing imported where
-        no file switches it on.
+        The identity of this process (its program's digest and its instance name) is determined once, when the
+        request is first enabled: nothing is read or imported for it unless an operator's file enables it.
         """
         self.serves_state = effect.is_enabled
-        if effect.is_enabled and not self.has_told_identity:
+        if effect.is_enabled and not self.has_sent_identity:
             from pathlib import Path
 
             from kelpcroft.store.identity import program_digest
 
-            self.has_told_identity = True
+            self.has_sent_identity = True
             instance = f"{os.getpid()}-{self.transport.clock.now():x}"
             package = Path(__file__).parent.parent
             self.transport.handle_input(inputs.ProcessIdentity(program_digest(package), instance))
@@ -124,7 +125,7 @@
     # Events of a connection -------------------------------------------------------------------------------
 
     def read(self, connection: ControlConnection) -> None:
-        """Passes a whole call to the reducer; what is no call is answered here."""
+        """Passes a complete control request to the reducer; queues an error response to any other bytes."""
         try:
             data = connection.sock.recv(control_codec.READ_BYTES)
         except BlockingIOError:
@@ -134,21 +135,21 @@
             return
         if not data:
             self.close(connection)
-        elif not connection.is_answered:
+        elif not connection.ignores_input:
             result = connection.codec.receive_data(data)
             if isinstance(result, inputs.ControlVerb):
-                connection.is_answered = True
+                connection.ignores_input = True
                 self.transport.handle_input(inputs.ControlRequest(connection.number, result))
             elif result is not None:
-                self._answer(connection, result)
+                self._send_response(connection, result)
 
-    def _answer(self, caller: ControlConnection, answer: bytes) -> None:
-        """Queues the one answer; the connection ends once it is written."""
-        caller.is_answered = True
-        self.transport.queue_write(caller, (answer,))
+    def _send_response(self, connection: ControlConnection, response: bytes) -> None:
+        """Queues the only response of a connection, which is shut down after the response is written."""
+        connection.ignores_input = True
+        self.transport.queue_write(connection, (response,))
 
     def all_written(self, connection: ControlConnection) -> None:
-        """Ends our side: the caller's close, or the time of callers, ends the connection."""
+        """Shuts down our side; the connection is closed once the client closes it or its time is over."""
         try:
             connection.sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -157,18 +158,20 @@
     def connection_failed(
         self, connection: ControlConnection, reason: str, is_unreachable: bool = False
     ) -> None:
-        """Does nothing: ``sweep`` closes the connection once the caller's time is over."""
+        """Does nothing: ``sweep`` closes the connection after ``CONTROL_CLIENT_TIMEOUT_NS``."""
 
     def close(self, connection: ControlConnection) -> None:
-        """Closes a caller's connection."""
+        """Closes a connection."""
         self.transport.close(connection)
         self.callers.pop(connection.number, None)
 
     def sweep(self, now: int) -> None:
-        """Closes callers whose time is over."""
-        for caller in [c for c in self.callers.values() if now - c.opened_ns > CALLER_TIMEOUT_NS]:
-            self.close(caller)
+        """Closes connections that have been open for longer than ``CONTROL_CLIENT_TIMEOUT_NS``."""
+        for connection in [
+            other for other in self.callers.values() if now - other.opened_ns > CONTROL_CLIENT_TIMEOUT_NS
+        ]:
+            self.close(connection)
 
 
-def _opened_ns(caller: ControlConnection) -> int:
-    return caller.opened_ns
+def _opened_ns(connection: ControlConnection) -> int:
+    return connection.opened_ns
