--- a/kelpcroft/core/inputs.py
+++ b/kelpcroft/core/inputs.py
@@ -1,8 +1,9 @@
-"""What the reducer takes in: all that can happen to a router, without a protocol's field names.
+"""Inputs of the reducer: every event that can affect a router.
 
-No codec's field names appear here: a front or a back end of another protocol fills in the same inputs.
-Names that end in ``_ns`` are nanoseconds of the Unix clock, kept from running back, or spans of it.
-``client`` and ``connection`` are the loop's and the pool's numbers of connections, never used twice.
+The inputs use no codec's field names, so that a front end or back end for another protocol can produce the
+same inputs.  Names that end in ``_ns`` are times of the Unix clock in nanoseconds, which never run backwards,
+or durations in nanoseconds.  ``client`` is a connection number of the event loop and ``connection`` is one of
+the connection pool; neither number is ever reused.
 """
 
 from __future__ import annotations
@@ -24,23 +25,23 @@
     """A client's request.
 
     Attributes:
-        client: Its connection.
-        request_number: Its number on that connection.
-        request_class: Name of its class in the settings.
-        trace_id: The client's id of it; attempts go out under the same.
-        remaining_time_ns: How long the client still waits, from when this was taken up.
-        object_id: Passed on as it came.
-        part_id: Passed on as it came.
-        object_number: The object, as purges name it.
+        client: The client's connection.
+        request_number: Number of the request on that connection.
+        request_class: Name of the request's class in the settings.
+        trace_id: The client's id for the request; attempts are sent with the same id.
+        remaining_time_ns: How long the client still waits, counted from when the reducer receives this input.
+        object_id: Forwarded unchanged.
+        part_id: Forwarded unchanged.
+        object_number: The object, by the number that purges use.
         part_number: The part of the object.
-        group: The group that a purge may name in place of an object.
-        is_retry: The client has asked before.
-        etag: Of the copy that the client holds; "" = none.
-        body: Passed on as it came.
-        queued_ns: Of the client's time, gone before this was read.
-        idempotency_key: Passed on as it came; "" = none.
-        size_kb: Of the part, as the settings count; 0 = unknown.
-        validation_error: Why it cannot be used, though it could be read; "" = it can.
+        group: The group that a purge may name instead of an object.
+        is_retry: The client has sent this request before.
+        etag: ETag of the copy that the client holds; "" = none.
+        body: Forwarded unchanged.
+        queued_ns: How much of the client's waiting time passed before the router read the request.
+        idempotency_key: Forwarded unchanged; "" = none.
+        size_kb: Size of the part, in the unit of the settings; 0 = unknown.
+        validation_error: Why a request that could be decoded cannot be served; "" = it can be served.
     """
 
     client: int
@@ -64,7 +65,7 @@
 
 @message
 class CancelRequest:
-    """The client has stopped waiting for a request."""
+    """A client cancels a request."""
 
     client: int
     request_number: int
@@ -72,7 +73,7 @@
 
 @message
 class HealthRequest:
-    """A client asks whether this router is ready."""
+    """A client checks whether this router is ready."""
 
     client: int
     request_number: int
@@ -80,14 +81,14 @@
 
 @message
 class ClientConnected:
-    """A client's connection was taken."""
+    """A client's connection was accepted."""
 
     client: int
 
 
 @message
 class ClientDisconnected:
-    """A client's connection has ended; its open requests need no answer any more."""
+    """A client's connection has ended; its open requests no longer need a response."""
 
     client: int
 
@@ -107,11 +108,13 @@
     """A connection to a server could not be established, or has ended.
 
     Attributes:
-        connection: Which.
+        connection: Number of the connection.
         reason: For the log.
-        is_unreachable: Nobody is there.  A connection is also reset by what lies between, and closed by us
-            when an answer on it cannot be read; those are no evidence against the server.
-        unsent_attempt_ids: Ids of attempts of which not all bytes were written, so that they never ran.
+        is_unreachable: The connection could not be established, because no server accepts connections at the
+            address or because the connect timeout expired.  False where a device on the network path resets a
+            connection, or where the router closes one because it cannot decode a response: these are no
+            evidence against the server.
+        unsent_attempt_ids: Ids of attempts that were not written completely, so that they never ran.
     """
 
     connection: int
@@ -122,7 +125,7 @@
 
 @message
 class PartialResponse:
-    """Part of an answer has come on a connection to a server, or the rest of it."""
+    """A response has arrived in part on a connection to a server, or such a response is now complete."""
 
     connection: int
     is_incomplete: bool
@@ -130,18 +133,18 @@
 
 @message
 class ServerResponse:
-    """A server's answer to an attempt or a health check.
+    """A server's response to an attempt or a health check.
 
     Attributes:
-        connection: Where it came.
-        attempt_id: The id under which the attempt or check was sent.
-        outcome: The server's verdict on the attempt.
-        note: How its own fetch (fill) went.
-        source_wait_ns: How long it waited for its fill's source; 0 = not reported.
-        load_report: What it reports of itself, by the settings' names.
-        not_modified: The client's own copy is the one; no bytes.
-        body: The answer's bytes.
-        etag: With ``not_modified``: of the copy that is the one.
+        connection: The connection on which the response arrived.
+        attempt_id: The id with which the attempt or check was sent.
+        outcome: The server's result for the attempt.
+        note: Result of the server's own fetch (fill).
+        source_wait_ns: How long the server waited for the source of its fill; 0 = not reported.
+        load_report: The server's report of its own load, by the names in the settings.
+        not_modified: The copy that the client holds is current, so the response has no body.
+        body: The response's bytes.
+        etag: With ``not_modified``, the ETag of the copy that is current.
     """
 
     connection: int
@@ -160,17 +163,17 @@
 
 @message
 class EndpointRecord:
-    """One line of the list of servers as the feed gives it.
+    """One endpoint as the feed reports it.
 
     Attributes:
         name: Unique among the servers.
         address: ``host:port``.
         zone: One of the settings' zones.
-        kind: Its type in the settings.
-        cell: Its place within the zone.
+        kind: The server's type in the settings.
+        cell: The server's cell within the zone.
         state: "in_service", "terminating" or "terminated".
-        weight: Its capacity beside the others', as the settings say what it means.
-        started_ns: When it last started; 0 = long ago.
+        weight: Capacity relative to the other servers; the settings define its meaning.
+        started_ns: When the server last started; 0 = long ago.
     """
 
     name: str
@@ -185,7 +188,7 @@
 
 @message
 class EndpointUpdate:
-    """The whole list of servers, or what has changed in it; ``event_number`` 0 = unknown."""
+    """The complete endpoint list, or the changes to it; ``event_number`` 0 = unknown."""
 
     is_full_list: bool
     endpoints: tuple[EndpointRecord, ...]
@@ -194,7 +197,7 @@
 
 @message
 class Purge:
-    """An object, or with None a whole group, was purged at the origin."""
+    """An object was purged at the origin, or all of a group where ``object_number`` is None."""
 
     object_number: int | None
     group: int
@@ -203,16 +206,17 @@
 
 @message
 class WatchResponse:
-    """An answer of the feed: its events up to a number.
+    """A watch response: the feed's events up to a number.
 
     Attributes:
-        last_event: The last event's number.
-        events: Those that could be used, in their order.
-        unusable_events: Why others could not, each with its number and field.
-        has_more: The same answer goes on: ``last_event`` is the highest number so far.
-        bytes_read: Of the whole answer.
-        log_fingerprint: Of the log up to the last event; from a control replica only, as is the next.
-        as_of_ms: Unix time at which that replica knew all that there was; 0 = not given.
+        last_event: Number of the last event.
+        events: The events that could be decoded, in their order.
+        unusable_events: For each event that could not be decoded: the reason, with its number and field.
+        has_more: This is one chunk of a response that continues; ``last_event`` is the highest number so far.
+        bytes_read: Bytes of the complete response.
+        log_fingerprint: Fingerprint of the log up to the last event; sent by control replicas only.
+        as_of_ms: Unix time in ms at which the replica's state was last complete; sent by control replicas
+            only; 0 = not given.
     """
 
     last_event: int
@@ -226,12 +230,12 @@
 
 @message
 class WatchFailed:
-    """A call of the feed has failed.
+    """A watch request has failed.
 
     Attributes:
         reason: For the log.
-        retry_after_ns: The service asks to be left alone for so long.
-        bytes_read: Of an answer that came before.
+        retry_after_ns: Minimum delay that the list service requests before the next request; 0 = none.
+        bytes_read: Bytes of the response that were read before the failure.
     """
 
     reason: str
@@ -244,7 +248,7 @@
 
 @message
 class ProcessStalled:
-    """The process stalled (it was stopped, or got no processor): what it knows is as old as that."""
+    """The process stalled (it was suspended or not scheduled): its feed state dates from before the stall."""
 
 
 @message
@@ -253,17 +257,17 @@
 
 
 class ControlVerb(Enum):
-    """What is asked on the control address.  The values are on its wire."""
+    """The operation of a control request.  The values are on the wire of the control address."""
 
-    READY = "ready"  # does this process take clients?
-    STATE = "state"  # what is it, and what became of its requests?
-    OUT_OF_SERVICE = "out-of-service"  # send clients away
-    IN_SERVICE = "in-service"  # take them again
+    READY = "ready"  # reports whether this process accepts clients
+    STATE = "state"  # reports the process's identity and its request statistics
+    OUT_OF_SERVICE = "out-of-service"  # drains clients
+    IN_SERVICE = "in-service"  # accepts clients again
 
 
 @message
 class ControlRequest:
-    """A request on the control address, from the caller with this number."""
+    """A request on the control address; ``caller`` is the number of the control client's connection."""
 
     caller: int
     verb: ControlVerb
@@ -271,13 +275,13 @@
 
 @message
 class PredecessorState:
-    """What the router's last process left as its state of service.
+    """The service state that the router's predecessor process recorded in its file.
 
     Attributes:
         is_in_service: None where no file was found or it could not be used.
-        since_ns: In or out since then.
-        reason: Why the file could not be used; "" where none was found.
-        ended_at_ns: When that process ended, if it has recorded that; else 0.
+        since_ns: When the predecessor went in or out of service.
+        reason: Why the file could not be used; "" where no file was found.
+        ended_at_ns: When the predecessor ended; 0 where it has not recorded its end.
     """
 
     is_in_service: bool | None
@@ -288,14 +292,14 @@
 
 @message
 class PredecessorEnded:
-    """The predecessor, which ran beside this process, has recorded that it ended, and when."""
+    """The predecessor, which ran at the same time as this process, has recorded the time of its end."""
 
     ended_at_ns: int
 
 
 @message
 class ProcessIdentity:
-    """What this process is: the digest of its program, and a name that no other process has."""
+    """Identity of this process: the digest of its program, and a name that is unique to the process."""
 
     build: str
     instance: str
@@ -303,12 +307,15 @@
 
 @message
 class ShutdownRequested:
-    """The platform wants this process to end."""
+    """The platform requested that this process end (SIGTERM)."""
 
 
 @message
 class ConfigFileRead:
-    """The configuration was read again (SIGHUP): its bytes, or None and why they could not be read."""
+    """The configuration file was read again (SIGHUP).
+
+    ``data`` is the file's bytes, or None where it could not be read; ``reason`` is then the error.
+    """
 
     path: str
     data: bytes | None
@@ -320,10 +327,10 @@
     """The operator's file was read.
 
     Attributes:
-        file: What it says; None where it may not be used.
-        first_error: Its first error.
-        error_count: How many there are.
-        digest: Of its bytes.
+        file: The parsed file; None where it has errors and must not be used.
+        first_error: The first error in the file.
+        error_count: Number of errors.
+        digest: Digest of the file's bytes.
     """
 
     file: OperatorFile | None
@@ -337,7 +344,7 @@
 
 @message
 class TimerFired:
-    """A timer that was scheduled has come."""
+    """A scheduled timer has expired."""
 
     key: TimerKey
 
--- a/kelpcroft/core/messages.py
+++ b/kelpcroft/core/messages.py
@@ -1,4 +1,4 @@
-"""What inputs and effects are made of: the decorator of both, bodies, and the keys of timers."""
+"""Types that inputs and effects share: their class decorator, the body type, and the keys of timers."""
 
 from __future__ import annotations
 
@@ -12,38 +12,39 @@
 
 @dataclass_transform(frozen_default=True)
 def message(cls: type[T]) -> type[T]:
-    """A frozen dataclass with slots.
+    """Make a class a frozen dataclass with slots.
 
-    A release build (``python -O``) leaves the freezing to mypy: on a busy day the constructors of frozen
-    ones took a tenth of a router's time.
+    In a release build (``python -O``) the dataclass is not frozen, and only mypy rejects assignments: under
+    high load the constructors of frozen dataclasses took a tenth of a router's CPU time.
     """
     return dataclass(frozen=__debug__, slots=True)(cls)
 
 
 class TimerKind(Enum):
-    """What a timer is for."""
+    """Purpose of a timer."""
 
-    DECISION = "module"  # a timer of the decision module
+    DECISION = "module"  # a timer of the decision package
     ATTEMPT_TIMEOUT = "attempt"
-    CONNECT_TIMEOUT = "dial"  # a connection must stand by now
-    CONNECTION_SILENCE = "quiet"  # has anything come on a connection?
+    CONNECT_TIMEOUT = "dial"  # latest time at which a connection must be established
+    CONNECTION_SILENCE = "quiet"  # checks whether a response has arrived on a connection
     HEALTH_CHECK_TIMEOUT = "probe"
-    POLL_FEED = "feed"  # poll the feed again
-    HEDGE = "copy"  # a second copy of a request is due
-    RETRY_BACKOFF = "again"  # a request's wait between two attempts is over
-    HOUSEKEEPING = "house"  # idle connections, counters
-    RESTART_OVERLAP = "part"  # is this process alone by now?
-    SHUTDOWN = "lame"  # steps of the planned end
-    SETTINGS_TRANSITION = "retune"  # the passage to settings read again is over
+    POLL_FEED = "feed"  # sends the next watch request
+    HEDGE = "copy"  # a request's hedge is due
+    RETRY_BACKOFF = "again"  # the delay between two attempts of a request has elapsed
+    HOUSEKEEPING = "house"  # closes idle connections and logs counters
+    RESTART_OVERLAP = "part"  # checks whether the predecessor has ended
+    SHUTDOWN = "lame"  # the next step of the shutdown
+    SETTINGS_TRANSITION = "retune"  # the transition to reloaded settings is over
 
 
 class TimerKey(NamedTuple):
-    """Which timer: its kind and the numbers that it was scheduled with.
+    """Key of a timer: its kind and the numbers with which it was scheduled.
 
     Attributes:
-        kind: What it is for.
-        number: Of a request, an attempt, a connection or a step; 0 where there is only one.
-        detail: For a hedge, how many attempts had been made; else 0.
+        kind: Purpose of the timer.
+        number: Number of a request, an attempt, a connection, a shutdown step, a settings transition or a
+            timer of the decision package; 0 where only one timer of the kind exists.
+        detail: For a hedge, the number of attempts made when it was scheduled; otherwise 0.
     """
 
     kind: TimerKind
--- a/kelpcroft/core/reducer.py
+++ b/kelpcroft/core/reducer.py
@@ -1,7 +1,8 @@
-"""All changes to the router's state: an input and the time go in, effects come out.
+"""Reducer of the router: it applies each input to the state and returns the effects to carry out.
 
-No socket and no clock is read here, and nothing is decided here: which server, which source, when to give up
-and what to refuse are the decision module's, to which each input that concerns it is handed as an event.
+The reducer reads no socket and no clock, and makes no routing decisions.  The decision package selects
+servers and fill sources, and decides when to stop trying and which requests to reject; it receives every
+input that concerns it as an event.
 
 Start reading at ``Reducer.handle``: each type of input has one handler, in ``Reducer.handlers``.
 """
@@ -41,7 +42,10 @@
 
 
 class Reducer:
-    """Dispatch of inputs to the parts that own them.  ``handle`` is the only way to change the state."""
+    """Dispatches each input to the component that owns it.
+
+    After ``start``, only ``handle`` changes the state.
+    """
 
     def __init__(self, config: Config) -> None:
         self.state = State(config)
@@ -75,7 +79,7 @@
         self.handlers = self.input_handlers()
 
     def input_handlers(self) -> dict[type[Any], Callable[[Any], None]]:
-        """What takes each type of input."""
+        """The handler of each type of input."""
         return {
             inputs.ClientRequest: self.clients.on_request,
             inputs.CancelRequest: self.clients.on_cancel,
@@ -102,7 +106,7 @@
 
     @property
     def is_shutting_down(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether SIGTERM was received."""
         return self.process.is_shutting_down
 
     def start(
@@ -112,14 +116,14 @@
         crash_loop_delay_ns: int = 0,
         replicas: ControlReplicas | None = None,
     ) -> list[Effect]:
-        """Take up what was known at the start, and ask the feed for the rest.
+        """Apply the endpoints of the configuration, and schedule the first watch request.
 
         Args:
             now: Unix time in ns.
-            options: What the operator's file says of starts.
-            crash_loop_delay_ns: The first call of the list is made so much later where the router starts
-                again and again.
-            replicas: What the operator's file says of the feed.
+            options: The start options of the operator's file.
+            crash_loop_delay_ns: Added to the delay of the first watch request where the router restarts
+                repeatedly.
+            replicas: The control replicas of the operator's file; None = none are named.
 
         Returns:
             The first effects, in the order in which they are to be carried out.
@@ -138,14 +142,14 @@
         return self.state.effects
 
     def handle(self, now: int, message: Input) -> list[Effect]:
-        """Take one input.
+        """Process one input.
 
         Args:
-            now: Unix time in ns, kept from running back.
-            message: What has happened.
+            now: Unix time in ns, which never runs backwards.
+            message: The input.
 
         Returns:
-            What is to be done for it, in this order.
+            The effects, in the order in which they are to be carried out.
         """
         self.state.now = now
         self.state.effects = []
@@ -158,7 +162,7 @@
         self.attempts.on_connected(message.connection)
 
     def on_partial_response(self, message: inputs.PartialResponse) -> None:
-        """Part of an answer has come on a connection to a server, or the rest of it."""
+        """Record whether an incomplete response is pending on a connection to a server."""
         connection = self.state.connections.by_number.get(message.connection)
         if connection is not None:
             connection.has_partial_response = message.is_incomplete
@@ -169,5 +173,5 @@
         self.restart_overlap.on_serving(self.state.now)
 
     def on_process_identity(self, message: inputs.ProcessIdentity) -> None:
-        """Keep the digest of the program and the process's name, asked for by SetStateEndpoint."""
+        """Store the digest of the program and the process's name, which SetStateEndpoint requests."""
         self.process.identity = message
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -1,6 +1,6 @@
-"""What the reducer owns: its tables, the time of the input in hand, and the effects asked for so far.
+"""State of the reducer: its tables, the time of the current input, and the effects requested so far.
 
-The parts of the core (requests, attempts, the list of endpoints) share one State; only they and the reducer
+The components of the core (requests, attempts, the endpoint list) share one State; only they and the reducer
 change it.
 """
 
@@ -22,7 +22,7 @@
 from kelpcroft.decision.policy import RoutingPolicy
 from kelpcroft.decision.statistics import mix64
 
-if TYPE_CHECKING:  # imported where a file switches them on
+if TYPE_CHECKING:  # at run time, imported only where the operator's file enables them
     from kelpcroft.routes import RequestAllowance, RouteTable
     from kelpcroft.startup.fleet_size import FleetSizeEstimator
     from kelpcroft.startup.origin_concurrency import OriginConcurrencyLimit
@@ -33,18 +33,18 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt that is out, or waits for its connection.
+    """One attempt that is in flight, or waits for its connection.
 
     Attributes:
-        number: The core's own, never used twice.
-        request: The request it is for.
-        forward: What the decision module asked for.
-        started_ns: When it was asked for.
-        index: Its place among the request's attempts, as the decision module counts.
-        connection: Where it is out, or waits.
-        is_sent: Its bytes were handed to the loop.
-        failed_connections: How many broke before it was sent.
-        asks_origin: It counts in the limit of fetches at the origin.
+        number: Assigned by the core and never reused.
+        request: The request that the attempt belongs to.
+        forward: The decision package's action that started the attempt.
+        started_ns: When the decision package requested the attempt.
+        index: Index among the request's attempts, as the decision package counts them.
+        connection: The connection on which the attempt is in flight, or for which it waits.
+        is_sent: The attempt's bytes were passed to the event loop.
+        failed_connections: Number of connections that failed before the attempt was sent.
+        asks_origin: The attempt counts towards the limit on concurrent fetches at the origin.
     """
 
     number: int
@@ -60,19 +60,19 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A client's request until its final answer has been asked for and its last attempt has ended.
+    """A client's request, until its final response was requested and its last attempt has ended.
 
     Attributes:
-        id: Its number as text: the decision module's name for it.
-        message: As it was read.
-        deadline_ns: When its final answer is due.
-        allowance: What its route lets it cost; None without a route.
-        is_answered: Its final answer has been asked for, or nobody wants one.
-        attempts_made: How many were begun.
-        attempts_in_flight: How many of them have not ended.
+        id: The request's number as text: its id in the decision package.
+        message: The request as decoded.
+        deadline_ns: When the final response is due.
+        allowance: The limits and budgets of its route; None without a route.
+        is_answered: The final response was requested, or the client no longer waits for one.
+        attempts_made: Number of attempts that were started.
+        attempts_in_flight: Number of attempts that have not ended.
         may_have_executed: The attempt that ended last may have run.
-        is_backing_off: It waits for its next attempt, which is paid for.
-        time_allowed_ns: From when it was taken to its deadline.
+        is_backing_off: The request waits for its next attempt, which is already charged to its budget.
+        time_allowed_ns: Time from the acceptance of the request to its deadline.
     """
 
     id: str
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class HealthCheck:
-    """A health check that is out, or waits for its connection."""
+    """A health check that is in flight, or waits for its connection."""
 
     server: str
     connection: PooledConnection
@@ -98,19 +98,19 @@
 
 
 class State:
-    """The tables, each of them bounded.
+    """The reducer's tables, each of bounded size.
 
-    Requests: by ``settings.limits.max_open`` where that is set, and MAX_OPEN_REQUESTS_PER_CLIENT of each
-    client; connections to servers: by the descriptors; idempotency keys: by MAX_KEYS.
+    Requests are bounded by ``settings.limits.max_open``, where it is set, and by MAX_OPEN_REQUESTS_PER_CLIENT
+    for each client; connections to servers by the file descriptors; idempotency keys by MAX_KEYS.
     """
 
     def __init__(self, config: Config) -> None:
         self.config = config
         self.policy = RoutingPolicy(config.settings)
-        self.settings = config.settings  # as now in use: changed at SIGHUP
+        self.settings = config.settings  # the settings in use: a reload (SIGHUP) changes them
         self.classes = {c.name: c for c in config.settings.classes}
-        self.raw_config = config.raw  # the configuration in use, as read
-        # Another for each router: what is drawn by chance from it is not drawn in step.
+        self.raw_config = config.raw  # JSON of the configuration in use
+        # Differs between routers, so that the random choices of a fleet's routers do not coincide.
         self.router_seed = mix64(config.settings.seed ^ int.from_bytes(config.name.encode()[-8:], "big"))
         self.connections = ConnectionPool(
             allocate_descriptors(config.max_descriptors).servers,
@@ -118,56 +118,58 @@
             self.router_seed,
         )
         self.endpoints: dict[str, EndpointRecord] = {}  # in service, by name
-        self.requests: dict[int, OpenRequest] = {}  # those that owe an answer, by number
+        self.requests: dict[int, OpenRequest] = {}  # requests without a final response, by number
         self.requests_by_client: dict[
             int, dict[int, OpenRequest]
-        ] = {}  # the same, by client and number there
-        self.open_trace_ids: set[str] = set()  # of the requests that owe an answer
+        ] = {}  # the same requests, by client and the request number on its connection
+        self.open_trace_ids: set[str] = set()  # trace ids of the requests without a final response
         self.idempotency_keys = IdempotencyKeys()
         self.attempts: dict[int, Attempt] = {}  # by number
-        self.attempt_numbers: dict[tuple[str, int], int] = {}  # the same, by request and index
+        self.attempt_numbers: dict[tuple[str, int], int] = {}  # attempt numbers, by request id and index
         self.health_checks: dict[int, HealthCheck] = {}  # by number
-        self.last_number = 0  # given to a request, an attempt or a health check
-        self.routes: RouteTable | None = None  # of the operator's file
-        self.statistics: RequestStatistics | None = None  # where the operator's file asks for them
-        self.cold_budget_share = 1.0  # as last given to the decision module, like the next
-        self.origin_available = True
-        self.origin_limit: OriginConcurrencyLimit | None = None  # while a router begins
-        self.fleet_size: FleetSizeEstimator | None = None  # where the operator's file asks for it
+        self.last_number = 0  # last number assigned to a request, an attempt or a health check
+        self.routes: RouteTable | None = None  # the routes of the operator's file
+        self.statistics: RequestStatistics | None = None  # only where the operator's file enables them
+        self.cold_budget_share = 1.0  # as last reported to the decision package
+        self.origin_available = True  # as last reported to the decision package
+        # Bounds fetches at the origin during startup, only where the operator's file enables it.
+        self.origin_limit: OriginConcurrencyLimit | None = None
+        self.fleet_size: FleetSizeEstimator | None = None  # only where the operator's file enables it
         self.counters: Counter[str] = Counter()
         self.effects: list[Effect] = []
-        self.events: deque[api.Event] = deque()  # for the decision module, of this input
-        self.touched_requests: list[OpenRequest] = []  # new, or with an attempt ended, in this input
-        self.now = 0  # the time of the input in hand
+        self.events: deque[api.Event] = deque()  # events of the current input for the decision package
+        self.touched_requests: list[OpenRequest] = []  # accepted, or with an attempt ended, in this input
+        self.now = 0  # time of the current input
         self.is_tracing = config.is_tracing  # ROUTER_TRACE=1: each step of a request is logged
 
     def trace(self, event: str, **fields: object) -> None:
         """Log one step of a request or of a connection, for tools/fleet_counts.py.
 
-        Callers check ``is_tracing`` first, so that without tracing no arguments are built.
+        Code that traces a step checks ``is_tracing`` first, so that without tracing no arguments are built.
         """
         self.effects.append(LogEvent(f"trace.{event}", event, "info", fields))
 
     def log(
         self, event: str, text: str, level: str = "info", fields: dict[str, object] | None = None
     ) -> None:
-        """Log an event for the people on call; ``level`` is "info" or "warning"."""
+        """Log an event for the operators; ``level`` is "info" or "warning"."""
         self.effects.append(LogEvent(event, text, level, fields or {}))
 
     def schedule(self, after_ns: int, kind: TimerKind, number: int = 0) -> None:
-        """Have a timer fire this long after the time of the present input."""
+        """Schedule a timer that expires ``after_ns`` after the time of the current input."""
         self.effects.append(ScheduleTimer(self.now + after_ns, TimerKey(kind, number, 0)))
 
     def change_settings(self, settings: api.Settings) -> None:
-        """Use these classes and limits from now on, in the core's parts and in the decision module."""
+        """Use these settings from now on, in the core and in the decision package."""
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.events.append(api.SettingsChanged(settings))
 
     def set_cold_budget_share(self, share: float) -> None:
-        """Give the decision module its share of the router's budgets for cold servers, where that is new.
+        """Report this process's share of the router's budgets for cold servers to the decision package.
 
-        With it goes whether the origin's concurrency limit has room for one more fetch.
+        The report also says whether the origin's concurrency limit allows one more fetch.  It is sent only
+        where one of the two values has changed.
         """
         origin_available = self.origin_limit is None or self.origin_limit.has_capacity()
         if (share, origin_available) != (self.cold_budget_share, self.origin_available):
@@ -176,7 +178,10 @@
             self.events.append(api.RouterShare(share, origin_available))
 
     def expected_transfer_ns(self, request_class: str, size_kb: float) -> float:
-        """How long an answer's bytes take by themselves: by their number, else as usual in the class."""
+        """How long the transfer of a response's bytes takes, without the server's processing time.
+
+        It is computed from the size where that is known, otherwise it is the mean of the class.
+        """
         pace_kb_per_s = self.settings.max_transfer_kb_per_s
         if size_kb and pace_kb_per_s:
             return size_kb / pace_kb_per_s * SECOND
--- a/kelpcroft/core/timers.py
+++ b/kelpcroft/core/timers.py
@@ -1,4 +1,4 @@
-"""Timers that have come: one handler for each kind."""
+"""Dispatch of expired timers: one handler for each kind of timer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Timers:
-    """Hands each timer to the part that asked for it."""
+    """Passes each expired timer to the component that scheduled it."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
     ) -> None:
         self.state = state
         self.attempts = attempts
-        # By kind, each with the number that the timer was scheduled with ...
+        # Handlers that receive the number with which the timer was scheduled.
         self.numbered: dict[TimerKind, Callable[[int], None]] = {
             TimerKind.ATTEMPT_TIMEOUT: attempts.on_timeout,
             TimerKind.DECISION: self.on_decision_timer,
@@ -44,7 +44,7 @@
             TimerKind.SETTINGS_TRANSITION: config_reload.on_transition_over,
             TimerKind.SHUTDOWN: shutdown.on_timer,
         }
-        # ... and those of which there is only one.
+        # Handlers of the kinds that have only one timer.
         self.single: dict[TimerKind, Callable[[], None]] = {
             TimerKind.POLL_FEED: position.call,
             TimerKind.HOUSEKEEPING: housekeeping.on_timer,
@@ -52,7 +52,7 @@
         }
 
     def on_fired(self, fired: TimerFired) -> None:
-        """A timer that was scheduled has come."""
+        """A scheduled timer has expired."""
         kind, number, detail = fired.key
         handler = self.numbered.get(kind)
         if handler is not None:
@@ -63,5 +63,5 @@
             self.single[kind]()
 
     def on_decision_timer(self, number: int) -> None:
-        """A timer of the decision module."""
+        """Pass an expired timer of the decision package on to it."""
         self.state.events.append(api.TimerExpired(number))
