--- a/kelpcroft/core/configured_feed.py
+++ b/kelpcroft/core/configured_feed.py
@@ -1,4 +1,4 @@
-"""The feed that the configuration names: its answers and failures, and the calls that follow."""
+"""Watch on the feed that the configuration names: its responses and failures, and the next requests."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from kelpcroft.core.inputs import WatchFailed, WatchResponse
 from kelpcroft.core.state import State
 
-# In a row, that came at once with nothing new: this many count as a failed call.  Under a budget of calls
-# the first one does.
+# This many early responses without events in a row count as a failed watch request.  Under a budget of
+# requests, the first one does.
 MAX_EMPTY_ANSWERS = 3
 
 
@@ -21,14 +21,16 @@
         self.position = position
         self.endpoint_list = endpoint_list
         self.address = state.config.feed_address
-        self.empty_answers = 0  # in a row, that came at once with nothing new
+        self.empty_answers = 0  # early responses without events, in a row
 
     def on_response(self, response: WatchResponse) -> None:
-        """Take an answer up; then call again at once: what the feed has counts as known to the router.
+        """Apply a response, then send the next watch request immediately.
 
-        Answers that come at once with nothing new, again and again, count as failures, else the router would
-        poll in a loop.  Numbers that went back cost each router of the fleet a second call, for the whole
-        list: it waits as after a failure, so that under a budget it is spread as well.
+        It is sent immediately because the rules count an event as known to the router as soon as the feed has
+        it.  Repeated early responses without events count as failures, because the router would otherwise
+        poll in a loop.  Event numbers that went back cost each router of the fleet a second request, for a
+        snapshot.  That request is delayed as after a failure, so that under a budget the fleet's requests are
+        spread over time.
         """
         if response.has_more:
             self.take_piece(response)
@@ -56,10 +58,10 @@
             self.position.call()
 
     def take_response(self, response: WatchResponse) -> bool:
-        """Take up a whole answer.
+        """Apply a complete response, or the end of a response that arrived in chunks.
 
         Returns:
-            Whether the whole list is to be asked for, as the feed's numbers went back.
+            Whether a snapshot must be requested, because the feed's event numbers went back.
         """
         view = self.position.view
         view.begin_response(response.last_event)
@@ -69,20 +71,20 @@
         if needs_full_list:
             self.state.log(
                 "feed.renumbered",
-                f"feed: its numbers went back from {before} to {response.last_event}: "
-                "the whole list is asked for",
+                f"feed: event numbers went back from {before} to {response.last_event}: "
+                "requesting a snapshot",
                 "warning",
                 {"before": before, "after": response.last_event},
             )
         return needs_full_list
 
     def take_piece(self, response: WatchResponse) -> None:
-        """Take up part of an answer that is too long to be taken as one, as after hours without the feed."""
+        """Apply one chunk of a response too long to be decoded at once, as after hours without the feed."""
         endpoint_list, called_at = self.endpoint_list, self.position.called_at_event
         if not endpoint_list.events_of_long_answer:
             self.state.log(
                 "feed.behind",
-                f"feed: far behind at event {called_at}: the answer is taken event by event",
+                f"feed: far behind at event {called_at}: the response is applied in chunks",
                 "info",
                 {"from": called_at},
             )
@@ -91,15 +93,18 @@
         self.position.view.record_progress(response.last_event)
 
     def end_long_answer(self) -> None:
-        """Such an answer has ended or broken off: what came of it stays."""
+        """Log and reset the counts of a response in chunks that has ended or failed.
+
+        The events that were applied stay applied.
+        """
         endpoint_list = self.endpoint_list
         events, left_out = endpoint_list.events_of_long_answer, endpoint_list.purges_left_out
         if events:
             last_event = self.position.last_event
             self.state.log(
                 "feed.pieces",
-                f"feed: {events} events of a long answer taken, up to {last_event}; "
-                f"{left_out} purges of them no longer matter",
+                f"feed: received {events} events of a response in chunks, up to {last_event}; "
+                f"skipped {left_out} purges of them as too old",
                 "info",
                 {"events": events, "to": last_event, "past": left_out},
             )
@@ -107,7 +112,7 @@
         endpoint_list.purges_left_out = 0
 
     def on_failed(self, failed: WatchFailed) -> None:
-        """A call failed: what is known stays, and the feed is called again, at once or in a while."""
+        """Keep the endpoint list after a failed watch request, and send the next request after a delay."""
         schedule = self.position.schedule
         if not schedule.consecutive_failures:
             self.state.log("feed.lost", f"feed: {failed.reason}", "warning", {"why": failed.reason})
@@ -117,7 +122,7 @@
         self.position.call_in(schedule.record_failure(failed.retry_after_ns, wasted_bytes))
 
     def switch_to(self, address: tuple[str, int]) -> None:
-        """Call the feed at an address from now on, whatever failed at the last one."""
+        """Watch the feed at an address from now on; failures at the previous address no longer count."""
         self.address = address
         self.position.schedule.consecutive_failures = 0
         self.state.effects.append(SwitchFeed(address))
--- a/kelpcroft/core/decision_loop.py
+++ b/kelpcroft/core/decision_loop.py
@@ -1,4 +1,4 @@
-"""Hands events to the decision module, and carries out what it asks for."""
+"""Loop that passes events to the decision package and carries out the actions it returns."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DecisionLoop:
-    """The only caller of the decision module."""
+    """The only part of the core that passes events to the decision package and runs its actions."""
 
     def __init__(self, state: State, requests: ClientRequests, attempts: Attempts) -> None:
         self.state = state
@@ -25,13 +25,13 @@
         self.action_handlers = self.handlers_by_type()
 
     def start(self) -> None:
-        """Start the decision module at the time of the input in hand."""
+        """Start the decision package at the time of the current input."""
         self.perform(self.state.policy.start(self.state.now))
 
     def handlers_by_type(self) -> dict[type[Any], Callable[[Any], None]]:
-        """What carries out each type of the decision module's actions.
+        """The handler of each type of action that the decision package returns.
 
-        ``Subscribe`` is not among them: it needs nothing, as the feed is polled all the time.
+        ``Subscribe`` has no handler and is ignored, because the feed is always watched.
         """
         return {
             api.ForwardRequest: self.attempts.sender.forward,
@@ -45,7 +45,10 @@
         }
 
     def run(self) -> None:
-        """Hand events to the decision module until it has seen all that its own actions caused."""
+        """Pass events to the decision package until none is left, including those that its actions cause.
+
+        Then check the progress of each request that this input touched.
+        """
         state = self.state
         while state.events:
             event = state.events.popleft()
@@ -58,7 +61,11 @@
                 self.check_progress(request)
 
     def check_progress(self, request: OpenRequest) -> None:
-        """Rule 1: the decision module either tries on or answers; it has no reason to sit on a request."""
+        """Fail a request that has neither a final response nor an attempt, nor waits for its next attempt.
+
+        Rule 1: the decision package either makes another attempt or ends the request, and never holds one
+        without either.
+        """
         if request.is_answered or request.attempts_in_flight or request.is_backing_off:
             return
         if not holds(False, "a request is tried or answered"):
@@ -66,9 +73,10 @@
             self.requests.finish(request, FailRequest(message.client, message.request_number))
 
     def with_retry_budget(self, event: api.AttemptEnded) -> api.AttemptEnded:
-        """An attempt's end with what the route's budget has now.
+        """Return the end of an attempt, updated with what the route's retry budget allows now.
 
-        Of many that end at once, as on a lost connection, those before have taken from it.
+        Where many attempts end at once, as on a lost connection, the retries of the earlier ones have already
+        used some of the budget.
         """
         request = self.state.requests.get(int(event.id))
         if request is None or request.allowance is None or request.allowance.can_retry(self.state.now):
@@ -76,17 +84,17 @@
         return replace(event, retry_budget_available=False)
 
     def perform(self, actions: list[api.Action]) -> None:
-        """Carry the decision module's actions out, in their order."""
+        """Carry out the decision package's actions, in their order."""
         for action in actions:
             handler = self.action_handlers.get(type(action))
             if handler is not None:
                 handler(action)
 
     def set_timer(self, action: api.SetTimer) -> None:
-        """Schedule a timer of the decision module."""
+        """Schedule a timer of the decision package."""
         key = TimerKey(TimerKind.DECISION, action.label, 0)
         self.state.effects.append(ScheduleTimer(action.at_ns, key))
 
     def log(self, action: api.Log) -> None:
-        """Log a message of the decision module."""
+        """Log a message of the decision package."""
         self.state.log("module.says", action.text)
--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoints that may be used, and the purges, as the feed gives them."""
+"""Endpoint list of the router: applies the feed's updates of endpoints and its purges."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 
 
 class EndpointList:
-    """Takes up events of the feed.
+    """Applies events of the feed to the core and to the decision package.
 
     Attributes:
-        position: Up to which event of the feed they are known.
-        has_list: A list of servers has come.
-        events_of_long_answer: Taken of an answer that comes in pieces; 0 while none does.
-        purges_left_out: Of that answer: too old to matter.
+        position: The last event that was applied, and the watch on the feed.
+        has_list: A snapshot or an update has been applied.
+        events_of_long_answer: Number of events received of a watch response that arrives in chunks; 0 where
+            no such response is arriving.
+        purges_left_out: Number of purges of that response that were skipped as too old.
     """
 
     def __init__(
@@ -37,11 +38,11 @@
 
     @property
     def last_event(self) -> int:
-        """The number of the last event that is known."""
+        """Number of the last event that was applied."""
         return self.position.last_event
 
     def take_events(self, response: WatchResponse) -> None:
-        """Take up an answer's events, in their order."""
+        """Apply the events of a watch response, in their order."""
         for reason in response.unusable_events:
             self.log_refused(reason)
         for event in response.events:
@@ -51,7 +52,7 @@
                 self.take_purge(event)
 
     def take_update(self, update: EndpointUpdate) -> None:
-        """Take up the whole list or a change, as far as it can be used."""
+        """Apply the usable endpoints of a snapshot or an update."""
         reason = self.unknown_field(update)
         usable, reasons = self.position.view.select_usable(
             update.endpoints, update.is_full_list, update.event_number
@@ -63,10 +64,10 @@
             self.apply(EndpointUpdate(update.is_full_list, tuple(usable), update.event_number))
 
     def take_purge(self, purge: Purge) -> None:
-        """Take up a purge.
+        """Apply a purge.
 
-        In a long answer, one older than ``purge_retention_ns`` is left out: a router that received it in time
-        would have dropped it by now, and there are many of them.
+        In a response that arrives in chunks, a purge older than ``purge_retention_ns`` is skipped: a router
+        that received it in time would have discarded it by now, and such a response has many of them.
         """
         state = self.state
         ago_ns = max(0, state.now - purge.purged_at_ns)
@@ -79,7 +80,10 @@
         self.attempts.cancel_matching(partial(asks_for_purged, purge))
 
     def unknown_field(self, update: EndpointUpdate) -> str:
-        """What in an update the settings do not know, or "".  Such an update changes nothing."""
+        """Return the first zone or type in an update that the settings do not contain, or "".
+
+        An update with such a zone or type is not applied.
+        """
         zones, kinds = self.state.config.settings.zones, self.state.config.kinds.names
         for endpoint in update.endpoints:
             if endpoint.zone not in zones:
@@ -89,7 +93,11 @@
         return ""
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Use an update from now on; what waits for a server that has gone is chosen anew."""
+        """Apply an update.
+
+        Attempts that have not been sent and need a server that is no longer in service are cancelled, so that
+        the decision package selects again.
+        """
         form = self.form_of(update)
         if form == "replace":
             self.retire_unlisted(update.endpoints)
@@ -106,13 +114,13 @@
         self.attempts.cancel_matching(self.asks_unlisted)
 
     def form_of(self, update: EndpointUpdate) -> str:
-        """The decision module's name for an update: "restored" for the first, then "replace" or "update"."""
+        """Name of an update in the decision package: "restored" first, then "replace" or "update"."""
         if not self.has_list:
             return "restored"
         return "replace" if update.is_full_list else "update"
 
     def server_of(self, endpoint: EndpointRecord) -> api.Server:
-        """An endpoint as the decision module knows it."""
+        """Convert an endpoint to the decision package's type."""
         return api.Server(
             endpoint.name,
             self.state.config.kinds.role_of(endpoint.kind),
@@ -124,27 +132,27 @@
         )
 
     def asks_unlisted(self, attempt: Attempt) -> bool:
-        """Whether an attempt goes to, or fills from, a server that is not in service."""
+        """Whether an attempt is sent to, or filled from, a server that is not in service."""
         known = self.state.endpoints
         return attempt.forward.server not in known or attempt.forward.fill_source not in known
 
     def retire_unlisted(self, listed: Iterable[EndpointRecord]) -> None:
-        """Servers that a new whole list does not name take nothing new."""
+        """Retire the servers that a snapshot does not contain."""
         names = {endpoint.name for endpoint in listed}
         for name in [name for name in self.state.endpoints if name not in names]:
             self.retire(name)
 
     def retire(self, name: str) -> None:
-        """A server takes nothing new; its connections go once they are empty."""
+        """Send nothing new to a server, and close each of its connections once nothing is in flight on it."""
         self.state.endpoints.pop(name, None)
         self.attempts.connections.retire_server(name)
 
     def log_refused(self, reason: str) -> None:
-        """An event, or a line of one, is not used."""
-        self.state.log("feed.refused", f"feed: not used: {reason}", "warning", {"why": reason})
+        """Log that an event, or an endpoint of one, is not applied."""
+        self.state.log("feed.refused", f"feed: not applied: {reason}", "warning", {"why": reason})
 
     def trace_list(self, update: EndpointUpdate) -> None:
-        """The step ``list`` of the trace."""
+        """Log the step ``list`` of the trace."""
         self.state.trace(
             "list",
             whole=update.is_full_list,
@@ -153,7 +161,7 @@
 
 
 def asks_for_purged(purge: Purge, attempt: Attempt) -> bool:
-    """Whether an attempt asks for what was purged."""
+    """Whether an attempt requests an object that was purged."""
     message = attempt.request.message
     if purge.object_number is None:
         return message.group == purge.group
--- a/kelpcroft/core/feed_position.py
+++ b/kelpcroft/core/feed_position.py
@@ -1,4 +1,4 @@
-"""Where this router stands in the feed of endpoints and purges, and its calls for what comes next."""
+"""Position of the router in the feed of endpoints and purges, and its watch requests."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from kelpcroft.discovery.schedule import DiscoverySchedule
 from kelpcroft.discovery.watch_timeouts import WatchTimeouts, watch_timeouts
 
-if TYPE_CHECKING:  # imported where a file names control replicas
+if TYPE_CHECKING:  # at run time, imported only where the operator's file names control replicas
     from kelpcroft.control_log.subscription import Subscription
 
-STALLED_WAIT_MS = 1  # a call that is to be answered at once
+STALLED_WAIT_MS = 1  # wait of a watch request after a process stall: the feed responds immediately
 
 
 class FeedPosition:
-    """The last event that is known, and the next call.
+    """The last event that was applied, and the watch requests for the events after it.
 
     Attributes:
-        view: What is known of each server, and up to which event.
-        schedule: When the feed is called.
-        subscription: To control replicas, where these are followed in place of the configuration's feed.
-        called_ns: When the feed was last called.
-        called_at_event: The event named in that call.
-        wants_answer_at_once: The last call was to be answered at once, news or none.
+        view: The last record of each server, and the number of the last event.
+        schedule: Delays of the watch requests.
+        subscription: To control replicas, where they are watched instead of the configuration's feed.
+        called_ns: When the last watch request was sent, except those after a process stall.
+        called_at_event: The last applied event at that time.
+        wants_answer_at_once: The last watch request required an immediate response, with or without events.
     """
 
     def __init__(self, state: State) -> None:
@@ -41,18 +41,18 @@
 
     @property
     def last_event(self) -> int:
-        """The number of the last event that is known."""
+        """Number of the last event that was applied."""
         return self.view.last_event_number
 
     def call_in(self, wait_ns: int) -> None:
-        """Make the next call of the feed, now or later."""
+        """Send the next watch request after a delay, or immediately where the delay is 0."""
         if wait_ns > 0:
             self.state.schedule(wait_ns, TimerKind.POLL_FEED)
         else:
             self.call()
 
     def call(self) -> None:
-        """Ask for what comes after the last event."""
+        """Send a watch request for the events after the last one."""
         self.called_ns = self.state.now
         self.called_at_event = self.last_event
         self.wants_answer_at_once = False
@@ -60,13 +60,16 @@
         self.poll(timeouts.wait_ns // MS, timeouts.silence_ns)
 
     def call_after_stall(self) -> None:
-        """Ask anew, to be answered at once: what the feed sent while the process stalled counts as known."""
+        """Send a watch request that is answered immediately, after a process stall.
+
+        The rules count the events that the feed published during the stall as known to the router.
+        """
         self.state.counters["stalls"] += 1
         self.wants_answer_at_once = True
         self.poll(STALLED_WAIT_MS, self.timeouts().silence_ns)
 
     def poll(self, wait_ms: int, response_timeout_ns: int) -> None:
-        """One call, for what comes after the last event."""
+        """Send one watch request, from the subscription's position or after the last event."""
         if self.subscription is None:
             self.state.effects.append(PollFeed(self.last_event, wait_ms, response_timeout_ns))
             return
@@ -76,11 +79,14 @@
         )
 
     def timeouts(self) -> WatchTimeouts:
-        """How long a call waits for news, and when it is doubted."""
+        """How long a watch request waits for events, and its silence timeout after that."""
         return watch_timeouts(self.state.settings.rules, self.schedule.news_wait_ms() * MS)
 
     def is_empty_answer(self, response: WatchResponse, has_events: bool) -> bool:
-        """Whether an answer came at once with nothing new: asked for again and again it makes a loop."""
+        """Whether a response without events arrived before half of its wait had passed.
+
+        The router would poll in a loop if it followed such responses with an immediate request each time.
+        """
         if has_events or response.last_event != self.last_event:
             return False
         waited_ns = self.state.now - self.called_ns
--- a/kelpcroft/core/feed_watch.py
+++ b/kelpcroft/core/feed_watch.py
@@ -1,4 +1,4 @@
-"""Which feed is watched: the one that the configuration names, or the operator's control replicas."""
+"""Selection of the watched feed: the feed of the configuration, or the operator's control replicas."""
 
 from __future__ import annotations
 
@@ -13,31 +13,32 @@
 from kelpcroft.discovery.schedule import DiscoverySchedule
 from kelpcroft.startup import StartupOptions
 
-if TYPE_CHECKING:  # imported where a file names control replicas
+if TYPE_CHECKING:  # at run time, imported only where the operator's file names control replicas
     from kelpcroft.core.replica_feed import ReplicaFeed
     from kelpcroft.operator_file.model import ControlReplicas
 
 
 class FeedWatch:
-    """Hands the feed's answers and failures to the part that watches it."""
+    """Passes watch responses and failures to the component that watches the feed."""
 
     def __init__(self, state: State, position: FeedPosition, endpoint_list: EndpointList) -> None:
         self.state = state
         self.position = position
         self.endpoint_list = endpoint_list
         self.configured = ConfiguredFeed(state, position, endpoint_list)
-        self.replicas: ControlReplicas | None = None  # named by the operator's file
-        self.replica_feed: ReplicaFeed | None = None  # of them, in place of the configured one
+        self.replicas: ControlReplicas | None = None  # as the operator's file names them
+        self.replica_feed: ReplicaFeed | None = None  # watches the replicas instead of the configured feed
 
     def start(
         self, options: StartupOptions, crash_loop_delay_ns: int, replicas: ControlReplicas | None
     ) -> None:
-        """Take up what was known at the start, and make the first call.
+        """Apply the endpoints of the configuration, and send or schedule the first watch request.
 
         Args:
-            options: What the operator's file says of starts.
-            crash_loop_delay_ns: The first call comes so much later after many starts.
-            replicas: What the operator's file says of the feed.
+            options: The start options of the operator's file.
+            crash_loop_delay_ns: Added to the delay of the first watch request after repeated restarts, where
+                the file sets a budget of requests.
+            replicas: The control replicas of the operator's file; None = none are named.
         """
         config = self.state.config
         schedule = DiscoverySchedule(config.settings.instances, self.draw_seed(), options.list_calls_per_s)
@@ -50,17 +51,18 @@
         self.position.call_in(wait_ns)
 
     def draw_seed(self) -> int:
-        """Another number for each router and each moment."""
+        """Return a seed that differs between routers and between times."""
         return mix64(self.state.router_seed ^ self.state.now)
 
     def set_start_options(self, options: StartupOptions) -> None:
-        """The operator's file was read."""
+        """Apply the start options of an operator's file that was read."""
         self.position.schedule.set_budget(self.state.settings.instances, options.list_calls_per_s)
 
     def follow(self, replicas: ControlReplicas | None) -> None:
         """Watch control replicas from now on, or the configuration's feed where none are named.
 
-        Nothing is known of how its numbers and theirs go together: the whole list is asked for.
+        The event numbers of the configured feed and of the replicas cannot be compared, so a switch between
+        them requests a snapshot.
         """
         if replicas == self.replicas:
             return
@@ -79,35 +81,35 @@
         self.replica_feed.start()
 
     def on_response(self, response: WatchResponse) -> None:
-        """An answer of the feed that is watched."""
+        """Process a response of the watched feed."""
         if self.replica_feed is not None:
             self.replica_feed.on_response(response)
         else:
             self.configured.on_response(response)
 
     def on_failed(self, failed: WatchFailed) -> None:
-        """A call of the feed that is watched has failed."""
+        """Process a failed watch request."""
         if self.replica_feed is not None:
             self.replica_feed.on_failed(failed)
         else:
             self.configured.on_failed(failed)
 
     def on_stalled(self, _message: ProcessStalled) -> None:
-        """The process stalled: what it knows is as old as that."""
+        """Request the current events after a process stall: the feed may have published some meanwhile."""
         self.position.call_after_stall()
 
     def move_feed(self, address: tuple[str, int]) -> str:
-        """Take up the feed's address of a configuration read again.
+        """Apply the feed address of a reloaded configuration.
 
-        The feed's numbers go on: it is asked for what comes after the last event that is known.
+        Event numbers continue across the move: the next watch request names the last event that was applied.
 
         Returns:
-            The words for it in the log.
+            A description of the result for the log.
         """
         if address == self.configured.address:
             return "the feed stays where it is"
         if self.replica_feed is not None:
             self.configured.address = address
-            return "the feed is not called: control replicas are named"
+            return "the feed is not used: the operator's file names control replicas"
         self.configured.switch_to(address)
-        return f"the feed is at {address[0]}:{address[1]}"
+        return f"the feed address is now {address[0]}:{address[1]}"
--- a/kelpcroft/core/replica_feed.py
+++ b/kelpcroft/core/replica_feed.py
@@ -1,7 +1,7 @@
-"""The list of servers and the purges as control replicas give them, in place of the configuration's feed.
+"""Watch on control replicas, which replace the configuration's feed of endpoints and purges.
 
-Imported only where the operator's file names replicas.  What an answer is good for and which replica is
-called next is ``kelpcroft.control_log``'s; this part carries it out on what ``EndpointList`` owns.
+The module is imported only where the operator's file names replicas.  ``kelpcroft.control_log`` judges each
+response and selects the next replica; this module applies the result to ``EndpointList``.
 """
 
 from __future__ import annotations
@@ -20,7 +20,9 @@
 if TYPE_CHECKING:
     from kelpcroft.operator_file.model import ControlReplicas
 
-MAX_EMPTY_ANSWERS = 3  # a first state that is doubtful, and two that cross a move, are not taken for a loop
+# Early responses without events, in a row, that do not count as a polling loop: one for a first state that is
+# suspect, and two that are in flight across a move to another replica.
+MAX_EMPTY_ANSWERS = 3
 
 
 class ReplicaFeed:
@@ -34,22 +36,24 @@
         replicas: ControlReplicas,
         seed: int,
     ) -> None:
-        """Watch replicas; ``seed``: another for each router and each of its starts."""
+        """Create a watch on replicas; ``seed`` differs between routers and between starts of a router."""
         self.state = state
         self.position = position
         self.endpoint_list = endpoint_list
         self.subscription = Subscription(state.now, replicas.addresses, replicas.stale_after_ns, seed)
-        self.empty_answers = 0  # in a row, that came at once with nothing new
-        self.pieces = 0  # of an answer that came in pieces: it is no replica's, whose answers are bounded
+        self.empty_answers = 0  # early responses without events, in a row
+        # Chunks received of the current response.  Responses of replicas are bounded, so a response in chunks
+        # does not come from a replica.
+        self.pieces = 0
 
     def start(self) -> None:
-        """Make the first call."""
+        """Send the first watch request, after a short random delay."""
         self.position.subscription = self.subscription
         self.state.effects.append(SwitchFeed(self.subscription.current_address))
         self.position.call_in(self.subscription.selector.short_random_delay_ns())
 
     def on_response(self, response: WatchResponse) -> None:
-        """Take up what an answer's verdict allows, and make the next call."""
+        """Apply what a response's verdict permits, and send the next watch request."""
         if response.has_more:
             self.pieces += 1
             return
@@ -58,7 +62,7 @@
         head = ResponseHead(response.last_event, response.log_fingerprint, as_of_ms, has_full_list)
         self.pieces = 0
         if self.is_polling_in_a_loop(response):
-            self.move_on("it answers at once with nothing")
+            self.move_on("it responds immediately without events")
             return
         outcome = self.subscription.record_response(self.state.now, head)
         if outcome.verdict is ResponseVerdict.APPLY:
@@ -73,7 +77,10 @@
         self.position.call()
 
     def is_polling_in_a_loop(self, response: WatchResponse) -> bool:
-        """Whether answers came at once with nothing new, too often in a row: a replica that is well waits."""
+        """Whether too many early responses without events arrived in a row.
+
+        A replica in good order waits for events before it responds.
+        """
         if self.position.is_empty_answer(response, bool(response.events)):
             self.empty_answers += 1
         else:
@@ -81,7 +88,10 @@
         return self.empty_answers > MAX_EMPTY_ANSWERS
 
     def take(self, response: WatchResponse, has_full_list: bool) -> None:
-        """Take up the events as they stand.  A whole list may be of another log, whose numbers are lower."""
+        """Apply all events of a response.
+
+        A snapshot may belong to another log, whose event numbers are lower.
+        """
         view = self.position.view
         if has_full_list:
             view.last_event_number = 0
@@ -90,7 +100,10 @@
         view.last_event_number = response.last_event
 
     def take_removals(self, response: WatchResponse) -> None:
-        """Of a state that may be earlier than what is known: its purges, and known servers that go."""
+        """Apply only the purges of a response, and the removals of known servers.
+
+        The response's state may be earlier than the state that was applied.
+        """
         known = self.position.view.endpoints
         for event in response.events:
             if isinstance(event, Purge):
@@ -108,15 +121,15 @@
                 self.endpoint_list.apply(EndpointUpdate(False, leaving, event.event_number))
 
     def on_failed(self, failed: WatchFailed) -> None:
-        """A call failed: the next replica is called."""
+        """Move to the next replica after a failed watch request."""
         self.move_on(failed.reason)
 
     def move_on(self, reason: str) -> None:
-        """Leave a replica for the next one."""
+        """Move from the current replica to the next one."""
         host, port = self.subscription.current_address
         if not self.subscription.selector.consecutive_failures:
             fields: dict[str, object] = {"replica": f"{host}:{port}", "why": reason}
-            text = f"control replica {host}:{port} is left: {reason}"
+            text = f"moving away from control replica {host}:{port}: {reason}"
             self.state.log("replica.left", text, "warning", fields)
         self.pieces = 0
         self.empty_answers = 0
