--- a/kelpcroft/config_reload/__init__.py
+++ b/kelpcroft/config_reload/__init__.py
@@ -1,8 +1,8 @@
-"""A configuration read again on SIGHUP: checked whole (``check``), then taken up in two steps (``plan``).
+"""Reload of the configuration on SIGHUP: a check of the complete file (``check``) and its change (``plan``).
 
-Pure: no file, socket or clock.  Imports the settings of the decision package, ``kelpcroft.deployment_check``
-for addresses and ``kelpcroft.diagnostics``.  ``kelpcroft.core.config_reload`` applies both to the state;
-start reading at ``check``.
+The package is pure: it uses no file, socket or clock.  It imports the settings of the decision package,
+``kelpcroft.deployment_check`` for addresses, and ``kelpcroft.diagnostics``.  ``kelpcroft.core.config_reload``
+applies the check and the change, which takes effect in two steps, to the state.  Start reading at ``check``.
 """
 
 from kelpcroft.config_reload.check import decode_config, validate_reload
--- a/kelpcroft/config_reload/plan.py
+++ b/kelpcroft/config_reload/plan.py
@@ -1,17 +1,17 @@
-"""What a good file read again changes, and the settings of the transition from the old to the new.
+"""Changes of a valid reloaded configuration, and the settings of the transition from the old to the new ones.
 
-Clients go on with the classes they know until they have the new file, and take up the new ones 1.2 s after it
-is given out; the platform may judge a request by either file meanwhile.  So for ``TRANSITION_NS`` the router
-uses the stricter of the two wherever they differ, and then the new settings alone:
+Clients use the old classes until they receive the new file, and use the new classes from 1.2 s after the file
+is distributed.  Meanwhile the platform may judge a request by either file.  So for ``TRANSITION_NS`` the
+router uses the stricter value wherever the two files differ, and then only the new settings:
 
-- a class that changed takes the stricter effect (safe < keyed < unsafe), the shorter deadline, the shorter
-  window in which repeats are dropped and the narrower scope that drops them; one that is keyed in one file
-  and safe in the other is sent once, as its clients may or may not give keys yet; a class that went is still
-  taken, as it was; a class that came is taken at once;
-- of the limits, a permission holds only where both allow it, and a number is the lower of the two that are
-  set.
+- A class that changed has the stricter idempotency (safe < keyed < unsafe), the shorter deadline, the shorter
+  window in which servers drop repeated requests, and the narrower scope in which they drop them.  A request
+  of a class that is keyed in one file and safe in the other is sent once, as clients may not send keys yet.
+  A class that was removed is still accepted unchanged.  A class that was added is accepted immediately.
+- A permission of the limits holds only where both files grant it.  A number is the lower of the values that
+  are set.
 
-Only classes and limits change in service; the rest of ``Settings`` is kept to the next start.
+A reload changes only classes and limits; the rest of ``Settings`` stays unchanged until the next start.
 """
 
 from __future__ import annotations
@@ -22,13 +22,16 @@
 from kelpcroft.decision import interface as api
 
 MS = 1_000_000
-TRANSITION_NS = 2_000 * MS  # how long the stricter of old and new is used
-NARROWNESS = {"all": 0, "zone": 1, "cell": 2}  # who drops the repeats of a key; others: by the new file
+TRANSITION_NS = 2_000 * MS  # how long the stricter of the old and new settings is used
+# Scopes in which servers drop repeated requests with the same key, from the widest to the narrowest.  Any
+# other scope ranks as the widest.
+NARROWNESS = {"all": 0, "zone": 1, "cell": 2}
+# Idempotency of a class, from the least strict to the strictest.
 STRICTNESS = {api.Idempotency.SAFE: 0, api.Idempotency.KEYED: 1, api.Idempotency.UNSAFE: 2}
 
 
 class AttemptLimits(NamedTuple):
-    """``limits.most_tries`` of two files."""
+    """``limits.most_tries`` of the old and the new file."""
 
     before: int
     after: int
@@ -36,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigChange:
-    """What a file read again changes, by the names of classes.  False where it changes nothing."""
+    """Change of classes, by name, and of the attempt limit.  It is false where the file changes neither."""
 
     added: tuple[str, ...]
     removed: tuple[str, ...]
@@ -58,7 +61,7 @@
 
 
 def diff_settings(old: api.Settings, new: api.Settings) -> ConfigChange:
-    """The classes that came, went or changed, and the attempts before and after."""
+    """Return the classes that were added, removed or changed, and the attempt limits before and after."""
     old_classes = {c.name: c for c in old.classes}
     new_classes = {c.name: c for c in new.classes}
     return ConfigChange(
@@ -72,7 +75,10 @@
 
 
 def stricter_class(old: api.RequestClass, new: api.RequestClass) -> api.RequestClass:
-    """The stricter of each field of one class in two files; what has no stricter value is the new file's."""
+    """Return a class with the stricter of each field of two files.
+
+    Fields for which no value is stricter have the new file's value.
+    """
     keyed = [c for c in (old, new) if c.idempotency is api.Idempotency.KEYED]
     return replace(
         new,
@@ -87,24 +93,24 @@
 
 
 def stricter_idempotency(old: api.Idempotency, new: api.Idempotency) -> api.Idempotency:
-    """What clients of either file may rely on: a repeat that either forbids is not sent."""
+    """Return an idempotency that permits a retry only where both files permit it."""
     if {old, new} == {api.Idempotency.SAFE, api.Idempotency.KEYED}:
-        return api.Idempotency.UNSAFE  # not all clients give a key yet
+        return api.Idempotency.UNSAFE  # not all clients send a key yet
     return old if STRICTNESS[old] > STRICTNESS[new] else new
 
 
 def narrowest_scope(keyed: list[api.RequestClass]) -> str:
-    """The narrowest scope in which repeats of a key are dropped, of at least one class."""
+    """Return the narrowest scope in which repeats of a key are dropped, of one or more classes."""
     return max(keyed, key=lambda c: NARROWNESS.get(c.dedup_scope, 0)).dedup_scope
 
 
 def lower_set(old: int, new: int) -> int:
-    """The lower of two bounds, of which 0 or less is none; 0 where neither is set."""
+    """Return the lower of two bounds, of which 0 or less is not set; 0 where neither is set."""
     return min((bound for bound in (old, new) if bound > 0), default=0)
 
 
 def stricter_limits(old: api.Limits, new: api.Limits) -> api.Limits:
-    """Permissions that both give, and the lower of numbers that are set (0 is not set)."""
+    """Return the permissions that both limits grant, and the lower of numbers that are set (0 is not set)."""
     merged: dict[str, object] = {}
     for field in fields(api.Limits):
         old_value, new_value = getattr(old, field.name), getattr(new, field.name)
@@ -118,9 +124,9 @@
 
 
 def transition_settings(old: api.Settings, new: api.Settings) -> api.Settings:
-    """The settings to use for ``TRANSITION_NS`` after a file is read again.
+    """Return the settings to use for ``TRANSITION_NS`` after a reload.
 
-    ``old`` but for classes and limits, which are the stricter of both.
+    They are ``old`` except for classes and limits, which are the stricter of both.
     """
     old_classes = {c.name: c for c in old.classes}
     new_names = {c.name for c in new.classes}
@@ -132,5 +138,5 @@
 
 
 def final_settings(old: api.Settings, new: api.Settings) -> api.Settings:
-    """The settings to use once the transition is over: ``old`` but for the new classes and limits."""
+    """Return the settings to use after the transition: ``old`` with the classes and limits of ``new``."""
     return replace(old, classes=new.classes, limits=new.limits)
--- a/kelpcroft/core/config_reload.py
+++ b/kelpcroft/core/config_reload.py
@@ -1,9 +1,9 @@
-"""The configuration read again at SIGHUP: checked whole, then its classes, limits and feed taken up.
+"""Reload of the configuration at SIGHUP: the complete file is checked, then classes, limits and feed applied.
 
-The check and the plan are ``kelpcroft.config_reload``'s; here they are applied to the state.  A file with any
-fault changes nothing, the feed included, and one line names the first fault, the file and how many there are.
-A good one moves the feed at once and changes settings in two steps: the stricter of old and new for
-``TRANSITION_NS``, then the new.
+``kelpcroft.config_reload`` checks the file and computes the change; this module applies the result to the
+state.  A file with an error changes nothing, not even the feed; one log line names the first error, the file
+and the number of errors.  A valid file moves the feed immediately and changes the settings in two steps: the
+stricter of the old and new settings for ``TRANSITION_NS``, then the new settings.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 from kelpcroft.decision import interface as api
 from kelpcroft.settings_wire import parse_settings
 
-# What of the settings changes in service; the rest waits for the next start.
+# Keys of the settings that a reload changes; the others change at the next start.
 RELOADED_KEYS = ("classes", "limits")
-# Of ``family_info``: lists that go with the classes.
+# Keys of ``family_info`` that a reload changes: their lists belong to the classes.
 RELOADED_FAMILY_KEYS = ("goes_through", "multi_part", "max_age_ns", "usable_after_ns", "old_copy_worth")
 
 
 @dataclass(frozen=True, slots=True)
 class CheckedConfig:
-    """A configuration read again that can be used whole."""
+    """A reloaded configuration that passed all checks."""
 
-    raw: dict[str, Any]  # the file's JSON
+    raw: dict[str, Any]  # JSON of the file
     settings: api.Settings
     feed_address: Address
 
 
 class ConfigReload:
-    """Takes up a configuration read again."""
+    """Checks and applies a reloaded configuration."""
 
     def __init__(self, state: State, watch: FeedWatch) -> None:
         self.state = state
         self.watch = watch
-        self.pending_settings: api.Settings | None = None  # to be used once the transition is over
-        self.transition_number = 0  # of files taken up: a transition's end is for the last one
+        self.pending_settings: api.Settings | None = None  # in use from the end of the transition
+        self.transition_number = 0  # number of transitions begun: only the timer of the last one is valid
 
     def on_file_read(self, read: ConfigFileRead) -> None:
-        """The configuration was read again: use it whole, or nothing of it."""
+        """Apply a configuration file that was read again, or nothing of it where it has an error."""
         checked, faults = self.check(read)
         if checked is None:
             self.log_refused(read.path, faults)
@@ -53,9 +53,9 @@
             self.apply(read.path, checked)
 
     def check(self, read: ConfigFileRead) -> tuple[CheckedConfig | None, list[config_reload.Diagnostic]]:
-        """What a file says, or None and what is wrong with it."""
+        """Decode and check a file; returns None and its diagnostics where it has errors."""
         if read.data is None:
-            return None, [config_reload.Diagnostic("", read.reason, "a file that can be read would do")]
+            return None, [config_reload.Diagnostic("", read.reason, "must be a readable file")]
         raw, faults = config_reload.decode_config(read.data)
         if raw is None or faults:
             return None, faults
@@ -67,18 +67,18 @@
             feed_address = parse_address("feed", raw["feed"])
         except (api.SettingsError, ConfigError, KeyError, TypeError, ValueError, AttributeError) as error:
             return None, [
-                config_reload.Diagnostic("settings", str(error), "settings as at the start would do")
+                config_reload.Diagnostic("settings", str(error), "must be settings that a start accepts")
             ]
         return CheckedConfig(raw, settings, feed_address), []
 
     def log_refused(self, path: str, faults: list[config_reload.Diagnostic]) -> None:
-        """A file changes nothing: one line with its first fault."""
+        """Log that a file is not applied, with its first error."""
         first = faults[0] if faults else config_reload.Diagnostic("", "cannot be used", "")
         self.state.counters["files refused"] += 1
-        count = f"{len(faults)} fault{'s' if len(faults) != 1 else ''}"
+        count = f"{len(faults)} error{'s' if len(faults) != 1 else ''}"
         self.state.log(
             "config.refused",
-            f"configuration not taken: {first} (in {path}; {count} in all); nothing of it is used",
+            f"configuration not taken: {first} (in {path}; {count} in total); no part of it is applied",
             "warning",
             {
                 "file": path,
@@ -90,7 +90,7 @@
         )
 
     def apply(self, path: str, checked: CheckedConfig) -> None:
-        """Take up a file that can be used."""
+        """Apply a file that passed all checks."""
         state = self.state
         kept = kept_keys(checked.raw["settings"], state.raw_config.get("settings", {}))
         state.raw_config = checked.raw
@@ -112,7 +112,7 @@
         )
 
     def begin_transition(self, settings: api.Settings) -> None:
-        """Use the stricter of the settings in use and others for a while, then the others."""
+        """Use the stricter of the current and new settings for ``TRANSITION_NS``, then the new ones."""
         state = self.state
         self.transition_number += 1
         in_use = state.settings
@@ -121,7 +121,7 @@
         state.schedule(config_reload.TRANSITION_NS, TimerKind.SETTINGS_TRANSITION, self.transition_number)
 
     def on_transition_over(self, number: int) -> None:
-        """The transition of the last file is over: its classes and limits alone from now on."""
+        """End the transition of the last file: only its classes and limits are used from now on."""
         settings = self.pending_settings
         if number != self.transition_number or settings is None:
             return
@@ -137,9 +137,9 @@
 
 
 def kept_keys(new: dict[str, Any], old: dict[str, Any]) -> list[str]:
-    """The settings' keys that differ and are kept until the next start.
+    """Keys of the settings whose values differ and stay unchanged until the next start.
 
-    That is all but classes and limits, and but the lists of ``family_info`` that go with the classes.
+    These are all keys except classes, limits, and the lists of ``family_info`` that belong to the classes.
     """
     kept = []
     for key in sorted({*new, *old} - set(RELOADED_KEYS)):
--- a/kelpcroft/core/control_requests.py
+++ b/kelpcroft/core/control_requests.py
@@ -1,4 +1,4 @@
-"""Requests on the control address, answered in the same turn."""
+"""Control requests: drain, resume and state.  Each gets its response in the same iteration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ControlRequests:
-    """Drains the process, takes it back, and reports its state."""
+    """Drains the process, returns it to service, and reports its state."""
 
     def __init__(self, state: State, process: ProcessStatus, endpoint_list: EndpointList) -> None:
         self.state = state
@@ -20,7 +20,7 @@
         self.endpoint_list = endpoint_list
 
     def on_request(self, request: ControlRequest) -> None:
-        """Carry a request out and answer it."""
+        """Carry out a control request and send its response."""
         if request.verb is ControlVerb.OUT_OF_SERVICE:
             self.drain()
         elif request.verb is ControlVerb.IN_SERVICE:
@@ -36,9 +36,10 @@
         self.state.effects.append(ControlResponse(request.caller, is_ok, fields))
 
     def drain(self) -> None:
-        """Close each client's connection once no answer is pending on it; no effect where it was so already.
+        """Go out of service: close each client's connection once no response is pending on it.
 
-        The process goes on serving what it has taken, and stays to be taken back.
+        The request has no effect where the process is not in service.  A drained process completes its open
+        requests and keeps running, so that it can be returned to service.
         """
         state = self.state
         if not self.process.service_state.drain(state.now):
@@ -46,14 +47,14 @@
         requests, clients = len(state.requests), len(self.process.clients)
         state.log(
             "service.out",
-            f"out of service: clients are let go; {requests} requests open, {clients} clients",
+            f"out of service: closing client connections; {requests} requests open, {clients} clients",
             "info",
             {"open": requests, "clients": clients},
         )
         state.effects += [DrainClients(True), PersistServiceState(False, state.now)]
 
     def resume(self) -> None:
-        """Take clients again; no effect where it does already, or where the process is ending."""
+        """Accept clients again; no effect where the process is in service or shuts down."""
         state = self.state
         out_since_ns = self.process.service_state.since_ns
         if not self.process.service_state.resume(state.now):
@@ -63,9 +64,10 @@
         state.effects += [DrainClients(False), PersistServiceState(True, state.now)]
 
     def process_state(self, not_ready_reason: str) -> dict[str, object]:
-        """What this process is and what became of its requests: bounded, and of no effect on any.
+        """Return the process's identity, its counts and its request statistics.
 
-        The keys are on the wire of the control address.
+        The report has a bounded size and affects no request.  Its keys are on the wire of the control
+        address.
         """
         state, process = self.state, self.process
         return {
--- a/kelpcroft/core/operator_settings.py
+++ b/kelpcroft/core/operator_settings.py
@@ -1,4 +1,4 @@
-"""The operator's file, applied: routes, control replicas, start options, the state at the control address."""
+"""Application of the operator's file: routes, control replicas, start options and the state endpoint."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OperatorSettings:
-    """Applies what the operator's file says.  Nothing of a feature is imported before a file wants it."""
+    """Applies the operator's file.  The modules of a feature are imported once a file enables it."""
 
     def __init__(self, state: State, process: ProcessStatus, watch: FeedWatch) -> None:
         self.state = state
@@ -26,15 +26,15 @@
         self.watch = watch
 
     def on_file_read(self, read: OperatorFileRead) -> None:
-        """The operator's file was read.
+        """Apply an operator's file that was read.
 
-        Open requests keep what they were granted; a file that may not be used changes nothing.
+        Open requests keep the limits and budgets of the previous file.  A file with errors changes nothing.
         """
         state = self.state
         if read.file is None:
             state.log(
                 "rules.refused",
-                f"operator's file not taken: {read.first_error}; {read.error_count} in all",
+                f"operator's file not applied: {read.first_error}; {read.error_count} errors in total",
                 "warning",
                 {"first": read.first_error, "faults": read.error_count},
             )
@@ -48,7 +48,7 @@
             state.statistics = RequestStatistics() if read.file.exposes_state else None
             state.effects.append(SetStateEndpoint(read.file.exposes_state))
         count = len(read.file.routes)
-        state.log("rules.taken", f"operator's file taken: {count} routes", "info", {"routes": count})
+        state.log("rules.taken", f"operator's file applied: {count} routes", "info", {"routes": count})
 
     def apply_routes(self, file: OperatorFile) -> None:
         """Use the file's routes from now on."""
@@ -62,12 +62,12 @@
             state.routes = RouteTable(file, settings.zone, settings.seed, state.now)
 
     def apply_start_options(self, options: StartupOptions) -> None:
-        """Limit fetches at the origin, and count the zone's routers, or do neither any more."""
+        """Enable or disable the limit on fetches at the origin and the estimate of the zone's routers."""
         self.limit_origin_fetches(options.limit_origin_fetches)
         self.estimate_fleet_size(options.estimate_fleet_size)
 
     def limit_origin_fetches(self, wanted: bool) -> None:
-        """Keep fetches out at the origin few at first, from now on or no more."""
+        """Enable or disable the limit on concurrent fetches at the origin during startup."""
         state = self.state
         if not wanted:
             state.origin_limit = None
@@ -78,7 +78,7 @@
         state.set_cold_budget_share(state.cold_budget_share)
 
     def estimate_fleet_size(self, wanted: bool) -> None:
-        """Count the zone's routers by what caches report, from now on or no more."""
+        """Enable or disable the estimate of the zone's routers from the caches' reports."""
         state = self.state
         configured = state.config.settings.zone_instances
         if wanted and state.fleet_size is None:
@@ -90,9 +90,9 @@
             self.set_zone_routers(configured)
 
     def set_zone_routers(self, routers: int) -> None:
-        """Have the decision module count on so many routers in this zone.
+        """Make the decision package assume this number of routers in the zone.
 
-        The routers of all zones are taken to be more or fewer in the same proportion.
+        The number of routers in all zones is scaled by the same factor.
         """
         state = self.state
         configured = state.config.settings
@@ -100,8 +100,8 @@
             return
         state.log(
             "start.routers",
-            f"{routers} routers in this zone are reckoned with, by caches' reports; "
-            f"the settings say {configured.zone_instances}",
+            f"assuming {routers} routers in this zone, as estimated from caches' reports; "
+            f"the settings have {configured.zone_instances}",
             "info",
             {"routers": routers, "said": configured.zone_instances},
         )
--- a/kelpcroft/core/predecessor.py
+++ b/kelpcroft/core/predecessor.py
@@ -1,4 +1,4 @@
-"""The router's process before this one: what it left, and when it has ended."""
+"""Predecessor: the router's previous process, the service state it recorded, and the time of its end."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Predecessor:
-    """Takes up the last process's state of service, and shares the cold budgets with it while it runs."""
+    """Applies the predecessor's service state, and shares the cold budgets with it while it runs."""
 
     def __init__(self, state: State, process: ProcessStatus, restart_overlap: RestartOverlap) -> None:
         self.state = state
@@ -19,12 +19,12 @@
         self.restart_overlap = restart_overlap
 
     def start(self) -> None:
-        """The process has started."""
+        """Begin the overlap with the predecessor at the start of this process."""
         self.restart_overlap.start(self.state.now)
         self.update_budget_share()
 
     def update_budget_share(self) -> None:
-        """Have the decision module know what part of its router's cold budgets this process has now."""
+        """Report this process's current share of its router's cold budgets to the decision package."""
         state = self.state
         share = self.restart_overlap.budget_share(state.now)
         state.set_cold_budget_share(share)
@@ -35,26 +35,29 @@
             state.schedule(min(SECOND, max(MS, remaining_ns)), TimerKind.RESTART_OVERLAP)
 
     def on_state(self, left: PredecessorState) -> None:
-        """At the start: an operator's drain outlives the process that it was sent to."""
+        """Apply the predecessor's service state at the start: an operator's drain outlives the process."""
         state = self.state
         if left.is_in_service is None:
             if left.reason:
                 state.log(
                     "handover.refused",
-                    f"state of the last process not taken: {left.reason}",
+                    f"predecessor's service state not applied: {left.reason}",
                     "warning",
                     {"why": left.reason},
                 )
         elif not left.is_in_service and self.process.service_state.drain(left.since_ns):
             state.log(
                 "service.out",
-                "out of service, as the last process was: clients are let go",
+                "out of service, as the predecessor was: closing client connections",
                 "info",
                 {"since_s": round((state.now - left.since_ns) / SECOND, 3), "handed": True},
             )
             state.effects.append(DrainClients(True))
 
     def on_ended(self, ended: PredecessorEnded) -> None:
-        """The predecessor has ended.  An end before this process began was an earlier one's: ignored."""
+        """Record that the predecessor has ended.
+
+        An end from before the start of this process belongs to an earlier predecessor and is ignored.
+        """
         if ended.ended_at_ns >= self.process.started_ns:
             self.restart_overlap.on_predecessor_ended(self.state.now, ended.ended_at_ns)
--- a/kelpcroft/core/process_log.py
+++ b/kelpcroft/core/process_log.py
@@ -1,4 +1,4 @@
-"""Log lines about the process as a whole: its deployment at the start, and its counters from then on."""
+"""Log lines about the process: its deployment at the start, and its counters while it runs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def log_deployment(state: State) -> None:
-    """At the start: one line for what the deployment lacks and one for what is odd in its settings."""
+    """Log at the start one line of features that the deployment lacks, and one of its settings' warnings."""
     roles = frozenset(endpoint.server.role for endpoint in state.policy.endpoints.values())
     missing = missing_features(state.settings, roles or None)
     if missing:
@@ -31,7 +31,7 @@
 
 
 def log_counters(state: State) -> None:
-    """One line of the router's counters, broken invariants with them, and one for each route."""
+    """Log one line with the router's counters and its broken invariants, and one line for each route."""
     gauges = {
         "open": len(state.requests),
         "attempts": len(state.attempts),
@@ -51,5 +51,5 @@
 
 
 def counter_text(counters: Mapping[str, float]) -> str:
-    """``name value, name value``, in the order of the mapping."""
+    """Format counters as ``name value, name value``, in the order of the mapping."""
     return ", ".join(f"{name} {value}" for name, value in counters.items())
--- a/kelpcroft/core/process_status.py
+++ b/kelpcroft/core/process_status.py
@@ -1,4 +1,4 @@
-"""What this process is and whether it is ready: read by clients' health requests and the control address."""
+"""Status of the process: its identity, and its readiness for health requests and the control address."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class ProcessStatus:
-    """Facts about the process that several parts of the core read.
+    """Properties of the process that several components of the core read.
 
     Attributes:
-        service_state: In service, drained by an operator, or ending.
-        identity: Digest of the program and the process's own name; empty until it is asked for.
+        service_state: In service, drained by an operator, or shutting down.
+        identity: Digest of the program and the process's own name; empty until SetStateEndpoint requests it.
         operator_file_digest: Digest of the operator's file in use; "" where there is none.
         started_ns: When the process started.
         is_listening: Clients can connect.
-        clients: Numbers of the clients' connections that are open.
+        clients: Numbers of the open client connections.
     """
 
     def __init__(self, service_state: ServiceState) -> None:
@@ -28,11 +28,11 @@
 
     @property
     def is_shutting_down(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether SIGTERM was received."""
         return self.service_state.mode is ServiceMode.ENDING
 
     def not_ready_reason(self, has_endpoint_list: bool) -> str:
-        """Why the process does not take clients now, or "" where it does.
+        """Why the process is not ready for clients now, or "" where it is ready.
 
         The texts are on the wire of the control address.
         """
--- a/kelpcroft/core/service_state.py
+++ b/kelpcroft/core/service_state.py
@@ -1,15 +1,16 @@
-"""Whether this process takes clients: in service, drained by a request on the control address, or ending.
-
-Pure: the reducer hands it the time, it answers.  Times are Unix nanoseconds.
-
-A drain and the end of a process that shares its listening socket go the same way.  At once the process says
-it is not ready, and closes each client's connection once no answer is pending on it (the event loop does, on
-the reducer's DrainClients); a request that crosses such a close is sent again by the client, elsewhere.
-Requests that come on a connection that is still busy are served for a grace; after it they are refused, so
-that by the time the platform counts (4 s after a drain, the SIGKILL after an end) no connection holds a new
-request.
-A drained process never exits; an ending one exits once nothing is open and no client is left, or after
-MAX_SHUTDOWN_WAIT_NS.
+"""Service state of the process: in service, drained by a control request, or shutting down.
+
+The module is pure: the current time is an argument.  Times are Unix nanoseconds.
+
+A drain, and the shutdown of a process that shares its listening socket, close clients' connections in the
+same way.  The process immediately reports that it is not ready, and closes each client's connection once no
+response is pending on it (the event loop closes it, on the reducer's DrainClients effect).  A client whose
+request crosses such a close sends the request again to another router.  Requests that arrive on a connection
+that is still busy are served for a grace period and rejected after it.  So no connection holds a new request
+by the time the platform counts them: 4 s after a drain, or at the SIGKILL that ends a shutdown.
+
+A drained process never exits.  A process that is shutting down exits once no request is open and no client is
+connected, or after MAX_SHUTDOWN_WAIT_NS.
 """
 
 from __future__ import annotations
@@ -19,28 +20,30 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-DRAIN_GRACE_NS = 1_500 * MS  # after a drain, new requests on kept connections are served for so long
-SHUTDOWN_GRACE_NS = 700 * MS  # after SIGTERM beside another process: later ones could outlive the SIGKILL
-MAX_SHUTDOWN_WAIT_NS = 2_500 * MS  # an ending process waits so long at most for its clients to go
+DRAIN_GRACE_NS = 1_500 * MS  # how long after a drain new requests on open connections are still served
+# How long after SIGTERM a process on a shared listening socket still serves new requests on open connections.
+# Requests accepted later could still be open at the SIGKILL.
+SHUTDOWN_GRACE_NS = 700 * MS
+MAX_SHUTDOWN_WAIT_NS = 2_500 * MS  # how long a shutdown waits at most for clients to disconnect
 
 
 class ServiceMode(Enum):
-    """The values are on the wire of the control address."""
+    """Mode of a service state.  The values are on the wire of the control address."""
 
-    IN_SERVICE = "in"  # takes clients
-    OUT_OF_SERVICE = "out"  # drained: sends them away, stays to be taken back
-    ENDING = "ending"  # SIGTERM: sends them away, then exits
+    IN_SERVICE = "in"  # accepts clients
+    OUT_OF_SERVICE = "out"  # drained: closes clients' connections, and keeps running until it is resumed
+    ENDING = "ending"  # SIGTERM was received: closes clients' connections, then exits
 
 
 @dataclass(slots=True)
 class ServiceState:
-    """The state of service of one process.
+    """The service state of one process.
 
     Attributes:
-        mode: The present mode.
-        since_ns: When it began.
+        mode: The current mode.
+        since_ns: When the current mode began.
         shares_listener: The listening socket is shared with another process (``ROUTER_FD``).
-        was_drained: An operator had it out of service when SIGTERM came.
+        was_drained: The process was out of service when it received SIGTERM.
     """
 
     mode: ServiceMode = ServiceMode.IN_SERVICE
@@ -49,7 +52,7 @@
     was_drained: bool = False
 
     def drain(self, now: int) -> bool:
-        """Go out of service; False where it was so already or is ending."""
+        """Go out of service; returns False where the process is not in service."""
         if self.mode is not ServiceMode.IN_SERVICE:
             return False
         self.mode = ServiceMode.OUT_OF_SERVICE
@@ -57,7 +60,10 @@
         return True
 
     def resume(self, now: int) -> bool:
-        """Go in service again; False where it was so already, or is ending, which cannot be undone."""
+        """Go in service again; returns False where the process is in service or shuts down.
+
+        A shutdown cannot be undone.
+        """
         if self.mode is not ServiceMode.OUT_OF_SERVICE:
             return False
         self.mode = ServiceMode.IN_SERVICE
@@ -65,7 +71,7 @@
         return True
 
     def begin_shutdown(self, now: int) -> bool:
-        """Begin to end (SIGTERM); False where that came before."""
+        """Begin the shutdown (SIGTERM); returns False where it began before."""
         if self.mode is ServiceMode.ENDING:
             return False
         self.was_drained = self.mode is ServiceMode.OUT_OF_SERVICE
@@ -75,13 +81,13 @@
 
     @property
     def is_draining_clients(self) -> bool:
-        """Whether clients' connections are to be closed once no answer is pending on them."""
+        """Whether a client's connection is to be closed once no response is pending on it."""
         if self.mode is ServiceMode.OUT_OF_SERVICE:
             return True
         return self.mode is ServiceMode.ENDING and self.shares_listener
 
     def rejects_from_ns(self) -> int:
-        """From when new requests on kept connections are refused; 0 while they are all taken."""
+        """When new requests on open connections begin to be rejected; 0 while all are admitted."""
         if self.mode is ServiceMode.OUT_OF_SERVICE:
             return self.since_ns + DRAIN_GRACE_NS
         if self.mode is ServiceMode.ENDING and self.shares_listener:
@@ -89,16 +95,16 @@
         return 0
 
     def admits_requests(self, now: int) -> bool:
-        """Whether a new request is taken rather than refused."""
+        """Whether a new request is admitted; it is rejected otherwise."""
         rejects_from_ns = self.rejects_from_ns()
         return not rejects_from_ns or now < rejects_from_ns
 
     def may_exit(self, now: int, open_requests: int, clients: int) -> bool:
-        """Whether an ending process may go now.
+        """Whether a process that is shutting down may exit now.
 
-        It may once nothing is open, and no client is left or waiting for them to go has taken long enough.
-        A process that binds its own socket does not wait for clients: the platform sends none after its
-        first SIGTERM, and kept ones are closed at the exit.
+        It may exit once no request is open and either no client is connected or MAX_SHUTDOWN_WAIT_NS has
+        passed.  A process that bound its own socket does not wait for clients: the platform sends none after
+        its first SIGTERM, and the exit closes the open connections.
         """
         if self.mode is not ServiceMode.ENDING or open_requests:
             return False
--- a/kelpcroft/core/shutdown.py
+++ b/kelpcroft/core/shutdown.py
@@ -1,4 +1,4 @@
-"""The planned end of the process: what was taken is served first."""
+"""Planned shutdown of the process: it serves the accepted requests before it exits."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 from kelpcroft.core.process_status import ProcessStatus
 from kelpcroft.core.state import MS, State
 
-ACCEPT_AFTER_SIGTERM_NS = 500 * MS  # connections are taken so long after SIGTERM
-MIN_SHUTDOWN_NS = 800 * MS  # and requests on open ones at least so long
-EXIT_CHECK_INTERVAL_NS = 10 * MS
-STOP_ACCEPTING_STEP = 1  # steps of the end, as the number of the timer
-SHUTDOWN_LAST_STEP = 2  # after it the process is over
+ACCEPT_AFTER_SIGTERM_NS = 500 * MS  # how long connections are accepted after SIGTERM
+# How long the process runs at least after SIGTERM, as requests still arrive on open connections.
+MIN_SHUTDOWN_NS = 800 * MS
+EXIT_CHECK_INTERVAL_NS = 10 * MS  # between checks whether the process may exit
+STOP_ACCEPTING_STEP = 1  # timer number of the step that stops accepting connections
+SHUTDOWN_LAST_STEP = 2  # timer number of the last step, which exits once the process may exit
 
 
 class Shutdown:
-    """Ends the process step by step, from SIGTERM to the exit."""
+    """Shuts the process down in steps, from SIGTERM to the exit."""
 
     def __init__(self, state: State, process: ProcessStatus, housekeeping: Housekeeping) -> None:
         self.state = state
@@ -26,26 +27,26 @@
         self.began_ns = 0
 
     def on_requested(self, _message: ShutdownRequested) -> None:
-        """SIGTERM has come; a second one changes nothing.
+        """Begin the shutdown at the first SIGTERM; a later one has no effect.
 
-        Connections and requests go on coming for a while.
+        New connections and requests continue to arrive for a while.
         """
         if self.process.is_shutting_down:
             return
         state = self.state
         self.began_ns = state.now
         count = len(state.requests)
-        state.log("router.ending", f"ending: {count} requests open", "info", {"open": count})
+        state.log("router.ending", f"shutting down: {count} requests open", "info", {"open": count})
         self.process.service_state.begin_shutdown(state.now)
         if self.process.service_state.shares_listener:
-            # Another process holds the same listening socket: it takes what queues there from now on.
+            # Another process holds the same listening socket and accepts the connections that queue there.
             state.effects += [StopAccepting(), DrainClients(True)]
         else:
             state.schedule(ACCEPT_AFTER_SIGTERM_NS, TimerKind.SHUTDOWN, STOP_ACCEPTING_STEP)
         state.schedule(MIN_SHUTDOWN_NS, TimerKind.SHUTDOWN, SHUTDOWN_LAST_STEP)
 
     def on_timer(self, step: int) -> None:
-        """A step of the end is due."""
+        """Run a step of the shutdown that is due."""
         if step == STOP_ACCEPTING_STEP:
             self.state.effects.append(StopAccepting())
         elif self.process.service_state.may_exit(
@@ -56,7 +57,10 @@
             self.state.schedule(EXIT_CHECK_INTERVAL_NS, TimerKind.SHUTDOWN, SHUTDOWN_LAST_STEP)
 
     def exit(self) -> None:
-        """Log the last counters, leave the service state to a next process on a shared listener, exit."""
+        """Log the final counters and exit.
+
+        On a shared listening socket, also record the service state for the successor.
+        """
         state, service_state = self.state, self.process.service_state
         self.housekeeping.log_counters()
         if service_state.shares_listener:
