--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -82,7 +82,7 @@
     def unknown_field(self, update: EndpointUpdate) -> str:
         """Return the first zone or type in an update that the settings do not contain, or "".
 
-        An update with such a zone or type is not applied.
+        An update that contains one is not applied.
         """
         zones, kinds = self.state.config.settings.zones, self.state.config.kinds.names
         for endpoint in update.endpoints:
@@ -143,7 +143,7 @@
             self.retire(name)
 
     def retire(self, name: str) -> None:
-        """Send nothing new to a server, and close each of its connections once nothing is in flight on it."""
+        """Remove a server from the list, and close each of its connections once it has become idle."""
         self.state.endpoints.pop(name, None)
         self.attempts.connections.retire_server(name)
 
--- a/kelpcroft/core/inputs.py
+++ b/kelpcroft/core/inputs.py
@@ -125,7 +125,7 @@
 
 @message
 class PartialResponse:
-    """A response has arrived in part on a connection to a server, or such a response is now complete."""
+    """An incomplete response is pending on a connection to a server, or no longer is."""
 
     connection: int
     is_incomplete: bool
--- a/tests/config_reload/test_retune.py
+++ b/tests/config_reload/test_retune.py
@@ -1,5 +1,6 @@
-"""Retuning on SIGHUP: the check of a file read again, the passage from old settings to new, and what the
-reducer, the module and the program make of both.
+"""Configuration reload on SIGHUP: the check of the file and the transition from old settings to new ones.
+
+The tests cover both, and their use by the reducer, the decision package and the program.
 """
 
 from __future__ import annotations
@@ -161,7 +162,7 @@
         assert not diff_settings(self.old, self.old)
 
     def test_a_key_is_held_to_the_shorter_window_and_narrower_group(self) -> None:
-        """The longer window was taken: in the passage a repeat went out that old servers would run."""
+        """With the longer window, the router would send a retry that servers with the old file execute."""
 
         def between(a: api.RequestClass, b: api.RequestClass) -> api.RequestClass:
             return transition_settings(
@@ -174,7 +175,7 @@
         for pair in ((wide, tight), (tight, wide)):
             assert (between(*pair).dedup_window_ns, between(*pair).dedup_scope) == (SECOND, "cell")
         for pair in ((api.RequestClass("a"), wide), (wide, api.RequestClass("a"))):
-            assert between(*pair).idempotency is api.Idempotency.UNSAFE, "not all clients give a key yet"
+            assert between(*pair).idempotency is api.Idempotency.UNSAFE, "not all clients send a key yet"
         assert between(wide, api.RequestClass("a", api.Idempotency.UNSAFE)).dedup_window_ns == 3 * SECOND
 
     def test_a_looser_effect_waits_for_the_passage(self) -> None:
@@ -225,7 +226,7 @@
         assert (
             only(effects.OpenServerConnection, r.handle(NOW + MS, call(2, item="0b", cls=first)))
             or r.state.requests
-        )  # still taken in the passage
+        )  # still accepted during the transition
         assert r.state.policy.settings.limits.max_attempts == 1
         settle = r.handle(NOW + TRANSITION_NS, inputs.TimerFired(wake.key))
         assert len(logged(settle, "config.settled")) == 1
@@ -240,17 +241,17 @@
         fresh = api.RequestClass("fresh", latency_objective_ns=200 * MS, deadline_ns=S)
         grown = kit.settings(max_attempts=6, classes=(fresh, kit.UNSAFE))
         p.handle(S + MS, api.SettingsChanged(grown))
-        assert "safe" in p.latency_model.latency_ratio  # under way: what is known of its class stays
+        assert "safe" in p.latency_model.latency_ratio  # the request is open: its class's latency data stays
         (second,) = kit.fetches(kit.end(p, S + 2 * MS, first, Outcome.ERROR))
         assert kit.fetches(kit.end(p, S + 3 * MS, second, Outcome.ERROR, attempt=1)) == []
         p.handle(S + 4 * MS, api.SettingsChanged(grown))
-        assert "safe" not in p.latency_model.latency_ratio  # no longer held: forgotten
+        assert "safe" not in p.latency_model.latency_ratio  # the request ended: the data is dropped
         (one,) = kit.fetches(kit.ask(p, S + 5 * MS, "r2", cls="fresh", time_remaining_ns=S))
         p.handle(S + 6 * MS, api.SettingsChanged(kit.settings(max_attempts=1, classes=(fresh,))))
-        assert kit.fetches(kit.end(p, S + 7 * MS, one, Outcome.ERROR)) == []  # fewer now: it too
+        assert kit.fetches(kit.end(p, S + 7 * MS, one, Outcome.ERROR)) == []  # the lower limit applies to it
 
     def test_without_a_retune_the_same_request_tries_on(self) -> None:
-        """The check that the one above can fail: with six attempts allowed throughout it goes on."""
+        """Control for the test above: with a limit of six attempts throughout, a third attempt is made."""
         p = kit.policy(max_attempts=6)
         (first,) = kit.fetches(kit.ask(p, S, "r1"))
         (second,) = kit.fetches(kit.end(p, S + 2 * MS, first, Outcome.ERROR))
@@ -259,7 +260,7 @@
 
 class Program(unittest.TestCase):
     def test_the_operators_file_may_name_a_class_that_came_with_the_same_sighup(self) -> None:
-        """The file was checked against the classes of the start, and refused for naming the new one."""
+        """The operator's file must not be checked against the classes of the start: it may name a new one."""
         rules = (
             'kelpcroft version=1\nroute "fresh" {{ match class="{}"; attempts most=1; }}\n'
             'route "rest" {{ match; }}\n'
--- a/tests/core/test_state.py
+++ b/tests/core/test_state.py
@@ -1,4 +1,4 @@
-"""`GET /control/state`: what a process is and what became of its requests, where the file asks for it."""
+"""`GET /control/state`: identity and request statistics of a process whose operator's file enables them."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def mixed(server: str, seen: ServerCommand) -> ScriptedReply:
-    """By object: served, served late, an error, or nothing."""
+    """Reply by object: a response, a late response, an error, or none."""
     item = seen.fields["item"][-1]
     return {
         "a": ScriptedReply(body=b"x"),
@@ -46,7 +46,7 @@
 
 class Memory(unittest.TestCase):
     def test_what_the_process_before_the_exec_held_is_not_its_own(self) -> None:
-        """Under a large supervisor ``ru_maxrss`` began at that one's peak, and a leak was found late."""
+        """``ru_maxrss`` starts at the peak of the parent process: a large supervisor's would hide a leak."""
         inner = "from kelpcroft.net.memory import peak_kb; print(peak_kb())"
         outer = (
             "import subprocess, sys\nheld = bytearray(b'x' * 200_000_000)\n"
--- a/tests/program/test_control.py
+++ b/tests/program/test_control.py
@@ -1,4 +1,4 @@
-"""The control address's codec on bytes, and the drain as the reducer carries it out."""
+"""Codec of the control address, modes of the service state, and a drain through the reducer."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
         assert b"Allow: GET, HEAD\r\n" in allowed
 
     def test_a_head_is_counted_before_it_is_kept(self) -> None:
-        """A caller who sends a head without end is answered at the bound, not when memory runs out."""
+        """An endless request head is rejected at the size limit, so that it cannot exhaust the memory."""
         codec = ControlCodec()
         answer = codec.receive_data(b"GET /control/ready HTTP/1.1\r\n")
         for _ in range(MAX_HEAD_BYTES // 100 + 2):
@@ -131,7 +131,7 @@
             effects.ControlResponse, r.handle(NOW, inputs.ControlRequest(9, inputs.ControlVerb.READY))
         )[0] == effects.ControlResponse(9, False, {"ready": False, "service": "out", "why": "out of service"})
         assert r.handle(NOW, inputs.HealthRequest(1, 1)) == [effects.SendHealth(1, 1, False)]
-        # Requests on kept connections are served for a while, then refused, at once.
+        # Requests on open connections are served during the grace period, then rejected immediately.
         assert only(effects.OpenServerConnection, r.handle(NOW + MS, call(2))) != []
         late = NOW + DRAIN_GRACE_NS
         assert r.handle(late, call(3)) == [effects.RejectRequest(1, 3, 0)]
--- a/tests/program/test_handover.py
+++ b/tests/program/test_handover.py
@@ -1,4 +1,4 @@
-"""The file that an upgrade hands over: every reason not to take it, and what the reducer makes of it."""
+"""Handover file of an upgrade: every reason to ignore it, and its effect on the reducer."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
             assert decode(orjson.dumps({**good, "ended_ms": ended}), "n3", NOW)[0] is None, ended
 
     def test_an_end_does_not_change_what_the_next_process_said(self) -> None:
-        """The old one would write its own state of service over that of the new one, which was drained."""
+        """A process that ends must not overwrite the service state of its successor, which may be drained."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(file_path(folder, "n3"))
             path.write_bytes(encode("n3", 4711, NOW, False, NOW))
@@ -61,7 +61,7 @@
             )
             found, _ = decode(path.read_bytes(), "n3", NOW + SECOND)
             assert found is not None
-            assert (found.in_service, found.pid) == (True, os.getpid()), "its own word is the last"
+            assert (found.in_service, found.pid) == (True, os.getpid()), "its own state is the later one"
 
     def test_what_is_not_taken(self) -> None:
         good = orjson.loads(encode("n3", 4711, NOW, True, NOW))
--- a/tests/program/test_signals.py
+++ b/tests/program/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at every step of a request: each request taken gets one answer, whatever comes when."""
+"""Signals at every step of a request: it gets exactly one final response, whenever a signal arrives."""
 
 from __future__ import annotations
 
@@ -11,13 +11,17 @@
 from tests.support.loop_turns import MS, Peer, Turns, call, done
 
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
-STEPS = 8  # turns from a client's first byte to its answer, and some
+STEPS = 8  # at least the iterations from a client's first byte to its response
 
 
 class Signals(unittest.TestCase):
     def play(self, at: int, signals: tuple[int, ...], good: bool = False) -> None:
-        """One request that its cache lacks and then has, with signals before one of its turns; ``good``: the
-        file read again is the one in use.
+        """Serve one request in two attempts, with signals before one iteration of the event loop.
+
+        Args:
+            at: The iteration before which the signals arrive.
+            signals: The signals.
+            good: The reloaded file is valid: it equals the one in use.
         """
         t = Turns(self)
         if good:
@@ -45,7 +49,7 @@
                         cache.send(done(id) if answered else done(id, b"", b"LACK", b"-"))
                         answered.add((n, id))
         assert client.answers() == [[1, 1, None, [b"by", {}]]]
-        assert len(answered) == 2, "one attempt that failed and one that served"
+        assert len(answered) == 2, "one attempt that failed and one that succeeded"
         t.turn(1_000 * MS)
         assert t.loop.is_stopping == (TERM in signals)
         if t.loop.is_stopping:
--- a/tests/support/reducer_fixtures.py
+++ b/tests/support/reducer_fixtures.py
@@ -1,4 +1,4 @@
-"""A reducer at the example deployment, and the requests that tests hand it."""
+"""Fixtures: a reducer of the example deployment, and client requests for it."""
 
 from __future__ import annotations
 
