--- a/kelpcroft/core/service_state.py
+++ b/kelpcroft/core/service_state.py
@@ -9,8 +9,8 @@
 that is still busy are served for a grace period and rejected after it.  So no connection holds a new request
 by the time the platform counts them: 4 s after a drain, or at the SIGKILL that ends a shutdown.
 
-A drained process never exits.  A process that is shutting down exits once no request is open and no client is
-connected, or after MAX_SHUTDOWN_WAIT_NS.
+A drained process never exits.  A process that is shutting down exits once no request is open; on a shared
+listening socket it also waits until no client is connected, for MAX_SHUTDOWN_WAIT_NS at most.
 """
 
 from __future__ import annotations
