--- a/kelpcroft/config_reload/check.py
+++ b/kelpcroft/config_reload/check.py
@@ -45,73 +45,73 @@
     return raw, []
 
 
-def validate_reload(new: dict[str, Any], used: dict[str, Any]) -> list[Diagnostic]:
-    """Return the diagnostics of ``new``, a file that is to replace ``used``; none where it may be used."""
-    return ReloadCheck().run(new, used)
+def validate_reload(new: dict[str, Any], current: dict[str, Any]) -> list[Diagnostic]:
+    """Return the diagnostics of ``new``, a file that is to replace ``current``; none where it may be used."""
+    return ReloadCheck().run(new, current)
 
 
 class ReloadCheck:
     """One pass over a file that is to replace the one in use."""
 
     def __init__(self) -> None:
-        self._found: list[Diagnostic] = []
+        self._diagnostics: list[Diagnostic] = []
 
-    def run(self, new: dict[str, Any], used: dict[str, Any]) -> list[Diagnostic]:
+    def run(self, new: dict[str, Any], current: dict[str, Any]) -> list[Diagnostic]:
         """Return the diagnostics of ``new``, in the order of the checks."""
-        for key in used:
+        for key in current:
             if key not in new:
-                self._note(key, "is missing", "the file in use has this key")
+                self._report(key, "is missing", "the file in use has this key")
         if "settings" in new:
-            self._check_settings(new["settings"], used.get("settings"))
+            self._check_settings(new["settings"], current.get("settings"))
         if "feed" in new and parse_host_port(new["feed"]) is None:
-            self._note("feed", unusable_words(new["feed"]), "must be an address as host:port")
-        return self._found[:MAX_DIAGNOSTICS]
+            self._report("feed", describe_unusable(new["feed"]), "must be an address as host:port")
+        return self._diagnostics[:MAX_DIAGNOSTICS]
 
-    def _note(self, place: str, found: str, expected: str) -> None:
-        self._found.append(Diagnostic(place, found, expected))
+    def _report(self, place: str, found: str, expected: str) -> None:
+        self._diagnostics.append(Diagnostic(place, found, expected))
 
-    def _check_settings(self, settings: Any, used: Any) -> None:
+    def _check_settings(self, settings: Any, current: Any) -> None:
         if not isinstance(settings, dict):
-            self._note("settings", unusable_words(settings), "must be an object")
+            self._report("settings", describe_unusable(settings), "must be an object")
             return
-        self._check_keys(settings, used, "settings")
+        self._check_keys(settings, current, "settings")
         self._check_classes(settings.get("classes"))
         self._check_limits(settings.get("limits"))
 
     def _check_limits(self, limits: Any) -> None:
         if not isinstance(limits, dict) or "most_tries" not in limits:
             return
-        most_tries = limits["most_tries"]
-        if not is_positive_whole(most_tries):
+        max_attempts = limits["most_tries"]
+        if not is_positive_whole(max_attempts):
             expected = "must be a positive whole number of attempts"
-            self._note("settings.limits.most_tries", unusable_words(most_tries), expected)
+            self._report("settings.limits.most_tries", describe_unusable(max_attempts), expected)
 
-    def _check_keys(self, new: Any, used: Any, place: str) -> None:
-        """Report the keys of ``used`` that ``new`` lacks, in nested objects and in lists of objects too."""
-        if isinstance(used, dict) and isinstance(new, dict):
-            for key, value in used.items():
+    def _check_keys(self, new: Any, current: Any, place: str) -> None:
+        """Report the keys of ``current`` that ``new`` lacks, also in nested objects and lists of objects."""
+        if isinstance(current, dict) and isinstance(new, dict):
+            for key, value in current.items():
                 if key not in new:
-                    self._note(f"{place}.{key}", "is missing", "the file in use has this key")
+                    self._report(f"{place}.{key}", "is missing", "the file in use has this key")
                 else:
                     self._check_keys(new[key], value, f"{place}.{key}")
-        elif isinstance(used, list) and isinstance(new, list) and is_list_of_objects(used):
-            common = set.intersection(*(set(entry) for entry in used))
+        elif isinstance(current, list) and isinstance(new, list) and is_list_of_objects(current):
+            common = set.intersection(*(set(entry) for entry in current))
             self._check_entries(new, common, place)
 
     def _check_entries(self, entries: list[Any], common: set[str], place: str) -> None:
         """Report, for each entry of a list, the missing keys that every entry in use has."""
         for index, entry in enumerate(entries):
             if not isinstance(entry, dict):
-                self._note(f"{place}[{index}]", unusable_words(entry), "must be an object")
+                self._report(f"{place}[{index}]", describe_unusable(entry), "must be an object")
                 continue
             for key in sorted(common - set(entry)):
-                self._note(f"{place}[{index}].{key}", "is missing", "every entry in use has this key")
+                self._report(f"{place}[{index}].{key}", "is missing", "every entry in use has this key")
 
     def _check_classes(self, classes: Any) -> None:
         """Check the list of classes: each has a unique name, a valid deadline and a valid idempotency."""
         if not isinstance(classes, list) or not classes:
             expected = "must be a list of at least one class"
-            self._note("settings.classes", unusable_words(classes), expected)
+            self._report("settings.classes", describe_unusable(classes), expected)
             return
         names: set[str] = set()
         for index, entry in enumerate(classes):
@@ -122,18 +122,18 @@
         """Check one class, and add its name to ``names``, the names of the classes before it."""
         name = entry.get("name")
         if not isinstance(name, str) or not name:
-            self._note(f"{place}.name", unusable_words(name), "must be a name of at least one character")
+            self._report(f"{place}.name", describe_unusable(name), "must be a name of at least one character")
         elif name in names:
-            self._note(f"{place}.name", f"{name!r} is the name of another class", "must be unique")
+            self._report(f"{place}.name", f"{name!r} is the name of another class", "must be unique")
         else:
             names.add(name)
         if "give_up_ns" in entry and not is_positive(entry["give_up_ns"]):
             expected = "must be a positive number of nanoseconds"
-            self._note(f"{place}.give_up_ns", unusable_words(entry["give_up_ns"]), expected)
-        effect = entry.get("idempotency")
-        if effect is not None and effect not in IDEMPOTENCY_NAMES:
+            self._report(f"{place}.give_up_ns", describe_unusable(entry["give_up_ns"]), expected)
+        idempotency = entry.get("idempotency")
+        if idempotency is not None and idempotency not in IDEMPOTENCY_NAMES:
             expected = f"must be one of {', '.join(IDEMPOTENCY_NAMES)}"
-            self._note(f"{place}.idempotency", unusable_words(effect), expected)
+            self._report(f"{place}.idempotency", describe_unusable(idempotency), expected)
 
 
 def is_list_of_objects(entries: list[Any]) -> bool:
@@ -153,7 +153,7 @@
     return is_positive(value) and float(value).is_integer()
 
 
-def unusable_words(value: Any) -> str:
+def describe_unusable(value: Any) -> str:
     """Describe an unusable value as ``VALUE is not usable``, in JSON and shortened where it is long.
 
     None is described as missing or null.
--- a/kelpcroft/config_reload/plan.py
+++ b/kelpcroft/config_reload/plan.py
@@ -25,9 +25,9 @@
 TRANSITION_NS = 2_000 * MS  # how long the stricter of the old and new settings is used
 # Scopes in which servers drop repeated requests with the same key, from the widest to the narrowest.  Any
 # other scope ranks as the widest.
-NARROWNESS = {"all": 0, "zone": 1, "cell": 2}
+SCOPE_NARROWNESS = {"all": 0, "zone": 1, "cell": 2}
 # Idempotency of a class, from the least strict to the strictest.
-STRICTNESS = {api.Idempotency.SAFE: 0, api.Idempotency.KEYED: 1, api.Idempotency.UNSAFE: 2}
+IDEMPOTENCY_STRICTNESS = {api.Idempotency.SAFE: 0, api.Idempotency.KEYED: 1, api.Idempotency.UNSAFE: 2}
 
 
 class AttemptLimits(NamedTuple):
@@ -51,10 +51,10 @@
 
     def __str__(self) -> str:
         names_by_change = (("came", self.added), ("went", self.removed), ("changed", self.changed))
-        parts = [f"{change}: {', '.join(names)}" for change, names in names_by_change if names]
+        descriptions = [f"{change}: {', '.join(names)}" for change, names in names_by_change if names]
         if self._changes_attempts():
-            parts.append(f"attempts {self.attempts.before} to {self.attempts.after}")
-        return "; ".join(parts) or "no class or limit changed"
+            descriptions.append(f"attempts {self.attempts.before} to {self.attempts.after}")
+        return "; ".join(descriptions) or "no class or limit changed"
 
     def _changes_attempts(self) -> bool:
         return self.attempts.before != self.attempts.after
@@ -79,15 +79,15 @@
 
     Fields for which no value is stricter have the new file's value.
     """
-    keyed = [c for c in (old, new) if c.idempotency is api.Idempotency.KEYED]
+    keyed_classes = [c for c in (old, new) if c.idempotency is api.Idempotency.KEYED]
     return replace(
         new,
         idempotency=stricter_idempotency(old.idempotency, new.idempotency),
-        deadline_ns=lower_set(old.deadline_ns, new.deadline_ns),
+        deadline_ns=lower_limit(old.deadline_ns, new.deadline_ns),
         dedup_window_ns=min(
-            (c.dedup_window_ns for c in keyed), default=max(old.dedup_window_ns, new.dedup_window_ns)
+            (c.dedup_window_ns for c in keyed_classes), default=max(old.dedup_window_ns, new.dedup_window_ns)
         ),
-        dedup_scope=narrowest_scope(keyed) if keyed else new.dedup_scope,
+        dedup_scope=narrowest_scope(keyed_classes) if keyed_classes else new.dedup_scope,
         uncacheable=old.uncacheable or new.uncacheable,
     )
 
@@ -96,15 +96,15 @@
     """Return an idempotency that permits a retry only where both files permit it."""
     if {old, new} == {api.Idempotency.SAFE, api.Idempotency.KEYED}:
         return api.Idempotency.UNSAFE  # not all clients send a key yet
-    return old if STRICTNESS[old] > STRICTNESS[new] else new
+    return old if IDEMPOTENCY_STRICTNESS[old] > IDEMPOTENCY_STRICTNESS[new] else new
 
 
-def narrowest_scope(keyed: list[api.RequestClass]) -> str:
+def narrowest_scope(keyed_classes: list[api.RequestClass]) -> str:
     """Return the narrowest scope in which repeats of a key are dropped, of one or more classes."""
-    return max(keyed, key=lambda c: NARROWNESS.get(c.dedup_scope, 0)).dedup_scope
+    return max(keyed_classes, key=lambda c: SCOPE_NARROWNESS.get(c.dedup_scope, 0)).dedup_scope
 
 
-def lower_set(old: int, new: int) -> int:
+def lower_limit(old: int, new: int) -> int:
     """Return the lower of two bounds, of which 0 or less is not set; 0 where neither is set."""
     return min((bound for bound in (old, new) if bound > 0), default=0)
 
--- a/kelpcroft/core/config_reload.py
+++ b/kelpcroft/core/config_reload.py
@@ -46,9 +46,9 @@
 
     def on_file_read(self, read: ConfigFileRead) -> None:
         """Apply a configuration file that was read again, or nothing of it where it has an error."""
-        checked, faults = self.check(read)
+        checked, diagnostics = self.check(read)
         if checked is None:
-            self.log_refused(read.path, faults)
+            self.log_not_applied(read.path, diagnostics)
         else:
             self.apply(read.path, checked)
 
@@ -56,12 +56,12 @@
         """Decode and check a file; returns None and its diagnostics where it has errors."""
         if read.data is None:
             return None, [config_reload.Diagnostic("", read.reason, "must be a readable file")]
-        raw, faults = config_reload.decode_config(read.data)
-        if raw is None or faults:
-            return None, faults
-        faults = config_reload.validate_reload(raw, self.state.raw_config)
-        if faults:
-            return None, faults
+        raw, diagnostics = config_reload.decode_config(read.data)
+        if raw is None or diagnostics:
+            return None, diagnostics
+        diagnostics = config_reload.validate_reload(raw, self.state.raw_config)
+        if diagnostics:
+            return None, diagnostics
         try:
             settings = parse_settings(raw["settings"], self.state.settings.seed)
             feed_address = parse_address("feed", raw["feed"])
@@ -71,11 +71,11 @@
             ]
         return CheckedConfig(raw, settings, feed_address), []
 
-    def log_refused(self, path: str, faults: list[config_reload.Diagnostic]) -> None:
+    def log_not_applied(self, path: str, diagnostics: list[config_reload.Diagnostic]) -> None:
         """Log that a file is not applied, with its first error."""
-        first = faults[0] if faults else config_reload.Diagnostic("", "cannot be used", "")
+        first = diagnostics[0] if diagnostics else config_reload.Diagnostic("", "cannot be used", "")
         self.state.counters["files refused"] += 1
-        count = f"{len(faults)} error{'s' if len(faults) != 1 else ''}"
+        count = f"{len(diagnostics)} error{'s' if len(diagnostics) != 1 else ''}"
         self.state.log(
             "config.refused",
             f"configuration not taken: {first} (in {path}; {count} in total); no part of it is applied",
@@ -85,14 +85,14 @@
                 "place": first.place,
                 "found": first.found,
                 "wanted": first.expected,
-                "faults": len(faults),
+                "faults": len(diagnostics),
             },
         )
 
     def apply(self, path: str, checked: CheckedConfig) -> None:
         """Apply a file that passed all checks."""
         state = self.state
-        kept = kept_keys(checked.raw["settings"], state.raw_config.get("settings", {}))
+        deferred = deferred_keys(checked.raw["settings"], state.raw_config.get("settings", {}))
         state.raw_config = checked.raw
         feed_text = self.watch.move_feed(checked.feed_address)
         change = config_reload.diff_settings(state.settings, checked.settings)
@@ -104,11 +104,11 @@
             "went": list(change.removed),
             "changed": list(change.changed),
             "attempts": list(change.attempts),
-            "kept": kept,
+            "kept": deferred,
         }
-        kept_text = f"; kept until the next start: {', '.join(kept)}" if kept else ""
+        deferred_text = f"; kept until the next start: {', '.join(deferred)}" if deferred else ""
         state.log(
-            "config.read", f"configuration read again: {feed_text}; {change}{kept_text}", "info", fields
+            "config.read", f"configuration read again: {feed_text}; {change}{deferred_text}", "info", fields
         )
 
     def begin_transition(self, settings: api.Settings) -> None:
@@ -136,17 +136,17 @@
         )
 
 
-def kept_keys(new: dict[str, Any], old: dict[str, Any]) -> list[str]:
+def deferred_keys(new: dict[str, Any], old: dict[str, Any]) -> list[str]:
     """Keys of the settings whose values differ and stay unchanged until the next start.
 
     These are all keys except classes, limits, and the lists of ``family_info`` that belong to the classes.
     """
-    kept = []
+    deferred = []
     for key in sorted({*new, *old} - set(RELOADED_KEYS)):
         new_value, old_value = new.get(key), old.get(key)
         if key == "family_info" and isinstance(new_value, dict) and isinstance(old_value, dict):
             family_keys = sorted({*new_value, *old_value} - set(RELOADED_FAMILY_KEYS))
-            kept += [f"{key}.{k}" for k in family_keys if new_value.get(k) != old_value.get(k)]
+            deferred += [f"{key}.{k}" for k in family_keys if new_value.get(k) != old_value.get(k)]
         elif new_value != old_value:
-            kept.append(key)
-    return kept
+            deferred.append(key)
+    return deferred
--- a/kelpcroft/core/configured_feed.py
+++ b/kelpcroft/core/configured_feed.py
@@ -10,7 +10,7 @@
 
 # This many early responses without events in a row count as a failed watch request.  Under a budget of
 # requests, the first one does.
-MAX_EMPTY_ANSWERS = 3
+MAX_EMPTY_RESPONSES = 3
 
 
 class ConfiguredFeed:
@@ -21,7 +21,7 @@
         self.position = position
         self.endpoint_list = endpoint_list
         self.address = state.config.feed_address
-        self.empty_answers = 0  # early responses without events, in a row
+        self.empty_responses = 0  # early responses without events, in a row
 
     def on_response(self, response: WatchResponse) -> None:
         """Apply a response, then send the next watch request immediately.
@@ -33,31 +33,31 @@
         spread over time.
         """
         if response.has_more:
-            self.take_piece(response)
+            self.apply_chunk(response)
             return
         schedule = self.position.schedule
         has_events = bool(
-            response.events or response.unusable_events or self.endpoint_list.events_of_long_answer
+            response.events or response.unusable_events or self.endpoint_list.chunked_response_events
         )
-        if self.position.is_empty_answer(response, has_events):
-            self.empty_answers += 1
+        if self.position.is_early_empty_response(response, has_events):
+            self.empty_responses += 1
         else:
-            self.empty_answers = 0
-        needs_full_list = self.take_response(response)
-        brought_nothing = (
-            self.endpoint_list.events_of_long_answer > 0
-            and self.position.last_event <= self.position.called_at_event
+            self.empty_responses = 0
+        needs_full_list = self.apply_response(response)
+        made_no_progress = (
+            self.endpoint_list.chunked_response_events > 0
+            and self.position.last_event <= self.position.requested_from_event
         )
-        self.end_long_answer()
-        if brought_nothing:
-            self.position.call_in(schedule.record_failure(wasted_bytes=response.bytes_read))
-        elif needs_full_list or self.empty_answers >= (1 if schedule.has_budget else MAX_EMPTY_ANSWERS):
-            self.position.call_in(schedule.record_failure())
+        self.end_chunked_response()
+        if made_no_progress:
+            self.position.schedule_watch_request(schedule.record_failure(wasted_bytes=response.bytes_read))
+        elif needs_full_list or self.empty_responses >= (1 if schedule.has_budget else MAX_EMPTY_RESPONSES):
+            self.position.schedule_watch_request(schedule.record_failure())
         else:
             schedule.record_success()
-            self.position.call()
+            self.position.send_watch_request()
 
-    def take_response(self, response: WatchResponse) -> bool:
+    def apply_response(self, response: WatchResponse) -> bool:
         """Apply a complete response, or the end of a response that arrived in chunks.
 
         Returns:
@@ -65,7 +65,7 @@
         """
         view = self.position.view
         view.begin_response(response.last_event)
-        self.endpoint_list.take_events(response)
+        self.endpoint_list.apply_events(response)
         before = self.position.last_event
         needs_full_list = view.end_response(self.state.now, response.last_event)
         if needs_full_list:
@@ -78,52 +78,52 @@
             )
         return needs_full_list
 
-    def take_piece(self, response: WatchResponse) -> None:
+    def apply_chunk(self, response: WatchResponse) -> None:
         """Apply one chunk of a response too long to be decoded at once, as after hours without the feed."""
-        endpoint_list, called_at = self.endpoint_list, self.position.called_at_event
-        if not endpoint_list.events_of_long_answer:
+        endpoint_list, requested_from = self.endpoint_list, self.position.requested_from_event
+        if not endpoint_list.chunked_response_events:
             self.state.log(
                 "feed.behind",
-                f"feed: far behind at event {called_at}: the response is applied in chunks",
+                f"feed: far behind at event {requested_from}: the response is applied in chunks",
                 "info",
-                {"from": called_at},
+                {"from": requested_from},
             )
-        endpoint_list.events_of_long_answer += len(response.events) + len(response.unusable_events)
-        endpoint_list.take_events(response)
+        endpoint_list.chunked_response_events += len(response.events) + len(response.unusable_events)
+        endpoint_list.apply_events(response)
         self.position.view.record_progress(response.last_event)
 
-    def end_long_answer(self) -> None:
+    def end_chunked_response(self) -> None:
         """Log and reset the counts of a response in chunks that has ended or failed.
 
         The events that were applied stay applied.
         """
         endpoint_list = self.endpoint_list
-        events, left_out = endpoint_list.events_of_long_answer, endpoint_list.purges_left_out
+        events, skipped = endpoint_list.chunked_response_events, endpoint_list.skipped_purges
         if events:
             last_event = self.position.last_event
             self.state.log(
                 "feed.pieces",
                 f"feed: received {events} events of a response in chunks, up to {last_event}; "
-                f"skipped {left_out} purges of them as too old",
+                f"skipped {skipped} purges of them as too old",
                 "info",
-                {"events": events, "to": last_event, "past": left_out},
+                {"events": events, "to": last_event, "past": skipped},
             )
-        endpoint_list.events_of_long_answer = 0
-        endpoint_list.purges_left_out = 0
+        endpoint_list.chunked_response_events = 0
+        endpoint_list.skipped_purges = 0
 
     def on_failed(self, failed: WatchFailed) -> None:
         """Keep the endpoint list after a failed watch request, and send the next request after a delay."""
         schedule = self.position.schedule
         if not schedule.consecutive_failures:
             self.state.log("feed.lost", f"feed: {failed.reason}", "warning", {"why": failed.reason})
-        self.end_long_answer()
-        has_progressed = self.position.last_event > self.position.called_at_event
+        self.end_chunked_response()
+        has_progressed = self.position.last_event > self.position.requested_from_event
         wasted_bytes = 0 if has_progressed else failed.bytes_read
-        self.position.call_in(schedule.record_failure(failed.retry_after_ns, wasted_bytes))
+        self.position.schedule_watch_request(schedule.record_failure(failed.retry_after_ns, wasted_bytes))
 
     def switch_to(self, address: tuple[str, int]) -> None:
         """Watch the feed at an address from now on; failures at the previous address no longer count."""
         self.address = address
         self.position.schedule.consecutive_failures = 0
         self.state.effects.append(SwitchFeed(address))
-        self.position.call()
+        self.position.send_watch_request()
--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -20,9 +20,9 @@
     Attributes:
         position: The last event that was applied, and the watch on the feed.
         has_list: A snapshot or an update has been applied.
-        events_of_long_answer: Number of events received of a watch response that arrives in chunks; 0 where
+        chunked_response_events: Number of events received of a watch response that arrives in chunks; 0 where
             no such response is arriving.
-        purges_left_out: Number of purges of that response that were skipped as too old.
+        skipped_purges: Number of purges of that response that were skipped as too old.
     """
 
     def __init__(
@@ -33,51 +33,51 @@
         self.attempts = attempts
         self.decisions = decisions
         self.has_list = False
-        self.events_of_long_answer = 0
-        self.purges_left_out = 0
+        self.chunked_response_events = 0
+        self.skipped_purges = 0
 
     @property
     def last_event(self) -> int:
         """Number of the last event that was applied."""
         return self.position.last_event
 
-    def take_events(self, response: WatchResponse) -> None:
+    def apply_events(self, response: WatchResponse) -> None:
         """Apply the events of a watch response, in their order."""
         for reason in response.unusable_events:
-            self.log_refused(reason)
+            self.log_not_applied(reason)
         for event in response.events:
             if isinstance(event, EndpointUpdate):
-                self.take_update(event)
+                self.apply_usable(event)
             else:
-                self.take_purge(event)
+                self.apply_purge(event)
 
-    def take_update(self, update: EndpointUpdate) -> None:
+    def apply_usable(self, update: EndpointUpdate) -> None:
         """Apply the usable endpoints of a snapshot or an update."""
         reason = self.unknown_field(update)
         usable, reasons = self.position.view.select_usable(
             update.endpoints, update.is_full_list, update.event_number
         )
-        for refused in [reason] if reason else reasons:
-            self.log_refused(refused)
+        for rejection in [reason] if reason else reasons:
+            self.log_not_applied(rejection)
         if not reason and (usable or not reasons):
             self.position.view.apply(usable, update.is_full_list)
             self.apply(EndpointUpdate(update.is_full_list, tuple(usable), update.event_number))
 
-    def take_purge(self, purge: Purge) -> None:
+    def apply_purge(self, purge: Purge) -> None:
         """Apply a purge.
 
         In a response that arrives in chunks, a purge older than ``purge_retention_ns`` is skipped: a router
         that received it in time would have discarded it by now, and such a response has many of them.
         """
         state = self.state
-        ago_ns = max(0, state.now - purge.purged_at_ns)
-        if self.events_of_long_answer and ago_ns > state.settings.rules.purge_retention_ns:
-            self.purges_left_out += 1
+        age_ns = max(0, state.now - purge.purged_at_ns)
+        if self.chunked_response_events and age_ns > state.settings.rules.purge_retention_ns:
+            self.skipped_purges += 1
             return
         state.counters["purges"] += 1
-        state.events.append(api.Purged(purge.object_number, purge.group, ago_ns))
+        state.events.append(api.Purged(purge.object_number, purge.group, age_ns))
         self.decisions.run()
-        self.attempts.cancel_matching(partial(asks_for_purged, purge))
+        self.attempts.cancel_matching(partial(matches_purge, purge))
 
     def unknown_field(self, update: EndpointUpdate) -> str:
         """Return the first zone or type in an update that the settings do not contain, or "".
@@ -98,8 +98,8 @@
         Attempts that have not been sent and need a server that is no longer in service are cancelled, so that
         the decision package selects again.
         """
-        form = self.form_of(update)
-        if form == "replace":
+        update_kind = self.kind_of_update(update)
+        if update_kind == "replace":
             self.retire_unlisted(update.endpoints)
         self.has_list = True
         if self.state.is_tracing:
@@ -109,17 +109,19 @@
                 self.state.endpoints[endpoint.name] = endpoint
             else:
                 self.retire(endpoint.name)
-        self.state.events.append(api.ServerList(form, tuple(map(self.server_of, update.endpoints))))
+        self.state.events.append(
+            api.ServerList(update_kind, tuple(map(self.to_decision_server, update.endpoints)))
+        )
         self.decisions.run()
-        self.attempts.cancel_matching(self.asks_unlisted)
+        self.attempts.cancel_matching(self.uses_unlisted_server)
 
-    def form_of(self, update: EndpointUpdate) -> str:
+    def kind_of_update(self, update: EndpointUpdate) -> str:
         """Name of an update in the decision package: "restored" first, then "replace" or "update"."""
         if not self.has_list:
             return "restored"
         return "replace" if update.is_full_list else "update"
 
-    def server_of(self, endpoint: EndpointRecord) -> api.Server:
+    def to_decision_server(self, endpoint: EndpointRecord) -> api.Server:
         """Convert an endpoint to the decision package's type."""
         return api.Server(
             endpoint.name,
@@ -131,10 +133,10 @@
             endpoint.started_ns,
         )
 
-    def asks_unlisted(self, attempt: Attempt) -> bool:
+    def uses_unlisted_server(self, attempt: Attempt) -> bool:
         """Whether an attempt is sent to, or filled from, a server that is not in service."""
-        known = self.state.endpoints
-        return attempt.forward.server not in known or attempt.forward.fill_source not in known
+        in_service = self.state.endpoints
+        return attempt.forward.server not in in_service or attempt.forward.fill_source not in in_service
 
     def retire_unlisted(self, listed: Iterable[EndpointRecord]) -> None:
         """Retire the servers that a snapshot does not contain."""
@@ -147,7 +149,7 @@
         self.state.endpoints.pop(name, None)
         self.attempts.connections.retire_server(name)
 
-    def log_refused(self, reason: str) -> None:
+    def log_not_applied(self, reason: str) -> None:
         """Log that an event, or an endpoint of one, is not applied."""
         self.state.log("feed.refused", f"feed: not applied: {reason}", "warning", {"why": reason})
 
@@ -160,7 +162,7 @@
         )
 
 
-def asks_for_purged(purge: Purge, attempt: Attempt) -> bool:
+def matches_purge(purge: Purge, attempt: Attempt) -> bool:
     """Whether an attempt requests an object that was purged."""
     message = attempt.request.message
     if purge.object_number is None:
--- a/kelpcroft/core/feed_position.py
+++ b/kelpcroft/core/feed_position.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:  # at run time, imported only where the operator's file names control replicas
     from kelpcroft.control_log.subscription import Subscription
 
-STALLED_WAIT_MS = 1  # wait of a watch request after a process stall: the feed responds immediately
+AFTER_STALL_WAIT_MS = 1  # wait of a watch request after a process stall: the feed responds immediately
 
 
 class FeedPosition:
@@ -25,9 +25,9 @@
         view: The last record of each server, and the number of the last event.
         schedule: Delays of the watch requests.
         subscription: To control replicas, where they are watched instead of the configuration's feed.
-        called_ns: When the last watch request was sent, except those after a process stall.
-        called_at_event: The last applied event at that time.
-        wants_answer_at_once: The last watch request required an immediate response, with or without events.
+        requested_ns: When the last watch request was sent, except those after a process stall.
+        requested_from_event: The last applied event at that time.
+        requires_immediate_response: The last watch request followed a stall and does not wait for events.
     """
 
     def __init__(self, state: State) -> None:
@@ -35,40 +35,40 @@
         self.view = EndpointView()
         self.schedule = DiscoverySchedule(state.config.settings.instances, 0)
         self.subscription: Subscription | None = None
-        self.called_ns = 0
-        self.called_at_event = 0
-        self.wants_answer_at_once = False
+        self.requested_ns = 0
+        self.requested_from_event = 0
+        self.requires_immediate_response = False
 
     @property
     def last_event(self) -> int:
         """Number of the last event that was applied."""
         return self.view.last_event_number
 
-    def call_in(self, wait_ns: int) -> None:
+    def schedule_watch_request(self, wait_ns: int) -> None:
         """Send the next watch request after a delay, or immediately where the delay is 0."""
         if wait_ns > 0:
             self.state.schedule(wait_ns, TimerKind.POLL_FEED)
         else:
-            self.call()
+            self.send_watch_request()
 
-    def call(self) -> None:
+    def send_watch_request(self) -> None:
         """Send a watch request for the events after the last one."""
-        self.called_ns = self.state.now
-        self.called_at_event = self.last_event
-        self.wants_answer_at_once = False
+        self.requested_ns = self.state.now
+        self.requested_from_event = self.last_event
+        self.requires_immediate_response = False
         timeouts = self.timeouts()
-        self.poll(timeouts.wait_ns // MS, timeouts.silence_ns)
+        self.poll_feed(timeouts.wait_ns // MS, timeouts.silence_ns)
 
-    def call_after_stall(self) -> None:
+    def refresh_after_stall(self) -> None:
         """Send a watch request that is answered immediately, after a process stall.
 
         The rules count the events that the feed published during the stall as known to the router.
         """
         self.state.counters["stalls"] += 1
-        self.wants_answer_at_once = True
-        self.poll(STALLED_WAIT_MS, self.timeouts().silence_ns)
+        self.requires_immediate_response = True
+        self.poll_feed(AFTER_STALL_WAIT_MS, self.timeouts().silence_ns)
 
-    def poll(self, wait_ms: int, response_timeout_ns: int) -> None:
+    def poll_feed(self, wait_ms: int, response_timeout_ns: int) -> None:
         """Send one watch request, from the subscription's position or after the last event."""
         if self.subscription is None:
             self.state.effects.append(PollFeed(self.last_event, wait_ms, response_timeout_ns))
@@ -82,12 +82,12 @@
         """How long a watch request waits for events, and its silence timeout after that."""
         return watch_timeouts(self.state.settings.rules, self.schedule.news_wait_ms() * MS)
 
-    def is_empty_answer(self, response: WatchResponse, has_events: bool) -> bool:
+    def is_early_empty_response(self, response: WatchResponse, has_events: bool) -> bool:
         """Whether a response without events arrived before half of its wait had passed.
 
         The router would poll in a loop if it followed such responses with an immediate request each time.
         """
         if has_events or response.last_event != self.last_event:
             return False
-        waited_ns = self.state.now - self.called_ns
-        return not self.wants_answer_at_once and waited_ns < self.timeouts().wait_ns // 2
+        waited_ns = self.state.now - self.requested_ns
+        return not self.requires_immediate_response and waited_ns < self.timeouts().wait_ns // 2
--- a/kelpcroft/core/feed_watch.py
+++ b/kelpcroft/core/feed_watch.py
@@ -41,16 +41,16 @@
             replicas: The control replicas of the operator's file; None = none are named.
         """
         config = self.state.config
-        schedule = DiscoverySchedule(config.settings.instances, self.draw_seed(), options.list_calls_per_s)
+        schedule = DiscoverySchedule(config.settings.instances, self.new_seed(), options.list_calls_per_s)
         self.position.schedule = schedule
-        self.configured.take_response(config.initial_endpoints)
+        self.configured.apply_response(config.initial_endpoints)
         if replicas is not None:
-            self.follow(replicas)
+            self.watch_replicas(replicas)
             return
         wait_ns = schedule.first_call_delay_ns() + crash_loop_delay_ns if schedule.has_budget else 0
-        self.position.call_in(wait_ns)
+        self.position.schedule_watch_request(wait_ns)
 
-    def draw_seed(self) -> int:
+    def new_seed(self) -> int:
         """Return a seed that differs between routers and between times."""
         return mix64(self.state.router_seed ^ self.state.now)
 
@@ -58,7 +58,7 @@
         """Apply the start options of an operator's file that was read."""
         self.position.schedule.set_budget(self.state.settings.instances, options.list_calls_per_s)
 
-    def follow(self, replicas: ControlReplicas | None) -> None:
+    def watch_replicas(self, replicas: ControlReplicas | None) -> None:
         """Watch control replicas from now on, or the configuration's feed where none are named.
 
         The event numbers of the configured feed and of the replicas cannot be compared, so a switch between
@@ -76,7 +76,7 @@
             return
         from kelpcroft.core.replica_feed import ReplicaFeed
 
-        seed = self.draw_seed()
+        seed = self.new_seed()
         self.replica_feed = ReplicaFeed(self.state, self.position, self.endpoint_list, replicas, seed)
         self.replica_feed.start()
 
@@ -96,7 +96,7 @@
 
     def on_stalled(self, _message: ProcessStalled) -> None:
         """Request the current events after a process stall: the feed may have published some meanwhile."""
-        self.position.call_after_stall()
+        self.position.refresh_after_stall()
 
     def move_feed(self, address: tuple[str, int]) -> str:
         """Apply the feed address of a reloaded configuration.
--- a/kelpcroft/core/operator_settings.py
+++ b/kelpcroft/core/operator_settings.py
@@ -42,7 +42,7 @@
         self.apply_routes(read.file)
         self.process.operator_file_digest = read.digest
         self.watch.set_start_options(read.file.start_options)
-        self.watch.follow(read.file.control_replicas)
+        self.watch.watch_replicas(read.file.control_replicas)
         self.apply_start_options(read.file.start_options)
         if read.file.exposes_state != (state.statistics is not None):
             state.statistics = RequestStatistics() if read.file.exposes_state else None
@@ -66,10 +66,10 @@
         self.limit_origin_fetches(options.limit_origin_fetches)
         self.estimate_fleet_size(options.estimate_fleet_size)
 
-    def limit_origin_fetches(self, wanted: bool) -> None:
+    def limit_origin_fetches(self, is_enabled: bool) -> None:
         """Enable or disable the limit on concurrent fetches at the origin during startup."""
         state = self.state
-        if not wanted:
+        if not is_enabled:
             state.origin_limit = None
         elif state.origin_limit is None:
             from kelpcroft.startup.origin_concurrency import OriginConcurrencyLimit
@@ -77,15 +77,15 @@
             state.origin_limit = OriginConcurrencyLimit(state.now)
         state.set_cold_budget_share(state.cold_budget_share)
 
-    def estimate_fleet_size(self, wanted: bool) -> None:
+    def estimate_fleet_size(self, is_enabled: bool) -> None:
         """Enable or disable the estimate of the zone's routers from the caches' reports."""
         state = self.state
         configured = state.config.settings.zone_instances
-        if wanted and state.fleet_size is None:
+        if is_enabled and state.fleet_size is None:
             from kelpcroft.startup.fleet_size import FleetSizeEstimator
 
             state.fleet_size = FleetSizeEstimator(configured)
-        elif not wanted and state.fleet_size is not None:
+        elif not is_enabled and state.fleet_size is not None:
             state.fleet_size = None
             self.set_zone_routers(configured)
 
--- a/kelpcroft/core/predecessor.py
+++ b/kelpcroft/core/predecessor.py
@@ -34,23 +34,23 @@
             remaining_ns = self.restart_overlap.overlap_ends_ns - state.now
             state.schedule(min(SECOND, max(MS, remaining_ns)), TimerKind.RESTART_OVERLAP)
 
-    def on_state(self, left: PredecessorState) -> None:
+    def on_state(self, recorded: PredecessorState) -> None:
         """Apply the predecessor's service state at the start: an operator's drain outlives the process."""
         state = self.state
-        if left.is_in_service is None:
-            if left.reason:
+        if recorded.is_in_service is None:
+            if recorded.reason:
                 state.log(
                     "handover.refused",
-                    f"predecessor's service state not applied: {left.reason}",
+                    f"predecessor's service state not applied: {recorded.reason}",
                     "warning",
-                    {"why": left.reason},
+                    {"why": recorded.reason},
                 )
-        elif not left.is_in_service and self.process.service_state.drain(left.since_ns):
+        elif not recorded.is_in_service and self.process.service_state.drain(recorded.since_ns):
             state.log(
                 "service.out",
                 "out of service, as the predecessor was: closing client connections",
                 "info",
-                {"since_s": round((state.now - left.since_ns) / SECOND, 3), "handed": True},
+                {"since_s": round((state.now - recorded.since_ns) / SECOND, 3), "handed": True},
             )
             state.effects.append(DrainClients(True))
 
--- a/kelpcroft/core/replica_feed.py
+++ b/kelpcroft/core/replica_feed.py
@@ -22,7 +22,7 @@
 
 # Early responses without events, in a row, that do not count as a polling loop: one for a first state that is
 # suspect, and two that are in flight across a move to another replica.
-MAX_EMPTY_ANSWERS = 3
+MAX_EMPTY_RESPONSES = 3
 
 
 class ReplicaFeed:
@@ -41,53 +41,53 @@
         self.position = position
         self.endpoint_list = endpoint_list
         self.subscription = Subscription(state.now, replicas.addresses, replicas.stale_after_ns, seed)
-        self.empty_answers = 0  # early responses without events, in a row
+        self.empty_responses = 0  # early responses without events, in a row
         # Chunks received of the current response.  Responses of replicas are bounded, so a response in chunks
         # does not come from a replica.
-        self.pieces = 0
+        self.chunks = 0
 
     def start(self) -> None:
         """Send the first watch request, after a short random delay."""
         self.position.subscription = self.subscription
         self.state.effects.append(SwitchFeed(self.subscription.current_address))
-        self.position.call_in(self.subscription.selector.short_random_delay_ns())
+        self.position.schedule_watch_request(self.subscription.selector.short_random_delay_ns())
 
     def on_response(self, response: WatchResponse) -> None:
         """Apply what a response's verdict permits, and send the next watch request."""
         if response.has_more:
-            self.pieces += 1
+            self.chunks += 1
             return
         has_full_list = any(isinstance(e, EndpointUpdate) and e.is_full_list for e in response.events)
-        as_of_ms = 0 if self.pieces else response.as_of_ms
+        as_of_ms = 0 if self.chunks else response.as_of_ms
         head = ResponseHead(response.last_event, response.log_fingerprint, as_of_ms, has_full_list)
-        self.pieces = 0
+        self.chunks = 0
         if self.is_polling_in_a_loop(response):
-            self.move_on("it responds immediately without events")
+            self.move_to_next_replica("it responds immediately without events")
             return
         outcome = self.subscription.record_response(self.state.now, head)
         if outcome.verdict is ResponseVerdict.APPLY:
-            self.take(response, has_full_list)
+            self.apply_all(response, has_full_list)
         elif outcome.verdict is ResponseVerdict.APPLY_REMOVALS_ONLY:
-            self.take_removals(response)
+            self.apply_removals(response)
         if outcome.next_call is NextCall.NEXT_REPLICA:
-            self.move_on(outcome.reason)
+            self.move_to_next_replica(outcome.reason)
             return
         if outcome.next_call is NextCall.HOME_REPLICA:
             self.state.effects.append(SwitchFeed(self.subscription.current_address))
-        self.position.call()
+        self.position.send_watch_request()
 
     def is_polling_in_a_loop(self, response: WatchResponse) -> bool:
         """Whether too many early responses without events arrived in a row.
 
         A replica in good order waits for events before it responds.
         """
-        if self.position.is_empty_answer(response, bool(response.events)):
-            self.empty_answers += 1
+        if self.position.is_early_empty_response(response, bool(response.events)):
+            self.empty_responses += 1
         else:
-            self.empty_answers = 0
-        return self.empty_answers > MAX_EMPTY_ANSWERS
+            self.empty_responses = 0
+        return self.empty_responses > MAX_EMPTY_RESPONSES
 
-    def take(self, response: WatchResponse, has_full_list: bool) -> None:
+    def apply_all(self, response: WatchResponse, has_full_list: bool) -> None:
         """Apply all events of a response.
 
         A snapshot may belong to another log, whose event numbers are lower.
@@ -96,10 +96,10 @@
         if has_full_list:
             view.last_event_number = 0
         view.begin_response(max(view.last_event_number, response.last_event))
-        self.endpoint_list.take_events(response)
+        self.endpoint_list.apply_events(response)
         view.last_event_number = response.last_event
 
-    def take_removals(self, response: WatchResponse) -> None:
+    def apply_removals(self, response: WatchResponse) -> None:
         """Apply only the purges of a response, and the removals of known servers.
 
         The response's state may be earlier than the state that was applied.
@@ -107,32 +107,32 @@
         known = self.position.view.endpoints
         for event in response.events:
             if isinstance(event, Purge):
-                self.endpoint_list.take_purge(event)
+                self.endpoint_list.apply_purge(event)
                 continue
-            leaving = tuple(
+            removed = tuple(
                 endpoint
                 for endpoint in event.endpoints
                 if endpoint.state != IN_SERVICE
                 and endpoint.name in known
                 and endpoint.started_ns >= known[endpoint.name].started_ns
             )
-            if leaving and not self.endpoint_list.unknown_field(event):
-                self.position.view.apply(leaving, False)
-                self.endpoint_list.apply(EndpointUpdate(False, leaving, event.event_number))
+            if removed and not self.endpoint_list.unknown_field(event):
+                self.position.view.apply(removed, False)
+                self.endpoint_list.apply(EndpointUpdate(False, removed, event.event_number))
 
     def on_failed(self, failed: WatchFailed) -> None:
         """Move to the next replica after a failed watch request."""
-        self.move_on(failed.reason)
+        self.move_to_next_replica(failed.reason)
 
-    def move_on(self, reason: str) -> None:
+    def move_to_next_replica(self, reason: str) -> None:
         """Move from the current replica to the next one."""
         host, port = self.subscription.current_address
         if not self.subscription.selector.consecutive_failures:
             fields: dict[str, object] = {"replica": f"{host}:{port}", "why": reason}
             text = f"moving away from control replica {host}:{port}: {reason}"
             self.state.log("replica.left", text, "warning", fields)
-        self.pieces = 0
-        self.empty_answers = 0
+        self.chunks = 0
+        self.empty_responses = 0
         wait_ns = self.subscription.select_next_replica(self.state.now)
         self.state.effects.append(SwitchFeed(self.subscription.current_address))
-        self.position.call_in(wait_ns)
+        self.position.schedule_watch_request(wait_ns)
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -185,5 +185,5 @@
         pace_kb_per_s = self.settings.max_transfer_kb_per_s
         if size_kb and pace_kb_per_s:
             return size_kb / pace_kb_per_s * SECOND
-        usual = self.policy.transfer_time.get(request_class)
-        return usual.mean if usual else 0.0
+        transfer_time = self.policy.transfer_time.get(request_class)
+        return transfer_time.mean if transfer_time else 0.0
--- a/kelpcroft/core/timers.py
+++ b/kelpcroft/core/timers.py
@@ -34,7 +34,7 @@
         self.state = state
         self.attempts = attempts
         # Handlers that receive the number with which the timer was scheduled.
-        self.numbered: dict[TimerKind, Callable[[int], None]] = {
+        self.numbered_handlers: dict[TimerKind, Callable[[int], None]] = {
             TimerKind.ATTEMPT_TIMEOUT: attempts.on_timeout,
             TimerKind.DECISION: self.on_decision_timer,
             TimerKind.CONNECT_TIMEOUT: attempts.on_connect_timeout,
@@ -45,8 +45,8 @@
             TimerKind.SHUTDOWN: shutdown.on_timer,
         }
         # Handlers of the kinds that have only one timer.
-        self.single: dict[TimerKind, Callable[[], None]] = {
-            TimerKind.POLL_FEED: position.call,
+        self.unnumbered_handlers: dict[TimerKind, Callable[[], None]] = {
+            TimerKind.POLL_FEED: position.send_watch_request,
             TimerKind.HOUSEKEEPING: housekeeping.on_timer,
             TimerKind.RESTART_OVERLAP: predecessor.update_budget_share,
         }
@@ -54,13 +54,13 @@
     def on_fired(self, fired: TimerFired) -> None:
         """A scheduled timer has expired."""
         kind, number, detail = fired.key
-        handler = self.numbered.get(kind)
+        handler = self.numbered_handlers.get(kind)
         if handler is not None:
             handler(number)
         elif kind is TimerKind.HEDGE:
             self.attempts.on_hedge_due(number, detail)
         else:
-            self.single[kind]()
+            self.unnumbered_handlers[kind]()
 
     def on_decision_timer(self, number: int) -> None:
         """Pass an expired timer of the decision package on to it."""
