--- a/tests/config_reload/test_retune.py
+++ b/tests/config_reload/test_retune.py
@@ -84,30 +84,30 @@
                 assert place in places(variant(change))
 
     def test_all_faults_in_one_pass(self) -> None:
-        def spoil(raw: dict[str, Any]) -> None:
+        def corrupt(raw: dict[str, Any]) -> None:
             raw["settings"]["classes"][0]["give_up_ns"] = -5
             raw["settings"]["limits"]["most_tries"] = 0
             raw.pop("feed")
 
-        assert sorted(places(variant(spoil))) == [
+        assert sorted(places(variant(corrupt))) == [
             "feed",
             "settings.classes[0].give_up_ns",
             "settings.limits.most_tries",
         ]
 
     def test_what_is_not_whole_json(self) -> None:
-        whole = orjson.dumps(EXAMPLE)
+        complete = orjson.dumps(EXAMPLE)
         for data, found in (
             (b"", "is empty"),
             (b"  \n", "is empty"),
-            (whole[: len(whole) // 2], "not JSON"),
+            (complete[: len(complete) // 2], "not JSON"),
             (b"[1, 2]", "is a JSON list"),
         ):
             with self.subTest(found=found):
-                raw, faults = decode_config(data)
+                raw, diagnostics = decode_config(data)
                 assert raw is None
-                assert found in str(faults[0])
-        assert decode_config(whole[:40])[1][0].place.startswith("line 1 column")
+                assert found in str(diagnostics[0])
+        assert decode_config(complete[:40])[1][0].place.startswith("line 1 column")
 
     def test_classes_may_come_and_go(self) -> None:
         def change(raw: dict[str, Any]) -> None:
@@ -138,18 +138,18 @@
             classes=(changed, api.RequestClass("came")),
             limits=api.Limits(max_attempts=6, may_hedge=False, max_open_requests=0),
         )
-        between = transition_settings(self.old, new)
-        by = {c.name: c for c in between.classes}
-        assert set(by) == {"a", "came", "gone"}
-        assert by["a"].idempotency is api.Idempotency.UNSAFE
-        assert (by["a"].deadline_ns, by["a"].dedup_window_ns) == (2 * SECOND, SECOND)
-        assert (between.limits.max_attempts, between.limits.may_hedge, between.limits.max_open_requests) == (
-            4,
-            False,
-            100,
-        )
-        assert between.zone == "z"  # kept to the next start
-        after = final_settings(between, new)
+        transition = transition_settings(self.old, new)
+        by_name = {c.name: c for c in transition.classes}
+        assert set(by_name) == {"a", "came", "gone"}
+        assert by_name["a"].idempotency is api.Idempotency.UNSAFE
+        assert (by_name["a"].deadline_ns, by_name["a"].dedup_window_ns) == (2 * SECOND, SECOND)
+        assert (
+            transition.limits.max_attempts,
+            transition.limits.may_hedge,
+            transition.limits.max_open_requests,
+        ) == (4, False, 100)
+        assert transition.zone == "z"  # kept to the next start
+        after = final_settings(transition, new)
         assert [c.name for c in after.classes] == ["a", "came"]
         assert (after.limits.max_attempts, after.zone) == (6, "z")
         change = diff_settings(self.old, new)
@@ -164,7 +164,7 @@
     def test_a_key_is_held_to_the_shorter_window_and_narrower_group(self) -> None:
         """With the longer window, the router would send a retry that servers with the old file execute."""
 
-        def between(a: api.RequestClass, b: api.RequestClass) -> api.RequestClass:
+        def transition(a: api.RequestClass, b: api.RequestClass) -> api.RequestClass:
             return transition_settings(
                 api.Settings(zone="z", zones=("z",), classes=(a,)),
                 api.Settings(zone="z", zones=("z",), classes=(b,)),
@@ -173,10 +173,10 @@
         wide = api.RequestClass("a", api.Idempotency.KEYED, dedup_window_ns=3 * SECOND, dedup_scope="all")
         tight = api.RequestClass("a", api.Idempotency.KEYED, dedup_window_ns=SECOND, dedup_scope="cell")
         for pair in ((wide, tight), (tight, wide)):
-            assert (between(*pair).dedup_window_ns, between(*pair).dedup_scope) == (SECOND, "cell")
+            assert (transition(*pair).dedup_window_ns, transition(*pair).dedup_scope) == (SECOND, "cell")
         for pair in ((api.RequestClass("a"), wide), (wide, api.RequestClass("a"))):
-            assert between(*pair).idempotency is api.Idempotency.UNSAFE, "not all clients send a key yet"
-        assert between(wide, api.RequestClass("a", api.Idempotency.UNSAFE)).dedup_window_ns == 3 * SECOND
+            assert transition(*pair).idempotency is api.Idempotency.UNSAFE, "not all clients send a key yet"
+        assert transition(wide, api.RequestClass("a", api.Idempotency.UNSAFE)).dedup_window_ns == 3 * SECOND
 
     def test_a_looser_effect_waits_for_the_passage(self) -> None:
         unsafe = api.RequestClass("a", api.Idempotency.UNSAFE)
@@ -190,11 +190,11 @@
     def test_a_broken_file_changes_nothing_and_is_named_once(self) -> None:
         r = router()
 
-        def spoil(raw: dict[str, Any]) -> None:
+        def corrupt(raw: dict[str, Any]) -> None:
             raw["settings"]["classes"][0]["give_up_ns"] = -5
             raw["feed"] = "127.0.0.1:9"
 
-        effect_list = reload(r, NOW, variant(spoil))
+        effect_list = reload(r, NOW, variant(corrupt))
         (line,) = logged(effect_list, "config.refused")
         assert "settings.classes[0].give_up_ns: -5 is not usable" in line.text
         assert "config.json" in line.text
@@ -205,7 +205,7 @@
             assert len(logged(reload(r, NOW, data), "config.refused")) == 1
         assert r.state.counters["files refused"] == 3
 
-    def test_a_class_that_comes_is_taken_at_once_and_one_that_goes_after_the_passage(self) -> None:
+    def test_an_added_class_is_accepted_at_once_and_a_removed_one_until_the_transition_ends(self) -> None:
         r = router()
         first = EXAMPLE["settings"]["classes"][0]["name"]
 
@@ -219,17 +219,17 @@
         (line,) = logged(effect_list, "config.read")
         assert "came: fresh" in line.text
         assert f"went: {first}" in line.text
-        (wake,) = only(effects.ScheduleTimer, effect_list)
-        assert isinstance(wake, effects.ScheduleTimer)
-        assert wake.at_ns == NOW + TRANSITION_NS
+        (timer,) = only(effects.ScheduleTimer, effect_list)
+        assert isinstance(timer, effects.ScheduleTimer)
+        assert timer.at_ns == NOW + TRANSITION_NS
         assert only(effects.OpenServerConnection, r.handle(NOW + MS, call(1, cls="fresh")))
         assert (
             only(effects.OpenServerConnection, r.handle(NOW + MS, call(2, item="0b", cls=first)))
             or r.state.requests
         )  # still accepted during the transition
         assert r.state.policy.settings.limits.max_attempts == 1
-        settle = r.handle(NOW + TRANSITION_NS, inputs.TimerFired(wake.key))
-        assert len(logged(settle, "config.settled")) == 1
+        settled = r.handle(NOW + TRANSITION_NS, inputs.TimerFired(timer.key))
+        assert len(logged(settled, "config.settled")) == 1
         assert r.handle(NOW + TRANSITION_NS + MS, call(3, cls=first)) == [effects.FailRequest(1, 3)]
         assert r.state.classes["fresh"].idempotency == api.Idempotency.UNSAFE
 
@@ -265,14 +265,14 @@
             'kelpcroft version=1\nroute "fresh" {{ match class="{}"; attempts most=1; }}\n'
             'route "rest" {{ match; }}\n'
         )
-        with StandInServers() as world, RouterProcess(world, rules.format("page")) as router:
+        with StandInServers() as servers, RouterProcess(servers, rules.format("page")) as router:
             router.client().request("page")
             config = router.config_path
             raw = orjson.loads(config.read_bytes())
             raw["settings"]["classes"].append({**raw["settings"]["classes"][0], "name": "fresh"})
             config.write_bytes(orjson.dumps(raw))
-            told = router.reload_rules(rules.format("fresh"))
-            assert told["event"] == "rules.taken", told
+            event = router.reload_rules(rules.format("fresh"))
+            assert event["event"] == "rules.taken", event
             assert router.client().request("fresh").kind == "served"
 
 
--- a/tests/core/test_state.py
+++ b/tests/core/test_state.py
@@ -28,15 +28,15 @@
 def state(router: RouterProcess) -> tuple[int, dict[str, Any]]:
     url = f"http://{router.control_address[0]}:{router.control_address[1]}/control/state"
     try:
-        with urllib.request.urlopen(url, timeout=20) as answer:
-            return answer.status, json.loads(answer.read())
+        with urllib.request.urlopen(url, timeout=20) as response:
+            return response.status, json.loads(response.read())
     except urllib.error.HTTPError as error:
         return error.code, json.loads(error.read())
 
 
-def mixed(server: str, seen: ServerCommand) -> ScriptedReply:
+def reply_by_object(server: str, command: ServerCommand) -> ScriptedReply:
     """Reply by object: a response, a late response, an error, or none."""
-    item = seen.fields["item"][-1]
+    item = command.fields["item"][-1]
     return {
         "a": ScriptedReply(body=b"x"),
         "b": ScriptedReply(body=b"x", delay_ms=1_100),
@@ -45,56 +45,56 @@
 
 
 class Memory(unittest.TestCase):
-    def test_what_the_process_before_the_exec_held_is_not_its_own(self) -> None:
+    def test_peak_memory_excludes_the_parent_process(self) -> None:
         """``ru_maxrss`` starts at the peak of the parent process: a large supervisor's would hide a leak."""
         inner = "from kelpcroft.net.memory import peak_kb; print(peak_kb())"
         outer = (
             "import subprocess, sys\nheld = bytearray(b'x' * 200_000_000)\n"
             f"print(subprocess.check_output([sys.executable, '-c', {inner!r}], text=True))"
         )
-        told = subprocess.check_output([sys.executable, "-c", outer], cwd=ROOT, text=True, timeout=60)
-        assert 1000 < int(told) < 100000, told
+        reported_kb = subprocess.check_output([sys.executable, "-c", outer], cwd=ROOT, text=True, timeout=60)
+        assert 1000 < int(reported_kb) < 100000, reported_kb
 
-    def test_without_the_systems_page_there_is_a_figure_too(self) -> None:
+    def test_peak_memory_without_proc_status(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            page = Path(folder) / "status"
-            assert peak_kb(page) > 5000
-            page.write_text("VmHWM:\tsome kB\n")
-            assert peak_kb(page) > 5000
-            page.write_text("Name:\tx\nVmHWM:\t  1234 kB\n")
-            assert peak_kb(page) == 1234
+            status_file = Path(folder) / "status"
+            assert peak_kb(status_file) > 5000
+            status_file.write_text("VmHWM:\tsome kB\n")
+            assert peak_kb(status_file) > 5000
+            status_file.write_text("Name:\tx\nVmHWM:\t  1234 kB\n")
+            assert peak_kb(status_file) == 1234
 
 
 class OnSockets(unittest.TestCase):
-    def test_it_tells_what_became_of_each_class(self) -> None:
-        with StandInServers(mixed) as world, RouterProcess(world, ON, mgmt=True) as router:
+    def test_state_reports_the_requests_of_each_class(self) -> None:
+        with StandInServers(reply_by_object) as servers, RouterProcess(servers, ON, mgmt=True) as router:
             client = router.client()
-            for item, patience in (("a", 2_000), ("a", 2_000), ("b", 2_400), ("d", 300)):
-                client.request("page", object="0" * 15 + item, patience_ms=patience)
+            for item, remaining_ms in (("a", 2_000), ("a", 2_000), ("b", 2_400), ("d", 300)):
+                client.request("page", object="0" * 15 + item, patience_ms=remaining_ms)
             client.request("order", object="0" * 15 + "c", body=b"x")
-            code, told = state(router)
+            code, report = state(router)
             assert code == 200
-            page, order = told["classes"]["page"], told["classes"]["order"]
+            page, order = report["classes"]["page"], report["classes"]["order"]
             assert (page["asked"], page["served"], page["worth"]) == (4, 3, 4.0)
             assert page["in_time"] + page["late"] == 3.0
             assert (order["failed"], order["in_time"]) == (1, 0.0)
-            who = [told[k] for k in ("name", "ready", "service", "invariants")]
-            assert who == ["n1", True, "in", 0]
-            assert told["build"]
-            assert told["settings"]
-            assert told["rules"]
-            assert told["instance"]
-            assert told["memory_kb"] > 5000
+            identity = [report[k] for k in ("name", "ready", "service", "invariants")]
+            assert identity == ["n1", True, "in", 0]
+            assert report["build"]
+            assert report["settings"]
+            assert report["rules"]
+            assert report["instance"]
+            assert report["memory_kb"] > 5000
             again = state(router)[1]
             assert [again[k] for k in ("instance", "build", "settings", "rules")] == [
-                told[k] for k in ("instance", "build", "settings", "rules")
+                report[k] for k in ("instance", "build", "settings", "rules")
             ]
 
     def test_two_processes_of_one_build_differ_in_their_instance_alone(self) -> None:
         with (
-            StandInServers() as world,
-            RouterProcess(world, ON, mgmt=True) as one,
-            RouterProcess(world, ON, mgmt=True) as two,
+            StandInServers() as servers,
+            RouterProcess(servers, ON, mgmt=True) as one,
+            RouterProcess(servers, ON, mgmt=True) as two,
         ):
             one.client(), two.client()
             a, b = state(one)[1], state(two)[1]
@@ -103,22 +103,22 @@
             ]
             assert a["instance"] != b["instance"]
 
-    def test_off_the_path_is_unknown_and_a_file_read_again_switches_it(self) -> None:
-        with StandInServers() as world, RouterProcess(world, OFF, mgmt=True) as router:
+    def test_the_operators_file_enables_and_disables_the_path(self) -> None:
+        with StandInServers() as servers, RouterProcess(servers, OFF, mgmt=True) as router:
             router.client()
             assert state(router)[0] == 404
             assert "GET /control/state" not in state(router)[1]["calls"]
             assert router.reload_rules(ON)["event"] == "rules.taken"
-            code, told = state(router)
-            assert (code, told["classes"]) == (200, {})
-            first = told["rules"]
+            code, report = state(router)
+            assert (code, report["classes"]) == (200, {})
+            first = report["rules"]
             router.reload_rules(ON + "// another\n")
             assert state(router)[1]["rules"] != first
             router.reload_rules(OFF)
             assert state(router)[0] == 404
 
-    def test_a_crowd_of_callers_takes_nothing_from_requests(self) -> None:
-        with StandInServers() as world, RouterProcess(world, ON, mgmt=True) as router:
+    def test_many_state_requests_do_not_affect_client_requests(self) -> None:
+        with StandInServers() as servers, RouterProcess(servers, ON, mgmt=True) as router:
             client = router.client()
             for _ in range(100):
                 state(router)
@@ -138,20 +138,20 @@
             max_size=300,
         )
     )
-    def test_counts_add_up_and_have_an_end(self, ends: list[tuple[int, str, int, bool]]) -> None:
-        ledger = RequestStatistics()
-        for cls, how, attempts, in_time in ends:
-            ledger.record_end(str(cls), how, attempts, 2.0, in_time)
-        told = ledger.as_json()
-        assert len(told) <= MAX_CLASSES + 1
-        assert sum(c["asked"] for c in told.values()) == len(ends)
-        for c in told.values():
+    def test_counts_add_up_and_are_bounded(self, ends: list[tuple[int, str, int, bool]]) -> None:
+        statistics = RequestStatistics()
+        for cls, outcome, attempts, in_time in ends:
+            statistics.record_end(str(cls), outcome, attempts, 2.0, in_time)
+        report = statistics.as_json()
+        assert len(report) <= MAX_CLASSES + 1
+        assert sum(c["asked"] for c in report.values()) == len(ends)
+        for c in report.values():
             assert c["asked"] == c["served"] + c["refused"] + c["failed"] + c["gone"]
             assert c["in_time"] <= c["worth"]
         if len({cls for cls, *_ in ends}) > MAX_CLASSES:
-            assert OTHER_CLASSES in told
+            assert OTHER_CLASSES in report
 
-    def test_digests_tell_what_differs_and_not_in_what_order(self) -> None:
+    def test_digests_depend_on_content_and_not_on_order(self) -> None:
         assert settings_digest({"a": 1, "b": 2}) == settings_digest({"b": 2, "a": 1})
         assert settings_digest({"a": 1}) != settings_digest({"a": 2})
         assert settings_digest({"a": 1, "az": "x", "self_index": 3}) == settings_digest({"a": 1, "az": "y"})
--- a/tests/program/test_control.py
+++ b/tests/program/test_control.py
@@ -19,19 +19,19 @@
 READY = b"GET /control/ready HTTP/1.1\r\nHost: r\r\n\r\n"
 
 
-def status(answer: object) -> int:
-    assert isinstance(answer, bytes), answer
-    return int(answer.split(b" ", 2)[1])
+def status(response: object) -> int:
+    assert isinstance(response, bytes), response
+    return int(response.split(b" ", 2)[1])
 
 
 class Codec(unittest.TestCase):
     def test_calls_in_any_pieces(self) -> None:
         for size in (1, 2, 7, len(READY)):
-            codec, said = ControlCodec(), []
-            for at in range(0, len(READY), size):
-                said.append(codec.receive_data(READY[at : at + size]))
+            codec, results = ControlCodec(), []
+            for start in range(0, len(READY), size):
+                results.append(codec.receive_data(READY[start : start + size]))
             with self.subTest(size=size):
-                assert [s for s in said if s is not None] == [inputs.ControlVerb.READY]
+                assert [s for s in results if s is not None] == [inputs.ControlVerb.READY]
                 assert not codec.has_partial_message()
         out = b"PUT /control/out-of-service HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
         for text, verb in (
@@ -41,7 +41,7 @@
         ):
             assert ControlCodec().receive_data(text) is verb
 
-    def test_what_is_no_call_is_answered_and_nothing_more_is_read(self) -> None:
+    def test_an_invalid_request_is_answered_and_nothing_more_is_read(self) -> None:
         cases = [
             (b"GET /control HTTP/1.1\r\n\r\n", 404),
             (b"GET /control/out-of-service HTTP/1.1\r\n\r\n", 405),
@@ -63,10 +63,10 @@
         for text, code in cases:
             with self.subTest(text=text[:60], code=code):
                 codec = ControlCodec()
-                answer = codec.receive_data(text)
-                assert status(answer) == code
-                assert isinstance(answer, bytes)
-                assert b"Connection: close\r\n" in answer
+                response = codec.receive_data(text)
+                assert status(response) == code
+                assert isinstance(response, bytes)
+                assert b"Connection: close\r\n" in response
                 assert codec.receive_data(READY) is None
         allowed = ControlCodec().receive_data(b"POST /control/ready HTTP/1.1\r\n\r\n")
         assert isinstance(allowed, bytes)
@@ -75,10 +75,12 @@
     def test_a_head_is_counted_before_it_is_kept(self) -> None:
         """An endless request head is rejected at the size limit, so that it cannot exhaust the memory."""
         codec = ControlCodec()
-        answer = codec.receive_data(b"GET /control/ready HTTP/1.1\r\n")
+        response = codec.receive_data(b"GET /control/ready HTTP/1.1\r\n")
         for _ in range(MAX_HEAD_BYTES // 100 + 2):
-            answer = codec.receive_data(b"X-Filler: " + b"b" * 88 + b"\r\n") if answer is None else answer
-        assert status(answer) == 431
+            response = (
+                codec.receive_data(b"X-Filler: " + b"b" * 88 + b"\r\n") if response is None else response
+            )
+        assert status(response) == 431
         assert codec.head_bytes <= MAX_HEAD_BYTES
 
     def test_half_a_call_is_partial(self) -> None:
@@ -88,7 +90,7 @@
 
 
 class Modes(unittest.TestCase):
-    def test_a_drain_refuses_after_its_cut_and_never_exits(self) -> None:
+    def test_a_drain_rejects_after_its_grace_period_and_never_exits(self) -> None:
         service = ServiceState()
         assert service.drain(NOW)
         assert not service.drain(NOW + 1)
@@ -100,7 +102,7 @@
         assert service.admits_requests(NOW + 5 * SECOND)
         assert not service.is_draining_clients
 
-    def test_an_end_beside_another_process_waits_for_clients_up_to_its_hold(self) -> None:
+    def test_a_shutdown_on_a_shared_listener_waits_for_clients_up_to_its_limit(self) -> None:
         shared, alone = ServiceState(shares_listener=True), ServiceState()
         for service in (shared, alone):
             service.begin_shutdown(NOW)
--- a/tests/program/test_handover.py
+++ b/tests/program/test_handover.py
@@ -22,14 +22,14 @@
         assert decode(data, "n3", NOW + SECOND) == (HandoverRecord(False, NOW - SECOND, NOW, 4711), "")
         assert file_path("/run/x/", "n3") == "/run/x/kelpcroft-n3.json"
 
-    def test_an_end_is_told_and_a_later_version_that_can_be_read_is(self) -> None:
+    def test_decodes_an_end_and_a_readable_later_version(self) -> None:
         data = encode("n3", 4711, NOW, True, NOW, NOW - SECOND)
-        found, _ = decode(data, "n3", NOW)
-        assert found is not None
-        assert found.ended_ns == NOW - SECOND
+        record, _ = decode(data, "n3", NOW)
+        assert record is not None
+        assert record.ended_ns == NOW - SECOND
         good = orjson.loads(data)
         later = orjson.dumps({**good, "v": 3, "least": 1, "fields": ["not", "known"]})
-        assert decode(later, "n3", NOW)[0] == found
+        assert decode(later, "n3", NOW)[0] == record
         for bad in (
             {"v": 3},
             {"v": 3, "least": 2},
@@ -41,7 +41,7 @@
         for ended in (-1, "1", True, good["written_ms"] + 1):
             assert decode(orjson.dumps({**good, "ended_ms": ended}), "n3", NOW)[0] is None, ended
 
-    def test_an_end_does_not_change_what_the_next_process_said(self) -> None:
+    def test_an_end_keeps_the_service_state_of_the_successor(self) -> None:
         """A process that ends must not overwrite the service state of its successor, which may be drained."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(file_path(folder, "n3"))
@@ -49,9 +49,9 @@
             write_handover(
                 folder, "n3", NOW + SECOND, effects.PersistServiceState(True, 1, NOW + SECOND, NOW - SECOND)
             )
-            found, _ = decode(path.read_bytes(), "n3", NOW + SECOND)
-            assert found is not None
-            assert (found.in_service, found.pid, found.ended_ns) == (False, 4711, NOW + SECOND)
+            record, _ = decode(path.read_bytes(), "n3", NOW + SECOND)
+            assert record is not None
+            assert (record.in_service, record.pid, record.ended_ns) == (False, 4711, NOW + SECOND)
             path.write_bytes(encode("n3", 4711, NOW - 2 * SECOND, False, NOW))
             write_handover(
                 folder,
@@ -59,9 +59,9 @@
                 NOW + SECOND,
                 effects.PersistServiceState(True, 1 * SECOND, NOW + SECOND, NOW - SECOND),
             )
-            found, _ = decode(path.read_bytes(), "n3", NOW + SECOND)
-            assert found is not None
-            assert (found.in_service, found.pid) == (True, os.getpid()), "its own state is the later one"
+            record, _ = decode(path.read_bytes(), "n3", NOW + SECOND)
+            assert record is not None
+            assert (record.in_service, record.pid) == (True, os.getpid()), "its own state is the later one"
 
     def test_what_is_not_taken(self) -> None:
         good = orjson.loads(encode("n3", 4711, NOW, True, NOW))
@@ -76,24 +76,24 @@
             (orjson.dumps({**good, "service": "maybe"}), "neither in nor out"),
             (orjson.dumps({k: v for k, v in good.items() if k != "written_ms"}), "written_ms:"),
         ]
-        for data, why in cases:
-            with self.subTest(why=why):
-                found, said = decode(data, "n3", NOW)
-                assert found is None
-                assert why in said
+        for data, expected in cases:
+            with self.subTest(expected=expected):
+                record, reason = decode(data, "n3", NOW)
+                assert record is None
+                assert expected in reason
         assert "ago" in decode(encode("n3", 1, NOW, True, NOW), "n3", NOW + MAX_AGE_NS + SECOND)[1]
         assert "future" in decode(encode("n3", 1, NOW + 60 * SECOND, True, NOW), "n3", NOW)[1]
 
 
 class Reducer(unittest.TestCase):
-    def test_a_drain_is_left_behind_and_taken_up(self) -> None:
+    def test_a_drain_is_recorded_and_applied_by_the_successor(self) -> None:
         r = router()
         assert only(
             effects.PersistServiceState,
             r.handle(NOW, inputs.ControlRequest(1, inputs.ControlVerb.OUT_OF_SERVICE)),
         ) == [effects.PersistServiceState(False, NOW)]
-        back = r.handle(NOW + SECOND, inputs.ControlRequest(2, inputs.ControlVerb.IN_SERVICE))
-        assert only(effects.PersistServiceState, back) == [effects.PersistServiceState(True, NOW + SECOND)]
+        resumed = r.handle(NOW + SECOND, inputs.ControlRequest(2, inputs.ControlVerb.IN_SERVICE))
+        assert only(effects.PersistServiceState, resumed) == [effects.PersistServiceState(True, NOW + SECOND)]
         assert (
             only(
                 effects.PersistServiceState,
@@ -101,15 +101,15 @@
             )
             == []
         )  # no change
-        fresh = router()
-        effect_list = fresh.handle(NOW, inputs.PredecessorState(False, NOW - SECOND))
+        successor = router()
+        effect_list = successor.handle(NOW, inputs.PredecessorState(False, NOW - SECOND))
         assert only(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
         (reply,) = only(
-            effects.ControlResponse, fresh.handle(NOW, inputs.ControlRequest(4, inputs.ControlVerb.READY))
+            effects.ControlResponse, successor.handle(NOW, inputs.ControlRequest(4, inputs.ControlVerb.READY))
         )
         assert isinstance(reply, effects.ControlResponse)
         assert not reply.ok
-        assert fresh.handle(NOW, inputs.PredecessorState(True, NOW)) == []
+        assert successor.handle(NOW, inputs.PredecessorState(True, NOW)) == []
         assert (
             len(
                 only(
--- a/tests/program/test_signals.py
+++ b/tests/program/test_signals.py
@@ -15,16 +15,16 @@
 
 
 class Signals(unittest.TestCase):
-    def play(self, at: int, signals: tuple[int, ...], good: bool = False) -> None:
+    def run_request(self, at: int, signals: tuple[int, ...], is_valid_file: bool = False) -> None:
         """Serve one request in two attempts, with signals before one iteration of the event loop.
 
         Args:
             at: The iteration before which the signals arrive.
             signals: The signals.
-            good: The reloaded file is valid: it equals the one in use.
+            is_valid_file: The reloaded file is valid: it equals the one in use.
         """
         t = Turns(self)
-        if good:
+        if is_valid_file:
             t.loop.signals.read_config = lambda: inputs.ConfigFileRead(
                 "config.json", json.dumps(t.raw).encode()
             )
@@ -44,10 +44,10 @@
                 except BlockingIOError:
                     pass
             for n, cache in enumerate(caches):
-                for id in cache.pulls():
-                    if (n, id) not in answered:
-                        cache.send(done(id) if answered else done(id, b"", b"LACK", b"-"))
-                        answered.add((n, id))
+                for attempt_id in cache.pulls():
+                    if (n, attempt_id) not in answered:
+                        cache.send(done(attempt_id) if answered else done(attempt_id, b"", b"LACK", b"-"))
+                        answered.add((n, attempt_id))
         assert client.answers() == [[1, 1, None, [b"by", {}]]]
         assert len(answered) == 2, "one attempt that failed and one that succeeded"
         t.turn(1_000 * MS)
@@ -64,6 +64,6 @@
         for at in range(STEPS):
             for signals in ((TERM,), (HUP,), (TERM, TERM), (HUP, TERM), (TERM, HUP)):
                 with self.subTest(at=at, signals=signals):
-                    self.play(at, signals)
+                    self.run_request(at, signals)
             with self.subTest(at=at, signals="a file that can be used"):
-                self.play(at, (HUP,), good=True)
+                self.run_request(at, (HUP,), is_valid_file=True)
--- a/tests/support/reducer_fixtures.py
+++ b/tests/support/reducer_fixtures.py
@@ -27,10 +27,10 @@
 
 
 def router() -> Reducer:
-    made = Reducer(parse_config(EXAMPLE, {}))
-    made.start(NOW)
-    made.handle(NOW, inputs.ListenersReady())
-    return made
+    reducer = Reducer(parse_config(EXAMPLE, {}))
+    reducer.start(NOW)
+    reducer.handle(NOW, inputs.ListenersReady())
+    return reducer
 
 
 def only(kind: type, effect_list: list[effects.Effect]) -> list[effects.Effect]:
