--- a/kelpcroft/core/configured_feed.py
+++ b/kelpcroft/core/configured_feed.py
@@ -33,7 +33,7 @@
         spread over time.
         """
         if response.has_more:
-            self.apply_chunk(response)
+            self.take_piece(response)
             return
         schedule = self.position.schedule
         has_events = bool(
@@ -55,7 +55,7 @@
             self.position.schedule_watch_request(schedule.record_failure())
         else:
             schedule.record_success()
-            self.position.send_watch_request()
+            self.position.call()
 
     def apply_response(self, response: WatchResponse) -> bool:
         """Apply a complete response, or the end of a response that arrived in chunks.
@@ -78,7 +78,7 @@
             )
         return needs_full_list
 
-    def apply_chunk(self, response: WatchResponse) -> None:
+    def take_piece(self, response: WatchResponse) -> None:
         """Apply one chunk of a response too long to be decoded at once, as after hours without the feed."""
         endpoint_list, requested_from = self.endpoint_list, self.position.requested_from_event
         if not endpoint_list.chunked_response_events:
@@ -126,4 +126,4 @@
         self.address = address
         self.position.schedule.consecutive_failures = 0
         self.state.effects.append(SwitchFeed(address))
-        self.position.send_watch_request()
+        self.position.call()
--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -49,7 +49,7 @@
             if isinstance(event, EndpointUpdate):
                 self.apply_usable(event)
             else:
-                self.apply_purge(event)
+                self.take_purge(event)
 
     def apply_usable(self, update: EndpointUpdate) -> None:
         """Apply the usable endpoints of a snapshot or an update."""
@@ -63,7 +63,7 @@
             self.position.view.apply(usable, update.is_full_list)
             self.apply(EndpointUpdate(update.is_full_list, tuple(usable), update.event_number))
 
-    def apply_purge(self, purge: Purge) -> None:
+    def take_purge(self, purge: Purge) -> None:
         """Apply a purge.
 
         In a response that arrives in chunks, a purge older than ``purge_retention_ns`` is skipped: a router
--- a/kelpcroft/core/feed_position.py
+++ b/kelpcroft/core/feed_position.py
@@ -49,9 +49,9 @@
         if wait_ns > 0:
             self.state.schedule(wait_ns, TimerKind.POLL_FEED)
         else:
-            self.send_watch_request()
+            self.call()
 
-    def send_watch_request(self) -> None:
+    def call(self) -> None:
         """Send a watch request for the events after the last one."""
         self.requested_ns = self.state.now
         self.requested_from_event = self.last_event
@@ -59,7 +59,7 @@
         timeouts = self.timeouts()
         self.poll_feed(timeouts.wait_ns // MS, timeouts.silence_ns)
 
-    def refresh_after_stall(self) -> None:
+    def call_after_stall(self) -> None:
         """Send a watch request that is answered immediately, after a process stall.
 
         The rules count the events that the feed published during the stall as known to the router.
--- a/kelpcroft/core/replica_feed.py
+++ b/kelpcroft/core/replica_feed.py
@@ -74,7 +74,7 @@
             return
         if outcome.next_call is NextCall.HOME_REPLICA:
             self.state.effects.append(SwitchFeed(self.subscription.current_address))
-        self.position.send_watch_request()
+        self.position.call()
 
     def is_polling_in_a_loop(self, response: WatchResponse) -> bool:
         """Whether too many early responses without events arrived in a row.
@@ -107,7 +107,7 @@
         known = self.position.view.endpoints
         for event in response.events:
             if isinstance(event, Purge):
-                self.endpoint_list.apply_purge(event)
+                self.endpoint_list.take_purge(event)
                 continue
             removed = tuple(
                 endpoint
