--- a/kelpcroft/core/replica_feed.py
+++ b/kelpcroft/core/replica_feed.py
@@ -1,7 +1,7 @@
-"""The list of servers and the purges as control replicas give them, in place of the configuration's feed.
+"""Watch on control replicas, which replace the configuration's feed of endpoints and purges.
 
-Imported only where the operator's file names replicas.  What an answer is good for and which replica is
-called next is ``kelpcroft.control_log``'s; this part carries it out on what ``EndpointList`` owns.
+The module is imported only where the operator's file names replicas.  ``kelpcroft.control_log`` judges each
+response and selects the next replica; this module applies the result to ``EndpointList``.
 """
 
 from __future__ import annotations
@@ -20,7 +20,9 @@
 if TYPE_CHECKING:
     from kelpcroft.operator_file.model import ControlReplicas
 
-MAX_EMPTY_ANSWERS = 3  # a first state that is doubtful, and two that cross a move, are not taken for a loop
+# Early responses without events, in a row, that do not count as a polling loop: one for a first state that is
+# suspect, and two that are in flight across a move to another replica.
+MAX_EMPTY_RESPONSES = 3
 
 
 class ReplicaFeed:
@@ -34,92 +36,103 @@
         replicas: ControlReplicas,
         seed: int,
     ) -> None:
-        """Watch replicas; ``seed``: another for each router and each of its starts."""
+        """Create a watch on replicas; ``seed`` differs between routers and between starts of a router."""
         self.state = state
         self.position = position
         self.endpoint_list = endpoint_list
         self.subscription = Subscription(state.now, replicas.addresses, replicas.stale_after_ns, seed)
-        self.empty_answers = 0  # in a row, that came at once with nothing new
-        self.pieces = 0  # of an answer that came in pieces: it is no replica's, whose answers are bounded
+        self.empty_responses = 0  # early responses without events, in a row
+        # Chunks received of the current response.  Responses of replicas are bounded, so a response in chunks
+        # does not come from a replica.
+        self.chunks = 0
 
     def start(self) -> None:
-        """Make the first call."""
+        """Send the first watch request, after a short random delay."""
         self.position.subscription = self.subscription
         self.state.effects.append(SwitchFeed(self.subscription.current_address))
-        self.position.call_in(self.subscription.selector.short_random_delay_ns())
+        self.position.schedule_watch_request(self.subscription.selector.short_random_delay_ns())
 
     def on_response(self, response: WatchResponse) -> None:
-        """Take up what an answer's verdict allows, and make the next call."""
+        """Apply what a response's verdict permits, and send the next watch request."""
         if response.has_more:
-            self.pieces += 1
+            self.chunks += 1
             return
         has_full_list = any(isinstance(e, EndpointUpdate) and e.is_full_list for e in response.events)
-        as_of_ms = 0 if self.pieces else response.as_of_ms
+        as_of_ms = 0 if self.chunks else response.as_of_ms
         head = ResponseHead(response.last_event, response.log_fingerprint, as_of_ms, has_full_list)
-        self.pieces = 0
+        self.chunks = 0
         if self.is_polling_in_a_loop(response):
-            self.move_on("it answers at once with nothing")
+            self.move_to_next_replica("it responds immediately without events")
             return
         outcome = self.subscription.record_response(self.state.now, head)
         if outcome.verdict is ResponseVerdict.APPLY:
-            self.take(response, has_full_list)
+            self.apply_all(response, has_full_list)
         elif outcome.verdict is ResponseVerdict.APPLY_REMOVALS_ONLY:
-            self.take_removals(response)
+            self.apply_removals(response)
         if outcome.next_call is NextCall.NEXT_REPLICA:
-            self.move_on(outcome.reason)
+            self.move_to_next_replica(outcome.reason)
             return
         if outcome.next_call is NextCall.HOME_REPLICA:
             self.state.effects.append(SwitchFeed(self.subscription.current_address))
         self.position.call()
 
     def is_polling_in_a_loop(self, response: WatchResponse) -> bool:
-        """Whether answers came at once with nothing new, too often in a row: a replica that is well waits."""
-        if self.position.is_empty_answer(response, bool(response.events)):
-            self.empty_answers += 1
+        """Whether too many early responses without events arrived in a row.
+
+        A replica in good order waits for events before it responds.
+        """
+        if self.position.is_early_empty_response(response, bool(response.events)):
+            self.empty_responses += 1
         else:
-            self.empty_answers = 0
-        return self.empty_answers > MAX_EMPTY_ANSWERS
+            self.empty_responses = 0
+        return self.empty_responses > MAX_EMPTY_RESPONSES
+
+    def apply_all(self, response: WatchResponse, has_full_list: bool) -> None:
+        """Apply all events of a response.
 
-    def take(self, response: WatchResponse, has_full_list: bool) -> None:
-        """Take up the events as they stand.  A whole list may be of another log, whose numbers are lower."""
+        A snapshot may belong to another log, whose event numbers are lower.
+        """
         view = self.position.view
         if has_full_list:
             view.last_event_number = 0
         view.begin_response(max(view.last_event_number, response.last_event))
-        self.endpoint_list.take_events(response)
+        self.endpoint_list.apply_events(response)
         view.last_event_number = response.last_event
 
-    def take_removals(self, response: WatchResponse) -> None:
-        """Of a state that may be earlier than what is known: its purges, and known servers that go."""
+    def apply_removals(self, response: WatchResponse) -> None:
+        """Apply only the purges of a response, and the removals of known servers.
+
+        The response's state may be earlier than the state that was applied.
+        """
         known = self.position.view.endpoints
         for event in response.events:
             if isinstance(event, Purge):
                 self.endpoint_list.take_purge(event)
                 continue
-            leaving = tuple(
+            removed = tuple(
                 endpoint
                 for endpoint in event.endpoints
                 if endpoint.state != IN_SERVICE
                 and endpoint.name in known
                 and endpoint.started_ns >= known[endpoint.name].started_ns
             )
-            if leaving and not self.endpoint_list.unknown_field(event):
-                self.position.view.apply(leaving, False)
-                self.endpoint_list.apply(EndpointUpdate(False, leaving, event.event_number))
+            if removed and not self.endpoint_list.unknown_field(event):
+                self.position.view.apply(removed, False)
+                self.endpoint_list.apply(EndpointUpdate(False, removed, event.event_number))
 
     def on_failed(self, failed: WatchFailed) -> None:
-        """A call failed: the next replica is called."""
-        self.move_on(failed.reason)
+        """Move to the next replica after a failed watch request."""
+        self.move_to_next_replica(failed.reason)
 
-    def move_on(self, reason: str) -> None:
-        """Leave a replica for the next one."""
+    def move_to_next_replica(self, reason: str) -> None:
+        """Move from the current replica to the next one."""
         host, port = self.subscription.current_address
         if not self.subscription.selector.consecutive_failures:
             fields: dict[str, object] = {"replica": f"{host}:{port}", "why": reason}
-            text = f"control replica {host}:{port} is left: {reason}"
+            text = f"moving away from control replica {host}:{port}: {reason}"
             self.state.log("replica.left", text, "warning", fields)
-        self.pieces = 0
-        self.empty_answers = 0
+        self.chunks = 0
+        self.empty_responses = 0
         wait_ns = self.subscription.select_next_replica(self.state.now)
         self.state.effects.append(SwitchFeed(self.subscription.current_address))
-        self.position.call_in(wait_ns)
+        self.position.schedule_watch_request(wait_ns)
--- a/kelpcroft/core/timers.py
+++ b/kelpcroft/core/timers.py
@@ -1,4 +1,4 @@
-"""Timers that have come: one handler for each kind."""
+"""Dispatch of expired timers: one handler for each kind of timer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Timers:
-    """Hands each timer to the part that asked for it."""
+    """Passes each expired timer to the component that scheduled it."""
 
     def __init__(
         self,
@@ -33,8 +33,8 @@
     ) -> None:
         self.state = state
         self.attempts = attempts
-        # By kind, each with the number that the timer was scheduled with ...
-        self.numbered: dict[TimerKind, Callable[[int], None]] = {
+        # Handlers that receive the number with which the timer was scheduled.
+        self.numbered_handlers: dict[TimerKind, Callable[[int], None]] = {
             TimerKind.ATTEMPT_TIMEOUT: attempts.on_timeout,
             TimerKind.DECISION: self.on_decision_timer,
             TimerKind.CONNECT_TIMEOUT: attempts.on_connect_timeout,
@@ -44,24 +44,24 @@
             TimerKind.SETTINGS_TRANSITION: config_reload.on_transition_over,
             TimerKind.SHUTDOWN: shutdown.on_timer,
         }
-        # ... and those of which there is only one.
-        self.single: dict[TimerKind, Callable[[], None]] = {
+        # Handlers of the kinds that have only one timer.
+        self.unnumbered_handlers: dict[TimerKind, Callable[[], None]] = {
             TimerKind.POLL_FEED: position.call,
             TimerKind.HOUSEKEEPING: housekeeping.on_timer,
             TimerKind.RESTART_OVERLAP: predecessor.update_budget_share,
         }
 
     def on_fired(self, fired: TimerFired) -> None:
-        """A timer that was scheduled has come."""
+        """A scheduled timer has expired."""
         kind, number, detail = fired.key
-        handler = self.numbered.get(kind)
+        handler = self.numbered_handlers.get(kind)
         if handler is not None:
             handler(number)
         elif kind is TimerKind.HEDGE:
             self.attempts.on_hedge_due(number, detail)
         else:
-            self.single[kind]()
+            self.unnumbered_handlers[kind]()
 
     def on_decision_timer(self, number: int) -> None:
-        """A timer of the decision module."""
+        """Pass an expired timer of the decision package on to it."""
         self.state.events.append(api.TimerExpired(number))
--- a/tests/support/reducer_fixtures.py
+++ b/tests/support/reducer_fixtures.py
@@ -1,4 +1,4 @@
-"""A reducer at the example deployment, and the requests that tests hand it."""
+"""Fixtures: a reducer of the example deployment, and client requests for it."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 def router() -> Reducer:
-    made = Reducer(parse_config(EXAMPLE, {}))
-    made.start(NOW)
-    made.handle(NOW, inputs.ListenersReady())
-    return made
+    reducer = Reducer(parse_config(EXAMPLE, {}))
+    reducer.start(NOW)
+    reducer.handle(NOW, inputs.ListenersReady())
+    return reducer
 
 
 def only(kind: type, effect_list: list[effects.Effect]) -> list[effects.Effect]:
