--- a/kelpcroft/net/feed_codec.py
+++ b/kelpcroft/net/feed_codec.py
@@ -97,7 +97,7 @@
         endpoints = tuple(map(_parse_endpoint, members["endpoints"]))
         repeated = [name for name, count in Counter(e.name for e in endpoints).items() if count > 1]
         if repeated:
-            raise FeedError(f"endpoints: {repeated[0]!r} is listed more than once")
+            raise FeedError(f"endpoints: {repeated[0]!r} is named twice")
         return EndpointUpdate(bool(members.get("snapshot")), endpoints, int(raw.get("n") or 0))
     if "purge" in raw:
         purge = raw["purge"]
