--- a/kelpcroft/control_log/follower.py
+++ b/kelpcroft/control_log/follower.py
@@ -1,15 +1,16 @@
-"""Following a log through replicas that may lag, restart, or follow another log.  Pure.
+"""Follower of a log through replicas that may lag, restart, or follow another log.  Pure.
 
 A position is an event's number and its fingerprint, a hash of that event's canonical JSON.  Two replicas
-whose fingerprints agree at a number hold the same log up to there, so a position is carried from one replica
-to another by both, and the new one goes on from it.  Where the fingerprints differ, or the replica no longer
-has that event, it answers with a snapshot.
-
-Numbers of two logs cannot be compared: after a restart of the list service they begin at 1 again.  What tells
-which state is the later one is ``as_of_ms``: the time, by its own clock, at which a replica last knew that it
-had all that the list service had.  A replica that lags or is cut off cannot claim a recent one.  So a state
-replaces what is known only if it is later by more than clocks may differ.  Anything else may add removals and
-purges, which are obeyed whoever tells them, and undoes nothing.
+whose fingerprints agree at a number have the same log up to that event.  So a follower can take its position
+from one replica to another, and the new one continues from it.  Where the fingerprints differ, or the replica
+no longer has that event, it responds with a snapshot.
+
+Numbers of two logs cannot be compared: after a restart of the list service they start at 1 again.
+``as_of_ms`` decides which of two states is the later one: the time, by its own clock, at which a replica last
+had everything that the list service had.  A replica that lags or is disconnected cannot claim a recent time.
+So a state replaces the known one only if it is later by more than the clocks may differ.  A response with any
+other state contributes at most its removals and purges, which are applied whichever replica sent them; it
+reverts nothing.
 """
 
 from __future__ import annotations
@@ -17,57 +18,57 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_CLOCK_SKEW_MS = 1_000  # clocks of two control machines differ by less
+MAX_CLOCK_SKEW_MS = 1_000  # the clocks of two control machines differ by less than this
 
 
 @dataclass(frozen=True, slots=True)
 class LogPosition:
-    """Up to where a log is known."""
+    """The last event of a log that a follower has received."""
 
-    event_number: int = 0  # 0: nothing is known, and the whole state is wanted
+    event_number: int = 0  # 0: nothing has been received; the next request is a list request
     fingerprint: str = ""  # of that event; see ``log.event_fingerprint``
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """What an answer says of itself."""
+    """What a watch response states about the replica's log and state."""
 
     last_event_number: int
     fingerprint: str  # of the last event
-    as_of_ms: int  # Unix ms at which the answering replica's state was last known to be complete
-    is_snapshot: bool  # it holds the whole list
+    as_of_ms: int  # Unix ms at which the responding replica's state was last known to be complete
+    is_snapshot: bool  # the response includes the complete list
 
 
 class ResponseVerdict(Enum):
-    """What to do with an answer."""
+    """What a follower does with a watch response."""
 
-    APPLY = "take"  # as it stands; the position moves
-    APPLY_REMOVALS_ONLY = "departures"  # and purges, until a state is known to be later
-    REQUEST_SNAPSHOT = "resync"  # it is of a later log: ask this replica for the whole state
-    OUTDATED = "behind"  # it is of an earlier state than what is known: ask another replica
+    APPLY = "take"  # apply all its events and move the position
+    APPLY_REMOVALS_ONLY = "departures"  # apply only removals and purges, until a state is known to be later
+    REQUEST_SNAPSHOT = "resync"  # it is of a later log: send this replica a list request
+    OUTDATED = "behind"  # its state is earlier than the known one: use another replica
 
 
 class LogFollower:
-    """One follower's position in the log, and the time of the state that it has taken."""
+    """One follower's position in the log, and the time of the state that it has applied."""
 
     def __init__(self, as_of_ms: int = 0) -> None:
-        """Start with no position.
+        """Starts without a position.
 
         Args:
-            as_of_ms: what is known from elsewhere, such as a configuration, may be as late as this
-                (Unix ms); 0 where nothing is known.
+            as_of_ms: A state that is known from elsewhere, such as a configuration, may be as late as this
+                (Unix ms); 0 where there is none.
         """
         self.position = LogPosition()
-        self.as_of_ms = as_of_ms  # of the latest state that was applied
-        self.needs_snapshot = False  # the next call asks for the whole state
-        self.is_unconfirmed = False  # the position is of a log whose state has not been applied
+        self.as_of_ms = as_of_ms  # time of the latest state that was applied
+        self.needs_snapshot = False  # the next request is a list request
+        self.is_unconfirmed = False  # the position is in a log whose state has not been applied
 
     def requested_position(self) -> LogPosition:
-        """The position that the next call names."""
+        """Returns the position that the next watch request states."""
         return LogPosition() if self.needs_snapshot else self.position
 
     def judge(self, head: ResponseHead) -> ResponseVerdict:
-        """What an answer to a call from ``requested_position`` is good for."""
+        """Returns how to use the response to a watch request from ``requested_position``."""
         is_later = not self.as_of_ms or head.as_of_ms > self.as_of_ms + MAX_CLOCK_SKEW_MS
         if head.is_snapshot:
             return ResponseVerdict.APPLY if is_later else ResponseVerdict.APPLY_REMOVALS_ONLY
@@ -78,7 +79,7 @@
         return ResponseVerdict.APPLY
 
     def record_verdict(self, head: ResponseHead, verdict: ResponseVerdict) -> None:
-        """The answer was dealt with as its verdict says: move the position."""
+        """Moves the position after a response has been handled according to its verdict."""
         self.needs_snapshot = verdict is ResponseVerdict.REQUEST_SNAPSHOT
         if verdict in (ResponseVerdict.APPLY, ResponseVerdict.APPLY_REMOVALS_ONLY):
             self.position = LogPosition(head.last_event_number, head.fingerprint)
--- a/kelpcroft/control_log/lease.py
+++ b/kelpcroft/control_log/lease.py
@@ -1,7 +1,8 @@
-"""Whether a control replica's state is recent enough to be told as it stands.  Pure.
+"""Lease of a control replica's state: whether the state is recent enough to be sent as current.  Pure.
 
-Every answer says as of when the state is known to be complete.  Past the lease the replica is stale: it says
-so by that time, at once, so that nobody takes old news for none.
+Every watch response states as of when the state is known to be complete.  Once the lease has expired, the
+replica is stale.  It then responds to all watchers immediately, with that time, so that no watcher mistakes
+outdated events for the absence of new ones.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
     """The lease of one replica's state.
 
     Attributes:
-        is_stale: by the last ``review``; true at the start.
+        is_stale: As of the last ``review``; true at the start.
     """
 
     def __init__(self, follower: LogFollower, lease_ns: int) -> None:
@@ -23,20 +24,20 @@
         self.is_stale = True
 
     def is_current(self, now: int) -> bool:
-        """Whether the state was complete within the lease."""
+        """Returns whether the state was complete within the lease."""
         as_of_ms = self._follower.as_of_ms
         return bool(as_of_ms) and now - as_of_ms * MS <= self._lease_ns
 
     def has_run_out(self, now: int) -> bool:
-        """Whether the state has become stale since the last ``review``."""
+        """Returns whether the state has become stale since the last ``review``."""
         return not self.is_stale and not self.is_current(now)
 
     def expires_ns(self) -> int | None:
-        """The first time at which the state is stale; None where it is already."""
+        """Returns the first time at which the state is stale; None where it already is."""
         return None if self.is_stale else self._follower.as_of_ms * MS + self._lease_ns + 1
 
     def review(self, now: int, last_event_number: int, effects: EffectList) -> None:
-        """Note in the log that the state has become stale, or is no longer."""
+        """Updates ``is_stale``, and logs when the state becomes stale or current again."""
         is_stale = not self.is_current(now)
         if is_stale == self.is_stale:
             return
@@ -45,13 +46,13 @@
             age_s = (now - self._follower.as_of_ms * MS) / SECOND
             effects.log(
                 "replica.stale",
-                f"nothing from upstream for {age_s:.1f} s: watchers are told so",
+                f"state last complete {age_s:.1f} s ago: stale until upstream responds",
                 {"age_s": round(age_s, 3)},
                 "warning",
             )
         else:
             effects.log(
                 "replica.fresh",
-                f"in step with upstream at {last_event_number}",
+                f"state is current again, up to event {last_event_number}",
                 {"last": last_event_number},
             )
--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -1,9 +1,9 @@
-"""A log of control events in bounded memory: its state, compacted, and its tail.  Pure.
+"""Log of control events in bounded memory: its compacted state, and its tail.  Pure.
 
-The state is the newest line of each server and the purges that still matter, whatever the length of the
-history.  The tail is the last events as they came.  A follower within the tail gets what comes after its
-position, any other a snapshot: one event with the whole list, and a purge event for each that matters, all
-under the last number.
+The state is the newest line of each server and the purges that are still relevant, however long the history
+is.  The tail is the last events as they were received.  A follower whose position is within the tail gets the
+events after it.  Any other follower gets a snapshot: one event with the complete list, and one purge event
+for each relevant purge, all under the last event's number.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 import orjson
 
-MAX_TAIL_EVENTS = 8_192  # 27 minutes of 5 purges a second
-MAX_TAIL_BYTES = 2 << 20
-MAX_SERVERS = 10_000
-MAX_PURGES = 20_000  # that matter at a time: 300 a second for a minute
-FINGERPRINT_BYTES = 8
-SNAPSHOT_LIFETIMES_PER_PURGE_SPAN = 8  # a snapshot is reused for an eighth of the time a purge matters
+MAX_TAIL_EVENTS = 8_192  # at most this many events in the tail: 27 minutes of 5 purges a second
+MAX_TAIL_BYTES = 2 << 20  # at most this many bytes of canonical JSON in the tail
+MAX_SERVERS = 10_000  # with more servers than this there is no snapshot
+MAX_PURGES = 20_000  # at most this many relevant purges at a time: 300 a second for a minute
+FINGERPRINT_BYTES = 8  # length of a fingerprint before its hex encoding
+SNAPSHOT_LIFETIMES_PER_PURGE_SPAN = 8  # a snapshot is reused for at most an eighth of ``purge_span_ms``
 
-JsonObject = dict[str, Any]  # part of the feed, as parsed from JSON; anything in it may be missing or odd
+JsonObject = dict[str, Any]  # a JSON object of the feed; any field may be missing or of another type
 
 
 class SnapshotIncompleteError(ValueError):
-    """More servers or purges than are kept: no snapshot can be given without leaving some out.
+    """More servers or purges than the limit: a snapshot would have to omit some of them.
 
     Attributes:
-        limit: how many of them are kept.
-        what: of what there are more.
+        limit: How many of them are kept.
+        what: Which kind is over the limit.
     """
 
     def __init__(self, limit: int, what: str) -> None:
-        super().__init__(f"over {limit} {what}")  # told to watchers: on the wire
+        super().__init__(f"over {limit} {what}")  # sent to watchers: part of the protocol
         self.limit = limit
         self.what = what
 
@@ -49,45 +49,45 @@
 
 
 class PurgeKey(NamedTuple):
-    """What a purge removes: one object, or a group of them."""
+    """The object that a purge removes, or the group of objects."""
 
     object_hash: str  # 16 hex digits; "" where a group is purged
     group: int  # 0 where an object is purged
 
 
 def canonical_json(event: Any) -> bytes:
-    """An event as JSON with sorted keys: the same bytes whoever wrote it."""
+    """Returns an event as JSON with sorted keys: the same bytes whichever process encoded it."""
     return orjson.dumps(event, option=orjson.OPT_SORT_KEYS)
 
 
 def event_fingerprint(encoded: bytes) -> str:
-    """The log's fingerprint at an event: a BLAKE2b hash, in hex, of the event's canonical JSON.
+    """Returns the log's fingerprint at an event: a BLAKE2b hash, in hex, of the event's canonical JSON.
 
-    It covers that event alone.  The number of the event goes with it, so that two logs with the same event
-    under the same number are taken for one up to there.
+    It covers that event alone.  A position holds the event's number as well: two logs with the same event
+    under the same number are regarded as identical up to that event.
     """
     return blake2b(encoded, digest_size=FINGERPRINT_BYTES).hexdigest()
 
 
 class ControlLog:
-    """One log as far as it is known."""
+    """One log, as far as it has been received."""
 
     def __init__(self, purge_span_ms: int) -> None:
-        """Start with nothing.
+        """Creates an empty log.
 
         Args:
-            purge_span_ms: how long a purge matters, counted from the time that it names.
+            purge_span_ms: How long a purge stays relevant, counted from the time that it states.
         """
         self.purge_span_ms = purge_span_ms
-        self.servers: dict[str, JsonObject] = {}  # by name: the newest line, as it came
+        self.servers: dict[str, JsonObject] = {}  # by name: the newest line, as it was received
         self.purges: dict[PurgeKey, int] = {}  # when each was made, in Unix ms
         self.tail: deque[TailEvent] = deque()
         self.tail_bytes = 0
-        self._base_number = 0  # of the event before the tail
+        self._base_number = 0  # number of the event before the tail
         self._base_fingerprint = ""
-        self._incomplete_until_ms = 0  # no snapshot until then: a purge found no room
-        self._snapshot: list[bytes] = []  # the last one made, for others that ask soon
-        self._snapshot_number = -1  # the last event in it
+        self._incomplete_until_ms = 0  # no snapshot before this time: a purge exceeded ``MAX_PURGES``
+        self._snapshot: list[bytes] = []  # the last snapshot, for further list requests that follow soon
+        self._snapshot_number = -1  # number of the last event in it
         self._snapshot_made_ms = 0
 
     @property
@@ -103,16 +103,16 @@
     # Writing ----------------------------------------------------------------------------------------------
 
     def start_new_log(self) -> None:
-        """Another log is followed from now on: its whole list comes next.
+        """Resets the log because the follower switches to another one, whose complete list follows.
 
-        Purges are kept: they go by their own times, and a purge that was told once is in force whatever
-        becomes of the log.
+        Purges are kept: they expire by their own times, and a purge that has been received stays in force
+        whichever log is followed.
         """
         self.servers = {}
         self.set_base(0, "")
 
     def set_base(self, number: int, fingerprint: str) -> None:
-        """The state is that of this position, as a snapshot of another replica said."""
+        """Sets the position of the state that was applied from another replica's snapshot."""
         self.tail.clear()
         self.tail_bytes = 0
         self._base_number = number
@@ -120,11 +120,11 @@
         self._snapshot = []
 
     def append(self, event: Any, now_ms: int) -> str:
-        """Take one event in its turn.
+        """Applies the next event and appends it to the tail.
 
         Returns:
-            Why its content cannot be used, or "".  An event whose content is not understood is handed on all
-            the same, for a follower may know more kinds of events.
+            Why the event's content is unusable, or "".  An event whose content is not understood is forwarded
+            all the same, because a follower may understand more kinds of events.
         """
         number = event.get("n") if isinstance(event, dict) else None
         if type(number) is not int or number < 0:
@@ -137,7 +137,7 @@
         return problem
 
     def _shorten_tail(self) -> None:
-        """Drop the oldest events of a tail that has grown over its bounds."""
+        """Drops the oldest events of a tail that exceeds its bounds."""
         while len(self.tail) > MAX_TAIL_EVENTS or self.tail_bytes > MAX_TAIL_BYTES:
             dropped = self.tail.popleft()
             self.tail_bytes -= len(dropped.encoded)
@@ -145,10 +145,10 @@
             self._base_fingerprint = dropped.fingerprint
 
     def apply(self, event: JsonObject, now_ms: int) -> str:
-        """What an event does to the state, and nothing to the tail.
+        """Applies an event to the state only; the tail stays as it is.
 
         Returns:
-            Why it cannot be used, or "".
+            Why the event is unusable, or "".
         """
         try:
             if "members" in event:
@@ -165,7 +165,7 @@
             self.servers = lines
         else:
             self.servers.update(lines)
-        if len(self.servers) > MAX_SERVERS:  # servers that have gone are not listed for good
+        if len(self.servers) > MAX_SERVERS:  # lines of servers that have left are kept only up to this bound
             self.servers = {name: line for name, line in self.servers.items() if not has_left(line)}
 
     def _apply_purge(self, purge: JsonObject, now_ms: int) -> None:
@@ -178,7 +178,7 @@
             if len(self.purges) >= MAX_PURGES:
                 self._incomplete_until_ms = max(self._incomplete_until_ms, purged_ms + self.purge_span_ms)
                 return
-        self.purges[key] = max(purged_ms, self.purges.pop(key, 0))  # popped: it goes to the end
+        self.purges[key] = max(purged_ms, self.purges.pop(key, 0))  # ``pop`` moves the key to the end
 
     def _drop_expired_purges(self, now_ms: int) -> None:
         oldest_ms = now_ms - self.purge_span_ms
@@ -187,7 +187,10 @@
     # Reading ----------------------------------------------------------------------------------------------
 
     def contains(self, number: int, fingerprint: str) -> bool:
-        """Whether a position is in this log, so that ``events_after`` gives what comes after it."""
+        """Returns whether this log has the event at a position under the same fingerprint.
+
+        If it has, ``events_after`` returns the events that follow the position.
+        """
         if number == self._base_number and fingerprint == self._base_fingerprint:
             return True
         for event in reversed(self.tail):
@@ -196,23 +199,23 @@
         return False
 
     def contains_number(self, number: int) -> bool:
-        """Whether a position without a fingerprint can be gone on from: by its number alone."""
+        """Returns whether ``events_after`` can continue from a position without a fingerprint."""
         return self._base_number <= number <= self.last_event_number
 
     def events_after(self, number: int) -> list[bytes]:
-        """The events after a position that the log contains, oldest first."""
+        """Returns the events after a position that the log contains, oldest first."""
         found = []
-        for event in reversed(self.tail):  # followers are close to the end: the walk is short
+        for event in reversed(self.tail):  # followers are close to the end: few iterations
             if event.number <= number:
                 break
             found.append(event.encoded)
         return found[::-1]
 
     def snapshot(self, now_ms: int) -> list[bytes]:
-        """The whole state as events, all under the last number.
+        """Returns the complete state as events, all under the last event's number.
 
         Raises:
-            SnapshotIncompleteError: there are more servers or purges than are kept.
+            SnapshotIncompleteError: There are more servers or purges than are kept.
         """
         if now_ms < self._incomplete_until_ms:
             raise SnapshotIncompleteError(MAX_PURGES, "purges that matter")
@@ -226,7 +229,7 @@
         return self._snapshot
 
     def _can_reuse_snapshot(self, now_ms: int) -> bool:
-        """Whether the last snapshot is of the last event, and holds few purges that have expired."""
+        """Returns whether the last snapshot is of the last event and includes few expired purges."""
         reused_for_ms = self.purge_span_ms // SNAPSHOT_LIFETIMES_PER_PURGE_SPAN
         return (
             bool(self._snapshot)
@@ -245,12 +248,17 @@
 
 
 def has_left(line: JsonObject) -> bool:
-    """Whether a server's line says that it is gone for good."""
+    """Returns whether a server's line says that the server has left for good."""
     return line.get("status") == "left"
 
 
 def purge_key(purge: JsonObject) -> PurgeKey:
-    """What a purge event names.  Raises TypeError or ValueError where that cannot be read."""
+    """Returns the object or group that a purge event names.
+
+    Raises:
+        TypeError: The key or group is of another type.
+        ValueError: The key is no hexadecimal number, or the group no integer.
+    """
     object_hash = purge.get("key")
     if object_hash is None:
         return PurgeKey("", int(purge.get("group") or 0))
--- a/kelpcroft/control_log/messages.py
+++ b/kelpcroft/control_log/messages.py
@@ -1,6 +1,6 @@
-"""What goes into a control replica's state machine, and what comes out of it.  Pure.
+"""Inputs and effects of a control replica's state machine.  Pure.
 
-Fields with ``_ns`` are durations unless they say otherwise.
+Fields with the suffix ``_ns`` are durations unless their comment says otherwise.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-UPSTREAM_TIMEOUT_MARGIN_NS = 400 * MS  # past its wait a call is answered by then, or given up
-RETRY_AFTER_S = 1  # in the answer to a watcher that is refused
+UPSTREAM_TIMEOUT_MARGIN_NS = 400 * MS  # a watch request times out this long after the end of its wait
+RETRY_AFTER_S = 1  # Retry-After value of the response that rejects a watcher
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaOptions:
-    """One replica's settings."""
+    """Settings of one replica."""
 
     upstreams: tuple[Address, ...]
-    peers: frozenset[Address] = frozenset()  # those of them that are replicas; the others are list services
-    lease_ns: int = 3 * SECOND  # a state that was complete so long ago is stale
-    batch_ns: int = 400 * MS  # between two answers to one watcher
-    max_watches: int = 1_000
-    purge_span_ns: int = 66 * SECOND  # a purge matters for so long
+    peers: frozenset[Address] = frozenset()  # the upstreams that are replicas; the others are list services
+    lease_ns: int = 3 * SECOND  # a state that was last complete longer ago than this is stale
+    batch_ns: int = 400 * MS  # minimum interval between two responses to one watcher
+    max_watches: int = 1_000  # watch requests that wait at one time
+    purge_span_ns: int = 66 * SECOND  # how long a purge stays relevant
 
 
 # Inputs ---------------------------------------------------------------------------------------------------
@@ -34,23 +34,23 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamResponse:
-    """An answer from upstream, or a piece of one (``has_more``)."""
+    """A watch response from upstream, or a chunk of one (``has_more``)."""
 
     last_event_number: int
     events: tuple[Any, ...]  # as parsed from JSON
-    fingerprint: str = ""  # of the last event, from a control replica
-    as_of_ms: int | None = None  # None: it is a list service's, which is complete when it is given
+    fingerprint: str = ""  # of the last event; only from a control replica
+    as_of_ms: int | None = None  # None: from a list service, which is complete when it responds
     has_more: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """A watcher's call for what comes after a position."""
+    """A watcher's request for the events after a position."""
 
     watcher_id: int  # of its connection
     position: LogPosition
-    knows_fingerprints: bool  # else its number is all it has
-    wait_ns: int  # how long it waits for news
+    knows_fingerprints: bool  # if not, the position is its number alone
+    wait_ns: int  # how long the watcher waits for new events
 
 
 # Effects --------------------------------------------------------------------------------------------------
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendWatchResponse:
-    """Answer a watcher's call."""
+    """Send a watcher the response to its watch request."""
 
     watcher_id: int
     body: bytes
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseWatcher:
-    """Turn a watcher away for now.  The reason goes out on the wire."""
+    """Reject a watcher's request for now.  The reason is sent to the watcher."""
 
     watcher_id: int
     reason: str
@@ -75,9 +75,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallUpstream:
-    """Call an address for what comes after a position, ``delay_ns`` from now.
+    """Send an upstream address a watch request for the events after a position, ``delay_ns`` from now.
 
-    ``on_new_connection``: what still comes on the connection that stands is of no use.
+    ``on_new_connection``: open another connection, because data still to come on the present one is useless.
     """
 
     address: Address
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLogEvent:
-    """Write an event to the log."""
+    """Write a record to the process log."""
 
     event: str
     text: str
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class ReplicaCounters:
-    """What a replica did since its start.  The fields' names are keys of ``GET /control/state``."""
+    """Counters of a replica since its start.  The fields' names are keys of ``GET /control/state``."""
 
     answers: int = 0
     snapshots: int = 0
@@ -112,20 +112,20 @@
 
 
 class EffectList:
-    """The effects of the input at hand, in their order."""
+    """The effects of the input that is being handled, in their order."""
 
     def __init__(self) -> None:
         self._effects: list[Effect] = []
 
     def add(self, effect: Effect) -> None:
-        """One more."""
+        """Appends an effect."""
         self._effects.append(effect)
 
     def log(self, event: str, text: str, fields: dict[str, object], level: str = "info") -> None:
-        """One more, for the log."""
+        """Appends the effect that writes a record to the process log."""
         self._effects.append(WriteLogEvent(event, text, fields, level))
 
     def take(self) -> list[Effect]:
-        """All of them; the next input begins with none."""
+        """Returns all effects and clears the list for the next input."""
         effects, self._effects = self._effects, []
         return effects
--- a/kelpcroft/control_log/replica.py
+++ b/kelpcroft/control_log/replica.py
@@ -1,10 +1,10 @@
-"""The state machine of a control replica: it follows one upstream and answers many watchers.  Pure.
+"""State machine of a control replica: it follows one upstream and responds to many watchers.  Pure.
 
 Upstream is the list service or another replica (``upstream``).  Watchers are routers and other replicas
-(``watchers``).  What is told says as of when it is known to be complete, and past its lease that it is stale
-(``lease``).
+(``watchers``).  Every response states as of when its content is known to be complete.  Once the lease has
+expired, the replica is stale (``lease``).
 
-Times are Unix nanoseconds that do not run back; the time is an argument.
+Times are Unix nanoseconds that never decrease; the time is an argument.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 
 
 class ControlReplica:
-    """One control replica.  ``start`` and ``on_*`` are its inputs; each returns what is to be done, in order.
+    """One control replica.  ``start`` and ``on_*`` are its inputs; each returns its effects, in order.
 
     Attributes:
-        options: its settings.
-        log: what it knows.
-        upstream: whom it follows, up to which position and as of when.
-        watches: the calls that wait here.
-        counters: what it did since its start.
+        options: Its settings.
+        log: The log as it has received it.
+        upstream: The watch on its upstream, with the position in the log and the time of its state.
+        watches: The watch requests that wait here.
+        counters: Counters since its start.
     """
 
     def __init__(self, options: ReplicaOptions, seed: int) -> None:
-        """Begin knowing nothing.
+        """Starts with an empty log.
 
         Args:
-            options: its settings.
-            seed: another for each replica and each of its starts.
+            options: Its settings.
+            seed: A different number for each replica and each of its starts.
         """
         self.options = options
         self.counters = ReplicaCounters()
@@ -53,49 +53,49 @@
 
     @property
     def is_stale(self) -> bool:
-        """Whether its state is older than the lease, and watchers are told so."""
+        """Whether the state is older than the lease, which watchers see from their responses."""
         return self._lease.is_stale
 
     def start(self, now: int) -> list[Effect]:
-        """Make the first call."""
+        """Sends the first watch request."""
         self.upstream.call(now)
         return self._effects.take()
 
     def on_upstream_response(self, now: int, response: UpstreamResponse) -> list[Effect]:
-        """An answer from upstream, in whole or in pieces."""
+        """Handles a watch response from upstream, or a chunk of one."""
         self.upstream.on_response(now, response)
         self.watches.drop_cached_bodies()
         self._review(now)
         return self._effects.take()
 
     def on_upstream_failed(self, now: int, reason: str) -> list[Effect]:
-        """A call failed: another address is asked, and what is known stays."""
+        """Handles a failed watch request: the next one goes to another address; the log stays."""
         self.upstream.move_on(now, reason)
         self._review(now)
         return self._effects.take()
 
     def on_watch(self, now: int, request: WatchRequest) -> list[Effect]:
-        """A watcher calls.  A second call replaces the first."""
+        """Handles a watcher's request.  A second request of one watcher replaces the first."""
         self.watches.add(now, request)
         return self._effects.take()
 
     def on_watcher_disconnected(self, watcher_id: int) -> None:
-        """A watcher's connection has ended."""
+        """Handles the end of a watcher's connection."""
         self.watches.remove(watcher_id)
 
     def on_timer(self, now: int) -> list[Effect]:
-        """Answer the calls whose time has come; the lease may have run out."""
+        """Responds to the watch requests that are due, and checks whether the lease has expired."""
         if self._lease.has_run_out(now):
             self._review(now)
         self.watches.on_timer(now)
         return self._effects.take()
 
     def next_timer_ns(self) -> int | None:
-        """When ``on_timer`` is to be called next: a watcher's time, or the end of the lease."""
+        """Returns when ``on_timer`` is due: for a watch request, or at the end of the lease."""
         candidates = (self.watches.next_timer_ns(), self._lease.expires_ns())
         return min((at_ns for at_ns in candidates if at_ns is not None), default=None)
 
     def _review(self, now: int) -> None:
-        """Something changed for all watchers."""
+        """Checks the lease and all waiting watch requests after a change."""
         self._lease.review(now, self.log.last_event_number, self._effects)
         self.watches.on_change(now)
--- a/kelpcroft/control_log/subscription.py
+++ b/kelpcroft/control_log/subscription.py
@@ -1,4 +1,4 @@
-"""A router's watch on the control replicas: its position, the replica it calls, and when it moves.  Pure."""
+"""Long-poll subscription of a router to control replicas: its position, its replica, and its moves.  Pure."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 class NextCall(Enum):
-    """Where the call that follows an answer goes."""
+    """Where the router sends the watch request that follows a response."""
 
-    SAME_REPLICA = "call"  # at once
-    HOME_REPLICA = "home"  # at once
-    NEXT_REPLICA = "move"  # in a while; see ``Subscription.select_next_replica``
+    SAME_REPLICA = "call"  # immediately
+    HOME_REPLICA = "home"  # immediately
+    NEXT_REPLICA = "move"  # after a delay; see ``Subscription.select_next_replica``
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseOutcome:
-    """What to do with an answer, and what then."""
+    """What to do with a watch response, and where the next watch request goes."""
 
     verdict: ResponseVerdict
     next_call: NextCall
-    reason: str = ""  # for leaving the replica
+    reason: str = ""  # why the router leaves the replica
 
 
 class Subscription:
     """One router's position in the log, and its choice of a replica."""
 
     def __init__(self, now: int, addresses: tuple[Address, ...], stale_ns: int, seed: int) -> None:
-        """Start with no position.
+        """Starts without a position.
 
         Args:
-            now: Unix ns.  What the router knows already may be as late as this.
-            addresses: the replicas; at least one.
-            stale_ns: a replica that has heard nothing for so long is left.
-            seed: another for each router and each of its starts.
+            now: Unix ns.  The state that the router already has may be as late as this.
+            addresses: The replicas; at least one.
+            stale_ns: A replica whose state was last complete longer ago than this is left.
+            seed: A different number for each router and each of its starts.
         """
         self.follower = LogFollower(now // MS)
         self.selector = UpstreamSelector(addresses, seed)
@@ -46,32 +46,32 @@
 
     @property
     def current_address(self) -> Address:
-        """The address that is called now."""
+        """The replica that receives the watch requests now."""
         return self.selector.current_address
 
     def requested_position(self) -> LogPosition:
-        """The position that the next call names."""
+        """Returns the position that the next watch request states."""
         return self.follower.requested_position()
 
     def record_response(self, now: int, head: ResponseHead) -> ResponseOutcome:
-        """An answer came from the address that is called now."""
+        """Judges a response from the current replica, and moves the position and the replica."""
         if not head.as_of_ms:
-            reason = "it is no control replica, or knows nothing yet"
+            reason = "not a control replica, or one without a state yet"
             return ResponseOutcome(ResponseVerdict.OUTDATED, NextCall.NEXT_REPLICA, reason)
         verdict = self.follower.judge(head)
         self.follower.record_verdict(head, verdict)
         if verdict is ResponseVerdict.OUTDATED:
-            return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "it is behind")
+            return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "its state is behind")
         if now - head.as_of_ms * MS > self.stale_ns:
-            return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "it is stale")
+            return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "its state is stale")
         if self.selector.record_success(now):
             return ResponseOutcome(verdict, NextCall.HOME_REPLICA)
         return ResponseOutcome(verdict, NextCall.SAME_REPLICA)
 
     def select_next_replica(self, now: int) -> int:
-        """Leave the current replica: another address is called next.
+        """Leaves the current replica: the next watch request goes to another address.
 
         Returns:
-            In how long, in ns.
+            How long to wait before that request, in ns.
         """
         return self.selector.record_failure(now)
--- a/kelpcroft/control_log/upstream.py
+++ b/kelpcroft/control_log/upstream.py
@@ -1,9 +1,9 @@
-"""What a control replica follows: the list service, or another replica.  Pure.
+"""Watch of a control replica on its upstream: the list service, or another replica.  Pure.
 
-One call is out at a time, so what upstream hears does not grow with the watchers.  A list service knows no
-fingerprints, and counts from 1 when it is restarted: after a lost connection the last event that is known is
-asked for again and compared with what it was.  Another replica may be of an earlier state than this one:
-``follower`` judges what its answer is good for.
+One watch request is outstanding at a time, so the load on upstream does not grow with the number of watchers.
+A list service has no fingerprints, and counts from 1 again when it is restarted.  So after a lost connection
+the replica requests the last event that it has once more, and compares it with its copy.  The state of
+another replica may be earlier than this one's: ``follower`` judges how its response is used.
 """
 
 from __future__ import annotations
@@ -23,11 +23,12 @@
 )
 from kelpcroft.control_log.upstream_selection import UpstreamSelector
 
-UPSTREAM_WAIT_NS = SECOND  # a call waits so long for news: the state is known to be complete as often
+# Wait of a watch request for new events.  The state is confirmed as complete at least this often.
+UPSTREAM_WAIT_NS = SECOND
 
 
 class UpstreamSession:
-    """The calls of one replica upstream, and what their answers do to its log."""
+    """The watch requests that one replica sends upstream, and the effect of the responses on its log."""
 
     def __init__(
         self,
@@ -43,21 +44,21 @@
         self._counters = counters
         self.follower = LogFollower()
         self.selector = UpstreamSelector(options.upstreams, seed)
-        self._called_ns = 0  # when the call that is out is made
-        self._must_verify_log = False  # the connection was lost: is it the same log still?
+        self._called_ns = 0  # when the outstanding watch request is sent
+        self._must_verify_log = False  # whether the log may be another one, as after a lost connection
 
     def call(self, now: int, delay_ns: int = 0, on_new_connection: bool = False) -> None:
-        """Call the current address, in a while."""
+        """Sends the current address a watch request, ``delay_ns`` from now."""
         self._called_ns = now + delay_ns
         self._counters.upstream_calls += 1
         address = self.selector.current_address
         position = self.follower.requested_position()
         if self._must_verify_log and position.event_number and address not in self._options.peers:
-            position = LogPosition(self._log.last_event_number - 1)  # the last event is told once more
+            position = LogPosition(self._log.last_event_number - 1)  # the last event is sent again
         self._effects.add(CallUpstream(address, position, UPSTREAM_WAIT_NS, delay_ns, on_new_connection))
 
     def move_on(self, now: int, reason: str) -> None:
-        """Leave the current upstream for the next one.  What is known stays."""
+        """Leaves the current upstream for the next one.  The log stays."""
         host, port = self.selector.current_address
         if not self.selector.consecutive_failures:
             text = f"upstream {host}:{port}: {reason}"
@@ -67,7 +68,7 @@
         self.call(now, self.selector.record_failure(now))
 
     def on_response(self, now: int, response: UpstreamResponse) -> None:
-        """An answer from the current address, in whole or in pieces."""
+        """Handles a watch response from the current address, or a chunk of one."""
         has_news = self._has_new_events(response)
         if self.selector.current_address in self._options.peers:
             self._on_peer_response(now, response, has_news)
@@ -75,16 +76,20 @@
             self._on_list_service_response(now, response, has_news)
 
     def _has_new_events(self, response: UpstreamResponse) -> bool:
-        """Whether an answer holds an event past those that are known, or begins another state."""
+        """Returns whether a response has an event after the last known one, or starts another state."""
         if self.follower.needs_snapshot:
             return True
         numbers = [number for number in map(event_number, response.events) if number is not None]
         return max([response.last_event_number, *numbers]) > self._log.last_event_number
 
-    # Answers of a list service ----------------------------------------------------------------------------
+    # Responses of a list service --------------------------------------------------------------------------
 
     def _on_list_service_response(self, now: int, response: UpstreamResponse, has_news: bool) -> None:
-        """The answer is complete as of the call; its numbers go back when the service was restarted."""
+        """Handles a list service's response, or a chunk of one.
+
+        The response is complete as of its watch request.  Its numbers are lower than the known ones after a
+        restart of the list service.
+        """
         if self.follower.needs_snapshot or not self.follower.position.event_number:
             self._begin_snapshot()
         if self._is_another_log(response):
@@ -103,20 +108,20 @@
         self._call_again(now, has_news)
 
     def _begin_snapshot(self) -> None:
-        """The whole list comes, which replaces what is known."""
+        """Prepares for the complete list, which replaces the known one."""
         if self._log.last_event_number:
             self._log.start_new_log()
         self.follower.needs_snapshot = False
         self.follower.position = LogPosition(max(1, self._log.last_event_number))
 
     def _is_another_log(self, response: UpstreamResponse) -> bool:
-        """Whether the list service has begun to count anew since it was last heard."""
+        """Returns whether the list service's numbers have restarted since its last response."""
         if self._must_verify_log and self._log.last_event_number and not self._repeats_last_event(response):
             return True
         return not response.has_more and response.last_event_number < self._log.last_event_number
 
     def _repeats_last_event(self, response: UpstreamResponse) -> bool:
-        """Whether the last event that is known is told again as it was."""
+        """Returns whether a response has the last known event again, unchanged."""
         return any(
             isinstance(event, dict)
             and event.get("n") == self._log.last_event_number
@@ -125,25 +130,25 @@
         )
 
     def _request_renumbered_log(self, now: int, response: UpstreamResponse) -> None:
-        """Ask for the whole list of a log that counts anew; what still comes of this answer is left."""
+        """Sends a list request for the renumbered log, and ignores the rest of the response."""
         before, after = self._log.last_event_number, response.last_event_number
         self.follower.needs_snapshot = True
         self._must_verify_log = False
         self._effects.log(
             "upstream.renumbered",
-            f"it counts anew: {after} after {before}: the whole list is asked for",
+            f"event numbers restarted: {after} after {before}; sending a list request",
             {"before": before, "after": after},
             "warning",
         )
         self.call(now, on_new_connection=True)
 
-    # Answers of another replica ---------------------------------------------------------------------------
+    # Responses of another replica -------------------------------------------------------------------------
 
     def _on_peer_response(self, now: int, response: UpstreamResponse, has_news: bool) -> None:
-        """Another replica's answer may be of an earlier state than this one's."""
-        self._must_verify_log = True  # a list service that is asked next must repeat the last event
+        """Handles another replica's response, whose state may be earlier than this one's."""
+        self._must_verify_log = True  # a list service that is used next must repeat the last event
         if response.has_more or response.as_of_ms is None:
-            self.move_on(now, "it does not answer as a control replica")
+            self.move_on(now, "its response is not a control replica's")
             return
         is_snapshot = any(holds_snapshot(event) for event in response.events)
         head = ResponseHead(response.last_event_number, response.fingerprint, response.as_of_ms, is_snapshot)
@@ -151,9 +156,9 @@
         self.follower.record_verdict(head, verdict)
         self._apply_peer_response(now, response, verdict, is_snapshot)
         if verdict is ResponseVerdict.OUTDATED:
-            self.move_on(now, "it is behind")
+            self.move_on(now, "its state is behind")
         elif verdict is ResponseVerdict.APPLY and self._is_past_lease(now, response.as_of_ms):
-            self.move_on(now, "it is stale")
+            self.move_on(now, "its state is stale")
         else:
             self._call_again(now, has_news)
 
@@ -163,7 +168,7 @@
     def _apply_peer_response(
         self, now: int, response: UpstreamResponse, verdict: ResponseVerdict, is_snapshot: bool
     ) -> None:
-        """Do to the log what the verdict allows."""
+        """Applies to the log what the verdict allows."""
         if verdict is ResponseVerdict.APPLY and is_snapshot:
             self._replace_state(now, response)
         elif verdict is ResponseVerdict.APPLY:
@@ -178,19 +183,19 @@
         self._log.set_base(response.last_event_number, response.fingerprint)
 
     def _apply_purges(self, now: int, events: tuple[Any, ...]) -> None:
-        """Of an earlier or unconfirmed state: its purges.
+        """Applies the purges of an earlier or unconfirmed state.
 
-        They stand in the state and in snapshots; those who follow by the tail hear of them from whoever is
-        later.
+        They enter the state and so the snapshots, but not the tail.  Watchers that follow the tail receive
+        them from a replica with a later state.
         """
         for event in events:
             if "purge" in event:
                 self._note_unusable(self._log.apply(event, now // MS))
 
-    # Answers of either ------------------------------------------------------------------------------------
+    # Responses of either ----------------------------------------------------------------------------------
 
     def _append_new(self, now: int, events: tuple[Any, ...]) -> None:
-        """Events behind those that are known; one that is known already is not appended again."""
+        """Appends the events after the last known one; skips events that are already known."""
         for event in events:
             number = event_number(event)
             if number is not None and number <= self._log.last_event_number:
@@ -198,14 +203,15 @@
             self._note_unusable(self._log.append(event, now // MS))
 
     def _note_unusable(self, reason: str) -> None:
-        """Name an event in the log that could not be used; "" names none."""
+        """Logs why an event was unusable; "" means that it was usable."""
         if reason:
-            self._effects.log("upstream.refused", f"not used: {reason}", {"why": reason}, "warning")
+            self._effects.log("upstream.refused", f"event not used: {reason}", {"why": reason}, "warning")
 
     def _call_again(self, now: int, has_news: bool) -> None:
-        """Go on with the next call, at home if it is time.
+        """Sends the next watch request, to the home address where that is due.
 
-        An answer that came at once and brought nothing would else be asked for in a loop.
+        It waits for ``batch_ns`` after an early response without new events, because it would otherwise poll
+        in a tight loop.
         """
         self.selector.record_success(now)
         answered_early = now - self._called_ns < UPSTREAM_WAIT_NS // 2
@@ -213,11 +219,11 @@
 
 
 def event_number(event: object) -> int | None:
-    """The number of an event as it came; None where it has none."""
+    """Returns the number of an event as it was received; None where it has none."""
     number = event.get("n") if isinstance(event, dict) else None
     return number if type(number) is int else None
 
 
 def holds_snapshot(event: object) -> bool:
-    """Whether an event as it came is a whole list."""
+    """Returns whether an event as it was received is a complete list."""
     return isinstance(event, dict) and bool(event.get("members", {}).get("snapshot"))
--- a/kelpcroft/control_log/upstream_selection.py
+++ b/kelpcroft/control_log/upstream_selection.py
@@ -1,11 +1,11 @@
-"""Which of several replicas is called, and when the next one is.  Pure.
+"""Choice of the replica that receives the next watch request, and the delay before it.  Pure.
 
-Each follower has an order of its own among the addresses, by its seed, and its home is the first: so a fleet
-is spread evenly, and so are those who leave a dead replica.  After a failure (silence, a refusal, a stale or
-an outdated state) it moves to the next address: soon, at a random moment, so that a dead replica's followers
-do not arrive together.  Once all have failed, calls are made at the pace of ``RETRY_PERIOD_NS``, however long
-that lasts.  Away from home it goes back after a while: else a replica that was restarted would stay without
-followers.
+Each follower shuffles the addresses by its own seed, and its home is the first in that order.  So a fleet is
+spread evenly over the replicas, and so are the followers that leave a dead replica.  After a failure
+(silence, a rejection, a stale or an outdated state) a follower moves to the next address after a short random
+delay, so that a dead replica's followers do not arrive together.  Once all addresses have failed, it sends
+requests at intervals of about ``RETRY_PERIOD_NS``, for as long as they fail.  A follower away from its home
+returns there after a while; otherwise a replica that was restarted would stay without followers.
 
 Times are nanoseconds; the time is an argument.
 """
@@ -16,22 +16,22 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-MAX_FIRST_RETRY_DELAY_NS = 100 * MS  # while some address has not failed: the next is called within this
-RETRY_PERIOD_NS = 1_000 * MS  # once all have failed: between two calls, half of it more or less by chance
-RETURN_HOME_NS = 60 * SECOND  # away from home: it is tried again after this, half of it more or less
+MAX_FIRST_RETRY_DELAY_NS = 100 * MS  # longest delay before the next address while some have not failed
+RETRY_PERIOD_NS = 1_000 * MS  # mean interval between requests once all have failed; jitter of half of it
+RETURN_HOME_NS = 60 * SECOND  # mean time away from home before it is tried again; jitter of half of it
 
 Address = tuple[str, int]  # host and port
 
 
 class UpstreamSelector:
-    """One follower's choice of the address that it calls."""
+    """One follower's choice of the address that it follows."""
 
     def __init__(self, addresses: tuple[Address, ...], seed: int) -> None:
-        """Choose a home among the addresses.
+        """Chooses a home among the addresses.
 
         Args:
-            addresses: at least one.
-            seed: another for each follower.
+            addresses: At least one.
+            seed: A different number for each follower.
         """
         self._random = Random(seed)
         self.addresses = list(addresses)
@@ -43,18 +43,18 @@
 
     @property
     def current_address(self) -> Address:
-        """The address to call."""
+        """The address that receives the watch requests now."""
         return self.addresses[self.current_index]
 
     def short_random_delay_ns(self) -> int:
-        """A short time by chance, so that many do not call together."""
+        """Returns a short random delay, so that many followers do not send requests together."""
         return int(self._random.random() * MAX_FIRST_RETRY_DELAY_NS)
 
     def record_failure(self, now: int) -> int:
-        """Move to the next address.
+        """Moves to the next address.
 
         Returns:
-            How long to wait before it is called, in ns.
+            How long to wait before the request to it, in ns.
         """
         self.consecutive_failures += 1
         self.current_index = (self.current_index + 1) % len(self.addresses)
@@ -64,10 +64,10 @@
         return self._jittered(RETRY_PERIOD_NS)
 
     def record_success(self, now: int) -> bool:
-        """A good answer came, and the current address may change.
+        """Records a good response, after which the follower may return to its home.
 
         Returns:
-            Whether the next call goes to another address, which is home.
+            Whether the current address has changed to the home.
         """
         self.consecutive_failures = 0
         if self.current_index == self.home_index or now < self._return_home_ns:
@@ -76,5 +76,5 @@
         return True
 
     def _jittered(self, span_ns: int) -> int:
-        """A time of this length, half of it more or less by chance."""
+        """Returns a random duration between half and one and a half times ``span_ns``."""
         return span_ns // 2 + int(self._random.random() * span_ns)
--- a/kelpcroft/control_log/watchers.py
+++ b/kelpcroft/control_log/watchers.py
@@ -1,7 +1,8 @@
-"""Whom a control replica answers: the calls of its watchers that wait for news.  Pure.
+"""Watch requests of a control replica's watchers, held until there are new events.  Pure.
 
-A watcher is answered when there is news, and once its wait is over.  Between two answers to one watcher lie
-at least ``batch_ns``: so its calls are bounded whatever the rate of events, and news is told within that.
+A watcher receives a response when there are new events, and at the latest when its wait is over.  Between two
+responses to one watcher lie at least ``batch_ns``.  This bounds each watcher's requests whatever the rate of
+events, and delays new events by at most that time.
 """
 
 from __future__ import annotations
@@ -26,34 +27,35 @@
     WatchRequest,
 )
 
-SHORT_WAIT_BATCH_SHARE = 4  # a call that is to be answered at once may follow in a part of the batch's time
-EARLY_RESPONSE_NS = 100 * MS  # a watcher's call is answered so much before its wait is over
-MAX_WAIT_NS = 5 * SECOND  # no call waits longer (the protocol's bound)
-MAX_CACHED_BODIES = 16  # encoded answers kept for other watchers of the same position
+# Divisor of ``batch_ns`` for a request whose own wait is shorter than ``batch_ns``.
+SHORT_WAIT_BATCH_SHARE = 4
+EARLY_RESPONSE_NS = 100 * MS  # the response is sent this long before the end of the request's wait
+MAX_WAIT_NS = 5 * SECOND  # longest wait of a request (the protocol's bound)
+MAX_CACHED_BODIES = 16  # encoded responses that are kept for other watchers at the same position
 
 
 @dataclass(slots=True)
 class PendingWatch:
-    """A call that is not answered yet.  Times are Unix ns."""
+    """A watch request without a response yet.  Times are Unix ns."""
 
     request: WatchRequest
     since_ns: int
-    until_ns: int  # it is answered by then
-    due_ns: int = 0  # its entry among the timers that counts
+    until_ns: int  # the response is due by then
+    due_ns: int = 0  # the time of its valid timer; other timers of the request are obsolete
 
 
 class WatchTimer(NamedTuple):
-    """When to look at which watcher's call again."""
+    """Timer for one watcher's pending request."""
 
     due_ns: int
     watcher_id: int
 
 
 class WatchQueue:
-    """The calls that wait at one replica.
+    """The watch requests that wait at one replica.
 
     Attributes:
-        pending: by the watcher's number.
+        pending: By the watcher's id.
     """
 
     def __init__(
@@ -72,12 +74,12 @@
         self._lease = lease
         self._effects = effects
         self._counters = counters
-        self._answered_ns: dict[int, int] = {}  # by watcher: when it was last answered
-        self._timers: list[WatchTimer] = []  # a heap; some entries are out of date
-        self._bodies: dict[LogPosition, bytes] = {}  # answers as of now, by the position asked for
+        self._answered_ns: dict[int, int] = {}  # by watcher: when the last response was sent
+        self._timers: list[WatchTimer] = []  # a heap; some entries are obsolete
+        self._bodies: dict[LogPosition, bytes] = {}  # encoded responses, by the requested position
 
     def add(self, now: int, request: WatchRequest) -> None:
-        """A watcher calls.  A second call replaces the first."""
+        """Adds a watcher's request.  A second request of one watcher replaces the first."""
         watcher_id = request.watcher_id
         if watcher_id not in self.pending and len(self.pending) >= self._options.max_watches:
             self._refuse(watcher_id, f"over {self._options.max_watches} watches")
@@ -88,16 +90,16 @@
         self._answer_or_wait(now, pending)
 
     def remove(self, watcher_id: int) -> None:
-        """A watcher's connection has ended."""
+        """Removes a watcher whose connection has ended."""
         self.pending.pop(watcher_id, None)
         self._answered_ns.pop(watcher_id, None)
 
     def next_timer_ns(self) -> int | None:
-        """When ``on_timer`` is to be called next; None where no call waits."""
+        """Returns when ``on_timer`` is due; None where no request waits."""
         return self._timers[0].due_ns if self._timers else None
 
     def on_timer(self, now: int) -> None:
-        """Answer the calls whose time has come."""
+        """Responds to the requests that are due."""
         while self._timers and self._timers[0].due_ns <= now:
             due_ns, watcher_id = heapq.heappop(self._timers)
             pending = self.pending.get(watcher_id)
@@ -105,21 +107,21 @@
                 self._answer_or_wait(now, pending)
 
     def on_change(self, now: int) -> None:
-        """The state or its lease has changed, for all watchers."""
+        """Responds to all watchers for which a change of the state or its lease is relevant."""
         for pending in list(self.pending.values()):
             self._answer_or_wait(now, pending)
 
     def drop_cached_bodies(self) -> None:
-        """The log has changed: answers are encoded anew."""
+        """Drops the encoded responses because the log has changed."""
         self._bodies.clear()
 
     def caught_up_count(self) -> int:
-        """How many watchers wait at the last event."""
+        """Returns how many watchers wait at the last event."""
         last = self._log.last_event_number
         return sum(pending.request.position.event_number == last for pending in self.pending.values())
 
     def _answer_or_wait(self, now: int, pending: PendingWatch) -> None:
-        """Answer a call, or see when to look at it again."""
+        """Responds to a request that is due, or sets the timer for it."""
         watcher_id = pending.request.watcher_id
         needed_ns = now if self._has_news_for(pending.request) else pending.until_ns
         due_ns = max(self._earliest_answer_ns(pending), needed_ns)
@@ -131,17 +133,18 @@
             heapq.heappush(self._timers, WatchTimer(due_ns, watcher_id))
 
     def _earliest_answer_ns(self, pending: PendingWatch) -> int:
-        """The batch's time after the last answer to this watcher."""
+        """Returns the end of the minimum interval after the last response to this watcher."""
         interval_ns = self._options.batch_ns
         if pending.until_ns - pending.since_ns < interval_ns:
             interval_ns //= SHORT_WAIT_BATCH_SHARE
         return self._answered_ns.get(pending.request.watcher_id, 0) + interval_ns
 
     def _has_news_for(self, request: WatchRequest) -> bool:
-        """Whether there is anything to tell.
+        """Returns whether the replica has something to send in response to a request.
 
-        A follower that is ahead is waited for: news that it has is on its way here, unless this is another
-        log.
+        A request with a fingerprint may be ahead of this replica.  It waits, because the events that the
+        follower already has are about to arrive here.  If this replica follows another log, the response
+        comes at the end of the wait.
         """
         if self._lease.is_stale:
             return True
@@ -154,11 +157,11 @@
         return request.position.fingerprint != self._log.last_fingerprint
 
     def _answer(self, now: int, request: WatchRequest) -> None:
-        """Tell a watcher what comes after its position."""
+        """Responds with the events after a watcher's position."""
         watcher_id = request.watcher_id
         del self.pending[watcher_id]
         if self._lease.is_stale and not request.knows_fingerprints:
-            self._refuse(watcher_id, "stale")  # it could not tell old news from none
+            self._refuse(watcher_id, "stale")  # it cannot tell an outdated state from a current one
             return
         try:
             body = self._body(now, request)
@@ -176,7 +179,7 @@
         self._effects.add(RefuseWatcher(watcher_id, reason))
 
     def _body(self, now: int, request: WatchRequest) -> bytes:
-        """The answer's JSON, for a known position from those made before."""
+        """Returns the response's JSON, which is cached by position for watchers with fingerprints."""
         if not request.knows_fingerprints:
             return self._encode(self._events_for(now, request))
         body = self._bodies.get(request.position)
@@ -188,7 +191,11 @@
         return body
 
     def _events_for(self, now: int, request: WatchRequest) -> list[bytes]:
-        """What a follower at a position lacks.  Raises SnapshotIncompleteError."""
+        """Returns the events that a follower at a position lacks.
+
+        Raises:
+            SnapshotIncompleteError: A snapshot is due, and there are more servers or purges than are kept.
+        """
         number = request.position.event_number
         last = self._log.last_event_number
         if not last or number > last:
@@ -202,7 +209,7 @@
         return self._log.snapshot(now // MS)
 
     def _encode(self, events: list[bytes]) -> bytes:
-        """An answer with events that are encoded already."""
+        """Returns a response with events that are already encoded."""
         head = orjson.dumps(
             {
                 "n": self._log.last_event_number,
