--- a/kelpcroft/discovery/watch_timeouts.py
+++ b/kelpcroft/discovery/watch_timeouts.py
@@ -1,15 +1,18 @@
-"""By when an open watch on the list, on which nothing comes, is doubted and asked anew.  Pure.
+"""Timeouts of a watch on the list: how long it may stay silent before it is sent again.  Pure.
 
-A watch that has fallen silent looks like one with no news.  So a call waits for news for a bounded time, and
-one whose answer has not begun ``MAX_SILENCE_NS`` past that is lost: the connection is taken for cut, and the
-call is made again on another one.  A drain told in the silence is known after both times and one more call.
+A watch whose connection is dead looks like one without new events.  So a watch request waits for a bounded
+time.  If its response has not begun ``MAX_SILENCE_NS`` after that, the router regards the connection as lost
+and sends the request again on another one.  A drain sent during the silence is known after both times and one
+more request.
 
-The settings bound them: what was listed ``discovery_poll_limit_ns`` ago counts as told to who has not asked
-since, and binds a grace later.  Half of that is for the wait, a quarter for the silence, and a quarter for
-the call that follows.  Where the settings name no such time, or a long one, the calls' own figures hold.
+The settings bound both times: an event that was listed ``discovery_poll_limit_ns`` ago counts as received by
+a router that has sent no request since, and binds it one grace later.  Half of that total is for the wait, a
+quarter for the silence, and a quarter for the request that follows.  Where the settings set no such limit, or
+a long one, the request's own wait and ``MAX_SILENCE_NS`` apply.
 
-An answer that has begun and goes on coming is not late, ``MAX_TRANSFER_NS`` at the most: a list service that
-takes longer than ``MAX_SILENCE_NS`` to hand its list out would else be cut off and asked anew for ever.
+A response that has begun and continues to arrive is not late, for at most ``MAX_TRANSFER_NS``.  Otherwise the
+router would abandon and repeat the request forever at a list service that takes longer than
+``MAX_SILENCE_NS`` to send its list.
 """
 
 from __future__ import annotations
@@ -19,21 +22,21 @@
 from kelpcroft.decision.interface import Rules
 
 MS = 1_000_000
-MAX_SILENCE_NS = 400 * MS  # past its wait an answer begins by then, and goes on so soon
-MIN_TIMEOUT_NS = 20 * MS  # nothing is doubted sooner: a call there and back takes as long
-MAX_TRANSFER_NS = 5_000 * MS  # past its wait an answer is whole by then
+MAX_SILENCE_NS = 400 * MS  # longest silence: after the wait until the response begins, and then between bytes
+MIN_TIMEOUT_NS = 20 * MS  # no timeout is shorter: one round trip may take this long
+MAX_TRANSFER_NS = 5_000 * MS  # a response must be complete this long after the wait
 
 
 @dataclass(frozen=True, slots=True)
 class WatchTimeouts:
-    """How long a call waits for news, and how long after that, or between its bytes, it may be silent."""
+    """The wait of a watch request for events, and the longest silence after it or between bytes."""
 
     wait_ns: int
     silence_ns: int
 
 
 def watch_timeouts(rules: Rules, wait_ns: int) -> WatchTimeouts:
-    """The time-outs of a call that would wait so long, as these rules let it."""
+    """Returns the timeouts of a watch request with the wait ``wait_ns``, within the bounds of the rules."""
     if not rules.discovery_poll_limit_ns:
         return WatchTimeouts(wait_ns, MAX_SILENCE_NS)
     graces_ns = [grace_ns for grace_ns in (rules.drain_grace_ns, rules.purge_grace_ns) if grace_ns > 0]
@@ -45,14 +48,14 @@
 
 
 def is_overdue(now: int, called_ns: int, last_heard_ns: int, wait_ns: int, silence_ns: int) -> bool:
-    """Whether a call's answer is to be given up.
+    """Returns whether the router abandons a watch request.
 
     Args:
         now: Unix ns, as ``called_ns`` and ``last_heard_ns``.
-        called_ns: when the call was made.
-        last_heard_ns: when bytes of its answer last came; up to ``called_ns`` where none came.
-        wait_ns: how long it waits for news.
-        silence_ns: how long it may be silent past that.
+        called_ns: When the request was sent.
+        last_heard_ns: When bytes of its response last arrived; at most ``called_ns`` where none arrived.
+        wait_ns: How long it waits for events.
+        silence_ns: How long it may be silent after that.
     """
     if last_heard_ns <= called_ns:
         return now - called_ns > wait_ns + silence_ns
