--- a/kelpcroft/purge/floors.py
+++ b/kelpcroft/purge/floors.py
@@ -1,9 +1,9 @@
-"""The floors that purges set: for a request, the newest purge that touches what it asks for.
+"""Floors that purges set: for a request, the newest purge that applies to the requested part of an object.
 
-Every table keeps the newest stamp only, so that a purge applied twice, or after later ones, changes
-nothing: the floors depend on which purges were heard of and not on when.  Objects, groups, classes and tags
-are found by hash; patterns by the object prefix that they name (17 lengths at most), and under it by
-bisection in runs of parts.  A purge that is wider and newer leaves nothing of the narrower in its runs.
+Every table keeps the newest stamp only.  So a purge that is applied twice, or after later ones, changes
+nothing: the floors depend on which purges were received and not on when.  Objects, groups and tags are found
+by hash.  Patterns are found by the object prefix that they name (17 lengths at most), under it by class, and
+then by bisection in runs of parts.  A purge that is wider and newer overwrites the narrower one in its runs.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 
 from kelpcroft.purge.order import PurgeStamp
 
-PARTS_END = 10_000  # parts are 0 to 9,999
+PARTS_END = 10_000  # parts are numbered 0 to 9,999
 NEVER = PurgeStamp(0, 0, 0)  # older than any purge
-MAX_TAGGED_PARTS = 100_000  # whose tags are remembered
+MAX_TAGGED_PARTS = 100_000  # parts whose tags are kept
 
 K = TypeVar("K")
 
 
 @dataclass(frozen=True, slots=True)
 class PurgeTarget:
-    """What a purge names: an object, a group, a tag, or a pattern (a class alone is one)."""
+    """The target of a purge: an object, a group, a tag, or a pattern (a class alone is a pattern)."""
 
     object_id: int | None = None
     group: int | None = None
     tag: str | None = None
     request_class: str | None = None  # of a pattern; None = any
-    prefix: str = ""  # of a pattern: hex digits that the object begins with
+    prefix: str = ""  # of a pattern: hex digits with which the object id begins
     parts: tuple[int, int] = (0, PARTS_END - 1)  # of a pattern: first and last
 
 
 class PartRuns:
-    """The newest purge of each part, as runs of neighbouring parts with one stamp.
+    """The newest purge of each part, as runs of adjacent parts with one stamp.
 
     Attributes:
-        starts: the first part of each run.
-        stamps: the stamp of each run; neighbours differ.
+        starts: The first part of each run.
+        stamps: The stamp of each run; adjacent runs differ.
     """
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
         self.stamps = [NEVER]
 
     def raise_to(self, low: int, high: int, stamp: PurgeStamp) -> None:
-        """The parts from low to high, both included, were purged."""
+        """Records a purge of the parts from ``low`` to ``high``, both included."""
         first = self._split_at(low)
         last = self._split_at(high + 1) if high + 1 < PARTS_END else len(self.starts)
         for index in range(first, last):
@@ -56,21 +56,21 @@
         self._merge(max(0, first - 1), min(len(self.starts), last + 1))
 
     def drop_before(self, horizon: PurgeStamp) -> bool:
-        """Forget what is older.
+        """Drops the stamps before ``horizon``.
 
         Returns:
-            Whether nothing is left.
+            Whether no purge remains.
         """
         self.stamps = [stamp if stamp >= horizon else NEVER for stamp in self.stamps]
         self._merge(0, len(self.starts))
         return self.stamps == [NEVER]
 
     def newest(self, part: int) -> PurgeStamp:
-        """The newest purge of a part."""
+        """Returns the newest purge of a part."""
         return self.stamps[bisect_right(self.starts, part) - 1]
 
     def _split_at(self, part: int) -> int:
-        """The index of the run that begins at a part, made if need be."""
+        """Returns the index of the run that begins at a part; splits a run for it if necessary."""
         index = bisect_right(self.starts, part) - 1
         if self.starts[index] != part:
             index += 1
@@ -79,7 +79,7 @@
         return index
 
     def _merge(self, first: int, last: int) -> None:
-        """Neighbours of one stamp become one run, among the runs from first to before last."""
+        """Merges adjacent runs with one stamp, among the runs from ``first`` to before ``last``."""
         kept = [
             index
             for index in range(first, last)
@@ -89,24 +89,24 @@
         self.stamps[first:last] = [self.stamps[index] for index in kept]
 
 
-RunsByClass = dict[str | None, PartRuns]  # by class; None is any
+RunsByClass = dict[str | None, PartRuns]  # by class; None means any
 
 
 class PurgeFloors:
-    """All purges that may still matter.
+    """All purges that may still be relevant.
 
     Attributes:
-        objects: the newest purge of each object.
-        groups: the newest purge of each group.
-        tags: the newest purge of each tag.
-        patterns: the newest purges by pattern: by the prefix's length, then by prefix, then by class.
+        objects: The newest purge of each object.
+        groups: The newest purge of each group.
+        tags: The newest purge of each tag.
+        patterns: The newest purges by pattern: by the prefix's length, then by prefix, then by class.
     """
 
     def __init__(self, max_tagged_parts: int = MAX_TAGGED_PARTS) -> None:
-        """Begin with none.
+        """Creates floors without purges.
 
         Args:
-            max_tagged_parts: of how many parts the tags are remembered.
+            max_tagged_parts: Number of parts whose tags are kept.
         """
         self.objects: dict[int, PurgeStamp] = {}
         self.groups: dict[int, PurgeStamp] = {}
@@ -117,7 +117,7 @@
         self._max_tagged_parts = max_tagged_parts
 
     def add(self, stamp: PurgeStamp, target: PurgeTarget) -> None:
-        """A purge, heard of at any time and any number of times."""
+        """Records a purge, which may arrive at any time and any number of times."""
         if target.object_id is not None:
             self.objects[target.object_id] = max(stamp, self.objects.get(target.object_id, NEVER))
         elif target.group is not None:
@@ -130,17 +130,17 @@
             by_class.setdefault(target.request_class, PartRuns()).raise_to(*target.parts, stamp)
 
     def record_tags(self, object_id: int, part: int, tags: Iterable[str]) -> None:
-        """An answer told the tags of a part.  The memory has an end; what is longest unused goes first."""
+        """Records the tags of a part from a response.  Beyond the bound, the oldest record is dropped."""
         self._tagged[object_id, part] = frozenset(tags)
         self._tagged.move_to_end((object_id, part))
         if len(self._tagged) > self._max_tagged_parts:
             self._tagged.popitem(last=False)
 
     def floor(self, request_class: str, object_id: int, part: int, group: int) -> PurgeStamp:
-        """The newest purge that touches a part; NEVER if none does.
+        """Returns the newest purge that applies to a part; NEVER if none does.
 
-        A part whose tags are not known counts as bearing every tag: forgetting is sound, and costs a fill
-        where a copy is older than that purge.
+        A part whose tags are not known counts as having every tag.  So dropping a record is safe; it costs a
+        fill where a copy is older than that purge.
         """
         newest = max(self.objects.get(object_id, NEVER), self.groups.get(group, NEVER))
         newest = max(newest, self._newest_of_tags(object_id, part))
@@ -154,14 +154,14 @@
         return newest
 
     def _newest_of_tags(self, object_id: int, part: int) -> PurgeStamp:
-        """The newest purge of a tag that a part bears, or may bear."""
+        """Returns the newest purge of a tag that a part has, or may have."""
         tags = self._tagged.get((object_id, part))
         if tags is None:
             return self._newest_of_any_tag
         return max((self.tags.get(tag, NEVER) for tag in tags), default=NEVER)
 
     def drop_before(self, horizon: PurgeStamp) -> None:
-        """Forget purges older than a place in the order before which provably no old copy can return."""
+        """Drops purges before ``horizon``, a stamp before which provably no old copy can return."""
         drop_older(self.objects, horizon)
         drop_older(self.groups, horizon)
         drop_older(self.tags, horizon)
@@ -180,6 +180,6 @@
 
 
 def drop_older(stamps: dict[K, PurgeStamp], horizon: PurgeStamp) -> None:
-    """Forget what is older than a place in the order."""
+    """Drops the entries whose stamp is before ``horizon``."""
     for key in [key for key, stamp in stamps.items() if stamp < horizon]:
         del stamps[key]
--- a/kelpcroft/purge/order.py
+++ b/kelpcroft/purge/order.py
@@ -1,9 +1,9 @@
-"""One order of purges for the whole fleet: a hybrid logical clock with a bound on how far clocks may differ.
+"""Order of purges for the whole fleet: a hybrid logical clock with a bound on the difference between clocks.
 
-A stamp is the wall clock in milliseconds, or the largest stamp seen if that is ahead, with a counter that
-keeps stamps of one millisecond apart; the router's number settles what is left.  A purge made after another
-was heard of is always ordered after it, whatever the clocks say (Kulkarni et al., "Logical Physical
-Clocks", 2014).
+A stamp is the wall clock in milliseconds, or the largest received stamp if that is ahead, with a counter that
+separates stamps of one millisecond.  The router's number decides between stamps that are equal otherwise.  A
+purge made after another one was received is always ordered after it, whatever the clocks show (Kulkarni et
+al., "Logical Physical Clocks", 2014).
 """
 
 from __future__ import annotations
@@ -11,44 +11,45 @@
 from typing import NamedTuple
 
 MS = 1_000_000
-MAX_CLOCK_LEAD_MS = 5_000  # a stamp further ahead of the own clock is refused: twice two seconds, and some
-MAX_COUNTER = 0xFFFF
+# A stamp further ahead of the local clock is rejected: twice two seconds, plus a margin.
+MAX_CLOCK_LEAD_MS = 5_000
+MAX_COUNTER = 0xFFFF  # after this many further stamps in one millisecond the stamp's time advances
 
 
 class PurgeStamp(NamedTuple):
-    """A place in the order; tuples compare as the order is."""
+    """A position in the order; its tuples compare in that order."""
 
-    ms: int  # Unix milliseconds, of the clock or of what was heard
+    ms: int  # Unix milliseconds, of the local clock or of a received stamp
     counter: int
     router: int
 
 
 class ClockAheadError(ValueError):
-    """A stamp from a clock that is too far ahead; taking it would drag the whole fleet's order along.
+    """A stamp from a clock that is too far ahead, which would move the whole fleet's order ahead with it.
 
     Attributes:
-        lead_ms: how far it is ahead of the own clock.
+        lead_ms: How far it is ahead of the local clock.
     """
 
     def __init__(self, lead_ms: int) -> None:
-        super().__init__(f"a stamp {lead_ms} ms ahead of this clock; {MAX_CLOCK_LEAD_MS} at the most")
+        super().__init__(f"stamp {lead_ms} ms ahead of the local clock; at most {MAX_CLOCK_LEAD_MS} allowed")
         self.lead_ms = lead_ms
 
 
 class HybridClock:
-    """The clock of one router.  Its stamps only grow, whatever the wall clock does."""
+    """The clock of one router.  Its stamps only increase, whatever the wall clock does."""
 
     def __init__(self, router: int) -> None:
-        """Begin before any stamp.
+        """Starts before any stamp.
 
         Args:
-            router: another number for each router.
+            router: A different number for each router.
         """
         self.router = router
         self.last = PurgeStamp(0, 0, router)
 
     def next_stamp(self, now_ns: int) -> PurgeStamp:
-        """A stamp for a purge that is made here now."""
+        """Returns a stamp for a purge that this router makes now."""
         wall_ms = now_ns // MS
         if wall_ms > self.last.ms:
             self.last = PurgeStamp(wall_ms, 0, self.router)
@@ -59,11 +60,11 @@
         return self.last
 
     def observe(self, now_ns: int, stamp: PurgeStamp) -> None:
-        """Another router's stamp: what is made here from now on comes after it.
+        """Records another router's stamp, so that the next local stamps are ordered after it.
 
         Raises:
-            ClockAheadError: it is further ahead of the own clock than ``MAX_CLOCK_LEAD_MS``; nothing of it is
-                taken.
+            ClockAheadError: It is further ahead of the local clock than ``MAX_CLOCK_LEAD_MS``; it is not
+                recorded.
         """
         lead_ms = stamp.ms - now_ns // MS
         if lead_ms > MAX_CLOCK_LEAD_MS:
--- a/kelpcroft/startup/__init__.py
+++ b/kelpcroft/startup/__init__.py
@@ -1,14 +1,14 @@
-"""How a process begins: what it may do beside the one that it follows and hundreds that begin with it.
+"""Startup of a process: its limits beside its predecessor and beside hundreds of routers that start with it.
 
-Pure: no I/O; times are arguments.  Imports the settings and statistics of the decision code, nothing else of
-kelpcroft.  ``kelpcroft.core`` uses all of it; start reading at ``options``, which says what an operator may
-ask for:
+Pure: no I/O; times are arguments.  Imports the settings and statistics of the decision package, nothing else
+of kelpcroft.  ``kelpcroft.core`` uses all of it; start reading at ``options``, which lists what an operator
+may enable:
 
-- ``options``: what the operator's file says of a start;
+- ``options``: the settings for a start in the operator's file;
 - ``restart_overlap``: two processes of one router share one budget for cold servers;
-- ``fleet_size``: how many routers there really are, by what caches report;
-- ``origin_concurrency``: how many fetches a router may have out at the origin while it begins;
-- ``crash_loop_backoff``: a router that starts again and again waits before it calls the list service.
+- ``fleet_size``: the actual number of routers, estimated from the reports of caches;
+- ``origin_concurrency``: how many fetches a router may have in flight to the origin while it starts;
+- ``crash_loop_backoff``: a router that restarts repeatedly waits before it sends the list service a request.
 """
 
 from kelpcroft.startup.options import StartupOptions
--- a/kelpcroft/startup/crash_loop_backoff.py
+++ b/kelpcroft/startup/crash_loop_backoff.py
@@ -1,7 +1,8 @@
-"""A router that starts again and again waits before it calls the list service (crash-loop back-off).  Pure.
+"""Crash-loop back-off: delay of the first request to the list service after repeated starts.  Pure.
 
-What it remembers of earlier starts only makes it gentler.  The file lies under ``$TMPDIR``; where that does
-not last, or the file is missing or odd, nothing is remembered and the router starts as ever.
+The record of earlier starts can only increase that wait.  The file is in ``$TMPDIR``.  Where that directory
+does not persist, or the file is missing or invalid, no earlier start is known and the router starts without a
+wait.
 
     {"v": 1, "name": "n3", "starts_ms": [1764576000123, 1764576002150]}
 """
@@ -12,27 +13,27 @@
 
 import orjson
 
-VERSION = 1
-MAX_FILE_BYTES = 4_096
-MAX_REMEMBERED_STARTS = 32
-MEMORY_NS = 60 * 10**9  # starts longer ago say nothing
-FREE_STARTS = 2  # within that time, that cost no wait
-FIRST_DELAY_NS = 500 * 10**6  # the first call to the list service waits so long at the next, doubling ...
-MAX_DELAY_NS = 4 * 10**9  # ... up to this: a drain must be heard of within 7 s
-MAX_DOUBLINGS = 8  # past them the delay is over its bound anyway
+VERSION = 1  # of the file's format
+MAX_FILE_BYTES = 4_096  # a larger file is ignored
+MAX_REMEMBERED_STARTS = 32  # the newest starts that the file keeps
+MEMORY_NS = 60 * 10**9  # starts longer ago than this are ignored
+FREE_STARTS = 2  # starts within that time without a wait
+FIRST_DELAY_NS = 500 * 10**6  # wait of the next start before its first request, doubling with each ...
+MAX_DELAY_NS = 4 * 10**9  # ... up to this: a drain must be known within 7 s
+MAX_DOUBLINGS = 8  # after more doublings the delay exceeds its bound anyway
 NS_PER_MS = 1_000_000
 
 
 def file_path(folder: str, name: str) -> str:
-    """Where the file of a router lies."""
+    """Returns the path of a router's file."""
     return f"{folder.rstrip('/')}/kelpcroft-{name.replace('/', '_')}.starts"
 
 
 def decode(data: bytes, name: str, now_ns: int) -> list[int]:
-    """A router's earlier starts within the time that counts.
+    """Decodes a router's earlier starts within ``MEMORY_NS``.
 
     Returns:
-        Unix ns, oldest first; none where the file is not to be used.
+        Unix ns, oldest first; empty where the file is unusable.
     """
     if len(data) > MAX_FILE_BYTES:
         return []
@@ -50,14 +51,14 @@
 
 
 def encode(name: str, starts_ns: list[int], now_ns: int) -> bytes:
-    """The file's bytes after one more start, now."""
+    """Returns the file's bytes after one more start, now."""
     kept_ns = [*starts_ns, now_ns][-MAX_REMEMBERED_STARTS:]
     starts_ms = [start_ns // NS_PER_MS for start_ns in kept_ns]
     return orjson.dumps({"v": VERSION, "name": name, "starts_ms": starts_ms}) + b"\n"
 
 
 def crash_loop_delay_ns(starts_ns: list[int]) -> int:
-    """How long the first call to the list service is to wait, by the earlier starts that count."""
+    """Returns how long the first request to the list service waits after these earlier starts."""
     excess = len(starts_ns) - FREE_STARTS
     if excess < 0:
         return 0
--- a/kelpcroft/startup/fleet_size.py
+++ b/kelpcroft/startup/fleet_size.py
@@ -1,15 +1,17 @@
-"""How many routers there really are beside this one, by what the zone's caches report.  Pure.
+"""Estimate of the actual number of routers in the zone, from the reports of the zone's caches.  Pure.
 
-The settings say how many routers a zone has, and each spends its part of a cold server's capacity by that
-number.  After a power cut a tenth of them may be there, or twice as many in a change.  A cache's report says
-how many requests it holds of all routers (``outstanding``); this router knows how many of them are its own.
-Over all caches and some seconds, all of them over its own is the number of routers of its own weight:
+The settings state how many routers a zone has, and each router spends its share of a cold server's capacity
+by that number.  After a power cut a tenth of them may run, or twice as many during a change.  A cache's
+report states how many requests it holds from all routers (``outstanding``).  This router knows how many of
+them are its own.  Over all caches and some seconds, the quotient is the number of routers with this router's
+load:
 
     routers = sum(reported) / sum(own)
 
-so what each router takes is in proportion to what it carries, and the sum is what one zone may take however
-many they are and however unevenly they are loaded.  More than the settings say counts as it is; fewer counts
-with a margin of ``FEWER_ROUTERS_MARGIN``, as reports are late and a burst of others may be on its way.
+So each router spends a share in proportion to its load, and the sum is the capacity for one zone, however
+many routers there are and however uneven their load.  An estimate above the settings' number is used as it
+is.  A lower one is multiplied by ``FEWER_ROUTERS_MARGIN``, because reports are late and a burst from other
+routers may be in flight.
 """
 
 from __future__ import annotations
@@ -18,33 +20,34 @@
 
 from kelpcroft.decision.statistics import DecayingSum
 
-TIME_CONSTANT_NS = 4 * 10**9  # reports count 1/e after so long
-MIN_REPORTS = 4.0  # of them, decayed, before they say anything
-MIN_DIFFERENCE = 1.25  # the estimate differs from the settings' number by this factor, or counts as it
-FEWER_ROUTERS_MARGIN = 1.5  # and counts so many times where there are fewer
-MAX_DIFFERENCE = 16.0  # times the settings' number, and as small a part of it
-MAX_SANE_REPORT = 1e6  # no cache holds as many requests
-ROUNDING_SLACK = 1e-6  # a quotient so little above a whole number is that number
+TIME_CONSTANT_NS = 4 * 10**9  # a report's weight falls to 1/e in this time
+MIN_REPORTS = 4.0  # the estimate is used from this many reports, decayed
+MIN_DIFFERENCE = 1.25  # the settings' number is used unless the estimate differs by this factor
+FEWER_ROUTERS_MARGIN = 1.5  # an estimate below the settings' number is multiplied by this
+MAX_DIFFERENCE = 16.0  # the estimate is at most this many times the settings' number, and at least 1/16 of it
+MAX_SANE_REPORT = 1e6  # no cache holds this many requests
+ROUNDING_SLACK = 1e-6  # a quotient above a whole number by at most this is that number
 
 
 class FleetSizeEstimator:
-    """The routers of one zone."""
+    """Estimates the number of routers of one zone."""
 
     def __init__(self, configured_routers: int) -> None:
-        """Begin with no report.
+        """Creates an estimator without reports.
 
         Args:
-            configured_routers: routers of the zone by the settings.
+            configured_routers: The zone's routers according to the settings.
         """
         self._configured = max(1, configured_routers)
         self._reported = DecayingSum(TIME_CONSTANT_NS)  # requests at caches, of all routers
-        self._own = DecayingSum(TIME_CONSTANT_NS)  # of them, this router's
+        self._own = DecayingSum(TIME_CONSTANT_NS)  # this router's requests among them
         self._reports = DecayingSum(TIME_CONSTANT_NS)
 
     def record_report(self, now: int, reported: float, own: int) -> None:
-        """A cache's report of requests held, and how many of this router's were there.
+        """Records a cache's report of requests held, and how many of this router's were there.
 
-        One that cannot be right says nothing; one under our own number is of before they came.
+        An impossible report is ignored.  A report below this router's own number dates from before those
+        requests arrived, and counts as that number.
         """
         if own > 0 and 0 <= reported < MAX_SANE_REPORT:
             self._reported.add(now, max(reported, float(own)))
@@ -52,7 +55,7 @@
             self._reports.add(now, 1.0)
 
     def estimated_routers(self, now: int) -> int:
-        """The number to reckon with."""
+        """Returns the number of routers by which this router computes its share."""
         own = self._own.value_at(now)
         if own <= 0 or self._reports.value_at(now) < MIN_REPORTS:
             return self._configured
--- a/kelpcroft/startup/options.py
+++ b/kelpcroft/startup/options.py
@@ -1,4 +1,4 @@
-"""What the operator's file says of a start.  The defaults change nothing."""
+"""Settings for a start in the operator's file.  The defaults change nothing."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartupOptions:
-    """How this router begins beside all others that begin with it: node ``start`` of the operator's file."""
+    """How this router starts beside all others that start with it: node ``start`` of the operator's file."""
 
-    list_calls_per_s: float = 0.0  # that the list service bears of all; 0 = no budget (``list-calls``)
-    limit_origin_fetches: bool = False  # fetches out at the origin are few at first (``store``)
-    estimate_fleet_size: bool = False  # routers of the zone are counted by what caches report (``count``)
+    # Watch requests of all routers that the list service can serve; 0 = no budget (``list-calls``).
+    list_calls_per_s: float = 0.0
+    limit_origin_fetches: bool = False  # few fetches in flight to the origin at first (``store``)
+    estimate_fleet_size: bool = False  # the zone's routers are counted from the reports of caches (``count``)
--- a/kelpcroft/startup/origin_concurrency.py
+++ b/kelpcroft/startup/origin_concurrency.py
@@ -1,63 +1,63 @@
-"""How many fetches a router may have out at the origin while it begins.  Pure.
+"""Limit on the fetches that a router may have in flight to the origin while it starts.  Pure.
 
-Additive increase, multiplicative decrease, as TCP's congestion window.  When caches and parents start empty,
-every request is a miss, and parents admit hardly any of it: all routers turn to the origin in the same
-second, before the first late answer could tell anyone.  So a router begins with one fetch out at the origin;
-the limit goes up by one in a round of answers in good time, and down by half after a late one.  Requests of
-uncacheable classes (orders) are never held back, though they count.  Once nothing was late for ``CALM_NS``,
-or ``MAX_LIMIT`` were out in time, the limit is lifted for good: past its start a router has better signs than
-this one.
+Additive increase, multiplicative decrease, as in TCP's congestion window.  When caches and parents start
+empty, every request is a miss, and parents admit hardly any of them.  All routers then turn to the origin in
+the same second, before a first late response could warn any of them.  So a router starts with one fetch in
+flight to the origin.  The limit rises by one per round of responses in time, and halves after a late one.
+Requests of uncacheable classes (orders) are never held back, but they count.  The limit is lifted for good
+once nothing was late for ``CALM_NS``, or once it has reached ``MAX_LIMIT``: past its start a router has
+better signals than this one.
 
 Times are Unix nanoseconds; the time is an argument.
 """
 
 from __future__ import annotations
 
-FIRST_LIMIT = 1.0
-MAX_LIMIT = 32.0  # so many out in time: nothing is bounded any more
-CALM_NS = 10 * 10**9  # nothing late for so long, and much was asked: the same
-MIN_CALM_RESPONSES = 20  # in that time
-LATE_SHARE = 2 / 3  # of a class's latency objective: a wait for the origin beyond it is late
+FIRST_LIMIT = 1.0  # fetches in flight at the start
+MAX_LIMIT = 32.0  # the limit is lifted when it reaches this
+CALM_NS = 10 * 10**9  # the limit is lifted after this long without a late response ...
+MIN_CALM_RESPONSES = 20  # ... and with at least this many responses in that time
+LATE_SHARE = 2 / 3  # a wait for the origin above this share of the class's latency objective is late
 
 
 class OriginConcurrencyLimit:
     """The limit of one router.
 
     Attributes:
-        limit: how many may be out.
-        in_flight: how many are out.
-        is_lifted: nothing is bounded any more.
+        limit: How many fetches may be in flight.
+        in_flight: How many fetches are in flight.
+        is_lifted: Whether the limit no longer applies.
     """
 
     def __init__(self, now: int) -> None:
-        """Begin with one."""
+        """Starts with a limit of one."""
         self.limit = FIRST_LIMIT
         self.in_flight = 0
         self.is_lifted = False
-        self._reduced_ns = 0  # when the limit last went down
+        self._reduced_ns = 0  # when the limit was last reduced
         self._last_late_ns = now
-        self._in_time = 0  # answers since one was late
+        self._in_time = 0  # responses since the last late one
 
     def has_capacity(self) -> bool:
-        """Whether one more may go out."""
+        """Returns whether one more fetch may be sent."""
         return self.is_lifted or self.in_flight < self.limit
 
     def is_late(self, wait_ns: float, objective_ns: int) -> bool:
-        """Whether a wait for the origin was too long for a class's latency objective."""
+        """Returns whether a wait for the origin was too long for a class's latency objective."""
         return wait_ns > LATE_SHARE * objective_ns
 
     def record_sent(self) -> None:
-        """One more is out."""
+        """Records a fetch that is in flight from now on."""
         self.in_flight += 1
 
     def record_finished(self, now: int, sent_ns: int, late: bool | None) -> None:
-        """One is not out any more.
+        """Records a fetch that is no longer in flight.
 
         Args:
             now: Unix ns, as ``sent_ns``.
-            sent_ns: when it went out.  What was sent before the limit last went down says nothing of its
-                effect.
-            late: whether it took too long; None where that does not tell.
+            sent_ns: When it was sent.  A fetch sent before the limit was last reduced says nothing about the
+                effect of that reduction.
+            late: Whether it took too long; None where its duration proves nothing.
         """
         self.in_flight = max(0, self.in_flight - 1)
         if late is None or self.is_lifted:
