--- a/tests/control_log/test_control_field.py
+++ b/tests/control_log/test_control_field.py
@@ -1,6 +1,7 @@
-"""Control replicas, a list service and routers as real processes, with faults between them.
+"""Control replicas, a list service and routers as real processes, with failures injected between them.
 
-After each fault a purge and a drain are told: all routers have them in force, and calls stay bounded.
+After each failure the list service publishes a purge and a drain.  All routers must apply both, and the rate
+of watch requests must stay bounded.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 SIZE = FleetSize(routers=12, servers=40, zones=3)
 LEASE = 'lease "2s"'
-CALLS_MOST = 6  # of one router in a second: one each batch of 400 ms, and moves
+CALLS_MOST = 6  # watch requests of one router in a second: one per batch interval of 400 ms, and moves
 
 
 class Faults(unittest.TestCase):
@@ -33,7 +34,7 @@
         return field
 
     def news(self, field: ControlField) -> int:
-        """A purge and a drain are told: the number of the drain, and how many servers are left."""
+        """Publishes a purge and a drain; returns the event number of the drain."""
         field.order_service(do="history", purges=1, age_s=0)
         self.drained += 1
         return field.order_service(do="status", server=f"s-{self.drained:04x}", status="leaving")
@@ -43,7 +44,7 @@
         assert field.is_caught_up(number, SIZE.servers - self.drained), what
 
     def assert_calls_bounded(self, field: ControlField, over_s: float = 3.0) -> None:
-        """Over some seconds no replica hears more calls than its watchers may make."""
+        """Checks that for some seconds each replica receives at most the requests allowed to its watchers."""
 
         def heard() -> list[int]:
             states = [replica.state() for replica in field.replicas]
@@ -59,36 +60,47 @@
         field = self.field()
         field.replicas[0].end()
         self.assert_in_step(field, "one of two is dead")
-        assert field.watchers()[0] == 0, "nobody calls a dead replica for long"
+        assert field.watchers()[0] == 0, "a dead replica has no watchers"
         self.assert_calls_bounded(field)
         field.replicas[0].start()
         field.replicas[1].end()
-        self.assert_in_step(field, "the other is dead, the first is new")
+        self.assert_in_step(field, "the second is dead, the first has restarted")
 
     def test_a_replica_stopped_and_woken(self) -> None:
-        """Its watches are open and silent meanwhile; woken, it knows nothing new and says so."""
+        """A replica is suspended, so that its watch connections stay open and silent, and then continues.
+
+        It has nothing new then, and its responses say so.
+        """
         field = self.field()
         field.replicas[0].signal(signal.SIGSTOP)
-        self.assert_in_step(field, "one of two is stopped")
+        self.assert_in_step(field, "one of two is suspended")
         time.sleep(3.0)
         field.replicas[0].signal(signal.SIGCONT)
-        self.assert_in_step(field, "it is woken")
+        self.assert_in_step(field, "it has continued")
         self.assert_calls_bounded(field)
 
     def test_a_replica_cut_from_upstream(self) -> None:
-        """It goes on answering, and says that it is stale: its watchers leave it."""
+        """A replica that is disconnected from upstream continues to respond.
+
+        It reports that it is stale, and its watchers move to another replica.
+        """
         field = self.field()
         field.upstream_relays[0].change(LinkMode.SILENT)
-        self.assert_in_step(field, "one of two is cut off")
-        assert wait_for(lambda: (field.replicas[0].state() or {}).get("stale"), 10), "it says so"
+        self.assert_in_step(field, "one of two is disconnected from upstream")
+        assert wait_for(lambda: (field.replicas[0].state() or {}).get("stale"), 10), (
+            "it reports that it is stale"
+        )
         assert wait_for(lambda: field.watchers()[0] == 0, 10), "its watchers have left"
         field.upstream_relays[0].change(LinkMode.PASS)
         field.upstream_relays[0].drop()
         assert wait_for(lambda: not (field.replicas[0].state() or {}).get("stale", True), 10)
-        self.assert_in_step(field, "it is back")
+        self.assert_in_step(field, "it is connected again")
 
     def test_links_to_watchers_that_lie(self) -> None:
-        """Silent, garbage, answers broken off, late: routers leave the replica behind such a link."""
+        """A link to a replica is silent, delayed or one-way, sends garbage, or cuts responses off.
+
+        Routers leave the replica behind such a link.
+        """
         field = self.field()
         for mode in (LinkMode.SILENT, LinkMode.GARBAGE, LinkMode.CUT, LinkMode.DELAY, LinkMode.ONE_WAY):
             with self.subTest(mode=mode.value):
@@ -104,24 +116,26 @@
         self.assert_in_step(field, "before")
         self.assert_in_step(field, "before")
         field.order_service(do="restart")
-        self.assert_in_step(field, "numbers are lower than they were")
-        self.assert_in_step(field, "and grow past them")
+        self.assert_in_step(field, "numbers are lower than before the restart")
+        self.assert_in_step(field, "numbers are higher than before the restart")
         self.assert_calls_bounded(field)
 
     def test_half_of_the_routers_on_a_replica_that_lags(self) -> None:
-        """Its upstream link takes 0.3 to 0.6 s there and back: a drain is known everywhere all the same, and
-        routers that move between the two go neither back nor twice over the same.
+        """One replica's upstream link has a round trip of 0.3 to 0.6 s.
+
+        A drain still reaches all routers.  Routers that move between the two replicas neither revert to an
+        earlier state nor apply an event twice.
         """
         field = self.field()
         field.upstream_relays[0].change(LinkMode.DELAY)
         for _ in range(3):
-            self.assert_in_step(field, "one lags")
-        field.watcher_relays[1].drop()  # those of the quick one try another
-        self.assert_in_step(field, "some have moved to the one that lags")
+            self.assert_in_step(field, "one replica lags")
+        field.watcher_relays[1].drop()  # the routers of the fast replica try the other one
+        self.assert_in_step(field, "some routers have moved to the replica that lags")
         self.assert_calls_bounded(field)
 
     def test_two_replicas_that_disagree(self) -> None:
-        """Each watches a list service of its own, and one knows of drains that the other does not."""
+        """Two replicas watch different list services, and each has a drain that the other does not have."""
         field = self.field(services=2)
         one, other = field.service_list
         field.order_service(one, do="status", server="s-0001", status="leaving")
@@ -129,23 +143,29 @@
         assert wait_for(lambda: set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, 10)
         field.replicas[0].end()
         number = field.order_service(other, do="status", server="s-0003", status="leaving")
-        assert field.is_caught_up(number, SIZE.servers - 2), "all are of the second's mind by now"
+        assert field.is_caught_up(number, SIZE.servers - 2), (
+            "all routers have the state of the second replica"
+        )
 
     def test_upstream_dead_for_the_whole_time(self) -> None:
-        """Routers keep what they know, and calls at the replicas stay bounded."""
+        """Upstream is dead: routers keep their endpoint list, and the request rate stays bounded."""
         field = self.field()
         self.assert_in_step(field, "before")
         field.service.end()
-        time.sleep(4.0)  # past the lease
+        time.sleep(4.0)  # longer than the lease
         assert all((replica.state() or {}).get("stale") for replica in field.replicas)
         self.assert_calls_bounded(field)
-        assert set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, "nothing is forgotten"
+        assert set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, (
+            "routers keep their endpoint list"
+        )
 
 
 class Counts(unittest.TestCase):
     def test_calls_bytes_and_state_of_a_small_fleet(self) -> None:
-        """30 purges at 10 a second: what the list service hears goes with replicas and purges, what a replica
-        hears with its routers and the batch; none of it with the other.  Counts only, no times.
+        """30 purges at 10 a second: the load of the list service depends on replicas and purges only.
+
+        The load of a replica depends on its routers and the batch interval only.  The test checks counts, no
+        times.
         """
         purges, rate = 30, 10.0
         with ControlField(SIZE, 2) as field:
@@ -172,8 +192,9 @@
 
 class UnderLoad(unittest.TestCase):
     def test_rules_hold_while_a_replica_dies_and_a_server_drains(self) -> None:
-        """Routers with clients and servers: on the event of the drain the replica of half of them is
-        killed.
+        """Routers serve clients while the replica of half of them is killed and a server starts to drain.
+
+        The requests of clients break no rule and none is lost.
         """
         folder = TemporaryDirectory()
         self.addCleanup(folder.cleanup)
--- a/tests/control_log/test_control_log.py
+++ b/tests/control_log/test_control_log.py
@@ -1,4 +1,4 @@
-"""The control log's state, tail and snapshots, and a replica's answers, in virtual time without a network."""
+"""The control log's state, tail and snapshots, and a replica's responses: virtual time, no network."""
 
 from __future__ import annotations
 
@@ -71,16 +71,18 @@
         log = self.filled(3 * control_log.MAX_TAIL_EVENTS, at_ms=-100_000)
         assert len(log.tail) <= control_log.MAX_TAIL_EVENTS
         assert log.tail_bytes <= control_log.MAX_TAIL_BYTES
-        assert log.purges == {}, "those that no longer matter are not kept"
+        assert log.purges == {}, "purges that are no longer relevant are dropped"
         assert not log.contains(3, event_fingerprint(canonical_json(purge(3, -100000)))), (
-            "it is older than the tail"
+            "its event is older than the tail"
         )
         for n in range(control_log.MAX_PURGES + 10):
             log.apply(purge(n, 1_000), 1_000)
         assert len(log.purges) == control_log.MAX_PURGES
         with pytest.raises(SnapshotIncompleteError):
             log.snapshot(1_000)
-        assert len(log.snapshot(70000)) == 1, "once none of them matters it is whole again"
+        assert len(log.snapshot(70000)) == 1, (
+            "snapshots are available again once all these purges have expired"
+        )
 
     def test_a_snapshot_is_the_state_and_what_matters(self) -> None:
         log = self.filled(2)
@@ -145,12 +147,14 @@
         addresses = tuple((f"10.0.0.{n}", 1) for n in range(4))
         found = [UpstreamSelector(addresses, seed) for seed in range(400)]
         homes = [sources.current_address for sources in found]
-        assert all(60 < homes.count(address) < 140 for address in addresses), "evenly"
+        assert all(60 < homes.count(address) < 140 for address in addresses), "homes are spread evenly"
         left = [sources for sources in found if sources.current_address == addresses[0]]
         for sources in left:
             sources.record_failure(NOW)
         moved = [sources.current_address for sources in left]
-        assert all(moved.count(address) > len(left) // 5 for address in addresses[1:]), "so are they"
+        assert all(moved.count(address) > len(left) // 5 for address in addresses[1:]), (
+            "followers that leave a replica are spread evenly"
+        )
         sources = UpstreamSelector(addresses, 7)
         waits = [sources.record_failure(NOW) for _ in range(40)]
         assert all(0 <= w < MAX_FIRST_RETRY_DELAY_NS for w in waits[:3])
@@ -178,7 +182,7 @@
     def test_calls_of_a_watcher_are_bounded_whatever_the_rate_of_events(self) -> None:
         replica, now, calls = self.replica(), NOW, 0
         position, marked, out = LogPosition(), True, False
-        for n in range(2, 302):  # a purge each 10 ms, for 3 s
+        for n in range(2, 302):  # a purge every 10 ms, for 3 s
             now += 10 * MS
             effect_list = [] if out else replica.on_watch(now, WatchRequest(7, position, marked, SECOND))
             calls, out = calls + (not out), True
@@ -203,7 +207,9 @@
         assert replica.is_stale
         assert len(self.told(replica, end + SECOND, WatchRequest(7, LogPosition(1, mark), True, SECOND))) == 1
         refused = self.told(replica, end + SECOND, WatchRequest(8, LogPosition(1), False, SECOND))
-        assert isinstance(refused[0], RefuseWatcher), "one that knows no marks could not tell"
+        assert isinstance(refused[0], RefuseWatcher), (
+            "a watcher without fingerprints cannot detect a stale state"
+        )
 
     def test_watches_are_bounded(self) -> None:
         replica = self.replica(max_watches=2)
@@ -217,7 +223,10 @@
         assert self.told(replica, NOW, WatchRequest(9, LogPosition(1, mark), True, SECOND)) == []
 
     def test_a_follower_that_is_ahead_is_waited_for(self) -> None:
-        """News that it has from another replica is on its way; it is answered by the end of its wait."""
+        """A follower already has an event from another replica that is about to arrive here.
+
+        Its request gets no event that it already has, and a response by the end of its wait.
+        """
         replica = self.replica()
         ahead = purge(2, NOW // MS)
         watch = WatchRequest(7, LogPosition(2, event_fingerprint(canonical_json(ahead))), True, SECOND)
@@ -252,7 +261,7 @@
 
 class AtARouter(unittest.TestCase):
     def test_replicas_are_taken_up_and_left_when_the_file_is_read_again(self) -> None:
-        """Numbers of the feed and of replicas do not go together: the whole list is asked for."""
+        """Numbers of the feed and of replicas are unrelated: a router that switches sends a list request."""
         raw = configuration(FleetSize(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
         reducer = Reducer(parse_config(raw, {}))
         reducer.start(NOW)
@@ -269,7 +278,7 @@
         assert [
             (e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.PollFeed)
         ] == [(0, None)]
-        assert set(reducer.state.endpoints) == known, "what is known stays meanwhile"
+        assert set(reducer.state.endpoints) == known, "the endpoint list stays in the meantime"
 
     def test_a_replica_that_answers_at_once_with_nothing_is_left(self) -> None:
         raw = configuration(FleetSize(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
--- a/tests/control_log/test_control_machine.py
+++ b/tests/control_log/test_control_machine.py
@@ -1,7 +1,7 @@
-"""The control log as a state machine: replicas, routers, restarts, cuts and renumbering, in virtual time.
+"""Stateful test of the control log: replicas, routers, restarts, cut links and renumbering, in virtual time.
 
-What must hold: a drain or a purge that was told is in force at every connected router within a bounded time,
-nothing that a router knows is undone by an older state, and calls at each replica stay bounded.
+A published drain or purge must be in force at every connected router within a bounded time.  No earlier state
+may revert what a router has applied, and the request rate at each replica must stay bounded.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 SIZE = FleetSize(routers=4, servers=12, zones=2)
 SKEWS_NS = [0, 400 * MS, -400 * MS]
 SERVICE = address_of(0)
-HEALED_NS = 12 * SECOND  # a lease, the moves past all replicas, and a clock's difference twice
-CALLS_MOST = 12  # of one router at all replicas in a second: one each batch, and moves
+HEALED_NS = 12 * SECOND  # a lease, the moves past all replicas, and twice the clock difference
+CALLS_MOST = 12  # watch requests of one router at all replicas in a second: one per batch interval, and moves
 PURGE_SPAN_NS = 66 * SECOND  # of the example's settings
 
 
 def fleet() -> VirtualNetwork:
-    """Two replicas that watch the list service, and one that watches these."""
+    """Returns two replicas that watch the list service, and one that watches these two."""
     first = ReplicaOptions((SERVICE,), purge_span_ns=PURGE_SPAN_NS)
     peers = (address_of(1), address_of(2))
     behind = ReplicaOptions(peers, frozenset(peers), batch_ns=200 * MS, purge_span_ns=PURGE_SPAN_NS)
@@ -37,13 +37,13 @@
         super().__init__()
         self.net = fleet()
         self.net.run(2 * SECOND)
-        self.gone: set[str] = set()  # drained, and not back
-        self.purges: dict[int, int] = {}  # object: when
+        self.gone: set[str] = set()  # drained and not started again
+        self.purges: dict[int, int] = {}  # by object: when it was purged
         self.known_gone: dict[str, set[str]] = {r.name: set() for r in self.net.routers}
         self.known_purges: dict[str, dict[int, int]] = {r.name: {} for r in self.net.routers}
         self.made = 0
 
-    # What happens -----------------------------------------------------------------------------------------
+    # Rules ------------------------------------------------------------------------------------------------
 
     @rule(ms=st.sampled_from([20, 150, 700, 3_000]))
     def time_passes(self, ms: int) -> None:
@@ -67,7 +67,7 @@
     @precondition(lambda self: self.net.service.up and self.gone)
     @rule()
     def come_back(self) -> None:
-        """A server that was drained has started again."""
+        """A drained server starts again."""
         name = min(self.gone)
         self.gone.discard(name)
         for known in self.known_gone.values():
@@ -76,7 +76,7 @@
 
     @rule(a=st.integers(0, 3), b=st.integers(1, 3), router=st.integers(-1, 3))
     def cut(self, a: int, b: int, router: int) -> None:
-        """A link between a router and a replica, or of a replica upstream, is cut; or mended."""
+        """Cuts or restores a link between a router and a replica, or between a replica and its upstream."""
         one = f"router-{router}" if router >= 0 else "service" if a == 0 else f"replica-{a}"
         self.net.cut ^= {frozenset((one, f"replica-{b}"))}
 
@@ -87,7 +87,10 @@
 
     @rule()
     def restart_service(self) -> None:
-        """It counts from 1 and tells no purge from before: those are due only where they are known by now."""
+        """Restarts the list service, which counts from 1 and no longer sends earlier purges.
+
+        Those purges are required only at routers that already have them.
+        """
         self.net.service.restart()
         self.purges.clear()
 
@@ -106,7 +109,7 @@
         router.start()
         self.known_gone[router.name], self.known_purges[router.name] = set(), {}
 
-    # What must hold ---------------------------------------------------------------------------------------
+    # Invariants -------------------------------------------------------------------------------------------
 
     @invariant()
     def nothing_is_undone(self) -> None:
@@ -127,7 +130,7 @@
             replica.calls = late
 
     def teardown(self) -> None:
-        """All is mended: soon every router is in step."""
+        """Restores everything; every router must catch up soon."""
         self.net.cut.clear()
         self.net.service.up = True
         for replica in self.net.replicas:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the list: silent for ever, slow, or cut in the middle of an answer."""
+"""The watch on the list: silent forever, slow, or cut off in the middle of a response."""
 
 from __future__ import annotations
 
@@ -33,7 +33,10 @@
         st.integers(MS, 4 * SECOND),
     )
     def test_the_settings_bound_it(self, ask: int, drain: int, purge: int, wait: int) -> None:
-        """It was a constant of ours, whatever the settings said of when a list counts as told."""
+        """The settings state when a listed event counts as received, and this bounds the timeouts.
+
+        Guards against constant timeouts that ignore those settings.
+        """
         watch = watch_timeouts(
             Rules(discovery_poll_limit_ns=ask, drain_grace_ns=drain, purge_grace_ns=purge), wait
         )
@@ -56,12 +59,12 @@
 
 class Watched(unittest.TestCase):
     def asked(self, t: Turns) -> Peer:
-        """The call that is out: those before it were given up."""
+        """Returns the feed connection of the outstanding watch request; earlier ones were abandoned."""
         feed = t.taken("feed")
-        t.until(feed.read, "the list is asked for")
+        t.until(feed.read, "the watch request arrives")
         while feed.ended:
             feed = t.taken("feed")
-            t.until(feed.read, "the list is asked for")
+            t.until(feed.read, "the watch request arrives")
         return feed
 
     def drain(self, t: Turns) -> dict[str, object]:
@@ -73,8 +76,10 @@
         }
 
     def test_silent_for_ever(self) -> None:
-        """Nothing comes on an open watch, again and again: each is asked anew in time, and a drain told
-        meanwhile is known with the first that answers.
+        """No byte arrives on an open watch, several times in a row.
+
+        Each watch request is repeated in time, and a drain published in the meantime is known with the first
+        response.
         """
         for ask, within in ((0, 1_400), (400, 400)):
             with self.subTest(ask_within_ms=ask):
@@ -100,7 +105,10 @@
         t.until(lambda: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
 
     def test_a_slow_service_is_heard_to_the_end(self) -> None:
-        """A list that took longer than the doubt was cut off each time, and never heard."""
+        """A list that takes longer than the silence timeout to arrive must be received completely.
+
+        Guards against a router that abandons and repeats the request each time, and never receives the list.
+        """
         t = Turns(self)
         feed = self.asked(t)
         t.turn(SECOND)
@@ -113,7 +121,10 @@
         t.none("feed")
 
     def test_two_answers_to_one_call(self) -> None:
-        """The second crossed the next call: the watch goes on, and a silence after it is noticed."""
+        """A second response to one request crosses the next request.
+
+        The watch continues, and a silence after it is detected.
+        """
         t = Turns(self)
         feed = self.asked(t)
         feed.send(news(2) + news(2, self.drain(t)))
--- a/tests/purge/test_purge_floors.py
+++ b/tests/purge/test_purge_floors.py
@@ -1,4 +1,4 @@
-"""The floors of purges, against their meaning word by word."""
+"""The floors of purges, compared with a direct implementation of their definition."""
 
 from __future__ import annotations
 
@@ -59,7 +59,10 @@
         seed: int,
         horizon: PurgeStamp,
     ) -> None:
-        """Once, twice, shuffled: the same floors; and after forgetting, those of what is left."""
+        """Purges that are applied once or twice, in any order, give the same floors.
+
+        After ``drop_before``, the floors are those of the remaining purges.
+        """
         shuffled = made + made[::2]
         Random(seed).shuffle(shuffled)
         floors = PurgeFloors()
--- a/tests/purge/test_purge_order.py
+++ b/tests/purge/test_purge_order.py
@@ -1,4 +1,4 @@
-"""The order of purges, with clocks that are off, stand still or jump."""
+"""The order of purges, with clocks that are skewed, stand still or jump."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     def test_what_was_heard_of_comes_before(
         self, moves: list[tuple[int, int, int]], skew: list[int], jump: int
     ) -> None:
-        """Clocks up to two seconds off either way, one of which jumps back in the middle."""
+        """Clocks are up to two seconds off either way, and one of them jumps back in the middle."""
         clocks = [HybridClock(n) for n in range(4)]
         made: list[PurgeStamp] = []
         now = NOW
@@ -35,7 +35,7 @@
             if hearer != maker:
                 assert clocks[hearer].next_stamp(now + skew[hearer] * MS) > stamp
             made.append(stamp)
-        assert len(set(made)) == len(made), "no two purges share a place"
+        assert len(set(made)) == len(made), "no two purges have the same stamp"
 
     def test_overlapping_purges_a_second_apart_keep_their_order(self) -> None:
         early, late = HybridClock(1), HybridClock(0)
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -1,4 +1,4 @@
-"""Two processes of one router beside a cold server: together they stay under what pushes it over."""
+"""Two processes of one router beside a cold server: their sum stays below the load that overloads it."""
 
 from __future__ import annotations
 
@@ -46,12 +46,14 @@
         b = RestartOverlap(settings(), shared=True)
         b.start(COLD)
         b.on_serving(COLD + 5 * S)
-        assert b.budget_share(COLD + 17 * S) == 0.5, "6 s, the longest deadline of 6 s and 0.7 s after yes"
+        assert b.budget_share(COLD + 17 * S) == 0.5, (
+            "6 s, the longest deadline of 6 s and 0.7 s after it serves"
+        )
         assert b.budget_share(COLD + 18700 * MS) == 1.0
         b.on_predecessor_ended(COLD + 9 * S, COLD + 8 * S)
         assert (b.budget_share(COLD + 9 * S - 1), b.budget_share(COLD + 9 * S)) == (0.5, 1.0)
         b.on_serving(COLD + 10 * S)
-        assert b.budget_share(COLD + 10 * S) == 1.0, "it never goes back"
+        assert b.budget_share(COLD + 10 * S) == 1.0, "the share never falls again"
 
     def test_an_end_in_the_future_counts_as_now(self) -> None:
         b = RestartOverlap(settings(), shared=True)
@@ -65,8 +67,9 @@
 
 
 def worst(two: list[RoutingPolicy], kb: float, every_ns: int) -> float:
-    """The most that a cold cache is sent within a second, over what pushes it over: requests go to two
-    processes in turn for four seconds from its start.
+    """Returns the most work that a cold cache is sent within a second, over the work that overloads it.
+
+    Requests go to two processes in turn for four seconds from the cache's start.
     """
     sent: deque[tuple[int, float]] = deque()
     most = 0.0
@@ -81,7 +84,7 @@
             sent.popleft()
         share = RULES.cold_capacity_share + (1 - RULES.cold_capacity_share) * (now - COLD) / RULES.warm_up_ns
         room = RULES.overload_collapse_multiple * share * 5 * RULES.overload_collapse_ns
-        # One request above it is the least that can be sent to a server whose room is smaller than that.
+        # A server with capacity for less than one request still gets at least one.
         most = max(most, (sum(work for _, work in sent) - (kb / 1000 * S if len(sent) == 1 else 0)) / room)
     return most
 
@@ -98,10 +101,13 @@
         return found
 
     def test_the_sum_stays_under_what_pushes_it_over(self) -> None:
-        """Each spent 0.6 of its router's part: 1.2 together, where the router is alone in its zone."""
+        """Alone in its zone, a router's two processes together stay below the overload of the cache.
+
+        Guards against each process spending 0.6 of its router's share, which is 1.2 together.
+        """
         for kb in (20.0, 100.0, 400.0, 1_500.0):
             with self.subTest(kb=kb):
-                assert worst(self.two(1.0, 1.0), kb, 3 * MS) > 1.0, "the test can fail"
+                assert worst(self.two(1.0, 1.0), kb, 3 * MS) > 1.0, "the overload is possible in this test"
                 assert worst(self.two(1.0, 0.5), kb, 3 * MS) <= 1.0
 
     def test_the_new_one_sends_some(self) -> None:
@@ -125,7 +131,7 @@
         assert only(effects.ReadPredecessorState, effect_list)
         r.handle(NOW + S, inputs.PredecessorEnded(NOW - S))
         r.handle(NOW + 4 * S, inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)))
-        assert r.state.policy.router_share == 0.5, "that was the end of one before the one beside it"
+        assert r.state.policy.router_share == 0.5, "an earlier process ended, not the one that still runs"
         r.handle(NOW + 5 * S, inputs.PredecessorEnded(NOW + 5 * S))
         effect_list = r.handle(
             NOW + 5 * S + r.state.settings.rules.overload_collapse_ns,
@@ -145,7 +151,7 @@
 
 
 class Cold(StandInServers):
-    """Stand-ins whose list tells weights, and that one cache has just started."""
+    """Stand-ins whose list has weights, and in which one cache has just started."""
 
     def endpoint_snapshot(self) -> dict[str, object]:
         found = super().endpoint_snapshot()
@@ -221,7 +227,7 @@
                         answer = client.request("page", object=f"{number:08x}{made:08x}", more={"size": "20"})
                         served[0] += answer.kind == "served"
                         if made % 5 == 0:
-                            raise ConnectionError("another connection, maybe to the other process")
+                            raise ConnectionError("opens another connection, maybe to the other process")
                     except OSError:
                         client = None
                     time.sleep(0.01)
@@ -249,7 +255,7 @@
             pulls = [s.received_ns for s in world.requests(server="cache1")]
             assert len(pulls) > before, "the cold cache is used"
             assert served[0] > 200
-            # 0.02 s of work each; 2.0 * 0.21 * 2 = 0.83 s of it in any second push it over.
+            # 0.02 s of work each; 2.0 * 0.21 * 2 = 0.83 s of it in any second overload the cache.
             most = max(sum(at <= x < at + S for x in pulls) for at in pulls)
             assert most <= 41, "requests of 0.02 s in one second"
             left = orjson.loads(next(folder.glob("kelpcroft-*.json")).read_bytes())
--- a/tests/startup/test_cold_start.py
+++ b/tests/startup/test_cold_start.py
@@ -1,7 +1,7 @@
-"""Twenty-four router processes that start at once, beside a list service and servers in trouble.
+"""Twenty-four router processes that start at once, while the list service and servers fail.
 
-Faults fire on events; the verdicts come from what passed at the stand-ins.  `pytest -m long` plays the
-rest.
+Failures are injected on events.  The checks use the requests that reached the stand-ins.  Some tests run only
+with ``pytest -m long``.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 ZONES, EACH = 6, 4
 ALL = ZONES * EACH
-CALLS = 10  # calls a second that the routers' file grants all of them
+CALLS = 10  # watch requests a second that the routers' file grants all of them
 BUDGET = RULES + f"start list-calls={CALLS}\n"
 CYCLE_S = ALL / CALLS
 S = 1_000 * MS
-# Boxes and hubs are warm within 8 s, so that a test sees all of it.
+# Caches and parents are warm within 8 s, so that a test covers their complete slow start.
 QUICK = {
     "contract": {"cold_from": 0.2, "cold_ns": 8 * S, "fall_multiple": 2.5, "fall_ns": S},
     "family_info": {"parent_cold_from": 0.1, "parent_warms_in_ns": 8 * S},
@@ -32,7 +32,7 @@
 
 
 def until(found: Callable[[], bool], seconds: float = MAX_WAIT_S) -> bool:
-    """Whether it comes to be in time."""
+    """Returns whether a condition holds within the time."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         if found():
@@ -42,12 +42,15 @@
 
 
 def calls(world: StandInServers, from_ns: int, to_ns: int) -> int:
-    """Calls of the list service, answered or not."""
+    """Returns the number of watch requests that reached the list service, with a response or without."""
     return sum(from_ns <= at < to_ns for at, _, _ in list(world.feed_calls))
 
 
 def informed(world: StandInServers, last: int, since: int = 0) -> int:
-    """Connections that have asked since then for what comes after that event: routers that have heard it."""
+    """Returns how many routers have received an event.
+
+    These are the connections that have requested the events after that one since then.
+    """
     return len({port for at, after, port in list(world.feed_calls) if after == last and at > since})
 
 
@@ -57,10 +60,12 @@
         self.addCleanup(made.__exit__)
         return made
 
-    @pytest.mark.long  # after its fall the calls of the second come near what it bears
+    @pytest.mark.long  # after the crash the requests of a second come near the service's limit
     def test_a_list_service_that_is_dead_and_one_that_falls_over_and_counts_anew(self) -> None:
-        """Dead for 6 s: a bounded number of calls from all routers, then all of them out of step; what it has
-        told meanwhile reaches everyone.  Then it falls, and its numbers begin at 1 again.
+        """The list service is dead for 6 s, and later crashes and restarts its numbers at 1.
+
+        All routers together send a bounded number of requests while it is dead, and spread requests
+        afterwards.  An event of the meantime reaches every router.
         """
         field = self.field(rules=BUDGET)
         world = field.servers
@@ -74,11 +79,11 @@
             assert heard - back < (1.5 * CYCLE_S + 6) * S, "all have the list"
             dead = calls(world, began, back)
             assert dead < ALL + 1.5 * CALLS * (back - began) / S, "while it was dead"
-            assert dead > ALL // 2, "they went on asking"
-            assert world.feed_crashes == 0, "40 calls in a second push it over"
+            assert dead > ALL // 2, "they continued to send requests"
+            assert world.feed_crashes == 0, "more than 40 requests in a second crash it"
             world.crash_feed(2.0)
             back = world.feed_down_until_ns
-            # A drain that is told while some are not back yet is heard late by them: what the budget costs.
+            # Routers that are not back yet receive a drain late: this is the cost of the budget.
             assert until(lambda: len({p for at, _, p in world.feed_calls if p and at > back}) >= ALL)
             assert any(after == 0 for at, after, _ in world.feed_calls if at > back), "numbers went back"
             last = world.change("cache-z1", "leaving") - world.events_before_restart
@@ -89,7 +94,7 @@
         assert load.counts["served"] > 100, load.counts
 
     def test_without_a_budget_a_dead_one_hears_far_more(self) -> None:
-        """What the bound is for: as ever, each router calls every 0.4 s."""
+        """Without a budget, each router sends a dead list service a request every 0.4 s."""
         field = self.field()
         field.servers.feed_down_until_ns = time.monotonic_ns() + 6 * S
         field.__enter__()
@@ -98,7 +103,7 @@
         assert calls(field.servers, began, began + 2 * S) > 2 * 1.5 * CALLS * 2
 
     def test_cold_boxes_half_of_them_dead_a_hub_lost_and_a_zone_silent(self) -> None:
-        """No box is pushed over, no order runs twice, every request has its answer in time."""
+        """No cache is overloaded, no order runs twice, and every request has its response in time."""
         field = self.field(boxes=2, hubs=2, relayed=True, cold=True, rules=BUDGET, settings=QUICK, weight=2.0)
         relays = field.servers.relays
         for n in range(0, ZONES, 2):
@@ -116,8 +121,10 @@
         assert load.counts["served"] > 100, load.counts
 
     def test_a_third_killed_twice_and_some_that_wake_into_an_old_world(self) -> None:
-        """Killed when they have just begun to serve, started again, killed again; others stand still while a
-        box drains, and must not send to it what waited for them.
+        """Routers are killed just after they begin to serve, and others are suspended while a cache drains.
+
+        The killed ones are started and killed once more.  The suspended ones must not send waiting requests
+        to the drained cache when they continue.
         """
         field = self.field(boxes=2, cold=True, rules=BUDGET, settings=QUICK)
         field.__enter__()
@@ -130,7 +137,7 @@
                 for node in nodes[::3]:
                     field.wait_ready(node)
             killed_ns = time.monotonic_ns()
-            assert until(lambda: informed(field.servers, 1, killed_ns) >= ALL), "all wait for news"
+            assert until(lambda: informed(field.servers, 1, killed_ns) >= ALL), "all wait for new events"
             stopped = [node.process for node in nodes[1::6] if node.process]
             for process in stopped:
                 process.send_signal(signal.SIGSTOP)
@@ -145,10 +152,13 @@
         assert field.check_contract(load, killed=True).violations == []
         assert load.counts["served"] > 100, load.counts
 
-    @pytest.mark.long  # on a busy machine the feed may take longer than it is waited for
+    @pytest.mark.long  # on a busy machine the feed may take longer than its timeout
     def test_one_that_stood_still_asks_before_it_sends(self) -> None:
-        """Its call is answered with nothing while it stands still; then a box drains, which counts as told.
-        What waits in its sockets must not go there when it wakes: the answer it finds is from before.
+        """A suspended router must not send waiting requests to a cache that drained in the meantime.
+
+        Its watch request gets a response without events while it is suspended.  Then a cache drains, and the
+        drain counts as received.  When the router continues, the response that it finds dates from before the
+        drain.
         """
         field = RouterField(1, 2, {"old": ROOT}, boxes=2)
         self.addCleanup(field.__exit__)
@@ -159,7 +169,7 @@
             for n in range(6):
                 assert until(lambda: informed(world, len(world.feed_events) + 1) >= 2)
                 node.process.send_signal(signal.SIGSTOP)
-                # Two calls of the other one: whatever this one had asked has been answered, with nothing.
+                # After two requests of the other router, this one's request has a response without events.
                 stopped = time.monotonic_ns()
                 assert until(lambda at=stopped: sum(x > at for x, _, _ in list(world.feed_calls)) >= 2)
                 name = ("cache-z0", "cache-z0-1")[n % 2]
@@ -174,8 +184,10 @@
 
     @pytest.mark.long
     def test_links_to_the_list_service_in_every_mode(self) -> None:
-        """Slow, cut in the middle of answers, garbage, silent: what was known serves, calls stay bounded, and
-        all hear of a drain once the link is well.
+        """The link to the list service is slow, cut in the middle of responses, silent, or sends garbage.
+
+        Routers use their known endpoint list and the request rate stays bounded.  All receive a drain once
+        the link works again.
         """
         for mode in (
             LinkMode.SLOW,
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -1,4 +1,4 @@
-"""How a process begins: its calls of the list service, doubtful lists, what it remembers of its starts."""
+"""Startup of a process: requests to the list service, suspect lists, and the record of earlier starts."""
 
 from __future__ import annotations
 
@@ -43,8 +43,9 @@
 
 
 def calls(listings: list[DiscoverySchedule], seconds: int, serves: Callable[[int], bool]) -> list[int]:
-    """The times of all calls of a fleet that starts at once.  ``serves(at)``: whether the service answers; an
-    answered call waits as long as it may.
+    """Returns the times of all watch requests of a fleet that starts at once.
+
+    ``serves(at)`` returns whether the service responds; a request with a response waits as long as it may.
     """
     found = []
     for x in listings:
@@ -60,29 +61,32 @@
 
 
 def most(times: list[int], span: int = S) -> int:
-    """The most calls in any second."""
+    """Returns the most requests in any interval of length ``span``."""
     return max(Counter(at // span for at in times).values())
 
 
 class Calls(unittest.TestCase):
     def test_a_dead_service_hears_a_bounded_number_however_large_the_fleet(self) -> None:
-        """At 400 ms each, 200 routers called it 500 times a second for as long as it was dead."""
+        """A dead list service receives a bounded number of requests whatever the fleet's size.
+
+        Guards against a fixed retry delay: at 400 ms each, 200 routers sent it 500 requests a second.
+        """
         for count in (20, 120, 200, 1_000):
             times = calls(fleet(count), 30, lambda at: False)
             late = [at for at in times if at > 5 * S]
             assert len(late) / 25 < 60, count
             assert most(late) < 90, count
-            # The first calls are made within 5 s whatever the fleet.
+            # The first requests are sent within 5 s whatever the fleet's size.
             assert most(times) < max(130, 1.4 * count / 5), count
 
     def test_without_a_budget_it_calls_as_ever(self) -> None:
-        """Rules that count from when the feed has its news want each call at once."""
+        """Rules whose grace starts when the feed has an event require each request to be sent immediately."""
         for count in (1, 60, 200, 5_000):
             x = DiscoverySchedule(count, 1)
             assert (x.first_call_delay_ns(), x.news_wait_ms()) == (0, 1000)
             waits = [x.record_failure(9 * S) for _ in range(9)]
             assert waits == [0] + [min(25 << n, 400) * MS for n in range(8)]
-            assert (x.random, x.max_delay_ns) == (None, 400 * MS), "nothing is imported for it"
+            assert (x.random, x.max_delay_ns) == (None, 400 * MS), "``random`` is not imported"
 
     def test_a_fleet_at_rest_of_200_calls_as_often_as_one_of_50(self) -> None:
         for count, due in ((4, 4), (50, 50), (200, 52), (1_000, 260)):
@@ -129,7 +133,7 @@
                 assert x.consecutive_failures == 0
             assert x.first_call_delay_ns() <= MAX_FIRST_CALL_DELAY_NS
             assert 1000 <= x.news_wait_ms() <= 4000
-        # Always live again: whatever came, the next call is a bounded time away.
+        # After any sequence the next request is sent within a bounded time.
         assert x.record_failure() <= x.max_delay_ns
 
     @settings(max_examples=80, deadline=None, derandomize=True)
@@ -148,7 +152,7 @@
 
 class Wasted(unittest.TestCase):
     def test_bytes_that_brought_nothing_are_waited_for(self) -> None:
-        """Up to 256 KB is a mishap; more is paid for at 64 KB a second, a minute at the most."""
+        """Up to 256 KB without progress adds no delay; more adds its time at 64 KB/s, at most a minute."""
         for wasted, due in ((0, 0), (256 << 10, 0), (1 << 20, 16 * SECOND), (1 << 30, 60 * SECOND)):
             with self.subTest(wasted=wasted):
                 x = DiscoverySchedule(10, 1)
@@ -171,31 +175,31 @@
         for lines in ([], [line("a", "terminated")]):
             used, faults = self.view.select_usable(lines, True, 6)
             assert (used, len(faults)) == ([], 1)
-        assert self.used(line("a", "terminated")) == ["a terminated"], "it is obeyed at once"
+        assert self.used(line("a", "terminated")) == ["a terminated"], "a removal is applied immediately"
 
     def test_an_id_at_anothers_address(self) -> None:
         home = line("a").address
         assert self.used(line("x", at=home)) == []
         assert self.used(line("x", at=home, started=9)) == ["x in_service"], "it has started since"
         assert self.used(line("a", "terminated"), line("x", at=home)) == ["a terminated", "x in_service"], (
-            "it has taken the place of one that goes"
+            "it has taken the address of a server that leaves"
         )
         assert self.used(line("x", at=home), line("b"), whole=True) == ["x in_service", "b in_service"]
-        assert self.used(line("x", at=line("c").address)) == ["x in_service"], "c drains"
+        assert self.used(line("x", at=line("c").address)) == ["x in_service"], "c is draining"
 
     def test_numbers_that_go_back_bring_nobody_back(self) -> None:
-        assert self.used(line("c"), number=4) == [], "it drains, by a later event"
+        assert self.used(line("c"), number=4) == [], "a later event drains it"
         assert self.used(line("c"), number=6) == ["c in_service"]
         assert self.used(line("c", started=9), number=4) == ["c in_service"], "it has started since"
         assert self.used(line("a", "terminating"), number=4) == ["a terminating"]
         self.view.begin_response(2)
         assert self.used(line("c"), number=2) == []
-        assert self.view.end_response(S, 2), "the whole list is asked for"
+        assert self.view.end_response(S, 2), "a list request is due"
         assert self.view.last_event_number == 0
         self.view.begin_response(7)
         self.view.end_response(S, 7)
         self.view.begin_response(3)
-        assert not self.view.end_response(2 * S, 3), "once in a while"
+        assert not self.view.end_response(2 * S, 3), "at most once per interval"
         assert self.view.last_event_number == 7
         self.view.begin_response(3)
         assert self.view.end_response(S + MIN_SNAPSHOT_INTERVAL_NS, 3)
@@ -231,7 +235,7 @@
 
 class InTheReducer(unittest.TestCase):
     def reducer(self, routers: int = 0) -> Reducer:
-        """Under a budget, one of so many; without one where it is 0."""
+        """Returns a reducer under the budget of a fleet of this size; without a budget where it is 0."""
         r = router()
         if routers:
             r.position.schedule = DiscoverySchedule(routers, 11, 50.0)
@@ -244,15 +248,15 @@
             r.handle(NOW + 2 * S, news(900, extra))
             assert "s-x" in r.state.endpoints
             effect_list = r.handle(NOW + 4 * S, inputs.WatchResponse(1, ()))
-            assert "s-x" in r.state.endpoints, "the last good view is kept"
+            assert "s-x" in r.state.endpoints, "the last good endpoint list is kept"
             assert events(effect_list) == ["feed.renumbered"]
-            if routers:  # a fleet's second calls are spread as its first were
+            if routers:  # the second requests of a fleet are spread as its first ones were
                 (wake,) = feed_wakes(effect_list)
                 effect_list = r.handle(wake.at_ns, inputs.TimerFired(wake.key))
             assert [e.after_event for e in polls(effect_list)] == [0]
 
     def test_two_halves_of_a_service_that_disagree_are_asked_at_a_bounded_rate(self) -> None:
-        """One has counted to 900, the other to 5, and each answers every second call."""
+        """One half has counted to 900, the other to 5, and each responds to every second request."""
         r, whole = self.reducer(), 0
         for n in range(100):
             effect_list = r.handle(NOW + (n + 1) * S // 5, inputs.WatchResponse(900 if n % 2 else 5, ()))
@@ -281,17 +285,17 @@
         effect_list = r.handle(NOW + 2 * S, news(3, whole=True))
         assert r.state.endpoints == before
         assert events(effect_list) == ["feed.refused"]
-        assert [e.after_event for e in polls(effect_list)] == [3], "and the feed is asked for what follows"
+        assert [e.after_event for e in polls(effect_list)] == [3], "the next watch request continues after it"
 
     def test_the_first_call_waits_for_its_share_and_longer_after_many_starts(self) -> None:
         r = router()
         r.state.config = replace(r.state.config, settings=replace(r.state.config.settings, instances=400))
         (wake,) = feed_wakes(r.start(NOW, BUDGET))
         assert 0 < wake.at_ns - NOW < 5 * S
-        assert r.state.endpoints, "what was known serves meanwhile"
+        assert r.state.endpoints, "the known endpoint list is used in the meantime"
         (wake,) = feed_wakes(r.start(NOW, BUDGET, 4 * S))
         assert wake.at_ns - NOW >= 4 * S
-        assert polls(r.start(NOW, None, 4 * S)), "without a budget it calls at once: the rules"
+        assert polls(r.start(NOW, None, 4 * S)), "without a budget the rules require an immediate request"
 
     def test_a_budget_comes_with_a_file_read_again(self) -> None:
         r = router()
@@ -314,11 +318,11 @@
 
 
 class Counted(unittest.TestCase):
-    """Routers of the zone by caches' reports."""
+    """Routers of the zone, estimated from the reports of caches."""
 
     def test_as_many_as_the_settings_say(self) -> None:
         crowd = FleetSizeEstimator(4)
-        assert crowd.estimated_routers(NOW) == 4, "nothing is known"
+        assert crowd.estimated_routers(NOW) == 4, "there is no report"
         for n in range(50):
             crowd.record_report(NOW + n * MS, 8.0, 2)
         assert crowd.estimated_routers(NOW + 50 * MS) == 4
@@ -337,13 +341,18 @@
                 crowd.record_report(NOW + n * MS, reported, 2)
         assert crowd.estimated_routers(NOW + S) == 4
         for n in range(50):
-            crowd.record_report(NOW + S + n * MS, 0.0, 2)  # of before our own two came
-        assert crowd.estimated_routers(NOW + S + 50 * MS) == 2, "alone, and a margin"
+            crowd.record_report(
+                NOW + S + n * MS, 0.0, 2
+            )  # reports from before this router's two requests arrived
+        assert crowd.estimated_routers(NOW + S + 50 * MS) == 2, "one router, and the margin"
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.integers(1, 40), min_size=1, max_size=40), st.integers(1, 40))
     def test_the_parts_never_add_up_to_more_than_a_zone_may_take(self, loads: list[int], said: int) -> None:
-        """However many there are and however unevenly loaded, within 16 times the settings' number."""
+        """The shares of all routers stay within the zone's capacity.
+
+        This holds whatever their number and however uneven their load, within 16 times the settings' number.
+        """
         whole = sum(loads)
         if len(loads) > 16 * said or whole > 16 * said * min(loads):
             return
@@ -353,7 +362,7 @@
             for n in range(30):
                 crowd.record_report(NOW + n * MS, float(whole), own)
             parts.append(1 / crowd.estimated_routers(NOW + 30 * MS))
-        assert sum(parts) <= 1.25 + 0.001, "a part of the settings each: len(loads) / said"
+        assert sum(parts) <= 1.25 + 0.001, "by the settings' number the sum would be len(loads) / said"
 
     def test_a_deployment_without_that_report_refuses_the_count(self) -> None:
         s = router().state.settings
@@ -381,7 +390,11 @@
         assert (r.state.fleet_size, r.state.settings.zone_instances) == (None, said.zone_instances)
 
     def test_a_tenth_of_the_routers_that_the_settings_say(self) -> None:
-        """All boxes cold: each kept to a fortieth of the zone, and 0.28 of the worth came in time."""
+        """A tenth of the configured routers run, and all caches are cold.
+
+        Guards against a share by the settings' number: each router spent a fortieth of the zone's capacity,
+        and 0.28 of the requests' priority weight was served in time.
+        """
         worth = {}
         for count in (False, True):
             fleet = Counting(24, believed=240, cold_parents=False)
@@ -397,18 +410,18 @@
         w = OriginConcurrencyLimit(NOW)
         assert w.has_capacity()
         w.record_sent()
-        assert not w.has_capacity(), "one, at first"
+        assert not w.has_capacity(), "the limit is one at first"
         w.record_finished(NOW + MS, NOW, False)
         assert (w.limit, w.in_flight) == (2.0, 0)
         w.limit = 8.0
         for n in range(8):
             w.record_sent()
             w.record_finished(NOW + (2 + n) * MS, NOW + MS, False)
-        assert round(abs(w.limit - 9.0), 1) == 0, "one in a round"
+        assert round(abs(w.limit - 9.0), 1) == 0, "it rises by one per round"
         w.limit = 8.0
         w.record_finished(NOW + 11 * MS, NOW + 8 * MS, True)
         w.record_finished(NOW + 12 * MS, NOW + 8 * MS, True)
-        assert w.limit == 4.0, "what was sent before the cut says nothing of it"
+        assert w.limit == 4.0, "fetches sent before the reduction do not reduce it again"
         w.record_finished(NOW + 13 * MS, NOW + 12 * MS, None)
         assert w.limit == 4.0
 
@@ -420,7 +433,7 @@
         w = OriginConcurrencyLimit(NOW)
         for n in range(600):
             w.record_finished(NOW + n * MS, NOW, False)
-        assert w.is_lifted, "so much was out in time"
+        assert w.is_lifted, "the limit has reached its maximum"
         w.in_flight = 500
         assert w.has_capacity()
 
@@ -437,7 +450,7 @@
             assert w.in_flight >= 0
             assert w.limit >= 1.0
         w.in_flight = 0
-        assert w.has_capacity(), "it never shuts for good"
+        assert w.has_capacity(), "one fetch is always allowed"
 
     def test_in_the_reducer_the_module_hears_of_it_and_orders_are_not_held_back(self) -> None:
         r = router()
@@ -450,12 +463,16 @@
         r.handle(NOW + S, inputs.TimerFired((messages.TimerKind.RESTART_OVERLAP, 0, 0)))
         assert not r.state.policy.origin_fills_allowed
         call = inputs.ClientRequest(1, 1, "order", "t1", 2 * S, "a", "0", 10, 0, 0, False, "", b"x")
-        assert only(effects.OpenServerConnection, r.handle(NOW + S, call)) or r.state.attempts, "it goes out"
+        assert only(effects.OpenServerConnection, r.handle(NOW + S, call)) or r.state.attempts, "it is sent"
         r.handle(NOW + 2 * S, inputs.OperatorFileRead(OperatorFile()))
         assert r.state.policy.origin_fills_allowed
 
     def test_hundreds_beside_empty_boxes_and_hubs(self) -> None:
-        """Without it the store is asked four times what it can do, and for ten seconds little is in time."""
+        """Many routers start beside empty caches and parents.
+
+        Without the limit the origin receives four times the load that it can serve, and for ten seconds few
+        responses are in time.
+        """
         worth, refused = {}, {}
         for store in (False, True):
             fleet = Counting(40)
@@ -493,17 +510,17 @@
 
 class Again(unittest.TestCase):
     def test_a_crash_loop_costs_the_list_service_next_to_nothing(self) -> None:
-        """Every 2 s for a minute: calls that are made before the next crash."""
+        """A router starts every 2 s for a minute: counts the requests that are sent before the next crash."""
         data, made = b"", 0
         for n in range(30):
             now = NOW + n * 2 * S
             earlier = crash_loop_backoff.decode(data, "n3", now)
             made += crash_loop_backoff.crash_loop_delay_ns(earlier) < 2 * S
             data = crash_loop_backoff.encode("n3", earlier, now)
-        assert made == 4, "of 30 starts: 0.5 and 1 s are waited before the third and fourth"
+        assert made == 4, "of 30 starts: the third and fourth wait 0.5 and 1 s"
         assert (
             crash_loop_backoff.crash_loop_delay_ns(crash_loop_backoff.decode(data, "n3", NOW + 180 * S)) == 0
-        ), "and it is forgotten"
+        ), "earlier starts expire"
 
     def test_a_file_that_is_not_to_be_used_costs_nothing(self) -> None:
         good = crash_loop_backoff.encode("n3", [NOW - S], NOW)
@@ -520,7 +537,7 @@
         ):
             assert crash_loop_backoff.decode(data, "n3", NOW) == []
         future = crash_loop_backoff.encode("n3", [], NOW + 3_600 * S)
-        assert crash_loop_backoff.decode(future, "n3", NOW) == [], "a clock that was wrong"
+        assert crash_loop_backoff.decode(future, "n3", NOW) == [], "a start in the future is ignored"
         assert len(crash_loop_backoff.encode("n" * 200, [NOW] * 100, NOW)) < crash_loop_backoff.MAX_FILE_BYTES
 
     def test_on_a_disk(self) -> None:
@@ -535,7 +552,7 @@
 
 
 class InAFleet(unittest.TestCase):
-    """Two hundred routers in virtual time, and a list service that falls over when 100 calls wait."""
+    """Two hundred routers in virtual time, and a list service that crashes when 100 requests wait."""
 
     def test_a_start_in_one_second_topples_it_without_a_budget_and_not_with_one(self) -> None:
         for way, falls in (("none", True), ("budget", False)):
