--- a/kelpcroft/control_log/follower.py
+++ b/kelpcroft/control_log/follower.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """What a watch response states about the replica's log and state."""
+    """Metadata of a watch response: the replica's log position, and the time of its state."""
 
     last_event_number: int
     fingerprint: str  # of the last event
@@ -40,7 +40,7 @@
 
 
 class ResponseVerdict(Enum):
-    """What a follower does with a watch response."""
+    """How a follower uses a watch response."""
 
     APPLY = "take"  # apply all its events and move the position
     APPLY_REMOVALS_ONLY = "departures"  # apply only removals and purges, until a state is known to be later
--- a/kelpcroft/control_log/messages.py
+++ b/kelpcroft/control_log/messages.py
@@ -1,6 +1,6 @@
 """Inputs and effects of a control replica's state machine.  Pure.
 
-Fields with the suffix ``_ns`` are durations unless their comment says otherwise.
+Fields with the suffix ``_ns`` are durations unless their comment states something else.
 """
 
 from __future__ import annotations
--- a/kelpcroft/control_log/replica.py
+++ b/kelpcroft/control_log/replica.py
@@ -53,7 +53,7 @@
 
     @property
     def is_stale(self) -> bool:
-        """Whether the state is older than the lease, which watchers see from their responses."""
+        """Whether the state is older than the lease; the responses to watchers show this."""
         return self._lease.is_stale
 
     def start(self, now: int) -> list[Effect]:
--- a/kelpcroft/control_log/upstream.py
+++ b/kelpcroft/control_log/upstream.py
@@ -168,7 +168,7 @@
     def _apply_peer_response(
         self, now: int, response: UpstreamResponse, verdict: ResponseVerdict, is_snapshot: bool
     ) -> None:
-        """Applies to the log what the verdict allows."""
+        """Applies another replica's response to the log as far as the verdict allows."""
         if verdict is ResponseVerdict.APPLY and is_snapshot:
             self._replace_state(now, response)
         elif verdict is ResponseVerdict.APPLY:
--- a/kelpcroft/discovery/endpoint_view.py
+++ b/kelpcroft/discovery/endpoint_view.py
@@ -22,7 +22,7 @@
 MIN_SNAPSHOT_INTERVAL_NS = 5 * 10**9  # minimum interval between two list requests after numbers went back
 IN_SERVICE = "in_service"  # state of a server that may receive requests
 GONE = "terminated"  # state of a server that has left for good
-KEPT_GONE_ENDPOINTS = 1_000  # so many gone servers are kept, or as many as there are others if those are more
+KEPT_GONE_ENDPOINTS = 1_000  # terminated servers kept at least; more where the others outnumber this
 
 
 class EndpointView:
--- a/kelpcroft/discovery/schedule.py
+++ b/kelpcroft/discovery/schedule.py
@@ -29,17 +29,17 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-SECOND_RETRY_DELAY_NS = 25 * MS  # without a budget: after a second failure in a row, doubling with each ...
-MAX_RETRY_DELAY_NS = 400 * MS  # ... up to this
+SECOND_RETRY_DELAY_NS = 25 * MS  # without a budget: after a second failure; doubles with each further one
+MAX_RETRY_DELAY_NS = 400 * MS  # without a budget: longest delay after a failure
 MAX_DOUBLINGS = 8  # after more doublings the delay exceeds its bound anyway
 MIN_NEWS_WAIT_MS = 1_000  # shortest wait of a request for new events
 MAX_NEWS_WAIT_MS = 4_000  # longest wait of a request for new events
 MAX_FIRST_CALL_DELAY_NS = 5 * SECOND  # the first request is sent by then, whatever the fleet's size
 MAX_CYCLES_LATE = 1.5  # a failed request is repeated within this many cycles
 MAX_RETRY_AFTER_NS = 30 * SECOND  # a longer Retry-After is cut to this
-FREE_WASTED_BYTES = 256 << 10  # a response without progress up to this size adds no delay ...
-WASTED_BYTES_PER_S = 64 << 10  # ... a larger one adds the time that it would take at this rate ...
-MAX_WASTE_DELAY_NS = 60 * SECOND  # ... at most this long, so that a recovered feed is polled by then
+FREE_WASTED_BYTES = 256 << 10  # a response without progress up to this size adds no delay
+WASTED_BYTES_PER_S = 64 << 10  # a larger one adds the time that it would take at this rate
+MAX_WASTE_DELAY_NS = 60 * SECOND  # longest such delay, so that a recovered feed is polled by then
 
 
 class DiscoverySchedule:
--- a/kelpcroft/startup/__init__.py
+++ b/kelpcroft/startup/__init__.py
@@ -1,8 +1,8 @@
 """Startup of a process: its limits beside its predecessor and beside hundreds of routers that start with it.
 
 Pure: no I/O; times are arguments.  Imports the settings and statistics of the decision package, nothing else
-of kelpcroft.  ``kelpcroft.core`` uses all of it; start reading at ``options``, which lists what an operator
-may enable:
+of kelpcroft.  ``kelpcroft.core`` uses all of it; start reading at ``options``, which lists the
+operator's settings:
 
 - ``options``: the settings for a start in the operator's file;
 - ``restart_overlap``: two processes of one router share one budget for cold servers;
--- a/kelpcroft/startup/crash_loop_backoff.py
+++ b/kelpcroft/startup/crash_loop_backoff.py
@@ -13,13 +13,13 @@
 
 import orjson
 
-VERSION = 1  # of the file's format
+VERSION = 1  # version of the file's format
 MAX_FILE_BYTES = 4_096  # a larger file is ignored
 MAX_REMEMBERED_STARTS = 32  # the newest starts that the file keeps
 MEMORY_NS = 60 * 10**9  # starts longer ago than this are ignored
 FREE_STARTS = 2  # starts within that time without a wait
-FIRST_DELAY_NS = 500 * 10**6  # wait of the next start before its first request, doubling with each ...
-MAX_DELAY_NS = 4 * 10**9  # ... up to this: a drain must be known within 7 s
+FIRST_DELAY_NS = 500 * 10**6  # wait of the next start's first request; doubles with each further start
+MAX_DELAY_NS = 4 * 10**9  # longest wait: a drain must be known within 7 s
 MAX_DOUBLINGS = 8  # after more doublings the delay exceeds its bound anyway
 NS_PER_MS = 1_000_000
 
--- a/kelpcroft/startup/origin_concurrency.py
+++ b/kelpcroft/startup/origin_concurrency.py
@@ -15,8 +15,8 @@
 
 FIRST_LIMIT = 1.0  # fetches in flight at the start
 MAX_LIMIT = 32.0  # the limit is lifted when it reaches this
-CALM_NS = 10 * 10**9  # the limit is lifted after this long without a late response ...
-MIN_CALM_RESPONSES = 20  # ... and with at least this many responses in that time
+CALM_NS = 10 * 10**9  # the limit is lifted after this long without a late response
+MIN_CALM_RESPONSES = 20  # responses in time that this requires since the last late one
 LATE_SHARE = 2 / 3  # a wait for the origin above this share of the class's latency objective is late
 
 
--- a/kelpcroft/startup/restart_overlap.py
+++ b/kelpcroft/startup/restart_overlap.py
@@ -19,10 +19,10 @@
 from kelpcroft.decision import interface as api
 
 SECOND = 1_000_000_000
-OVERLAP_BUDGET_SHARE = 0.5  # of the router's cold budgets, for a process that may not be alone
+OVERLAP_BUDGET_SHARE = 0.5  # share of the router's cold budgets for a process that may not be alone
 MAX_UNTIL_SIGTERM_NS = 6 * SECOND  # the old process gets SIGTERM at most this long after the new one serves
-MIN_DEADLINE_NS = 3 * SECOND  # it is killed after the longest deadline, at least this long after SIGTERM ...
-KILL_MARGIN_NS = 700_000_000  # ... plus this margin
+MIN_DEADLINE_NS = 3 * SECOND  # the old process is killed after the longest deadline, taken as at least this
+KILL_MARGIN_NS = 700_000_000  # margin between that deadline and the kill
 
 
 class RestartOverlap:
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -94,7 +94,7 @@
             assert len(times) / 10 <= due, count
 
     def test_after_an_outage_they_come_back_out_of_step(self) -> None:
-        """10 s dead; then all are answered: within a stated time, and never at once."""
+        """After 10 s of outage all routers return within a bounded time, and never all at once."""
         for count in (24, 120, 200, 500):
             listings = fleet(count)
             times = calls(listings, 40, lambda at: at > 10 * S)
