--- a/kelpcroft/control_log/lease.py
+++ b/kelpcroft/control_log/lease.py
@@ -28,7 +28,7 @@
         as_of_ms = self._follower.as_of_ms
         return bool(as_of_ms) and now - as_of_ms * MS <= self._lease_ns
 
-    def has_run_out(self, now: int) -> bool:
+    def has_expired(self, now: int) -> bool:
         """Returns whether the state has become stale since the last ``review``."""
         return not self.is_stale and not self.is_current(now)
 
--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -1,6 +1,6 @@
 """Log of control events in bounded memory: its compacted state, and its tail.  Pure.
 
-The state is the newest line of each server and the purges that are still relevant, however long the history
+The state is the newest record of each server and the purges that are still relevant, however long the history
 is.  The tail is the last events as they were received.  A follower whose position is within the tail gets the
 events after it.  Any other follower gets a snapshot: one event with the complete list, and one purge event
 for each relevant purge, all under the last event's number.
@@ -30,13 +30,13 @@
 
     Attributes:
         limit: How many of them are kept.
-        what: Which kind is over the limit.
+        kind: Which kind is over the limit.
     """
 
-    def __init__(self, limit: int, what: str) -> None:
-        super().__init__(f"over {limit} {what}")  # sent to watchers: part of the protocol
+    def __init__(self, limit: int, kind: str) -> None:
+        super().__init__(f"over {limit} {kind}")  # sent to watchers: part of the protocol
         self.limit = limit
-        self.what = what
+        self.kind = kind
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
             purge_span_ms: How long a purge stays relevant, counted from the time that it states.
         """
         self.purge_span_ms = purge_span_ms
-        self.servers: dict[str, JsonObject] = {}  # by name: the newest line, as it was received
+        self.servers: dict[str, JsonObject] = {}  # by name: the newest record, as it was received
         self.purges: dict[PurgeKey, int] = {}  # when each was made, in Unix ms
         self.tail: deque[TailEvent] = deque()
         self.tail_bytes = 0
@@ -129,12 +129,12 @@
         number = event.get("n") if isinstance(event, dict) else None
         if type(number) is not int or number < 0:
             return f"an event without a number: {str(event)[:80]}"
-        problem = self.apply(event, now_ms)
+        reason = self.apply(event, now_ms)
         encoded = canonical_json(event)
         self.tail.append(TailEvent(number, encoded, event_fingerprint(encoded)))
         self.tail_bytes += len(encoded)
         self._shorten_tail()
-        return problem
+        return reason
 
     def _shorten_tail(self) -> None:
         """Drops the oldest events of a tail that exceeds its bounds."""
@@ -160,13 +160,13 @@
         return ""
 
     def _apply_members(self, members: JsonObject) -> None:
-        lines = {str(line["name"]): line for line in members["endpoints"]}
+        records = {str(record["name"]): record for record in members["endpoints"]}
         if members.get("snapshot"):
-            self.servers = lines
+            self.servers = records
         else:
-            self.servers.update(lines)
-        if len(self.servers) > MAX_SERVERS:  # lines of servers that have left are kept only up to this bound
-            self.servers = {name: line for name, line in self.servers.items() if not has_left(line)}
+            self.servers.update(records)
+        if len(self.servers) > MAX_SERVERS:  # records of servers that left are kept only up to this bound
+            self.servers = {name: record for name, record in self.servers.items() if not has_left(record)}
 
     def _apply_purge(self, purge: JsonObject, now_ms: int) -> None:
         purged_ms = int(purge["at"])
@@ -204,12 +204,12 @@
 
     def events_after(self, number: int) -> list[bytes]:
         """Returns the events after a position that the log contains, oldest first."""
-        found = []
+        events = []
         for event in reversed(self.tail):  # followers are close to the end: few iterations
             if event.number <= number:
                 break
-            found.append(event.encoded)
-        return found[::-1]
+            events.append(event.encoded)
+        return events[::-1]
 
     def snapshot(self, now_ms: int) -> list[bytes]:
         """Returns the complete state as events, all under the last event's number.
@@ -238,18 +238,22 @@
         )
 
     def _encode_snapshot(self) -> list[bytes]:
-        last = self.last_event_number
-        lines = [line for line in self.servers.values() if not has_left(line)]
-        events = [orjson.dumps({"n": last, "members": {"index": last, "snapshot": True, "endpoints": lines}})]
+        last_number = self.last_event_number
+        records = [record for record in self.servers.values() if not has_left(record)]
+        events = [
+            orjson.dumps(
+                {"n": last_number, "members": {"index": last_number, "snapshot": True, "endpoints": records}}
+            )
+        ]
         for key, purged_ms in self.purges.items():
-            what: dict[str, object] = {"key": key.object_hash} if key.object_hash else {"group": key.group}
-            events.append(orjson.dumps({"n": last, "purge": {**what, "at": purged_ms}}))
+            target: dict[str, object] = {"key": key.object_hash} if key.object_hash else {"group": key.group}
+            events.append(orjson.dumps({"n": last_number, "purge": {**target, "at": purged_ms}}))
         return events
 
 
-def has_left(line: JsonObject) -> bool:
-    """Returns whether a server's line says that the server has left for good."""
-    return line.get("status") == "left"
+def has_left(record: JsonObject) -> bool:
+    """Returns whether a server's record says that the server has left for good."""
+    return record.get("status") == "left"
 
 
 def purge_key(purge: JsonObject) -> PurgeKey:
--- a/kelpcroft/control_log/replica.py
+++ b/kelpcroft/control_log/replica.py
@@ -58,7 +58,7 @@
 
     def start(self, now: int) -> list[Effect]:
         """Sends the first watch request."""
-        self.upstream.call(now)
+        self.upstream.send_request(now)
         return self._effects.take()
 
     def on_upstream_response(self, now: int, response: UpstreamResponse) -> list[Effect]:
@@ -70,7 +70,7 @@
 
     def on_upstream_failed(self, now: int, reason: str) -> list[Effect]:
         """Handles a failed watch request: the next one goes to another address; the log stays."""
-        self.upstream.move_on(now, reason)
+        self.upstream.switch_upstream(now, reason)
         self._review(now)
         return self._effects.take()
 
@@ -85,7 +85,7 @@
 
     def on_timer(self, now: int) -> list[Effect]:
         """Responds to the watch requests that are due, and checks whether the lease has expired."""
-        if self._lease.has_run_out(now):
+        if self._lease.has_expired(now):
             self._review(now)
         self.watches.on_timer(now)
         return self._effects.take()
--- a/kelpcroft/control_log/subscription.py
+++ b/kelpcroft/control_log/subscription.py
@@ -31,18 +31,18 @@
 class Subscription:
     """One router's position in the log, and its choice of a replica."""
 
-    def __init__(self, now: int, addresses: tuple[Address, ...], stale_ns: int, seed: int) -> None:
+    def __init__(self, now: int, addresses: tuple[Address, ...], stale_after_ns: int, seed: int) -> None:
         """Starts without a position.
 
         Args:
             now: Unix ns.  The state that the router already has may be as late as this.
             addresses: The replicas; at least one.
-            stale_ns: A replica whose state was last complete longer ago than this is left.
+            stale_after_ns: A replica whose state was last complete longer ago than this is left.
             seed: A different number for each router and each of its starts.
         """
         self.follower = LogFollower(now // MS)
         self.selector = UpstreamSelector(addresses, seed)
-        self.stale_ns = stale_ns
+        self.stale_after_ns = stale_after_ns
 
     @property
     def current_address(self) -> Address:
@@ -62,7 +62,7 @@
         self.follower.record_verdict(head, verdict)
         if verdict is ResponseVerdict.OUTDATED:
             return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "its state is behind")
-        if now - head.as_of_ms * MS > self.stale_ns:
+        if now - head.as_of_ms * MS > self.stale_after_ns:
             return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "its state is stale")
         if self.selector.record_success(now):
             return ResponseOutcome(verdict, NextCall.HOME_REPLICA)
--- a/kelpcroft/control_log/upstream.py
+++ b/kelpcroft/control_log/upstream.py
@@ -44,12 +44,12 @@
         self._counters = counters
         self.follower = LogFollower()
         self.selector = UpstreamSelector(options.upstreams, seed)
-        self._called_ns = 0  # when the outstanding watch request is sent
+        self._requested_ns = 0  # when the outstanding watch request is sent
         self._must_verify_log = False  # whether the log may be another one, as after a lost connection
 
-    def call(self, now: int, delay_ns: int = 0, on_new_connection: bool = False) -> None:
+    def send_request(self, now: int, delay_ns: int = 0, on_new_connection: bool = False) -> None:
         """Sends the current address a watch request, ``delay_ns`` from now."""
-        self._called_ns = now + delay_ns
+        self._requested_ns = now + delay_ns
         self._counters.upstream_calls += 1
         address = self.selector.current_address
         position = self.follower.requested_position()
@@ -57,7 +57,7 @@
             position = LogPosition(self._log.last_event_number - 1)  # the last event is sent again
         self._effects.add(CallUpstream(address, position, UPSTREAM_WAIT_NS, delay_ns, on_new_connection))
 
-    def move_on(self, now: int, reason: str) -> None:
+    def switch_upstream(self, now: int, reason: str) -> None:
         """Leaves the current upstream for the next one.  The log stays."""
         host, port = self.selector.current_address
         if not self.selector.consecutive_failures:
@@ -65,15 +65,15 @@
             self._effects.log("upstream.lost", text, {"why": reason}, "warning")
         self._counters.moves += 1
         self._must_verify_log = True
-        self.call(now, self.selector.record_failure(now))
+        self.send_request(now, self.selector.record_failure(now))
 
     def on_response(self, now: int, response: UpstreamResponse) -> None:
         """Handles a watch response from the current address, or a chunk of one."""
-        has_news = self._has_new_events(response)
+        has_new_events = self._has_new_events(response)
         if self.selector.current_address in self._options.peers:
-            self._on_peer_response(now, response, has_news)
+            self._on_peer_response(now, response, has_new_events)
         else:
-            self._on_list_service_response(now, response, has_news)
+            self._on_list_service_response(now, response, has_new_events)
 
     def _has_new_events(self, response: UpstreamResponse) -> bool:
         """Returns whether a response has an event after the last known one, or starts another state."""
@@ -84,7 +84,7 @@
 
     # Responses of a list service --------------------------------------------------------------------------
 
-    def _on_list_service_response(self, now: int, response: UpstreamResponse, has_news: bool) -> None:
+    def _on_list_service_response(self, now: int, response: UpstreamResponse, has_new_events: bool) -> None:
         """Handles a list service's response, or a chunk of one.
 
         The response is complete as of its watch request.  Its numbers are lower than the known ones after a
@@ -102,10 +102,13 @@
             self.follower.position = LogPosition(number, self._log.last_fingerprint)
             return
         head = ResponseHead(
-            response.last_event_number, self._log.last_fingerprint, self._called_ns // MS, is_snapshot=False
+            response.last_event_number,
+            self._log.last_fingerprint,
+            self._requested_ns // MS,
+            is_snapshot=False,
         )
         self.follower.record_verdict(head, ResponseVerdict.APPLY)
-        self._call_again(now, has_news)
+        self._send_next_request(now, has_new_events)
 
     def _begin_snapshot(self) -> None:
         """Prepares for the complete list, which replaces the known one."""
@@ -140,15 +143,15 @@
             {"before": before, "after": after},
             "warning",
         )
-        self.call(now, on_new_connection=True)
+        self.send_request(now, on_new_connection=True)
 
     # Responses of another replica -------------------------------------------------------------------------
 
-    def _on_peer_response(self, now: int, response: UpstreamResponse, has_news: bool) -> None:
+    def _on_peer_response(self, now: int, response: UpstreamResponse, has_new_events: bool) -> None:
         """Handles another replica's response, whose state may be earlier than this one's."""
         self._must_verify_log = True  # a list service that is used next must repeat the last event
         if response.has_more or response.as_of_ms is None:
-            self.move_on(now, "its response is not a control replica's")
+            self.switch_upstream(now, "its response is not a control replica's")
             return
         is_snapshot = any(holds_snapshot(event) for event in response.events)
         head = ResponseHead(response.last_event_number, response.fingerprint, response.as_of_ms, is_snapshot)
@@ -156,11 +159,11 @@
         self.follower.record_verdict(head, verdict)
         self._apply_peer_response(now, response, verdict, is_snapshot)
         if verdict is ResponseVerdict.OUTDATED:
-            self.move_on(now, "its state is behind")
+            self.switch_upstream(now, "its state is behind")
         elif verdict is ResponseVerdict.APPLY and self._is_past_lease(now, response.as_of_ms):
-            self.move_on(now, "its state is stale")
+            self.switch_upstream(now, "its state is stale")
         else:
-            self._call_again(now, has_news)
+            self._send_next_request(now, has_new_events)
 
     def _is_past_lease(self, now: int, as_of_ms: int) -> bool:
         return now // MS - as_of_ms > self._options.lease_ns // MS
@@ -179,7 +182,7 @@
     def _replace_state(self, now: int, response: UpstreamResponse) -> None:
         self._log.start_new_log()
         for event in response.events:
-            self._note_unusable(self._log.apply(event, now // MS))
+            self._log_unusable(self._log.apply(event, now // MS))
         self._log.set_base(response.last_event_number, response.fingerprint)
 
     def _apply_purges(self, now: int, events: tuple[Any, ...]) -> None:
@@ -190,7 +193,7 @@
         """
         for event in events:
             if "purge" in event:
-                self._note_unusable(self._log.apply(event, now // MS))
+                self._log_unusable(self._log.apply(event, now // MS))
 
     # Responses of either ----------------------------------------------------------------------------------
 
@@ -200,22 +203,22 @@
             number = event_number(event)
             if number is not None and number <= self._log.last_event_number:
                 continue
-            self._note_unusable(self._log.append(event, now // MS))
+            self._log_unusable(self._log.append(event, now // MS))
 
-    def _note_unusable(self, reason: str) -> None:
+    def _log_unusable(self, reason: str) -> None:
         """Logs why an event was unusable; "" means that it was usable."""
         if reason:
             self._effects.log("upstream.refused", f"event not used: {reason}", {"why": reason}, "warning")
 
-    def _call_again(self, now: int, has_news: bool) -> None:
+    def _send_next_request(self, now: int, has_new_events: bool) -> None:
         """Sends the next watch request, to the home address where that is due.
 
         It waits for ``batch_ns`` after an early response without new events, because it would otherwise poll
         in a tight loop.
         """
         self.selector.record_success(now)
-        answered_early = now - self._called_ns < UPSTREAM_WAIT_NS // 2
-        self.call(now, self._options.batch_ns if answered_early and not has_news else 0)
+        is_early = now - self._requested_ns < UPSTREAM_WAIT_NS // 2
+        self.send_request(now, self._options.batch_ns if is_early and not has_new_events else 0)
 
 
 def event_number(event: object) -> int | None:
--- a/kelpcroft/control_log/upstream_selection.py
+++ b/kelpcroft/control_log/upstream_selection.py
@@ -75,6 +75,6 @@
         self.current_index = self.home_index
         return True
 
-    def _jittered(self, span_ns: int) -> int:
-        """Returns a random duration between half and one and a half times ``span_ns``."""
-        return span_ns // 2 + int(self._random.random() * span_ns)
+    def _jittered(self, mean_ns: int) -> int:
+        """Returns a random duration between half and one and a half times ``mean_ns``."""
+        return mean_ns // 2 + int(self._random.random() * mean_ns)
--- a/kelpcroft/control_log/watchers.py
+++ b/kelpcroft/control_log/watchers.py
@@ -28,7 +28,7 @@
 )
 
 # Divisor of ``batch_ns`` for a request whose own wait is shorter than ``batch_ns``.
-SHORT_WAIT_BATCH_SHARE = 4
+SHORT_WAIT_BATCH_DIVISOR = 4
 EARLY_RESPONSE_NS = 100 * MS  # the response is sent this long before the end of the request's wait
 MAX_WAIT_NS = 5 * SECOND  # longest wait of a request (the protocol's bound)
 MAX_CACHED_BODIES = 16  # encoded responses that are kept for other watchers at the same position
@@ -39,8 +39,8 @@
     """A watch request without a response yet.  Times are Unix ns."""
 
     request: WatchRequest
-    since_ns: int
-    until_ns: int  # the response is due by then
+    received_ns: int
+    wait_ends_ns: int  # the response is due by then
     due_ns: int = 0  # the time of its valid timer; other timers of the request are obsolete
 
 
@@ -74,7 +74,7 @@
         self._lease = lease
         self._effects = effects
         self._counters = counters
-        self._answered_ns: dict[int, int] = {}  # by watcher: when the last response was sent
+        self._responded_ns: dict[int, int] = {}  # by watcher: when the last response was sent
         self._timers: list[WatchTimer] = []  # a heap; some entries are obsolete
         self._bodies: dict[LogPosition, bytes] = {}  # encoded responses, by the requested position
 
@@ -82,17 +82,17 @@
         """Adds a watcher's request.  A second request of one watcher replaces the first."""
         watcher_id = request.watcher_id
         if watcher_id not in self.pending and len(self.pending) >= self._options.max_watches:
-            self._refuse(watcher_id, f"over {self._options.max_watches} watches")
+            self._reject(watcher_id, f"over {self._options.max_watches} watches")
             return
-        until_ns = now + max(0, min(request.wait_ns, MAX_WAIT_NS) - EARLY_RESPONSE_NS)
-        pending = PendingWatch(request, now, until_ns)
+        wait_ends_ns = now + max(0, min(request.wait_ns, MAX_WAIT_NS) - EARLY_RESPONSE_NS)
+        pending = PendingWatch(request, now, wait_ends_ns)
         self.pending[watcher_id] = pending
-        self._answer_or_wait(now, pending)
+        self._respond_or_wait(now, pending)
 
     def remove(self, watcher_id: int) -> None:
         """Removes a watcher whose connection has ended."""
         self.pending.pop(watcher_id, None)
-        self._answered_ns.pop(watcher_id, None)
+        self._responded_ns.pop(watcher_id, None)
 
     def next_timer_ns(self) -> int | None:
         """Returns when ``on_timer`` is due; None where no request waits."""
@@ -104,12 +104,12 @@
             due_ns, watcher_id = heapq.heappop(self._timers)
             pending = self.pending.get(watcher_id)
             if pending is not None and pending.due_ns == due_ns:
-                self._answer_or_wait(now, pending)
+                self._respond_or_wait(now, pending)
 
     def on_change(self, now: int) -> None:
         """Responds to all watchers for which a change of the state or its lease is relevant."""
         for pending in list(self.pending.values()):
-            self._answer_or_wait(now, pending)
+            self._respond_or_wait(now, pending)
 
     def drop_cached_bodies(self) -> None:
         """Drops the encoded responses because the log has changed."""
@@ -117,29 +117,29 @@
 
     def caught_up_count(self) -> int:
         """Returns how many watchers wait at the last event."""
-        last = self._log.last_event_number
-        return sum(pending.request.position.event_number == last for pending in self.pending.values())
+        last_number = self._log.last_event_number
+        return sum(pending.request.position.event_number == last_number for pending in self.pending.values())
 
-    def _answer_or_wait(self, now: int, pending: PendingWatch) -> None:
+    def _respond_or_wait(self, now: int, pending: PendingWatch) -> None:
         """Responds to a request that is due, or sets the timer for it."""
         watcher_id = pending.request.watcher_id
-        needed_ns = now if self._has_news_for(pending.request) else pending.until_ns
-        due_ns = max(self._earliest_answer_ns(pending), needed_ns)
+        ready_ns = now if self._has_new_events_for(pending.request) else pending.wait_ends_ns
+        due_ns = max(self._earliest_response_ns(pending), ready_ns)
         if due_ns <= now:
-            self._answer(now, pending.request)
+            self._respond(now, pending.request)
             return
         if pending.due_ns != due_ns:
             pending.due_ns = due_ns
             heapq.heappush(self._timers, WatchTimer(due_ns, watcher_id))
 
-    def _earliest_answer_ns(self, pending: PendingWatch) -> int:
+    def _earliest_response_ns(self, pending: PendingWatch) -> int:
         """Returns the end of the minimum interval after the last response to this watcher."""
         interval_ns = self._options.batch_ns
-        if pending.until_ns - pending.since_ns < interval_ns:
-            interval_ns //= SHORT_WAIT_BATCH_SHARE
-        return self._answered_ns.get(pending.request.watcher_id, 0) + interval_ns
+        if pending.wait_ends_ns - pending.received_ns < interval_ns:
+            interval_ns //= SHORT_WAIT_BATCH_DIVISOR
+        return self._responded_ns.get(pending.request.watcher_id, 0) + interval_ns
 
-    def _has_news_for(self, request: WatchRequest) -> bool:
+    def _has_new_events_for(self, request: WatchRequest) -> bool:
         """Returns whether the replica has something to send in response to a request.
 
         A request with a fingerprint may be ahead of this replica.  It waits, because the events that the
@@ -149,36 +149,36 @@
         if self._lease.is_stale:
             return True
         number = request.position.event_number
-        last = self._log.last_event_number
-        if not request.knows_fingerprints or number < last:
-            return number != last
-        if number > last:
+        last_number = self._log.last_event_number
+        if not request.knows_fingerprints or number < last_number:
+            return number != last_number
+        if number > last_number:
             return False
         return request.position.fingerprint != self._log.last_fingerprint
 
-    def _answer(self, now: int, request: WatchRequest) -> None:
+    def _respond(self, now: int, request: WatchRequest) -> None:
         """Responds with the events after a watcher's position."""
         watcher_id = request.watcher_id
         del self.pending[watcher_id]
         if self._lease.is_stale and not request.knows_fingerprints:
-            self._refuse(watcher_id, "stale")  # it cannot tell an outdated state from a current one
+            self._reject(watcher_id, "stale")  # it cannot tell an outdated state from a current one
             return
         try:
-            body = self._body(now, request)
+            body = self._response_body(now, request)
         except SnapshotIncompleteError as error:
-            self._refuse(watcher_id, str(error))
+            self._reject(watcher_id, str(error))
             return
-        self._answered_ns[watcher_id] = now
+        self._responded_ns[watcher_id] = now
         self._counters.answers += 1
         if not request.position.event_number:
             self._counters.snapshots += 1
         self._effects.add(SendWatchResponse(watcher_id, body))
 
-    def _refuse(self, watcher_id: int, reason: str) -> None:
+    def _reject(self, watcher_id: int, reason: str) -> None:
         self._counters.refusals += 1
         self._effects.add(RefuseWatcher(watcher_id, reason))
 
-    def _body(self, now: int, request: WatchRequest) -> bytes:
+    def _response_body(self, now: int, request: WatchRequest) -> bytes:
         """Returns the response's JSON, which is cached by position for watchers with fingerprints."""
         if not request.knows_fingerprints:
             return self._encode(self._events_for(now, request))
@@ -197,14 +197,14 @@
             SnapshotIncompleteError: A snapshot is due, and there are more servers or purges than are kept.
         """
         number = request.position.event_number
-        last = self._log.last_event_number
-        if not last or number > last:
+        last_number = self._log.last_event_number
+        if not last_number or number > last_number:
             return []
         if request.knows_fingerprints:
-            is_known = self._log.contains(number, request.position.fingerprint)
+            has_position = self._log.contains(number, request.position.fingerprint)
         else:
-            is_known = self._log.contains_number(number)
-        if number and is_known:
+            has_position = self._log.contains_number(number)
+        if number and has_position:
             return self._log.events_after(number)
         return self._log.snapshot(now // MS)
 
--- a/kelpcroft/discovery/__init__.py
+++ b/kelpcroft/discovery/__init__.py
@@ -5,6 +5,6 @@
 ``kelpcroft.core.endpoint_list`` uses it; start reading there, or at ``schedule``:
 
 - ``schedule``: when the next watch request is sent, within a request budget for the whole fleet;
-- ``endpoint_view``: which lines of a list are used, as the list service may be wrong;
+- ``endpoint_view``: which records of a list are used, as the list service may be wrong;
 - ``watch_timeouts``: how long a watch request waits for events, and how long it may stay silent.
 """
--- a/kelpcroft/discovery/schedule.py
+++ b/kelpcroft/discovery/schedule.py
@@ -1,15 +1,15 @@
 """Schedule of a router's watch requests to the list service: at start, after responses and failures.  Pure.
 
 A watch request costs little for one router, but much when hundreds of routers send it in the same instant.
-No process counts the requests of a fleet.  So where the operator's file sets a budget, ``calls_per_s`` for
+No process counts the requests of a fleet.  So where the operator's file sets a budget, ``requests_per_s`` for
 all routers together, each router keeps to its own share:
 
-- the first request is sent after a random delay within the fleet's cycle, ``routers / calls_per_s``, at most
-  ``MAX_FIRST_CALL_DELAY_NS``; until then the router uses the endpoint list that it already has;
+- the first request is sent after a random delay within the fleet's cycle, ``routers / requests_per_s``, at
+  most ``MAX_FIRST_REQUEST_DELAY_NS``; until then the router uses the endpoint list that it already has;
 - a first failed request is repeated after a random 0 to 1 cycle, each further one after 0.5 to 1.5 cycles
-  (jitter).  So a dead service receives ``calls_per_s`` from the whole fleet on average, whatever the fleet's
-  size and however long it is dead.  After an outage the fleet is back within 1.5 cycles and never all at
-  once.  A Retry-After is respected, up to ``MAX_RETRY_AFTER_NS``;
+  (jitter).  So a dead service receives ``requests_per_s`` from the whole fleet on average, whatever the
+  fleet's size and however long it is dead.  After an outage the fleet is back within 1.5 cycles and never all
+  at once.  A Retry-After is respected, up to ``MAX_RETRY_AFTER_NS``;
 - a response is followed immediately by the next request, because the graces of its events count from the time
   at which the service has them;
 - the wait of a request grows with the fleet's cycle (1 to 4 s); nothing else bounds the requests of a fleet
@@ -34,8 +34,8 @@
 MAX_DOUBLINGS = 8  # after more doublings the delay exceeds its bound anyway
 MIN_NEWS_WAIT_MS = 1_000  # shortest wait of a request for new events
 MAX_NEWS_WAIT_MS = 4_000  # longest wait of a request for new events
-MAX_FIRST_CALL_DELAY_NS = 5 * SECOND  # the first request is sent by then, whatever the fleet's size
-MAX_CYCLES_LATE = 1.5  # a failed request is repeated within this many cycles
+MAX_FIRST_REQUEST_DELAY_NS = 5 * SECOND  # the first request is sent by then, whatever the fleet's size
+MAX_RETRY_CYCLES = 1.5  # a failed request is repeated within this many cycles
 MAX_RETRY_AFTER_NS = 30 * SECOND  # a longer Retry-After is cut to this
 FREE_WASTED_BYTES = 256 << 10  # a response without progress up to this size adds no delay
 WASTED_BYTES_PER_S = 64 << 10  # a larger one adds the time that it would take at this rate
@@ -51,34 +51,34 @@
         consecutive_failures: Since the last response.
     """
 
-    def __init__(self, routers: int, seed: int, calls_per_s: float = 0.0) -> None:
+    def __init__(self, routers: int, seed: int, requests_per_s: float = 0.0) -> None:
         """Creates the schedule before the first request.
 
         Args:
             routers: Number of routers in the fleet.
             seed: A different number for each router and each of its starts.
-            calls_per_s: Budget of the whole fleet; 0 means no budget.
+            requests_per_s: Budget of the whole fleet; 0 means no budget.
         """
         self.seed = seed
         self.random: Callable[[], float] | None = None
         self.consecutive_failures = 0
         self.has_budget = False
         self.cycle_ns = 0
-        self.set_budget(routers, calls_per_s)
+        self.set_budget(routers, requests_per_s)
 
-    def set_budget(self, routers: int, calls_per_s: float) -> None:
+    def set_budget(self, routers: int, requests_per_s: float) -> None:
         """Sets another budget from the operator's file; 0 requests a second means no budget."""
-        self.has_budget = calls_per_s > 0
+        self.has_budget = requests_per_s > 0
         if self.has_budget and self.random is None:
             from random import Random  # not even imported where no file sets a budget
 
             self.random = Random(self.seed).random
-        self.cycle_ns = int(max(1, routers) / calls_per_s * SECOND) if self.has_budget else 0
+        self.cycle_ns = int(max(1, routers) / requests_per_s * SECOND) if self.has_budget else 0
 
     @property
     def max_delay_ns(self) -> int:
         """The longest delay of the first new event after an outage."""
-        return int(MAX_CYCLES_LATE * self.cycle_ns) if self.has_budget else MAX_RETRY_DELAY_NS
+        return int(MAX_RETRY_CYCLES * self.cycle_ns) if self.has_budget else MAX_RETRY_DELAY_NS
 
     def chance(self, max_ns: int) -> int:
         """Returns a uniformly random duration up to ``max_ns``; 0 without a budget."""
@@ -86,7 +86,7 @@
 
     def first_call_delay_ns(self) -> int:
         """Returns how long after its start the router sends its first request."""
-        return self.chance(min(self.cycle_ns, MAX_FIRST_CALL_DELAY_NS))
+        return self.chance(min(self.cycle_ns, MAX_FIRST_REQUEST_DELAY_NS))
 
     def news_wait_ms(self) -> int:
         """Returns how long a request waits for new events."""
@@ -121,8 +121,8 @@
         if self.consecutive_failures > 1:
             wait_ns += self.cycle_ns // 2  # spreads the retries of a whole fleet over its cycle
         if retry_after_ns > 0:
-            asked_ns = min(retry_after_ns, MAX_RETRY_AFTER_NS) + self.chance(self.cycle_ns)
-            wait_ns = max(wait_ns, asked_ns)
+            retry_after_delay_ns = min(retry_after_ns, MAX_RETRY_AFTER_NS) + self.chance(self.cycle_ns)
+            wait_ns = max(wait_ns, retry_after_delay_ns)
         return wait_ns
 
     def _backoff_ns(self) -> int:
--- a/kelpcroft/discovery/watch_timeouts.py
+++ b/kelpcroft/discovery/watch_timeouts.py
@@ -47,16 +47,17 @@
     )
 
 
-def is_overdue(now: int, called_ns: int, last_heard_ns: int, wait_ns: int, silence_ns: int) -> bool:
+def is_overdue(now: int, requested_ns: int, last_received_ns: int, wait_ns: int, silence_ns: int) -> bool:
     """Returns whether the router abandons a watch request.
 
     Args:
-        now: Unix ns, as ``called_ns`` and ``last_heard_ns``.
-        called_ns: When the request was sent.
-        last_heard_ns: When bytes of its response last arrived; at most ``called_ns`` where none arrived.
+        now: Unix ns, as ``requested_ns`` and ``last_received_ns``.
+        requested_ns: When the request was sent.
+        last_received_ns: When bytes of its response last arrived; at most ``requested_ns`` where none
+            arrived.
         wait_ns: How long it waits for events.
         silence_ns: How long it may be silent after that.
     """
-    if last_heard_ns <= called_ns:
-        return now - called_ns > wait_ns + silence_ns
-    return now - last_heard_ns > silence_ns or now - called_ns > wait_ns + MAX_TRANSFER_NS
+    if last_received_ns <= requested_ns:
+        return now - requested_ns > wait_ns + silence_ns
+    return now - last_received_ns > silence_ns or now - requested_ns > wait_ns + MAX_TRANSFER_NS
--- a/kelpcroft/purge/floors.py
+++ b/kelpcroft/purge/floors.py
@@ -47,7 +47,7 @@
         self.starts = [0]
         self.stamps = [NEVER]
 
-    def raise_to(self, low: int, high: int, stamp: PurgeStamp) -> None:
+    def record_purge(self, low: int, high: int, stamp: PurgeStamp) -> None:
         """Records a purge of the parts from ``low`` to ``high``, both included."""
         first = self._split_at(low)
         last = self._split_at(high + 1) if high + 1 < PARTS_END else len(self.starts)
@@ -127,7 +127,7 @@
             self._newest_of_any_tag = max(stamp, self._newest_of_any_tag)
         else:
             by_class = self.patterns.setdefault(len(target.prefix), {}).setdefault(target.prefix, {})
-            by_class.setdefault(target.request_class, PartRuns()).raise_to(*target.parts, stamp)
+            by_class.setdefault(target.request_class, PartRuns()).record_purge(*target.parts, stamp)
 
     def record_tags(self, object_id: int, part: int, tags: Iterable[str]) -> None:
         """Records the tags of a part from a response.  Beyond the bound, the oldest record is dropped."""
@@ -144,11 +144,11 @@
         """
         newest = max(self.objects.get(object_id, NEVER), self.groups.get(group, NEVER))
         newest = max(newest, self._newest_of_tags(object_id, part))
-        digits = f"{object_id:016x}"
+        object_digits = f"{object_id:016x}"
         for length, by_prefix in self.patterns.items():
-            by_class = by_prefix.get(digits[:length], {})
-            for wanted in (request_class, None):
-                runs = by_class.get(wanted)
+            by_class = by_prefix.get(object_digits[:length], {})
+            for class_name in (request_class, None):
+                runs = by_class.get(class_name)
                 if runs is not None:
                     newest = max(newest, runs.newest(part))
         return newest
@@ -171,8 +171,10 @@
     def _drop_patterns_before(self, horizon: PurgeStamp) -> None:
         for length, by_prefix in list(self.patterns.items()):
             for prefix, by_class in list(by_prefix.items()):
-                for name in [name for name, runs in by_class.items() if runs.drop_before(horizon)]:
-                    del by_class[name]
+                for class_name in [
+                    class_name for class_name, runs in by_class.items() if runs.drop_before(horizon)
+                ]:
+                    del by_class[class_name]
                 if not by_class:
                     del by_prefix[prefix]
             if not by_prefix:
--- a/kelpcroft/startup/crash_loop_backoff.py
+++ b/kelpcroft/startup/crash_loop_backoff.py
@@ -16,8 +16,8 @@
 VERSION = 1  # version of the file's format
 MAX_FILE_BYTES = 4_096  # a larger file is ignored
 MAX_REMEMBERED_STARTS = 32  # the newest starts that the file keeps
-MEMORY_NS = 60 * 10**9  # starts longer ago than this are ignored
-FREE_STARTS = 2  # starts within that time without a wait
+HISTORY_NS = 60 * 10**9  # starts longer ago than this are ignored
+STARTS_WITHOUT_DELAY = 2  # starts within that time without a wait
 FIRST_DELAY_NS = 500 * 10**6  # wait of the next start's first request; doubles with each further start
 MAX_DELAY_NS = 4 * 10**9  # longest wait: a drain must be known within 7 s
 MAX_DOUBLINGS = 8  # after more doublings the delay exceeds its bound anyway
@@ -30,7 +30,7 @@
 
 
 def decode(data: bytes, name: str, now_ns: int) -> list[int]:
-    """Decodes a router's earlier starts within ``MEMORY_NS``.
+    """Decodes a router's earlier starts within ``HISTORY_NS``.
 
     Returns:
         Unix ns, oldest first; empty where the file is unusable.
@@ -47,7 +47,7 @@
     if not isinstance(starts_ms, list) or not all(type(start_ms) is int for start_ms in starts_ms):
         return []
     starts_ns = sorted(start_ms * NS_PER_MS for start_ms in starts_ms[-MAX_REMEMBERED_STARTS:])
-    return [start_ns for start_ns in starts_ns if now_ns - MEMORY_NS < start_ns <= now_ns]
+    return [start_ns for start_ns in starts_ns if now_ns - HISTORY_NS < start_ns <= now_ns]
 
 
 def encode(name: str, starts_ns: list[int], now_ns: int) -> bytes:
@@ -59,7 +59,7 @@
 
 def crash_loop_delay_ns(starts_ns: list[int]) -> int:
     """Returns how long the first request to the list service waits after these earlier starts."""
-    excess = len(starts_ns) - FREE_STARTS
+    excess = len(starts_ns) - STARTS_WITHOUT_DELAY
     if excess < 0:
         return 0
     return min(FIRST_DELAY_NS << min(excess, MAX_DOUBLINGS), MAX_DELAY_NS)
--- a/kelpcroft/startup/fleet_size.py
+++ b/kelpcroft/startup/fleet_size.py
@@ -25,7 +25,7 @@
 MIN_DIFFERENCE = 1.25  # the settings' number is used unless the estimate differs by this factor
 FEWER_ROUTERS_MARGIN = 1.5  # an estimate below the settings' number is multiplied by this
 MAX_DIFFERENCE = 16.0  # the estimate is at most this many times the settings' number, and at least 1/16 of it
-MAX_SANE_REPORT = 1e6  # no cache holds this many requests
+MAX_PLAUSIBLE_REPORT = 1e6  # no cache holds this many requests
 ROUNDING_SLACK = 1e-6  # a quotient above a whole number by at most this is that number
 
 
@@ -38,32 +38,35 @@
         Args:
             configured_routers: The zone's routers according to the settings.
         """
-        self._configured = max(1, configured_routers)
-        self._reported = DecayingSum(TIME_CONSTANT_NS)  # requests at caches, of all routers
-        self._own = DecayingSum(TIME_CONSTANT_NS)  # this router's requests among them
+        self._configured_routers = max(1, configured_routers)
+        self._reported_requests = DecayingSum(TIME_CONSTANT_NS)  # requests at caches, of all routers
+        self._own_requests = DecayingSum(TIME_CONSTANT_NS)  # this router's requests among them
         self._reports = DecayingSum(TIME_CONSTANT_NS)
 
-    def record_report(self, now: int, reported: float, own: int) -> None:
+    def record_report(self, now: int, reported_requests: float, own_requests: int) -> None:
         """Records a cache's report of requests held, and how many of this router's were there.
 
         An impossible report is ignored.  A report below this router's own number dates from before those
         requests arrived, and counts as that number.
         """
-        if own > 0 and 0 <= reported < MAX_SANE_REPORT:
-            self._reported.add(now, max(reported, float(own)))
-            self._own.add(now, own)
+        if own_requests > 0 and 0 <= reported_requests < MAX_PLAUSIBLE_REPORT:
+            self._reported_requests.add(now, max(reported_requests, float(own_requests)))
+            self._own_requests.add(now, own_requests)
             self._reports.add(now, 1.0)
 
     def estimated_routers(self, now: int) -> int:
         """Returns the number of routers by which this router computes its share."""
-        own = self._own.value_at(now)
-        if own <= 0 or self._reports.value_at(now) < MIN_REPORTS:
-            return self._configured
-        estimate = self._reported.value_at(now) / own
-        estimate = min(MAX_DIFFERENCE * self._configured, max(self._configured / MAX_DIFFERENCE, estimate))
-        if estimate > MIN_DIFFERENCE * self._configured:
+        own_requests = self._own_requests.value_at(now)
+        if own_requests <= 0 or self._reports.value_at(now) < MIN_REPORTS:
+            return self._configured_routers
+        estimate = self._reported_requests.value_at(now) / own_requests
+        estimate = min(
+            MAX_DIFFERENCE * self._configured_routers,
+            max(self._configured_routers / MAX_DIFFERENCE, estimate),
+        )
+        if estimate > MIN_DIFFERENCE * self._configured_routers:
             return math.ceil(estimate - ROUNDING_SLACK)
         with_margin = FEWER_ROUTERS_MARGIN * estimate
-        if with_margin * MIN_DIFFERENCE < self._configured:
+        if with_margin * MIN_DIFFERENCE < self._configured_routers:
             return max(1, math.ceil(with_margin))
-        return self._configured
+        return self._configured_routers
--- a/kelpcroft/startup/origin_concurrency.py
+++ b/kelpcroft/startup/origin_concurrency.py
@@ -5,7 +5,7 @@
 the same second, before a first late response could warn any of them.  So a router starts with one fetch in
 flight to the origin.  The limit rises by one per round of responses in time, and halves after a late one.
 Requests of uncacheable classes (orders) are never held back, but they count.  The limit is lifted for good
-once nothing was late for ``CALM_NS``, or once it has reached ``MAX_LIMIT``: past its start a router has
+once nothing was late for ``LIFT_AFTER_NS``, or once it has reached ``MAX_LIMIT``: past its start a router has
 better signals than this one.
 
 Times are Unix nanoseconds; the time is an argument.
@@ -15,8 +15,8 @@
 
 FIRST_LIMIT = 1.0  # fetches in flight at the start
 MAX_LIMIT = 32.0  # the limit is lifted when it reaches this
-CALM_NS = 10 * 10**9  # the limit is lifted after this long without a late response
-MIN_CALM_RESPONSES = 20  # responses in time that this requires since the last late one
+LIFT_AFTER_NS = 10 * 10**9  # the limit is lifted after this long without a late response
+MIN_RESPONSES_TO_LIFT = 20  # responses in time that this requires since the last late one
 LATE_SHARE = 2 / 3  # a wait for the origin above this share of the class's latency objective is late
 
 
@@ -36,7 +36,7 @@
         self.is_lifted = False
         self._reduced_ns = 0  # when the limit was last reduced
         self._last_late_ns = now
-        self._in_time = 0  # responses since the last late one
+        self._responses_in_time = 0  # responses since the last late one
 
     def has_capacity(self) -> bool:
         """Returns whether one more fetch may be sent."""
@@ -50,32 +50,34 @@
         """Records a fetch that is in flight from now on."""
         self.in_flight += 1
 
-    def record_finished(self, now: int, sent_ns: int, late: bool | None) -> None:
+    def record_finished(self, now: int, sent_ns: int, was_late: bool | None) -> None:
         """Records a fetch that is no longer in flight.
 
         Args:
             now: Unix ns, as ``sent_ns``.
             sent_ns: When it was sent.  A fetch sent before the limit was last reduced says nothing about the
                 effect of that reduction.
-            late: Whether it took too long; None where its duration proves nothing.
+            was_late: Whether it took too long; None where its duration proves nothing.
         """
         self.in_flight = max(0, self.in_flight - 1)
-        if late is None or self.is_lifted:
+        if was_late is None or self.is_lifted:
             return
-        if late:
+        if was_late:
             self._record_late(now, sent_ns)
         else:
             self._record_in_time(now)
 
     def _record_late(self, now: int, sent_ns: int) -> None:
         self._last_late_ns = now
-        self._in_time = 0
+        self._responses_in_time = 0
         if sent_ns >= self._reduced_ns:
             self.limit = max(1.0, self.limit / 2)
             self._reduced_ns = now
 
     def _record_in_time(self, now: int) -> None:
-        self._in_time += 1
+        self._responses_in_time += 1
         self.limit += 1 / self.limit
-        is_calm = now - self._last_late_ns >= CALM_NS and self._in_time >= MIN_CALM_RESPONSES
-        self.is_lifted = self.limit >= MAX_LIMIT or is_calm
+        is_stable = (
+            now - self._last_late_ns >= LIFT_AFTER_NS and self._responses_in_time >= MIN_RESPONSES_TO_LIFT
+        )
+        self.is_lifted = self.limit >= MAX_LIMIT or is_stable
--- a/kelpcroft/startup/restart_overlap.py
+++ b/kelpcroft/startup/restart_overlap.py
@@ -33,30 +33,36 @@
         overlap_ends_ns: Until when another process's requests may count.
     """
 
-    def __init__(self, settings: api.Settings, shared: bool) -> None:
+    def __init__(self, settings: api.Settings, is_shared: bool) -> None:
         """Starts with the complete budgets, until ``start``.
 
         Args:
             settings: The router's settings; they determine whether servers are cold at all, and for how long.
-            shared: Whether the listening socket came from a process that may still run.
+            is_shared: Whether the listening socket came from a process that may still run.
         """
         rules = settings.rules
         has_cold_servers = rules.cold_capacity_share < 1 or rules.parent_cold_capacity_share < 1
-        self._memory_ns = rules.overload_collapse_ns if has_cold_servers else 0  # how long a request counts
-        self.is_shared = shared
-        longest_ns = max((c.deadline_ns for c in settings.classes), default=0)
-        self._max_overlap_ns = MAX_UNTIL_SIGTERM_NS + max(longest_ns, MIN_DEADLINE_NS) + KILL_MARGIN_NS
+        self._collapse_interval_ns = (
+            rules.overload_collapse_ns if has_cold_servers else 0
+        )  # how long a request counts
+        self.is_shared = is_shared
+        longest_deadline_ns = max((c.deadline_ns for c in settings.classes), default=0)
+        self._max_overlap_ns = (
+            MAX_UNTIL_SIGTERM_NS + max(longest_deadline_ns, MIN_DEADLINE_NS) + KILL_MARGIN_NS
+        )
         self.overlap_ends_ns = 0
 
     def start(self, now: int) -> float:
         """Starts the overlap with the process, and returns the share."""
-        self.overlap_ends_ns = now + self._memory_ns + (self._max_overlap_ns if self.is_shared else 0)
+        self.overlap_ends_ns = (
+            now + self._collapse_interval_ns + (self._max_overlap_ns if self.is_shared else 0)
+        )
         return self.budget_share(now)
 
     def on_serving(self, now: int) -> None:
         """Extends the overlap when the process accepts clients: the platform's limit counts from then."""
         if self.is_shared and self.budget_share(now) < 1:
-            ends_ns = now + self._memory_ns + self._max_overlap_ns
+            ends_ns = now + self._collapse_interval_ns + self._max_overlap_ns
             self.overlap_ends_ns = max(self.overlap_ends_ns, ends_ns)
 
     def on_predecessor_ended(self, now: int, ended_ns: int) -> None:
@@ -65,7 +71,7 @@
         The predecessor wrote ``ended_ns`` by its own clock: a time in the future counts as now.
         """
         if self.is_shared and self.budget_share(now) < 1:
-            self.overlap_ends_ns = min(self.overlap_ends_ns, min(ended_ns, now) + self._memory_ns)
+            self.overlap_ends_ns = min(self.overlap_ends_ns, min(ended_ns, now) + self._collapse_interval_ns)
 
     def budget_share(self, now: int) -> float:
         """Returns 1, or ``OVERLAP_BUDGET_SHARE`` while another process's requests may count."""
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -33,7 +33,7 @@
 
 class Pure(unittest.TestCase):
     def test_alone_it_waits_for_one_span(self) -> None:
-        b = RestartOverlap(settings(), shared=False)
+        b = RestartOverlap(settings(), is_shared=False)
         assert b.start(COLD) == 0.5
         b.on_serving(COLD + MS)
         b.on_predecessor_ended(COLD + 2 * MS, COLD)
@@ -43,7 +43,7 @@
         ) == (0.5, 1.0)
 
     def test_beside_another_until_it_has_ended_or_must_have(self) -> None:
-        b = RestartOverlap(settings(), shared=True)
+        b = RestartOverlap(settings(), is_shared=True)
         b.start(COLD)
         b.on_serving(COLD + 5 * S)
         assert b.budget_share(COLD + 17 * S) == 0.5, (
@@ -56,13 +56,13 @@
         assert b.budget_share(COLD + 10 * S) == 1.0, "the share never falls again"
 
     def test_an_end_in_the_future_counts_as_now(self) -> None:
-        b = RestartOverlap(settings(), shared=True)
+        b = RestartOverlap(settings(), is_shared=True)
         b.start(COLD)
         b.on_predecessor_ended(COLD + S, COLD + 600 * S)
         assert b.budget_share(COLD + 2 * S) == 1.0
 
     def test_where_nothing_is_ever_cold_it_has_all(self) -> None:
-        b = RestartOverlap(settings(cold_capacity_share=1.0, parent_cold_capacity_share=1.0), shared=False)
+        b = RestartOverlap(settings(cold_capacity_share=1.0, parent_cold_capacity_share=1.0), is_shared=False)
         assert b.start(COLD) == 1.0
 
 
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -19,7 +19,7 @@
 from kelpcroft.core.reducer import Reducer
 from kelpcroft.discovery.endpoint_view import MIN_SNAPSHOT_INTERVAL_NS, EndpointView
 from kelpcroft.discovery.schedule import (
-    MAX_FIRST_CALL_DELAY_NS,
+    MAX_FIRST_REQUEST_DELAY_NS,
     MAX_RETRY_AFTER_NS,
     MS,
     SECOND,
@@ -131,7 +131,7 @@
             else:
                 x.record_success()
                 assert x.consecutive_failures == 0
-            assert x.first_call_delay_ns() <= MAX_FIRST_CALL_DELAY_NS
+            assert x.first_call_delay_ns() <= MAX_FIRST_REQUEST_DELAY_NS
             assert 1000 <= x.news_wait_ms() <= 4000
         # After any sequence the next request is sent within a bounded time.
         assert x.record_failure() <= x.max_delay_ns
