--- a/tests/control_log/test_control_log.py
+++ b/tests/control_log/test_control_log.py
@@ -37,33 +37,33 @@
 UPSTREAM = ("10.0.0.9", 7000)
 
 
-def line(name: str, status: str = "active") -> dict[str, Any]:
+def record(name: str, status: str = "active") -> dict[str, Any]:
     return {"name": name, "address": "10.0.0.1:1", "zone": "a", "type": "box", "status": status}
 
 
-def whole(number: int, *names: str) -> dict[str, Any]:
-    return {"n": number, "members": {"snapshot": True, "endpoints": [line(name) for name in names]}}
+def snapshot_event(number: int, *names: str) -> dict[str, Any]:
+    return {"n": number, "members": {"snapshot": True, "endpoints": [record(name) for name in names]}}
 
 
-def purge(number: int, at_ms: int) -> dict[str, Any]:
+def purge_event(number: int, at_ms: int) -> dict[str, Any]:
     return {"n": number, "purge": {"key": f"{number:016x}", "at": at_ms}}
 
 
 class Log(unittest.TestCase):
     def filled(self, purges: int, at_ms: int = 0) -> ControlLog:
         log = ControlLog(66_000)
-        log.append(whole(1, "a", "b"), 0)
+        log.append(snapshot_event(1, "a", "b"), 0)
         for n in range(2, purges + 2):
-            log.append(purge(n, at_ms), 0)
+            log.append(purge_event(n, at_ms), 0)
         return log
 
     def test_the_tail_is_told_by_number_and_mark(self) -> None:
         log = self.filled(5)
         assert (log.last_event_number, log.last_fingerprint) == (
             6,
-            event_fingerprint(canonical_json(purge(6, 0))),
+            event_fingerprint(canonical_json(purge_event(6, 0))),
         )
-        assert log.contains(4, event_fingerprint(canonical_json(purge(4, 0))))
+        assert log.contains(4, event_fingerprint(canonical_json(purge_event(4, 0))))
         assert not log.contains(4, log.last_fingerprint)
         assert [orjson.loads(text)["n"] for text in log.events_after(4)] == [5, 6]
 
@@ -72,11 +72,11 @@
         assert len(log.tail) <= control_log.MAX_TAIL_EVENTS
         assert log.tail_bytes <= control_log.MAX_TAIL_BYTES
         assert log.purges == {}, "purges that are no longer relevant are dropped"
-        assert not log.contains(3, event_fingerprint(canonical_json(purge(3, -100000)))), (
+        assert not log.contains(3, event_fingerprint(canonical_json(purge_event(3, -100000)))), (
             "its event is older than the tail"
         )
         for n in range(control_log.MAX_PURGES + 10):
-            log.apply(purge(n, 1_000), 1_000)
+            log.apply(purge_event(n, 1_000), 1_000)
         assert len(log.purges) == control_log.MAX_PURGES
         with pytest.raises(SnapshotIncompleteError):
             log.snapshot(1_000)
@@ -87,14 +87,14 @@
     def test_a_snapshot_is_the_state_and_what_matters(self) -> None:
         log = self.filled(2)
         log.append(
-            {"n": 4, "members": {"snapshot": False, "endpoints": [line("a", "leaving"), line("c")]}}, 0
+            {"n": 4, "members": {"snapshot": False, "endpoints": [record("a", "leaving"), record("c")]}}, 0
         )
-        log.append({"n": 5, "members": {"snapshot": False, "endpoints": [line("b", "left")]}}, 0)
+        log.append({"n": 5, "members": {"snapshot": False, "endpoints": [record("b", "left")]}}, 0)
         log.append({"n": 6, "purge": {"group": 3, "at": 50_000}}, 50_000)
         events = [orjson.loads(text) for text in log.snapshot(67_000)]
         assert {event["n"] for event in events} == {6}
-        told = {e["name"]: e["status"] for e in events[0]["members"]["endpoints"]}
-        assert told == {"a": "leaving", "c": "active"}
+        status_by_name = {e["name"]: e["status"] for e in events[0]["members"]["endpoints"]}
+        assert status_by_name == {"a": "leaving", "c": "active"}
         assert [event["purge"] for event in events[1:]] == [{"group": 3, "at": 50000}]
 
     def test_odd_events_are_named_and_handed_on(self) -> None:
@@ -107,7 +107,7 @@
 
 class Following(unittest.TestCase):
     def test_what_an_answer_means(self) -> None:
-        for what, head, due in (
+        for case, head, expected in (
             ("the tail", ResponseHead(12, "m", 10_000, False), ResponseVerdict.APPLY),
             ("nothing new", ResponseHead(10, "k", 10_000, False), ResponseVerdict.APPLY),
             ("a later state", ResponseHead(3, "m", 11_001, True), ResponseVerdict.APPLY),
@@ -119,19 +119,19 @@
             ("lower numbers, later", ResponseHead(3, "m", 11_001, False), ResponseVerdict.REQUEST_SNAPSHOT),
             ("lower numbers, not later", ResponseHead(9, "m", 10_500, False), ResponseVerdict.OUTDATED),
         ):
-            with self.subTest(what=what):
+            with self.subTest(what=case):
                 follower = LogFollower()
                 follower.record_verdict(ResponseHead(10, "k", 10_000, True), ResponseVerdict.APPLY)
                 verdict = follower.judge(head)
                 follower.record_verdict(head, verdict)
-                assert verdict is due
+                assert verdict is expected
                 assert (follower.requested_position() == LogPosition()) == (
-                    due is ResponseVerdict.REQUEST_SNAPSHOT
+                    expected is ResponseVerdict.REQUEST_SNAPSHOT
                 )
 
     def test_a_doubtful_state_is_followed_until_one_is_later(self) -> None:
         follower = LogFollower(10_000)
-        for head, due in (
+        for head, expected in (
             (ResponseHead(5, "a", 9_000, True), ResponseVerdict.APPLY_REMOVALS_ONLY),
             (ResponseHead(6, "b", 10_500, False), ResponseVerdict.APPLY_REMOVALS_ONLY),
             (ResponseHead(6, "b", 11_001, False), ResponseVerdict.REQUEST_SNAPSHOT),
@@ -140,39 +140,39 @@
         ):
             verdict = follower.judge(head)
             follower.record_verdict(head, verdict)
-            assert verdict is due, head
+            assert verdict is expected, head
         assert follower.position == LogPosition(8, "d")
 
     def test_sources_spread_move_and_go_home(self) -> None:
         addresses = tuple((f"10.0.0.{n}", 1) for n in range(4))
-        found = [UpstreamSelector(addresses, seed) for seed in range(400)]
-        homes = [sources.current_address for sources in found]
+        selectors = [UpstreamSelector(addresses, seed) for seed in range(400)]
+        homes = [selector.current_address for selector in selectors]
         assert all(60 < homes.count(address) < 140 for address in addresses), "homes are spread evenly"
-        left = [sources for sources in found if sources.current_address == addresses[0]]
-        for sources in left:
-            sources.record_failure(NOW)
-        moved = [sources.current_address for sources in left]
-        assert all(moved.count(address) > len(left) // 5 for address in addresses[1:]), (
+        moving = [selector for selector in selectors if selector.current_address == addresses[0]]
+        for selector in moving:
+            selector.record_failure(NOW)
+        moved = [selector.current_address for selector in moving]
+        assert all(moved.count(address) > len(moving) // 5 for address in addresses[1:]), (
             "followers that leave a replica are spread evenly"
         )
-        sources = UpstreamSelector(addresses, 7)
-        waits = [sources.record_failure(NOW) for _ in range(40)]
-        assert all(0 <= w < MAX_FIRST_RETRY_DELAY_NS for w in waits[:3])
-        assert all(RETRY_PERIOD_NS // 2 <= w < 2 * RETRY_PERIOD_NS for w in waits[3:])
-        sources.record_failure(NOW)
-        assert not sources.record_success(NOW + RETURN_HOME_NS // 4)
-        assert sources.record_success(NOW + 2 * RETURN_HOME_NS)
-        assert sources.current_index == sources.home_index
+        selector = UpstreamSelector(addresses, 7)
+        delays = [selector.record_failure(NOW) for _ in range(40)]
+        assert all(0 <= w < MAX_FIRST_RETRY_DELAY_NS for w in delays[:3])
+        assert all(RETRY_PERIOD_NS // 2 <= w < 2 * RETRY_PERIOD_NS for w in delays[3:])
+        selector.record_failure(NOW)
+        assert not selector.record_success(NOW + RETURN_HOME_NS // 4)
+        assert selector.record_success(NOW + 2 * RETURN_HOME_NS)
+        assert selector.current_index == selector.home_index
 
 
 class Answers(unittest.TestCase):
-    def replica(self, **more: Any) -> ControlReplica:
-        found = ControlReplica(ReplicaOptions((UPSTREAM,), **more), 1)
-        found.start(NOW)
-        found.on_upstream_response(NOW, UpstreamResponse(1, (whole(1, "a"),)))
-        return found
+    def replica(self, **options: Any) -> ControlReplica:
+        replica = ControlReplica(ReplicaOptions((UPSTREAM,), **options), 1)
+        replica.start(NOW)
+        replica.on_upstream_response(NOW, UpstreamResponse(1, (snapshot_event(1, "a"),)))
+        return replica
 
-    def told(self, replica: ControlReplica, now: int, watch: WatchRequest) -> list[Any]:
+    def responses(self, replica: ControlReplica, now: int, watch: WatchRequest) -> list[Any]:
         return [
             orjson.loads(e.body) if isinstance(e, SendWatchResponse) else e
             for e in replica.on_watch(now, watch)
@@ -180,47 +180,63 @@
         ]
 
     def test_calls_of_a_watcher_are_bounded_whatever_the_rate_of_events(self) -> None:
-        replica, now, calls = self.replica(), NOW, 0
-        position, marked, out = LogPosition(), True, False
+        replica, now, requests = self.replica(), NOW, 0
+        position, has_fingerprint, is_outstanding = LogPosition(), True, False
         for n in range(2, 302):  # a purge every 10 ms, for 3 s
             now += 10 * MS
-            effect_list = [] if out else replica.on_watch(now, WatchRequest(7, position, marked, SECOND))
-            calls, out = calls + (not out), True
-            effect_list += replica.on_upstream_response(now, UpstreamResponse(n, (purge(n, now // MS),)))
+            effect_list = (
+                []
+                if is_outstanding
+                else replica.on_watch(now, WatchRequest(7, position, has_fingerprint, SECOND))
+            )
+            requests, is_outstanding = requests + (not is_outstanding), True
+            effect_list += replica.on_upstream_response(
+                now, UpstreamResponse(n, (purge_event(n, now // MS),))
+            )
             effect_list += replica.on_timer(now)
             for e in effect_list:
                 if isinstance(e, SendWatchResponse):
-                    told = orjson.loads(e.body)
-                    position, out = LogPosition(told["n"], told["mark"]), False
-        assert calls <= 3 * SECOND // replica.options.batch_ns + 2
+                    response = orjson.loads(e.body)
+                    position, is_outstanding = LogPosition(response["n"], response["mark"]), False
+        assert requests <= 3 * SECOND // replica.options.batch_ns + 2
         assert position.event_number > 250
 
     def test_past_its_lease_it_says_so_at_once(self) -> None:
         replica = self.replica()
-        mark = replica.log.last_fingerprint
-        assert self.told(replica, NOW, WatchRequest(7, LogPosition(1, mark), True, SECOND)) == []
-        late = replica.next_timer_ns()
-        assert late is not None
+        fingerprint = replica.log.last_fingerprint
+        assert self.responses(replica, NOW, WatchRequest(7, LogPosition(1, fingerprint), True, SECOND)) == []
+        timer_ns = replica.next_timer_ns()
+        assert timer_ns is not None
         end = NOW + replica.options.lease_ns + 1
-        told = [e for e in replica.on_timer(end) if isinstance(e, SendWatchResponse)]
-        assert orjson.loads(told[0].body)["as_of"] == NOW // MS
+        sent = [e for e in replica.on_timer(end) if isinstance(e, SendWatchResponse)]
+        assert orjson.loads(sent[0].body)["as_of"] == NOW // MS
         assert replica.is_stale
-        assert len(self.told(replica, end + SECOND, WatchRequest(7, LogPosition(1, mark), True, SECOND))) == 1
-        refused = self.told(replica, end + SECOND, WatchRequest(8, LogPosition(1), False, SECOND))
-        assert isinstance(refused[0], RefuseWatcher), (
+        assert (
+            len(
+                self.responses(
+                    replica, end + SECOND, WatchRequest(7, LogPosition(1, fingerprint), True, SECOND)
+                )
+            )
+            == 1
+        )
+        rejected = self.responses(replica, end + SECOND, WatchRequest(8, LogPosition(1), False, SECOND))
+        assert isinstance(rejected[0], RefuseWatcher), (
             "a watcher without fingerprints cannot detect a stale state"
         )
 
     def test_watches_are_bounded(self) -> None:
         replica = self.replica(max_watches=2)
-        mark = replica.log.last_fingerprint
+        fingerprint = replica.log.last_fingerprint
         for n in range(2):
-            assert self.told(replica, NOW, WatchRequest(n, LogPosition(1, mark), True, SECOND)) == []
+            assert (
+                self.responses(replica, NOW, WatchRequest(n, LogPosition(1, fingerprint), True, SECOND)) == []
+            )
         assert isinstance(
-            self.told(replica, NOW, WatchRequest(9, LogPosition(1, mark), True, SECOND))[0], RefuseWatcher
+            self.responses(replica, NOW, WatchRequest(9, LogPosition(1, fingerprint), True, SECOND))[0],
+            RefuseWatcher,
         )
         replica.on_watcher_disconnected(0)
-        assert self.told(replica, NOW, WatchRequest(9, LogPosition(1, mark), True, SECOND)) == []
+        assert self.responses(replica, NOW, WatchRequest(9, LogPosition(1, fingerprint), True, SECOND)) == []
 
     def test_a_follower_that_is_ahead_is_waited_for(self) -> None:
         """A follower already has an event from another replica that is about to arrive here.
@@ -228,33 +244,33 @@
         Its request gets no event that it already has, and a response by the end of its wait.
         """
         replica = self.replica()
-        ahead = purge(2, NOW // MS)
-        watch = WatchRequest(7, LogPosition(2, event_fingerprint(canonical_json(ahead))), True, SECOND)
-        assert self.told(replica, NOW, watch) == []
+        next_event = purge_event(2, NOW // MS)
+        watch = WatchRequest(7, LogPosition(2, event_fingerprint(canonical_json(next_event))), True, SECOND)
+        assert self.responses(replica, NOW, watch) == []
         assert [
             e
-            for e in replica.on_upstream_response(NOW + 5 * MS, UpstreamResponse(2, (ahead,)))
+            for e in replica.on_upstream_response(NOW + 5 * MS, UpstreamResponse(2, (next_event,)))
             if isinstance(e, SendWatchResponse)
         ] == []
-        told = [e for e in replica.on_timer(NOW + SECOND) if isinstance(e, SendWatchResponse)]
-        assert orjson.loads(told[0].body)["events"] == []
+        sent = [e for e in replica.on_timer(NOW + SECOND) if isinstance(e, SendWatchResponse)]
+        assert orjson.loads(sent[0].body)["events"] == []
 
     def test_a_list_service_that_repeats_itself_is_not_asked_in_a_loop(self) -> None:
-        replica, now, calls = self.replica(), NOW, 0
-        effect_list = replica.on_upstream_response(now, UpstreamResponse(1, (whole(1, "a"),)))
+        replica, now, requests = self.replica(), NOW, 0
+        effect_list = replica.on_upstream_response(now, UpstreamResponse(1, (snapshot_event(1, "a"),)))
         while now < NOW + 10 * SECOND:
-            call = next(e for e in effect_list if isinstance(e, CallUpstream))
-            now, calls = now + call.delay_ns + MS, calls + 1
-            effect_list = replica.on_upstream_response(now, UpstreamResponse(1, (whole(1, "a"),)))
-        assert calls < 10 * SECOND // replica.options.batch_ns + 5
+            request = next(e for e in effect_list if isinstance(e, CallUpstream))
+            now, requests = now + request.delay_ns + MS, requests + 1
+            effect_list = replica.on_upstream_response(now, UpstreamResponse(1, (snapshot_event(1, "a"),)))
+        assert requests < 10 * SECOND // replica.options.batch_ns + 5
 
     def test_a_history_in_pieces(self) -> None:
         replica = ControlReplica(ReplicaOptions((UPSTREAM,)), 1)
         replica.start(NOW)
         replica.on_upstream_response(
-            NOW, UpstreamResponse(0, (whole(1, "a"), purge(2, NOW // MS)), has_more=True)
+            NOW, UpstreamResponse(0, (snapshot_event(1, "a"), purge_event(2, NOW // MS)), has_more=True)
         )
-        replica.on_upstream_response(NOW, UpstreamResponse(0, (purge(3, NOW // MS),), has_more=True))
+        replica.on_upstream_response(NOW, UpstreamResponse(0, (purge_event(3, NOW // MS),), has_more=True))
         replica.on_upstream_response(NOW, UpstreamResponse(3, ()))
         assert (replica.log.last_event_number, replica.is_stale, len(replica.log.purges)) == (3, False, 2)
 
@@ -265,7 +281,7 @@
         raw = configuration(FleetSize(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
         reducer = Reducer(parse_config(raw, {}))
         reducer.start(NOW)
-        known = set(reducer.state.endpoints)
+        endpoints_before = set(reducer.state.endpoints)
         effect_list = reducer.handle(
             NOW, inputs.OperatorFileRead(OperatorFile(control_replicas=ControlReplicas((("10.0.0.1", 1),))))
         )
@@ -278,20 +294,20 @@
         assert [
             (e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.PollFeed)
         ] == [(0, None)]
-        assert set(reducer.state.endpoints) == known, "the endpoint list stays in the meantime"
+        assert set(reducer.state.endpoints) == endpoints_before, "the endpoint list stays in the meantime"
 
     def test_a_replica_that_answers_at_once_with_nothing_is_left(self) -> None:
         raw = configuration(FleetSize(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
         reducer = Reducer(parse_config(raw, {}))
         addresses = (("10.0.0.1", 1), ("10.0.0.2", 1))
         effect_list, now, polls = reducer.start(NOW, None, 0, ControlReplicas(addresses)), NOW, 0
-        moved = [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)]
-        assert moved[0] in addresses
+        switched = [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)]
+        assert switched[0] in addresses
         effect_list = reducer.handle(now, inputs.TimerFired((messages.TimerKind.POLL_FEED, 0, 0)))
         while any(isinstance(e, effects.PollFeed) for e in effect_list) and polls < 50:
             now, polls = now + 2 * MS, polls + 1
-            news = inputs.WatchResponse(1, (), log_fingerprint="aa", as_of_ms=now // MS)
-            effect_list = reducer.handle(now, news)
+            response = inputs.WatchResponse(1, (), log_fingerprint="aa", as_of_ms=now // MS)
+            effect_list = reducer.handle(now, response)
         assert polls < 10
         assert [e.event for e in effect_list if isinstance(e, effects.LogEvent)] == ["replica.left"]
         assert len([e for e in effect_list if isinstance(e, effects.SwitchFeed)]) == 1
--- a/tests/control_log/test_replica_file.py
+++ b/tests/control_log/test_replica_file.py
@@ -24,12 +24,12 @@
 
 class File(unittest.TestCase):
     def test_the_example(self) -> None:
-        file, faults = load(EXAMPLE.encode())
-        assert faults == []
+        file, diagnostics = load(EXAMPLE.encode())
+        assert diagnostics == []
         assert file == ControlReplicaFile(("127.0.0.1", 7100), (("127.0.0.1", 9400),))
 
     def test_each_fault_by_its_code_and_line(self) -> None:
-        for old, new, due in (
+        for old, new, expected in (
             ("control-replica version=1\n", "", ("no-version", 1)),
             ("version=1", "version=2", ("unknown-version", 1)),
             ("version=1", "", ("unknown-version", 1)),
@@ -46,30 +46,32 @@
             ("lease", 'batch "1s"\nlease', ("duplicate-node", 6)),
         ):
             with self.subTest(new=new, old=old):
-                _, faults = load(EXAMPLE.replace(old, new, 1).encode())
-                assert due in [(f.code, f.position.line) for f in faults]
+                _, diagnostics = load(EXAMPLE.replace(old, new, 1).encode())
+                assert expected in [(diagnostic.code, diagnostic.position.line) for diagnostic in diagnostics]
 
     def test_a_peer_alone_will_do(self) -> None:
-        file, faults = load(EXAMPLE.replace("list-service", "peer").encode())
-        assert (faults, file.peers) == ([], (("127.0.0.1", 9400),))
+        file, diagnostics = load(EXAMPLE.replace("list-service", "peer").encode())
+        assert (diagnostics, file.peers) == ([], (("127.0.0.1", 9400),))
 
     def test_the_command(self) -> None:
         run = CliRunner().invoke
-        words = [
+        arguments = [
             "control-replica",
             str(ROOT / "examples/control-replica.kdl"),
             "--config",
             CONFIG,
             "--dry-run",
         ]
-        told = run(main, words)
-        assert told.exit_code == 0, told.output
-        assert "1000 watchers at 127.0.0.1:7100 from 127.0.0.1:9400; a purge matters for 66 s" in told.output
+        result = run(main, arguments)
+        assert result.exit_code == 0, result.output
+        assert (
+            "1000 watchers at 127.0.0.1:7100 from 127.0.0.1:9400; a purge matters for 66 s" in result.output
+        )
         with TemporaryDirectory() as folder:
-            bad, none = Path(folder) / "bad.kdl", Path(folder) / "none.kdl"
+            bad, missing = Path(folder) / "bad.kdl", Path(folder) / "none.kdl"
             bad.write_text("control-replica version=1\n")
             assert run(main, ["control-replica", str(bad), "--config", CONFIG]).exit_code == 1
-            assert run(main, ["control-replica", str(none), "--config", CONFIG]).exit_code == 2
+            assert run(main, ["control-replica", str(missing), "--config", CONFIG]).exit_code == 2
 
 
 class Wire(unittest.TestCase):
@@ -79,8 +81,10 @@
             b"GET /v1/events?SUB=41&wait=1000 HTTP/1.1\r\nHost: a\r\n\r\n"
             b"GET /v1/events?SUB=41&wait=10&mark=0a0b HTTP/1.1\r\n\r\nGET /control/state HTTP/1.1\r\n\r\n"
         )
-        found = [one for n in range(0, len(data), 7) for one in codec.receive_data(data[n : n + 7])]
-        assert found == [
+        requests = [
+            request for n in range(0, len(data), 7) for request in codec.receive_data(data[n : n + 7])
+        ]
+        assert requests == [
             EventsRequest(LogPosition(41), False, 1000 * MS),
             EventsRequest(LogPosition(41, "0a0b"), True, 10 * MS),
             StateRequest(),
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -20,7 +20,7 @@
 from tests.support.loop_turns import MS, SECOND, Peer, Turns
 
 
-def news(last: int, *events: object) -> bytes:
+def watch_response(last: int, *events: object) -> bytes:
     body = json.dumps({"n": last, "events": events}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
@@ -32,33 +32,42 @@
         st.integers(0, 5 * SECOND),
         st.integers(MS, 4 * SECOND),
     )
-    def test_the_settings_bound_it(self, ask: int, drain: int, purge: int, wait: int) -> None:
+    def test_the_settings_bound_it(
+        self, poll_limit_ns: int, drain_grace_ns: int, purge_grace_ns: int, wait_ns: int
+    ) -> None:
         """The settings state when a listed event counts as received, and this bounds the timeouts.
 
         Guards against constant timeouts that ignore those settings.
         """
-        watch = watch_timeouts(
-            Rules(discovery_poll_limit_ns=ask, drain_grace_ns=drain, purge_grace_ns=purge), wait
+        timeouts = watch_timeouts(
+            Rules(
+                discovery_poll_limit_ns=poll_limit_ns,
+                drain_grace_ns=drain_grace_ns,
+                purge_grace_ns=purge_grace_ns,
+            ),
+            wait_ns,
         )
-        assert watch.wait_ns <= max(wait, MIN_TIMEOUT_NS)
-        assert watch.silence_ns <= MAX_SILENCE_NS
-        if ask:
-            least = min([grace for grace in (drain, purge) if grace] or [0])
-            assert watch.wait_ns + watch.silence_ns <= max(2 * MIN_TIMEOUT_NS, ask + least)
+        assert timeouts.wait_ns <= max(wait_ns, MIN_TIMEOUT_NS)
+        assert timeouts.silence_ns <= MAX_SILENCE_NS
+        if poll_limit_ns:
+            min_grace_ns = min([grace_ns for grace_ns in (drain_grace_ns, purge_grace_ns) if grace_ns] or [0])
+            assert timeouts.wait_ns + timeouts.silence_ns <= max(
+                2 * MIN_TIMEOUT_NS, poll_limit_ns + min_grace_ns
+            )
         else:
-            assert (watch.wait_ns, watch.silence_ns) == (wait, MAX_SILENCE_NS)
+            assert (timeouts.wait_ns, timeouts.silence_ns) == (wait_ns, MAX_SILENCE_NS)
 
     def test_an_answer_that_goes_on_coming_is_not_late(self) -> None:
         assert not is_overdue(1400, 0, 0, 1000, 400)
         assert is_overdue(1401, 0, 0, 1000, 400)
         assert not is_overdue(1700, 0, 1300, 1000, 400)
         assert is_overdue(1701, 0, 1300, 1000, 400)
-        whole = 1_000 + MAX_TRANSFER_NS
-        assert is_overdue(whole + 1, 0, whole, 1000, 400)
+        complete_ns = 1_000 + MAX_TRANSFER_NS
+        assert is_overdue(complete_ns + 1, 0, complete_ns, 1000, 400)
 
 
 class Watched(unittest.TestCase):
-    def asked(self, t: Turns) -> Peer:
+    def outstanding_watch(self, t: Turns) -> Peer:
         """Returns the feed connection of the outstanding watch request; earlier ones were abandoned."""
         feed = t.taken("feed")
         t.until(feed.read, "the watch request arrives")
@@ -67,7 +76,7 @@
             t.until(feed.read, "the watch request arrives")
         return feed
 
-    def drain(self, t: Turns) -> dict[str, object]:
+    def drain_event(self, t: Turns) -> dict[str, object]:
         (event,) = t.raw["known"]["events"]
         (line,) = [e for e in event["members"]["endpoints"] if e["name"] == "s-c1"]
         return {
@@ -81,27 +90,27 @@
         Each watch request is repeated in time, and a drain published in the meantime is known with the first
         response.
         """
-        for ask, within in ((0, 1_400), (400, 400)):
-            with self.subTest(ask_within_ms=ask):
-                contract = {"ask_within_ns": ask * MS, "drain_grace_ns": 500 * MS}
+        for poll_limit_ms, timeout_ms in ((0, 1_400), (400, 400)):
+            with self.subTest(ask_within_ms=poll_limit_ms):
+                contract = {"ask_within_ns": poll_limit_ms * MS, "drain_grace_ns": 500 * MS}
                 t = Turns(self, settings={"contract": contract})
-                self.asked(t)
+                self.outstanding_watch(t)
                 for _ in range(3):
-                    t.turn(within * MS + MAX_RETRY_DELAY_NS + 100 * MS)
-                    feed = self.asked(t)
-                feed.send(news(2, self.drain(t)))
+                    t.turn(timeout_ms * MS + MAX_RETRY_DELAY_NS + 100 * MS)
+                    feed = self.outstanding_watch(t)
+                feed.send(watch_response(2, self.drain_event(t)))
                 t.until(lambda t=t: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
 
     def test_silent_in_the_middle_of_an_answer(self) -> None:
         t = Turns(self)
-        feed = self.asked(t)
-        whole = news(2, self.drain(t))
-        feed.send(whole[:60])
+        feed = self.outstanding_watch(t)
+        response = watch_response(2, self.drain_event(t))
+        feed.send(response[:60])
         t.turn(300 * MS)
         t.none("feed")
         t.turn(300 * MS)
-        again = self.asked(t)
-        again.send(whole)
+        next_watch = self.outstanding_watch(t)
+        next_watch.send(response)
         t.until(lambda: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
 
     def test_a_slow_service_is_heard_to_the_end(self) -> None:
@@ -110,13 +119,13 @@
         Guards against a router that abandons and repeats the request each time, and never receives the list.
         """
         t = Turns(self)
-        feed = self.asked(t)
+        feed = self.outstanding_watch(t)
         t.turn(SECOND)
-        whole = news(2, self.drain(t))
-        for at in range(0, len(whole), 20):
-            feed.send(whole[at : at + 20])
+        response = watch_response(2, self.drain_event(t))
+        for offset in range(0, len(response), 20):
+            feed.send(response[offset : offset + 20])
             t.turn(200 * MS)
-        assert len(whole) // 20 * 200 > 1400
+        assert len(response) // 20 * 200 > 1400
         assert "s-c1" not in t.loop.reducer.state.endpoints
         t.none("feed")
 
@@ -126,8 +135,8 @@
         The watch continues, and a silence after it is detected.
         """
         t = Turns(self)
-        feed = self.asked(t)
-        feed.send(news(2) + news(2, self.drain(t)))
+        feed = self.outstanding_watch(t)
+        feed.send(watch_response(2) + watch_response(2, self.drain_event(t)))
         t.until(lambda: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
         t.turn(1_600 * MS)
-        self.asked(t)
+        self.outstanding_watch(t)
--- a/tests/purge/test_purge_floors.py
+++ b/tests/purge/test_purge_floors.py
@@ -14,7 +14,7 @@
 objects = st.sampled_from([0, 1, 0x7F << 56, (0x7F << 56) + 5, (1 << 64) - 1])
 parts = st.integers(0, 12)
 spans = st.tuples(parts, parts).map(lambda p: (min(p), max(p))) | st.just((0, 9_999)) | st.just((5, 9_999))
-whats = (
+targets = (
     st.builds(PurgeTarget, object_id=objects)
     | st.builds(PurgeTarget, group=st.integers(0, 2))
     | st.builds(PurgeTarget, tag=st.sampled_from(["nut", "egg"]))
@@ -26,36 +26,38 @@
     )
 )
 stamps = st.builds(PurgeStamp, st.integers(1, 40), st.integers(0, 1), st.integers(0, 2))
-purges = st.lists(st.tuples(stamps, whats), max_size=25)
-asked = st.tuples(st.sampled_from(["page", "clip"]), objects, parts, st.integers(0, 3))
-bearing = st.dictionaries(st.tuples(objects, parts), st.frozensets(st.sampled_from(["nut", "egg", "oat"])))
+purges = st.lists(st.tuples(stamps, targets), max_size=25)
+requests = st.tuples(st.sampled_from(["page", "clip"]), objects, parts, st.integers(0, 3))
+tags_by_part = st.dictionaries(
+    st.tuples(objects, parts), st.frozensets(st.sampled_from(["nut", "egg", "oat"]))
+)
 
 
 def touches(
-    what: PurgeTarget, one: tuple[str, int, int, int], tags: dict[tuple[int, int], frozenset[str]]
+    target: PurgeTarget, request: tuple[str, int, int, int], tags: dict[tuple[int, int], frozenset[str]]
 ) -> bool:
-    cls, item, part, group = one
-    if what.object_id is not None:
-        return what.object_id == item
-    if what.group is not None:
-        return what.group == group
-    if what.tag is not None:
-        return what.tag in tags.get((item, part), {what.tag})
+    request_class, object_id, part, group = request
+    if target.object_id is not None:
+        return target.object_id == object_id
+    if target.group is not None:
+        return target.group == group
+    if target.tag is not None:
+        return target.tag in tags.get((object_id, part), {target.tag})
     return (
-        what.request_class in (None, cls)
-        and f"{item:016x}".startswith(what.prefix)
-        and what.parts[0] <= part <= what.parts[1]
+        target.request_class in (None, request_class)
+        and f"{object_id:016x}".startswith(target.prefix)
+        and target.parts[0] <= part <= target.parts[1]
     )
 
 
 class Meaning(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(purges, bearing, st.lists(asked, min_size=1, max_size=8), st.integers(0, 10**6), stamps)
+    @given(purges, tags_by_part, st.lists(requests, min_size=1, max_size=8), st.integers(0, 10**6), stamps)
     def test_newest_that_touches_in_any_order(
         self,
-        made: list[tuple[PurgeStamp, PurgeTarget]],
+        applied: list[tuple[PurgeStamp, PurgeTarget]],
         tags: dict[tuple[int, int], frozenset[str]],
-        many: list[tuple[str, int, int, int]],
+        sample: list[tuple[str, int, int, int]],
         seed: int,
         horizon: PurgeStamp,
     ) -> None:
@@ -63,20 +65,22 @@
 
         After ``drop_before``, the floors are those of the remaining purges.
         """
-        shuffled = made + made[::2]
+        shuffled = applied + applied[::2]
         Random(seed).shuffle(shuffled)
         floors = PurgeFloors()
-        for key, bears in tags.items():
-            floors.record_tags(*key, bears)
-        for stamp, what in shuffled:
-            floors.add(stamp, what)
-        for one in many:
-            due = max([s for s, what in made if touches(what, one, tags)], default=NEVER)
-            assert floors.floor(*one) == due, one
+        for key, part_tags in tags.items():
+            floors.record_tags(*key, part_tags)
+        for stamp, target in shuffled:
+            floors.add(stamp, target)
+        for request in sample:
+            expected = max([s for s, target in applied if touches(target, request, tags)], default=NEVER)
+            assert floors.floor(*request) == expected, request
         floors.drop_before(horizon)
-        for one in many:
-            due = max([s for s, what in made if s >= horizon and touches(what, one, tags)], default=NEVER)
-            assert floors.floor(*one) == due, one
+        for request in sample:
+            expected = max(
+                [s for s, target in applied if s >= horizon and touches(target, request, tags)], default=NEVER
+            )
+            assert floors.floor(*request) == expected, request
 
     def test_wider_and_newer_leaves_nothing_of_the_narrower(self) -> None:
         floors = PurgeFloors()
@@ -87,11 +91,11 @@
 
     def test_tags_that_were_forgotten_count_as_purged(self) -> None:
         floors = PurgeFloors(max_tagged_parts=2)
-        for item in range(3):
-            floors.record_tags(item, 0, {"oat"})
+        for object_id in range(3):
+            floors.record_tags(object_id, 0, {"oat"})
         floors.add(PurgeStamp(5, 0, 0), PurgeTarget(tag="nut"))
-        found = [floors.floor("page", item, 0, 0) for item in range(3)]
-        assert found == [PurgeStamp(5, 0, 0), NEVER, NEVER]
+        newest = [floors.floor("page", object_id, 0, 0) for object_id in range(3)]
+        assert newest == [PurgeStamp(5, 0, 0), NEVER, NEVER]
 
     def test_all_is_given_back(self) -> None:
         floors = PurgeFloors()
--- a/tests/purge/test_purge_order.py
+++ b/tests/purge/test_purge_order.py
@@ -24,16 +24,16 @@
         clocks = [HybridClock(n) for n in range(4)]
         made: list[PurgeStamp] = []
         now = NOW
-        for at, (maker, hearer, wait) in enumerate(moves):
+        for index, (sender, receiver, wait) in enumerate(moves):
             now += wait * MS
-            if at == jump:
+            if index == jump:
                 skew = [-skew[0], *skew[1:]]
-            before = clocks[maker].last
-            stamp = clocks[maker].next_stamp(now + skew[maker] * MS)
+            before = clocks[sender].last
+            stamp = clocks[sender].next_stamp(now + skew[sender] * MS)
             assert stamp[:2] > before[:2]
-            clocks[hearer].observe(now + skew[hearer] * MS, stamp)
-            if hearer != maker:
-                assert clocks[hearer].next_stamp(now + skew[hearer] * MS) > stamp
+            clocks[receiver].observe(now + skew[receiver] * MS, stamp)
+            if receiver != sender:
+                assert clocks[receiver].next_stamp(now + skew[receiver] * MS) > stamp
             made.append(stamp)
         assert len(set(made)) == len(made), "no two purges have the same stamp"
 
@@ -47,10 +47,10 @@
     def test_a_clock_gone_mad_drags_nobody_along(self) -> None:
         clock = HybridClock(1)
         clock.observe(NOW, PurgeStamp(NOW // MS + MAX_CLOCK_LEAD_MS, 0, 2))
-        kept = clock.last
+        before = clock.last
         with pytest.raises(ClockAheadError):
             clock.observe(NOW, PurgeStamp(NOW // MS + MAX_CLOCK_LEAD_MS + 1, 0, 2))
-        assert clock.last == kept
+        assert clock.last == before
 
     def test_more_than_a_counter_holds_in_a_millisecond(self) -> None:
         clock = HybridClock(1)
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -33,49 +33,51 @@
 
 class Pure(unittest.TestCase):
     def test_alone_it_waits_for_one_span(self) -> None:
-        b = RestartOverlap(settings(), is_shared=False)
-        assert b.start(COLD) == 0.5
-        b.on_serving(COLD + MS)
-        b.on_predecessor_ended(COLD + 2 * MS, COLD)
+        overlap = RestartOverlap(settings(), is_shared=False)
+        assert overlap.start(COLD) == 0.5
+        overlap.on_serving(COLD + MS)
+        overlap.on_predecessor_ended(COLD + 2 * MS, COLD)
         assert (
-            b.budget_share(COLD + RULES.overload_collapse_ns - 1),
-            b.budget_share(COLD + RULES.overload_collapse_ns),
+            overlap.budget_share(COLD + RULES.overload_collapse_ns - 1),
+            overlap.budget_share(COLD + RULES.overload_collapse_ns),
         ) == (0.5, 1.0)
 
     def test_beside_another_until_it_has_ended_or_must_have(self) -> None:
-        b = RestartOverlap(settings(), is_shared=True)
-        b.start(COLD)
-        b.on_serving(COLD + 5 * S)
-        assert b.budget_share(COLD + 17 * S) == 0.5, (
+        overlap = RestartOverlap(settings(), is_shared=True)
+        overlap.start(COLD)
+        overlap.on_serving(COLD + 5 * S)
+        assert overlap.budget_share(COLD + 17 * S) == 0.5, (
             "6 s, the longest deadline of 6 s and 0.7 s after it serves"
         )
-        assert b.budget_share(COLD + 18700 * MS) == 1.0
-        b.on_predecessor_ended(COLD + 9 * S, COLD + 8 * S)
-        assert (b.budget_share(COLD + 9 * S - 1), b.budget_share(COLD + 9 * S)) == (0.5, 1.0)
-        b.on_serving(COLD + 10 * S)
-        assert b.budget_share(COLD + 10 * S) == 1.0, "the share never falls again"
+        assert overlap.budget_share(COLD + 18700 * MS) == 1.0
+        overlap.on_predecessor_ended(COLD + 9 * S, COLD + 8 * S)
+        assert (overlap.budget_share(COLD + 9 * S - 1), overlap.budget_share(COLD + 9 * S)) == (0.5, 1.0)
+        overlap.on_serving(COLD + 10 * S)
+        assert overlap.budget_share(COLD + 10 * S) == 1.0, "the share never falls again"
 
     def test_an_end_in_the_future_counts_as_now(self) -> None:
-        b = RestartOverlap(settings(), is_shared=True)
-        b.start(COLD)
-        b.on_predecessor_ended(COLD + S, COLD + 600 * S)
-        assert b.budget_share(COLD + 2 * S) == 1.0
+        overlap = RestartOverlap(settings(), is_shared=True)
+        overlap.start(COLD)
+        overlap.on_predecessor_ended(COLD + S, COLD + 600 * S)
+        assert overlap.budget_share(COLD + 2 * S) == 1.0
 
     def test_where_nothing_is_ever_cold_it_has_all(self) -> None:
-        b = RestartOverlap(settings(cold_capacity_share=1.0, parent_cold_capacity_share=1.0), is_shared=False)
-        assert b.start(COLD) == 1.0
+        overlap = RestartOverlap(
+            settings(cold_capacity_share=1.0, parent_cold_capacity_share=1.0), is_shared=False
+        )
+        assert overlap.start(COLD) == 1.0
 
 
-def worst(two: list[RoutingPolicy], kb: float, every_ns: int) -> float:
+def max_overload(policies: list[RoutingPolicy], kb: float, every_ns: int) -> float:
     """Returns the most work that a cold cache is sent within a second, over the work that overloads it.
 
     Requests go to two processes in turn for four seconds from the cache's start.
     """
     sent: deque[tuple[int, float]] = deque()
-    most = 0.0
+    max_ratio = 0.0
     for n in range(4 * S // every_ns):
         now = COLD + n * every_ns
-        p = two[n % 2]
+        p = policies[n % 2]
         for f in fetches(ask(p, now, f"r{n}", n, size_kb=kb)):
             if f.server == "c0":
                 sent.append((now, kb / 1000 * S))
@@ -83,22 +85,24 @@
         while sent and sent[0][0] <= now - RULES.overload_collapse_ns:
             sent.popleft()
         share = RULES.cold_capacity_share + (1 - RULES.cold_capacity_share) * (now - COLD) / RULES.warm_up_ns
-        room = RULES.overload_collapse_multiple * share * 5 * RULES.overload_collapse_ns
+        capacity = RULES.overload_collapse_multiple * share * 5 * RULES.overload_collapse_ns
         # A server with capacity for less than one request still gets at least one.
-        most = max(most, (sum(work for _, work in sent) - (kb / 1000 * S if len(sent) == 1 else 0)) / room)
-    return most
+        max_ratio = max(
+            max_ratio, (sum(work for _, work in sent) - (kb / 1000 * S if len(sent) == 1 else 0)) / capacity
+        )
+    return max_ratio
 
 
 class Together(unittest.TestCase):
-    def two(self, *parts: float) -> list[RoutingPolicy]:
-        lines = [replace(s, started_ns=COLD) for s in servers() if s.name == "c0"]
-        lines += [s for s in servers() if s.role is not api.Role.CACHE]
-        found = []
-        for part in parts:
-            p = policy(lines)
-            p.handle(COLD, api.RouterShare(part))
-            found.append(p)
-        return found
+    def two_policies(self, *shares: float) -> list[RoutingPolicy]:
+        records = [replace(s, started_ns=COLD) for s in servers() if s.name == "c0"]
+        records += [s for s in servers() if s.role is not api.Role.CACHE]
+        policies = []
+        for share in shares:
+            p = policy(records)
+            p.handle(COLD, api.RouterShare(share))
+            policies.append(p)
+        return policies
 
     def test_the_sum_stays_under_what_pushes_it_over(self) -> None:
         """Alone in its zone, a router's two processes together stay below the overload of the cache.
@@ -107,12 +111,14 @@
         """
         for kb in (20.0, 100.0, 400.0, 1_500.0):
             with self.subTest(kb=kb):
-                assert worst(self.two(1.0, 1.0), kb, 3 * MS) > 1.0, "the overload is possible in this test"
-                assert worst(self.two(1.0, 0.5), kb, 3 * MS) <= 1.0
+                assert max_overload(self.two_policies(1.0, 1.0), kb, 3 * MS) > 1.0, (
+                    "the overload is possible in this test"
+                )
+                assert max_overload(self.two_policies(1.0, 0.5), kb, 3 * MS) <= 1.0
 
     def test_the_new_one_sends_some(self) -> None:
-        old, new = self.two(1.0, 0.5)
-        worst([old, new], 100.0, 3 * MS)
+        old, new = self.two_policies(1.0, 0.5)
+        max_overload([old, new], 100.0, 3 * MS)
         assert new.endpoints["c0"].work_sent.total > 0
 
 
@@ -145,9 +151,13 @@
         r.service_state.shares_listener = True
         r.handle(NOW + S, inputs.ShutdownRequested())
         effect_list = r.handle(NOW + 3 * S, inputs.TimerFired((TimerKind.SHUTDOWN, 2, 0)))
-        (keep,) = only(effects.PersistServiceState, effect_list)
-        assert isinstance(keep, effects.PersistServiceState)
-        assert (keep.is_in_service, keep.ended_at_ns, keep.shutdown_began_ns) == (True, NOW + 3 * S, NOW + S)
+        (persisted,) = only(effects.PersistServiceState, effect_list)
+        assert isinstance(persisted, effects.PersistServiceState)
+        assert (persisted.is_in_service, persisted.ended_at_ns, persisted.shutdown_began_ns) == (
+            True,
+            NOW + 3 * S,
+            NOW + S,
+        )
 
 
 class Cold(StandInServers):
@@ -184,16 +194,16 @@
     def test_an_upgrade_beside_a_cold_cache(self) -> None:
         with (
             tempfile.TemporaryDirectory() as name,
-            Cold(servers=("cache1", "parent", "origin")) as world,
+            Cold(servers=("cache1", "parent", "origin")) as stand_ins,
             socket.create_server(("127.0.0.1", 0), backlog=64) as listener,
         ):
             folder, stop = Path(name), threading.Event()
             raw = {
                 **EXAMPLE,
                 "listen": "127.0.0.1:1",
-                "feed": world.address_of("feed"),
+                "feed": stand_ins.address_of("feed"),
                 "mgmt": None,
-                "known": {"n": 1, "events": [world.endpoint_snapshot()]},
+                "known": {"n": 1, "events": [stand_ins.endpoint_snapshot()]},
             }
             raw.pop("mgmt")
             info = {**raw["settings"]["family_info"], "pace_kb_per_s": 1_000.0}
@@ -216,17 +226,19 @@
             served = [0]
 
             def drive(number: int) -> None:
-                client, made = None, 0
+                client, sent = None, 0
                 while not stop.is_set():
                     try:
                         client = client or RouterClient(
                             socket.create_connection(listener.getsockname()[:2], 2)
                         )
                         client.sock.settimeout(3)
-                        made += 1
-                        answer = client.request("page", object=f"{number:08x}{made:08x}", more={"size": "20"})
-                        served[0] += answer.kind == "served"
-                        if made % 5 == 0:
+                        sent += 1
+                        response = client.request(
+                            "page", object=f"{number:08x}{sent:08x}", more={"size": "20"}
+                        )
+                        served[0] += response.kind == "served"
+                        if sent % 5 == 0:
                             raise ConnectionError("opens another connection, maybe to the other process")
                     except OSError:
                         client = None
@@ -242,7 +254,7 @@
                 while not served[0] and time.monotonic() < until:
                     time.sleep(0.02)
                 processes.append(self.start(folder, listener, config))
-                before = len(world.requests(server="cache1"))
+                received_before = len(stand_ins.requests(server="cache1"))
                 time.sleep(3)
                 old.send_signal(signal.SIGTERM)
                 assert old.wait(MAX_WAIT_S) == 0
@@ -252,14 +264,14 @@
                 for process in processes:
                     process.kill()
                     process.wait()
-            pulls = [s.received_ns for s in world.requests(server="cache1")]
-            assert len(pulls) > before, "the cold cache is used"
+            received_ns = [s.received_ns for s in stand_ins.requests(server="cache1")]
+            assert len(received_ns) > received_before, "the cold cache is used"
             assert served[0] > 200
             # 0.02 s of work each; 2.0 * 0.21 * 2 = 0.83 s of it in any second overload the cache.
-            most = max(sum(at <= x < at + S for x in pulls) for at in pulls)
-            assert most <= 41, "requests of 0.02 s in one second"
-            left = orjson.loads(next(folder.glob("kelpcroft-*.json")).read_bytes())
-            assert left["ended_ms"] > 0
+            max_per_s = max(sum(at <= x < at + S for x in received_ns) for at in received_ns)
+            assert max_per_s <= 41, "requests of 0.02 s in one second"
+            handover = orjson.loads(next(folder.glob("kelpcroft-*.json")).read_bytes())
+            assert handover["ended_ms"] > 0
 
 
 if __name__ == "__main__":
--- a/tests/startup/test_cold_start.py
+++ b/tests/startup/test_cold_start.py
@@ -18,47 +18,47 @@
 from testbed.field.field import RULES
 from testbed.stand_ins import MAX_WAIT_S, MS, ROOT, StandInServers
 
-ZONES, EACH = 6, 4
-ALL = ZONES * EACH
-CALLS = 10  # watch requests a second that the routers' file grants all of them
-BUDGET = RULES + f"start list-calls={CALLS}\n"
-CYCLE_S = ALL / CALLS
+ZONES, ROUTERS_PER_ZONE = 6, 4
+ROUTERS = ZONES * ROUTERS_PER_ZONE
+MAX_REQUESTS_PER_S = 10  # watch requests a second that the routers' file grants all of them
+BUDGET = RULES + f"start list-calls={MAX_REQUESTS_PER_S}\n"
+CYCLE_S = ROUTERS / MAX_REQUESTS_PER_S
 S = 1_000 * MS
 # Caches and parents are warm within 8 s, so that a test covers their complete slow start.
-QUICK = {
+FAST_WARM_UP = {
     "contract": {"cold_from": 0.2, "cold_ns": 8 * S, "fall_multiple": 2.5, "fall_ns": S},
     "family_info": {"parent_cold_from": 0.1, "parent_warms_in_ns": 8 * S},
 }
 
 
-def until(found: Callable[[], bool], seconds: float = MAX_WAIT_S) -> bool:
+def wait_until(condition: Callable[[], bool], seconds: float = MAX_WAIT_S) -> bool:
     """Returns whether a condition holds within the time."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        if found():
+        if condition():
             return True
         time.sleep(0.02)
     return False
 
 
-def calls(world: StandInServers, from_ns: int, to_ns: int) -> int:
+def watch_requests(stand_ins: StandInServers, from_ns: int, to_ns: int) -> int:
     """Returns the number of watch requests that reached the list service, with a response or without."""
-    return sum(from_ns <= at < to_ns for at, _, _ in list(world.feed_calls))
+    return sum(from_ns <= at < to_ns for at, _, _ in list(stand_ins.feed_calls))
 
 
-def informed(world: StandInServers, last: int, since: int = 0) -> int:
+def informed(stand_ins: StandInServers, last: int, since_ns: int = 0) -> int:
     """Returns how many routers have received an event.
 
     These are the connections that have requested the events after that one since then.
     """
-    return len({port for at, after, port in list(world.feed_calls) if after == last and at > since})
+    return len({port for at, after, port in list(stand_ins.feed_calls) if after == last and at > since_ns})
 
 
 class ColdStart(unittest.TestCase):
-    def field(self, **more: Any) -> RouterField:
-        made = RouterField(ZONES, EACH, {"old": ROOT}, **more)
-        self.addCleanup(made.__exit__)
-        return made
+    def field(self, **options: Any) -> RouterField:
+        field = RouterField(ZONES, ROUTERS_PER_ZONE, {"old": ROOT}, **options)
+        self.addCleanup(field.__exit__)
+        return field
 
     @pytest.mark.long  # after the crash the requests of a second come near the service's limit
     def test_a_list_service_that_is_dead_and_one_that_falls_over_and_counts_anew(self) -> None:
@@ -68,28 +68,34 @@
         afterwards.  An event of the meantime reaches every router.
         """
         field = self.field(rules=BUDGET)
-        world = field.servers
-        world.max_feed_calls_per_s, world.feed_down_until_ns = 40, time.monotonic_ns() + 6 * S
+        stand_ins = field.servers
+        stand_ins.max_feed_calls_per_s, stand_ins.feed_down_until_ns = 40, time.monotonic_ns() + 6 * S
         field.__enter__()
         with ClientLoad(field, per_s=4.0) as load:
-            last = world.change("cache-z0", "leaving")
-            began, back = field.began_ns, world.feed_down_until_ns
-            assert until(lambda: informed(world, last) >= ALL), informed(world, last)
-            heard = time.monotonic_ns()
-            assert heard - back < (1.5 * CYCLE_S + 6) * S, "all have the list"
-            dead = calls(world, began, back)
-            assert dead < ALL + 1.5 * CALLS * (back - began) / S, "while it was dead"
-            assert dead > ALL // 2, "they continued to send requests"
-            assert world.feed_crashes == 0, "more than 40 requests in a second crash it"
-            world.crash_feed(2.0)
-            back = world.feed_down_until_ns
+            last = stand_ins.change("cache-z0", "leaving")
+            began_ns, back_ns = field.began_ns, stand_ins.feed_down_until_ns
+            assert wait_until(lambda: informed(stand_ins, last) >= ROUTERS), informed(stand_ins, last)
+            informed_ns = time.monotonic_ns()
+            assert informed_ns - back_ns < (1.5 * CYCLE_S + 6) * S, "all have the list"
+            requests_while_dead = watch_requests(stand_ins, began_ns, back_ns)
+            assert requests_while_dead < ROUTERS + 1.5 * MAX_REQUESTS_PER_S * (back_ns - began_ns) / S, (
+                "while it was dead"
+            )
+            assert requests_while_dead > ROUTERS // 2, "they continued to send requests"
+            assert stand_ins.feed_crashes == 0, "more than 40 requests in a second crash it"
+            stand_ins.crash_feed(2.0)
+            back_ns = stand_ins.feed_down_until_ns
             # Routers that are not back yet receive a drain late: this is the cost of the budget.
-            assert until(lambda: len({p for at, _, p in world.feed_calls if p and at > back}) >= ALL)
-            assert any(after == 0 for at, after, _ in world.feed_calls if at > back), "numbers went back"
-            last = world.change("cache-z1", "leaving") - world.events_before_restart
-            since = time.monotonic_ns()
-            assert until(lambda: informed(world, last, since) >= ALL)
-            assert world.feed_crashes == 1
+            assert wait_until(
+                lambda: len({p for at, _, p in stand_ins.feed_calls if p and at > back_ns}) >= ROUTERS
+            )
+            assert any(after == 0 for at, after, _ in stand_ins.feed_calls if at > back_ns), (
+                "numbers went back"
+            )
+            last = stand_ins.change("cache-z1", "leaving") - stand_ins.events_before_restart
+            since_ns = time.monotonic_ns()
+            assert wait_until(lambda: informed(stand_ins, last, since_ns) >= ROUTERS)
+            assert stand_ins.feed_crashes == 1
         assert (field.check_contract(load).violations, load.counts["lost"]) == ([], 0), load.counts
         assert load.counts["served"] > 100, load.counts
 
@@ -98,13 +104,15 @@
         field = self.field()
         field.servers.feed_down_until_ns = time.monotonic_ns() + 6 * S
         field.__enter__()
-        began = time.monotonic_ns()
-        assert until(lambda: time.monotonic_ns() > began + 2 * S)
-        assert calls(field.servers, began, began + 2 * S) > 2 * 1.5 * CALLS * 2
+        began_ns = time.monotonic_ns()
+        assert wait_until(lambda: time.monotonic_ns() > began_ns + 2 * S)
+        assert watch_requests(field.servers, began_ns, began_ns + 2 * S) > 2 * 1.5 * MAX_REQUESTS_PER_S * 2
 
     def test_cold_boxes_half_of_them_dead_a_hub_lost_and_a_zone_silent(self) -> None:
         """No cache is overloaded, no order runs twice, and every request has its response in time."""
-        field = self.field(boxes=2, hubs=2, relayed=True, cold=True, rules=BUDGET, settings=QUICK, weight=2.0)
+        field = self.field(
+            boxes=2, hubs=2, relayed=True, cold=True, rules=BUDGET, settings=FAST_WARM_UP, weight=2.0
+        )
         relays = field.servers.relays
         for n in range(0, ZONES, 2):
             relays[f"cache-z{n}-1"].change(LinkMode.RESET)
@@ -113,7 +121,7 @@
             relays[name].change(LinkMode.SILENT)
         field.__enter__()
         with ClientLoad(field, per_s=6.0, orders=10) as load:
-            assert until(lambda: time.monotonic_ns() > field.began_ns + 10 * S)
+            assert wait_until(lambda: time.monotonic_ns() > field.began_ns + 10 * S)
             for relay in relays.values():
                 relay.change(LinkMode.PASS)
         assert field.check_contract(load, cut=True).violations == []
@@ -126,7 +134,7 @@
         The killed ones are started and killed once more.  The suspended ones must not send waiting requests
         to the drained cache when they continue.
         """
-        field = self.field(boxes=2, cold=True, rules=BUDGET, settings=QUICK)
+        field = self.field(boxes=2, cold=True, rules=BUDGET, settings=FAST_WARM_UP)
         field.__enter__()
         nodes = list(field.nodes.values())
         with ClientLoad(field, per_s=6.0, orders=10) as load:
@@ -137,18 +145,20 @@
                 for node in nodes[::3]:
                     field.wait_ready(node)
             killed_ns = time.monotonic_ns()
-            assert until(lambda: informed(field.servers, 1, killed_ns) >= ALL), "all wait for new events"
+            assert wait_until(lambda: informed(field.servers, 1, killed_ns) >= ROUTERS), (
+                "all wait for new events"
+            )
             stopped = [node.process for node in nodes[1::6] if node.process]
             for process in stopped:
                 process.send_signal(signal.SIGSTOP)
             last = field.servers.change("cache-z1", "leaving")
-            since = time.monotonic_ns()
-            others = ALL - len(stopped)
-            assert until(lambda: informed(field.servers, last, since) >= others)
+            since_ns = time.monotonic_ns()
+            others = ROUTERS - len(stopped)
+            assert wait_until(lambda: informed(field.servers, last, since_ns) >= others)
             for process in stopped:
                 process.send_signal(signal.SIGCONT)
-            assert until(lambda: informed(field.servers, last, since) >= ALL)
-            assert until(lambda: time.monotonic_ns() > field.began_ns + 9 * S)
+            assert wait_until(lambda: informed(field.servers, last, since_ns) >= ROUTERS)
+            assert wait_until(lambda: time.monotonic_ns() > field.began_ns + 9 * S)
         assert field.check_contract(load, killed=True).violations == []
         assert load.counts["served"] > 100, load.counts
 
@@ -163,22 +173,24 @@
         field = RouterField(1, 2, {"old": ROOT}, boxes=2)
         self.addCleanup(field.__exit__)
         field.__enter__()
-        world, (node, _) = field.servers, field.nodes.values()
+        stand_ins, (node, _) = field.servers, field.nodes.values()
         assert node.process is not None
         with ClientLoad(field, per_s=60.0) as load:
             for n in range(6):
-                assert until(lambda: informed(world, len(world.feed_events) + 1) >= 2)
+                assert wait_until(lambda: informed(stand_ins, len(stand_ins.feed_events) + 1) >= 2)
                 node.process.send_signal(signal.SIGSTOP)
                 # After two requests of the other router, this one's request has a response without events.
                 stopped = time.monotonic_ns()
-                assert until(lambda at=stopped: sum(x > at for x, _, _ in list(world.feed_calls)) >= 2)
+                assert wait_until(
+                    lambda at=stopped: sum(x > at for x, _, _ in list(stand_ins.feed_calls)) >= 2
+                )
                 name = ("cache-z0", "cache-z0-1")[n % 2]
-                last, told = world.change(name, "leaving"), time.monotonic_ns()
-                assert until(lambda at=told, last=last: informed(world, last, at) >= 1)
-                assert until(lambda at=told: time.monotonic_ns() > at + 2100 * MS), "past grace"
+                last, told = stand_ins.change(name, "leaving"), time.monotonic_ns()
+                assert wait_until(lambda at=told, last=last: informed(stand_ins, last, at) >= 1)
+                assert wait_until(lambda at=told: time.monotonic_ns() > at + 2100 * MS), "past grace"
                 node.process.send_signal(signal.SIGCONT)
-                assert until(lambda at=told, last=last: informed(world, last, at) >= 2)
-                world.change(name)
+                assert wait_until(lambda at=told, last=last: informed(stand_ins, last, at) >= 2)
+                stand_ins.change(name)
         assert [x for x in field.check_contract(load).violations if x.startswith("drained")] == []
         assert load.counts["served"] > 300, load.counts
 
@@ -198,22 +210,22 @@
             LinkMode.DELAY,
         ):
             with self.subTest(mode=mode.value):
-                self.link(mode)
+                self.check_link(mode)
 
-    def link(self, mode: LinkMode) -> None:
+    def check_link(self, mode: LinkMode) -> None:
         field = self.field(rules=BUDGET)
         field.servers.relay(["feed"], 2.0)
         relay = field.servers.relays["feed"]
         relay.change(mode)
         field.__enter__()
         with ClientLoad(field, per_s=4.0) as load:
-            assert until(lambda: time.monotonic_ns() > field.began_ns + 6 * S)
-            assert relay.passed < 2 * ALL + 1.5 * CALLS * 6
+            assert wait_until(lambda: time.monotonic_ns() > field.began_ns + 6 * S)
+            assert relay.passed < 2 * ROUTERS + 1.5 * MAX_REQUESTS_PER_S * 6
             relay.change(LinkMode.PASS)
             relay.drop()
             last = field.servers.change("cache-z0", "leaving")
-            since = time.monotonic_ns()
-            assert until(lambda: informed(field.servers, last, since) >= ALL)
+            since_ns = time.monotonic_ns()
+            assert wait_until(lambda: informed(field.servers, last, since_ns) >= ROUTERS)
         assert load.counts["lost"] == 0, load.counts
         assert load.counts["served"] > 300, load.counts
 
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -38,29 +38,31 @@
 EVENTS = st.lists(st.sampled_from(["fail", "retry", "answer", "news", "empty"]), max_size=60)
 
 
-def fleet(count: int, calls_per_s: float = 50.0) -> list[DiscoverySchedule]:
-    return [DiscoverySchedule(count, 7_919 * n, calls_per_s) for n in range(count)]
+def fleet(count: int, requests_per_s: float = 50.0) -> list[DiscoverySchedule]:
+    return [DiscoverySchedule(count, 7_919 * n, requests_per_s) for n in range(count)]
 
 
-def calls(listings: list[DiscoverySchedule], seconds: int, serves: Callable[[int], bool]) -> list[int]:
+def request_times(
+    schedules: list[DiscoverySchedule], seconds: int, serves: Callable[[int], bool]
+) -> list[int]:
     """Returns the times of all watch requests of a fleet that starts at once.
 
     ``serves(at)`` returns whether the service responds; a request with a response waits as long as it may.
     """
-    found = []
-    for x in listings:
-        at = x.first_call_delay_ns()
+    times = []
+    for schedule in schedules:
+        at = schedule.first_call_delay_ns()
         while at < seconds * S:
-            found.append(at)
+            times.append(at)
             if serves(at):
-                x.record_success()
-                at += x.news_wait_ms() * MS
+                schedule.record_success()
+                at += schedule.news_wait_ms() * MS
             else:
-                at += 2 * MS + x.record_failure()
-    return found
+                at += 2 * MS + schedule.record_failure()
+    return times
 
 
-def most(times: list[int], span: int = S) -> int:
+def max_requests(times: list[int], span: int = S) -> int:
     """Returns the most requests in any interval of length ``span``."""
     return max(Counter(at // span for at in times).values())
 
@@ -72,128 +74,141 @@
         Guards against a fixed retry delay: at 400 ms each, 200 routers sent it 500 requests a second.
         """
         for count in (20, 120, 200, 1_000):
-            times = calls(fleet(count), 30, lambda at: False)
+            times = request_times(fleet(count), 30, lambda at: False)
             late = [at for at in times if at > 5 * S]
             assert len(late) / 25 < 60, count
-            assert most(late) < 90, count
+            assert max_requests(late) < 90, count
             # The first requests are sent within 5 s whatever the fleet's size.
-            assert most(times) < max(130, 1.4 * count / 5), count
+            assert max_requests(times) < max(130, 1.4 * count / 5), count
 
     def test_without_a_budget_it_calls_as_ever(self) -> None:
         """Rules whose grace starts when the feed has an event require each request to be sent immediately."""
         for count in (1, 60, 200, 5_000):
-            x = DiscoverySchedule(count, 1)
-            assert (x.first_call_delay_ns(), x.news_wait_ms()) == (0, 1000)
-            waits = [x.record_failure(9 * S) for _ in range(9)]
-            assert waits == [0] + [min(25 << n, 400) * MS for n in range(8)]
-            assert (x.random, x.max_delay_ns) == (None, 400 * MS), "``random`` is not imported"
+            schedule = DiscoverySchedule(count, 1)
+            assert (schedule.first_call_delay_ns(), schedule.news_wait_ms()) == (0, 1000)
+            delays = [schedule.record_failure(9 * S) for _ in range(9)]
+            assert delays == [0] + [min(25 << n, 400) * MS for n in range(8)]
+            assert (schedule.random, schedule.max_delay_ns) == (None, 400 * MS), "``random`` is not imported"
 
     def test_a_fleet_at_rest_of_200_calls_as_often_as_one_of_50(self) -> None:
-        for count, due in ((4, 4), (50, 50), (200, 52), (1_000, 260)):
-            times = [at for at in calls(fleet(count), 20, lambda at: True) if at >= 10 * S]
-            assert len(times) / 10 <= due, count
+        for count, expected in ((4, 4), (50, 50), (200, 52), (1_000, 260)):
+            times = [at for at in request_times(fleet(count), 20, lambda at: True) if at >= 10 * S]
+            assert len(times) / 10 <= expected, count
 
     def test_after_an_outage_they_come_back_out_of_step(self) -> None:
         """After 10 s of outage all routers return within a bounded time, and never all at once."""
         for count in (24, 120, 200, 500):
-            listings = fleet(count)
-            times = calls(listings, 40, lambda at: at > 10 * S)
+            schedules = fleet(count)
+            times = request_times(schedules, 40, lambda at: at > 10 * S)
             back = [at for at in times if 10 * S < at < 11 * S]
-            assert most(back, S // 10) < 25, count
-            assert all(x.consecutive_failures == 0 for x in listings)
-            firsts = [min(at for at in calls([x], 40, lambda at: False) if at > 10 * S) for x in fleet(count)]
-            assert max(firsts) < 10 * S + listings[0].max_delay_ns + 2 * MS, count
+            assert max_requests(back, S // 10) < 25, count
+            assert all(schedule.consecutive_failures == 0 for schedule in schedules)
+            firsts = [
+                min(at for at in request_times([schedule], 40, lambda at: False) if at > 10 * S)
+                for schedule in fleet(count)
+            ]
+            assert max(firsts) < 10 * S + schedules[0].max_delay_ns + 2 * MS, count
 
     def test_retry_after_is_heeded_as_far_as_it_is_sane(self) -> None:
-        x = DiscoverySchedule(200, 3, 50.0)
-        assert x.record_failure(2 * S) >= 2 * S
-        assert x.record_failure(3600 * S) <= MAX_RETRY_AFTER_NS + x.cycle_ns
+        schedule = DiscoverySchedule(200, 3, 50.0)
+        assert schedule.record_failure(2 * S) >= 2 * S
+        assert schedule.record_failure(3600 * S) <= MAX_RETRY_AFTER_NS + schedule.cycle_ns
 
     def test_another_budget_in_service(self) -> None:
-        x = DiscoverySchedule(200, 3)
-        x.set_budget(200, 10.0)
-        assert (x.has_budget, x.cycle_ns) == (True, 20 * S)
-        assert x.record_failure() != x.record_failure()
-        x.set_budget(200, 0.0)
-        assert (x.has_budget, x.news_wait_ms()) == (False, 1000)
+        schedule = DiscoverySchedule(200, 3)
+        schedule.set_budget(200, 10.0)
+        assert (schedule.has_budget, schedule.cycle_ns) == (True, 20 * S)
+        assert schedule.record_failure() != schedule.record_failure()
+        schedule.set_budget(200, 0.0)
+        assert (schedule.has_budget, schedule.news_wait_ms()) == (False, 1000)
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(EVENTS, st.integers(1, 5_000), st.integers(0, 2**32), st.sampled_from([0.0, 1.0, 50.0, 1e6]))
     def test_any_order_of_answers_and_failures(
         self, events: list[str], count: int, seed: int, per_s: float
     ) -> None:
-        x = DiscoverySchedule(count, seed, per_s)
+        schedule = DiscoverySchedule(count, seed, per_s)
         for event in events:
             if event == "retry":
-                assert not x.has_budget or x.record_failure(9 * S) >= 9 * S
+                assert not schedule.has_budget or schedule.record_failure(9 * S) >= 9 * S
             elif event in ("fail", "empty"):
-                assert 0 <= x.record_failure() <= x.max_delay_ns
+                assert 0 <= schedule.record_failure() <= schedule.max_delay_ns
             else:
-                x.record_success()
-                assert x.consecutive_failures == 0
-            assert x.first_call_delay_ns() <= MAX_FIRST_REQUEST_DELAY_NS
-            assert 1000 <= x.news_wait_ms() <= 4000
+                schedule.record_success()
+                assert schedule.consecutive_failures == 0
+            assert schedule.first_call_delay_ns() <= MAX_FIRST_REQUEST_DELAY_NS
+            assert 1000 <= schedule.news_wait_ms() <= 4000
         # After any sequence the next request is sent within a bounded time.
-        assert x.record_failure() <= x.max_delay_ns
+        assert schedule.record_failure() <= schedule.max_delay_ns
 
     @settings(max_examples=80, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32), st.integers(0, 2**32))
     def test_no_two_seeds_are_in_step_after_three_failures(self, a: int, b: int) -> None:
         if a == b:
             return
-        x, y = DiscoverySchedule(160, a, 50.0), DiscoverySchedule(160, b, 50.0)
-        assert [x.record_failure() for _ in range(3)] != [y.record_failure() for _ in range(3)]
+        schedule, other = DiscoverySchedule(160, a, 50.0), DiscoverySchedule(160, b, 50.0)
+        assert [schedule.record_failure() for _ in range(3)] != [other.record_failure() for _ in range(3)]
 
 
-def line(name: str, state: str = "in_service", at: str = "", started: int = 0) -> inputs.EndpointRecord:
-    at = at or f"127.0.0.1:{9_000 + sum(name.encode())}"
-    return inputs.EndpointRecord(name, at, "edge-1", "box", 0, state, 1.0, started)
+def record(
+    name: str, state: str = "in_service", address: str = "", started_ns: int = 0
+) -> inputs.EndpointRecord:
+    address = address or f"127.0.0.1:{9_000 + sum(name.encode())}"
+    return inputs.EndpointRecord(name, address, "edge-1", "box", 0, state, 1.0, started_ns)
 
 
 class Wasted(unittest.TestCase):
     def test_bytes_that_brought_nothing_are_waited_for(self) -> None:
         """Up to 256 KB without progress adds no delay; more adds its time at 64 KB/s, at most a minute."""
-        for wasted, due in ((0, 0), (256 << 10, 0), (1 << 20, 16 * SECOND), (1 << 30, 60 * SECOND)):
+        for wasted, expected in ((0, 0), (256 << 10, 0), (1 << 20, 16 * SECOND), (1 << 30, 60 * SECOND)):
             with self.subTest(wasted=wasted):
-                x = DiscoverySchedule(10, 1)
-                assert x.record_failure(wasted_bytes=wasted) == due
-                assert x.record_failure(wasted_bytes=wasted) >= due
+                schedule = DiscoverySchedule(10, 1)
+                assert schedule.record_failure(wasted_bytes=wasted) == expected
+                assert schedule.record_failure(wasted_bytes=wasted) >= expected
 
 
 class Lists(unittest.TestCase):
     def setUp(self) -> None:
         self.view = EndpointView()
         self.view.begin_response(5)
-        self.view.apply([line("a"), line("b"), line("c", "terminating")], True)
+        self.view.apply([record("a"), record("b"), record("c", "terminating")], True)
         self.view.end_response(0, 5)
 
-    def used(self, *lines: inputs.EndpointRecord, whole: bool = False, number: int = 6) -> list[str]:
-        used, _ = self.view.select_usable(lines, whole, number)
-        return [f"{e.name} {e.state}" for e in used]
+    def usable(
+        self, *records: inputs.EndpointRecord, is_full_list: bool = False, number: int = 6
+    ) -> list[str]:
+        usable, _ = self.view.select_usable(records, is_full_list, number)
+        return [f"{e.name} {e.state}" for e in usable]
 
     def test_a_whole_list_with_none_in_service_is_none(self) -> None:
-        for lines in ([], [line("a", "terminated")]):
-            used, faults = self.view.select_usable(lines, True, 6)
-            assert (used, len(faults)) == ([], 1)
-        assert self.used(line("a", "terminated")) == ["a terminated"], "a removal is applied immediately"
+        for records in ([], [record("a", "terminated")]):
+            usable, reasons = self.view.select_usable(records, True, 6)
+            assert (usable, len(reasons)) == ([], 1)
+        assert self.usable(record("a", "terminated")) == ["a terminated"], "a removal is applied immediately"
 
     def test_an_id_at_anothers_address(self) -> None:
-        home = line("a").address
-        assert self.used(line("x", at=home)) == []
-        assert self.used(line("x", at=home, started=9)) == ["x in_service"], "it has started since"
-        assert self.used(line("a", "terminated"), line("x", at=home)) == ["a terminated", "x in_service"], (
-            "it has taken the address of a server that leaves"
+        address = record("a").address
+        assert self.usable(record("x", address=address)) == []
+        assert self.usable(record("x", address=address, started_ns=9)) == ["x in_service"], (
+            "it has started since"
         )
-        assert self.used(line("x", at=home), line("b"), whole=True) == ["x in_service", "b in_service"]
-        assert self.used(line("x", at=line("c").address)) == ["x in_service"], "c is draining"
+        assert self.usable(record("a", "terminated"), record("x", address=address)) == [
+            "a terminated",
+            "x in_service",
+        ], "it has taken the address of a server that leaves"
+        assert self.usable(record("x", address=address), record("b"), is_full_list=True) == [
+            "x in_service",
+            "b in_service",
+        ]
+        assert self.usable(record("x", address=record("c").address)) == ["x in_service"], "c is draining"
 
     def test_numbers_that_go_back_bring_nobody_back(self) -> None:
-        assert self.used(line("c"), number=4) == [], "a later event drains it"
-        assert self.used(line("c"), number=6) == ["c in_service"]
-        assert self.used(line("c", started=9), number=4) == ["c in_service"], "it has started since"
-        assert self.used(line("a", "terminating"), number=4) == ["a terminating"]
+        assert self.usable(record("c"), number=4) == [], "a later event drains it"
+        assert self.usable(record("c"), number=6) == ["c in_service"]
+        assert self.usable(record("c", started_ns=9), number=4) == ["c in_service"], "it has started since"
+        assert self.usable(record("a", "terminating"), number=4) == ["a terminating"]
         self.view.begin_response(2)
-        assert self.used(line("c"), number=2) == []
+        assert self.usable(record("c"), number=2) == []
         assert self.view.end_response(S, 2), "a list request is due"
         assert self.view.last_event_number == 0
         self.view.begin_response(7)
@@ -206,12 +221,16 @@
 
     def test_its_memory_has_an_end(self) -> None:
         for n in range(5_000):
-            self.view.apply([line(f"gone{n}", "terminated")], False)
+            self.view.apply([record(f"gone{n}", "terminated")], False)
         assert len(self.view.endpoints) <= 1100
 
 
-def news(last: int, *lines: inputs.EndpointRecord, whole: bool = False) -> inputs.WatchResponse:
-    return inputs.WatchResponse(last, (inputs.EndpointUpdate(whole, lines, last),) if lines or whole else ())
+def watch_response(
+    last: int, *records: inputs.EndpointRecord, is_full_list: bool = False
+) -> inputs.WatchResponse:
+    return inputs.WatchResponse(
+        last, (inputs.EndpointUpdate(is_full_list, records, last),) if records or is_full_list else ()
+    )
 
 
 BUDGET = StartupOptions(list_calls_per_s=50.0)
@@ -244,8 +263,8 @@
     def test_a_service_that_begins_to_count_anew(self) -> None:
         for routers in (0, 200):
             r = self.reducer(routers)
-            extra = replace(line("s-x"), kind=next(iter(r.state.endpoints.values())).kind)
-            r.handle(NOW + 2 * S, news(900, extra))
+            extra = replace(record("s-x"), kind=next(iter(r.state.endpoints.values())).kind)
+            r.handle(NOW + 2 * S, watch_response(900, extra))
             assert "s-x" in r.state.endpoints
             effect_list = r.handle(NOW + 4 * S, inputs.WatchResponse(1, ()))
             assert "s-x" in r.state.endpoints, "the last good endpoint list is kept"
@@ -257,19 +276,19 @@
 
     def test_two_halves_of_a_service_that_disagree_are_asked_at_a_bounded_rate(self) -> None:
         """One half has counted to 900, the other to 5, and each responds to every second request."""
-        r, whole = self.reducer(), 0
+        r, list_requests = self.reducer(), 0
         for n in range(100):
             effect_list = r.handle(NOW + (n + 1) * S // 5, inputs.WatchResponse(900 if n % 2 else 5, ()))
-            whole += sum(e.after_event == 0 for e in polls(effect_list))
-        assert whole <= 5, "in 20 s"
+            list_requests += sum(e.after_event == 0 for e in polls(effect_list))
+        assert list_requests <= 5, "in 20 s"
         assert r.state.endpoints
 
     def test_a_service_that_answers_nothing_at_once_is_not_asked_in_a_loop(self) -> None:
-        for routers, most_calls in ((0, 60), (200, 10)):
-            r, now, made = self.reducer(routers), NOW + S, 0
+        for routers, max_requests_made in ((0, 60), (200, 10)):
+            r, now, requests = self.reducer(routers), NOW + S, 0
             effect_list = r.handle(now, inputs.WatchResponse(r.endpoint_list.last_event, ()))
             while now < NOW + 11 * S:
-                made += len(polls(effect_list))
+                requests += len(polls(effect_list))
                 wakes = feed_wakes(effect_list)
                 now = wakes[0].at_ns if wakes else now + MS
                 effect_list = (
@@ -277,12 +296,12 @@
                     if wakes
                     else r.handle(now, inputs.WatchResponse(r.endpoint_list.last_event, ()))
                 )
-            assert made < most_calls, "in ten seconds"
+            assert requests < max_requests_made, "in ten seconds"
 
     def test_an_empty_whole_list_changes_nothing_and_is_said_once(self) -> None:
         r = self.reducer()
         before = dict(r.state.endpoints)
-        effect_list = r.handle(NOW + 2 * S, news(3, whole=True))
+        effect_list = r.handle(NOW + 2 * S, watch_response(3, is_full_list=True))
         assert r.state.endpoints == before
         assert events(effect_list) == ["feed.refused"]
         assert [e.after_event for e in polls(effect_list)] == [3], "the next watch request continues after it"
@@ -321,48 +340,50 @@
     """Routers of the zone, estimated from the reports of caches."""
 
     def test_as_many_as_the_settings_say(self) -> None:
-        crowd = FleetSizeEstimator(4)
-        assert crowd.estimated_routers(NOW) == 4, "there is no report"
+        estimator = FleetSizeEstimator(4)
+        assert estimator.estimated_routers(NOW) == 4, "there is no report"
         for n in range(50):
-            crowd.record_report(NOW + n * MS, 8.0, 2)
-        assert crowd.estimated_routers(NOW + 50 * MS) == 4
+            estimator.record_report(NOW + n * MS, 8.0, 2)
+        assert estimator.estimated_routers(NOW + 50 * MS) == 4
 
     def test_more_and_fewer(self) -> None:
-        for reported, due in ((16.0, 8), (2.0, 2), (1_000.0, 64)):
-            crowd = FleetSizeEstimator(4)
+        for reported, expected in ((16.0, 8), (2.0, 2), (1_000.0, 64)):
+            estimator = FleetSizeEstimator(4)
             for n in range(50):
-                crowd.record_report(NOW + n * MS, reported, 2)
-            assert crowd.estimated_routers(NOW + 50 * MS) == due, reported
+                estimator.record_report(NOW + n * MS, reported, 2)
+            assert estimator.estimated_routers(NOW + 50 * MS) == expected, reported
 
     def test_what_cannot_be_right_says_nothing(self) -> None:
-        crowd = FleetSizeEstimator(4)
+        estimator = FleetSizeEstimator(4)
         for reported in (float("nan"), float("inf"), -1.0, 1e9):
             for n in range(50):
-                crowd.record_report(NOW + n * MS, reported, 2)
-        assert crowd.estimated_routers(NOW + S) == 4
+                estimator.record_report(NOW + n * MS, reported, 2)
+        assert estimator.estimated_routers(NOW + S) == 4
         for n in range(50):
-            crowd.record_report(
+            estimator.record_report(
                 NOW + S + n * MS, 0.0, 2
             )  # reports from before this router's two requests arrived
-        assert crowd.estimated_routers(NOW + S + 50 * MS) == 2, "one router, and the margin"
+        assert estimator.estimated_routers(NOW + S + 50 * MS) == 2, "one router, and the margin"
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.integers(1, 40), min_size=1, max_size=40), st.integers(1, 40))
-    def test_the_parts_never_add_up_to_more_than_a_zone_may_take(self, loads: list[int], said: int) -> None:
+    def test_the_parts_never_add_up_to_more_than_a_zone_may_take(
+        self, loads: list[int], configured: int
+    ) -> None:
         """The shares of all routers stay within the zone's capacity.
 
         This holds whatever their number and however uneven their load, within 16 times the settings' number.
         """
-        whole = sum(loads)
-        if len(loads) > 16 * said or whole > 16 * said * min(loads):
+        total = sum(loads)
+        if len(loads) > 16 * configured or total > 16 * configured * min(loads):
             return
-        parts = []
-        for own in loads:
-            crowd = FleetSizeEstimator(said)
+        shares = []
+        for own_load in loads:
+            estimator = FleetSizeEstimator(configured)
             for n in range(30):
-                crowd.record_report(NOW + n * MS, float(whole), own)
-            parts.append(1 / crowd.estimated_routers(NOW + 30 * MS))
-        assert sum(parts) <= 1.25 + 0.001, "by the settings' number the sum would be len(loads) / said"
+                estimator.record_report(NOW + n * MS, float(total), own_load)
+            shares.append(1 / estimator.estimated_routers(NOW + 30 * MS))
+        assert sum(shares) <= 1.25 + 0.001, "by the settings' number the sum would be len(loads) / configured"
 
     def test_a_deployment_without_that_report_refuses_the_count(self) -> None:
         s = router().state.settings
@@ -379,15 +400,15 @@
             inputs.OperatorFileRead(OperatorFile(start_options=StartupOptions(estimate_fleet_size=True))),
         )
         assert r.state.fleet_size is not None
-        said = r.state.config.settings
+        configured = r.state.config.settings
         for n in range(50):
-            r.state.fleet_size.record_report(NOW + S + n * MS, 12.0 * said.zone_instances, 2)
+            r.state.fleet_size.record_report(NOW + S + n * MS, 12.0 * configured.zone_instances, 2)
         effect_list = r.handle(NOW + 2 * S, inputs.TimerFired((messages.TimerKind.HOUSEKEEPING, 0, 0)))
         assert events(effect_list) == ["start.routers"]
-        assert r.state.settings.zone_instances == 6 * said.zone_instances
-        assert r.state.policy.settings.instances == 6 * said.instances
+        assert r.state.settings.zone_instances == 6 * configured.zone_instances
+        assert r.state.policy.settings.instances == 6 * configured.instances
         r.handle(NOW + 3 * S, inputs.OperatorFileRead(OperatorFile()))
-        assert (r.state.fleet_size, r.state.settings.zone_instances) == (None, said.zone_instances)
+        assert (r.state.fleet_size, r.state.settings.zone_instances) == (None, configured.zone_instances)
 
     def test_a_tenth_of_the_routers_that_the_settings_say(self) -> None:
         """A tenth of the configured routers run, and all caches are cold.
@@ -395,62 +416,64 @@
         Guards against a share by the settings' number: each router spent a fortieth of the zone's capacity,
         and 0.28 of the requests' priority weight was served in time.
         """
-        worth = {}
+        share_in_time = {}
         for count in (False, True):
             fleet = Counting(24, believed=240, cold_parents=False)
-            fleet.begun_with = StartupOptions(estimate_fleet_size=count)
+            fleet.start_options = StartupOptions(estimate_fleet_size=count)
             fleet.run(16)
-            worth[count] = fleet.outcomes.share_in_time(5, 14)
+            share_in_time[count] = fleet.outcomes.share_in_time(5, 14)
             assert sum(b.collapses for b in fleet.servers.caches.values()) == 0
-        assert worth[True] > 1.5 * worth[False], worth
+        assert share_in_time[True] > 1.5 * share_in_time[False], share_in_time
 
 
 class AtTheStore(unittest.TestCase):
     def test_it_opens_with_answers_in_time_and_closes_with_late_ones(self) -> None:
-        w = OriginConcurrencyLimit(NOW)
-        assert w.has_capacity()
-        w.record_sent()
-        assert not w.has_capacity(), "the limit is one at first"
-        w.record_finished(NOW + MS, NOW, False)
-        assert (w.limit, w.in_flight) == (2.0, 0)
-        w.limit = 8.0
+        origin_limit = OriginConcurrencyLimit(NOW)
+        assert origin_limit.has_capacity()
+        origin_limit.record_sent()
+        assert not origin_limit.has_capacity(), "the limit is one at first"
+        origin_limit.record_finished(NOW + MS, NOW, False)
+        assert (origin_limit.limit, origin_limit.in_flight) == (2.0, 0)
+        origin_limit.limit = 8.0
         for n in range(8):
-            w.record_sent()
-            w.record_finished(NOW + (2 + n) * MS, NOW + MS, False)
-        assert round(abs(w.limit - 9.0), 1) == 0, "it rises by one per round"
-        w.limit = 8.0
-        w.record_finished(NOW + 11 * MS, NOW + 8 * MS, True)
-        w.record_finished(NOW + 12 * MS, NOW + 8 * MS, True)
-        assert w.limit == 4.0, "fetches sent before the reduction do not reduce it again"
-        w.record_finished(NOW + 13 * MS, NOW + 12 * MS, None)
-        assert w.limit == 4.0
+            origin_limit.record_sent()
+            origin_limit.record_finished(NOW + (2 + n) * MS, NOW + MS, False)
+        assert round(abs(origin_limit.limit - 9.0), 1) == 0, "it rises by one per round"
+        origin_limit.limit = 8.0
+        origin_limit.record_finished(NOW + 11 * MS, NOW + 8 * MS, True)
+        origin_limit.record_finished(NOW + 12 * MS, NOW + 8 * MS, True)
+        assert origin_limit.limit == 4.0, "fetches sent before the reduction do not reduce it again"
+        origin_limit.record_finished(NOW + 13 * MS, NOW + 12 * MS, None)
+        assert origin_limit.limit == 4.0
 
     def test_it_is_over_once_nothing_is_late_for_long(self) -> None:
-        w = OriginConcurrencyLimit(NOW)
+        origin_limit = OriginConcurrencyLimit(NOW)
         for n in range(200):
-            w.record_finished(NOW + n * 100 * MS, NOW, n == 0)
-        assert w.is_lifted
-        w = OriginConcurrencyLimit(NOW)
+            origin_limit.record_finished(NOW + n * 100 * MS, NOW, n == 0)
+        assert origin_limit.is_lifted
+        origin_limit = OriginConcurrencyLimit(NOW)
         for n in range(600):
-            w.record_finished(NOW + n * MS, NOW, False)
-        assert w.is_lifted, "the limit has reached its maximum"
-        w.in_flight = 500
-        assert w.has_capacity()
+            origin_limit.record_finished(NOW + n * MS, NOW, False)
+        assert origin_limit.is_lifted, "the limit has reached its maximum"
+        origin_limit.in_flight = 500
+        assert origin_limit.has_capacity()
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.sampled_from(["send", "good", "late", "none"]), max_size=200))
     def test_any_order(self, steps: list[str]) -> None:
-        w, now = OriginConcurrencyLimit(NOW), NOW
+        origin_limit, now = OriginConcurrencyLimit(NOW), NOW
         for step in steps:
             now += 10 * MS
             if step == "send":
-                w.record_sent()
+                origin_limit.record_sent()
             else:
-                w.record_finished(now, now - 5 * MS, {"good": False, "late": True, "none": None}[step])
-            assert w.in_flight >= 0
-            assert w.limit >= 1.0
-        w.in_flight = 0
-        assert w.has_capacity(), "one fetch is always allowed"
+                origin_limit.record_finished(
+                    now, now - 5 * MS, {"good": False, "late": True, "none": None}[step]
+                )
+            assert origin_limit.in_flight >= 0
+            assert origin_limit.limit >= 1.0
+        origin_limit.in_flight = 0
+        assert origin_limit.has_capacity(), "one fetch is always allowed"
 
     def test_in_the_reducer_the_module_hears_of_it_and_orders_are_not_held_back(self) -> None:
         r = router()
@@ -473,30 +496,33 @@
         Without the limit the origin receives four times the load that it can serve, and for ten seconds few
         responses are in time.
         """
-        worth, refused = {}, {}
-        for store in (False, True):
+        share_in_time, rejected = {}, {}
+        for is_limited in (False, True):
             fleet = Counting(40)
-            fleet.begun_with = StartupOptions(limit_origin_fetches=store)
+            fleet.start_options = StartupOptions(limit_origin_fetches=is_limited)
             fleet.run(14)
-            worth[store], refused[store] = fleet.outcomes.share_in_time(0, 12), fleet.servers.origin.refused
+            share_in_time[is_limited], rejected[is_limited] = (
+                fleet.outcomes.share_in_time(0, 12),
+                fleet.servers.origin.refused,
+            )
             assert not any(count > 1 for count in fleet.servers.order_runs.values()), "an order ran twice"
-        assert worth[True] > 1.5 * worth[False], worth
-        assert refused[False] > 50
-        assert refused[True] == 0
+        assert share_in_time[True] > 1.5 * share_in_time[False], share_in_time
+        assert rejected[False] > 50
+        assert rejected[True] == 0
 
 
 class Counting(ColdStartFleet):
-    begun_with = StartupOptions()
+    start_options = StartupOptions()
 
     def start_router(self, n: int) -> list[effects.Effect]:
-        return self.routers[n].start(self.now, self.begun_with)
+        return self.routers[n].start(self.now, self.start_options)
 
 
 class Files(unittest.TestCase):
     def test_the_node_of_the_operators_file(self) -> None:
-        file, faults = load(b"kelpcroft version=1\nstart list-calls=50\n")
+        file, diagnostics = load(b"kelpcroft version=1\nstart list-calls=50\n")
         assert file is not None
-        assert (faults, file.start_options) == ([], BUDGET)
+        assert (diagnostics, file.start_options) == ([], BUDGET)
         for text, code in (
             (b"start", "missing-value"),
             (b"start list-calls=0", "bad-rate"),
@@ -504,20 +530,20 @@
             (b"start calls=50 list-calls=50", "unknown-key"),
             (b'start list-calls="many"', "wrong-type"),
         ):
-            _, faults = load(b"kelpcroft version=1\n" + text + b"\n")
-            assert [f.code for f in faults] == [code], text
+            _, diagnostics = load(b"kelpcroft version=1\n" + text + b"\n")
+            assert [diagnostic.code for diagnostic in diagnostics] == [code], text
 
 
 class Again(unittest.TestCase):
     def test_a_crash_loop_costs_the_list_service_next_to_nothing(self) -> None:
         """A router starts every 2 s for a minute: counts the requests that are sent before the next crash."""
-        data, made = b"", 0
+        data, requests = b"", 0
         for n in range(30):
             now = NOW + n * 2 * S
             earlier = crash_loop_backoff.decode(data, "n3", now)
-            made += crash_loop_backoff.crash_loop_delay_ns(earlier) < 2 * S
+            requests += crash_loop_backoff.crash_loop_delay_ns(earlier) < 2 * S
             data = crash_loop_backoff.encode("n3", earlier, now)
-        assert made == 4, "of 30 starts: the third and fourth wait 0.5 and 1 s"
+        assert requests == 4, "of 30 starts: the third and fourth wait 0.5 and 1 s"
         assert (
             crash_loop_backoff.crash_loop_delay_ns(crash_loop_backoff.decode(data, "n3", NOW + 180 * S)) == 0
         ), "earlier starts expire"
@@ -541,12 +567,12 @@
         assert len(crash_loop_backoff.encode("n" * 200, [NOW] * 100, NOW)) < crash_loop_backoff.MAX_FILE_BYTES
 
     def test_on_a_disk(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            waits = [predecessor_files.crash_loop_delay_ns(folder, "n3", NOW + n * S) for n in range(6)]
-            assert waits == [0, 0, S // 2, S, 2 * S, 4 * S]
-            assert os.listdir(folder) == ["kelpcroft-n3.starts"]
-            Path(crash_loop_backoff.file_path(folder, "n3")).write_bytes(b"\xff" * 9)
-            assert predecessor_files.crash_loop_delay_ns(folder, "n3", NOW) == 0
+        with tempfile.TemporaryDirectory() as directory:
+            delays = [predecessor_files.crash_loop_delay_ns(directory, "n3", NOW + n * S) for n in range(6)]
+            assert delays == [0, 0, S // 2, S, 2 * S, 4 * S]
+            assert os.listdir(directory) == ["kelpcroft-n3.starts"]
+            Path(crash_loop_backoff.file_path(directory, "n3")).write_bytes(b"\xff" * 9)
+            assert predecessor_files.crash_loop_delay_ns(directory, "n3", NOW) == 0
         assert predecessor_files.crash_loop_delay_ns("/nowhere", "n3", NOW) == 0
         assert predecessor_files.crash_loop_delay_ns("", "n3", NOW) == 0
 
