--- a/kelpcroft/rollout/__init__.py
+++ b/kelpcroft/rollout/__init__.py
@@ -1,14 +1,16 @@
-"""A change in stages: new routers are compared with old ones while requests go on, then kept or taken back.
+"""Staged rollout of a change to routers: each stage compares new routers with old ones under live traffic.
 
-What decides has no file, socket, clock or random source, and virtual-time tests drive it: ``plan`` (the
-rollout file), ``judge`` (the sequential test of new against old), ``state_machine`` (events and the time
-in, commands and history entries out) and ``snapshot`` (its stored form).  Two modules act on what is
-decided or asked: ``router_drivers`` (control addresses, the operators' tool, local processes) and
-``placement`` (where a build's decision code puts objects).
+A change without a regression is accepted; a regression is rolled back or held, as the plan says.
+
+The modules that decide use no file, socket, clock or random source, and virtual-time tests drive them:
+``plan`` (the content of the rollout file), ``judge`` (the sequential test of new against old routers),
+``state_machine`` (input: events and the time; output: commands and history entries) and ``snapshot`` (its
+stored form).  Two modules act on their surroundings: ``router_drivers`` (control addresses, the operators'
+tool, local processes) and ``placement`` (the cache that a build's decision package selects for each object).
 
 Start reading at ``state_machine.Rollout.handle``.  It works on the record in ``state`` with ``observations``
-(what is known about routers), ``transitions`` (one router's way from phase to phase), ``comparison`` (which
-requests are compared), ``stages`` (forward) and ``rollback`` (backward); ``phases`` and ``events`` hold the
-vocabulary.  The process that carries it out is ``kelpcroft.cli.controller``, its store
-``kelpcroft.store.rollouts``.
+(what is known about routers), ``transitions`` (the phases of one router), ``comparison`` (which requests are
+compared), ``stages`` (progress through the stages) and ``rollback`` (the way back to the old build);
+``phases`` and ``events`` define the types that all of them use.  The process that executes a rollout is
+``kelpcroft.cli.controller``; it stores rollouts with ``kelpcroft.store.rollouts``.
 """
--- a/kelpcroft/rollout/comparison.py
+++ b/kelpcroft/rollout/comparison.py
@@ -1,4 +1,4 @@
-"""Which requests are compared with which: the control group, the slices of time, where evidence is wanted."""
+"""Selection of the requests to compare: the control group, the intervals, and the required comparisons."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from kelpcroft.rollout.phases import NEW_BUILD_PHASES, Phase, RolloutOutcome
 from kelpcroft.rollout.state import NEVER_NS, NO_STAGE, RolloutState, RouterState
 
-RARE_CLASS_SHARE = 0.02  # of a zone's requested weight: a class up to this is too rare to wait for
+RARE_CLASS_SHARE = 0.02  # share of a zone's requested weight up to which a class is too rare to wait for
 Samples = dict[ZoneClass, RequestSample]
 
 
 def add_samples(sums: Samples, router: RouterState, samples: Mapping[str, RequestSample]) -> None:
-    """Add one router's samples by class to sums by zone and class."""
+    """Add one router's samples by class to the sums by zone and class."""
     for name, sample in samples.items():
         place = ZoneClass(router.zone, name)
         sums[place] = sums.get(place, NO_REQUESTS) + sample
@@ -24,8 +24,8 @@
 def control_group(state: RolloutState) -> list[RouterState]:
     """The routers of the old build that are restarted beside the new ones of this stage.
 
-    They are the last of each zone of the stage, so that as cold is compared with as cold.  Empty where the
-    stage wants none, and before the first stage.
+    The restart makes them as cold as the new ones that they are compared with.  They are the last routers of
+    each zone of the stage.  The group is empty if the stage has none, and before the first stage.
     """
     if state.stage_index == NO_STAGE:
         return []
@@ -45,16 +45,17 @@
 
 
 def stage_zones(state: RolloutState) -> set[str]:
-    """The zones in which the stage under way changes routers."""
+    """The zones in which the current stage changes routers."""
     return {target.zone for target in state.stages[state.stage_index]}
 
 
 def required_comparisons(state: RolloutState) -> frozenset[ZoneClass]:
-    """Where the stage under way wants evidence.
+    """The comparisons that must rule a regression out before the current stage may end.
 
-    That is each zone of it in which an old router is left, by each class with over RARE_CLASS_SHARE of the
-    weight requested there, on whichever side.  A zone with an old router and no request at all wants
-    evidence too, of the class "": it has none, and silence is not good.
+    These are all zones of the stage in which an old router is left, each combined with every class that has
+    more than RARE_CLASS_SHARE of the weight requested there, on both sides together.  A zone with an old
+    router but without any request requires a comparison of the class "", which never gets evidence: a lack of
+    requests must not count as a good result.
     """
     old_routers = control_group(state) or [
         router for router in state.routers.values() if router.phase is Phase.WAITING
@@ -76,14 +77,18 @@
 
 
 class ComparedPhases(NamedTuple):
-    """Which routers stand for the new build and which for the old, by their phases."""
+    """Phases of the routers that represent the new build and the old one in comparisons."""
 
     new: tuple[Phase, ...]
     old: Phase
 
 
 def _compared_phases(state: RolloutState) -> ComparedPhases:
-    """After a rollback, the routers that were taken back stand for the new: is the harm gone?"""
+    """The compared phases at this point of the rollout.
+
+    After a rollback, the routers that were rolled back represent the new side, which shows whether the
+    regression has disappeared.
+    """
     if state.rolled_back_ns != NEVER_NS:
         return ComparedPhases((Phase.ROLLED_BACK,), Phase.WAITING)
     if control_group(state):
@@ -92,9 +97,9 @@
 
 
 def close_slice(state: RolloutState) -> None:
-    """End a slice of time if it is long enough: what each side did in it goes to the baselines and the judge.
+    """End the interval if it is long enough, and add its requests to the baselines and the judge.
 
-    A regression stops the rollout, or the taking back goes on with its verdict.
+    A regression stops a rollout that runs or is held.  During a rollback only the judge records it.
     """
     if state.now_ns - state.last_slice_ns < state.plan.poll_interval_ns:
         return
@@ -115,13 +120,13 @@
 
 
 def _collect_slice(state: RolloutState) -> tuple[Samples, Samples]:
-    """The samples of the new side and the old; each router's uncounted requests are emptied into them."""
+    """Move each router's uncounted requests into the samples of the new and the old side, and return both."""
     phases = _compared_phases(state)
     new: Samples = {}
     old: Samples = {}
     for router in state.routers.values():
         samples, router.uncounted = router.uncounted, {}
-        if router.phase is Phase.WAITING:  # all that still wait are of the old build, at the same time
+        if router.phase is Phase.WAITING:  # has run the old build throughout the interval
             for name, sample in samples.items():
                 router.baseline[name] = router.baseline.get(name, NO_REQUESTS) + sample
         if state.stage_index == NO_STAGE or is_unknown(state, router):
--- a/kelpcroft/rollout/errors.py
+++ b/kelpcroft/rollout/errors.py
@@ -1,21 +1,21 @@
-"""What can be wrong with what a rollout is given.
+"""Errors for unusable input of a rollout.
 
-Each error has a text for people and, as fields, what the place that raised it knows.
+Each error has a message for operators; its fields hold the details that are known where it is raised.
 """
 
 from __future__ import annotations
 
 
 class RolloutError(ValueError):
-    """Base class: something that a rollout was given cannot be used."""
+    """Base class of the errors for unusable input of a rollout."""
 
 
 class StopCriteriaError(RolloutError):
-    """A figure of the stop criteria is out of its range.
+    """A value of the stop criteria is out of its range.
 
     Attributes:
         key: The field of ``StopCriteria``, which is also the key in the rollout file with ``_`` for ``-``.
-        value: What was given.
+        value: The value that was given.
         limit: The upper end of its range.
     """
 
@@ -27,10 +27,10 @@
 
 
 class SnapshotError(RolloutError):
-    """A snapshot that cannot be used; the message says why.
+    """A snapshot cannot be used; the message gives the reason.
 
     Attributes:
-        key: The snapshot's key that is missing or does not fit; "" where only the cause is known.
+        key: The snapshot's key that is missing or does not fit; "" if only the cause is known.
     """
 
     def __init__(self, message: str, *, key: str = "") -> None:
@@ -39,12 +39,12 @@
 
 
 class PlacementError(RolloutError):
-    """Placements cannot be asked or compared; the message says why.
+    """Placements cannot be determined or compared; the message gives the reason.
 
     Attributes:
-        zone: Whose caches were asked about; "" where placements are compared without their zone.
-        command: The words, as the plan has them, of the command that failed; () where none was run.
-        object_counts: How many objects the old build and the new placed, where they differ.
+        zone: The zone of the placement; "" if placements are compared without their zone.
+        command: The argument list of the command that failed, as in the plan; () if no command was run.
+        object_counts: The numbers of objects that the old and the new build placed, if they differ.
     """
 
     def __init__(
--- a/kelpcroft/rollout/events.py
+++ b/kelpcroft/rollout/events.py
@@ -1,10 +1,10 @@
-"""What goes into the state machine and what comes out of it.
+"""Events and effects of the state machine of a rollout.
 
-In: ``Event`` (a router's report or its missing answer, the passing of time, an operator's command).
-Out: ``Effect`` (a command to a router, or an entry of the history).
+Input: ``Event`` (a router's report or a missing response, the passage of time, an operator's command).
+Output: ``Effect`` (a command to a router, or a history entry).
 
-The values of ``OperatorCommand`` are the verbs of ``kelpcroft rollout`` and are stored; those of
-``CommandKind`` stand in stored history texts.
+The values of ``OperatorCommand`` are the subcommands of ``kelpcroft rollout`` and are stored; those of
+``CommandKind`` appear in stored history texts.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterReport:
-    """What a router says of itself: cumulative counters of one process instance.
+    """Report of a router about itself, with cumulative counters of one process instance.
 
     Attributes:
-        router: Its name in the plan.
-        instance: Identifies the process; another one after each start.
-        digests: Of its ``program``, ``settings`` and ``rules``.
-        ready: Whether it could serve.
-        in_service: Whether clients are sent to it.
-        invariant_violations: Counted since this instance began.
-        samples_by_class: Requests by class, counted since this instance began.
-        peak_memory_kb: The most resident memory that it has had; 0 where it does not say.
+        router: The router's name in the plan.
+        instance: Identifies the process; it differs after each start.
+        digests: The digests of its ``program``, ``settings`` and ``rules``.
+        ready: Whether it is able to serve.
+        in_service: Whether clients are directed to it.
+        invariant_violations: Invariant violations since this instance began.
+        samples_by_class: Requests by class since this instance began.
+        peak_memory_kb: Its peak resident memory; 0 where it does not report one.
     """
 
     router: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """A router did not answer a poll, or not in a way that can be read."""
+    """A router did not respond to a poll, or its response could not be used."""
 
     router: str
 
@@ -54,7 +54,7 @@
 
 
 class OperatorCommand(Enum):
-    """What people order."""
+    """Command of an operator to the rollout."""
 
     HOLD = "hold"
     RESUME = "resume"
@@ -65,7 +65,10 @@
 
 
 class CommandKind(Enum):
-    """What is to be done at a router.  Each may be ordered again without harm."""
+    """Kind of a command to a router.
+
+    POLL, DRAIN and ENABLE are idempotent.  The plan says whether APPLY, UNDO and RESTART are.
+    """
 
     POLL = "ask"
     DRAIN = "take out of service"
@@ -77,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterCommand:
-    """One command to one router."""
+    """Command to one router."""
 
     router: str
     kind: CommandKind
@@ -85,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """A decision for the history.
+    """Decision or observation that is recorded in the history.
 
     Attributes:
-        name: Stable: scripts may rely on it.
-        text: One sentence for people.
-        figures: What the decision was made on; JSON values.
+        name: Identifies the kind of entry; it is stable, so scripts may rely on it.
+        text: One sentence for operators.
+        figures: The values on which the decision was based, as JSON values.
     """
 
     name: str
--- a/kelpcroft/rollout/judge.py
+++ b/kelpcroft/rollout/judge.py
@@ -1,25 +1,26 @@
-"""Whether a changed router does worse than one that is not: a sequential test while requests go on.
+"""Sequential test under live traffic: whether changed routers do worse than unchanged ones.
 
-What is compared is the late share of a slice of time: the share of the requested weight that was not
-answered in time, by class, new against old at the same time in the same zone.  From each side its routers'
-own late share before the change (the baseline) is taken off, so that what strikes both sides, or was there
-before, counts for nothing.  The baseline is known from a sample only; what chance may have made of it
-(``allowance``) is given to the new side.
+The test compares the late share of an interval: the share of the requested weight that did not get a response
+in time, by class, of new routers and of old ones at the same time in the same zone.  Each side's own late
+share before the change (the baseline) is subtracted, so that a disturbance of both sides, or one from before
+the change, has no effect.  The baseline is estimated from a sample; the possible error of that estimate
+(``allowance``) is credited to the new side.
 
 The test is a betting e-process, also called a test martingale (Shafer, "Testing by betting", 2021;
-Waudby-Smith and Ramdas, "Estimating means of bounded random variables by betting", 2024).  A difference
-``d``, winsorised to +-MAX_COUNTED_DIFFERENCE, multiplies two amounts of evidence, each the mean over the
-stakes STAKES:
+Waudby-Smith and Ramdas, "Estimating means of bounded random variables by betting", 2024).  An interval's
+difference ``d``, winsorised to +-MAX_COUNTED_DIFFERENCE, multiplies two amounts of evidence for each of the
+stakes STAKES; each amount is then the mean over the stakes:
 
     regression    *= 1 + stake (d - tolerance - allowance)  grows where the mean exceeds the tolerance
-    no_regression *= 1 + stake (harm - allowance - d)       grows where it is below what counts as harm
-
-While the mean difference of the slices to come is at most the tolerance, ``regression`` has a mean of at
-most 1 at any time, so by Ville's inequality it ever reaches 1 / false_stop with at most that probability,
-however often one looks.  The same holds for ``no_regression`` and missed harm.  Between the two there is no
-verdict: more slices are needed.  Slices need neither a distribution nor independence, only that mean.
-Winsorising keeps a harm that shows in few slices from ending it; ``benchmarks/rollout_judge.py`` shows both
-rates over 10,000 simulated rollouts.
+    no_regression *= 1 + stake (harm - allowance - d)       grows where the mean is below ``harm``
+
+While the mean difference of each following interval, given the past, is at most the tolerance, the expected
+value of ``regression`` is at most 1 at any time.  By Ville's inequality, the probability that it ever reaches
+1 / false_stop is then at most false_stop, however often the evidence is examined.  The same holds for
+``no_regression``, with missed_harm.  As long as neither limit is reached there is no verdict, and more
+intervals are needed.  The intervals need neither a particular distribution nor independence, only that mean.
+Because of the winsorising, a regression that shows in a few intervals only does not end the rollout;
+``benchmarks/rollout_judge.py`` shows both error rates over 10,000 simulated rollouts.
 """
 
 from __future__ import annotations
@@ -32,35 +33,36 @@
 
 from kelpcroft.rollout.errors import StopCriteriaError
 
-MAX_COUNTED_DIFFERENCE = 0.25  # a slice's difference counts up to this
-# Each factor 1 + stake x must stay above 0, and x may be as low as
-# -(MAX_COUNTED_DIFFERENCE + tolerance + allowance): tolerance and allowance together must stay under 0.15.
-# At tolerance 0 they do: with MIN_BASELINE_REQUESTS on each side an allowance is at most 0.142.
+MAX_COUNTED_DIFFERENCE = 0.25  # limit of an interval's difference, in both directions
+# Stakes of the bets on each interval, relative to the accumulated evidence.  Each factor 1 + stake * x must
+# stay above 0, and x may be as low as -(MAX_COUNTED_DIFFERENCE + tolerance + allowance), so tolerance and
+# allowance must add up to less than 0.15.  At tolerance 0 they do: with MIN_BASELINE_REQUESTS on each side
+# the allowance is at most 0.142.
 STAKES = (0.25, 1.0, 2.5)
-MIN_REQUESTS_PER_SLICE = 20  # on each side; fewer are added to the next slice
-MIN_BASELINE_REQUESTS = 100  # requests before the change from which a side's own late share is known
-ALLOWANCE_STANDARD_ERRORS = 2.0  # of the baselines' difference, given to the new side
-MAX_HARM = 0.15  # what the stakes allow
-MAX_WRONG_VERDICT_PROBABILITY = 0.5  # exclusive
-MAX_LOG_EVIDENCE = 700  # exp of more is no finite float
-MAX_SHOWN_EVIDENCE = 1e9  # in figures: JSON has no infinity
+MIN_REQUESTS_PER_SLICE = 20  # requests on each side; fewer are added to those of the next interval
+MIN_BASELINE_REQUESTS = 100  # requests on each side; with fewer, baselines are not subtracted
+ALLOWANCE_STANDARD_ERRORS = 2.0  # standard errors of the baselines' difference that the allowance covers
+MAX_HARM = 0.15  # greatest ``harm``; the tolerance is below it, which the stakes require
+MAX_WRONG_VERDICT_PROBABILITY = 0.5  # exclusive upper limit of false_stop and missed_harm
+MAX_LOG_EVIDENCE = 700  # exp of little more exceeds the range of a float
+MAX_SHOWN_EVIDENCE = 1e9  # upper limit of evidence in the history's figures, because JSON has no infinity
 
 
 @dataclass(frozen=True, slots=True)
 class StopCriteria:
-    """What the operators allow: mean differences of the late share, and how often a verdict may be wrong.
+    """Limits that operators set: mean differences of the late share, and the probability of a wrong verdict.
 
-    The fields are the keys of ``stop`` in the rollout file, with ``_`` for ``-``, and stand in its
+    The fields are the keys of ``stop`` in the rollout file, with ``_`` for ``-``, and appear in its
     diagnostics.
 
     Attributes:
-        tolerance: A mean difference up to this is no harm.
-        harm: One of this much must be found.
-        false_stop: Greatest probability to stop a change that does no harm.
-        missed_harm: Greatest probability to call a harmful one good.
+        tolerance: A mean difference up to this is not a regression.
+        harm: A mean difference of at least this must be detected as a regression.
+        false_stop: Greatest probability of stopping a change without a regression.
+        missed_harm: Greatest probability of accepting a change with a regression.
 
     Raises:
-        StopCriteriaError: A figure is out of its range.
+        StopCriteriaError: A value is out of its range.
     """
 
     tolerance: float = 0.0
@@ -88,12 +90,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSample:
-    """Requests of one class that ended in one span of time on one side.
+    """Requests of one class that ended in one interval on one side.
 
     Attributes:
-        request_count: How many.
+        request_count: The number of requests.
         requested_weight: The sum of their priority weights.
-        in_time_weight: The part of it that was answered in time.
+        in_time_weight: The sum of the priority weights of those that got a response in time.
     """
 
     request_count: int = 0
@@ -108,7 +110,7 @@
         )
 
     def __sub__(self, earlier: RequestSample) -> RequestSample:
-        """What was added to a cumulative count since ``earlier``."""
+        """The increase of a cumulative sample since ``earlier``."""
         return RequestSample(
             self.request_count - earlier.request_count,
             self.requested_weight - earlier.requested_weight,
@@ -117,14 +119,18 @@
 
     @property
     def late_share(self) -> float:
-        """The share of the requested weight that was not answered in time, 0 to 1."""
+        """The share of the requested weight that did not get a response in time, 0 to 1."""
         if self.requested_weight > 0:
             return min(1.0, max(0.0, 1 - self.in_time_weight / self.requested_weight))
         return 0.0
 
     @property
     def variance(self) -> float:
-        """Of the late share as an estimate, at the least that of one late request; each is all or nothing."""
+        """Variance of the late share as an estimate.
+
+        Each request counts as either late or in time, with equal weight.  The variance is at least that of a
+        sample with one late request.
+        """
         count = max(1, self.request_count)
         if count == 1:
             return 0.25
@@ -136,45 +142,45 @@
 
 
 class ZoneClass(NamedTuple):
-    """Where routers are compared: requests of one class in one zone, by their names."""
+    """Names of a zone and a request class, which identify one comparison."""
 
     zone: str
     request_class: str
 
 
 class Verdict(Enum):
-    """What the evidence says so far.  The values are stored."""
+    """Conclusion from the evidence so far.  The values are stored."""
 
     UNDECIDED = "open"
-    NO_REGRESSION = "fine"  # harm is ruled out
-    REGRESSION = "worse"  # the change does harm
+    NO_REGRESSION = "fine"  # a regression is ruled out
+    REGRESSION = "worse"  # the change causes a regression
 
 
 class SequentialTest:
-    """The betting e-process of one class in one zone; see the module's comment."""
+    """The betting e-process of one class in one zone; see the module's doc comment."""
 
     def __init__(self, criteria: StopCriteria) -> None:
         self.criteria = criteria
-        # Logarithms of what each stake has grown to, in the order of STAKES.
+        # Logarithms of the evidence that each stake has accumulated, in the order of STAKES.
         self.regression_log_evidence = [0.0] * len(STAKES)
         self.no_regression_log_evidence = [0.0] * len(STAKES)
         self.slice_count = 0
         self.difference_sum = 0.0
-        self.verdict = Verdict.UNDECIDED  # the first that was reached: later slices change none
+        self.verdict = Verdict.UNDECIDED  # the first verdict is final: later intervals do not change it
 
     def add_difference(self, difference: float, allowance: float = 0.0) -> Verdict:
-        """Add one slice.
+        """Add the difference of one interval.
 
         Args:
-            difference: Late share of the new side less that of the old, baselines taken off.  One that is not
-                finite says nothing and is left out.
-            allowance: How far chance may have moved the baselines.
+            difference: The late share of the new side minus that of the old, with the baselines subtracted.
+                A value that is not finite is ignored.
+            allowance: How far the baselines may deviate by chance.
 
         Returns:
-            The verdict after this slice.
+            The verdict after this interval.
 
         Raises:
-            ValueError: A factor of the evidence is not above 0, see STAKES.
+            ValueError: A factor of the evidence is not above 0; see STAKES.
         """
         if not math.isfinite(difference):
             return self.verdict
@@ -193,7 +199,7 @@
         return self.verdict
 
     def _decide(self) -> Verdict:
-        """What the evidence has reached by now; a regression goes first."""
+        """The verdict that the evidence supports now; a regression takes precedence."""
         if self.regression_evidence >= 1 / self.criteria.false_stop:
             return Verdict.REGRESSION
         if self.no_regression_evidence >= 1 / self.criteria.missed_harm:
@@ -207,24 +213,24 @@
 
     @property
     def no_regression_evidence(self) -> float:
-        """The e-value against "the mean difference is at least the harm"."""
+        """The e-value against "the mean difference is at least ``harm``"."""
         return mean_evidence(self.no_regression_log_evidence)
 
     @property
     def mean_difference(self) -> float:
-        """Of all slices so far; 0 before the first."""
+        """The mean difference of all intervals so far; 0 before the first."""
         return self.difference_sum / self.slice_count if self.slice_count else 0.0
 
 
 def mean_evidence(log_evidence: list[float]) -> float:
-    """The mean over the stakes, from logarithms; infinity where it is too large for a float."""
+    """The mean evidence over the stakes, from its logarithms; infinity if it is too large for a float."""
     if max(log_evidence) > MAX_LOG_EVIDENCE:
         return math.inf
     return sum(math.exp(x) for x in log_evidence) / len(log_evidence)
 
 
 class SideKey(NamedTuple):
-    """One side of one comparison."""
+    """Key of one side of one comparison."""
 
     place: ZoneClass
     is_new: bool
@@ -232,11 +238,11 @@
 
 @dataclass(slots=True)
 class Side:
-    """What is known of one side of one comparison.
+    """Requests of one side of one comparison.
 
     Attributes:
-        baseline: Its requests before anything of it was changed.
-        collected: Its requests since the last slice that was large enough.
+        baseline: Its requests before any of its routers was changed.
+        collected: Its requests since the last interval that was evaluated.
     """
 
     baseline: RequestSample = field(default_factory=RequestSample)
@@ -244,14 +250,17 @@
 
 
 class Finding(NamedTuple):
-    """A verdict, and the comparison that it comes from, where there is one."""
+    """A verdict, and the comparison that determined it, if a single one did."""
 
     verdict: Verdict
     place: ZoneClass | None
 
 
 class EvidenceFigures(TypedDict):
-    """What one test stands at, as the history stores it."""
+    """State of one test, as the history stores it.
+
+    ``worse`` is the evidence of a regression, ``fine`` that against one.
+    """
 
     slices: int
     mean: float
@@ -261,7 +270,7 @@
 
 
 class RegressionJudge:
-    """All comparisons of a stage, one sequential test each.  Harm in any one of them is harm."""
+    """All comparisons of a stage, with one sequential test each.  A regression in one of them suffices."""
 
     def __init__(self, criteria: StopCriteria) -> None:
         self.criteria = criteria
@@ -269,11 +278,11 @@
         self.tests: dict[ZoneClass, SequentialTest] = {}
 
     def side(self, place: ZoneClass, is_new: bool) -> Side:
-        """One side of a comparison; made on first use."""
+        """One side of a comparison, created on first use."""
         return self.sides.setdefault(SideKey(place, is_new), Side())
 
     def add_baseline(self, is_new: bool, samples: Mapping[ZoneClass, RequestSample]) -> None:
-        """Add what one side did before anything of it was changed."""
+        """Add requests that one side handled before any of its routers was changed."""
         for place, sample in samples.items():
             side = self.side(place, is_new)
             side.baseline += sample
@@ -281,9 +290,9 @@
     def add_slice(
         self, new: Mapping[ZoneClass, RequestSample], old: Mapping[ZoneClass, RequestSample]
     ) -> None:
-        """Add what the two sides did in the same slice of time.
+        """Add the requests that the two sides handled in the same interval.
 
-        Only new routers that are warm, or that are compared with restarted old ones, belong here.
+        ``new`` may only hold requests of routers that are warm or that are compared with restarted old ones.
         """
         for place in {*new, *old}:
             new_side, old_side = self.side(place, True), self.side(place, False)
@@ -299,7 +308,7 @@
             old_side.collected = NO_REQUESTS
 
     def _compare(self, place: ZoneClass, new: Side, old: Side) -> None:
-        """Give the collected requests of two sides to the comparison's test."""
+        """Add the difference of the requests collected on two sides to the comparison's test."""
         difference = new.collected.late_share - old.collected.late_share
         allowance = 0.0
         if min(new.baseline.request_count, old.baseline.request_count) >= MIN_BASELINE_REQUESTS:
@@ -313,11 +322,12 @@
         """The verdict of all comparisons together.
 
         Args:
-            places: Where evidence is wanted.
+            places: The comparisons that must rule a regression out.
 
         Returns:
-            REGRESSION with the first comparison that shows one, wanted or not; NO_REGRESSION where every
-            wanted one rules harm out; else UNDECIDED with one that still lacks evidence.
+            REGRESSION with the first comparison that shows one, whether required or not; NO_REGRESSION if
+            each required comparison rules a regression out; otherwise UNDECIDED, with the first required
+            comparison that lacks evidence, or None if none is required.
         """
         for place in sorted(self.tests):
             if self.tests[place].verdict is Verdict.REGRESSION:
@@ -328,7 +338,7 @@
         return Finding(Verdict.NO_REGRESSION if places else Verdict.UNDECIDED, None)
 
     def figures(self) -> dict[str, EvidenceFigures]:
-        """What a decision was made on, for the history, by ``ZONE/CLASS``."""
+        """The figures on which a decision is based, for the history, by ``ZONE/CLASS``."""
         return {
             f"{place.zone}/{place.request_class}": {
                 "slices": test.slice_count,
--- a/kelpcroft/rollout/observations.py
+++ b/kelpcroft/rollout/observations.py
@@ -1,7 +1,7 @@
-"""What the rollout knows about its routers: taking up their reports, and the questions asked of the record.
+"""Recording of router reports, and queries of the record: silence, builds, availability.
 
-Nothing is concluded from an answer that did not come: a router that has not answered for ``STALE_POLLS``
-polls is unknown, which is neither good nor harm, and counts as unavailable.
+A missing response proves nothing: a router without a report for ``STALE_POLLS`` polling intervals is unknown.
+That is neither a good result nor a regression, and the router counts as unavailable.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 )
 from kelpcroft.rollout.state import RolloutState, RouterState
 
-STALE_POLLS = 3  # polls without an answer after which a router is unknown
+STALE_POLLS = 3  # polling intervals without a report after which a router is unknown
 
 
 def record_report(state: RolloutState, report: RouterReport) -> None:
-    """Take up what a router says of itself.
+    """Record a router's report.
 
-    Reports of routers that the plan does not name are ignored.  Counters that fall under the same instance
-    are a contradiction: it is named in the history and not used.
+    Reports of routers that are not in the plan are ignored.  Counters that decrease within one instance are a
+    contradiction: the history records it, and the report is discarded.
     """
     router = state.routers.get(report.router)
     if router is None:
@@ -41,13 +41,13 @@
     router.last_report = report
     if router.phase in OLD_BUILD_PHASES:
         state.old_peak_memory_kb = max(state.old_peak_memory_kb, report.peak_memory_kb)
-    if previous is not None:  # what was before the rollout is of unknown length
+    if previous is not None:  # the first report's counters cover an unknown time before the rollout
         _count_requests(router, report, previous)
     _check_crash_and_invariants(state, router, report, previous)
 
 
 def _contradicts(report: RouterReport, previous: RouterReport) -> bool:
-    """Whether the same instance counts less than it did before."""
+    """Whether a counter of the same instance has decreased since its previous report."""
     if report.instance != previous.instance:
         return False
     if report.invariant_violations < previous.invariant_violations:
@@ -59,7 +59,7 @@
 
 
 def _count_requests(router: RouterState, report: RouterReport, previous: RouterReport) -> None:
-    """Add what was requested since the previous report; a new instance counts from nothing."""
+    """Add the requests since the previous report; the counters of a new instance start at 0."""
     same_instance = previous.instance == report.instance
     for name, total in report.samples_by_class.items():
         earlier = previous.samples_by_class.get(name, NO_REQUESTS) if same_instance else NO_REQUESTS
@@ -69,7 +69,7 @@
 def _check_crash_and_invariants(
     state: RolloutState, router: RouterState, report: RouterReport, previous: RouterReport | None
 ) -> None:
-    """A crash or a broken invariant of the new build is harm, which needs no statistics."""
+    """Report a regression if the new build has crashed or violated an invariant; this needs no statistics."""
     restarted = previous is not None and previous.instance != report.instance
     runs_new_build = router.phase in NEW_BUILD_PHASES
     if restarted and router.phase not in COMMAND_UNDER_WAY_PHASES:
@@ -84,27 +84,30 @@
 
 
 def is_unknown(state: RolloutState, router: RouterState) -> bool:
-    """Whether a router has not answered for STALE_POLLS polls, so that nothing is known of it."""
+    """Whether a router has not reported for STALE_POLLS polling intervals, so that its state is unknown."""
     since_ns = max(router.last_report_ns, _silence_counts_from_ns(state, router), state.listening_since_ns)
     return state.now_ns - since_ns > STALE_POLLS * state.plan.poll_interval_ns
 
 
 def _silence_counts_from_ns(state: RolloutState, router: RouterState) -> int:
-    """A process that is being changed is silent for a while, and has until its time-out to speak."""
+    """The time from which a router's silence counts.
+
+    While its process is replaced, a router is silent; its silence counts only after the ready time-out.
+    """
     if router.phase in BUILD_REPLACED_PHASES:
         return router.phase_since_ns + state.plan.ready_timeout_ns
     return router.phase_since_ns
 
 
 def has_recent_report(state: RolloutState, router: RouterState) -> bool:
-    """Whether a router has reported since this process began to poll, or last stood still."""
+    """Whether a router has reported since this process began to poll or had its last process stall."""
     return router.last_report_ns >= state.listening_since_ns
 
 
 def enough_routers_answer(state: RolloutState) -> bool:
-    """Whether no more routers than the plan allows are without an answer since this process polls.
+    """Whether the routers without a recent report are no more than the plan allows.
 
-    A router that is being changed may be silent and does not count.
+    A router whose process is being replaced may be silent and does not count.
     """
     silent_count = sum(
         not has_recent_report(state, router) or is_unknown(state, router)
@@ -115,7 +118,7 @@
 
 
 def reports_new_build(state: RolloutState, router: RouterState) -> bool:
-    """Whether a router's last report has every digest that the plan changes to."""
+    """Whether a router's last report has every digest that the plan names for the new build."""
     if router.last_report is None:
         return False
     digests = router.last_report.digests
@@ -123,7 +126,7 @@
 
 
 def reports_old_build(state: RolloutState, router: RouterState) -> bool:
-    """Whether a router's last report has the digests that it had before anything was changed."""
+    """Whether a router's last report has its original digests of all components that the plan changes."""
     if router.last_report is None:
         return False
     digests = router.last_report.digests
@@ -134,7 +137,7 @@
 
 
 def unavailable_count(state: RolloutState, zone: str = "") -> int:
-    """Routers, of one zone or of all, that do not serve as they should: being changed, cold, or unknown."""
+    """The number of routers of a zone, or of all with "", that are being replaced, cold or unknown."""
     return sum(
         1
         for router in state.routers.values()
@@ -144,7 +147,7 @@
 
 
 def may_become_unavailable(state: RolloutState, router: RouterState) -> bool:
-    """Whether the plan's limits allow one more unavailable router, and this one has reported recently."""
+    """Whether the plan's limits allow one more unavailable router, and this router has reported recently."""
     return (
         not is_unknown(state, router)
         and has_recent_report(state, router)
--- a/kelpcroft/rollout/phases.py
+++ b/kelpcroft/rollout/phases.py
@@ -1,4 +1,4 @@
-"""Where a router and the whole rollout are, and which phases belong together.
+"""Phases of a router, outcomes of a rollout, and the sets of phases that are handled alike.
 
 The values of the enums are stored in the rollout database and printed by ``kelpcroft rollout status``; the
 names of the members are not.
@@ -10,23 +10,23 @@
 
 
 class Phase(Enum):
-    """Where one router is."""
+    """Phase of one router in the rollout."""
 
-    WAITING = "waiting"  # runs the old build and has not been touched
-    DRAINING = "out of service"  # ordered to let its clients go, to be changed next
-    CHANGING = "changed"  # the change was ordered; the rollout waits for it to be ready
+    WAITING = "waiting"  # runs the old build; the rollout has not changed or restarted it
+    DRAINING = "out of service"  # commanded to drain; the change follows
+    CHANGING = "changed"  # the change was commanded; the rollout waits until the router is ready
     WARMING_UP = "cold"  # in service with the new build, not compared yet
-    COMPARED = "judged"  # warm, and compared with the old build
-    ACCEPTED = "kept"  # its stage is over
-    ROLLBACK_DRAINING = "leaving"  # ordered to let its clients go, to be changed back next
-    ROLLING_BACK = "undone"  # the old build was ordered; the rollout waits for it to be ready
-    ROLLED_BACK = "taken back"
-    CONTROL_DRAINING = "out, to be restarted"  # runs the old build, for the control group of a stage
-    CONTROL_RESTARTING = "restarted"  # the restart was ordered; the rollout waits for it to be ready
-    CONTROL = "control"  # runs the old build, and is as cold as the new routers of its stage
+    COMPARED = "judged"  # warm; its requests are compared with those of the old build
+    ACCEPTED = "kept"  # its stage has ended without a regression
+    ROLLBACK_DRAINING = "leaving"  # commanded to drain; the change back follows
+    ROLLING_BACK = "undone"  # the change back was commanded; the rollout waits until the router is ready
+    ROLLED_BACK = "taken back"  # runs the old build again, or was drained and never changed
+    CONTROL_DRAINING = "out, to be restarted"  # old build, commanded to drain for a stage's control group
+    CONTROL_RESTARTING = "restarted"  # the restart was commanded; the rollout waits until the router is ready
+    CONTROL = "control"  # runs the old build after a restart, so it is as cold as the stage's new routers
 
 
-UNAVAILABLE_PHASES = frozenset(  # count against the plan's limits of unavailable routers
+UNAVAILABLE_PHASES = frozenset(  # routers in them count against the plan's limits of unavailable routers
     (
         Phase.DRAINING,
         Phase.CHANGING,
@@ -39,31 +39,35 @@
 )
 OLD_BUILD_PHASES = frozenset((Phase.WAITING, Phase.CONTROL))
 NEW_BUILD_PHASES = frozenset((Phase.CHANGING, Phase.WARMING_UP, Phase.COMPARED, Phase.ACCEPTED))
-COMMAND_UNDER_WAY_PHASES = frozenset(  # one that ends the router's process: a new instance is no crash
-    (
-        Phase.CHANGING,
-        Phase.ROLLING_BACK,
-        Phase.DRAINING,
-        Phase.ROLLBACK_DRAINING,
-        Phase.CONTROL_DRAINING,
-        Phase.CONTROL_RESTARTING,
+COMMAND_UNDER_WAY_PHASES = (
+    frozenset(  # a command that ends the process is in progress or follows; a new instance is then no crash
+        (
+            Phase.CHANGING,
+            Phase.ROLLING_BACK,
+            Phase.DRAINING,
+            Phase.ROLLBACK_DRAINING,
+            Phase.CONTROL_DRAINING,
+            Phase.CONTROL_RESTARTING,
+        )
     )
 )
-BUILD_REPLACED_PHASES = frozenset((Phase.CHANGING, Phase.ROLLING_BACK))  # silent while it starts
+BUILD_REPLACED_PHASES = frozenset(
+    (Phase.CHANGING, Phase.ROLLING_BACK)
+)  # the router is silent while its new process starts
 
 
 class RolloutOutcome(Enum):
-    """Where the whole rollout is."""
+    """Present outcome of a rollout."""
 
     RUNNING = "running"
-    HELD = "held"  # begins nothing new; what is under way at a router is finished
+    HELD = "held"  # no new change begins; a change in progress at a router is completed
     ROLLING_BACK = "reverting"
     DONE = "done"
     ROLLED_BACK = "taken back"
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing changes it any more."""
+        """Whether the rollout has ended, so that the outcome no longer changes."""
         return self in (RolloutOutcome.DONE, RolloutOutcome.ROLLED_BACK)
 
 
@@ -74,5 +78,7 @@
     """Why a rollout is held, where that decides how the hold ends."""
 
     NONE = ""
-    SILENCE = "silence"  # too many routers do not answer: ends by itself once they do
-    PEOPLE = "people"  # an operator's command, or a finding for people: ends by their command
+    SILENCE = "silence"  # too many routers do not respond; the hold ends once enough respond again
+    PEOPLE = (
+        "people"  # an operator's command, or a state that needs one; the hold ends by an operator's command
+    )
--- a/kelpcroft/rollout/placement.py
+++ b/kelpcroft/rollout/placement.py
@@ -1,9 +1,9 @@
-"""Where a build's decision code puts objects, and how many have another home in another build or settings.
+"""Placement of objects on caches by a build's decision package, and the comparison of two placements.
 
-Each build is asked on its own (``kelpcroft homes``, run in its folder): a fresh instance of its decision
-code gets the list of servers and one request for each of a row of objects, answered at once, and says to
-which cache each went.  What a running router has learned since (loads, slowness, ejected caches) moves some
-more, in both alike.
+``kelpcroft homes``, run in a build's folder, prints the placement of that build.  A new instance of its
+decision package receives the list of servers and one request for each object of a fixed sequence; the attempt
+is sent to the object's cache and succeeds immediately.  The state that a running router has accumulated
+(loads, slow and ejected caches) moves further objects, with either build.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from kelpcroft.decision.statistics import mix64
 from kelpcroft.rollout.errors import PlacementError
 
-START_NS = 10**18  # of the virtual clock; any time that is old enough for SETTLED_NS
-STEP_NS = 100 * 10**6  # between two requests: nothing of one is left at the next
-SETTLED_NS = 3_600 * 10**9  # age of the list at the first request: no cache warms up
-ANSWER_NS = 10**6  # from a request to its answer
-DEFAULT_DEADLINE_NS = 10**9  # of a class that has none
+START_NS = 10**18  # start of the virtual clock; any time later than SETTLED_NS is suitable
+STEP_NS = 100 * 10**6  # between two requests, so that the first has no influence on the second
+SETTLED_NS = 3_600 * 10**9  # age of the list at the first request, at which no cache is warming up
+ANSWER_NS = 10**6  # from a request to its response
+DEFAULT_DEADLINE_NS = 10**9  # deadline of a class that has none
 
 
 def place_objects(settings: api.Settings, servers: Sequence[api.Server], count: int) -> list[str]:
-    """The home of each object of a row, which is the same row in every call.
+    """Place each object of a sequence, which is the same in every call.
 
     Args:
-        settings: The deployment's.
+        settings: The settings of the deployment.
         servers: The list of servers, as a router would restore it.
-        count: How many objects.
+        count: The number of objects.
 
     Returns:
-        The cache that each object goes to, "" where none takes it.
+        The cache to which each object's request is sent; "" if it is not sent to a server.
 
     Raises:
-        PlacementError: No class is kept in caches.
+        PlacementError: Caches store no class of the deployment.
     """
     request_class = _cached_class(settings)
     deadline_ns = request_class.deadline_ns or DEFAULT_DEADLINE_NS
@@ -54,7 +54,7 @@
 
 
 def _cached_class(settings: api.Settings) -> api.RequestClass:
-    """The first class whose answers caches keep."""
+    """The first class whose responses caches store."""
     for request_class in settings.classes:
         if request_class.idempotency is api.Idempotency.SAFE and not request_class.uncacheable:
             return request_class
@@ -62,7 +62,7 @@
 
 
 def _home_of(policy: RoutingPolicy, now_ns: int, request: api.Request) -> str:
-    """The cache that a request is sent to, and answered by at once."""
+    """The server to which the first attempt of a request is sent; the attempt then succeeds immediately."""
     for action in policy.handle(now_ns, request):
         if isinstance(action, api.ForwardRequest):
             end = api.AttemptEnded(
@@ -74,7 +74,7 @@
 
 
 class ObjectCounts(NamedTuple):
-    """Objects of one cache in two placements."""
+    """Numbers of objects that two placements put on one cache."""
 
     before: int
     after: int
@@ -82,12 +82,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementDiff:
-    """How two placements of the same objects differ.
+    """Difference between two placements of the same objects.
 
     Attributes:
-        object_count: How many objects were placed.
-        moved_count: How many have another home.
-        by_cache: The objects of each cache.
+        object_count: The number of objects placed.
+        moved_count: The number of objects that the two placements put on different caches.
+        by_cache: The number of objects of each cache in both placements.
     """
 
     object_count: int
@@ -96,15 +96,15 @@
 
     @property
     def moved_share(self) -> float:
-        """The share of objects that have another home; 0 of none."""
+        """The share of objects that are on different caches; 0 if there are no objects."""
         return self.moved_count / self.object_count if self.object_count else 0.0
 
 
 def compare_placements(old: Sequence[str], new: Sequence[str]) -> PlacementDiff:
-    """Compare two answers to the same question.
+    """Compare two placements of the same sequence of objects.
 
     Raises:
-        PlacementError: They are of different length.
+        PlacementError: The placements are of different length.
     """
     if len(old) != len(new):
         raise PlacementError(
--- a/kelpcroft/rollout/plan.py
+++ b/kelpcroft/rollout/plan.py
@@ -1,7 +1,7 @@
-"""A rollout's plan: what changes, on which routers, in which stages, and what stops it.
+"""Plan of a rollout: the components that change, the routers, the stages, and the criteria that stop it.
 
-These are the records; ``plan_file`` reads them from a rollout file and ``plan_checks`` says what a file may
-say node by node but not as a whole.
+This module holds the records.  ``plan_file`` reads them from a rollout file, and ``plan_checks`` checks
+conditions that involve several nodes of the file.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 class ComponentChange(NamedTuple):
-    """One thing that changes, and the digest that a router reports once it has it.
+    """One component that changes, and the digest that a router reports once it has the new one.
 
     Attributes:
         component: ``program``, ``settings`` or ``rules``.
-        digest: Hexadecimal.
+        digest: The new component's digest in hexadecimal.
     """
 
     component: str
@@ -29,14 +29,14 @@
 
 
 class BuildFolders(NamedTuple):
-    """Where the two builds stand for processes of this machine."""
+    """Folders of the two builds, for routers that are processes of this machine."""
 
     old: str
     new: str
 
 
 class PlacementCommands(NamedTuple):
-    """The argument lists that ask the old build and the new where they put objects."""
+    """Argument lists of the commands that print where the old build and the new one place objects."""
 
     old: tuple[str, ...]
     new: tuple[str, ...]
@@ -44,15 +44,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterTarget:
-    """One router that is to be changed.
+    """One router that the rollout changes.
 
     Attributes:
-        name: The router's own, as it reports it.
+        name: The router's name, as the router reports it.
         zone: Its zone.
-        control_address: ``host:port`` of its control address; "" where the file gives none.
-        config_path: What a local one is started with.
-        rules_path: The operator's file of a local one; "" for none.
-        position: Where the file names it.
+        control_address: ``host:port`` of its control address; "" if the file has none.
+        config_path: The configuration file with which a router on this machine is started.
+        rules_path: The operator's file of a router on this machine; "" for none.
+        position: The position of its node in the file.
     """
 
     name: str
@@ -65,16 +65,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """A step of the rollout: it changes routers up to a count or a share of all, then watches them.
+    """Stage of the rollout: it changes routers up to a count or a share of all, then compares them.
 
     Attributes:
-        name: For people.
-        router_count: Routers that are changed at its end; 0 = ``router_share`` says.
-        router_share: The same as a share of all.
-        min_ns: The least time that the stage lasts once its routers are warm.
-        max_ns: The rollout is held where there is no verdict after this time with warm routers.
-        control_count: Routers of the old build that are restarted in each of its zones, to compare with.
-        position: Where the file names it.
+        name: The stage's name in texts for operators.
+        router_count: The total of routers that are changed by its end; 0 = given by ``router_share``.
+        router_share: The same as a share of all routers.
+        min_ns: The minimum time that the stage lasts once its routers are warm.
+        max_ns: If there is no verdict after this time with warm routers, the rollout is held.
+        control_count: Routers of the old build that are restarted in each of its zones as a control group.
+        position: The position of its node in the file.
     """
 
     name: str
@@ -86,37 +86,37 @@
     position: FilePosition = field(default=FilePosition(), compare=False)
 
     def changed_count(self, total: int) -> int:
-        """Routers that are changed at its end, of ``total``."""
+        """The number of routers, of ``total``, that are changed by the end of the stage."""
         return min(total, self.router_count or max(1, round(self.router_share * total)))
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutPlan:
-    """A whole rollout file.
+    """Content of a rollout file.
 
     Attributes:
-        changes: What changes.
+        changes: The components that change.
         routers: All routers, in the file's order.
-        stages: In their order.
-        max_unavailable: Routers that may be out of service or not warm at once, in all.
+        stages: The stages, in the file's order.
+        max_unavailable: Routers that may be out of service or not warm at the same time, in total.
         max_unavailable_per_zone: The same in one zone.
-        zone_order: Zones that come first.
-        poll_interval_ns: How often each router is asked.
-        slowest_signal_ns: The slowest signal that a stage must wait for.
-        ready_timeout_ns: A changed router must be ready within this.
-        warm_up_ns: A changed router in service is not compared before this has passed.
-        max_unknown: With more routers that do not answer, nothing new is begun.
-        stop_criteria: What counts as harm.
-        rolls_back_on_harm: Whether harm is taken back; else the rollout is held.
+        zone_order: Zones whose routers are changed before those of other zones.
+        poll_interval_ns: The interval between two polls of each router.
+        slowest_signal_ns: The delay of the slowest signal for which a stage must wait.
+        ready_timeout_ns: The time within which a changed router must be ready.
+        warm_up_ns: The time in service before a changed router is compared.
+        max_unknown: With more routers that do not respond, no new change begins.
+        stop_criteria: The criteria of a regression.
+        rolls_back_on_harm: Whether a regression is rolled back; otherwise the rollout is held.
         apply_command: The command that changes a router; ``{router}`` stands for its name.
-        undo_command: The command that changes it back.
-        restart_command: The command that restarts one as it is, for a control group.
-        local_builds: Where routers are processes of this machine, the folders of the builds.
-        placement_commands: What asks each build where it puts objects; None where the file has none.
-        placement_object_count: How many objects the builds are asked about.
-        max_memory_ratio: Limit of a new router's peak memory, in times of the highest peak of the old.
-        command_timeout_ns: A command must have ended by then.
-        commands_repeatable: Whether to run one twice does no harm.
+        undo_command: The command that changes a router back.
+        restart_command: The command that restarts a router without a change, for a control group.
+        local_builds: The folders of the builds if routers are processes of this machine, otherwise None.
+        placement_commands: The commands that print each build's placements; None if the file has none.
+        placement_object_count: The number of objects whose placements are compared.
+        max_memory_ratio: Limit of a new router's peak memory, as a multiple of the old build's highest peak.
+        command_timeout_ns: The time within which a command must end.
+        commands_repeatable: Whether the commands are idempotent.
     """
 
     changes: tuple[ComponentChange, ...] = ()
@@ -143,7 +143,7 @@
     commands_repeatable: bool = False
 
     def routers_by_zone(self) -> dict[str, list[RouterTarget]]:
-        """The routers of each zone, both in the file's order."""
+        """The routers by zone; zones and routers are in the file's order."""
         zones: dict[str, list[RouterTarget]] = {}
         for router in self.routers:
             zones.setdefault(router.zone, []).append(router)
@@ -152,8 +152,8 @@
     def routers_by_stage(self) -> list[list[RouterTarget]]:
         """The routers that each stage changes.
 
-        Zones go in their order, one router of each in turn, so that every stage spreads over the zones and a
-        zone's last routers come last.
+        Routers are taken from the zones in turn, one at a time, in the order of zones.  Every stage therefore
+        spreads over the zones, and the last routers of each zone are changed last.
         """
         queue = self._change_order()
         stages = []
@@ -173,7 +173,7 @@
         return [zone[n] for n in range(longest) for zone in zones if n < len(zone)]
 
     def shortest_ns(self) -> int:
-        """The shortest time that it can take: each round of a stage waits until its routers are warm."""
+        """The shortest duration of the rollout: each round of a stage waits until its routers are warm."""
         return (
             sum(stage.min_ns for stage in self.stages)
             + self.slowest_signal_ns
@@ -181,10 +181,10 @@
         )
 
     def longest_ns(self) -> int:
-        """The longest time that it can take: each round of a stage waits for ready and for warm."""
+        """The longest duration without holds: each round of a stage waits for ready and for warm routers."""
         rounds_ns = self._round_count() * (self.ready_timeout_ns + self.warm_up_ns)
         return sum(stage.max_ns for stage in self.stages) + rounds_ns
 
     def _round_count(self) -> int:
-        """How often as many routers as may be unavailable are changed, over all stages."""
+        """The number of rounds over all stages; each round changes as many routers as may be unavailable."""
         return sum(-(-len(routers) // self.max_unavailable) for routers in self.routers_by_stage())
--- a/kelpcroft/rollout/plan_checks.py
+++ b/kelpcroft/rollout/plan_checks.py
@@ -1,24 +1,24 @@
-"""What a rollout file may say node by node and not as a whole."""
+"""Checks of a rollout plan whose nodes are valid one by one: conditions that involve several nodes."""
 
 from __future__ import annotations
 
 from kelpcroft.operator_file.diagnostics import DiagnosticCollector, abbreviated, suggestion
 from kelpcroft.rollout.plan import NS_PER_S, RolloutPlan, RouterTarget, Stage
 
-Zones = dict[str, list[RouterTarget]]  # the routers of each
+Zones = dict[str, list[RouterTarget]]  # the routers by zone
 
 
 def check_plan(plan: RolloutPlan, diagnostics: DiagnosticCollector) -> None:
-    """Add what is wrong with a plan whose nodes are right one by one."""
+    """Add a diagnostic for each violated condition of a plan whose nodes are valid one by one."""
     zones = plan.routers_by_zone()
     for zone in plan.zone_order:
         if zone not in zones:
             diagnostics.add(
                 0,
                 "unknown-zone",
-                f"order: no router is of zone {abbreviated(zone)}{suggestion(zone, zones)}",
+                f"order: no router is in zone {abbreviated(zone)}{suggestion(zone, zones)}",
             )
-    changed_count = 0  # by the stages so far
+    changed_count = 0  # routers that are changed by the end of the stages so far
     for stage, routers in zip(plan.stages, plan.routers_by_stage(), strict=True):
         _check_stage(plan, stage, changed_count, diagnostics)
         _check_old_routers_remain(stage, routers, zones, diagnostics)
@@ -31,7 +31,7 @@
         diagnostics.add(
             plan.stages[-1].position,
             "not-all",
-            f'the last stage reaches {changed_count} of {len(plan.routers)} routers; end with share="100%"',
+            f'the last stage changes {changed_count} of {len(plan.routers)} routers; end with share="100%"',
         )
     _check_zone_limits(plan, zones, diagnostics)
 
@@ -43,31 +43,34 @@
 def _check_stage(
     plan: RolloutPlan, stage: Stage, changed_before: int, diagnostics: DiagnosticCollector
 ) -> None:
-    """A stage changes some router, and lasts long enough to see harm."""
+    """Check that a stage changes at least one router and lasts long enough to detect a regression."""
     title = _stage_title(stage)
     changed_count = stage.changed_count(len(plan.routers))
     if changed_count <= changed_before:
         diagnostics.add(
             stage.position,
             "stage-shrinks",
-            f"{title} reaches {changed_count} routers, where {changed_before} are changed before it; "
-            "each must reach more",
+            f"{title} ends with {changed_count} changed routers, and {changed_before} are changed before "
+            "it; each stage must change more",
         )
     if stage.min_ns < plan.slowest_signal_ns:
         diagnostics.add(
             stage.position,
             "bake-too-short",
-            f"{title} may end after {stage.min_ns / NS_PER_S:g}s, the "
+            f"{title} may end after {stage.min_ns / NS_PER_S:g}s, but the "
             f"slowest signal takes {plan.slowest_signal_ns / NS_PER_S:g}s",
         )
     if stage.max_ns < stage.min_ns:
-        diagnostics.add(stage.position, "least-over-most", f"{title} has more least than most time")
+        diagnostics.add(stage.position, "least-over-most", f"{title} has a least time over its most time")
 
 
 def _check_old_routers_remain(
     stage: Stage, routers: list[RouterTarget], zones: Zones, diagnostics: DiagnosticCollector
 ) -> None:
-    """No stage changes all of a zone's several routers: nothing old would be left to compare with."""
+    """Check that a stage does not change all routers of a zone that has several.
+
+    Otherwise no router of the old build would be left there to compare with.
+    """
     changing = {router.name for router in routers}
     for zone, of_zone in zones.items():
         if len(of_zone) > 1 and changing.issuperset(router.name for router in of_zone):
@@ -75,7 +78,7 @@
                 stage.position,
                 "whole-zone",
                 f"{_stage_title(stage)} changes all {len(of_zone)} routers of zone "
-                f"{abbreviated(zone)}: none of the old would be left there to compare with",
+                f"{abbreviated(zone)}: no old router would be left there to compare with",
             )
 
 
@@ -86,7 +89,11 @@
     zones: Zones,
     diagnostics: DiagnosticCollector,
 ) -> None:
-    """A control group is compared from its start on, so it must start beside the new ones, once."""
+    """Check that a stage with a control group changes one router per zone and has room for the group.
+
+    A control group is compared from its restart on, so it must restart once, at the same time as the new
+    routers.
+    """
     title = _stage_title(stage)
     router_zones = [router.zone for router in routers]
     stage_zones = sorted(set(router_zones))
@@ -98,47 +105,47 @@
             diagnostics.add(
                 stage.position,
                 "control-many",
-                f"{title} changes {changing_count} routers of zone {abbreviated(zone)} one after another; a "
-                "control group is for a stage that changes one",
+                f"{title} changes {changing_count} routers of zone {abbreviated(zone)}; a "
+                "stage with a control group may change only one",
             )
         if len(zones[zone]) < out_per_zone:
             diagnostics.add(
                 stage.position,
                 "control-few",
-                f"{title}: zone {abbreviated(zone)} has {len(zones[zone])} routers, too few for "
-                f"{stage.control_count} beside the new one",
+                f"{title}: zone {abbreviated(zone)} has {len(zones[zone])} routers, too few for a control "
+                f"group of {stage.control_count} beside the new one",
             )
         elif plan.max_unavailable_per_zone < out_per_zone or plan.max_unavailable < out_in_all:
             diagnostics.add(
                 stage.position,
                 "control-room",
-                f"{title}: limits must let {out_per_zone} routers of a zone be out at once, and "
-                f"{out_in_all} in all",
+                f"{title}: limits must allow {out_per_zone} unavailable routers in a zone, and "
+                f"{out_in_all} in total",
             )
     if not plan.restart_command and not plan.local_builds:
-        diagnostics.add(stage.position, "no-restart", f"{title}: a control group wants restart in 'act'")
+        diagnostics.add(stage.position, "no-restart", f"{title}: a control group needs restart in 'act'")
 
 
 def _check_local(plan: RolloutPlan, diagnostics: DiagnosticCollector) -> None:
-    """Processes of this machine have a configuration each, and only their program changes."""
+    """Check that each router on this machine has a configuration file, and that only the program changes."""
     for router in plan.routers:
         if not router.config_path:
             diagnostics.add(
                 router.position,
                 "no-config",
-                f"router {abbreviated(router.name)}: a local one wants config, the file that it starts with",
+                f"router {abbreviated(router.name)}: a local router needs config, its configuration file",
             )
     if {change.component for change in plan.changes} != {"program"}:
-        diagnostics.add(0, "local-program", "a local 'act' changes the program, and nothing else")
+        diagnostics.add(0, "local-program", "a local 'act' changes only the program")
 
 
 def _check_zone_limits(plan: RolloutPlan, zones: Zones, diagnostics: DiagnosticCollector) -> None:
-    """The limits leave a router in each zone that has several."""
+    """Check that the limits leave at least one router available in each zone that has several."""
     for zone, routers in zones.items():
         if plan.max_unavailable_per_zone >= len(routers) > 1:
             diagnostics.add(
                 0,
                 "zone-out",
-                f"limits: {plan.max_unavailable_per_zone} routers of zone {abbreviated(zone)} may be out at "
-                f"once, and it has {len(routers)}",
+                f"limits: {plan.max_unavailable_per_zone} routers of zone {abbreviated(zone)} may be "
+                f"unavailable at the same time, but it has only {len(routers)}",
             )
--- a/kelpcroft/rollout/plan_file.py
+++ b/kelpcroft/rollout/plan_file.py
@@ -1,10 +1,12 @@
-"""A rollout file to its plan.
+"""Reader of rollout files: from bytes to a plan.
+
+An example with most nodes:
 
     rollout version=1
 
     change {
         program build="5f2c09e1a7b3d480"          // the digest that a router of the new build reports
-        settings digest="..."                     // and of the new settings, or the new operator's file
+        settings digest="..."                     // the digests of new settings and of a new operator's file
         rules digest="..."
     }
     router "n1" zone="edge-1" control="127.0.0.1:9101"
@@ -14,18 +16,17 @@
     stage "half" share="50%" least="2m" most="20m"
     stage "all" share="100%" least="2m" most="20m"
 
-    limits at-once=2 per-zone=1
-    order "edge-3,edge-1"                         // zones that come first
-    watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1
-    stop harm=0.05 tolerance=0 false-stop=0.01 missed-harm=0.05
-    then "take-back"                              // or "hold"
-    act timeout="60s" repeat=#true {              // the operators' own tool; no shell; each word one argument
+    limits at-once=2 per-zone=1 order "edge-3,edge-1"                         // zones whose routers are
+    changed first watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1 stop harm=0.05 tolerance=0
+    false-stop=0.01 missed-harm=0.05 then "take-back"                              // or "hold" act
+    timeout="60s" repeat=#true {              // the operators' tool, run without a shell; each string is an
+    argument
         apply "deploy" "{router}" "new"
         undo "deploy" "{router}" "old"
     }
 
-It is read like the operator's file: KDL, every fault with its position and a stable code, all of them at
-once.
+The format is KDL, as for the operator's file.  All diagnostics are reported together, each with its position
+and a stable code.
 """
 
 from __future__ import annotations
@@ -59,20 +60,21 @@
 
 T = TypeVar("T")
 
-VERSION = 1
-MAX_STAGES = 64
-MAX_COMMAND_WORDS = 64
+VERSION = 1  # of the file format
+MAX_STAGES = 64  # stages in one file
+MAX_COMMAND_WORDS = 64  # arguments of one command, its program included
 
-COMPONENTS = ("program", "settings", "rules")
-COMMANDS = ("apply", "undo", "restart")
-BUILDS = ("old", "new")
-HARM_ANSWERS = ("take-back", "hold")
+COMPONENTS = ("program", "settings", "rules")  # nodes in ``change``
+COMMANDS = ("apply", "undo", "restart")  # nodes in ``act`` with the operators' tool
+BUILDS = ("old", "new")  # nodes in a local ``act`` and in ``homes``
+HARM_ANSWERS = ("take-back", "hold")  # arguments of ``then``: the reaction to a regression
 
 
 def load_plan(data: bytes) -> tuple[RolloutPlan, list[Diagnostic]]:
-    """A file's bytes as a plan, and all that is wrong with it, in the file's order.
+    """Read a file's bytes into a plan.
 
-    The plan may be used only if nothing is wrong.
+    Returns:
+        The plan and its diagnostics, in the file's order.  The plan may be used only if there are none.
     """
     diagnostics = DiagnosticCollector()
     plan = RolloutPlan()
@@ -81,24 +83,24 @@
         if not diagnostics.count:
             check_plan(plan, diagnostics)
     except TooManyDiagnostics:
-        pass  # what was found until then is reported
+        pass  # the diagnostics collected so far are reported
     return plan, diagnostics.in_file_order()
 
 
 class PlanReader(NodeReader):
-    """Reads one rollout file.
+    """Reader of one rollout file.
 
-    Whatever is wrong is noted and left out; the rest is read on.  What nodes may hold is checked as in the
-    operator's file.
+    An unusable node or value gets a diagnostic and is left out of the plan; reading continues after it.  The
+    structure of nodes is checked as in the operator's file.
     """
 
     def __init__(self, diagnostics: DiagnosticCollector) -> None:
         super().__init__(diagnostics)
-        self._section_offsets: dict[str, int] = {}  # where each node that stands once does
-        self._name_offsets: dict[tuple[str, str], int] = {}  # the same by kind of node and name
+        self._section_offsets: dict[str, int] = {}  # by name, of nodes that are allowed once
+        self._name_offsets: dict[tuple[str, str], int] = {}  # by kind and name, of routers and stages
 
     def read_plan(self, nodes: Iterable[KdlNode]) -> RolloutPlan:
-        """The nodes at a file's top as a plan."""
+        """Read the top-level nodes of a file into a plan."""
         plan = RolloutPlan()
         routers: list[RouterTarget] = []
         stages: list[Stage] = []
@@ -113,7 +115,7 @@
                 self.diagnostics.add(
                     node.offset,
                     "unknown-node",
-                    f"a rollout holds no {abbreviated(node.name)}{suggestion(node.name, TOP_NODES)}",
+                    f"a rollout file has no node {abbreviated(node.name)}{suggestion(node.name, TOP_NODES)}",
                 )
             elif node.name == "router":
                 routers.append(self._read_router(node, self._read_unique_name(node)))
@@ -127,51 +129,53 @@
         )
 
     def _read_unique_name(self, node: KdlNode) -> str:
-        """The name of a router or stage; a fault where another has it already."""
+        """Read the name of a router or stage; a name that is already used gets a diagnostic."""
         name = self.read_name(node)
         key = (node.name, name)
         if name and key in self._name_offsets:
             self.diagnostics.add(
                 node.offset,
                 "duplicate-name",
-                f"{node.name} {abbreviated(name)} stands at line "
-                f"{self.line_of(self._name_offsets[key])} already",
+                f"{node.name} {abbreviated(name)} is already defined in line "
+                f"{self.line_of(self._name_offsets[key])}",
             )
         self._name_offsets.setdefault(key, node.offset)
         return name
 
     def _is_first_of_kind(self, node: KdlNode) -> bool:
-        """Whether a node that stands once stands there for the first time; else a fault."""
+        """Whether a node that is allowed once occurs for the first time; a repetition gets a diagnostic."""
         if node.name in self._section_offsets:
             line = self.line_of(self._section_offsets[node.name])
             self.diagnostics.add(
-                node.offset, "duplicate-node", f"{node.name!r} stands at line {line} already"
+                node.offset, "duplicate-node", f"{node.name!r} is already defined in line {line}"
             )
             return False
         self._section_offsets[node.name] = node.offset
         return True
 
     def _check_presence(self, routers: list[RouterTarget], stages: list[Stage]) -> None:
-        """Complain of nodes that a file cannot do without."""
+        """Add a diagnostic for each required node that is missing."""
         if "change" not in self._section_offsets:
-            self.diagnostics.add(0, "no-change", 'what changes? add change { program build="..." }')
+            self.diagnostics.add(0, "no-change", 'there is no change; add change { program build="..." }')
         for kind, found in (("router", routers), ("stage", stages)):
             if not found:
-                self.diagnostics.add(0, f"no-{kind}", f'there is no {kind}; add one, as {kind} "one"')
+                self.diagnostics.add(0, f"no-{kind}", f'there is no {kind}; add one, as in {kind} "one"')
 
-    # Nodes that stand once, each read into the plan -------------------------------------------------------
+    # Nodes that are allowed once, each read into the plan -------------------------------------------------
 
     def read_version(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
         """``rollout version=1``."""
         self.check_structure(node, 0, ("version",))
         version = node.properties.get("version")
         if version is None:
-            self.diagnostics.add(node.offset, "no-version", f"which version? write rollout version={VERSION}")
+            self.diagnostics.add(
+                node.offset, "no-version", f"the version is missing; write rollout version={VERSION}"
+            )
         elif version.value != VERSION or isinstance(version.value, bool):
             self.diagnostics.add(
                 version.value_offset,
                 "unknown-version",
-                f"version {abbreviated(version.value)} is not known here; version {VERSION} is",
+                f"version {abbreviated(version.value)} is not supported; version {VERSION} is",
             )
         return plan
 
@@ -188,7 +192,7 @@
                 changes.append(ComponentChange(child.name, digest or ""))
         if not changes:
             self.diagnostics.add(
-                node.offset, "no-change", "it touches nothing; program, settings or rules would do"
+                node.offset, "no-change", "'change' is empty; add program, settings or rules"
             )
         return replace(plan, changes=tuple(changes))
 
@@ -265,7 +269,7 @@
         repeat = self.read_property(node, "repeat", values.parse_flag)
         plan = replace(plan, command_timeout_ns=value_or_default(timeout_ns, plan.command_timeout_ns))
         if self.read_property(node, "local", values.parse_flag):
-            # A local driver looks before it acts, so that to repeat a command does no harm.
+            # The driver of local processes checks the running process first, so its commands are idempotent.
             return replace(plan, local_builds=self._read_build_folders(node), commands_repeatable=True)
         commands = self._read_commands(node, COMMANDS, ("apply", "undo"), "router")
         return replace(
@@ -277,7 +281,7 @@
         )
 
     def read_placement(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``homes objects=2000 { old ...; new ... }``: the commands that ask where builds put objects."""
+        """``homes objects=2000 { old ...; new ... }``: the commands that print where builds place objects."""
         self.check_structure(node, 0, ("objects",), BUILDS)
         count = self.read_property(node, "objects", plan_values.parse_object_count)
         commands = self._read_commands(node, BUILDS, BUILDS, "config")
@@ -287,7 +291,7 @@
             placement_object_count=value_or_default(count, plan.placement_object_count),
         )
 
-    # Nodes that are named, and parts of nodes -------------------------------------------------------------
+    # Nodes with a name, and child nodes -------------------------------------------------------------------
 
     def _read_router(self, node: KdlNode, name: str) -> RouterTarget:
         """``router "n1" zone="edge-1" control="127.0.0.1:9101"``."""
@@ -312,11 +316,11 @@
         router_count = self.read_property(node, "count", plan_values.parse_positive_count)
         router_share = self.read_property(node, "share", plan_values.parse_router_share)
         if "count" not in node.properties and "share" not in node.properties:
-            self.diagnostics.add(node.offset, "missing-value", "'stage' wants count=3 or share=\"10%\"")
+            self.diagnostics.add(node.offset, "missing-value", "'stage' needs count=3 or share=\"10%\"")
         elif "count" in node.properties and "share" in node.properties:
-            self.diagnostics.add(node.offset, "count-and-share", "'stage' takes a count or a share, not both")
-        min_ns = self.read_property(node, "least", values.parse_duration, 'its least time, as in least="2m"')
-        max_ns = self.read_property(node, "most", values.parse_duration, 'its most time, as in most="20m"')
+            self.diagnostics.add(node.offset, "count-and-share", "'stage' needs a count or a share, not both")
+        min_ns = self.read_property(node, "least", values.parse_duration, 'a minimum time, as in least="2m"')
+        max_ns = self.read_property(node, "most", values.parse_duration, 'a maximum time, as in most="20m"')
         return Stage(
             name,
             router_count or 0,
@@ -328,7 +332,7 @@
         )
 
     def _read_build_folders(self, node: KdlNode) -> BuildFolders:
-        """The folders of the builds of a local ``act``."""
+        """Read the folders of the builds in a local ``act``."""
         folders: dict[str, str] = {}
         for child in node.children:
             if child.name in BUILDS:
@@ -337,14 +341,21 @@
                 folders[child.name] = self.read_argument(child, plan_values.parse_path, wanted) or ""
         if not all(folders.get(build) for build in BUILDS):
             self.diagnostics.add(
-                node.offset, "missing-value", "a local 'act' wants old and new, each a folder"
+                node.offset, "missing-value", "a local 'act' needs old and new, each with a folder"
             )
         return BuildFolders(folders.get("old", ""), folders.get("new", ""))
 
     def _read_commands(
         self, node: KdlNode, names: tuple[str, ...], needed: tuple[str, ...], example_field: str
     ) -> dict[str, tuple[str, ...]]:
-        """The commands that a node holds, by their names, each as a list of words."""
+        """Read the commands in a node, by name, each as an argument list.
+
+        Args:
+            node: The node whose children are the commands.
+            names: The names that commands may have.
+            needed: The commands that must not be missing.
+            example_field: The placeholder that a diagnostic shows in its example.
+        """
         commands: dict[str, tuple[str, ...]] = {}
         for child in node.children:
             if child.name in names:
@@ -359,13 +370,13 @@
                 self.diagnostics.add(
                     node.offset,
                     "missing-value",
-                    f'{node.name!r} wants {name}, as in {name} "tool" "{{{example_field}}}"',
+                    f'{node.name!r} needs {name}, as in {name} "tool" "{{{example_field}}}"',
                 )
         return commands
 
 
 SectionReader = Callable[[PlanReader, KdlNode, RolloutPlan], RolloutPlan]
-SECTION_READERS: Mapping[str, SectionReader] = {  # nodes that stand once
+SECTION_READERS: Mapping[str, SectionReader] = {  # by name, the reader of each node that is allowed once
     "rollout": PlanReader.read_version,
     "change": PlanReader.read_change,
     "limits": PlanReader.read_limits,
@@ -376,7 +387,7 @@
     "act": PlanReader.read_act,
     "homes": PlanReader.read_placement,
 }
-# All nodes that may stand at a file's top.
+# Names of all top-level nodes.
 TOP_NODES = (
     "rollout",
     "change",
@@ -393,5 +404,5 @@
 
 
 def value_or_default(value: T | None, default: T) -> T:
-    """What a file gives, or the default where it gives nothing that can be used."""
+    """The value from the file, or the default if the file has none that can be used."""
     return default if value is None else value
--- a/kelpcroft/rollout/plan_values.py
+++ b/kelpcroft/rollout/plan_values.py
@@ -1,6 +1,6 @@
-"""The values of a rollout file: each function takes one of KDL's and checks it.
+"""Parsers of the values in a rollout file; each takes a KDL value and checks it.
 
-All of them raise InvalidValue, with a stable code and a message, for a value that cannot be used.
+All parsers raise InvalidValue, with a stable code and a message, for a value that cannot be used.
 """
 
 from __future__ import annotations
@@ -11,47 +11,47 @@
 from kelpcroft.operator_file.text import Value
 from kelpcroft.operator_file.values import InvalidValue
 
-MAX_ROUTERS = 10_000
-MAX_PLACED_OBJECTS = 100_000
-MAX_MEMORY_RATIO = 100
-MAX_WORD_CHARACTERS = 4_096
-MIN_DIGEST_DIGITS = 4
-MAX_DIGEST_DIGITS = 64
-COMMAND_FIELDS = ("router", "zone", "control", "config")  # what may stand in braces in a command's word
+MAX_ROUTERS = 10_000  # routers in one file
+MAX_PLACED_OBJECTS = 100_000  # objects whose placements are compared
+MAX_MEMORY_RATIO = 100  # upper limit of ``memory`` in ``stop``
+MAX_WORD_CHARACTERS = 4_096  # length of one argument of a command
+MIN_DIGEST_DIGITS = 4  # hexadecimal digits
+MAX_DIGEST_DIGITS = 64  # hexadecimal digits
+COMMAND_FIELDS = ("router", "zone", "control", "config")  # placeholders in braces in a command's arguments
 
 
 def parse_count(raw: Value) -> int:
-    """A number of routers, or none."""
+    """A number of routers, at least 0."""
     return values.parse_count(raw, 0, MAX_ROUTERS)
 
 
 def parse_positive_count(raw: Value) -> int:
-    """A number of routers, at least one."""
+    """A number of routers, at least 1."""
     return values.parse_count(raw, 1, MAX_ROUTERS)
 
 
 def parse_object_count(raw: Value) -> int:
-    """For how many objects placements are compared."""
+    """A number of objects whose placements are compared, at least 1."""
     return values.parse_count(raw, 1, MAX_PLACED_OBJECTS)
 
 
 def parse_probability(raw: Value) -> float:
-    """0 to 1."""
+    """A probability or a difference of shares, 0 to 1."""
     return values.parse_number(raw, 0, 1, "bad-rate")
 
 
 def parse_memory_ratio(raw: Value) -> float:
-    """Times the most memory of an old router."""
+    """A multiple of the old build's peak memory, 1 to MAX_MEMORY_RATIO."""
     return values.parse_number(raw, 1, MAX_MEMORY_RATIO, "bad-rate")
 
 
 def parse_name(raw: Value) -> str:
-    """A name that stands elsewhere."""
+    """A name; whether it is known is not checked here."""
     return values.parse_text(raw, "a name")
 
 
 def parse_path(raw: Value) -> str:
-    """A path as it was written; whether something is there is not looked at."""
+    """A path as written; whether it exists is not checked."""
     return values.parse_text(raw, "a path")
 
 
@@ -64,15 +64,18 @@
 
 
 def parse_command_word(raw: Value) -> str:
-    """One word of a command.  What stands in braces is one of COMMAND_FIELDS; {{ and }} are braces."""
+    """One argument of a command.
+
+    A name in braces is a placeholder out of COMMAND_FIELDS; ``{{`` and ``}}`` stand for single braces.
+    """
     text = values.parse_text(raw, "a name")
     if not text or len(text) > MAX_WORD_CHARACTERS or "\0" in text:
-        raise InvalidValue("bad-word", f"{abbreviated(raw)} is no argument of a command")
+        raise InvalidValue("bad-word", f"{abbreviated(raw)} cannot be an argument of a command")
     try:
         text.format(**dict.fromkeys(COMMAND_FIELDS, ""))
     except (KeyError, IndexError, ValueError) as error:
         known = ", ".join("{" + name + "}" for name in COMMAND_FIELDS)
-        raise InvalidValue("bad-word", f"{abbreviated(raw)}: {error} is none of {known}") from error
+        raise InvalidValue("bad-word", f"{abbreviated(raw)}: {error} is not one of {known}") from error
     return text
 
 
@@ -80,7 +83,7 @@
     """``host:port``."""
     text = values.parse_text(raw, "a name")
     if address_form(text):
-        raise InvalidValue("bad-address", f"{abbreviated(raw)} is no address; host:port would do")
+        raise InvalidValue("bad-address", f"{abbreviated(raw)} is not an address; write host:port")
     return text
 
 
@@ -88,5 +91,5 @@
     """A share of all routers, as ``"10%"``."""
     share = values.parse_share(raw)
     if share is None:
-        raise InvalidValue("bad-share", f'{abbreviated(raw)} is no share; write one as "10%"')
+        raise InvalidValue("bad-share", f'{abbreviated(raw)} is not a share; write one as in "10%"')
     return share
--- a/kelpcroft/rollout/rollback.py
+++ b/kelpcroft/rollout/rollback.py
@@ -1,6 +1,7 @@
-"""The way back: what was changed is changed back, the last first, within the same limits.
+"""Rollback: changed routers are changed back, in reverse order of the plan and within the same limits.
 
-Once all is taken back, the old build is compared with itself: if the harm stays, it was not the change's.
+Once all are rolled back, they are compared with routers that were never changed.  Both run the old build, so
+a regression that is still present was not caused by the change.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from kelpcroft.rollout.phases import NEW_BUILD_PHASES, UNAVAILABLE_PHASES, Phase, RolloutOutcome
 from kelpcroft.rollout.state import NEVER_NS, RolloutState, RouterState
 
-FINDINGS = {
+FINDINGS = {  # the last history entry's conclusion, by the verdict of the comparison after the rollback
     Verdict.REGRESSION: "the harm is still there: it is not the change's",
     Verdict.NO_REGRESSION: "the harm is gone",
     Verdict.UNDECIDED: "whether the harm is gone is not known",
@@ -20,7 +21,7 @@
 
 
 def go_back(state: RolloutState) -> None:
-    """Take back what can be taken back now, and end the rollout once the old build is judged."""
+    """Change back the routers that the limits allow, and end the rollout after the last comparison."""
     _release_control_group(state)
     for router in reversed(list(state.routers.values())):
         _take_back(state, router)
@@ -32,7 +33,10 @@
 
 
 def _release_control_group(state: RolloutState) -> None:
-    """Let routers of the control group serve as before; one that restarts comes back by itself."""
+    """Return routers of the control group to normal service.
+
+    A router that is being restarted is left alone; it reaches CONTROL by its own transition.
+    """
     for router in state.routers.values():
         if router.phase is Phase.CONTROL_DRAINING:
             state.send(router, CommandKind.ENABLE)
@@ -41,20 +45,21 @@
 
 
 def _take_back(state: RolloutState, router: RouterState) -> None:
-    """Begin the way back of one router, if it was touched and the limits allow it."""
-    if router.phase is Phase.DRAINING:  # not changed yet: it goes back in service as it is
+    """Begin the rollback of one router if it was drained or changed and the limits allow it."""
+    if router.phase is Phase.DRAINING:  # not changed yet, so it returns to service with the old build
         state.enter(router, Phase.ROLLED_BACK)
         state.send(router, CommandKind.ENABLE)
     elif router.phase in NEW_BUILD_PHASES:
-        # One that is unavailable already, or silent, is no loss of capacity: it need not wait for the limits.
-        silent = is_unknown(state, router)  # asked before the new phase, which has its own time to speak
+        # Draining a router that is unavailable or silent already costs no capacity, so the limits do not
+        # apply to it.
+        silent = is_unknown(state, router)  # evaluated first: entering a phase restarts the silence allowance
         if router.phase in UNAVAILABLE_PHASES or silent or may_become_unavailable(state, router):
             state.enter(router, Phase.ROLLING_BACK if silent else Phase.ROLLBACK_DRAINING)
             state.send(router, CommandKind.UNDO if silent else CommandKind.DRAIN)
 
 
 def _begin_last_comparison(state: RolloutState) -> None:
-    """Compare the routers that were taken back with those that were never changed."""
+    """Begin to compare the routers that were rolled back with those that were never changed."""
     state.rolled_back_ns = state.now_ns
     state.judge = RegressionJudge(state.plan.stop_criteria)
     for router in state.routers.values():
@@ -66,7 +71,10 @@
 
 
 def _end_if_decided(state: RolloutState) -> None:
-    """End the rollout once it is known whether the harm is gone, or nothing is left to wait for."""
+    """End the rollout once the comparison has a verdict, its time is over, or there is nothing to compare.
+
+    The comparison lasts at most as long as the longest maximum time of a stage.
+    """
     place = state.regression_place
     if place is None:
         _end(state, "there was no figure to compare")
--- a/kelpcroft/rollout/router_drivers.py
+++ b/kelpcroft/rollout/router_drivers.py
@@ -1,8 +1,8 @@
-"""What touches routers: their control addresses, and what starts and ends their processes.
+"""Drivers that execute commands at routers: requests to control addresses, and replacement of processes.
 
-One interface, two ways behind it: the operators' own tool (``CommandDriver``), and processes of this
-machine (``LocalProcessDriver``: tests, ``./demo``, a single host).  Neither decides anything: what a router
-reports does.
+``RouterDriver`` is the common interface.  ``CommandDriver`` replaces processes with the operators' tool, and
+``LocalProcessDriver`` replaces processes of this machine (tests, ``./demo``, a single host).  A driver's
+result decides nothing; the reports of the routers do.
 """
 
 from __future__ import annotations
@@ -23,33 +23,37 @@
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 
-MAX_ANSWER_BYTES = 256 * 1024  # of a router's state that are read
-MAX_OUTPUT_CHARACTERS = 2_000  # of a command's output that are kept
-MAX_WEIGHT = 1e18  # a router that reports more has lost count
-MIN_CALL_TIMEOUT_S, MAX_CALL_TIMEOUT_S = 0.2, 5.0
-POLLS_PER_CALL_TIMEOUT = 2
-STOP_TIMEOUT_S = 10.0  # a local process must end by itself within this
-STOP_CHECK_INTERVAL_S = 0.02
-SERVICE_UNAVAILABLE = 503  # a router that is not ready answers with it, and with its state
-
-CALL_ERRORS = (OSError, http.client.HTTPException, ValueError)  # of a call on a control address
-CONTROL_VERBS = {CommandKind.DRAIN: "out-of-service", CommandKind.ENABLE: "in-service"}
+MAX_ANSWER_BYTES = 256 * 1024  # of a control response; a longer one is rejected
+MAX_OUTPUT_CHARACTERS = 2_000  # of a command's output that the error text keeps
+MAX_WEIGHT = 1e18  # a larger requested weight in a report is impossible
+MIN_CALL_TIMEOUT_S, MAX_CALL_TIMEOUT_S = 0.2, 5.0  # limits of the time-out of a control request
+POLLS_PER_CALL_TIMEOUT = 2  # polling intervals that a control request may take
+STOP_TIMEOUT_S = 10.0  # a local process must end within this time after SIGTERM
+STOP_CHECK_INTERVAL_S = 0.02  # between two checks whether a local process has ended
+SERVICE_UNAVAILABLE = 503  # status of the state response of a router that is not ready
+
+CALL_ERRORS = (OSError, http.client.HTTPException, ValueError)  # errors of a control request
+CONTROL_VERBS = {  # last path segment of the control request, by command
+    CommandKind.DRAIN: "out-of-service",
+    CommandKind.ENABLE: "in-service",
+}
 DIGEST_KEYS = {
     "program": "build",
     "settings": "settings",
     "rules": "rules",
-}  # by component, in /control/state
+}  # keys of the digests in /control/state, by component
 
 
 def parse_state(target: RouterTarget, raw: Any) -> Event:
-    """A router's answer as an event.
+    """Convert a router's state response to an event.
 
     Args:
-        target: Who was asked.
+        target: The router that was polled.
         raw: The JSON of ``GET /control/state``.
 
     Returns:
-        Its report; ``NoAnswer`` where it cannot be read, is impossible, or is another router's.
+        The router's report, or ``NoAnswer`` if the response is malformed, has impossible values, or is that
+        of another router.
     """
     try:
         if raw["name"] != target.name:
@@ -64,7 +68,7 @@
             target.name,
             instance=str(raw["instance"]),
             digests={component: str(raw[key]) for component, key in DIGEST_KEYS.items()},
-            # One that SIGHUP changed while it was out of service says that it is not ready until ENABLE.
+            # A router that reloaded by SIGHUP while out of service reports that it is not ready until ENABLE.
             ready=raw["ready"] is True or raw.get("why") == "out of service",
             in_service=raw["service"] == "in",
             invariant_violations=int(raw["invariants"]),
@@ -76,12 +80,12 @@
 
 
 def _is_possible(sample: RequestSample) -> bool:
-    """Whether a router may have counted so; not a number is impossible too."""
+    """Whether the counters of a sample are consistent; NaN is rejected as well."""
     return sample.request_count >= 0 and 0 <= sample.in_time_weight <= sample.requested_weight < MAX_WEIGHT
 
 
 def is_zombie(process_id: int) -> bool:
-    """Whether a process has ended and only waits for its parent to ask how: it still has its number."""
+    """Whether a process has ended but keeps its process id until its parent collects the exit status."""
     try:
         stat = Path(f"/proc/{process_id}/stat").read_text()
         return stat.rpartition(")")[2].split()[0] == "Z"
@@ -90,7 +94,7 @@
 
 
 def fill_in_placeholders(words: Sequence[str], target: RouterTarget) -> list[str]:
-    """A command's words with what stands in braces filled in."""
+    """The arguments of a command with the placeholders replaced by the router's values."""
     return [
         word.format(
             router=target.name, zone=target.zone, control=target.control_address, config=target.config_path
@@ -100,7 +104,7 @@
 
 
 class RouterDriver:
-    """What a controller needs of routers.  A subclass says how a process is replaced."""
+    """Access of the controller to routers.  Subclasses implement the replacement of a process."""
 
     def __init__(self, plan: RolloutPlan) -> None:
         self.plan = plan
@@ -108,15 +112,15 @@
         self.call_timeout_s = max(MIN_CALL_TIMEOUT_S, min(MAX_CALL_TIMEOUT_S, polls_s))
 
     def call_control(self, target: RouterTarget, method: str, verb: str) -> Any:
-        """Make one call on a control address.
+        """Send one control request.
 
         Returns:
-            The JSON of the answer.
+            The JSON of the response.
 
         Raises:
-            OSError: Nothing answers.
-            HTTPException: What answers speaks no HTTP.
-            ValueError: The answer is refused, too long or no JSON.
+            OSError: The connection failed or the request timed out.
+            HTTPException: The response is not valid HTTP.
+            ValueError: The response has an error status, is too long, or is not JSON.
         """
         host, _, port = target.control_address.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=self.call_timeout_s)
@@ -126,24 +130,25 @@
             body = answer.read(MAX_ANSWER_BYTES + 1)
             is_refused = answer.status >= 400 and answer.status != SERVICE_UNAVAILABLE
             if is_refused or len(body) > MAX_ANSWER_BYTES:
-                # A plain ValueError: its class's name stands in the stored history.
+                # Not a subclass, because the name of the class appears in the stored history.
                 raise ValueError(f"answered {answer.status} with {len(body)} bytes")
             return orjson.loads(body)
         finally:
             connection.close()
 
     def poll(self, target: RouterTarget) -> Event:
-        """A router's report, or that it did not answer."""
+        """Request a router's state: its report, or ``NoAnswer``."""
         try:
             return parse_state(target, self.call_control(target, "GET", "state"))
         except CALL_ERRORS:
             return NoAnswer(target.name)
 
     def execute(self, target: RouterTarget, kind: CommandKind) -> str:
-        """Carry a command out.
+        """Execute a command.
 
         Returns:
-            "" or why it failed.  That it did not fail proves nothing: only the router's report does.
+            "" or the reason of the failure.  "" does not prove that the command took effect; only the
+            router's report proves that.
         """
         if kind not in CONTROL_VERBS:
             return self.replace_process(target, kind)
@@ -154,12 +159,19 @@
         return ""
 
     def replace_process(self, target: RouterTarget, kind: CommandKind) -> str:
-        """Start a router's process anew, of the new build, the old or its own; "" or why it failed."""
+        """Replace a router's process by one of the new build (APPLY) or the old build (UNDO, RESTART).
+
+        Returns:
+            "" or the reason of the failure.
+        """
         raise NotImplementedError
 
 
 class CommandDriver(RouterDriver):
-    """The operators' own tool: an argument list from the file, no shell, a time-out, its output kept."""
+    """Driver that runs the operators' tool, which is an argument list of the plan.
+
+    The tool runs without a shell and with a time-out; a failure is reported with its output.
+    """
 
     def __init__(self, plan: RolloutPlan) -> None:
         super().__init__(plan)
@@ -170,7 +182,11 @@
         }
 
     def replace_process(self, target: RouterTarget, kind: CommandKind) -> str:
-        """Run the tool for a router; "" or why it failed, with the end of its output."""
+        """Run the tool for a router.
+
+        Returns:
+            "" or the reason of the failure, with the end of the tool's output if it exited with an error.
+        """
         words = fill_in_placeholders(self._commands[kind], target)
         try:
             ended = subprocess.run(
@@ -190,10 +206,11 @@
 
 
 class LocalProcessDriver(RouterDriver):
-    """Processes of this machine, each with the folder of a build, its configuration and its operator's file.
+    """Driver for routers that are processes of this machine.
 
-    The process to end is the one that the router names (its ``instance`` begins with the process's number),
-    asked for right before SIGTERM.  What runs as it should is left alone, so that a command may be repeated.
+    Each has the folder of a build, a configuration file and an operator's file.  The process to end is
+    identified by the router's state, which is requested right before SIGTERM: its ``instance`` begins with
+    the process id.  A process that already is as commanded is left alone, so that a command may be repeated.
     """
 
     def __init__(self, plan: RolloutPlan) -> None:
@@ -206,10 +223,16 @@
         }
         self._new_digest = dict(plan.changes).get("program", "")
         self.children: list[subprocess.Popen[bytes]] = []
-        self._restarted_instances: dict[str, str] = {}  # by router: the instance that a restart ends
+        self._restarted_instances: dict[str, str] = {}  # by router: the instance that its restart ends
 
     def replace_process(self, target: RouterTarget, kind: CommandKind) -> str:
-        """End what runs at a router's address, unless it is as it should be, and start the build's folder."""
+        """Stop the process at a router's address, and start one from the folder of the commanded build.
+
+        A process that already is as commanded is left alone.
+
+        Returns:
+            "" or the reason of the failure.
+        """
         self.children = [child for child in self.children if child.poll() is None]
         try:
             raw = self.call_control(target, "GET", "state")
@@ -231,7 +254,10 @@
         return why or self.start_process(target, Path(self._folders[kind]))
 
     def _is_as_ordered(self, target: RouterTarget, kind: CommandKind, instance: str, is_new: bool) -> bool:
-        """Whether a command has been carried out already; the instance that a restart ends is remembered."""
+        """Whether a command has already taken effect.
+
+        RESTART has if the instance differs from that recorded at the first RESTART of the router.
+        """
         if kind is not CommandKind.RESTART:
             return is_new == (kind is CommandKind.APPLY)
         if self._restarted_instances.get(target.name) not in (None, instance):
@@ -240,7 +266,11 @@
         return False
 
     def stop_process(self, process_id: int) -> str:
-        """Ask a process to end, and see that it does; "" or why it does not."""
+        """Send SIGTERM to a process and wait until it ends.
+
+        Returns:
+            "" or the reason why the process did not end.
+        """
         child = next((child for child in self.children if child.pid == process_id), None)
         try:
             os.kill(process_id, signal.SIGTERM)
@@ -259,7 +289,11 @@
         return f"process {process_id} does not end"
 
     def start_process(self, target: RouterTarget, folder: Path) -> str:
-        """Start a process that outlives this one; its log goes beside its configuration."""
+        """Start a process that outlives this one; its log file is in the folder of its configuration file.
+
+        Returns:
+            "" or the reason of the failure.
+        """
         config = Path(target.config_path).absolute()
         environment = {**os.environ, "ROUTER_CONFIG": str(config), "ROUTER_NAME": target.name}
         environment.pop("ROUTER_RULES", None)
@@ -283,5 +317,5 @@
 
 
 def driver_for(plan: RolloutPlan) -> RouterDriver:
-    """The driver that a plan names."""
+    """The driver for a plan: LocalProcessDriver if it has local builds, otherwise CommandDriver."""
     return LocalProcessDriver(plan) if plan.local_builds else CommandDriver(plan)
--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -1,11 +1,12 @@
-"""A rollout as JSON and back, so that another process can go on with it.  Pure.
+"""Conversion of a rollout to JSON and back, so that another process can continue it; without I/O.
 
-What is kept: each router's phase, since when, what it was at first, its last report and its baseline; the
-stage; the evidence of the judge.  What is not: requests of the slice under way, which are lost with the
-process; that is evidence less, never more.
+A snapshot contains each router's phase with its start, original digests, last report and baseline, the stage,
+and the evidence of the judge.  It does not contain the requests of the current interval.  They are lost
+with the process, which can only reduce the evidence.
 
-The keys are a stored form that earlier and later versions read: they keep their names whatever the code calls
-what they hold.  ``hold_cause``, ``memory`` and ``was`` are missing in snapshots of earlier versions.
+The keys are a stored form that earlier and later versions read.  They keep their names even where the code
+names the same value differently.  ``hold_cause``, ``memory`` and ``was`` are missing in snapshots of earlier
+versions.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 from kelpcroft.rollout.state import RolloutState, RouterState
 from kelpcroft.rollout.state_machine import Rollout
 
-VERSION = 1
+VERSION = 1  # of the stored form
 
 StoredSample = list[float]  # request count, requested weight, in-time weight
 StoredSamples = dict[str, StoredSample]  # by class
 
 
 class StoredReport(TypedDict):
-    """A router's last report."""
+    """Stored form of a router's last report."""
 
     instance: str
     digests: dict[str, str]
@@ -40,7 +41,7 @@
 
 
 class StoredRouter(TypedDict):
-    """One router.  Times are nanoseconds."""
+    """Stored form of one router.  Times are nanoseconds."""
 
     phase: str
     since: int
@@ -53,11 +54,11 @@
 
 
 class StoredRollout(TypedDict):
-    """A whole snapshot.  Times are nanoseconds.
+    """Stored form of a rollout.  Times are nanoseconds.
 
-    ``bets`` holds a row for each test: zone, class, both sides' logarithms of evidence by stake, slices,
-    the sum of differences, the verdict.  ``sides`` holds a row for each side of each comparison: zone,
-    class, whether it is the new one, its baseline.
+    ``bets`` has a row for each test: zone, class, the logarithms by stake of the evidence of a regression and
+    of that against one, the number of intervals, the sum of differences, the verdict.  ``sides`` has a row
+    for each side of each comparison: zone, class, whether it is the new side, its baseline.
     """
 
     v: int
@@ -76,7 +77,7 @@
 
 
 def to_snapshot(rollout: RolloutState) -> StoredRollout:
-    """All that is needed to go on."""
+    """Convert a rollout to the form from which ``from_snapshot`` restores it."""
     place = rollout.regression_place
     return {
         "v": VERSION,
@@ -145,14 +146,14 @@
 
 
 def from_snapshot(plan: RolloutPlan, raw: Mapping[str, Any]) -> Rollout:
-    """The rollout as it was left; ``resume_after_takeover`` gives it the time.
+    """Restore a rollout as of its last event; ``resume_after_takeover`` sets the current time.
 
     Args:
-        plan: The plan that the snapshot's rollout carries out.
-        raw: What ``to_snapshot`` gave, by way of JSON; its form is checked here.
+        plan: The plan that the snapshot's rollout executes.
+        raw: The result of ``to_snapshot``, decoded from JSON; its form is checked here.
 
     Raises:
-        SnapshotError: It is of another version, of other routers than the plan's, or broken.
+        SnapshotError: The snapshot has another version, has other routers than the plan, or is malformed.
     """
     try:
         _check_is_of_plan(plan, raw)
--- a/kelpcroft/rollout/stages.py
+++ b/kelpcroft/rollout/stages.py
@@ -1,7 +1,8 @@
-"""The way forward: stage after stage, within the plan's limits of unavailable routers.
+"""Progress of a rollout through its stages, within the plan's limits of unavailable routers.
 
-Nothing goes on without evidence.  A stage ends when every router of it is warm, its least time is over and
-harm is ruled out wherever an old router is left to compare with; past its most time the rollout is held.
+A stage ends only on evidence: all of its routers are warm, its minimum time is over, and a regression is
+ruled out wherever an old router is left to compare with.  After its maximum time without that, the rollout is
+held.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 from kelpcroft.rollout.phases import Phase, RolloutOutcome
 from kelpcroft.rollout.state import NO_STAGE, RolloutState, RouterState
 
-MAX_NAMES_SHOWN = 5  # routers that a reason names
+MAX_NAMES_SHOWN = 5  # routers whose names a reason lists
 
 
 def go_forward(state: RolloutState) -> None:
-    """Begin what the stage wants, and end the stage once all of it is shown to be well."""
+    """Begin the changes of the stage, and end the stage once the evidence suffices."""
     if state.stage_index == NO_STAGE:
         if not _has_baselines(state):
             return
@@ -36,9 +37,9 @@
 
 
 def _has_baselines(state: RolloutState) -> bool:
-    """Whether every router has reported, and baselines cover the time of the slowest signal.
+    """Whether every router has reported and the baselines cover the delay of the slowest signal.
 
-    Holds the rollout where a router has not reported by the time-out.
+    Holds the rollout if a router has not reported within the ready time-out.
     """
     waited_ns = state.now_ns - state.stage_since_ns
     without_report = sorted(name for name, router in state.routers.items() if router.last_report_ns < 0)
@@ -50,7 +51,7 @@
 
 
 def begin_stage(state: RolloutState, index: int) -> None:
-    """Enter a stage, with a new judge that knows what each side did before."""
+    """Enter a stage, with a new judge that has the baselines of both sides."""
     state.stage_index = index
     state.stage_since_ns = state.now_ns
     state.judge = RegressionJudge(state.plan.stop_criteria)
@@ -79,7 +80,7 @@
 
 
 def _begin_changes(state: RolloutState, stage_routers: list[RouterState]) -> None:
-    """Take routers of the stage out of service, as many as the limits allow."""
+    """Take as many routers of the stage out of service as the limits allow."""
     if unavailable_count(state) >= state.plan.max_unavailable:
         return
     for router in stage_routers:
@@ -95,7 +96,7 @@
 
 
 def _end_stage_if_decided(state: RolloutState, stage_routers: list[RouterState]) -> None:
-    """Accept the stage if harm is ruled out, or hold it where that has taken too long."""
+    """Accept the stage if a regression is ruled out; hold the rollout after the stage's maximum time."""
     stage = state.plan.stages[state.stage_index]
     warm_since_ns = max((router.phase_since_ns for router in stage_routers), default=state.now_ns)
     warm_ns = state.now_ns - warm_since_ns
@@ -115,7 +116,7 @@
 def _accept_stage(
     state: RolloutState, stage_routers: list[RouterState], required: frozenset[ZoneClass]
 ) -> None:
-    """End a stage that is good, and begin the next one if there is one."""
+    """End a stage without a regression, and begin the next one if there is one."""
     stage = state.plan.stages[state.stage_index]
     uncompared = sorted({router.zone for router in stage_routers} - {place.zone for place in required})
     remark = f"; nothing was left to compare with in {', '.join(uncompared)}" if uncompared else ""
--- a/kelpcroft/rollout/state.py
+++ b/kelpcroft/rollout/state.py
@@ -1,7 +1,8 @@
-"""The record of one run of a plan, and the changes to it that every part of the state machine uses.
+"""Record of one run of a plan, and the changes to it that several modules of the state machine make.
 
-``RolloutState`` owns the record and the effects of the event that is being handled.  What decides stands in
-the modules beside it, as functions that take the record.  Times are nanoseconds of the caller's clock.
+``RolloutState`` owns the record and the effects of the event that is being handled.  The decisions are
+functions in the other modules of this package, which take the record as an argument.  Times are nanoseconds
+of the controller's clock.
 """
 
 from __future__ import annotations
@@ -14,25 +15,25 @@
 from kelpcroft.rollout.phases import COMMAND_UNDER_WAY_PHASES, HoldCause, Phase, RolloutOutcome
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 
-NEVER_NS = -1  # a time that has not come yet
-NO_STAGE = -1  # of ``stage_index``: baselines are still being collected
+NEVER_NS = -1  # the time of an event that has not happened yet
+NO_STAGE = -1  # value of ``stage_index`` while baselines are still being collected
 
 
 @dataclass(slots=True)
 class RouterState:
-    """One router as the rollout knows it.
+    """State of one router in the rollout.
 
     Attributes:
-        target: What the plan says of it.
-        phase: Where it is.
+        target: Its entry in the plan.
+        phase: Its phase.
         phase_since_ns: When it entered the phase, or when the phase's deadline was restarted.
-        last_report_ns: When it reported last; NEVER_NS before the first report.
-        last_report: What it said then.
+        last_report_ns: When its last report arrived; NEVER_NS before the first one.
+        last_report: Its last report.
         original_digests: Its digests in its first report, before anything was changed.
-        invariant_baseline: Invariant violations above this count are the new build's.
-        instance_before_restart: The process that a control group's restart ends.
-        baseline: Requests by class while nothing was changed at it.
-        uncounted: Requests by class since the last slice.
+        invariant_baseline: Invariant violations above this count are attributed to the new build.
+        instance_before_restart: The process instance that a control group's restart ends.
+        baseline: Requests by class while it waited unchanged.
+        uncounted: Requests by class since the last interval ended.
     """
 
     target: RouterTarget
@@ -57,31 +58,32 @@
         return self.target.zone
 
     def report_in_phase(self) -> RouterReport | None:
-        """Its last report, if it came since the phase began: an older one says nothing of the phase."""
+        """Its last report if that arrived since the phase began; an older one does not describe the phase."""
         return self.last_report if self.last_report_ns >= self.phase_since_ns else None
 
 
 class RolloutState:
-    """One run of a plan.
+    """Record of one run of a plan.
 
     Attributes:
-        plan: What is carried out.
-        now_ns: The time of the last event; never runs back.
-        routers: By name, in the plan's order.
+        plan: The plan that is executed.
+        now_ns: The time of the last event; it never decreases.
+        routers: The routers by name, in the plan's order.
         stages: The routers of each stage of the plan.
-        stage_index: The stage under way, or NO_STAGE.
-        stage_since_ns: When it began, or a hold in it ended.
-        outcome: Where the whole is.
-        reason: Why it is held or taken back.
-        hold_cause: How a hold ends.
-        judge: The comparisons of the stage; after a rollback, of the routers that were taken back.
-        last_poll_ns: When routers were asked last.
-        last_slice_ns: When the last slice of time ended.
-        listening_since_ns: Since when this process polls; before that, silence is nobody's fault.
-        old_peak_memory_kb: The most memory that a router of the old build has had.
-        regression_place: The comparison that stopped the rollout.
-        rolled_back_ns: Since when all routers are taken back, or NEVER_NS.
-        effects: Of the event that is being handled, in their order.
+        stage_index: The index of the current stage, or NO_STAGE.
+        stage_since_ns: When the stage began, or when the last hold in it ended.
+        outcome: The outcome of the run so far.
+        reason: Why the run is held or rolled back.
+        hold_cause: Decides how a hold ends.
+        judge: The comparisons of the stage; after a rollback, those of the routers that were rolled back.
+        last_poll_ns: When the routers were last polled.
+        last_slice_ns: When the last interval of comparison ended.
+        listening_since_ns: Since when this process polls without a stall; earlier silence of a router does
+            not count.
+        old_peak_memory_kb: The highest peak memory that a router of the old build has reported.
+        regression_place: The comparison that stopped the rollout; None where no comparison did.
+        rolled_back_ns: Since when all routers are rolled back, or NEVER_NS.
+        effects: The effects of the event that is being handled, in order.
     """
 
     def __init__(self, plan: RolloutPlan, now_ns: int) -> None:
@@ -106,41 +108,41 @@
     # Effects and phases -----------------------------------------------------------------------------------
 
     def add_history(self, name: str, text: str, **figures: object) -> None:
-        """Add an entry of the history to the effects."""
+        """Add a history entry to the effects."""
         self.effects.append(HistoryEntry(name, text, figures))
 
     def send(self, router: RouterState, kind: CommandKind) -> None:
-        """Add a command to a router to the effects."""
+        """Add a command for a router to the effects."""
         self.effects.append(RouterCommand(router.name, kind))
 
     def enter(self, router: RouterState, phase: Phase) -> None:
-        """Move a router to a phase; its time there begins now."""
+        """Move a router to a phase; its time in the phase begins now."""
         router.phase = phase
         router.phase_since_ns = self.now_ns
         if router.last_report is None:
             return
         if phase is Phase.WARMING_UP:
-            router.invariant_baseline = 0  # the new build's own: it counts from its start
+            router.invariant_baseline = 0  # the new process counts violations from its start
         elif phase is Phase.ROLLED_BACK:
             router.invariant_baseline = router.last_report.invariant_violations
 
     def restart_deadlines(self) -> None:
-        """Give each step under way its whole time again: nobody looked meanwhile."""
+        """Restart the deadline of each command in progress, because no reports were processed meanwhile."""
         for router in self.routers.values():
             if router.phase in COMMAND_UNDER_WAY_PHASES:
                 router.phase_since_ns = self.now_ns
 
-    # What ends, holds or continues the run ----------------------------------------------------------------
+    # Holding, resuming and rolling back -------------------------------------------------------------------
 
     def hold(self, reason: str, cause: HoldCause = HoldCause.PEOPLE) -> None:
-        """Begin nothing new until the cause is over."""
+        """Hold the rollout: no new change begins until the hold ends."""
         self.outcome = RolloutOutcome.HELD
         self.reason = reason
         self.hold_cause = cause
         self.add_history("held", reason, **self.judge.figures())
 
     def end_hold(self, text: str) -> None:
-        """Go on; the stage has its whole time again."""
+        """Resume the rollout; the stage's time starts again."""
         self.outcome = RolloutOutcome.RUNNING
         self.reason = ""
         self.stage_since_ns = self.now_ns
@@ -148,13 +150,13 @@
         self.add_history("resumed", text)
 
     def start_rollback(self, reason: str) -> None:
-        """Begin to take back all that was changed."""
+        """Begin to change every changed router back to the old build."""
         self.outcome = RolloutOutcome.ROLLING_BACK
         self.reason = reason
         self.add_history("reverting", f"taken back: {reason}")
 
     def stop(self, name: str, reason: str, figures: Mapping[str, object]) -> None:
-        """Harm is shown: take the change back, or hold it for people, as the plan says."""
+        """React to a regression: roll back, or hold for the operators, as the plan says."""
         self.add_history(name, reason, **figures)
         if self.plan.rolls_back_on_harm:
             self.start_rollback(reason)
@@ -162,12 +164,15 @@
             self.hold(reason)
 
     def report_harm(self, router: RouterState, name: str, reason: str) -> None:
-        """Stop for a sign that needs no statistics, unless the rollout is over or going back."""
+        """Stop for a regression that needs no statistics, unless the rollout is over or rolling back."""
         if self.outcome in (RolloutOutcome.RUNNING, RolloutOutcome.HELD):
             self.stop(name, reason, {"router": router.name})
 
     def escalate(self, router: RouterState, finding: str) -> None:
-        """Ask people, once: a router does not go on and no harm is shown."""
+        """Request an operator's intervention, once, for a router that is stuck without showing a regression.
+
+        A running rollout is held.  A rollback continues, and its reason and history name the router.
+        """
         reason = f"{router.name} {finding}"
         if self.outcome is RolloutOutcome.RUNNING:
             self.hold(reason)
--- a/kelpcroft/rollout/state_machine.py
+++ b/kelpcroft/rollout/state_machine.py
@@ -1,18 +1,19 @@
-"""The state machine of a rollout: events and the time in, effects out.
-
-It keeps, at every instant:
-
-- one change under way at a router, and no more routers unavailable than the plan's limits, in all and per
-  zone;
-- nothing is concluded from an answer that did not come: where a step's end was not reported, the router's own
-  digests show what it is; a router that does not answer is unknown, never good;
-- nothing goes on without evidence: a stage ends when every router of it is warm, its least time is over and
-  harm is ruled out wherever an old router is left to compare with; past its most time it is held;
-- every run ends, or is held with what is missing named.
-
-A router is known by its ``RouterReport``s, cumulative counters of one process instance.  A new instance
-that no command asked for is a crash; counters that fall under the same instance are a contradiction and say
-nothing.
+"""State machine of a rollout: takes events and the time, returns effects.
+
+Its invariants at every instant:
+
+- a router has at most one change in progress, and a change begins only within the plan's limits of
+  unavailable routers, in total and per zone;
+- a missing response proves nothing: where the end of a step was not reported, the digests that the router
+  reports show which build it runs; a router that does not respond is unknown and never counts as good;
+- a rollout proceeds only on evidence: a stage ends when all of its routers are warm, its minimum time is over
+  and a regression is ruled out wherever an old router is left to compare with; after its maximum time without
+  a verdict the rollout is held;
+- every run ends, or it is held with a reason that names the missing evidence or routers.
+
+The state machine receives ``RouterReport``s of each router, which hold cumulative counters of one process
+instance.  A new instance that no command caused is a crash.  Counters that decrease within one instance are a
+contradiction, and the report is discarded.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 from kelpcroft.rollout.state import NO_STAGE, RolloutState
 from kelpcroft.rollout.transitions import advance
 
-COMMANDS_SENT_AGAIN = {  # after a take-over: these do no harm twice
+COMMANDS_SENT_AGAIN = {  # after a takeover, by phase: all of them are idempotent
     Phase.DRAINING: CommandKind.DRAIN,
     Phase.ROLLBACK_DRAINING: CommandKind.DRAIN,
     Phase.CONTROL_DRAINING: CommandKind.DRAIN,
@@ -42,7 +43,7 @@
     Phase.ROLLED_BACK: CommandKind.ENABLE,
     Phase.CONTROL: CommandKind.ENABLE,
 }
-REPEATABLE_COMMANDS = {  # the operators' tool has to say that these do no harm twice
+REPEATABLE_COMMANDS = {  # sent again as well where the plan declares that they are idempotent
     Phase.CHANGING: CommandKind.APPLY,
     Phase.ROLLING_BACK: CommandKind.UNDO,
     Phase.CONTROL_RESTARTING: CommandKind.RESTART,
@@ -50,21 +51,21 @@
 
 
 class Rollout(RolloutState):
-    """One run of a plan.
+    """State machine of one run of a plan.
 
     Once it is created, or restored by ``snapshot.from_snapshot``, only ``handle`` and
     ``resume_after_takeover`` change it.
     """
 
     def handle(self, now_ns: int, event: Event) -> list[Effect]:
-        """Take one event.
+        """Handle one event.
 
         Args:
-            now_ns: The time.  It never runs back: an earlier one counts as the last.
-            event: What happened.
+            now_ns: The current time.  A time before that of the previous event is replaced by the latter.
+            event: The event.
 
         Returns:
-            What is to be done and written, in this order.
+            The commands to send and the history entries to write, in this order.
         """
         stood_still = now_ns - self.now_ns > self.plan.poll_interval_ns
         self._begin_event(now_ns)
@@ -74,31 +75,32 @@
             record_report(self, event)
         elif isinstance(event, OperatorCommand):
             self._handle_operator_command(event)
-        # Steps are Tick's: after each report they would look at every router for each router that reports.
+        # Reports do not trigger a step: each step examines every router, so a step for each report would
+        # cost time quadratic in the number of routers.  The controller sends a Tick in every iteration.
         if not isinstance(event, RouterReport | NoAnswer) and not self.outcome.is_final:
             self._poll_if_due()
             self._step()
         return self.effects
 
     def resume_after_takeover(self, now_ns: int, repeat: bool) -> list[Effect]:
-        """Go on after another process has led: its last commands may never have gone out.
+        """Continue a rollout that a predecessor has led; its last commands may not have been sent.
 
-        Commands that do no harm twice go out again.  A change that may not be repeated does not: the
-        router's own digests show what became of it, or its time-out decides.
+        Idempotent commands are sent again.  A change that must not be repeated is not sent again: the digests
+        that the router reports show whether it took effect, or the time-out of its phase expires.
 
         Args:
-            now_ns: The time.
-            repeat: Whether the operators' tool may be run twice.
+            now_ns: The current time.
+            repeat: Whether the operators' tool may be run twice for the same change.
 
         Returns:
-            What is to be done and written, in this order.
+            The commands to send and the history entries to write, in this order.
         """
         left_ns = self.now_ns
         self._begin_event(now_ns)
         self.last_poll_ns = self.now_ns - self.plan.poll_interval_ns
         self.listening_since_ns = self.now_ns
         if self.stage_index == NO_STAGE:
-            self.stage_since_ns += self.now_ns - left_ns  # nobody was listened to meanwhile
+            self.stage_since_ns += self.now_ns - left_ns  # no baseline was collected meanwhile
         self.restart_deadlines()
         again = COMMANDS_SENT_AGAIN | (REPEATABLE_COMMANDS if repeat else {})
         for router in self.routers.values():
@@ -115,19 +117,20 @@
         self.effects = []
 
     def _restart_listening(self) -> None:
-        """Start to listen from now on, as this process stood still for longer than a polling interval.
+        """Restart the measurement of silence after a process stall longer than a polling interval.
 
-        It polled nobody meanwhile, so that time is not the routers' silence.  Answers that waited here are
-        from before the pause: they do not count as answers since, so listening begins one nanosecond later.
+        This process polled no router during the stall, so that time does not count as silence of the routers.
+        Responses that are still queued date from before the stall.  Listening therefore begins one nanosecond
+        after now, so that they do not count as recent reports.
         """
         self.listening_since_ns = self.now_ns + 1
         self.last_poll_ns = self.now_ns - self.plan.poll_interval_ns
         self.restart_deadlines()
 
     def _handle_operator_command(self, command: OperatorCommand) -> None:
-        """Do what people order, where the rollout stands so that it can be done.
+        """Execute an operator's command if it applies to the present outcome; otherwise ignore it.
 
-        A hold for silence that is ordered as well no longer ends by itself.
+        HOLD during a hold for silence turns it into an operators' hold, which only a command ends.
         """
         is_running = self.outcome is RolloutOutcome.RUNNING
         is_held = self.outcome is RolloutOutcome.HELD
@@ -140,13 +143,13 @@
                 self.start_rollback("ordered")
 
     def _poll_if_due(self) -> None:
-        """Ask every router, once in a polling interval."""
+        """Poll every router once per polling interval."""
         if self.now_ns - self.last_poll_ns >= self.plan.poll_interval_ns:
             self.last_poll_ns = self.now_ns
             self.effects += [RouterCommand(name, CommandKind.POLL) for name in self.routers]
 
     def _step(self) -> None:
-        """Do all that can go on now."""
+        """Execute every transition that is possible now."""
         close_slice(self)
         for router in self.routers.values():
             advance(self, router)
@@ -157,7 +160,7 @@
             go_back(self)
 
     def _hold_or_resume_for_silence(self) -> None:
-        """Hold the rollout while more routers are silent than the plan allows."""
+        """Hold the rollout while more routers are silent than the plan allows, and resume it afterwards."""
         unknown = sorted(name for name, router in self.routers.items() if is_unknown(self, router))
         if self.outcome is RolloutOutcome.RUNNING and len(unknown) > self.plan.max_unknown:
             self.hold(
--- a/kelpcroft/rollout/transitions.py
+++ b/kelpcroft/rollout/transitions.py
@@ -1,10 +1,11 @@
-"""One router's way from phase to phase through what was begun at it.
-
-A change goes DRAINING, CHANGING, WARMING_UP, COMPARED and, with its stage, ACCEPTED; a rollback goes
-ROLLBACK_DRAINING, ROLLING_BACK, ROLLED_BACK; a router of the control group goes CONTROL_DRAINING,
-CONTROL_RESTARTING, CONTROL.  A step is over when the router itself says so, in a report from after the
-phase began; a command that was sent proves nothing.  A step that takes longer than its time-out is harm if
-the new build is at fault, else it is for people (``RolloutState.escalate``).
+"""Transitions of one router from phase to phase while a change, rollback or restart is in progress.
+
+A change passes through DRAINING, CHANGING, WARMING_UP, COMPARED and, at the end of its stage, ACCEPTED.  A
+rollback passes through ROLLBACK_DRAINING, ROLLING_BACK, ROLLED_BACK.  A router of the control group passes
+through CONTROL_DRAINING, CONTROL_RESTARTING, CONTROL.  A phase ends when the router itself reports the
+expected state in a report that arrived after the phase began; a command that was sent proves nothing.  A
+phase that exceeds its time-out is a regression if the new build causes the delay; otherwise an operator has
+to intervene (``RolloutState.escalate``).
 """
 
 from __future__ import annotations
@@ -17,14 +18,15 @@
 from kelpcroft.rollout.phases import NEW_BUILD_PHASES, Phase
 from kelpcroft.rollout.state import RolloutState, RouterState
 
-SPARE_MEMORY_KB = 16 * 1024  # a process may have so much more than the old in any case
+SPARE_MEMORY_KB = 16 * 1024  # kB that a new process may have above the plan's ratio of the old peak
 
-# A step's function is given the router's report if it came since the phase began.
+# Handles a router in one phase; takes the router's last report if that arrived since the phase began, or
+# None.
 Step = Callable[[RolloutState, RouterState, RouterReport | None], None]
 
 
 def advance(state: RolloutState, router: RouterState) -> None:
-    """Take one router as far as it can go now."""
+    """Move one router to its next phase if the conditions are met."""
     report = router.report_in_phase()
     step = STEPS.get(router.phase)
     if step is not None:
@@ -34,7 +36,7 @@
 
 
 def _is_overdue(state: RolloutState, router: RouterState) -> bool:
-    """Whether a router has been in its phase for longer than a step may take."""
+    """Whether a router has been in its phase for longer than the plan's ready time-out."""
     return state.now_ns - router.phase_since_ns > state.plan.ready_timeout_ns
 
 
@@ -47,7 +49,7 @@
 
 
 def _step_draining(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
-    """Order the change once clients are gone."""
+    """Command the change once the router is out of service."""
     if _has_left_service(report):
         state.enter(router, Phase.CHANGING)
         state.send(router, CommandKind.APPLY)
@@ -56,9 +58,9 @@
 
 
 def _step_rollback_draining(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
-    """Order the old build once clients are gone, or at once where the router is silent.
+    """Command the change back once the router is out of service, or immediately if the router is silent.
 
-    One that died in its change has nobody to let go, and what ran there is to run again.
+    A router that crashed during its change has no clients to drain, and the old build has to run there again.
     """
     if _has_left_service(report) or is_unknown(state, router):
         state.enter(router, Phase.ROLLING_BACK)
@@ -68,7 +70,7 @@
 
 
 def _step_control_draining(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
-    """Order the restart of a router of the control group once clients are gone."""
+    """Command the restart of a router of the control group once it is out of service."""
     if report is not None and not report.in_service:
         router.instance_before_restart = report.instance
         state.enter(router, Phase.CONTROL_RESTARTING)
@@ -78,7 +80,7 @@
 
 
 def _step_control_restarting(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
-    """Put a restarted router back in service, to be compared with."""
+    """Put a restarted router back in service, so that new routers can be compared with it."""
     if (
         report is not None
         and report.ready
@@ -92,12 +94,12 @@
 
 
 def _missing_after_start(report: RouterReport | None) -> str:
-    """What a router that was started lacks."""
+    """Why a router that was started does not count as ready: not ready, or not the expected build."""
     return "says that it is something else" if _is_ready(report) else "is not ready"
 
 
 def _step_changing(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
-    """Put a changed router in service once it is ready; one that is not in time is harm."""
+    """Put a changed router in service once it is ready; exceeding the time-out is a regression."""
     if _is_ready(report) and reports_new_build(state, router):
         state.enter(router, Phase.WARMING_UP)
         state.send(router, CommandKind.ENABLE)
@@ -116,10 +118,11 @@
 
 
 def _step_warming_up(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
-    """Compare a router once it is warm."""
+    """Begin to compare a router once it is warm."""
     silent = is_unknown(state, router)
     if silent and _silent_ns(state, router) > state.plan.ready_timeout_ns:
-        # Dead or out of reach, which no answer tells: people are asked, and the stage does not hang.
+        # A missing response does not distinguish a crash from a network failure.  An operator has to
+        # intervene, since otherwise the stage would wait forever.
         state.escalate(router, "has not answered since its change")
     elif report is None:
         return
@@ -128,25 +131,25 @@
             state.report_harm(router, "not-ready", f"{router.name} is not ready in time in service")
     elif not silent and state.now_ns - router.phase_since_ns >= state.plan.warm_up_ns:
         if not control_group(state):
-            router.uncounted.clear()  # of its cold time, which nothing as cold is compared with
+            router.uncounted.clear()  # requests while it was cold; no equally cold router is there to compare
         state.enter(router, Phase.COMPARED)
 
 
 def _silent_ns(state: RolloutState, router: RouterState) -> int:
-    """How long a router has not answered this process."""
+    """For how long this process has had no report from a router."""
     return state.now_ns - max(router.last_report_ns, state.listening_since_ns)
 
 
 def _step_new_build_in_service(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
-    """Watch that a router stays what it was changed to."""
+    """Report a regression if a changed router no longer reports the new build."""
     if report is not None and not reports_new_build(state, router):
         state.report_harm(router, "wrong-digest", f"{router.name} says that it is something else")
 
 
 def _check_memory(state: RolloutState, router: RouterState, report: RouterReport) -> None:
-    """Harm where a new process's peak exceeds what the old build's peak allows.
+    """Report a regression if a new process's peak memory exceeds the limit derived from the old build's peak.
 
-    A peak never falls, so a leak is found when it passes the limit.
+    A peak never decreases, so a leak is detected as soon as it passes the limit.
     """
     if not state.old_peak_memory_kb:
         return
@@ -160,7 +163,7 @@
         )
 
 
-STEPS: Mapping[Phase, Step] = {  # the other phases end by their stage, or by the rollback
+STEPS: Mapping[Phase, Step] = {  # the other phases end at the end of their stage, or by the rollback
     Phase.DRAINING: _step_draining,
     Phase.CHANGING: _step_changing,
     Phase.WARMING_UP: _step_warming_up,
