--- a/kelpcroft/store/__init__.py
+++ b/kelpcroft/store/__init__.py
@@ -1,9 +1,10 @@
-"""What lasts on a disk where there is one, and the names by which a process is known.
+"""Stored data (if there is a disk), and digests that identify a process.
 
-Pure but for ``rollouts`` and for reading the program's own files.  Of the rest of kelpcroft it imports only
-the record of a rollout's history.  Start reading at ``handover``:
+The package performs no I/O except in ``rollouts`` and where ``identity`` reads the program's own files.  From
+the rest of kelpcroft it imports only the types of a rollout's history entries and snapshots.  Start reading
+at ``handover``:
 
-- ``handover``: the small file under ``$TMPDIR`` that one process of a router leaves for the next;
+- ``handover``: the small file under ``$TMPDIR`` that a process of a router leaves for its successor;
 - ``identity``: digests of a process's program, settings and operator's file;
-- ``rollouts``: the database of rollouts, for the command only.
+- ``rollouts``: the database of rollouts, which only the command line uses.
 """
--- a/kelpcroft/store/handover.py
+++ b/kelpcroft/store/handover.py
@@ -1,13 +1,16 @@
-"""The file that one process of a router leaves for the next: whether an operator has it out of service.
+"""Codec of the handover file, in which a process of a router leaves the service state for its successor.
 
-Pure: bytes in and out, and the time as an argument.  ``kelpcroft.net`` writes the file (whole, under another
-name, then renamed over the old one) and reads it once at the start of a process.
+The service state is whether an operator has taken the router out of service.  The functions here perform no
+I/O: they convert bytes and take the time as an argument.  ``kelpcroft.net`` writes the file (completely,
+under another name, then renamed over the old one).  It reads the file when a process starts, before it adds
+the end of a process, and to find out whether the predecessor has ended.
 
     {"v": 1, "name": "n3", "pid": 4711, "written_ms": 1764576000123, "service": "out",
      "since_ms": 1764575998000, "ended_ms": 1764576000123}
 
-``ended_ms`` is there once a process has ended beside another: after its last send.  Versions: fields that are
-not known are passed over, and a later version that this one can still read says so by ``"least": 1``.
+``ended_ms`` is present once a process has ended while another one of the router was running; it is set after
+the last send of the ended process.  Unknown fields are ignored.  A later version of the file declares
+with ``"least": 1`` that readers of version 1 can still use it.
 """
 
 from __future__ import annotations
@@ -18,49 +21,49 @@
 
 import orjson
 
-VERSION = 1
-MAX_FILE_BYTES = 4_096  # a larger file is not read
-MAX_AGE_NS = 3_600 * 10**9  # one written longer ago than this says nothing of the router now
-MAX_CLOCK_STEP_MS = 1_000  # one written so far in the future still counts
-MAX_SHOWN_CHARACTERS = 20  # of a value that cannot be used
-MAX_SHOWN_NAME_CHARACTERS = 40
+VERSION = 1  # of the file
+MAX_FILE_BYTES = 4_096  # a larger file is rejected
+MAX_AGE_NS = 3_600 * 10**9  # an older file no longer describes the router and is rejected
+MAX_CLOCK_STEP_MS = 1_000  # a file written this far in the future is still accepted, as after a clock step
+MAX_SHOWN_CHARACTERS = 20  # of an unusable value that a message shows
+MAX_SHOWN_NAME_CHARACTERS = 40  # of another router's name that a message shows
 NS_PER_MS = 1_000_000
 NS_PER_S = 10**9
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverRecord:
-    """What the last process of this router said when it last changed its state of service.
+    """Content of the handover file: the service state that the last process of this router recorded.
 
-    Times are Unix ns.
+    Times are Unix nanoseconds.
     """
 
     in_service: bool
-    since_ns: int  # when that state began
+    since_ns: int  # when the service state began
     written_ns: int
     pid: int
-    ended_ns: int = 0  # when a process of this router last ended beside another; 0 = not told
+    ended_ns: int = 0  # when a process last ended while another one was running; 0 = not recorded
 
 
 class UnusableFileError(ValueError):
-    """The file is not taken; the text says why, to go after the file's path."""
+    """The file is rejected; the message gives the reason and is to be shown after the file's path."""
 
 
 def file_path(folder: str, name: str) -> str:
-    """Where the file of a router lies; names are the platform's and have no slash."""
+    """The path of a router's handover file; names come from the platform, and a slash in one is replaced."""
     return f"{folder.rstrip('/')}/kelpcroft-{name.replace('/', '_')}.json"
 
 
 def encode(name: str, pid: int, now_ns: int, in_service: bool, since_ns: int, ended_ns: int = 0) -> bytes:
-    """The file's bytes.
+    """Encode the file's content.
 
     Args:
-        name: the router's.
-        pid: of the process that writes.
-        now_ns: Unix ns, as ``since_ns`` and ``ended_ns``.
-        in_service: no operator has it out of service.
-        since_ns: when that state began.
-        ended_ns: when a process of this router ended beside another; 0 = not told.
+        name: The name of the router.
+        pid: The id of the process that writes.
+        now_ns: The current time in Unix nanoseconds, as are ``since_ns`` and ``ended_ns``.
+        in_service: Whether the router is in service; False if an operator has taken it out.
+        since_ns: When the service state began.
+        ended_ns: When a process of this router ended while another one was running; 0 = not recorded.
     """
     record: dict[str, object] = {
         "v": VERSION,
@@ -76,10 +79,10 @@
 
 
 def decode(data: bytes, name: str, now_ns: int) -> tuple[HandoverRecord | None, str]:
-    """What the file says, or None and why it is not taken.
+    """Decode the file: its record and "", or None and the reason why it is rejected.
 
-    That is: too large, not JSON, an unknown version, another router's, a field missing or of the wrong type,
-    written in the future or too long ago.
+    Reasons are: the file is too large, is not JSON, has an unknown version, is another router's, lacks a
+    field or has one of the wrong type, or was written in the future or too long ago.
     """
     try:
         return parse(data, name, now_ns), ""
@@ -88,7 +91,11 @@
 
 
 def parse(data: bytes, name: str, now_ns: int) -> HandoverRecord:
-    """What the file says.  Raises UnusableFileError."""
+    """Decode the file.
+
+    Raises:
+        UnusableFileError: The file is rejected.
+    """
     raw = parse_object(data)
     check_version(raw)
     if raw.get("name") != name:
@@ -110,7 +117,11 @@
 
 
 def parse_object(data: bytes) -> dict[str, Any]:
-    """The file's JSON object."""
+    """Decode the file's JSON object.
+
+    Raises:
+        UnusableFileError: The file is too large, or is not a JSON object.
+    """
     if len(data) > MAX_FILE_BYTES:
         raise UnusableFileError(f"is over {MAX_FILE_BYTES} bytes")
     try:
@@ -123,7 +134,7 @@
 
 
 def check_version(raw: dict[str, Any]) -> None:
-    """Refuse a version that this one cannot read."""
+    """Raise UnusableFileError for a version that this reader does not support."""
     version = raw.get("v")
     least = raw.get("least", version)
     is_later = isinstance(version, int) and not isinstance(version, bool) and version >= VERSION
@@ -133,7 +144,7 @@
 
 
 def check_fields(raw: dict[str, Any]) -> None:
-    """Refuse a field that is missing or of the wrong type."""
+    """Raise UnusableFileError for a field that is missing, of the wrong type or out of range."""
     for key in ("pid", "written_ms", "since_ms"):
         value = raw.get(key)
         if isinstance(value, bool) or not isinstance(value, int) or value < 0:
@@ -146,5 +157,5 @@
 
 
 def unusable_field(key: str, value: object, reason: str) -> UnusableFileError:
-    """The error for a field that cannot be used."""
+    """The error for an unusable field."""
     return UnusableFileError(f"{key}: {str(value)[:MAX_SHOWN_CHARACTERS]!r} is {reason}")
--- a/kelpcroft/store/identity.py
+++ b/kelpcroft/store/identity.py
@@ -1,6 +1,7 @@
-"""What a process is: digests of its program, settings and operator's file.
+"""Digests that identify a process: those of its program, settings and operator's file.
 
-Bytes in, names out; the reading of the program's own files is at the end, for the edge.
+All functions compute from their arguments without I/O, except ``program_digest``, which reads the program's
+files.
 """
 
 from __future__ import annotations
@@ -14,24 +15,24 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-DIGEST_BYTES = 8
-NAME_LENGTH_BYTES = 4
-SIZE_BYTES = 8
-PROGRAM_SUFFIXES = (".py", ".so")
-ROUTER_KEYS = ("az", "self_index")  # keys of the settings that are one router's own
-MAX_PROGRAM_FILES = 2_000  # more are a wrong folder
+DIGEST_BYTES = 8  # length of a digest
+NAME_LENGTH_BYTES = 4  # length of the field that precedes a file's name and holds its length in characters
+SIZE_BYTES = 8  # length of the field that precedes a file's content and holds its size in bytes
+PROGRAM_SUFFIXES = (".py", ".so")  # files that belong to the program
+ROUTER_KEYS = ("az", "self_index")  # settings keys that differ between the routers of a fleet
+MAX_PROGRAM_FILES = 2_000  # files that are read; a folder with more is not the program's
 
 
 def hex_digest(data: bytes) -> str:
-    """16 hex digits of BLAKE2b."""
+    """BLAKE2b digest of 8 bytes, as 16 hexadecimal digits."""
     return blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def settings_digest(settings: Any) -> str:
-    """Of settings, whatever the order of their keys.
+    """Digest of settings, independent of the order of their keys.
 
-    What says where a router stands among others is left out: all routers of a fleet that have the same
-    settings tell the same, and a change can name it.
+    The keys that differ between the routers of a fleet are left out, so that all of its routers with
+    otherwise equal settings report the same digest, which a rollout plan can name.
     """
     if isinstance(settings, dict):
         settings = {key: value for key, value in settings.items() if key not in ROUTER_KEYS}
@@ -39,7 +40,7 @@
 
 
 def files_digest(files: Iterable[tuple[str, bytes]]) -> str:
-    """Of a program's files, by their names and contents, in any order."""
+    """Digest of a program's files by their names and contents, independent of their order."""
     digest = blake2b(digest_size=DIGEST_BYTES)
     for name, data in sorted(files):
         digest.update(len(name).to_bytes(NAME_LENGTH_BYTES, "big") + name.encode())
@@ -48,7 +49,7 @@
 
 
 def program_digest(package: Path) -> str:
-    """Of a package as it stands, compiled or not.  Empty where it cannot be read."""
+    """Digest of a package's files on disk, compiled or not; "" if they cannot be read."""
     try:
         found = [path for path in package.rglob("*") if path.suffix in PROGRAM_SUFFIXES]
         return files_digest(
--- a/kelpcroft/store/rollouts.py
+++ b/kelpcroft/store/rollouts.py
@@ -1,12 +1,13 @@
-"""Rollouts on a disk: one SQLite file that a controller and those who look share.
+"""Database of rollouts: one SQLite file that a controller shares with the commands that read it.
 
-A run's snapshot and the history entries of a step are one transaction, committed before any of the step's
-commands goes out (write-ahead log, ``synchronous=FULL``: what was committed is there after a power cut).  A
-controller has a lease and renews it with every step; a step is committed only under a lease that has not
-ended, so of two controllers one cannot act.  Times are Unix nanoseconds of the caller.
+A run's snapshot and the history entries of a step are one transaction.  It is committed before any command of
+the step is sent (with write-ahead log and ``synchronous=FULL``, so that a committed step survives a power
+failure).  A controller holds a lease and renews it with every committed step.  A step is committed only under
+a lease that has not expired, so of two controllers only one can act.  Times are Unix nanoseconds, given by
+the user of the store.
 
 Tables, columns and the snapshot's keys are a stored form that earlier and later versions read.  The table
-``word`` holds the commands of people until a controller takes them up.
+``word`` holds the commands of operators until a controller handles them.
 """
 
 from __future__ import annotations
@@ -31,16 +32,19 @@
 create table if not exists word (
     run integer not null references run(id), at integer not null, verb text not null);
 """
-LEASE_NS = 15 * 10**9
-BUSY_TIMEOUT_S = 5.0  # how long a writer waits for another
+LEASE_NS = 15 * 10**9  # duration of a lease from its last renewal
+BUSY_TIMEOUT_S = 5.0  # how long a writer waits for another one's transaction
 
 
 class LeaseLostError(RuntimeError):
-    """Another controller leads this run, or this one stood still for too long: it may order nothing more.
+    """The lease of a run is not held, or a run that is not over prevents a new one.
+
+    Another controller leads the run, or the lease expired because this controller had a process stall or was
+    too slow.  The controller must not send any more commands.
 
     Attributes:
         path: The store's file.
-        run_id: The run that another leads, or that stands in the way of a new one.
+        run_id: The run that another controller leads, or that prevents a new one.
     """
 
     def __init__(self, message: str, *, path: str, run_id: int) -> None:
@@ -51,16 +55,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRun:
-    """A run as it was last committed.
+    """A run as of its last commit.
 
     Attributes:
-        id: Its number in the file.
+        id: The run's number in the file.
         plan: The bytes of its rollout file.
         began_ns: When it was created.
-        snapshot: Its state machine.
+        snapshot: The snapshot of its state machine.
         outcome: A value of ``RolloutOutcome``.
-        owner: The controller that leads it, or led it last; "" before the first.
-        lease_ns: Until when the owner's lease lasts; 0 = it was given back.
+        owner: The controller that leads it or led it last; "" before the first.
+        lease_ns: When the owner's lease expires; 0 = released, or never acquired.
     """
 
     id: int
@@ -73,10 +77,10 @@
 
 
 class PendingCommand(NamedTuple):
-    """One command that people have ordered and no step has taken up yet.
+    """Command of an operator that no step has handled yet.
 
     Attributes:
-        number: Grows with each command of a file.
+        number: Orders the commands; a later command has a greater number.
         verb: A value of ``OperatorCommand``, or ``stop``.
     """
 
@@ -85,7 +89,7 @@
 
 
 class HistoryRow(TypedDict):
-    """One decision, as ``kelpcroft rollout history --format json`` prints it."""
+    """One history entry, as ``kelpcroft rollout history --format json`` prints it."""
 
     at_ns: int
     name: str
@@ -94,7 +98,7 @@
 
 
 class RolloutStore:
-    """The file.  One for each process; ``close`` it."""
+    """Connection to the database file.  Each process opens its own and calls ``close`` in the end."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -111,7 +115,7 @@
         """Add a new run.
 
         Returns:
-            Its number.
+            The number of the run.
 
         Raises:
             LeaseLostError: Another run is not over.
@@ -129,7 +133,7 @@
             return int(cursor.lastrowid or 0)
 
     def newest_run(self) -> StoredRun | None:
-        """The newest run, or None where there is none."""
+        """The newest run, or None if there is none."""
         row = self.database.execute(
             "select id, plan, began, snapshot, outcome, owner, lease from run order by id desc limit 1"
         ).fetchone()
@@ -139,10 +143,10 @@
         return StoredRun(run_id, plan, began_ns, orjson.loads(snapshot), outcome, owner, lease_ns)
 
     def acquire_lease(self, run_id: int, owner: str, now_ns: int) -> None:
-        """Take a run's lease, if nobody has it or it has ended.
+        """Acquire a run's lease if it is free, has expired, or is held by the same owner.
 
         Raises:
-            LeaseLostError: Another controller has it.
+            LeaseLostError: Another controller holds the lease.
         """
         updated = self.database.execute(
             "update run set owner = ?, lease = ? where id = ? and (owner = ? or lease < ?)",
@@ -161,19 +165,19 @@
         entries: Iterable[HistoryEntry],
         last_command_number: int = 0,
     ) -> None:
-        """Commit one step as a whole, or nothing of it, and renew the lease.
+        """Commit one step atomically and renew the lease.
 
         Args:
-            run_id: Of the run.
-            owner: Who leads it.
-            now_ns: The time.
-            snapshot: The state machine after the step.
-            outcome: Its outcome.
-            entries: What the history gets.
-            last_command_number: Commands of people up to this number were taken up in the step; 0 = none.
+            run_id: The number of the run.
+            owner: The controller that leads the run.
+            now_ns: The current time.
+            snapshot: The snapshot of the state machine after the step.
+            outcome: The outcome after the step.
+            entries: The history entries of the step.
+            last_command_number: Operators' commands up to this number were handled in the step; 0 = none.
 
         Raises:
-            LeaseLostError: The lease has ended; then none of the step's commands may go out.
+            LeaseLostError: The lease has expired; none of the step's commands may be sent.
         """
         with Transaction(self.database):
             updated = self.database.execute(
@@ -195,20 +199,20 @@
         self.database.executemany("insert into history values (?, ?, ?, ?, ?)", rows)
 
     def release_lease(self, run_id: int, owner: str) -> None:
-        """Give the lease back."""
+        """Release the lease."""
         self.database.execute("update run set lease = 0 where id = ? and owner = ?", (run_id, owner))
 
     def add_operator_command(self, run_id: int, now_ns: int, verb: str) -> None:
-        """Leave what people order; the controller takes it up in its next turn."""
+        """Store an operator's command; the controller handles it in its next iteration."""
         self.database.execute("insert into word values (?, ?, ?)", (run_id, now_ns, verb))
 
     def pending_operator_commands(self, run_id: int) -> list[PendingCommand]:
-        """What people have ordered and no step has taken up yet, in their order."""
+        """The commands of operators that no step has handled yet, in order."""
         rows = self.database.execute("select rowid, verb from word where run = ? order by rowid", (run_id,))
         return [PendingCommand(number, verb) for number, verb in rows]
 
     def history(self, run_id: int) -> list[HistoryRow]:
-        """Every decision of a run, with the figures that it was made on."""
+        """All history entries of a run, with the figures on which the decisions were based."""
         rows = self.database.execute(
             "select at, name, text, figures from history where run = ? order by rowid", (run_id,)
         )
@@ -223,7 +227,10 @@
 
 
 class Transaction:
-    """All or nothing, begun at once so that of two writers the second waits."""
+    """Write transaction that is rolled back after an error.
+
+    It takes the write lock when it begins, so that of two writers the second one waits.
+    """
 
     def __init__(self, database: sqlite3.Connection) -> None:
         self.database = database
