--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -1,4 +1,7 @@
-"""The controller in virtual time: killed between any two effects, stopped past its lease, and its hands."""
+"""Tests of the controller in virtual time, of its drivers with real processes, and of placements.
+
+The controller is killed between any two effects and stalled past the end of its lease.
+"""
 
 from __future__ import annotations
 
@@ -40,11 +43,11 @@
 
 
 class Dead(BaseException):
-    """The controller's process is gone: nothing of it runs on."""
+    """Simulates the death of the controller's process; not an Exception, so that no handler catches it."""
 
 
 class At_once:
-    """A pool that does things where they are asked for."""
+    """Executor that runs each task immediately in the submitting thread."""
 
     def submit(self, do: Any, *words: Any) -> Future[Any]:
         future: Future[Any] = Future()
@@ -56,14 +59,14 @@
 
 
 class Routers(SimulatedFleet):
-    """The routers of a plan, without a rollout of their own."""
+    """Simulated routers of a plan, led by the controller under test instead of a rollout of their own."""
 
     def deliver(self, event: Event) -> None:
         pass
 
 
 class Fake(RouterDriver):
-    """Hands on those routers; dies at the so-manieth order."""
+    """Driver of the simulated routers; the controller dies at the command with the number ``dies_at``."""
 
     def __init__(self, plan: RolloutPlan, world: Routers, dies_at: int = 0) -> None:
         super().__init__(plan)
@@ -81,7 +84,7 @@
 
 
 class Mortal(RolloutStore):
-    """A store whose user dies at the so-manieth step, before or behind its commit, and gives nothing back."""
+    """Store whose user dies at a numbered step, before or after its commit, without releasing the lease."""
 
     def __init__(self) -> None:
         super().__init__(":memory:")
@@ -112,7 +115,7 @@
         self.owed += seconds
         if self.world.now > 3_000 * S:
             run = self.store.newest_run()
-            self.fail(f"not over: {run.snapshot['why'] if run else ''}: {self.store.history(1)[-6:]}")
+            self.fail(f"run not over: {run.snapshot['why'] if run else ''}: {self.store.history(1)[-6:]}")
         while self.owed >= 1:
             self.owed -= 1
             self.world.run_second()
@@ -129,11 +132,19 @@
         return self.controller(Fake(self.plan, self.world, dies_at)).lead()
 
     def survives(self, what: str, at: int) -> bool:
-        """Whether the controller died there; another then leads to the end, each router changed once."""
+        """Kill the controller at a place; its successor must finish the run, with each router changed once.
+
+        Args:
+            what: Before or behind the commit of a step, or at an order to a router.
+            at: The number of the step or order.
+
+        Returns:
+            Whether the run was long enough for the controller to die at this place.
+        """
         self.setUp()
         self.store.dies_before = at if what == "before" else 0
         self.store.dies_behind = at if what == "behind" else 0
-        self.store.dead = True  # whoever dies gives no lease back
+        self.store.dead = True  # a process that dies does not release its lease
         died = False
         try:
             assert self.lead(at if what == "order" else 0) == RolloutOutcome.DONE
@@ -143,7 +154,7 @@
         last = self.store.newest_run()
         if died and last is not None and last.outcome != "done":
             with pytest.raises(LeaseLostError) as raised:
-                self.lead()  # the dead one's lease still runs
+                self.lead()  # the lease of the dead controller has not expired
             assert (raised.value.path, raised.value.run_id) == (self.store.path, last.id)
             assert str(raised.value) == f"run {last.id} is led by another controller"
             self.sleep(16.0)
@@ -159,10 +170,10 @@
             at = 1
             while self.survives(what, at):
                 at += 1
-            assert at > 18, f"{what}: each of the orders, and the steps between"
+            assert at > 18, f"{what}: fewer places than commands and the steps between them"
 
     def test_one_that_stood_still_past_its_lease_orders_nothing(self) -> None:
-        """30 s: another has led meanwhile, and the first wakes up into its next step."""
+        """A controller that stalled for 30 s, while its successor led, must not send commands afterwards."""
         hands = Fake(self.plan, self.world)
         first, orders = self.controller(hands), []
 
@@ -176,11 +187,11 @@
         first.sleep = stand_still
         with pytest.raises(LeaseLostError):
             first.lead()
-        assert [hands.orders] == orders, "nothing after it woke up"
+        assert [hands.orders] == orders, "the stalled controller sent a command afterwards"
         assert {(p.build, p.instance) for p in self.world.routers.values()} == {("beef", 2)}
 
     def test_a_third_of_the_links_is_late_or_cut(self) -> None:
-        """More silent routers than ``unknown`` hold it and are named; it goes on when people say so."""
+        """More silent routers than ``unknown`` hold the rollout, which names them and then finishes."""
 
         class Deaf(Fake):
             cut = False
@@ -210,7 +221,7 @@
 
 
 class Touching(unittest.TestCase):
-    """Hands on real processes."""
+    """The drivers with real processes."""
 
     def plan(self, act: str, folder: Path, control: int, more: str = "") -> RolloutPlan:
         text = (
@@ -237,7 +248,7 @@
             assert "No such file" in hands.execute(target, CommandKind.RESTART)
 
     def test_local_processes(self) -> None:
-        """Started where nothing runs, left alone where it is as it should, ended and begun anew where not."""
+        """A process is started if none runs, left alone if it is as commanded, and replaced otherwise."""
         with (
             tempfile.TemporaryDirectory() as name,
             socket.create_server(("127.0.0.1", 0)) as a,
@@ -258,11 +269,13 @@
                 assert hands.execute(target, CommandKind.UNDO) == ""
                 first = self.instance(hands, target)
                 assert hands.execute(target, CommandKind.UNDO) == ""
-                assert self.instance(hands, target) == first, "it is the old already"
+                assert self.instance(hands, target) == first, "the old build already runs there"
                 assert hands.execute(target, CommandKind.RESTART) == ""
                 second = self.instance(hands, target)
                 assert second != first
-                assert hands.execute(target, CommandKind.APPLY) == "", "its build is not the new one's"
+                assert hands.execute(target, CommandKind.APPLY) == "", (
+                    "its digest is not that of the new build"
+                )
                 assert self.instance(hands, target) != second
                 plan = self.plan(f'act local=#true {{ old "{ROOT}"; new "/nowhere" }}', folder, ports[1])
                 assert "/nowhere" in LocalProcessDriver(plan).start_process(target, Path("/nowhere"))
@@ -281,10 +294,14 @@
             except (OSError, ValueError):
                 pass
             time.sleep(0.05)
-        raise AssertionError("the router does not answer")
+        raise AssertionError("the router does not respond within 20 s")
 
     def test_an_ended_process_that_nobody_has_asked_about_has_ended(self) -> None:
-        """A supervisor that is slow to ask leaves its number in use: the change was held to have failed."""
+        """A zombie process counts as ended.
+
+        The pid of a process stays in use until its parent collects the exit status.  A slow parent made the
+        driver report that the process did not end, so that the change counted as failed.
+        """
         child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
         try:
             with tempfile.TemporaryDirectory() as name:
@@ -305,7 +322,7 @@
 
 
 class Homes(unittest.TestCase):
-    """The share of objects whose home differs between two builds, each asked on its own."""
+    """The share of objects that two builds place on different caches; each build prints its placement."""
 
     def plan(self, old: str, new: str) -> str:
         python = sys.executable
@@ -347,14 +364,14 @@
             del raw["known"]["events"][0]["members"]["endpoints"][-1]
 
         share = float(self.shown(one_less).split("edge-1: ")[1].split("%")[0])
-        assert 20 < share < 30, "one of four caches is gone: a quarter of the objects moves"
+        assert 20 < share < 30, "one of four caches is removed, so a quarter of the objects moves"
 
         def weighted(raw: dict[str, Any]) -> None:
             raw["settings"]["weight_source"] = "nominal"
             raw["known"]["events"][0]["members"]["endpoints"][-1]["weight"] = 3
 
         share = float(self.shown(weighted).split("edge-1: ")[1].split("%")[0])
-        assert 15 < share < 40, "half instead of a quarter of all go to the heavy one"
+        assert 15 < share < 40, "the cache with weight 3 gets half of the objects instead of a quarter"
 
     def test_what_cannot_be_asked_is_said(self) -> None:
         assert "homes not known: zone edge-1" in self.shown(lambda raw: raw.update(settings=5))
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -1,4 +1,4 @@
-"""The plan, the judgement and the state machine of a rollout, in virtual time."""
+"""Tests of the rollout plan, the sequential test and the state machine, in virtual time."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
     def test_a_stage_that_takes_a_whole_zone_is_refused(self) -> None:
         assert "whole-zone" in codes(GOOD.replace('stage "two" count=2 least="30s" most="5m"\n', ""))
         alone = GOOD.replace('; router "b2" zone="b"', "").replace("count=2", 'share="50%"')
-        assert codes(alone) == [], "b1 is alone: nothing could be left there"
+        assert codes(alone) == [], "b1 is the only router of its zone, so none could be left"
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.binary(max_size=60), st.integers(0, len(GOOD)))
@@ -124,7 +124,9 @@
         judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
         judge.add_slice({place: RequestSample(3, 3.0, 0.0)}, {place: RequestSample(900, 900.0, 900.0)})
         assert judge.verdict(frozenset((place,))) == (Verdict.UNDECIDED, place)
-        assert judge.verdict(frozenset()) == (Verdict.UNDECIDED, None), "no place at all is no evidence"
+        assert judge.verdict(frozenset()) == (Verdict.UNDECIDED, None), (
+            "without a required comparison there is no evidence"
+        )
 
     def test_insane_figures_say_nothing(self) -> None:
         bet = SequentialTest(StopCriteria())
@@ -173,7 +175,7 @@
 
 
 class Runs(unittest.TestCase):
-    """Twelve routers in three zones."""
+    """Rollouts to twelve simulated routers in three zones."""
 
     def world(self, harm: object, seed: int = 1) -> SimulatedFleet:
         return SimulatedFleet(make_plan(3, 4), seed, harm)  # type: ignore[arg-type]
@@ -183,7 +185,9 @@
             world = self.world(sound, seed)
             assert world.run() == RolloutOutcome.DONE, world.rollout.reason
             assert {p.build for p in world.routers.values()} == {"beef"}
-            assert [a for _, _, a in world.commands].count(CommandKind.APPLY) == 12, "none is changed twice"
+            assert [a for _, _, a in world.commands].count(CommandKind.APPLY) == 12, (
+                "each router is changed once"
+            )
             assert world.max_unavailable[""] <= 3
             assert max(world.max_unavailable[f"z{n}"] for n in range(3)) <= 1
 
@@ -251,7 +255,11 @@
         assert len(world.changed_routers) == 1
 
     def test_a_new_router_that_nobody_asks_is_not_good(self) -> None:
-        """Clients that went to its neighbours stayed there: a harmful build went through every stage."""
+        """New routers without requests must not pass a stage.
+
+        Clients that had moved to other routers during the change stayed there.  The new routers got no
+        requests, and a build with a regression passed every stage.
+        """
 
         class Unasked(SimulatedFleet):
             def run_second(self) -> None:
@@ -270,15 +278,16 @@
             assert len(world.changed_routers) == 1
 
     def test_another_process_goes_on_at_any_instant(self) -> None:
-        """Taken over after any step, with the orders of that step lost: no router is changed twice or
-        forgotten.  Once the silence while nobody asked counted as the routers', and held it at once.
+        """A takeover after any step, with the commands of that step lost, changes each router exactly once.
+
+        The time without a controller counted as silence of the routers, and held the rollout immediately.
         """
         for every in (7, 23, 61):
             world = SimulatedFleet(make_plan(2, 3), 3, sound)
             for n in range(3_000):
                 if n % every == every - 1:
                     raw = json.loads(json.dumps(to_snapshot(world.rollout)))
-                    world.now += 20 * S  # the lease of the one before has to end
+                    world.now += 20 * S  # the lease of the predecessor has to expire
                     world.rollout = restored(world.plan, raw)
                     for effect in world.rollout.resume_after_takeover(world.now, True):
                         if isinstance(effect, RouterCommand):
@@ -287,7 +296,7 @@
                 if world.rollout.outcome is not RolloutOutcome.RUNNING:
                     break
             assert world.rollout.outcome == RolloutOutcome.DONE, (every, world.rollout.reason)
-            assert {p.instance for p in world.routers.values()} == {2}, "each changed once"
+            assert {p.instance for p in world.routers.values()} == {2}, "each router is changed once"
 
     def test_a_snapshot_that_cannot_be_used_says_why(self) -> None:
         world = SimulatedFleet(make_plan(2, 3), 1, sound)
@@ -322,7 +331,7 @@
         assert world.run() == RolloutOutcome.DONE, world.rollout.reason
 
     def test_a_hold_for_silence_ends_once_the_routers_answer(self) -> None:
-        """Nobody has to say so; a hold that people ordered meanwhile stays."""
+        """A hold for silence ends without a command; a hold that an operator commanded meanwhile stays."""
         for ordered in (False, True):
             with self.subTest(ordered=ordered):
                 world = self.world(sound)
@@ -333,7 +342,7 @@
                 assert world.rollout.outcome == RolloutOutcome.HELD
                 world.rollout = restored(
                     world.plan, to_snapshot(world.rollout)
-                )  # the cause outlives the process
+                )  # the hold's cause is part of the snapshot
                 begun = sum(note.name == "begun" for note in world.history)
                 if ordered:
                     world.deliver(OperatorCommand.HOLD)
@@ -345,8 +354,9 @@
                 assert world.run(4000, {10000: OperatorCommand.HOLD}) == due, world.rollout.reason
 
     def test_a_pause_of_the_controller_is_no_silence_of_the_routers(self) -> None:
-        """It stands still for 20 s at any step of a change, longer than a step may take: nothing is
-        held and nobody is taken back.
+        """A process stall of the controller must neither hold the rollout nor roll a router back.
+
+        The stall lasts 20 s, which is longer than a step of a change may take, and happens at various steps.
         """
         world = self.world(sound)
         pauses = 0
@@ -359,7 +369,10 @@
         assert "held" not in [note.name for note in world.history]
 
     def test_one_that_dies_in_its_change_is_taken_back(self) -> None:
-        """Nothing answers there, so it never said that it was out of service, and the taking back hung."""
+        """A router that crashes during its change is rolled back without a drain.
+
+        It never responded, so it never reported that it was out of service, and the rollback hung.
+        """
 
         class Dying(SimulatedFleet):
             def start(self, p: SimulatedRouter, build: str) -> None:
@@ -373,7 +386,10 @@
         assert {(p.build, p.alive) for p in world.routers.values()} == {("old", True)}
 
     def test_one_that_dies_once_it_was_ready_holds_it(self) -> None:
-        """It was neither judged nor missed: the stage waited for it for good."""
+        """A router that crashes while it is cold holds the rollout.
+
+        It was neither compared nor counted as missing, so the stage waited for it forever.
+        """
 
         class Dying(SimulatedFleet):
             def run_second(self) -> None:
@@ -401,8 +417,8 @@
                 RolloutOutcome.ROLLING_BACK,
             )
             starts = {p.name: p.instance for p in world.routers.values()}
-            assert max(starts.values()) <= 3, "changed once, and taken back once at most"
-            assert world.max_unavailable[""] <= 4, "three, and one whose order to go in was lost"
+            assert max(starts.values()) <= 3, "each router is changed once and rolled back at most once"
+            assert world.max_unavailable[""] <= 4, "three, and one whose ENABLE command was lost"
 
     def test_people_hold_resume_and_revert(self) -> None:
         world = self.world(sound)
@@ -441,7 +457,7 @@
         ),
     )
     def test_whatever_happens(self, seed: int, faults: list[tuple[int, str, int]]) -> None:
-        """Limits hold for what the rollout itself takes away, and what has ended stays ended."""
+        """Random failures and commands: the rollout keeps its limits, and a final outcome does not change."""
         defect = [0.0]
         world = SimulatedFleet(
             make_plan(3, 4), seed, lambda w, p, c: defect[0] if p.build == "beef" else 0.0, rate=10.0
--- a/tests/rollout/test_rollout_faults.py
+++ b/tests/rollout/test_rollout_faults.py
@@ -1,6 +1,6 @@
-"""Rollouts over real processes with faults between them, and defective builds that must be stopped.
+"""Rollouts to real processes under fault injection, and defective builds that must be stopped.
 
-The quick ones run with all tests; `pytest -m long tests/rollout/test_rollout_faults.py` runs the rest.
+The quick tests run with all others; `pytest -m long tests/rollout/test_rollout_faults.py` runs the rest.
 """
 
 from __future__ import annotations
@@ -26,12 +26,24 @@
 
 
 class Base(Rollouts):
-    """What the tests here share."""
+    """Common parts of the tests in this module."""
 
     def stopped(
         self, field: RouterField, plan: str, due: str, most: int = 1, per_s: float = 40.0, orders: int = 0
     ) -> ClientLoad:
-        """A defective change: said to be ``due``, at so many routers at the most, and taken back."""
+        """Run a defective change and check that it is stopped for the reason ``due`` and rolled back.
+
+        Args:
+            field: The routers and servers.
+            plan: The text of the rollout file.
+            due: A text that the controller must print.
+            most: The change reaches at most this many routers.
+            per_s: Requests per second of each client.
+            orders: One in this many requests must not run twice; 0 = none.
+
+        Returns:
+            The load that ran meanwhile.
+        """
         controller = self.controller(plan)
         with ClientLoad(field, per_s, orders) as load:
             assert self.finish(controller.start(), controller) == 1, controller.said()
@@ -41,21 +53,23 @@
         assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
         for node in field.nodes.values():
             assert node.process is not None
-            assert node.process.poll() is None, f"{node.name} does not run"
+            assert node.process.poll() is None, f"{node.name} is not running"
         return load
 
 
 class Faults(Base):
     @pytest.mark.long
     def test_a_sound_change_under_faults_of_all_kinds(self) -> None:
-        """Twelve routers in three zones: connections dropped, a box late, another crashed, a hub lost, each
-        on an event of the rollout.  It ends in done, no request is lost and no rule is broken.
+        """Network failures during a sound change must not stop it, lose a request or violate the contract.
+
+        Twelve routers in three zones; dropped connections, a slow cache, a resetting cache and a silent
+        parent, each injected at a change of a router.
         """
         field, digest = self.field("sound", 3, 4, boxes=2, hubs=2, relayed=True)
         relays, events = field.servers.relays, [0]
 
         def fault(node: RouterNode) -> None:
-            """One more with each change."""
+            """Inject the next failure, at each change of a router."""
             events[0] += 1
             for relay in relays.values():
                 relay.drop() if events[0] % 2 else None
@@ -83,7 +97,10 @@
 
     @pytest.mark.long
     def test_a_settings_file_that_harms_and_one_that_is_broken(self) -> None:
-        """Valid and harmful: pages are given 20 ms.  Broken: half a file.  SIGHUP takes it, or does not."""
+        """New settings by SIGHUP: valid ones that cause a regression, and a truncated file that is rejected.
+
+        The valid ones reduce the deadline of pages to 20 ms.
+        """
         for broken, due in ((False, "does worse in zone"), (True, "not-ready")):
             with self.subTest(broken=broken):
                 self.setUp()
@@ -123,14 +140,23 @@
         )
 
     def test_upgrades_on_inherited_sockets(self) -> None:
-        """Old and new side by side on each socket: no request is lost and no rule is broken."""
+        """Old and new process share each socket: no request is lost and the contract holds."""
         field, load = self.upgraded("sound")
         assert {tuple(n.started_builds) for n in field.nodes.values()} == {("old", "new")}
         assert (load.counts["lost"], field.check_contract(load).violations) == (0, []), load.counts
         assert load.counts["served"] > 300, load.counts
 
     def upgraded(self, defect: str, due: int = 0, **strikes: Any) -> tuple[RouterField, ClientLoad]:
-        """A rollout by upgrades, struck at a step of the first: its field and load, once it has ended so."""
+        """Run a rollout by upgrades on inherited sockets, with failures at steps of the first upgrade.
+
+        Args:
+            defect: The defect of the new build.
+            due: The exit code that the controller must have.
+            strikes: By name of the step, the function that injects a failure there.
+
+        Returns:
+            The routers and the load, once the rollout has ended.
+        """
         field, digest = self.field(defect, 1, 3, inherited=True)
         struck: list[str] = []
 
@@ -152,8 +178,10 @@
         return field, load
 
     def test_a_controller_that_is_stopped_and_woken_holds_nothing(self) -> None:
-        """Its pause is not the routers' silence: on an event of the rollout it is stopped for longer than any
-        router may be silent, woken within its lease, and the rollout ends without a hold.
+        """A process stall of the controller must not count as silence of the routers.
+
+        At each change the controller is suspended for longer than a router may be silent, but shorter than
+        its lease.  The rollout must end without a hold.
         """
         field, digest = self.field("sound", 1, 3)
         controller = self.controller(field.rollout_plan(digest))
@@ -174,8 +202,9 @@
 
     @pytest.mark.long
     def test_an_old_one_killed_between_the_new_ones_yes_and_its_end(self) -> None:
-        """SIGKILL where SIGTERM was due, or right behind it: what it had taken is lost with it, nothing else,
-        and the rollout is done.
+        """An old process killed instead of its SIGTERM, or right after it, loses only its own requests.
+
+        The rollout finishes.
         """
         for step in ("ready", "told"):
             with self.subTest(step=step):
@@ -186,8 +215,10 @@
 
     @pytest.mark.long
     def test_a_new_one_killed_as_soon_as_the_old_one_has_gone(self) -> None:
-        """Nothing runs there any more, and no answer tells that: it is held and names the router; people take
-        the change back, and the old one runs again.
+        """A new process killed when the old one has ended: the router is silent, and the rollout is held.
+
+        The reason names the router, or the missing evidence if the router was already warm.  An operator
+        reverts the change, and the old build runs again.
         """
         field, digest = self.field("sound", 1, 3, inherited=True)
         killed: list[str] = []
@@ -206,19 +237,19 @@
             until = time.monotonic() + 90
             while "held" not in controller.verb("status", *store) and time.monotonic() < until:
                 time.sleep(0.2)
-            # Cold when it died, or warm already: then the stage's most time ends it.
+            # The router died while it was cold, or when it was warm; then the stage's maximum time holds it.
             assert re.search("has not answered|not enough evidence", controller.verb("status", *store))
             controller.verb("revert", *store)
             assert self.finish(process, controller) == 1, controller.said()
         assert sum("new" in n.started_builds for n in field.nodes.values()) == 1
         assert {n.started_builds[-1] for n in field.nodes.values()} == {"old"}
-        # Who connected while nobody served the socket has no answer; every other rule holds.
+        # Clients that connected while no process served the socket get no response; all other rules hold.
         found = field.check_contract(load, killed=True).violations
         assert [x for x in found if not x.startswith("answered")] == []
 
     @pytest.mark.long
     def test_a_router_killed_in_the_middle_of_sighup(self) -> None:
-        """The platform starts it again with the file as it is by now: it has the new settings, and counts."""
+        """The platform restarts the killed router with the changed file, and the rollout is done."""
         field, _ = self.field("sound", 1, 3)
 
         def longer(config: dict[str, Any]) -> dict[str, Any]:
@@ -249,8 +280,9 @@
 
     @pytest.mark.long
     def test_local_processes_of_one_machine(self) -> None:
-        """Four routers that the controller ends and starts itself, no tool between: each is changed once, no
-        request is lost, and the new processes outlive it.
+        """The controller replaces the processes of four routers itself, without an operators' tool.
+
+        All run the new build, no request is lost, and the new processes outlive the controller.
         """
         field, digest = self.field("sound", 2, 2)
         plan = field.rollout_plan(digest)
@@ -276,7 +308,7 @@
             return found
 
     def end_all(self, field: RouterField) -> None:
-        """Processes that the controller left running."""
+        """Kill the processes that the controller left running."""
         for node in field.nodes.values():
             try:
                 os.kill(int(self.state(node)["instance"].partition("-")[0]), signal.SIGKILL)
@@ -289,7 +321,7 @@
 
     @pytest.mark.long
     def test_a_router_killed_in_its_drain(self) -> None:
-        """The order to change it comes when it is out of service: it dies there.  The rollout is done."""
+        """A router that is killed out of service, when its change is commanded, does not stop the rollout."""
         field, digest = self.field("sound", 1, 3)
         controller = self.controller(field.rollout_plan(digest))
         killed: list[str] = []
@@ -309,7 +341,7 @@
 
 @pytest.mark.long
 class Long(Base):
-    """Minutes; one command."""
+    """Tests that take minutes."""
 
     def test_defective_builds(self) -> None:
         for defect, due, most in (
@@ -321,14 +353,14 @@
             with self.subTest(defect=defect):
                 self.setUp()
                 field, digest = self.field(defect, 2, 3)
-                if defect == "crashes":  # the platform starts it again
+                if defect == "crashes":  # the platform restarts the process
                     self.again(field)
                 self.stopped(
                     field, field.rollout_plan(digest), due, most, 60.0, 3 if defect == "one class" else 0
                 )
 
     def test_one_in_twenty_refused(self) -> None:
-        """Harm of 0.05: as much as the plan must find, at the stated rates."""
+        """A regression of 0.05, the smallest that the plan has to detect at its error rates."""
         field, digest = self.field("one in twenty", 1, 3)
         plan = (
             field.rollout_plan(digest).replace("harm=0.15", "harm=0.05").replace('most="60s"', 'most="140s"')
@@ -336,7 +368,7 @@
         self.stopped(field, plan, "does worse in zone", 1, per_s=100.0)
 
     def again(self, field: RouterField) -> None:
-        """A supervisor: what died is started again as it was."""
+        """Act as a supervisor that restarts each process that died, with the same build."""
 
         def look() -> None:
             while field.agent.fileno() >= 0:
@@ -349,8 +381,10 @@
         threading.Thread(target=look, daemon=True).start()
 
     def test_links_of_the_controller(self) -> None:
-        """To a third of the routers: cut, 2 s late, garbage.  It is held, says who does not answer, changes
-        nothing meanwhile, and goes on to the end by itself when they are back.
+        """Failures of the control connections to a third of the routers: reset, 2 s delay, garbage.
+
+        The rollout is held, names the routers that do not respond, changes none meanwhile, and continues
+        without a command once they respond again.
         """
         for mode in (LinkMode.RESET, LinkMode.DELAY, LinkMode.GARBAGE):
             with self.subTest(mode=mode.value):
@@ -388,7 +422,7 @@
             assert self.finish(process, controller) == 0, controller.said()
 
     def test_a_controller_that_is_stopped_for_thirty_seconds(self) -> None:
-        """Another takes over after the lease; the first wakes up and may do nothing more."""
+        """A successor takes over when the lease has expired; the first controller must not act any more."""
         field, digest = self.field("sound", 1, 3)
         controller = self.controller(field.rollout_plan(digest))
         with ClientLoad(field):
--- a/tests/rollout/test_rollout_field.py
+++ b/tests/rollout/test_rollout_field.py
@@ -1,6 +1,4 @@
-"""A rollout over real processes: routers of two zones under load, a controller of its own, and faults that
-fire on events.
-"""
+"""Rollouts to real processes: routers of two zones under load, a controller process, injected failures."""
 
 from __future__ import annotations
 
@@ -15,8 +13,9 @@
 
 class OnAField(Rollouts):
     def test_a_sound_change_with_a_controller_that_is_killed_twice(self) -> None:
-        """Killed when the third router is being changed, and again when the fifth is: each router is changed
-        once, no request is lost, and the history has every decision.
+        """A controller that is killed twice changes each router once, and the history is complete.
+
+        It is killed while the third router is being changed, and again at the fifth.  No request is lost.
         """
         field, digest = self.field("sound")
         controller = self.controller(field.rollout_plan(digest))
@@ -34,7 +33,7 @@
             while code == -signal.SIGKILL and len(controller.processes) < 4:
                 code = self.finish(controller.start(), controller)
                 if code == 2 and "led by another" in controller.said():
-                    time.sleep(1)  # the lease of the killed one has not ended
+                    time.sleep(1)  # the lease of the killed controller has not expired
                     code = -signal.SIGKILL
                     controller.processes.pop()
         assert code == 0, controller.said()
@@ -62,8 +61,10 @@
         assert any(x["verdict"] == "worse" and x["mean"] > 0.1 for x in worse["figures"].values())
 
     def test_signs_that_need_no_statistics_and_links_that_lie(self) -> None:
-        """A build that is never ready is taken back; the link to another router answers garbage meanwhile,
-        which is never taken for good or bad.
+        """A build that never becomes ready is rolled back.
+
+        Meanwhile the control connection to another router returns garbage, which must count as neither a good
+        result nor a regression.
         """
         field, digest = self.field("never-ready")
         with Relay(field.nodes["z1-2"].control_address) as relay:
@@ -78,7 +79,7 @@
         assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
 
     def test_two_controllers_and_people(self) -> None:
-        """The second cannot lead; hold, status and revert do what they say."""
+        """A second controller cannot lead the run; the commands hold, status and revert take effect."""
         field, digest = self.field("sound", zones=1, each=3)
         controller = self.controller(field.rollout_plan(digest).replace('least="3s"', 'least="20s"'))
         first = controller.start()
--- a/tests/support/rollout_field.py
+++ b/tests/support/rollout_field.py
@@ -1,4 +1,4 @@
-"""A field of real routers and a rollout controller as a process, ended with their test."""
+"""Base class of rollout tests with real routers and a controller process, which end with their test."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from testbed.field import RouterField, build_program
 from testbed.stand_ins import PROGRAM_DIR, ROOT
 
-LONGEST_S = 150.0  # a run that takes so long has failed
+LONGEST_S = 150.0  # seconds after which a rollout counts as failed
 
 
 class Controller:
-    """`kelpcroft rollout start` as a process, on a store of its own."""
+    """`kelpcroft rollout start` as a process, with its own store."""
 
     def __init__(self, folder: Path, plan: str) -> None:
         self.folder = folder
@@ -68,7 +68,7 @@
 
 
 class Rollouts(unittest.TestCase):
-    """A field and a controller for each test, ended with it."""
+    """Base class of rollout tests; routers and controller of a test end with it."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -91,4 +91,4 @@
         try:
             return process.wait(LONGEST_S)
         except subprocess.TimeoutExpired:
-            self.fail(f"not over: {controller.said()}")
+            self.fail(f"the controller has not ended: {controller.said()}")
