--- a/kelpcroft/rollout/comparison.py
+++ b/kelpcroft/rollout/comparison.py
@@ -11,14 +11,14 @@
 from kelpcroft.rollout.state import NEVER_NS, NO_STAGE, RolloutState, RouterState
 
 RARE_CLASS_SHARE = 0.02  # share of a zone's requested weight up to which a class is too rare to wait for
-Samples = dict[ZoneClass, RequestSample]
+SamplesByZoneClass = dict[ZoneClass, RequestSample]
 
 
-def add_samples(sums: Samples, router: RouterState, samples: Mapping[str, RequestSample]) -> None:
+def add_samples(sums: SamplesByZoneClass, router: RouterState, samples: Mapping[str, RequestSample]) -> None:
     """Add one router's samples by class to the sums by zone and class."""
-    for name, sample in samples.items():
-        place = ZoneClass(router.zone, name)
-        sums[place] = sums.get(place, NO_REQUESTS) + sample
+    for class_name, sample in samples.items():
+        zone_class = ZoneClass(router.zone, class_name)
+        sums[zone_class] = sums.get(zone_class, NO_REQUESTS) + sample
 
 
 def control_group(state: RolloutState) -> list[RouterState]:
@@ -32,13 +32,15 @@
     count_per_zone = state.plan.stages[state.stage_index].control_count
     if not count_per_zone:
         return []
-    changing = {target.name for target in state.stages[state.stage_index]}
+    changing_names = {target.name for target in state.stages[state.stage_index]}
     group: list[RouterState] = []
     for zone in sorted(stage_zones(state)):
         candidates = [
             router
             for router in state.routers.values()
-            if router.zone == zone and router.name not in changing and router.phase not in NEW_BUILD_PHASES
+            if router.zone == zone
+            and router.name not in changing_names
+            and router.phase not in NEW_BUILD_PHASES
         ]
         group += candidates[-count_per_zone:]
     return group
@@ -61,19 +63,24 @@
         router for router in state.routers.values() if router.phase is Phase.WAITING
     ]
     zones = {router.zone for router in old_routers} & stage_zones(state)
-    requested: dict[ZoneClass, float] = {}
+    requested_weights: dict[ZoneClass, float] = {}
     for router in state.routers.values():
         if router.zone in zones and router.last_report is not None:
-            for name, sample in router.last_report.samples_by_class.items():
-                place = ZoneClass(router.zone, name)
-                requested[place] = requested.get(place, 0.0) + sample.requested_weight
+            for class_name, sample in router.last_report.samples_by_class.items():
+                zone_class = ZoneClass(router.zone, class_name)
+                requested_weights[zone_class] = (
+                    requested_weights.get(zone_class, 0.0) + sample.requested_weight
+                )
     totals = {
-        zone: sum(weight for place, weight in requested.items() if place.zone == zone) for zone in zones
+        zone: sum(weight for zone_class, weight in requested_weights.items() if zone_class.zone == zone)
+        for zone in zones
     }
-    frequent = {
-        place for place, weight in requested.items() if weight > RARE_CLASS_SHARE * totals[place.zone]
+    frequent_classes = {
+        zone_class
+        for zone_class, weight in requested_weights.items()
+        if weight > RARE_CLASS_SHARE * totals[zone_class.zone]
     }
-    return frozenset(frequent | {ZoneClass(zone, "") for zone in zones if not totals[zone]})
+    return frozenset(frequent_classes | {ZoneClass(zone, "") for zone in zones if not totals[zone]})
 
 
 class ComparedPhases(NamedTuple):
@@ -96,39 +103,39 @@
     return ComparedPhases((Phase.COMPARED,), Phase.WAITING)
 
 
-def close_slice(state: RolloutState) -> None:
+def close_interval(state: RolloutState) -> None:
     """End the interval if it is long enough, and add its requests to the baselines and the judge.
 
     A regression stops a rollout that runs or is held.  During a rollback only the judge records it.
     """
-    if state.now_ns - state.last_slice_ns < state.plan.poll_interval_ns:
+    if state.now_ns - state.last_interval_ns < state.plan.poll_interval_ns:
         return
-    state.last_slice_ns = state.now_ns
-    new, old = _collect_slice(state)
+    state.last_interval_ns = state.now_ns
+    new, old = _collect_interval(state)
     if state.stage_index == NO_STAGE:
         return
     state.judge.add_slice(new, old)
-    verdict, place = state.judge.verdict(frozenset())
-    running = state.outcome in (RolloutOutcome.RUNNING, RolloutOutcome.HELD)
-    if verdict is Verdict.REGRESSION and place and running:
-        state.regression_place = place
-        state.stop(
+    verdict, zone_class = state.judge.verdict(frozenset())
+    may_be_stopped = state.outcome in (RolloutOutcome.RUNNING, RolloutOutcome.HELD)
+    if verdict is Verdict.REGRESSION and zone_class and may_be_stopped:
+        state.regression_place = zone_class
+        state.handle_regression(
             "worse",
-            f"class {place.request_class!r} does worse in zone {place.zone!r}",
+            f"class {zone_class.request_class!r} does worse in zone {zone_class.zone!r}",
             state.judge.figures(),
         )
 
 
-def _collect_slice(state: RolloutState) -> tuple[Samples, Samples]:
+def _collect_interval(state: RolloutState) -> tuple[SamplesByZoneClass, SamplesByZoneClass]:
     """Move each router's uncounted requests into the samples of the new and the old side, and return both."""
     phases = _compared_phases(state)
-    new: Samples = {}
-    old: Samples = {}
+    new: SamplesByZoneClass = {}
+    old: SamplesByZoneClass = {}
     for router in state.routers.values():
         samples, router.uncounted = router.uncounted, {}
         if router.phase is Phase.WAITING:  # has run the old build throughout the interval
-            for name, sample in samples.items():
-                router.baseline[name] = router.baseline.get(name, NO_REQUESTS) + sample
+            for class_name, sample in samples.items():
+                router.baseline[class_name] = router.baseline.get(class_name, NO_REQUESTS) + sample
         if state.stage_index == NO_STAGE or is_unknown(state, router):
             continue
         if router.phase in phases.new:
--- a/kelpcroft/rollout/judge.py
+++ b/kelpcroft/rollout/judge.py
@@ -39,7 +39,7 @@
 # allowance must add up to less than 0.15.  At tolerance 0 they do: with MIN_BASELINE_REQUESTS on each side
 # the allowance is at most 0.142.
 STAKES = (0.25, 1.0, 2.5)
-MIN_REQUESTS_PER_SLICE = 20  # requests on each side; fewer are added to those of the next interval
+MIN_REQUESTS_PER_INTERVAL = 20  # requests on each side; fewer are added to those of the next interval
 MIN_BASELINE_REQUESTS = 100  # requests on each side; with fewer, baselines are not subtracted
 ALLOWANCE_STANDARD_ERRORS = 2.0  # standard errors of the baselines' difference that the allowance covers
 MAX_HARM = 0.15  # greatest ``harm``; the tolerance is below it, which the stakes require
@@ -184,15 +184,15 @@
         """
         if not math.isfinite(difference):
             return self.verdict
-        counted = min(MAX_COUNTED_DIFFERENCE, max(-MAX_COUNTED_DIFFERENCE, difference))
+        winsorised = min(MAX_COUNTED_DIFFERENCE, max(-MAX_COUNTED_DIFFERENCE, difference))
         self.slice_count += 1
         self.difference_sum += difference
         for n, stake in enumerate(STAKES):
             self.regression_log_evidence[n] += math.log1p(
-                stake * (counted - self.criteria.tolerance - allowance)
+                stake * (winsorised - self.criteria.tolerance - allowance)
             )
             self.no_regression_log_evidence[n] += math.log1p(
-                stake * (self.criteria.harm - allowance - counted)
+                stake * (self.criteria.harm - allowance - winsorised)
             )
         if self.verdict is Verdict.UNDECIDED:
             self.verdict = self._decide()
@@ -232,7 +232,7 @@
 class SideKey(NamedTuple):
     """Key of one side of one comparison."""
 
-    place: ZoneClass
+    zone_class: ZoneClass
     is_new: bool
 
 
@@ -249,11 +249,11 @@
     collected: RequestSample = field(default_factory=RequestSample)
 
 
-class Finding(NamedTuple):
+class CombinedVerdict(NamedTuple):
     """A verdict, and the comparison that determined it, if a single one did."""
 
     verdict: Verdict
-    place: ZoneClass | None
+    zone_class: ZoneClass | None
 
 
 class EvidenceFigures(TypedDict):
@@ -277,14 +277,14 @@
         self.sides: dict[SideKey, Side] = {}
         self.tests: dict[ZoneClass, SequentialTest] = {}
 
-    def side(self, place: ZoneClass, is_new: bool) -> Side:
+    def side(self, zone_class: ZoneClass, is_new: bool) -> Side:
         """One side of a comparison, created on first use."""
-        return self.sides.setdefault(SideKey(place, is_new), Side())
+        return self.sides.setdefault(SideKey(zone_class, is_new), Side())
 
     def add_baseline(self, is_new: bool, samples: Mapping[ZoneClass, RequestSample]) -> None:
         """Add requests that one side handled before any of its routers was changed."""
-        for place, sample in samples.items():
-            side = self.side(place, is_new)
+        for zone_class, sample in samples.items():
+            side = self.side(zone_class, is_new)
             side.baseline += sample
 
     def add_slice(
@@ -294,20 +294,20 @@
 
         ``new`` may only hold requests of routers that are warm or that are compared with restarted old ones.
         """
-        for place in {*new, *old}:
-            new_side, old_side = self.side(place, True), self.side(place, False)
-            new_side.collected += new.get(place, NO_REQUESTS)
-            old_side.collected += old.get(place, NO_REQUESTS)
+        for zone_class in {*new, *old}:
+            new_side, old_side = self.side(zone_class, True), self.side(zone_class, False)
+            new_side.collected += new.get(zone_class, NO_REQUESTS)
+            old_side.collected += old.get(zone_class, NO_REQUESTS)
             if (
                 min(new_side.collected.request_count, old_side.collected.request_count)
-                < MIN_REQUESTS_PER_SLICE
+                < MIN_REQUESTS_PER_INTERVAL
             ):
                 continue
-            self._compare(place, new_side, old_side)
+            self._compare(zone_class, new_side, old_side)
             new_side.collected = NO_REQUESTS
             old_side.collected = NO_REQUESTS
 
-    def _compare(self, place: ZoneClass, new: Side, old: Side) -> None:
+    def _compare(self, zone_class: ZoneClass, new: Side, old: Side) -> None:
         """Add the difference of the requests collected on two sides to the comparison's test."""
         difference = new.collected.late_share - old.collected.late_share
         allowance = 0.0
@@ -315,37 +315,37 @@
             difference -= new.baseline.late_share - old.baseline.late_share
             variance = new.baseline.variance + old.baseline.variance
             allowance = ALLOWANCE_STANDARD_ERRORS * math.sqrt(variance)
-        test = self.tests.setdefault(place, SequentialTest(self.criteria))
+        test = self.tests.setdefault(zone_class, SequentialTest(self.criteria))
         test.add_difference(difference, min(allowance, MAX_COUNTED_DIFFERENCE))
 
-    def verdict(self, places: frozenset[ZoneClass]) -> Finding:
+    def verdict(self, zone_classes: frozenset[ZoneClass]) -> CombinedVerdict:
         """The verdict of all comparisons together.
 
         Args:
-            places: The comparisons that must rule a regression out.
+            zone_classes: The comparisons that must rule a regression out.
 
         Returns:
             REGRESSION with the first comparison that shows one, whether required or not; NO_REGRESSION if
             each required comparison rules a regression out; otherwise UNDECIDED, with the first required
             comparison that lacks evidence, or None if none is required.
         """
-        for place in sorted(self.tests):
-            if self.tests[place].verdict is Verdict.REGRESSION:
-                return Finding(Verdict.REGRESSION, place)
-        for place in sorted(places):
-            if place not in self.tests or self.tests[place].verdict is not Verdict.NO_REGRESSION:
-                return Finding(Verdict.UNDECIDED, place)
-        return Finding(Verdict.NO_REGRESSION if places else Verdict.UNDECIDED, None)
+        for zone_class in sorted(self.tests):
+            if self.tests[zone_class].verdict is Verdict.REGRESSION:
+                return CombinedVerdict(Verdict.REGRESSION, zone_class)
+        for zone_class in sorted(zone_classes):
+            if zone_class not in self.tests or self.tests[zone_class].verdict is not Verdict.NO_REGRESSION:
+                return CombinedVerdict(Verdict.UNDECIDED, zone_class)
+        return CombinedVerdict(Verdict.NO_REGRESSION if zone_classes else Verdict.UNDECIDED, None)
 
     def figures(self) -> dict[str, EvidenceFigures]:
         """The figures on which a decision is based, for the history, by ``ZONE/CLASS``."""
         return {
-            f"{place.zone}/{place.request_class}": {
+            f"{zone_class.zone}/{zone_class.request_class}": {
                 "slices": test.slice_count,
                 "mean": round(test.mean_difference, 4),
                 "verdict": test.verdict.value,
                 "worse": min(MAX_SHOWN_EVIDENCE, test.regression_evidence),
                 "fine": min(MAX_SHOWN_EVIDENCE, test.no_regression_evidence),
             }
-            for place, test in sorted(self.tests.items(), key=lambda item: item[0])
+            for zone_class, test in sorted(self.tests.items(), key=lambda item: item[0])
         }
--- a/kelpcroft/rollout/observations.py
+++ b/kelpcroft/rollout/observations.py
@@ -10,7 +10,7 @@
 from kelpcroft.rollout.judge import NO_REQUESTS
 from kelpcroft.rollout.phases import (
     BUILD_REPLACED_PHASES,
-    COMMAND_UNDER_WAY_PHASES,
+    COMMAND_IN_PROGRESS_PHASES,
     NEW_BUILD_PHASES,
     OLD_BUILD_PHASES,
     UNAVAILABLE_PHASES,
@@ -53,17 +53,17 @@
     if report.invariant_violations < previous.invariant_violations:
         return True
     return any(
-        report.samples_by_class.get(name, NO_REQUESTS).request_count < sample.request_count
-        for name, sample in previous.samples_by_class.items()
+        report.samples_by_class.get(class_name, NO_REQUESTS).request_count < sample.request_count
+        for class_name, sample in previous.samples_by_class.items()
     )
 
 
 def _count_requests(router: RouterState, report: RouterReport, previous: RouterReport) -> None:
     """Add the requests since the previous report; the counters of a new instance start at 0."""
     same_instance = previous.instance == report.instance
-    for name, total in report.samples_by_class.items():
-        earlier = previous.samples_by_class.get(name, NO_REQUESTS) if same_instance else NO_REQUESTS
-        router.uncounted[name] = router.uncounted.get(name, NO_REQUESTS) + (total - earlier)
+    for class_name, total in report.samples_by_class.items():
+        earlier = previous.samples_by_class.get(class_name, NO_REQUESTS) if same_instance else NO_REQUESTS
+        router.uncounted[class_name] = router.uncounted.get(class_name, NO_REQUESTS) + (total - earlier)
 
 
 def _check_crash_and_invariants(
@@ -72,20 +72,20 @@
     """Report a regression if the new build has crashed or violated an invariant; this needs no statistics."""
     restarted = previous is not None and previous.instance != report.instance
     runs_new_build = router.phase in NEW_BUILD_PHASES
-    if restarted and router.phase not in COMMAND_UNDER_WAY_PHASES:
+    if restarted and router.phase not in COMMAND_IN_PROGRESS_PHASES:
         if runs_new_build:
-            state.report_harm(router, "crash", f"{router.name} was started again by nobody's order")
+            state.report_regression(router, "crash", f"{router.name} was started again by nobody's order")
         else:
             state.add_history("restarted", f"{router.name} was started again", router=router.name)
     elif report.invariant_violations > router.invariant_baseline and runs_new_build:
-        state.report_harm(
+        state.report_regression(
             router, "invariant", f"{router.name} counts {report.invariant_violations} broken invariants"
         )
 
 
 def is_unknown(state: RolloutState, router: RouterState) -> bool:
     """Whether a router has not reported for STALE_POLLS polling intervals, so that its state is unknown."""
-    since_ns = max(router.last_report_ns, _silence_counts_from_ns(state, router), state.listening_since_ns)
+    since_ns = max(router.last_report_ns, _silence_counts_from_ns(state, router), state.polling_since_ns)
     return state.now_ns - since_ns > STALE_POLLS * state.plan.poll_interval_ns
 
 
@@ -101,10 +101,10 @@
 
 def has_recent_report(state: RolloutState, router: RouterState) -> bool:
     """Whether a router has reported since this process began to poll or had its last process stall."""
-    return router.last_report_ns >= state.listening_since_ns
+    return router.last_report_ns >= state.polling_since_ns
 
 
-def enough_routers_answer(state: RolloutState) -> bool:
+def enough_routers_respond(state: RolloutState) -> bool:
     """Whether the routers without a recent report are no more than the plan allows.
 
     A router whose process is being replaced may be silent and does not count.
--- a/kelpcroft/rollout/phases.py
+++ b/kelpcroft/rollout/phases.py
@@ -39,7 +39,7 @@
 )
 OLD_BUILD_PHASES = frozenset((Phase.WAITING, Phase.CONTROL))
 NEW_BUILD_PHASES = frozenset((Phase.CHANGING, Phase.WARMING_UP, Phase.COMPARED, Phase.ACCEPTED))
-COMMAND_UNDER_WAY_PHASES = (
+COMMAND_IN_PROGRESS_PHASES = (
     frozenset(  # a command that ends the process is in progress or follows; a new instance is then no crash
         (
             Phase.CHANGING,
@@ -79,6 +79,6 @@
 
     NONE = ""
     SILENCE = "silence"  # too many routers do not respond; the hold ends once enough respond again
-    PEOPLE = (
+    OPERATORS = (
         "people"  # an operator's command, or a state that needs one; the hold ends by an operator's command
     )
--- a/kelpcroft/rollout/placement.py
+++ b/kelpcroft/rollout/placement.py
@@ -20,7 +20,7 @@
 START_NS = 10**18  # start of the virtual clock; any time later than SETTLED_NS is suitable
 STEP_NS = 100 * 10**6  # between two requests, so that the first has no influence on the second
 SETTLED_NS = 3_600 * 10**9  # age of the list at the first request, at which no cache is warming up
-ANSWER_NS = 10**6  # from a request to its response
+RESPONSE_NS = 10**6  # from a request to its response
 DEFAULT_DEADLINE_NS = 10**9  # deadline of a class that has none
 
 
@@ -45,12 +45,12 @@
     policy.start(now_ns)
     policy.handle(now_ns, api.ServerList("restored", tuple(servers)))
     now_ns += SETTLED_NS
-    homes = []
+    placement = []
     for n in range(count):
         now_ns += STEP_NS
         request = api.Request(str(n), request_class.name, deadline_ns, mix64(n) >> 1)
-        homes.append(_home_of(policy, now_ns, request))
-    return homes
+        placement.append(_place_object(policy, now_ns, request))
+    return placement
 
 
 def _cached_class(settings: api.Settings) -> api.RequestClass:
@@ -61,14 +61,14 @@
     raise PlacementError("no class is kept in caches", zone=settings.zone)
 
 
-def _home_of(policy: RoutingPolicy, now_ns: int, request: api.Request) -> str:
+def _place_object(policy: RoutingPolicy, now_ns: int, request: api.Request) -> str:
     """The server to which the first attempt of a request is sent; the attempt then succeeds immediately."""
     for action in policy.handle(now_ns, request):
         if isinstance(action, api.ForwardRequest):
             end = api.AttemptEnded(
-                action.id, 0, action.server, api.Outcome.OK, ANSWER_NS, True, api.FillResult.HIT
+                action.id, 0, action.server, api.Outcome.OK, RESPONSE_NS, True, api.FillResult.HIT
             )
-            policy.handle(now_ns + ANSWER_NS, end)
+            policy.handle(now_ns + RESPONSE_NS, end)
             return action.server
     return ""
 
--- a/kelpcroft/rollout/plan_checks.py
+++ b/kelpcroft/rollout/plan_checks.py
@@ -5,7 +5,7 @@
 from kelpcroft.operator_file.diagnostics import DiagnosticCollector, abbreviated, suggestion
 from kelpcroft.rollout.plan import NS_PER_S, RolloutPlan, RouterTarget, Stage
 
-Zones = dict[str, list[RouterTarget]]  # the routers by zone
+RoutersByZone = dict[str, list[RouterTarget]]  # the routers by zone
 
 
 def check_plan(plan: RolloutPlan, diagnostics: DiagnosticCollector) -> None:
@@ -65,19 +65,19 @@
 
 
 def _check_old_routers_remain(
-    stage: Stage, routers: list[RouterTarget], zones: Zones, diagnostics: DiagnosticCollector
+    stage: Stage, routers: list[RouterTarget], zones: RoutersByZone, diagnostics: DiagnosticCollector
 ) -> None:
     """Check that a stage does not change all routers of a zone that has several.
 
     Otherwise no router of the old build would be left there to compare with.
     """
-    changing = {router.name for router in routers}
-    for zone, of_zone in zones.items():
-        if len(of_zone) > 1 and changing.issuperset(router.name for router in of_zone):
+    changing_names = {router.name for router in routers}
+    for zone, zone_routers in zones.items():
+        if len(zone_routers) > 1 and changing_names.issuperset(router.name for router in zone_routers):
             diagnostics.add(
                 stage.position,
                 "whole-zone",
-                f"{_stage_title(stage)} changes all {len(of_zone)} routers of zone "
+                f"{_stage_title(stage)} changes all {len(zone_routers)} routers of zone "
                 f"{abbreviated(zone)}: no old router would be left there to compare with",
             )
 
@@ -86,7 +86,7 @@
     plan: RolloutPlan,
     stage: Stage,
     routers: list[RouterTarget],
-    zones: Zones,
+    zones: RoutersByZone,
     diagnostics: DiagnosticCollector,
 ) -> None:
     """Check that a stage with a control group changes one router per zone and has room for the group.
@@ -97,8 +97,8 @@
     title = _stage_title(stage)
     router_zones = [router.zone for router in routers]
     stage_zones = sorted(set(router_zones))
-    out_per_zone = 1 + stage.control_count
-    out_in_all = len(stage_zones) * out_per_zone
+    unavailable_per_zone = 1 + stage.control_count
+    unavailable_in_total = len(stage_zones) * unavailable_per_zone
     for zone in stage_zones:
         changing_count = router_zones.count(zone)
         if changing_count > 1:
@@ -108,19 +108,22 @@
                 f"{title} changes {changing_count} routers of zone {abbreviated(zone)}; a "
                 "stage with a control group may change only one",
             )
-        if len(zones[zone]) < out_per_zone:
+        if len(zones[zone]) < unavailable_per_zone:
             diagnostics.add(
                 stage.position,
                 "control-few",
                 f"{title}: zone {abbreviated(zone)} has {len(zones[zone])} routers, too few for a control "
                 f"group of {stage.control_count} beside the new one",
             )
-        elif plan.max_unavailable_per_zone < out_per_zone or plan.max_unavailable < out_in_all:
+        elif (
+            plan.max_unavailable_per_zone < unavailable_per_zone
+            or plan.max_unavailable < unavailable_in_total
+        ):
             diagnostics.add(
                 stage.position,
                 "control-room",
-                f"{title}: limits must allow {out_per_zone} unavailable routers in a zone, and "
-                f"{out_in_all} in total",
+                f"{title}: limits must allow {unavailable_per_zone} unavailable routers in a zone, and "
+                f"{unavailable_in_total} in total",
             )
     if not plan.restart_command and not plan.local_builds:
         diagnostics.add(stage.position, "no-restart", f"{title}: a control group needs restart in 'act'")
@@ -139,7 +142,7 @@
         diagnostics.add(0, "local-program", "a local 'act' changes only the program")
 
 
-def _check_zone_limits(plan: RolloutPlan, zones: Zones, diagnostics: DiagnosticCollector) -> None:
+def _check_zone_limits(plan: RolloutPlan, zones: RoutersByZone, diagnostics: DiagnosticCollector) -> None:
     """Check that the limits leave at least one router available in each zone that has several."""
     for zone, routers in zones.items():
         if plan.max_unavailable_per_zone >= len(routers) > 1:
--- a/kelpcroft/rollout/plan_file.py
+++ b/kelpcroft/rollout/plan_file.py
@@ -67,7 +67,7 @@
 COMPONENTS = ("program", "settings", "rules")  # nodes in ``change``
 COMMANDS = ("apply", "undo", "restart")  # nodes in ``act`` with the operators' tool
 BUILDS = ("old", "new")  # nodes in a local ``act`` and in ``homes``
-HARM_ANSWERS = ("take-back", "hold")  # arguments of ``then``: the reaction to a regression
+REGRESSION_REACTIONS = ("take-back", "hold")  # arguments of ``then``: the reaction to a regression
 
 
 def load_plan(data: bytes) -> tuple[RolloutPlan, list[Diagnostic]]:
@@ -157,8 +157,8 @@
         """Add a diagnostic for each required node that is missing."""
         if "change" not in self._section_offsets:
             self.diagnostics.add(0, "no-change", 'there is no change; add change { program build="..." }')
-        for kind, found in (("router", routers), ("stage", stages)):
-            if not found:
+        for kind, entries in (("router", routers), ("stage", stages)):
+            if not entries:
                 self.diagnostics.add(0, f"no-{kind}", f'there is no {kind}; add one, as in {kind} "one"')
 
     # Nodes that are allowed once, each read into the plan -------------------------------------------------
@@ -187,8 +187,8 @@
             if child.name in COMPONENTS:
                 key = "build" if child.name == "program" else "digest"
                 self.check_structure(child, 0, (key,))
-                wanted = f'the new one\'s digest, as in {key}="5f2c09e1a7b3d480"'
-                digest = self.read_property(child, key, plan_values.parse_digest, wanted)
+                expected = f'the new one\'s digest, as in {key}="5f2c09e1a7b3d480"'
+                digest = self.read_property(child, key, plan_values.parse_digest, expected)
                 changes.append(ComponentChange(child.name, digest or ""))
         if not changes:
             self.diagnostics.add(
@@ -252,15 +252,15 @@
     def read_then(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
         """``then "take-back"`` or ``then "hold"``."""
         self.check_structure(node, 1, ())
-        answer = self.read_argument(node, plan_values.parse_name, "take-back or hold")
-        if answer is not None and answer not in HARM_ANSWERS:
+        reaction = self.read_argument(node, plan_values.parse_name, "take-back or hold")
+        if reaction is not None and reaction not in REGRESSION_REACTIONS:
             self.diagnostics.add(
                 node.offset,
                 "unknown-word",
-                f"{abbreviated(answer)}{suggestion(answer, HARM_ANSWERS)}; "
-                f"there are {' and '.join(HARM_ANSWERS)}",
+                f"{abbreviated(reaction)}{suggestion(reaction, REGRESSION_REACTIONS)}; "
+                f"there are {' and '.join(REGRESSION_REACTIONS)}",
             )
-        return replace(plan, rolls_back_on_harm=answer != "hold")
+        return replace(plan, rolls_back_on_harm=reaction != "hold")
 
     def read_act(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
         """``act timeout="60s" repeat=#true { apply ...; undo ...; restart ... }``, or ``act local=#true``."""
@@ -337,8 +337,8 @@
         for child in node.children:
             if child.name in BUILDS:
                 self.check_structure(child, 1, ())
-                wanted = 'the folder of a build, as in old "/srv/router"'
-                folders[child.name] = self.read_argument(child, plan_values.parse_path, wanted) or ""
+                expected = 'the folder of a build, as in old "/srv/router"'
+                folders[child.name] = self.read_argument(child, plan_values.parse_path, expected) or ""
         if not all(folders.get(build) for build in BUILDS):
             self.diagnostics.add(
                 node.offset, "missing-value", "a local 'act' needs old and new, each with a folder"
@@ -346,14 +346,14 @@
         return BuildFolders(folders.get("old", ""), folders.get("new", ""))
 
     def _read_commands(
-        self, node: KdlNode, names: tuple[str, ...], needed: tuple[str, ...], example_field: str
+        self, node: KdlNode, names: tuple[str, ...], required_names: tuple[str, ...], example_field: str
     ) -> dict[str, tuple[str, ...]]:
         """Read the commands in a node, by name, each as an argument list.
 
         Args:
             node: The node whose children are the commands.
             names: The names that commands may have.
-            needed: The commands that must not be missing.
+            required_names: The commands that must not be missing.
             example_field: The placeholder that a diagnostic shows in its example.
         """
         commands: dict[str, tuple[str, ...]] = {}
@@ -365,7 +365,7 @@
                     for raw, offset in child.arguments
                 ]
                 commands[child.name] = tuple(word or "" for word in words)
-        for name in needed:
+        for name in required_names:
             if not commands.get(name):
                 self.diagnostics.add(
                     node.offset,
--- a/kelpcroft/rollout/plan_values.py
+++ b/kelpcroft/rollout/plan_values.py
@@ -17,7 +17,12 @@
 MAX_WORD_CHARACTERS = 4_096  # length of one argument of a command
 MIN_DIGEST_DIGITS = 4  # hexadecimal digits
 MAX_DIGEST_DIGITS = 64  # hexadecimal digits
-COMMAND_FIELDS = ("router", "zone", "control", "config")  # placeholders in braces in a command's arguments
+COMMAND_PLACEHOLDERS = (
+    "router",
+    "zone",
+    "control",
+    "config",
+)  # placeholders in braces in a command's arguments
 
 
 def parse_count(raw: Value) -> int:
@@ -66,15 +71,15 @@
 def parse_command_word(raw: Value) -> str:
     """One argument of a command.
 
-    A name in braces is a placeholder out of COMMAND_FIELDS; ``{{`` and ``}}`` stand for single braces.
+    A name in braces is a placeholder out of COMMAND_PLACEHOLDERS; ``{{`` and ``}}`` stand for single braces.
     """
     text = values.parse_text(raw, "a name")
     if not text or len(text) > MAX_WORD_CHARACTERS or "\0" in text:
         raise InvalidValue("bad-word", f"{abbreviated(raw)} cannot be an argument of a command")
     try:
-        text.format(**dict.fromkeys(COMMAND_FIELDS, ""))
+        text.format(**dict.fromkeys(COMMAND_PLACEHOLDERS, ""))
     except (KeyError, IndexError, ValueError) as error:
-        known = ", ".join("{" + name + "}" for name in COMMAND_FIELDS)
+        known = ", ".join("{" + name + "}" for name in COMMAND_PLACEHOLDERS)
         raise InvalidValue("bad-word", f"{abbreviated(raw)}: {error} is not one of {known}") from error
     return text
 
--- a/kelpcroft/rollout/router_drivers.py
+++ b/kelpcroft/rollout/router_drivers.py
@@ -23,17 +23,17 @@
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 
-MAX_ANSWER_BYTES = 256 * 1024  # of a control response; a longer one is rejected
+MAX_RESPONSE_BYTES = 256 * 1024  # of a control response; a longer one is rejected
 MAX_OUTPUT_CHARACTERS = 2_000  # of a command's output that the error text keeps
 MAX_WEIGHT = 1e18  # a larger requested weight in a report is impossible
-MIN_CALL_TIMEOUT_S, MAX_CALL_TIMEOUT_S = 0.2, 5.0  # limits of the time-out of a control request
-POLLS_PER_CALL_TIMEOUT = 2  # polling intervals that a control request may take
+MIN_REQUEST_TIMEOUT_S, MAX_REQUEST_TIMEOUT_S = 0.2, 5.0  # limits of the time-out of a control request
+POLL_INTERVALS_PER_REQUEST_TIMEOUT = 2  # polling intervals that a control request may take
 STOP_TIMEOUT_S = 10.0  # a local process must end within this time after SIGTERM
 STOP_CHECK_INTERVAL_S = 0.02  # between two checks whether a local process has ended
 SERVICE_UNAVAILABLE = 503  # status of the state response of a router that is not ready
 
-CALL_ERRORS = (OSError, http.client.HTTPException, ValueError)  # errors of a control request
-CONTROL_VERBS = {  # last path segment of the control request, by command
+REQUEST_ERRORS = (OSError, http.client.HTTPException, ValueError)  # errors of a control request
+CONTROL_PATHS = {  # last path segment of the control request, by command
     CommandKind.DRAIN: "out-of-service",
     CommandKind.ENABLE: "in-service",
 }
@@ -93,13 +93,13 @@
         return False
 
 
-def fill_in_placeholders(words: Sequence[str], target: RouterTarget) -> list[str]:
+def fill_in_placeholders(arguments: Sequence[str], target: RouterTarget) -> list[str]:
     """The arguments of a command with the placeholders replaced by the router's values."""
     return [
-        word.format(
+        argument.format(
             router=target.name, zone=target.zone, control=target.control_address, config=target.config_path
         )
-        for word in words
+        for argument in arguments
     ]
 
 
@@ -108,10 +108,10 @@
 
     def __init__(self, plan: RolloutPlan) -> None:
         self.plan = plan
-        polls_s = POLLS_PER_CALL_TIMEOUT * plan.poll_interval_ns / 1e9
-        self.call_timeout_s = max(MIN_CALL_TIMEOUT_S, min(MAX_CALL_TIMEOUT_S, polls_s))
+        timeout_s = POLL_INTERVALS_PER_REQUEST_TIMEOUT * plan.poll_interval_ns / 1e9
+        self.request_timeout_s = max(MIN_REQUEST_TIMEOUT_S, min(MAX_REQUEST_TIMEOUT_S, timeout_s))
 
-    def call_control(self, target: RouterTarget, method: str, verb: str) -> Any:
+    def request_control(self, target: RouterTarget, method: str, path: str) -> Any:
         """Send one control request.
 
         Returns:
@@ -123,15 +123,15 @@
             ValueError: The response has an error status, is too long, or is not JSON.
         """
         host, _, port = target.control_address.rpartition(":")
-        connection = http.client.HTTPConnection(host, int(port), timeout=self.call_timeout_s)
+        connection = http.client.HTTPConnection(host, int(port), timeout=self.request_timeout_s)
         try:
-            connection.request(method, f"/control/{verb}")
-            answer = connection.getresponse()
-            body = answer.read(MAX_ANSWER_BYTES + 1)
-            is_refused = answer.status >= 400 and answer.status != SERVICE_UNAVAILABLE
-            if is_refused or len(body) > MAX_ANSWER_BYTES:
+            connection.request(method, f"/control/{path}")
+            response = connection.getresponse()
+            body = response.read(MAX_RESPONSE_BYTES + 1)
+            is_rejected = response.status >= 400 and response.status != SERVICE_UNAVAILABLE
+            if is_rejected or len(body) > MAX_RESPONSE_BYTES:
                 # Not a subclass, because the name of the class appears in the stored history.
-                raise ValueError(f"answered {answer.status} with {len(body)} bytes")
+                raise ValueError(f"answered {response.status} with {len(body)} bytes")
             return orjson.loads(body)
         finally:
             connection.close()
@@ -139,8 +139,8 @@
     def poll(self, target: RouterTarget) -> Event:
         """Request a router's state: its report, or ``NoAnswer``."""
         try:
-            return parse_state(target, self.call_control(target, "GET", "state"))
-        except CALL_ERRORS:
+            return parse_state(target, self.request_control(target, "GET", "state"))
+        except REQUEST_ERRORS:
             return NoAnswer(target.name)
 
     def execute(self, target: RouterTarget, kind: CommandKind) -> str:
@@ -150,11 +150,11 @@
             "" or the reason of the failure.  "" does not prove that the command took effect; only the
             router's report proves that.
         """
-        if kind not in CONTROL_VERBS:
+        if kind not in CONTROL_PATHS:
             return self.replace_process(target, kind)
         try:
-            self.call_control(target, "PUT", CONTROL_VERBS[kind])
-        except CALL_ERRORS as error:
+            self.request_control(target, "PUT", CONTROL_PATHS[kind])
+        except REQUEST_ERRORS as error:
             return f"{type(error).__name__}: {error}"
         return ""
 
@@ -187,10 +187,10 @@
         Returns:
             "" or the reason of the failure, with the end of the tool's output if it exited with an error.
         """
-        words = fill_in_placeholders(self._commands[kind], target)
+        arguments = fill_in_placeholders(self._commands[kind], target)
         try:
-            ended = subprocess.run(
-                words,
+            completed = subprocess.run(
+                arguments,
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.STDOUT,
@@ -198,11 +198,11 @@
                 check=False,
             )
         except (OSError, subprocess.TimeoutExpired) as error:
-            return f"{words[0]}: {error}"[:MAX_OUTPUT_CHARACTERS]
-        if not ended.returncode:
+            return f"{arguments[0]}: {error}"[:MAX_OUTPUT_CHARACTERS]
+        if not completed.returncode:
             return ""
-        output = ended.stdout[-MAX_OUTPUT_CHARACTERS:].decode(errors="replace").strip()
-        return f"{words[0]} ended with {ended.returncode}: {output}"
+        output = completed.stdout[-MAX_OUTPUT_CHARACTERS:].decode(errors="replace").strip()
+        return f"{arguments[0]} ended with {completed.returncode}: {output}"
 
 
 class LocalProcessDriver(RouterDriver):
@@ -235,25 +235,25 @@
         """
         self.children = [child for child in self.children if child.poll() is None]
         try:
-            raw = self.call_control(target, "GET", "state")
+            raw = self.request_control(target, "GET", "state")
         except ConnectionRefusedError:
             raw = None  # nothing runs there
-        except CALL_ERRORS as error:
+        except REQUEST_ERRORS as error:
             return f"what runs at {target.control_address} does not say what it is: {error}"
         if raw is None:
             return self.start_process(target, Path(self._folders[kind]))
         if not isinstance(raw, dict) or raw.get("name") != target.name:
             return f"at {target.control_address} is another router"
         instance = str(raw.get("instance"))
-        if self._is_as_ordered(target, kind, instance, raw.get("build") == self._new_digest):
+        if self._has_taken_effect(target, kind, instance, raw.get("build") == self._new_digest):
             return ""
         process_id = instance.partition("-")[0]
         if not process_id.isdigit():
             return f"instance {instance!r} does not begin with a process's number"
-        why = self.stop_process(int(process_id))
-        return why or self.start_process(target, Path(self._folders[kind]))
+        failure = self.stop_process(int(process_id))
+        return failure or self.start_process(target, Path(self._folders[kind]))
 
-    def _is_as_ordered(self, target: RouterTarget, kind: CommandKind, instance: str, is_new: bool) -> bool:
+    def _has_taken_effect(self, target: RouterTarget, kind: CommandKind, instance: str, is_new: bool) -> bool:
         """Whether a command has already taken effect.
 
         RESTART has if the instance differs from that recorded at the first RESTART of the router.
--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -78,7 +78,7 @@
 
 def to_snapshot(rollout: RolloutState) -> StoredRollout:
     """Convert a rollout to the form from which ``from_snapshot`` restores it."""
-    place = rollout.regression_place
+    zone_class = rollout.regression_place
     return {
         "v": VERSION,
         "now": rollout.now_ns,
@@ -88,12 +88,12 @@
         "why": rollout.reason,
         "hold_cause": rollout.hold_cause.value,
         "memory": rollout.old_peak_memory_kb,
-        "harmed": list(place) if place else None,
+        "harmed": list(zone_class) if zone_class else None,
         "after": rollout.rolled_back_ns,
         "routers": {name: _router_to_json(router) for name, router in rollout.routers.items()},
-        "bets": [_test_to_json(place, test) for place, test in rollout.judge.tests.items()],
+        "bets": [_test_to_json(zone_class, test) for zone_class, test in rollout.judge.tests.items()],
         "sides": [
-            [*key.place, key.is_new, _sample_to_json(side.baseline)]
+            [*key.zone_class, key.is_new, _sample_to_json(side.baseline)]
             for key, side in rollout.judge.sides.items()
         ],
     }
@@ -107,10 +107,10 @@
     return {name: _sample_to_json(sample) for name, sample in samples.items()}
 
 
-def _test_to_json(place: ZoneClass, test: SequentialTest) -> list[Any]:
+def _test_to_json(zone_class: ZoneClass, test: SequentialTest) -> list[Any]:
     return [
-        place.zone,
-        place.request_class,
+        zone_class.zone,
+        zone_class.request_class,
         test.regression_log_evidence,
         test.no_regression_log_evidence,
         test.slice_count,
@@ -198,14 +198,14 @@
     return {name: _sample_from_json(row) for name, row in rows.items()}
 
 
-def _router_from_json(untouched: RouterState, row: StoredRouter) -> RouterState:
+def _router_from_json(initial: RouterState, row: StoredRouter) -> RouterState:
     report = row["report"]
     return RouterState(
-        untouched.target,
+        initial.target,
         phase=Phase(row["phase"]),
         phase_since_ns=int(row["since"]),
         last_report_ns=int(row["heard"]),
-        last_report=None if report is None else _report_from_json(untouched.name, report),
+        last_report=None if report is None else _report_from_json(initial.name, report),
         original_digests=dict(row["first"]),
         invariant_baseline=int(row["invariants"]),
         instance_before_restart=str(row.get("was", "")),
--- a/kelpcroft/rollout/stages.py
+++ b/kelpcroft/rollout/stages.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from kelpcroft.rollout.comparison import Samples, add_samples, control_group, required_comparisons
+from kelpcroft.rollout.comparison import SamplesByZoneClass, add_samples, control_group, required_comparisons
 from kelpcroft.rollout.events import CommandKind
 from kelpcroft.rollout.judge import RegressionJudge, Verdict, ZoneClass
 from kelpcroft.rollout.observations import (
@@ -23,7 +23,7 @@
 MAX_NAMES_SHOWN = 5  # routers whose names a reason lists
 
 
-def go_forward(state: RolloutState) -> None:
+def advance_stage(state: RolloutState) -> None:
     """Begin the changes of the stage, and end the stage once the evidence suffices."""
     if state.stage_index == NO_STAGE:
         if not _has_baselines(state):
@@ -55,17 +55,17 @@
     state.stage_index = index
     state.stage_since_ns = state.now_ns
     state.judge = RegressionJudge(state.plan.stop_criteria)
-    changing = {target.name for target in state.stages[index]}
+    changing_names = {target.name for target in state.stages[index]}
     control_names = {router.name for router in control_group(state)}
     for name, router in state.routers.items():
-        is_new = name in changing
+        is_new = name in changing_names
         is_compared = not control_names or is_new or name in control_names
         if router.phase is Phase.WAITING and is_compared:
-            baseline: Samples = {}
+            baseline: SamplesByZoneClass = {}
             add_samples(baseline, router, router.baseline)
             state.judge.add_baseline(is_new, baseline)
     stage = state.plan.stages[index]
-    state.add_history("stage", f"stage {stage.name!r} begins", routers=sorted(changing))
+    state.add_history("stage", f"stage {stage.name!r} begins", routers=sorted(changing_names))
 
 
 def _begin_control_group(state: RolloutState) -> None:
@@ -101,16 +101,20 @@
     warm_since_ns = max((router.phase_since_ns for router in stage_routers), default=state.now_ns)
     warm_ns = state.now_ns - warm_since_ns
     required = required_comparisons(state)
-    verdict, place = state.judge.verdict(required)
-    is_ruled_out = verdict is Verdict.NO_REGRESSION or (not required and verdict is not Verdict.REGRESSION)
-    all_answer = all(
+    verdict, zone_class = state.judge.verdict(required)
+    is_regression_ruled_out = verdict is Verdict.NO_REGRESSION or (
+        not required and verdict is not Verdict.REGRESSION
+    )
+    all_respond = all(
         has_recent_report(state, router) and not is_unknown(state, router) for router in stage_routers
     )
-    if warm_ns >= stage.min_ns and is_ruled_out and all_answer:
+    if warm_ns >= stage.min_ns and is_regression_ruled_out and all_respond:
         _accept_stage(state, stage_routers, required)
     elif warm_ns > stage.max_ns:
-        where = f" of class {place.request_class!r} in zone {place.zone!r}" if place else ""
-        state.hold(f"stage {stage.name!r}: not enough evidence{where}")
+        missing_evidence = (
+            f" of class {zone_class.request_class!r} in zone {zone_class.zone!r}" if zone_class else ""
+        )
+        state.hold(f"stage {stage.name!r}: not enough evidence{missing_evidence}")
 
 
 def _accept_stage(
@@ -118,9 +122,13 @@
 ) -> None:
     """End a stage without a regression, and begin the next one if there is one."""
     stage = state.plan.stages[state.stage_index]
-    uncompared = sorted({router.zone for router in stage_routers} - {place.zone for place in required})
-    remark = f"; nothing was left to compare with in {', '.join(uncompared)}" if uncompared else ""
-    state.add_history("stage-good", f"stage {stage.name!r} is good{remark}", **state.judge.figures())
+    uncompared_zones = sorted(
+        {router.zone for router in stage_routers} - {zone_class.zone for zone_class in required}
+    )
+    uncompared_text = (
+        f"; nothing was left to compare with in {', '.join(uncompared_zones)}" if uncompared_zones else ""
+    )
+    state.add_history("stage-good", f"stage {stage.name!r} is good{uncompared_text}", **state.judge.figures())
     for router in stage_routers:
         state.enter(router, Phase.ACCEPTED)
     for router in control_group(state):
--- a/kelpcroft/rollout/state.py
+++ b/kelpcroft/rollout/state.py
@@ -12,7 +12,7 @@
 
 from kelpcroft.rollout.events import CommandKind, Effect, HistoryEntry, RouterCommand, RouterReport
 from kelpcroft.rollout.judge import RegressionJudge, RequestSample, ZoneClass
-from kelpcroft.rollout.phases import COMMAND_UNDER_WAY_PHASES, HoldCause, Phase, RolloutOutcome
+from kelpcroft.rollout.phases import COMMAND_IN_PROGRESS_PHASES, HoldCause, Phase, RolloutOutcome
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 
 NEVER_NS = -1  # the time of an event that has not happened yet
@@ -77,8 +77,8 @@
         hold_cause: Decides how a hold ends.
         judge: The comparisons of the stage; after a rollback, those of the routers that were rolled back.
         last_poll_ns: When the routers were last polled.
-        last_slice_ns: When the last interval of comparison ended.
-        listening_since_ns: Since when this process polls without a stall; earlier silence of a router does
+        last_interval_ns: When the last interval of comparison ended.
+        polling_since_ns: Since when this process polls without a stall; earlier silence of a router does
             not count.
         old_peak_memory_kb: The highest peak memory that a router of the old build has reported.
         regression_place: The comparison that stopped the rollout; None where no comparison did.
@@ -98,8 +98,8 @@
         self.hold_cause = HoldCause.NONE
         self.judge = RegressionJudge(plan.stop_criteria)
         self.last_poll_ns = now_ns - plan.poll_interval_ns
-        self.last_slice_ns = now_ns - plan.poll_interval_ns
-        self.listening_since_ns = now_ns
+        self.last_interval_ns = now_ns - plan.poll_interval_ns
+        self.polling_since_ns = now_ns
         self.old_peak_memory_kb = 0
         self.regression_place: ZoneClass | None = None
         self.rolled_back_ns = NEVER_NS
@@ -129,12 +129,12 @@
     def restart_deadlines(self) -> None:
         """Restart the deadline of each command in progress, because no reports were processed meanwhile."""
         for router in self.routers.values():
-            if router.phase in COMMAND_UNDER_WAY_PHASES:
+            if router.phase in COMMAND_IN_PROGRESS_PHASES:
                 router.phase_since_ns = self.now_ns
 
     # Holding, resuming and rolling back -------------------------------------------------------------------
 
-    def hold(self, reason: str, cause: HoldCause = HoldCause.PEOPLE) -> None:
+    def hold(self, reason: str, cause: HoldCause = HoldCause.OPERATORS) -> None:
         """Hold the rollout: no new change begins until the hold ends."""
         self.outcome = RolloutOutcome.HELD
         self.reason = reason
@@ -155,7 +155,7 @@
         self.reason = reason
         self.add_history("reverting", f"taken back: {reason}")
 
-    def stop(self, name: str, reason: str, figures: Mapping[str, object]) -> None:
+    def handle_regression(self, name: str, reason: str, figures: Mapping[str, object]) -> None:
         """React to a regression: roll back, or hold for the operators, as the plan says."""
         self.add_history(name, reason, **figures)
         if self.plan.rolls_back_on_harm:
@@ -163,19 +163,19 @@
         elif self.outcome is RolloutOutcome.RUNNING:
             self.hold(reason)
 
-    def report_harm(self, router: RouterState, name: str, reason: str) -> None:
+    def report_regression(self, router: RouterState, name: str, reason: str) -> None:
         """Stop for a regression that needs no statistics, unless the rollout is over or rolling back."""
         if self.outcome in (RolloutOutcome.RUNNING, RolloutOutcome.HELD):
-            self.stop(name, reason, {"router": router.name})
+            self.handle_regression(name, reason, {"router": router.name})
 
-    def escalate(self, router: RouterState, finding: str) -> None:
+    def escalate(self, router: RouterState, description: str) -> None:
         """Request an operator's intervention, once, for a router that is stuck without showing a regression.
 
         A running rollout is held.  A rollback continues, and its reason and history name the router.
         """
-        reason = f"{router.name} {finding}"
+        reason = f"{router.name} {description}"
         if self.outcome is RolloutOutcome.RUNNING:
             self.hold(reason)
-        elif self.outcome is RolloutOutcome.ROLLING_BACK and not self.reason.endswith(finding):
+        elif self.outcome is RolloutOutcome.ROLLING_BACK and not self.reason.endswith(description):
             self.reason = reason
             self.add_history("stuck", reason, router=router.name)
--- a/kelpcroft/rollout/state_machine.py
+++ b/kelpcroft/rollout/state_machine.py
@@ -18,7 +18,7 @@
 
 from __future__ import annotations
 
-from kelpcroft.rollout.comparison import close_slice
+from kelpcroft.rollout.comparison import close_interval
 from kelpcroft.rollout.events import (
     CommandKind,
     Effect,
@@ -28,14 +28,14 @@
     RouterCommand,
     RouterReport,
 )
-from kelpcroft.rollout.observations import enough_routers_answer, is_unknown, record_report
+from kelpcroft.rollout.observations import enough_routers_respond, is_unknown, record_report
 from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome
-from kelpcroft.rollout.rollback import go_back
-from kelpcroft.rollout.stages import MAX_NAMES_SHOWN, go_forward
+from kelpcroft.rollout.rollback import advance_rollback
+from kelpcroft.rollout.stages import MAX_NAMES_SHOWN, advance_stage
 from kelpcroft.rollout.state import NO_STAGE, RolloutState
-from kelpcroft.rollout.transitions import advance
+from kelpcroft.rollout.transitions import advance_router
 
-COMMANDS_SENT_AGAIN = {  # after a takeover, by phase: all of them are idempotent
+RESENT_COMMANDS = {  # after a takeover, by phase: all of them are idempotent
     Phase.DRAINING: CommandKind.DRAIN,
     Phase.ROLLBACK_DRAINING: CommandKind.DRAIN,
     Phase.CONTROL_DRAINING: CommandKind.DRAIN,
@@ -43,7 +43,7 @@
     Phase.ROLLED_BACK: CommandKind.ENABLE,
     Phase.CONTROL: CommandKind.ENABLE,
 }
-REPEATABLE_COMMANDS = {  # sent again as well where the plan declares that they are idempotent
+RESENT_COMMANDS_IF_REPEATABLE = {  # sent again as well where the plan declares that they are idempotent
     Phase.CHANGING: CommandKind.APPLY,
     Phase.ROLLING_BACK: CommandKind.UNDO,
     Phase.CONTROL_RESTARTING: CommandKind.RESTART,
@@ -67,10 +67,10 @@
         Returns:
             The commands to send and the history entries to write, in this order.
         """
-        stood_still = now_ns - self.now_ns > self.plan.poll_interval_ns
+        was_stalled = now_ns - self.now_ns > self.plan.poll_interval_ns
         self._begin_event(now_ns)
-        if stood_still:
-            self._restart_listening()
+        if was_stalled:
+            self._restart_silence_measurement()
         if isinstance(event, RouterReport):
             record_report(self, event)
         elif isinstance(event, OperatorCommand):
@@ -82,7 +82,7 @@
             self._step()
         return self.effects
 
-    def resume_after_takeover(self, now_ns: int, repeat: bool) -> list[Effect]:
+    def resume_after_takeover(self, now_ns: int, commands_repeatable: bool) -> list[Effect]:
         """Continue a rollout that a predecessor has led; its last commands may not have been sent.
 
         Idempotent commands are sent again.  A change that must not be repeated is not sent again: the digests
@@ -90,22 +90,22 @@
 
         Args:
             now_ns: The current time.
-            repeat: Whether the operators' tool may be run twice for the same change.
+            commands_repeatable: Whether the operators' tool may be run twice for the same change.
 
         Returns:
             The commands to send and the history entries to write, in this order.
         """
-        left_ns = self.now_ns
+        last_event_ns = self.now_ns
         self._begin_event(now_ns)
         self.last_poll_ns = self.now_ns - self.plan.poll_interval_ns
-        self.listening_since_ns = self.now_ns
+        self.polling_since_ns = self.now_ns
         if self.stage_index == NO_STAGE:
-            self.stage_since_ns += self.now_ns - left_ns  # no baseline was collected meanwhile
+            self.stage_since_ns += self.now_ns - last_event_ns  # no baseline was collected meanwhile
         self.restart_deadlines()
-        again = COMMANDS_SENT_AGAIN | (REPEATABLE_COMMANDS if repeat else {})
+        resent_commands = RESENT_COMMANDS | (RESENT_COMMANDS_IF_REPEATABLE if commands_repeatable else {})
         for router in self.routers.values():
-            if router.phase in again:
-                self.send(router, again[router.phase])
+            if router.phase in resent_commands:
+                self.send(router, resent_commands[router.phase])
         self.add_history(
             "resumed",
             f"taken over in stage {self.stage_index + 1} of {len(self.stages)}, {self.outcome.value}",
@@ -116,14 +116,14 @@
         self.now_ns = max(now_ns, self.now_ns)
         self.effects = []
 
-    def _restart_listening(self) -> None:
+    def _restart_silence_measurement(self) -> None:
         """Restart the measurement of silence after a process stall longer than a polling interval.
 
         This process polled no router during the stall, so that time does not count as silence of the routers.
-        Responses that are still queued date from before the stall.  Listening therefore begins one nanosecond
-        after now, so that they do not count as recent reports.
+        Responses that are still queued date from before the stall.  The measurement therefore begins one
+        nanosecond after now, so that they do not count as recent reports.
         """
-        self.listening_since_ns = self.now_ns + 1
+        self.polling_since_ns = self.now_ns + 1
         self.last_poll_ns = self.now_ns - self.plan.poll_interval_ns
         self.restart_deadlines()
 
@@ -150,26 +150,26 @@
 
     def _step(self) -> None:
         """Execute every transition that is possible now."""
-        close_slice(self)
+        close_interval(self)
         for router in self.routers.values():
-            advance(self, router)
+            advance_router(self, router)
         self._hold_or_resume_for_silence()
         if self.outcome is RolloutOutcome.RUNNING:
-            go_forward(self)
+            advance_stage(self)
         elif self.outcome is RolloutOutcome.ROLLING_BACK:
-            go_back(self)
+            advance_rollback(self)
 
     def _hold_or_resume_for_silence(self) -> None:
         """Hold the rollout while more routers are silent than the plan allows, and resume it afterwards."""
-        unknown = sorted(name for name, router in self.routers.items() if is_unknown(self, router))
-        if self.outcome is RolloutOutcome.RUNNING and len(unknown) > self.plan.max_unknown:
+        unknown_names = sorted(name for name, router in self.routers.items() if is_unknown(self, router))
+        if self.outcome is RolloutOutcome.RUNNING and len(unknown_names) > self.plan.max_unknown:
             self.hold(
-                f"{len(unknown)} routers do not answer: {', '.join(unknown[:MAX_NAMES_SHOWN])}",
+                f"{len(unknown_names)} routers do not answer: {', '.join(unknown_names[:MAX_NAMES_SHOWN])}",
                 HoldCause.SILENCE,
             )
         elif (
             self.outcome is RolloutOutcome.HELD
             and self.hold_cause is HoldCause.SILENCE
-            and enough_routers_answer(self)
+            and enough_routers_respond(self)
         ):
             self.end_hold("routers answer again within the plan's limit: the rollout goes on")
--- a/kelpcroft/rollout/transitions.py
+++ b/kelpcroft/rollout/transitions.py
@@ -18,14 +18,14 @@
 from kelpcroft.rollout.phases import NEW_BUILD_PHASES, Phase
 from kelpcroft.rollout.state import RolloutState, RouterState
 
-SPARE_MEMORY_KB = 16 * 1024  # kB that a new process may have above the plan's ratio of the old peak
+MEMORY_ALLOWANCE_KB = 16 * 1024  # kB that a new process may have above the plan's ratio of the old peak
 
 # Handles a router in one phase; takes the router's last report if that arrived since the phase began, or
 # None.
 Step = Callable[[RolloutState, RouterState, RouterReport | None], None]
 
 
-def advance(state: RolloutState, router: RouterState) -> None:
+def advance_router(state: RolloutState, router: RouterState) -> None:
     """Move one router to its next phase if the conditions are met."""
     report = router.report_in_phase()
     step = STEPS.get(router.phase)
@@ -93,7 +93,7 @@
         state.escalate(router, "is not ready in time after it was restarted as it was")
 
 
-def _missing_after_start(report: RouterReport | None) -> str:
+def _describe_start_failure(report: RouterReport | None) -> str:
     """Why a router that was started does not count as ready: not ready, or not the expected build."""
     return "says that it is something else" if _is_ready(report) else "is not ready"
 
@@ -104,8 +104,8 @@
         state.enter(router, Phase.WARMING_UP)
         state.send(router, CommandKind.ENABLE)
     elif _is_overdue(state, router):
-        missing = _missing_after_start(report)
-        state.report_harm(router, "not-ready", f"{router.name} {missing} in time after its change")
+        failure = _describe_start_failure(report)
+        state.report_regression(router, "not-ready", f"{router.name} {failure} in time after its change")
 
 
 def _step_rolling_back(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
@@ -114,13 +114,13 @@
         state.enter(router, Phase.ROLLED_BACK)
         state.send(router, CommandKind.ENABLE)
     elif _is_overdue(state, router):
-        state.escalate(router, f"{_missing_after_start(report)} in time after it was changed back")
+        state.escalate(router, f"{_describe_start_failure(report)} in time after it was changed back")
 
 
 def _step_warming_up(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
     """Begin to compare a router once it is warm."""
-    silent = is_unknown(state, router)
-    if silent and _silent_ns(state, router) > state.plan.ready_timeout_ns:
+    is_silent = is_unknown(state, router)
+    if is_silent and _silence_ns(state, router) > state.plan.ready_timeout_ns:
         # A missing response does not distinguish a crash from a network failure.  An operator has to
         # intervene, since otherwise the stage would wait forever.
         state.escalate(router, "has not answered since its change")
@@ -128,22 +128,22 @@
         return
     elif not report.ready:
         if _is_overdue(state, router):
-            state.report_harm(router, "not-ready", f"{router.name} is not ready in time in service")
-    elif not silent and state.now_ns - router.phase_since_ns >= state.plan.warm_up_ns:
+            state.report_regression(router, "not-ready", f"{router.name} is not ready in time in service")
+    elif not is_silent and state.now_ns - router.phase_since_ns >= state.plan.warm_up_ns:
         if not control_group(state):
             router.uncounted.clear()  # requests while it was cold; no equally cold router is there to compare
         state.enter(router, Phase.COMPARED)
 
 
-def _silent_ns(state: RolloutState, router: RouterState) -> int:
+def _silence_ns(state: RolloutState, router: RouterState) -> int:
     """For how long this process has had no report from a router."""
-    return state.now_ns - max(router.last_report_ns, state.listening_since_ns)
+    return state.now_ns - max(router.last_report_ns, state.polling_since_ns)
 
 
 def _step_new_build_in_service(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
     """Report a regression if a changed router no longer reports the new build."""
     if report is not None and not reports_new_build(state, router):
-        state.report_harm(router, "wrong-digest", f"{router.name} says that it is something else")
+        state.report_regression(router, "wrong-digest", f"{router.name} says that it is something else")
 
 
 def _check_memory(state: RolloutState, router: RouterState, report: RouterReport) -> None:
@@ -153,9 +153,9 @@
     """
     if not state.old_peak_memory_kb:
         return
-    limit_kb = int(state.plan.max_memory_ratio * state.old_peak_memory_kb) + SPARE_MEMORY_KB
+    limit_kb = int(state.plan.max_memory_ratio * state.old_peak_memory_kb) + MEMORY_ALLOWANCE_KB
     if report.peak_memory_kb > limit_kb:
-        state.report_harm(
+        state.report_regression(
             router,
             "memory",
             f"{router.name} has {report.peak_memory_kb // 1024} MB, over {limit_kb // 1024}: the old had "
--- a/kelpcroft/store/handover.py
+++ b/kelpcroft/store/handover.py
@@ -99,8 +99,8 @@
     raw = parse_object(data)
     check_version(raw)
     if raw.get("name") != name:
-        found = str(raw.get("name"))[:MAX_SHOWN_NAME_CHARACTERS]
-        raise UnusableFileError(f"name: {found!r} is another router's")
+        shown = str(raw.get("name"))[:MAX_SHOWN_NAME_CHARACTERS]
+        raise UnusableFileError(f"name: {shown!r} is another router's")
     check_fields(raw)
     written_ns = raw["written_ms"] * NS_PER_MS
     if written_ns > now_ns + NS_PER_MS * MAX_CLOCK_STEP_MS or not math.isfinite(written_ns):
@@ -136,11 +136,11 @@
 def check_version(raw: dict[str, Any]) -> None:
     """Raise UnusableFileError for a version that this reader does not support."""
     version = raw.get("v")
-    least = raw.get("least", version)
-    is_later = isinstance(version, int) and not isinstance(version, bool) and version >= VERSION
-    if not is_later or isinstance(least, bool) or least != VERSION:
-        found = str(version)[:MAX_SHOWN_CHARACTERS]
-        raise UnusableFileError(f"v: {found!r} is not a version known here ({VERSION})")
+    min_version = raw.get("least", version)
+    is_current_or_later = isinstance(version, int) and not isinstance(version, bool) and version >= VERSION
+    if not is_current_or_later or isinstance(min_version, bool) or min_version != VERSION:
+        shown = str(version)[:MAX_SHOWN_CHARACTERS]
+        raise UnusableFileError(f"v: {shown!r} is not a version known here ({VERSION})")
 
 
 def check_fields(raw: dict[str, Any]) -> None:
--- a/kelpcroft/store/identity.py
+++ b/kelpcroft/store/identity.py
@@ -51,9 +51,9 @@
 def program_digest(package: Path) -> str:
     """Digest of a package's files on disk, compiled or not; "" if they cannot be read."""
     try:
-        found = [path for path in package.rglob("*") if path.suffix in PROGRAM_SUFFIXES]
+        paths = [path for path in package.rglob("*") if path.suffix in PROGRAM_SUFFIXES]
         return files_digest(
-            (str(path.relative_to(package.parent)), path.read_bytes()) for path in found[:MAX_PROGRAM_FILES]
+            (str(path.relative_to(package.parent)), path.read_bytes()) for path in paths[:MAX_PROGRAM_FILES]
         )
     except OSError:
         return ""
--- a/kelpcroft/store/rollouts.py
+++ b/kelpcroft/store/rollouts.py
@@ -81,11 +81,11 @@
 
     Attributes:
         number: Orders the commands; a later command has a greater number.
-        verb: A value of ``OperatorCommand``, or ``stop``.
+        command: A value of ``OperatorCommand``, or ``stop``.
     """
 
     number: int
-    verb: str
+    command: str
 
 
 class HistoryRow(TypedDict):
@@ -202,14 +202,14 @@
         """Release the lease."""
         self.database.execute("update run set lease = 0 where id = ? and owner = ?", (run_id, owner))
 
-    def add_operator_command(self, run_id: int, now_ns: int, verb: str) -> None:
+    def add_operator_command(self, run_id: int, now_ns: int, command: str) -> None:
         """Store an operator's command; the controller handles it in its next iteration."""
-        self.database.execute("insert into word values (?, ?, ?)", (run_id, now_ns, verb))
+        self.database.execute("insert into word values (?, ?, ?)", (run_id, now_ns, command))
 
     def pending_operator_commands(self, run_id: int) -> list[PendingCommand]:
         """The commands of operators that no step has handled yet, in order."""
         rows = self.database.execute("select rowid, verb from word where run = ? order by rowid", (run_id,))
-        return [PendingCommand(number, verb) for number, verb in rows]
+        return [PendingCommand(number, command) for number, command in rows]
 
     def history(self, run_id: int) -> list[HistoryRow]:
         """All history entries of a run, with the figures on which the decisions were based."""
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -42,195 +42,197 @@
 )
 
 
-class Dead(BaseException):
+class ProcessKilled(BaseException):
     """Simulates the death of the controller's process; not an Exception, so that no handler catches it."""
 
 
-class At_once:
+class ImmediateExecutor:
     """Executor that runs each task immediately in the submitting thread."""
 
-    def submit(self, do: Any, *words: Any) -> Future[Any]:
+    def submit(self, function: Any, *arguments: Any) -> Future[Any]:
         future: Future[Any] = Future()
-        future.set_result(do(*words))
+        future.set_result(function(*arguments))
         return future
 
     def shutdown(self, **_: object) -> None:
         pass
 
 
-class Routers(SimulatedFleet):
+class ControlledFleet(SimulatedFleet):
     """Simulated routers of a plan, led by the controller under test instead of a rollout of their own."""
 
     def deliver(self, event: Event) -> None:
         pass
 
 
-class Fake(RouterDriver):
+class FleetDriver(RouterDriver):
     """Driver of the simulated routers; the controller dies at the command with the number ``dies_at``."""
 
-    def __init__(self, plan: RolloutPlan, world: Routers, dies_at: int = 0) -> None:
+    def __init__(self, plan: RolloutPlan, fleet: ControlledFleet, dies_at: int = 0) -> None:
         super().__init__(plan)
-        self.world, self.dies_at, self.orders = world, dies_at, 0
+        self.fleet, self.dies_at, self.command_count = fleet, dies_at, 0
 
     def poll(self, target: RouterTarget) -> Event:
-        return self.world.answer(self.world.routers[target.name])
+        return self.fleet.answer(self.fleet.routers[target.name])
 
     def execute(self, target: RouterTarget, kind: CommandKind) -> str:
-        self.orders += 1
-        if self.orders == self.dies_at:
-            raise Dead
-        self.world.carry_out(RouterCommand(target.name, kind))
+        self.command_count += 1
+        if self.command_count == self.dies_at:
+            raise ProcessKilled
+        self.fleet.carry_out(RouterCommand(target.name, kind))
         return ""
 
 
-class Mortal(RolloutStore):
+class KillableStore(RolloutStore):
     """Store whose user dies at a numbered step, before or after its commit, without releasing the lease."""
 
     def __init__(self) -> None:
         super().__init__(":memory:")
-        self.steps, self.dies_before, self.dies_behind, self.dead = 0, 0, 0, False
+        self.step_count, self.dies_before, self.dies_after, self.keeps_lease = 0, 0, 0, False
 
-    def commit_step(self, *words: Any, **more: Any) -> None:
-        self.steps += 1
-        if self.steps == self.dies_before:
-            raise Dead
-        super().commit_step(*words, **more)
-        if self.steps == self.dies_behind:
-            raise Dead
+    def commit_step(self, *arguments: Any, **options: Any) -> None:
+        self.step_count += 1
+        if self.step_count == self.dies_before:
+            raise ProcessKilled
+        super().commit_step(*arguments, **options)
+        if self.step_count == self.dies_after:
+            raise ProcessKilled
 
-    def release_lease(self, run: int, owner: str) -> None:
-        if not self.dead:
-            super().release_lease(run, owner)
+    def release_lease(self, run_id: int, owner: str) -> None:
+        if not self.keeps_lease:
+            super().release_lease(run_id, owner)
 
 
-class InVirtualTime(unittest.TestCase):
+class ControllerInVirtualTime(unittest.TestCase):
     def setUp(self) -> None:
         self.plan = make_plan(2, 3, *QUICK)
-        self.world = Routers(self.plan, 1, lambda *_: 0.0, rate=60.0)
-        self.store = Mortal()
+        self.fleet = ControlledFleet(self.plan, 1, lambda *_: 0.0, rate=60.0)
+        self.store = KillableStore()
         self.addCleanup(self.store.close)
-        self.owed = 0.0
+        self.pending_s = 0.0
 
     def sleep(self, seconds: float) -> None:
-        self.owed += seconds
-        if self.world.now > 3_000 * S:
+        self.pending_s += seconds
+        if self.fleet.now > 3_000 * S:
             run = self.store.newest_run()
             self.fail(f"run not over: {run.snapshot['why'] if run else ''}: {self.store.history(1)[-6:]}")
-        while self.owed >= 1:
-            self.owed -= 1
-            self.world.run_second()
-
-    def controller(self, hands: RouterDriver, run: StoredRun | None = None) -> RolloutController:
-        run = run or begin_or_continue_run(self.store, b"plan", self.plan, lambda: self.world.now)
-        made = RolloutController(
-            self.store, run, self.plan, lambda note: None, hands, lambda: self.world.now, self.sleep
+        while self.pending_s >= 1:
+            self.pending_s -= 1
+            self.fleet.run_second()
+
+    def controller(self, driver: RouterDriver, run: StoredRun | None = None) -> RolloutController:
+        run = run or begin_or_continue_run(self.store, b"plan", self.plan, lambda: self.fleet.now)
+        controller = RolloutController(
+            self.store, run, self.plan, lambda entry: None, driver, lambda: self.fleet.now, self.sleep
         )
-        made.pool = cast(ThreadPoolExecutor, At_once())
-        return made
+        controller.pool = cast(ThreadPoolExecutor, ImmediateExecutor())
+        return controller
 
     def lead(self, dies_at: int = 0) -> RolloutOutcome:
-        return self.controller(Fake(self.plan, self.world, dies_at)).lead()
+        return self.controller(FleetDriver(self.plan, self.fleet, dies_at)).lead()
 
-    def survives(self, what: str, at: int) -> bool:
+    def is_killed_and_continued(self, kind: str, number: int) -> bool:
         """Kill the controller at a place; its successor must finish the run, with each router changed once.
 
         Args:
-            what: Before or behind the commit of a step, or at an order to a router.
-            at: The number of the step or order.
+            kind: "before" or "behind" (after) the commit of a step, or at an "order" to a router.
+            number: The number of the step or order.
 
         Returns:
             Whether the run was long enough for the controller to die at this place.
         """
         self.setUp()
-        self.store.dies_before = at if what == "before" else 0
-        self.store.dies_behind = at if what == "behind" else 0
-        self.store.dead = True  # a process that dies does not release its lease
-        died = False
+        self.store.dies_before = number if kind == "before" else 0
+        self.store.dies_after = number if kind == "behind" else 0
+        self.store.keeps_lease = True  # a process that dies does not release its lease
+        was_killed = False
         try:
-            assert self.lead(at if what == "order" else 0) == RolloutOutcome.DONE
-        except Dead:
-            died = True
-        self.store.dead = False
-        last = self.store.newest_run()
-        if died and last is not None and last.outcome != "done":
+            assert self.lead(number if kind == "order" else 0) == RolloutOutcome.DONE
+        except ProcessKilled:
+            was_killed = True
+        self.store.keeps_lease = False
+        run = self.store.newest_run()
+        if was_killed and run is not None and run.outcome != "done":
             with pytest.raises(LeaseLostError) as raised:
                 self.lead()  # the lease of the dead controller has not expired
-            assert (raised.value.path, raised.value.run_id) == (self.store.path, last.id)
-            assert str(raised.value) == f"run {last.id} is led by another controller"
+            assert (raised.value.path, raised.value.run_id) == (self.store.path, run.id)
+            assert str(raised.value) == f"run {run.id} is led by another controller"
             self.sleep(16.0)
-            assert self.lead() == RolloutOutcome.DONE, (what, at)
-        for p in self.world.routers.values():
-            assert (p.build, p.instance, p.in_service) == ("beef", 2, True), (what, at, p.name)
+            assert self.lead() == RolloutOutcome.DONE, (kind, number)
+        for p in self.fleet.routers.values():
+            assert (p.build, p.instance, p.in_service) == ("beef", 2, True), (kind, number, p.name)
         names = [row["name"] for row in self.store.history(1)]
-        assert (names.count("done"), names.count("begun")) == (1, 6), (what, at)
-        return died
+        assert (names.count("done"), names.count("begun")) == (1, 6), (kind, number)
+        return was_killed
 
     def test_killed_between_any_two_effects(self) -> None:
-        for what in ("before", "behind", "order"):
-            at = 1
-            while self.survives(what, at):
-                at += 1
-            assert at > 18, f"{what}: fewer places than commands and the steps between them"
+        for kind in ("before", "behind", "order"):
+            number = 1
+            while self.is_killed_and_continued(kind, number):
+                number += 1
+            assert number > 18, f"{kind}: fewer places than commands and the steps between them"
 
     def test_one_that_stood_still_past_its_lease_orders_nothing(self) -> None:
         """A controller that stalled for 30 s, while its successor led, must not send commands afterwards."""
-        hands = Fake(self.plan, self.world)
-        first, orders = self.controller(hands), []
+        driver = FleetDriver(self.plan, self.fleet)
+        first, command_counts = self.controller(driver), []
 
-        def stand_still(seconds: float) -> None:
+        def stall(seconds: float) -> None:
             self.sleep(seconds)
-            if hands.orders >= 4 and not orders:
-                orders.append(hands.orders)
+            if driver.command_count >= 4 and not command_counts:
+                command_counts.append(driver.command_count)
                 self.sleep(30.0)
                 assert self.lead() == RolloutOutcome.DONE
 
-        first.sleep = stand_still
+        first.sleep = stall
         with pytest.raises(LeaseLostError):
             first.lead()
-        assert [hands.orders] == orders, "the stalled controller sent a command afterwards"
-        assert {(p.build, p.instance) for p in self.world.routers.values()} == {("beef", 2)}
+        assert [driver.command_count] == command_counts, "the stalled controller sent a command afterwards"
+        assert {(p.build, p.instance) for p in self.fleet.routers.values()} == {("beef", 2)}
 
     def test_a_third_of_the_links_is_late_or_cut(self) -> None:
         """More silent routers than ``unknown`` hold the rollout, which names them and then finishes."""
 
-        class Deaf(Fake):
-            cut = False
+        class SilentZoneDriver(FleetDriver):
+            is_silent = False
 
             def poll(self, target: RouterTarget) -> Event:
-                return NoAnswer(target.name) if self.cut and target.zone == "z0" else super().poll(target)
+                return (
+                    NoAnswer(target.name) if self.is_silent and target.zone == "z0" else super().poll(target)
+                )
 
-        hands = Deaf(self.plan, self.world)
-        controller = self.controller(hands)
-        turns = [0]
+        driver = SilentZoneDriver(self.plan, self.fleet)
+        controller = self.controller(driver)
+        iterations = [0]
 
         def sleep(seconds: float) -> None:
             self.sleep(seconds)
-            turns[0] += 1
-            hands.cut = 60 <= turns[0] < 140
-            if turns[0] == 139:
+            iterations[0] += 1
+            driver.is_silent = 60 <= iterations[0] < 140
+            if iterations[0] == 139:
                 run = self.store.newest_run()
                 assert run is not None
                 assert run.outcome == "held"
                 assert "do not answer: n0-0, n0-1" in run.snapshot["why"]
-            if turns[0] == 160:
-                self.store.add_operator_command(1, self.world.now, "resume")
+            if iterations[0] == 160:
+                self.store.add_operator_command(1, self.fleet.now, "resume")
 
         controller.sleep = sleep
         assert controller.lead() == RolloutOutcome.DONE
-        assert {p.instance for p in self.world.routers.values()} == {2}
+        assert {p.instance for p in self.fleet.routers.values()} == {2}
 
 
-class Touching(unittest.TestCase):
+class Drivers(unittest.TestCase):
     """The drivers with real processes."""
 
-    def plan(self, act: str, folder: Path, control: int, more: str = "") -> RolloutPlan:
+    def plan(self, act: str, folder: Path, control: int, more_nodes: str = "") -> RolloutPlan:
         text = (
             'rollout version=1\nchange { program build="beef"; }\nrouter "n1" zone="edge-1" '
             f'control="127.0.0.1:{control}" config="{folder}/config.json" rules="{folder}/rules.kdl"\n'
-            f'stage "all" share="100%" least="60s" most="5m"\n{act}\n{more}'
+            f'stage "all" share="100%" least="60s" most="5m"\n{act}\n{more_nodes}'
         )
-        plan, faults = load_plan(text.encode())
-        assert faults == []
+        plan, diagnostics = load_plan(text.encode())
+        assert diagnostics == []
         return plan
 
     def test_a_tool_that_fails_or_hangs_is_told_with_its_output(self) -> None:
@@ -242,10 +244,10 @@
                 Path(name),
                 1,
             )
-            hands, target = CommandDriver(plan), plan.routers[0]
-            assert "ended with 3: no n1" in hands.execute(target, CommandKind.APPLY)
-            assert "timed out" in hands.execute(target, CommandKind.UNDO)
-            assert "No such file" in hands.execute(target, CommandKind.RESTART)
+            driver, target = CommandDriver(plan), plan.routers[0]
+            assert "ended with 3: no n1" in driver.execute(target, CommandKind.APPLY)
+            assert "timed out" in driver.execute(target, CommandKind.UNDO)
+            assert "No such file" in driver.execute(target, CommandKind.RESTART)
 
     def test_local_processes(self) -> None:
         """A process is started if none runs, left alone if it is as commanded, and replaced otherwise."""
@@ -264,31 +266,31 @@
                 'kelpcroft version=1\ncontrol state=#true\nroute "rest" { match; }\n'
             )
             plan = self.plan(f'act local=#true {{ old "{ROOT}"; new "{ROOT}" }}', folder, ports[1])
-            hands, target = LocalProcessDriver(plan), plan.routers[0]
+            driver, target = LocalProcessDriver(plan), plan.routers[0]
             try:
-                assert hands.execute(target, CommandKind.UNDO) == ""
-                first = self.instance(hands, target)
-                assert hands.execute(target, CommandKind.UNDO) == ""
-                assert self.instance(hands, target) == first, "the old build already runs there"
-                assert hands.execute(target, CommandKind.RESTART) == ""
-                second = self.instance(hands, target)
+                assert driver.execute(target, CommandKind.UNDO) == ""
+                first = self.instance(driver, target)
+                assert driver.execute(target, CommandKind.UNDO) == ""
+                assert self.instance(driver, target) == first, "the old build already runs there"
+                assert driver.execute(target, CommandKind.RESTART) == ""
+                second = self.instance(driver, target)
                 assert second != first
-                assert hands.execute(target, CommandKind.APPLY) == "", (
+                assert driver.execute(target, CommandKind.APPLY) == "", (
                     "its digest is not that of the new build"
                 )
-                assert self.instance(hands, target) != second
+                assert self.instance(driver, target) != second
                 plan = self.plan(f'act local=#true {{ old "{ROOT}"; new "/nowhere" }}', folder, ports[1])
                 assert "/nowhere" in LocalProcessDriver(plan).start_process(target, Path("/nowhere"))
             finally:
-                os.kill(int(self.instance(hands, target).partition("-")[0]), signal.SIGKILL)
-                for child in hands.children:
+                os.kill(int(self.instance(driver, target).partition("-")[0]), signal.SIGKILL)
+                for child in driver.children:
                     child.wait()
 
-    def instance(self, hands: RouterDriver, target: RouterTarget) -> str:
-        until = time.monotonic() + 20
-        while time.monotonic() < until:
+    def instance(self, driver: RouterDriver, target: RouterTarget) -> str:
+        deadline_s = time.monotonic() + 20
+        while time.monotonic() < deadline_s:
             try:
-                raw = hands.call_control(target, "GET", "state")
+                raw = driver.request_control(target, "GET", "state")
                 if raw["ready"] or raw["why"] == "no list of servers yet":
                     return str(raw["instance"])
             except (OSError, ValueError):
@@ -305,10 +307,10 @@
         child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
         try:
             with tempfile.TemporaryDirectory() as name:
-                hands = LocalProcessDriver(
+                driver = LocalProcessDriver(
                     self.plan(f'act local=#true {{ old "{ROOT}"; new "{ROOT}" }}', Path(name), 1)
                 )
-                assert hands.stop_process(child.pid) == ""
+                assert driver.stop_process(child.pid) == ""
         finally:
             child.kill()
             child.wait()
@@ -316,34 +318,36 @@
     def test_another_router_at_the_address_is_left_alone(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             plan = self.plan(f'act local=#true {{ old "{ROOT}"; new "{ROOT}" }}', Path(name), 1)
-            hands = LocalProcessDriver(plan)
-            hands.call_control = lambda *_: {"name": "n2", "build": "x", "instance": f"{os.getpid()}-1"}  # type: ignore
-            assert "is another router" in hands.execute(plan.routers[0], CommandKind.APPLY)
+            driver = LocalProcessDriver(plan)
+            driver.request_control = lambda *_: {"name": "n2", "build": "x", "instance": f"{os.getpid()}-1"}  # type: ignore
+            assert "is another router" in driver.execute(plan.routers[0], CommandKind.APPLY)
 
 
-class Homes(unittest.TestCase):
+class Placements(unittest.TestCase):
     """The share of objects that two builds place on different caches; each build prints its placement."""
 
     def plan(self, old: str, new: str) -> str:
         python = sys.executable
-        ask = '"{}" "-c" "from kelpcroft.cli import main; main()" "homes" "--config" "{}" "--format" "json"'
+        command = (
+            '"{}" "-c" "from kelpcroft.cli import main; main()" "homes" "--config" "{}" "--format" "json"'
+        )
         return (
             'rollout version=1\nchange { settings digest="beef"; }\nrouter "n1" zone="edge-1"\n'
             'stage "all" share="100%" least="60s" most="5m"\n'
-            f"homes {{ old {ask.format(python, old)}; new {ask.format(python, new)} }}\n"
+            f"homes {{ old {command.format(python, old)}; new {command.format(python, new)} }}\n"
         )
 
-    def shown(self, change: Any) -> str:
+    def preview_after(self, change: Any) -> str:
         with tempfile.TemporaryDirectory() as name:
             raw = json.loads((ROOT / "examples/config.json").read_text())
-            lines = raw["known"]["events"][0]["members"]["endpoints"]
+            endpoints = raw["known"]["events"][0]["members"]["endpoints"]
             for n in range(3):
-                lines.append({**lines[0], "name": f"s-more-{n}", "address": f"127.0.0.1:{9_500 + n}"})
+                endpoints.append({**endpoints[0], "name": f"s-more-{n}", "address": f"127.0.0.1:{9_500 + n}"})
             (Path(name) / "old.json").write_text(json.dumps(raw))
             change(raw)
             (Path(name) / "new.json").write_text(json.dumps(raw))
             (Path(name) / "plan.kdl").write_text(self.plan(f"{name}/old.json", f"{name}/new.json"))
-            done = subprocess.run(
+            completed = subprocess.run(
                 [
                     sys.executable,
                     "-c",
@@ -354,36 +358,36 @@
                 text=True,
                 timeout=60,
             )
-            assert done.returncode == 0, done.stdout + done.stderr
-            return done.stdout
+            assert completed.returncode == 0, completed.stdout + completed.stderr
+            return completed.stdout
 
     def test_the_share_that_moves(self) -> None:
-        assert "0.0% of objects have another home" in self.shown(lambda raw: None)
+        assert "0.0% of objects have another home" in self.preview_after(lambda raw: None)
 
-        def one_less(raw: dict[str, Any]) -> None:
+        def remove_cache(raw: dict[str, Any]) -> None:
             del raw["known"]["events"][0]["members"]["endpoints"][-1]
 
-        share = float(self.shown(one_less).split("edge-1: ")[1].split("%")[0])
+        share = float(self.preview_after(remove_cache).split("edge-1: ")[1].split("%")[0])
         assert 20 < share < 30, "one of four caches is removed, so a quarter of the objects moves"
 
-        def weighted(raw: dict[str, Any]) -> None:
+        def add_weight(raw: dict[str, Any]) -> None:
             raw["settings"]["weight_source"] = "nominal"
             raw["known"]["events"][0]["members"]["endpoints"][-1]["weight"] = 3
 
-        share = float(self.shown(weighted).split("edge-1: ")[1].split("%")[0])
+        share = float(self.preview_after(add_weight).split("edge-1: ")[1].split("%")[0])
         assert 15 < share < 40, "the cache with weight 3 gets half of the objects instead of a quarter"
 
     def test_what_cannot_be_asked_is_said(self) -> None:
-        assert "homes not known: zone edge-1" in self.shown(lambda raw: raw.update(settings=5))
+        assert "homes not known: zone edge-1" in self.preview_after(lambda raw: raw.update(settings=5))
 
     def test_one_build_tells_its_own(self) -> None:
-        done = CliRunner().invoke(
+        result = CliRunner().invoke(
             main, ["homes", "--config", str(ROOT / "examples/config.json"), "--objects", "50"]
         )
-        assert "s-cache: 50" in done.output
+        assert "s-cache: 50" in result.output
 
 
-class Groups(unittest.TestCase):
+class ControlGroupsAndMemory(unittest.TestCase):
     """Control groups and memory, in virtual time."""
 
     STAGES = (
@@ -391,38 +395,38 @@
         'stage "half" share="50%" least="30s" most="900s"\n'
         'stage "all" share="100%" least="30s" most="900s"\n'
     )
-    MORE = (
+    LIMITS = (
         'limits at-once=3 per-zone=2\nact { apply "a"; undo "b"; restart "c" }\n'
         'watch every="1s" slowest="30s" ready="10s" cold="60s" unknown=1\n'
     )
 
-    def run_with(self, harm: Any) -> SimulatedFleet:
-        world = SimulatedFleet(make_plan(2, 4, self.STAGES, self.MORE), 1, harm)
-        world.run()
-        return world
+    def run_with(self, late_share: Any) -> SimulatedFleet:
+        fleet = SimulatedFleet(make_plan(2, 4, self.STAGES, self.LIMITS), 1, late_share)
+        fleet.run()
+        return fleet
 
     def test_a_cold_start_as_such_is_no_harm_and_a_worse_one_is(self) -> None:
-        def cold(world: SimulatedFleet, p: Any, cls: str) -> float:
-            return 0.3 if p.instance > 1 and world.now - p.started < 50 * S else 0.0
+        def cold(fleet: SimulatedFleet, p: Any, cls: str) -> float:
+            return 0.3 if p.instance > 1 and fleet.now - p.started < 50 * S else 0.0
 
-        world = self.run_with(cold)
-        assert world.rollout.outcome == RolloutOutcome.DONE, world.rollout.reason
-        restarted = [name for _, name, act in world.commands if act is CommandKind.RESTART]
+        fleet = self.run_with(cold)
+        assert fleet.rollout.outcome == RolloutOutcome.DONE, fleet.rollout.reason
+        restarted = [name for _, name, act in fleet.commands if act is CommandKind.RESTART]
         assert len(restarted) == 1
-        assert all(p.in_service and p.build == "beef" for p in world.routers.values())
+        assert all(p.in_service and p.build == "beef" for p in fleet.routers.values())
 
-        def colder(world: SimulatedFleet, p: Any, cls: str) -> float:
-            return 0.6 if p.build == "beef" and world.now - p.started < 50 * S else cold(world, p, cls)
+        def colder(fleet: SimulatedFleet, p: Any, cls: str) -> float:
+            return 0.6 if p.build == "beef" and fleet.now - p.started < 50 * S else cold(fleet, p, cls)
 
-        world = self.run_with(colder)
-        assert world.rollout.outcome == RolloutOutcome.ROLLED_BACK
-        assert "worse" in [n.name for n in world.history]
-        assert {p.build for p in world.routers.values()} == {"old"}
-        assert all(p.in_service for p in world.routers.values())
-        assert max(world.max_unavailable.get(f"z{n}", 0) for n in range(2)) <= 2
+        fleet = self.run_with(colder)
+        assert fleet.rollout.outcome == RolloutOutcome.ROLLED_BACK
+        assert "worse" in [n.name for n in fleet.history]
+        assert {p.build for p in fleet.routers.values()} == {"old"}
+        assert all(p.in_service for p in fleet.routers.values())
+        assert max(fleet.max_unavailable.get(f"z{n}", 0) for n in range(2)) <= 2
 
     def test_its_limits_are_checked(self) -> None:
-        good = f'rollout version=1\nchange {{ program build="beef"; }}\n{self.STAGES}{self.MORE}' + "".join(
+        good = f'rollout version=1\nchange {{ program build="beef"; }}\n{self.STAGES}{self.LIMITS}' + "".join(
             f'router "n{n}" zone="z"\n' for n in range(3)
         )
         assert load_plan(good.encode())[1] == []
@@ -436,38 +440,38 @@
                 assert code in [f.code for f in load_plan(good.replace(old, new).encode())[1]]
 
     def test_a_leak_is_seen_and_a_larger_process_is_none(self) -> None:
-        for growth, due in ((0.5, RolloutOutcome.ROLLED_BACK), (0.0, RolloutOutcome.DONE)):
-            world = SimulatedFleet(make_plan(2, 3), 1, lambda *_: 0.0)
+        for growth, expected in ((0.5, RolloutOutcome.ROLLED_BACK), (0.0, RolloutOutcome.DONE)):
+            fleet = SimulatedFleet(make_plan(2, 3), 1, lambda *_: 0.0)
             for _ in range(3_000):
-                world.run_second()
-                for p in world.routers.values():
+                fleet.run_second()
+                for p in fleet.routers.values():
                     if p.build == "beef":
                         p.memory_mb = max(p.memory_mb, 40.0) + growth
-                if world.rollout.outcome in (
+                if fleet.rollout.outcome in (
                     RolloutOutcome.DONE,
                     RolloutOutcome.ROLLED_BACK,
                     RolloutOutcome.HELD,
                 ):
                     break
-            assert world.rollout.outcome == due, world.rollout.reason
-            assert ("memory" in [n.name for n in world.history]) == (growth > 0)
+            assert fleet.rollout.outcome == expected, fleet.rollout.reason
+            assert ("memory" in [n.name for n in fleet.history]) == (growth > 0)
             if growth:
-                assert len(world.changed_routers) == 1
+                assert len(fleet.changed_routers) == 1
 
     def test_it_goes_on_after_a_restart_in_the_middle_of_a_control_group(self) -> None:
-        world = SimulatedFleet(make_plan(2, 4, self.STAGES, self.MORE), 1, lambda *_: 0.0)
+        fleet = SimulatedFleet(make_plan(2, 4, self.STAGES, self.LIMITS), 1, lambda *_: 0.0)
         for n in range(3_000):
             if n % 11 == 10:
-                raw = json.loads(json.dumps(to_snapshot(world.rollout)))
-                world.rollout = restored(world.plan, raw)
-                for effect in world.rollout.resume_after_takeover(world.now, True):
+                raw = json.loads(json.dumps(to_snapshot(fleet.rollout)))
+                fleet.rollout = restored(fleet.plan, raw)
+                for effect in fleet.rollout.resume_after_takeover(fleet.now, True):
                     if isinstance(effect, RouterCommand) and effect.kind is not CommandKind.RESTART:
-                        world.carry_out(effect)
-            world.run_second()
-            if world.rollout.outcome is not RolloutOutcome.RUNNING:
+                        fleet.carry_out(effect)
+            fleet.run_second()
+            if fleet.rollout.outcome is not RolloutOutcome.RUNNING:
                 break
-        world.deliver(Tick())
-        assert world.rollout.outcome == RolloutOutcome.DONE, world.rollout.reason
+        fleet.deliver(Tick())
+        assert fleet.rollout.outcome == RolloutOutcome.DONE, fleet.rollout.reason
 
 
 if __name__ == "__main__":
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -32,9 +32,9 @@
 from testbed.rollouts import S, SimulatedFleet, SimulatedRouter, make_plan
 from testbed.stand_ins import ROOT
 
-HEAD = "rollout version=1\n"
-GOOD = (
-    HEAD
+VERSION_NODE = "rollout version=1\n"
+VALID_PLAN = (
+    VERSION_NODE
     + """change { program build="5f2c09e1"; }
 router "a1" zone="a"; router "a2" zone="a"; router "b1" zone="b"; router "b2" zone="b"
 stage "one" count=1 least="30s" most="5m"
@@ -51,14 +51,14 @@
 
 class Plans(unittest.TestCase):
     def test_a_good_one(self) -> None:
-        plan, faults = load_plan(GOOD.encode())
-        assert faults == []
+        plan, diagnostics = load_plan(VALID_PLAN.encode())
+        assert diagnostics == []
         assert [[t.name for t in s] for s in plan.routers_by_stage()] == [["a1"], ["b1"], ["a2", "b2"]]
         assert plan.longest_ns() > 600 * S
 
     def test_each_fault_by_its_code(self) -> None:
-        for old, new, due in (
-            (HEAD, "", "no-version"),
+        for old, new, expected_code in (
+            (VERSION_NODE, "", "no-version"),
             ("version=1", "version=7", "unknown-version"),
             ('change { program build="5f2c09e1"; }', "change { }", "no-change"),
             ('change { program build="5f2c09e1"; }', "", "no-change"),
@@ -82,20 +82,20 @@
             ("limits", "limits;limits", "duplicate-node"),
         ):
             with self.subTest(new=new):
-                assert due in codes(GOOD.replace(old, new, 1))
+                assert expected_code in codes(VALID_PLAN.replace(old, new, 1))
 
     def test_a_stage_that_takes_a_whole_zone_is_refused(self) -> None:
-        assert "whole-zone" in codes(GOOD.replace('stage "two" count=2 least="30s" most="5m"\n', ""))
-        alone = GOOD.replace('; router "b2" zone="b"', "").replace("count=2", 'share="50%"')
+        assert "whole-zone" in codes(VALID_PLAN.replace('stage "two" count=2 least="30s" most="5m"\n', ""))
+        alone = VALID_PLAN.replace('; router "b2" zone="b"', "").replace("count=2", 'share="50%"')
         assert codes(alone) == [], "b1 is the only router of its zone, so none could be left"
 
     @settings(max_examples=150, deadline=None, derandomize=True)
-    @given(st.binary(max_size=60), st.integers(0, len(GOOD)))
-    def test_a_broken_file_never_crashes(self, cut: bytes, at: int) -> None:
-        load_plan(GOOD[:at].encode() + cut + GOOD[at:].encode())
+    @given(st.binary(max_size=60), st.integers(0, len(VALID_PLAN)))
+    def test_a_broken_file_never_crashes(self, inserted: bytes, offset: int) -> None:
+        load_plan(VALID_PLAN[:offset].encode() + inserted + VALID_PLAN[offset:].encode())
 
 
-class Judged(unittest.TestCase):
+class JudgeTests(unittest.TestCase):
     def test_harm_of_one_class_in_one_zone_is_found(self) -> None:
         judge = RegressionJudge(StopCriteria())
         for _ in range(300):
@@ -129,10 +129,10 @@
         )
 
     def test_insane_figures_say_nothing(self) -> None:
-        bet = SequentialTest(StopCriteria())
-        for odd in (float("nan"), float("inf"), -float("inf")):
-            bet.add_difference(odd)
-        assert (bet.slice_count, bet.verdict) == (0, Verdict.UNDECIDED)
+        test = SequentialTest(StopCriteria())
+        for value in (float("nan"), float("inf"), -float("inf")):
+            test.add_difference(value)
+        assert (test.slice_count, test.verdict) == (0, Verdict.UNDECIDED)
         for wrong in ({"harm": 0.5}, {"tolerance": 0.2}, {"false_stop": 0.0}, {"missed_harm": 0.7}):
             with pytest.raises(ValueError):
                 StopCriteria(**wrong)
@@ -163,96 +163,96 @@
         assert str(raised.value) == "the old placed 1 objects, the new 2"
 
 
-def sound(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
+def sound(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
     return 0.0
 
 
 def harmful(share: float, cls: str = "", zone: str = "") -> object:
-    def harm(world: SimulatedFleet, p: SimulatedRouter, found: str) -> float:
+    def harm(fleet: SimulatedFleet, p: SimulatedRouter, found: str) -> float:
         return share if p.build == "beef" and cls in ("", found) and zone in ("", p.zone) else 0.0
 
     return harm
 
 
-class Runs(unittest.TestCase):
+class SimulatedRollouts(unittest.TestCase):
     """Rollouts to twelve simulated routers in three zones."""
 
-    def world(self, harm: object, seed: int = 1) -> SimulatedFleet:
+    def make_fleet(self, harm: object, seed: int = 1) -> SimulatedFleet:
         return SimulatedFleet(make_plan(3, 4), seed, harm)  # type: ignore[arg-type]
 
     def test_a_sound_change_is_done_within_the_limits(self) -> None:
         for seed in range(4):
-            world = self.world(sound, seed)
-            assert world.run() == RolloutOutcome.DONE, world.rollout.reason
-            assert {p.build for p in world.routers.values()} == {"beef"}
-            assert [a for _, _, a in world.commands].count(CommandKind.APPLY) == 12, (
+            fleet = self.make_fleet(sound, seed)
+            assert fleet.run() == RolloutOutcome.DONE, fleet.rollout.reason
+            assert {p.build for p in fleet.routers.values()} == {"beef"}
+            assert [a for _, _, a in fleet.commands].count(CommandKind.APPLY) == 12, (
                 "each router is changed once"
             )
-            assert world.max_unavailable[""] <= 3
-            assert max(world.max_unavailable[f"z{n}"] for n in range(3)) <= 1
+            assert fleet.max_unavailable[""] <= 3
+            assert max(fleet.max_unavailable[f"z{n}"] for n in range(3)) <= 1
 
     def test_a_trouble_of_a_whole_zone_stops_nothing(self) -> None:
-        def hub_lost(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
-            return 0.4 if p.zone == "z0" and 60 <= world.now / S - 1_000 < 120 else 0.0
+        def hub_lost(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
+            return 0.4 if p.zone == "z0" and 60 <= fleet.now / S - 1_000 < 120 else 0.0
 
-        world = self.world(hub_lost)
-        assert world.run() == RolloutOutcome.DONE, world.rollout.reason
+        fleet = self.make_fleet(hub_lost)
+        assert fleet.run() == RolloutOutcome.DONE, fleet.rollout.reason
 
     def test_harm_stops_in_the_first_stage_where_it_can_be_seen(self) -> None:
-        for harm, most in (
+        for harm, max_changed in (
             (harmful(0.3), 1),
             (harmful(0.08), 1),
             (harmful(0.3, cls="writes"), 1),
             (harmful(0.3, zone="z2"), 6),
         ):
-            world = self.world(harm)
-            assert world.run() == RolloutOutcome.ROLLED_BACK, world.rollout.reason
-            assert len(world.changed_routers) <= most
-            assert {p.build for p in world.routers.values()} == {"old"}
-            assert "the harm is gone" in world.history[-1].text
-            assert all(p.in_service for p in world.routers.values())
+            fleet = self.make_fleet(harm)
+            assert fleet.run() == RolloutOutcome.ROLLED_BACK, fleet.rollout.reason
+            assert len(fleet.changed_routers) <= max_changed
+            assert {p.build for p in fleet.routers.values()} == {"old"}
+            assert "the harm is gone" in fleet.history[-1].text
+            assert all(p.in_service for p in fleet.routers.values())
 
     def test_signs_that_need_no_statistics(self) -> None:
-        def crash(w: SimulatedFleet) -> None:
-            w.new_build_crash_after_ns = 5 * S
+        def crash(defective_fleet: SimulatedFleet) -> None:
+            defective_fleet.new_build_crash_after_ns = 5 * S
 
-        def never(w: SimulatedFleet) -> None:
-            w.new_build_never_ready = True
+        def never(defective_fleet: SimulatedFleet) -> None:
+            defective_fleet.new_build_never_ready = True
 
-        for defect, due in ((crash, "crash"), (never, "not-ready")):
-            world = self.world(sound)
-            defect(world)
-            assert world.run() == RolloutOutcome.ROLLED_BACK
-            assert due in [n.name for n in world.history]
-            assert len(world.changed_routers) == 1
+        for defect, expected_entry in ((crash, "crash"), (never, "not-ready")):
+            fleet = self.make_fleet(sound)
+            defect(fleet)
+            assert fleet.run() == RolloutOutcome.ROLLED_BACK
+            assert expected_entry in [n.name for n in fleet.history]
+            assert len(fleet.changed_routers) == 1
 
     def test_a_broken_invariant_and_another_build(self) -> None:
-        for change, due in (({"invariants": 1}, "invariant"), ({"build": "cafe"}, "wrong-digest")):
-            world = self.world(sound)
+        for change, expected_entry in (({"invariants": 1}, "invariant"), ({"build": "cafe"}, "wrong-digest")):
+            fleet = self.make_fleet(sound)
             for _ in range(400):
-                world.run_second()
-                for p in world.routers.values():
-                    if p.build == "beef" and world.rollout.routers[p.name].phase is Phase.COMPARED:
+                fleet.run_second()
+                for p in fleet.routers.values():
+                    if p.build == "beef" and fleet.rollout.routers[p.name].phase is Phase.COMPARED:
                         for key, value in change.items():
                             setattr(p, key, value)
-                if world.rollout.outcome is not RolloutOutcome.RUNNING:
+                if fleet.rollout.outcome is not RolloutOutcome.RUNNING:
                     break
-            assert due in [n.name for n in world.history]
+            assert expected_entry in [n.name for n in fleet.history]
 
     def test_harm_that_stays_is_not_the_changes(self) -> None:
-        def broken_place(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
-            began = next((at for at, _, act in world.commands if act is CommandKind.APPLY), 0)
-            return 0.3 if p.name == "n0-0" and began and world.now > began else 0.0
+        def broken_place(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
+            began = next((at for at, _, act in fleet.commands if act is CommandKind.APPLY), 0)
+            return 0.3 if p.name == "n0-0" and began and fleet.now > began else 0.0
 
-        world = self.world(broken_place)
-        assert world.run() == RolloutOutcome.ROLLED_BACK
-        assert "not the change's" in world.history[-1].text
+        fleet = self.make_fleet(broken_place)
+        assert fleet.run() == RolloutOutcome.ROLLED_BACK
+        assert "not the change's" in fleet.history[-1].text
 
     def test_no_evidence_holds_and_says_what_is_missing(self) -> None:
-        world = SimulatedFleet(make_plan(3, 4), 1, sound, rate=0.3)
-        assert world.run() == RolloutOutcome.HELD
-        assert "not enough evidence of class" in world.rollout.reason
-        assert len(world.changed_routers) == 1
+        fleet = SimulatedFleet(make_plan(3, 4), 1, sound, rate=0.3)
+        assert fleet.run() == RolloutOutcome.HELD
+        assert "not enough evidence of class" in fleet.rollout.reason
+        assert len(fleet.changed_routers) == 1
 
     def test_a_new_router_that_nobody_asks_is_not_good(self) -> None:
         """New routers without requests must not pass a stage.
@@ -261,7 +261,7 @@
         requests, and a build with a regression passed every stage.
         """
 
-        class Unasked(SimulatedFleet):
+        class WithoutNewRequests(SimulatedFleet):
             def run_second(self) -> None:
                 for p in self.routers.values():
                     if p.build == "beef":
@@ -272,42 +272,42 @@
                         p.classes = {}
 
         for rate in (30.0, 0.0):
-            world = Unasked(make_plan(3, 4), 1, sound, rate=rate)
-            assert world.run() == RolloutOutcome.HELD
-            assert "not enough evidence" in world.rollout.reason
-            assert len(world.changed_routers) == 1
+            fleet = WithoutNewRequests(make_plan(3, 4), 1, sound, rate=rate)
+            assert fleet.run() == RolloutOutcome.HELD
+            assert "not enough evidence" in fleet.rollout.reason
+            assert len(fleet.changed_routers) == 1
 
     def test_another_process_goes_on_at_any_instant(self) -> None:
         """A takeover after any step, with the commands of that step lost, changes each router exactly once.
 
         The time without a controller counted as silence of the routers, and held the rollout immediately.
         """
-        for every in (7, 23, 61):
-            world = SimulatedFleet(make_plan(2, 3), 3, sound)
+        for takeover_interval in (7, 23, 61):
+            fleet = SimulatedFleet(make_plan(2, 3), 3, sound)
             for n in range(3_000):
-                if n % every == every - 1:
-                    raw = json.loads(json.dumps(to_snapshot(world.rollout)))
-                    world.now += 20 * S  # the lease of the predecessor has to expire
-                    world.rollout = restored(world.plan, raw)
-                    for effect in world.rollout.resume_after_takeover(world.now, True):
+                if n % takeover_interval == takeover_interval - 1:
+                    raw = json.loads(json.dumps(to_snapshot(fleet.rollout)))
+                    fleet.now += 20 * S  # the lease of the predecessor has to expire
+                    fleet.rollout = restored(fleet.plan, raw)
+                    for effect in fleet.rollout.resume_after_takeover(fleet.now, True):
                         if isinstance(effect, RouterCommand):
-                            world.carry_out(effect)
-                world.run_second()
-                if world.rollout.outcome is not RolloutOutcome.RUNNING:
+                            fleet.carry_out(effect)
+                fleet.run_second()
+                if fleet.rollout.outcome is not RolloutOutcome.RUNNING:
                     break
-            assert world.rollout.outcome == RolloutOutcome.DONE, (every, world.rollout.reason)
-            assert {p.instance for p in world.routers.values()} == {2}, "each router is changed once"
+            assert fleet.rollout.outcome == RolloutOutcome.DONE, (takeover_interval, fleet.rollout.reason)
+            assert {p.instance for p in fleet.routers.values()} == {2}, "each router is changed once"
 
     def test_a_snapshot_that_cannot_be_used_says_why(self) -> None:
-        world = SimulatedFleet(make_plan(2, 3), 1, sound)
-        good = to_snapshot(world.rollout)
+        fleet = SimulatedFleet(make_plan(2, 3), 1, sound)
+        good = to_snapshot(fleet.rollout)
         for change in ({"v": 9}, {"routers": {}}, {"outcome": "lost"}, {"bets": [[1]]}, {"stage": "x"}):
             with pytest.raises(SnapshotError):
-                restored(world.plan, {**good, **change})
+                restored(fleet.plan, {**good, **change})
 
     def test_a_snapshot_error_names_the_key(self) -> None:
-        world = SimulatedFleet(make_plan(2, 3), 1, sound)
-        good = to_snapshot(world.rollout)
+        fleet = SimulatedFleet(make_plan(2, 3), 1, sound)
+        good = to_snapshot(fleet.rollout)
         without_stage = {key: value for key, value in good.items() if key != "stage"}
         for raw, key, text in (
             ({**good, "v": 9}, "v", "version 9 is not known here; version 1 is"),
@@ -316,57 +316,57 @@
             ({**good, "outcome": "lost"}, "", "ValueError: 'lost' is not a valid RolloutOutcome"),
         ):
             with pytest.raises(SnapshotError) as raised:
-                restored(world.plan, raw)
+                restored(fleet.plan, raw)
             assert (raised.value.key, str(raised.value)) == (key, text)
 
     def test_silent_routers_hold_it_and_are_never_good(self) -> None:
-        world = self.world(sound)
-        for n, p in enumerate(world.routers.values()):
+        fleet = self.make_fleet(sound)
+        for n, p in enumerate(fleet.routers.values()):
             p.silent_until_ns = (1_050 + 100) * S if n < 5 else 0
-        while world.now < 1_045 * S:
-            world.run_second()
-        assert world.rollout.outcome == RolloutOutcome.HELD
-        assert "do not answer" in world.rollout.reason
-        world.run(200, {150: OperatorCommand.RESUME})
-        assert world.run() == RolloutOutcome.DONE, world.rollout.reason
+        while fleet.now < 1_045 * S:
+            fleet.run_second()
+        assert fleet.rollout.outcome == RolloutOutcome.HELD
+        assert "do not answer" in fleet.rollout.reason
+        fleet.run(200, {150: OperatorCommand.RESUME})
+        assert fleet.run() == RolloutOutcome.DONE, fleet.rollout.reason
 
     def test_a_hold_for_silence_ends_once_the_routers_answer(self) -> None:
         """A hold for silence ends without a command; a hold that an operator commanded meanwhile stays."""
-        for ordered in (False, True):
-            with self.subTest(ordered=ordered):
-                world = self.world(sound)
-                for n, p in enumerate(world.routers.values()):
+        for is_commanded in (False, True):
+            with self.subTest(is_commanded=is_commanded):
+                fleet = self.make_fleet(sound)
+                for n, p in enumerate(fleet.routers.values()):
                     p.silent_until_ns = 1_150 * S if n < 5 else 0
-                while world.now < 1_045 * S:
-                    world.run_second()
-                assert world.rollout.outcome == RolloutOutcome.HELD
-                world.rollout = restored(
-                    world.plan, to_snapshot(world.rollout)
+                while fleet.now < 1_045 * S:
+                    fleet.run_second()
+                assert fleet.rollout.outcome == RolloutOutcome.HELD
+                fleet.rollout = restored(
+                    fleet.plan, to_snapshot(fleet.rollout)
                 )  # the hold's cause is part of the snapshot
-                begun = sum(note.name == "begun" for note in world.history)
-                if ordered:
-                    world.deliver(OperatorCommand.HOLD)
-                while world.now < 1_150 * S:
-                    world.run_second()
-                    assert world.rollout.outcome == RolloutOutcome.HELD
-                assert sum(note.name == "begun" for note in world.history) == begun
-                due = RolloutOutcome.HELD if ordered else RolloutOutcome.DONE
-                assert world.run(4000, {10000: OperatorCommand.HOLD}) == due, world.rollout.reason
+                begun_count = sum(entry.name == "begun" for entry in fleet.history)
+                if is_commanded:
+                    fleet.deliver(OperatorCommand.HOLD)
+                while fleet.now < 1_150 * S:
+                    fleet.run_second()
+                    assert fleet.rollout.outcome == RolloutOutcome.HELD
+                assert sum(entry.name == "begun" for entry in fleet.history) == begun_count
+                expected = RolloutOutcome.HELD if is_commanded else RolloutOutcome.DONE
+                assert fleet.run(4000, {10000: OperatorCommand.HOLD}) == expected, fleet.rollout.reason
 
     def test_a_pause_of_the_controller_is_no_silence_of_the_routers(self) -> None:
         """A process stall of the controller must neither hold the rollout nor roll a router back.
 
         The stall lasts 20 s, which is longer than a step of a change may take, and happens at various steps.
         """
-        world = self.world(sound)
-        pauses = 0
-        while world.rollout.outcome is RolloutOutcome.RUNNING and world.now < 5_000 * S:
-            world.run_second()
-            if pauses < 20 and world.now % (7 * S) == 0:
-                pauses += 1
-                world.now += 20 * S
-        assert (world.rollout.outcome, pauses) == (RolloutOutcome.DONE, 20), world.rollout.reason
-        assert "held" not in [note.name for note in world.history]
+        fleet = self.make_fleet(sound)
+        stall_count = 0
+        while fleet.rollout.outcome is RolloutOutcome.RUNNING and fleet.now < 5_000 * S:
+            fleet.run_second()
+            if stall_count < 20 and fleet.now % (7 * S) == 0:
+                stall_count += 1
+                fleet.now += 20 * S
+        assert (fleet.rollout.outcome, stall_count) == (RolloutOutcome.DONE, 20), fleet.rollout.reason
+        assert "held" not in [entry.name for entry in fleet.history]
 
     def test_one_that_dies_in_its_change_is_taken_back(self) -> None:
         """A router that crashes during its change is rolled back without a drain.
@@ -379,11 +379,11 @@
                 super().start(p, build)
                 p.alive = build != "beef"
 
-        world = Dying(make_plan(3, 4), 1, sound)
-        assert world.run() == RolloutOutcome.ROLLED_BACK, world.rollout.reason
-        assert "not-ready" in [n.name for n in world.history]
-        assert len(world.changed_routers) == 1
-        assert {(p.build, p.alive) for p in world.routers.values()} == {("old", True)}
+        fleet = Dying(make_plan(3, 4), 1, sound)
+        assert fleet.run() == RolloutOutcome.ROLLED_BACK, fleet.rollout.reason
+        assert "not-ready" in [n.name for n in fleet.history]
+        assert len(fleet.changed_routers) == 1
+        assert {(p.build, p.alive) for p in fleet.routers.values()} == {("old", True)}
 
     def test_one_that_dies_once_it_was_ready_holds_it(self) -> None:
         """A router that crashes while it is cold holds the rollout.
@@ -398,37 +398,37 @@
                     if p.build == "beef" and self.rollout.routers[p.name].phase is Phase.WARMING_UP:
                         p.alive = False
 
-        world = Dying(make_plan(3, 4), 1, sound)
-        assert world.run(300) == RolloutOutcome.HELD
-        assert "n0-0 has not answered since its change" in world.rollout.reason
-        world.deliver(OperatorCommand.REVERT)
-        assert world.run() == RolloutOutcome.ROLLED_BACK
-        assert {(p.build, p.alive) for p in world.routers.values()} == {("old", True)}
+        fleet = Dying(make_plan(3, 4), 1, sound)
+        assert fleet.run(300) == RolloutOutcome.HELD
+        assert "n0-0 has not answered since its change" in fleet.rollout.reason
+        fleet.deliver(OperatorCommand.REVERT)
+        assert fleet.run() == RolloutOutcome.ROLLED_BACK
+        assert {(p.build, p.alive) for p in fleet.routers.values()} == {("old", True)}
 
     def test_lost_orders_hold_and_change_nobody_twice(self) -> None:
         for seed in range(4):
-            world = self.world(sound, seed)
-            world.lost_command_share = 0.2
-            world.run(3_000)
-            assert world.rollout.outcome in (
+            fleet = self.make_fleet(sound, seed)
+            fleet.lost_command_share = 0.2
+            fleet.run(3_000)
+            assert fleet.rollout.outcome in (
                 RolloutOutcome.HELD,
                 RolloutOutcome.DONE,
                 RolloutOutcome.ROLLED_BACK,
                 RolloutOutcome.ROLLING_BACK,
             )
-            starts = {p.name: p.instance for p in world.routers.values()}
+            starts = {p.name: p.instance for p in fleet.routers.values()}
             assert max(starts.values()) <= 3, "each router is changed once and rolled back at most once"
-            assert world.max_unavailable[""] <= 4, "three, and one whose ENABLE command was lost"
+            assert fleet.max_unavailable[""] <= 4, "three, and one whose ENABLE command was lost"
 
     def test_people_hold_resume_and_revert(self) -> None:
-        world = self.world(sound)
+        fleet = self.make_fleet(sound)
         assert (
-            world.run(
+            fleet.run(
                 2000, {60: OperatorCommand.HOLD, 90: OperatorCommand.RESUME, 200: OperatorCommand.REVERT}
             )
             == RolloutOutcome.ROLLED_BACK
         )
-        assert {p.build for p in world.routers.values()} == {"old"}
+        assert {p.build for p in fleet.routers.values()} == {"old"}
 
     def test_contradictions_and_strangers_are_named_and_not_used(self) -> None:
         rollout = Rollout(make_plan(1, 4), 0)
@@ -456,31 +456,31 @@
             max_size=8,
         ),
     )
-    def test_whatever_happens(self, seed: int, faults: list[tuple[int, str, int]]) -> None:
+    def test_whatever_happens(self, seed: int, incidents: list[tuple[int, str, int]]) -> None:
         """Random failures and commands: the rollout keeps its limits, and a final outcome does not change."""
         defect = [0.0]
-        world = SimulatedFleet(
-            make_plan(3, 4), seed, lambda w, p, c: defect[0] if p.build == "beef" else 0.0, rate=10.0
+        fleet = SimulatedFleet(
+            make_plan(3, 4), seed, lambda _fleet, p, c: defect[0] if p.build == "beef" else 0.0, rate=10.0
         )
-        names = list(world.routers)
+        names = list(fleet.routers)
         for second in range(700):
-            for at, what, who in faults:
-                if at != second:
+            for incident_second, kind, router_index in incidents:
+                if incident_second != second:
                     continue
-                p = world.routers[names[who]]
-                if what == "silent":
-                    p.silent_until_ns = world.now + 20 * S
-                elif what == "crash":
-                    world.start(p, p.build)
-                elif what == "kill":
+                p = fleet.routers[names[router_index]]
+                if kind == "silent":
+                    p.silent_until_ns = fleet.now + 20 * S
+                elif kind == "crash":
+                    fleet.start(p, p.build)
+                elif kind == "kill":
                     p.alive = False
-                elif what == "defect":
+                elif kind == "defect":
                     defect[0] = 0.4
                 else:
-                    world.deliver(OperatorCommand(what))
-            before = world.rollout.outcome
-            world.run_second()
-            phases = [r.phase for r in world.rollout.routers.values()]
+                    fleet.deliver(OperatorCommand(kind))
+            before = fleet.rollout.outcome
+            fleet.run_second()
+            phases = [r.phase for r in fleet.rollout.routers.values()]
             under_way = sum(
                 x
                 in (
@@ -492,31 +492,31 @@
                 )
                 for x in phases
             )
-            if world.rollout.outcome is not RolloutOutcome.ROLLING_BACK:
+            if fleet.rollout.outcome is not RolloutOutcome.ROLLING_BACK:
                 assert under_way <= 3
             if before in (RolloutOutcome.DONE, RolloutOutcome.ROLLED_BACK):
-                assert world.rollout.outcome is before
-            if world.rollout.outcome is RolloutOutcome.DONE:
+                assert fleet.rollout.outcome is before
+            if fleet.rollout.outcome is RolloutOutcome.DONE:
                 assert set(phases) == {Phase.ACCEPTED}
 
 
 class Command(unittest.TestCase):
     def test_plan_is_a_dry_run_that_names_everything(self) -> None:
         path = str(ROOT / "examples/rollout.kdl")
-        told = CliRunner().invoke(main, ["rollout", "plan", path])
-        assert told.exit_code == 0, told.output
-        assert "stage 'one': n4; 120s to 1200s" in told.output
-        assert "no old router left to compare with in edge-1, edge-2" in told.output
-        said = json.loads(CliRunner().invoke(main, ["rollout", "plan", path, "--format", "json"]).output)
-        assert [s["routers"] for s in said["stages"]] == [["n4"], ["n1", "n5"], ["n2", "n6", "n3"]]
-        assert said["worst_share_out"] == {"edge-1": 0.333, "edge-2": 0.333}
-        assert said["shortest_s"] < said["longest_s"]
+        result = CliRunner().invoke(main, ["rollout", "plan", path])
+        assert result.exit_code == 0, result.output
+        assert "stage 'one': n4; 120s to 1200s" in result.output
+        assert "no old router left to compare with in edge-1, edge-2" in result.output
+        preview = json.loads(CliRunner().invoke(main, ["rollout", "plan", path, "--format", "json"]).output)
+        assert [s["routers"] for s in preview["stages"]] == [["n4"], ["n1", "n5"], ["n2", "n6", "n3"]]
+        assert preview["worst_share_out"] == {"edge-1": 0.333, "edge-2": 0.333}
+        assert preview["shortest_s"] < preview["longest_s"]
 
     def test_faults_and_wrong_use(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "bad.kdl"
-            path.write_text(GOOD.replace("per-zone=1", "per-zone=2"))
-            told = CliRunner().invoke(main, ["rollout", "plan", str(path)])
-            assert told.exit_code == 1
-            assert "zone-out" in told.output
+            path.write_text(VALID_PLAN.replace("per-zone=1", "per-zone=2"))
+            result = CliRunner().invoke(main, ["rollout", "plan", str(path)])
+            assert result.exit_code == 1
+            assert "zone-out" in result.output
         assert CliRunner().invoke(main, ["rollout", "plan", "/nowhere"]).exit_code == 2
--- a/tests/rollout/test_rollout_faults.py
+++ b/tests/rollout/test_rollout_faults.py
@@ -22,22 +22,28 @@
 from testbed.field import ClientLoad, LinkMode, Relay, RouterField
 from testbed.field.field import RouterNode
 from testbed.stand_ins import ROOT
-from tests.support.rollout_field import Controller, Rollouts
+from tests.support.rollout_field import Controller, RolloutTestCase
 
 
-class Base(Rollouts):
+class FaultTestCase(RolloutTestCase):
     """Common parts of the tests in this module."""
 
-    def stopped(
-        self, field: RouterField, plan: str, due: str, most: int = 1, per_s: float = 40.0, orders: int = 0
+    def run_defective_change(
+        self,
+        field: RouterField,
+        plan: str,
+        expected_text: str,
+        max_changed: int = 1,
+        per_s: float = 40.0,
+        orders: int = 0,
     ) -> ClientLoad:
-        """Run a defective change and check that it is stopped for the reason ``due`` and rolled back.
+        """Run a defective change and check that it is stopped for the expected reason and rolled back.
 
         Args:
             field: The routers and servers.
             plan: The text of the rollout file.
-            due: A text that the controller must print.
-            most: The change reaches at most this many routers.
+            expected_text: A text that the controller must print.
+            max_changed: The change reaches at most this many routers.
             per_s: Requests per second of each client.
             orders: One in this many requests must not run twice; 0 = none.
 
@@ -46,10 +52,10 @@
         """
         controller = self.controller(plan)
         with ClientLoad(field, per_s, orders) as load:
-            assert self.finish(controller.start(), controller) == 1, controller.said()
-        assert due in controller.said()
-        touched = [name for name, node in field.nodes.items() if "new" in node.started_builds]
-        assert len(touched) <= most, controller.said()
+            assert self.wait_for_exit(controller.start(), controller) == 1, controller.output()
+        assert expected_text in controller.output()
+        changed = [name for name, node in field.nodes.items() if "new" in node.started_builds]
+        assert len(changed) <= max_changed, controller.output()
         assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
         for node in field.nodes.values():
             assert node.process is not None
@@ -57,7 +63,7 @@
         return load
 
 
-class Faults(Base):
+class Faults(FaultTestCase):
     @pytest.mark.long
     def test_a_sound_change_under_faults_of_all_kinds(self) -> None:
         """Network failures during a sound change must not stop it, lose a request or violate the contract.
@@ -66,14 +72,14 @@
         parent, each injected at a change of a router.
         """
         field, digest = self.field("sound", 3, 4, boxes=2, hubs=2, relayed=True)
-        relays, events = field.servers.relays, [0]
+        relays, change_count = field.servers.relays, [0]
 
-        def fault(node: RouterNode) -> None:
+        def inject_failure(node: RouterNode) -> None:
             """Inject the next failure, at each change of a router."""
-            events[0] += 1
+            change_count[0] += 1
             for relay in relays.values():
-                relay.drop() if events[0] % 2 else None
-            if events[0] < 2:
+                relay.drop() if change_count[0] % 2 else None
+            if change_count[0] < 2:
                 return
             {
                 2: lambda: relays["cache-z0"].change(LinkMode.DELAY),
@@ -82,14 +88,14 @@
                 7: lambda: relays["cache-z1"].change(LinkMode.PASS),
                 9: lambda: relays["parent1"].change(LinkMode.PASS),
                 10: lambda: relays["cache-z0"].change(LinkMode.PASS),
-            }.get(events[0], lambda: None)()
+            }.get(change_count[0], lambda: None)()
 
-        field.on_order["apply"] = fault
+        field.on_order["apply"] = inject_failure
         plan = field.rollout_plan(digest).replace("at-once=2", "at-once=3")
         controller = self.controller(plan)
         with ClientLoad(field, per_s=15.0) as load:
-            assert self.finish(controller.start(), controller) == 0, controller.said()
-        assert events[0] == 12
+            assert self.wait_for_exit(controller.start(), controller) == 0, controller.output()
+        assert change_count[0] == 12
         assert {tuple(n.started_builds) for n in field.nodes.values()} == {("old", "new")}
         assert field.check_contract(load, cut=True).violations == []
         assert load.counts["lost"] == 0, load.counts
@@ -101,80 +107,82 @@
 
         The valid ones reduce the deadline of pages to 20 ms.
         """
-        for broken, due in ((False, "does worse in zone"), (True, "not-ready")):
-            with self.subTest(broken=broken):
+        for truncated, expected_text in ((False, "does worse in zone"), (True, "not-ready")):
+            with self.subTest(truncated=truncated):
                 self.setUp()
-                self.retuned(broken, due)
+                self.run_settings_change(truncated, expected_text)
 
-    def retuned(self, broken: bool, due: str) -> None:
+    def run_settings_change(self, truncated: bool, expected_text: str) -> None:
         field, _ = self.field("sound", 1, 3)
 
-        def harmful(config: dict[str, Any]) -> dict[str, Any]:
-            found = copy.deepcopy(config)
-            found["settings"]["classes"][0]["give_up_ns"] = 20_000_000
-            return found
+        def with_short_deadline(config: dict[str, Any]) -> dict[str, Any]:
+            changed = copy.deepcopy(config)
+            changed["settings"]["classes"][0]["give_up_ns"] = 20_000_000
+            return changed
 
-        whole = RouterNode.write
+        write_complete = RouterNode.write
 
-        def half(node: RouterNode, config: dict[str, Any]) -> None:
-            whole(node, config)
+        def write_truncated(node: RouterNode, config: dict[str, Any]) -> None:
+            write_complete(node, config)
             if config is not node.config:
                 path = node.folder / "config.json"
                 path.write_text(path.read_text()[:200])
 
-        field.changed_config = harmful  # type: ignore[method-assign]
+        field.changed_config = with_short_deadline  # type: ignore[method-assign]
         field.order_action = field.reload_config
-        if broken:
-            RouterNode.write = half  # type: ignore[method-assign]
-            self.addCleanup(setattr, RouterNode, "write", whole)
+        if truncated:
+            RouterNode.write = write_truncated  # type: ignore[method-assign]
+            self.addCleanup(setattr, RouterNode, "write", write_complete)
         node = next(iter(field.nodes.values()))
-        digest = settings_digest(harmful(node.config)["settings"])
+        digest = settings_digest(with_short_deadline(node.config)["settings"])
         plan = field.rollout_plan(digest, what='settings digest="{}"').replace('ready="15s"', 'ready="4s"')
-        load = self.stopped(field, plan, due)
+        load = self.run_defective_change(field, plan, expected_text)
         assert load.counts["served"] > 300
 
     def test_a_build_that_leaks(self) -> None:
         field, digest = self.field("leaks", 1, 3)
-        self.stopped(
+        self.run_defective_change(
             field, field.rollout_plan(digest).replace('least="3s"', 'least="8s"'), "memory", per_s=80.0
         )
 
     def test_upgrades_on_inherited_sockets(self) -> None:
         """Old and new process share each socket: no request is lost and the contract holds."""
-        field, load = self.upgraded("sound")
+        field, load = self.run_upgrades("sound")
         assert {tuple(n.started_builds) for n in field.nodes.values()} == {("old", "new")}
         assert (load.counts["lost"], field.check_contract(load).violations) == (0, []), load.counts
         assert load.counts["served"] > 300, load.counts
 
-    def upgraded(self, defect: str, due: int = 0, **strikes: Any) -> tuple[RouterField, ClientLoad]:
+    def run_upgrades(
+        self, defect: str, exit_code: int = 0, **failures: Any
+    ) -> tuple[RouterField, ClientLoad]:
         """Run a rollout by upgrades on inherited sockets, with failures at steps of the first upgrade.
 
         Args:
             defect: The defect of the new build.
-            due: The exit code that the controller must have.
-            strikes: By name of the step, the function that injects a failure there.
+            exit_code: The exit code that the controller must have.
+            failures: By name of the step, the function that injects a failure there.
 
         Returns:
             The routers and the load, once the rollout has ended.
         """
         field, digest = self.field(defect, 1, 3, inherited=True)
-        struck: list[str] = []
+        failed_nodes: list[str] = []
 
-        def once(strike: Any) -> Any:
-            def at(node: RouterNode, old: Any, new: Any) -> None:
-                if not struck:
-                    struck.append(node.name)
-                    strike(node, old, new)
+        def on_first_upgrade(inject: Any) -> Any:
+            def at_step(node: RouterNode, old: Any, new: Any) -> None:
+                if not failed_nodes:
+                    failed_nodes.append(node.name)
+                    inject(node, old, new)
 
-            return at
+            return at_step
 
-        field.on_upgrade_step = {step: once(strike) for step, strike in strikes.items()}
+        field.on_upgrade_step = {step: on_first_upgrade(inject) for step, inject in failures.items()}
         plan = field.rollout_plan(digest).replace('ready="15s"', 'ready="6s"')
         controller = self.controller(plan)
         with ClientLoad(field) as load:
-            assert self.finish(controller.start(), controller) == due, controller.said()
-        assert len(struck) == len(strikes)
-        assert {n.started_builds[-1] for n in field.nodes.values()} == {"old" if due else "new"}
+            assert self.wait_for_exit(controller.start(), controller) == exit_code, controller.output()
+        assert len(failed_nodes) == len(failures)
+        assert {n.started_builds[-1] for n in field.nodes.values()} == {"old" if exit_code else "new"}
         return field, load
 
     def test_a_controller_that_is_stopped_and_woken_holds_nothing(self) -> None:
@@ -196,9 +204,9 @@
 
         field.on_order["apply"] = pause
         with ClientLoad(field):
-            assert self.finish(controller.start(), controller) == 0, controller.said()
+            assert self.wait_for_exit(controller.start(), controller) == 0, controller.output()
         assert len(stopped) == 3
-        assert "held" not in [row["name"] for row in controller.history()], controller.said()
+        assert "held" not in [row["name"] for row in controller.history()], controller.output()
 
     @pytest.mark.long
     def test_an_old_one_killed_between_the_new_ones_yes_and_its_end(self) -> None:
@@ -209,7 +217,9 @@
         for step in ("ready", "told"):
             with self.subTest(step=step):
                 self.setUp()
-                field, load = self.upgraded("sound", **{step: lambda _, old, new: (old.kill(), old.wait())})
+                field, load = self.run_upgrades(
+                    "sound", **{step: lambda _, old, new: (old.kill(), old.wait())}
+                )
                 assert field.check_contract(load, killed=True).violations == []
                 assert load.counts["lost"] < 10, load.counts
 
@@ -234,32 +244,32 @@
         store = ["--store", str(self.folder / "store.db")]
         with ClientLoad(field) as load:
             process = controller.start()
-            until = time.monotonic() + 90
-            while "held" not in controller.verb("status", *store) and time.monotonic() < until:
+            deadline_s = time.monotonic() + 90
+            while "held" not in controller.run_command("status", *store) and time.monotonic() < deadline_s:
                 time.sleep(0.2)
             # The router died while it was cold, or when it was warm; then the stage's maximum time holds it.
-            assert re.search("has not answered|not enough evidence", controller.verb("status", *store))
-            controller.verb("revert", *store)
-            assert self.finish(process, controller) == 1, controller.said()
+            assert re.search("has not answered|not enough evidence", controller.run_command("status", *store))
+            controller.run_command("revert", *store)
+            assert self.wait_for_exit(process, controller) == 1, controller.output()
         assert sum("new" in n.started_builds for n in field.nodes.values()) == 1
         assert {n.started_builds[-1] for n in field.nodes.values()} == {"old"}
         # Clients that connected while no process served the socket get no response; all other rules hold.
-        found = field.check_contract(load, killed=True).violations
-        assert [x for x in found if not x.startswith("answered")] == []
+        violations = field.check_contract(load, killed=True).violations
+        assert [x for x in violations if not x.startswith("answered")] == []
 
     @pytest.mark.long
     def test_a_router_killed_in_the_middle_of_sighup(self) -> None:
         """The platform restarts the killed router with the changed file, and the rollout is done."""
         field, _ = self.field("sound", 1, 3)
 
-        def longer(config: dict[str, Any]) -> dict[str, Any]:
-            found = copy.deepcopy(config)
-            found["settings"]["classes"][0]["give_up_ns"] += 1_000_000
-            return found
+        def with_longer_deadline(config: dict[str, Any]) -> dict[str, Any]:
+            changed = copy.deepcopy(config)
+            changed["settings"]["classes"][0]["give_up_ns"] += 1_000_000
+            return changed
 
         killed: list[str] = []
 
-        def retune(node: RouterNode, verb: str) -> None:
+        def reload_and_kill(node: RouterNode, verb: str) -> None:
             field.reload_config(node, verb)
             if not killed:
                 killed.append(node.name)
@@ -268,13 +278,13 @@
                 node.process.wait()
                 node.start(node.started_builds.pop(), keep=True)
 
-        field.changed_config = longer  # type: ignore[method-assign]
-        field.order_action = retune
-        digest = settings_digest(longer(next(iter(field.nodes.values())).config)["settings"])
+        field.changed_config = with_longer_deadline  # type: ignore[method-assign]
+        field.order_action = reload_and_kill
+        digest = settings_digest(with_longer_deadline(next(iter(field.nodes.values())).config)["settings"])
         controller = self.controller(field.rollout_plan(digest, what='settings digest="{}"'))
         with ClientLoad(field) as load:
-            code = self.finish(controller.start(), controller)
-        assert code == 0, controller.said() + "".join(n.log()[-900:] for n in field.nodes.values())
+            code = self.wait_for_exit(controller.start(), controller)
+        assert code == 0, controller.output() + "".join(n.log()[-900:] for n in field.nodes.values())
         assert len(killed) == 1
         assert field.check_contract(load, killed=True).violations == []
 
@@ -290,34 +300,34 @@
             f'act local=#true {{ old "{ROOT}"; new "{self.folder / "new"}" }}\n'
         )
         for name, node in field.nodes.items():
-            own = f'config="{node.folder}/config.json" rules="{node.folder}/rules.kdl"'
-            plan = plan.replace(f'router "{name}"', f'router "{name}" {own}')
-        self.addCleanup(self.end_all, field)
+            files = f'config="{node.folder}/config.json" rules="{node.folder}/rules.kdl"'
+            plan = plan.replace(f'router "{name}"', f'router "{name}" {files}')
+        self.addCleanup(self.kill_all, field)
         controller = self.controller(plan)
         with ClientLoad(field) as load:
-            assert self.finish(controller.start(), controller) == 0, controller.said()
-        told = [self.state(node) for node in field.nodes.values()]
-        assert [t["build"] for t in told] == [digest] * 4
+            assert self.wait_for_exit(controller.start(), controller) == 0, controller.output()
+        states = [self.fetch_state(node) for node in field.nodes.values()]
+        assert [state["build"] for state in states] == [digest] * 4
         assert load.counts["lost"] == 0, load.counts
         assert field.check_contract(load).violations == []
 
-    def state(self, node: RouterNode) -> dict[str, Any]:
+    def fetch_state(self, node: RouterNode) -> dict[str, Any]:
         url = f"http://{node.control_address[0]}:{node.control_address[1]}/control/state"
-        with urllib.request.urlopen(url, timeout=5) as answer:
-            found: dict[str, Any] = json.loads(answer.read())
-            return found
+        with urllib.request.urlopen(url, timeout=5) as response:
+            state: dict[str, Any] = json.loads(response.read())
+            return state
 
-    def end_all(self, field: RouterField) -> None:
+    def kill_all(self, field: RouterField) -> None:
         """Kill the processes that the controller left running."""
         for node in field.nodes.values():
             try:
-                os.kill(int(self.state(node)["instance"].partition("-")[0]), signal.SIGKILL)
+                os.kill(int(self.fetch_state(node)["instance"].partition("-")[0]), signal.SIGKILL)
             except OSError:
                 continue
 
     def test_a_build_that_breaks_an_invariant(self) -> None:
         field, digest = self.field("breaks an invariant", 1, 3)
-        self.stopped(field, field.rollout_plan(digest), "broken invariants")
+        self.run_defective_change(field, field.rollout_plan(digest), "broken invariants")
 
     @pytest.mark.long
     def test_a_router_killed_in_its_drain(self) -> None:
@@ -333,18 +343,18 @@
 
         field.on_order["apply"] = kill_first
         with ClientLoad(field) as load:
-            assert self.finish(controller.start(), controller) == 0, controller.said()
+            assert self.wait_for_exit(controller.start(), controller) == 0, controller.output()
         assert len(killed) == 1
         assert {n.started_builds[-1] for n in field.nodes.values()} == {"new"}
         assert field.check_contract(load, killed=True).violations == []
 
 
 @pytest.mark.long
-class Long(Base):
+class Long(FaultTestCase):
     """Tests that take minutes."""
 
     def test_defective_builds(self) -> None:
-        for defect, due, most in (
+        for defect, expected_text, max_changed in (
             ("slow", "does worse in zone", 1),
             ("one class", "class 'order' does worse", 1),
             ("one zone", "in zone 'z1'", 3),
@@ -354,9 +364,14 @@
                 self.setUp()
                 field, digest = self.field(defect, 2, 3)
                 if defect == "crashes":  # the platform restarts the process
-                    self.again(field)
-                self.stopped(
-                    field, field.rollout_plan(digest), due, most, 60.0, 3 if defect == "one class" else 0
+                    self.supervise(field)
+                self.run_defective_change(
+                    field,
+                    field.rollout_plan(digest),
+                    expected_text,
+                    max_changed,
+                    60.0,
+                    3 if defect == "one class" else 0,
                 )
 
     def test_one_in_twenty_refused(self) -> None:
@@ -365,12 +380,12 @@
         plan = (
             field.rollout_plan(digest).replace("harm=0.15", "harm=0.05").replace('most="60s"', 'most="140s"')
         )
-        self.stopped(field, plan, "does worse in zone", 1, per_s=100.0)
+        self.run_defective_change(field, plan, "does worse in zone", 1, per_s=100.0)
 
-    def again(self, field: RouterField) -> None:
+    def supervise(self, field: RouterField) -> None:
         """Act as a supervisor that restarts each process that died, with the same build."""
 
-        def look() -> None:
+        def restart_dead_routers() -> None:
             while field.agent.fileno() >= 0:
                 for node in field.nodes.values():
                     if node.process and node.process.poll() is not None and node.started_builds:
@@ -378,7 +393,7 @@
                         node.started_builds.pop()
                 time.sleep(0.1)
 
-        threading.Thread(target=look, daemon=True).start()
+        threading.Thread(target=restart_dead_routers, daemon=True).start()
 
     def test_links_of_the_controller(self) -> None:
         """Failures of the control connections to a third of the routers: reset, 2 s delay, garbage.
@@ -394,32 +409,32 @@
                     Relay(field.nodes["z0-1"].control_address) as a,
                     Relay(field.nodes["z1-1"].control_address) as b,
                 ):
-                    self.cut(field, digest, mode, a, b)
+                    self.fail_links(field, digest, mode, a, b)
 
-    def cut(self, field: RouterField, digest: str, mode: LinkMode, a: Relay, b: Relay) -> None:
+    def fail_links(self, field: RouterField, digest: str, mode: LinkMode, a: Relay, b: Relay) -> None:
         controller = self.controller(
             field.rollout_plan(digest, control={"z0-1": a.address, "z1-1": b.address})
         )
         store = ["--store", str(self.folder / "store.db")]
-        begun: list[str] = []
+        changed: list[str] = []
 
-        def strike(node: RouterNode) -> None:
-            if not begun:
-                begun.append(node.name)
+        def fail_on_first_change(node: RouterNode) -> None:
+            if not changed:
+                changed.append(node.name)
                 a.change(mode)
                 b.change(mode)
 
-        field.on_order["apply"] = strike
+        field.on_order["apply"] = fail_on_first_change
         with ClientLoad(field):
             process = controller.start()
-            self.until(lambda: "held" in controller.verb("status", *store), controller)
-            assert "do not answer: z0-1, z1-1" in controller.verb("status", *store)
-            held = len(field.orders)
+            self.wait_until(lambda: "held" in controller.run_command("status", *store), controller)
+            assert "do not answer: z0-1, z1-1" in controller.run_command("status", *store)
+            held_command_count = len(field.orders)
             time.sleep(3)
-            assert len(field.orders) == held
+            assert len(field.orders) == held_command_count
             a.change(LinkMode.PASS)
             b.change(LinkMode.PASS)
-            assert self.finish(process, controller) == 0, controller.said()
+            assert self.wait_for_exit(process, controller) == 0, controller.output()
 
     def test_a_controller_that_is_stopped_for_thirty_seconds(self) -> None:
         """A successor takes over when the lease has expired; the first controller must not act any more."""
@@ -427,22 +442,22 @@
         controller = self.controller(field.rollout_plan(digest))
         with ClientLoad(field):
             first = controller.start()
-            self.until(lambda: len(field.orders) >= 1, controller)
+            self.wait_until(lambda: len(field.orders) >= 1, controller)
             first.send_signal(signal.SIGSTOP)
             time.sleep(16)
             second = controller.start()
             time.sleep(14)
             first.send_signal(signal.SIGCONT)
-            assert self.finish(first, controller) == 2, controller.said()
-            assert self.finish(second, controller) == 0, controller.said()
+            assert self.wait_for_exit(first, controller) == 2, controller.output()
+            assert self.wait_for_exit(second, controller) == 0, controller.output()
         assert {tuple(n.started_builds) for n in field.nodes.values()} == {("old", "new")}
 
-    def until(self, found: Any, controller: Controller) -> None:
+    def wait_until(self, condition: Any, controller: Controller) -> None:
         for _ in range(300):
-            if found():
+            if condition():
                 return
             time.sleep(0.2)
-        self.fail(controller.said())
+        self.fail(controller.output())
 
 
 if __name__ == "__main__":
--- a/tests/rollout/test_rollout_field.py
+++ b/tests/rollout/test_rollout_field.py
@@ -8,10 +8,10 @@
 
 from testbed.field import ClientLoad, Relay
 from testbed.field.relay import LinkMode
-from tests.support.rollout_field import Rollouts
+from tests.support.rollout_field import RolloutTestCase
 
 
-class OnAField(Rollouts):
+class RealProcesses(RolloutTestCase):
     def test_a_sound_change_with_a_controller_that_is_killed_twice(self) -> None:
         """A controller that is killed twice changes each router once, and the history is complete.
 
@@ -31,12 +31,12 @@
         with ClientLoad(field) as load:
             code = -signal.SIGKILL
             while code == -signal.SIGKILL and len(controller.processes) < 4:
-                code = self.finish(controller.start(), controller)
-                if code == 2 and "led by another" in controller.said():
+                code = self.wait_for_exit(controller.start(), controller)
+                if code == 2 and "led by another" in controller.output():
                     time.sleep(1)  # the lease of the killed controller has not expired
                     code = -signal.SIGKILL
                     controller.processes.pop()
-        assert code == 0, controller.said()
+        assert code == 0, controller.output()
         assert killed == [3, 5]
         assert {n: node.started_builds for n, node in field.nodes.items()} == dict.fromkeys(
             field.nodes, ["old", "new"]
@@ -50,12 +50,12 @@
         field, digest = self.field("refuses")
         controller = self.controller(field.rollout_plan(digest))
         with ClientLoad(field) as load:
-            assert self.finish(controller.start(), controller) == 1, controller.said()
-        touched = [name for name, node in field.nodes.items() if "new" in node.started_builds]
-        assert len(touched) == 1
-        assert field.nodes[touched[0]].started_builds == ["old", "new", "old"]
-        assert "does worse in zone" in controller.said()
-        assert "the harm is gone" in controller.said()
+            assert self.wait_for_exit(controller.start(), controller) == 1, controller.output()
+        changed = [name for name, node in field.nodes.items() if "new" in node.started_builds]
+        assert len(changed) == 1
+        assert field.nodes[changed[0]].started_builds == ["old", "new", "old"]
+        assert "does worse in zone" in controller.output()
+        assert "the harm is gone" in controller.output()
         assert load.counts["lost"] == 0, load.counts
         worse = next(row for row in controller.history() if row["name"] == "worse")
         assert any(x["verdict"] == "worse" and x["mean"] > 0.1 for x in worse["figures"].values())
@@ -73,8 +73,8 @@
             )
             controller = self.controller(plan)
             field.on_order["apply"] = lambda node: relay.change(LinkMode.GARBAGE)
-            assert self.finish(controller.start(), controller) == 1, controller.said()
-        assert "not-ready" in controller.said()
+            assert self.wait_for_exit(controller.start(), controller) == 1, controller.output()
+        assert "not-ready" in controller.output()
         assert sum("new" in node.started_builds for node in field.nodes.values()) == 1
         assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
 
@@ -85,15 +85,15 @@
         first = controller.start()
         store = ["--store", str(self.folder / "store.db")]
         while not any(row["name"] == "begun" for row in controller.history()):
-            assert first.poll() is None, controller.said()
+            assert first.poll() is None, controller.output()
             time.sleep(0.2)
         second = controller.start()
-        assert self.finish(second, controller) == 2
-        assert "led by another controller" in controller.said()
-        assert "said to run 1" in controller.verb("hold", *store)
-        while "held" not in controller.verb("status", *store):
+        assert self.wait_for_exit(second, controller) == 2
+        assert "led by another controller" in controller.output()
+        assert "said to run 1" in controller.run_command("hold", *store)
+        while "held" not in controller.run_command("status", *store):
             time.sleep(0.2)
-        controller.verb("revert", *store)
-        assert self.finish(first, controller) == 1
+        controller.run_command("revert", *store)
+        assert self.wait_for_exit(first, controller) == 1
         assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
-        assert "is over" in controller.verb("hold", *store)
+        assert "is over" in controller.run_command("hold", *store)
--- a/tests/support/rollout_field.py
+++ b/tests/support/rollout_field.py
@@ -15,7 +15,7 @@
 from testbed.field import RouterField, build_program
 from testbed.stand_ins import PROGRAM_DIR, ROOT
 
-LONGEST_S = 150.0  # seconds after which a rollout counts as failed
+ROLLOUT_TIMEOUT_S = 150.0  # seconds after which a rollout counts as failed
 
 
 class Controller:
@@ -27,47 +27,53 @@
         self.processes: list[subprocess.Popen[str]] = []
 
     def start(self) -> subprocess.Popen[str]:
-        words = ["rollout", "start", str(self.folder / "plan.kdl"), "--store", str(self.folder / "store.db")]
-        with (self.folder / "out").open("a") as out:
+        arguments = [
+            "rollout",
+            "start",
+            str(self.folder / "plan.kdl"),
+            "--store",
+            str(self.folder / "store.db"),
+        ]
+        with (self.folder / "out").open("a") as log:
             self.processes.append(
                 subprocess.Popen(
-                    [sys.executable, "-c", f"from kelpcroft.cli import main; main({words!r})"],
+                    [sys.executable, "-c", f"from kelpcroft.cli import main; main({arguments!r})"],
                     cwd=ROOT,
-                    stdout=out,
-                    stderr=out,
+                    stdout=log,
+                    stderr=log,
                     env={**os.environ, "PYTHONPATH": str(ROOT)},
                     text=True,
                 )
             )
         return self.processes[-1]
 
-    def verb(self, *words: str) -> str:
-        done = subprocess.run(
-            [sys.executable, "-c", f"from kelpcroft.cli import main; main({['rollout', *words]!r})"],
+    def run_command(self, *arguments: str) -> str:
+        completed = subprocess.run(
+            [sys.executable, "-c", f"from kelpcroft.cli import main; main({['rollout', *arguments]!r})"],
             cwd=ROOT,
             capture_output=True,
             text=True,
             timeout=30,
         )
-        return done.stdout + done.stderr
+        return completed.stdout + completed.stderr
 
     def history(self) -> list[dict[str, Any]]:
         path = self.folder / "store.db"
         if not path.exists():
             return []
-        told = self.verb("history", "--store", str(path), "--format", "json")
-        return json.loads(told) if told.startswith("[") else []  # type: ignore[no-any-return]
+        output = self.run_command("history", "--store", str(path), "--format", "json")
+        return json.loads(output) if output.startswith("[") else []  # type: ignore[no-any-return]
 
-    def said(self) -> str:
+    def output(self) -> str:
         return (self.folder / "out").read_text()
 
-    def end(self) -> None:
+    def kill(self) -> None:
         for process in self.processes:
             process.kill()
             process.wait()
 
 
-class Rollouts(unittest.TestCase):
+class RolloutTestCase(unittest.TestCase):
     """Base class of rollout tests; routers and controller of a test end with it."""
 
     def setUp(self) -> None:
@@ -83,12 +89,12 @@
         return field, program_digest(builds["new"] / "kelpcroft")
 
     def controller(self, plan: str) -> Controller:
-        made = Controller(self.folder, plan)
-        self.addCleanup(made.end)
-        return made
+        controller = Controller(self.folder, plan)
+        self.addCleanup(controller.kill)
+        return controller
 
-    def finish(self, process: subprocess.Popen[str], controller: Controller) -> int:
+    def wait_for_exit(self, process: subprocess.Popen[str], controller: Controller) -> int:
         try:
-            return process.wait(LONGEST_S)
+            return process.wait(ROLLOUT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            self.fail(f"the controller has not ended: {controller.said()}")
+            self.fail(f"the controller has not ended: {controller.output()}")
