--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -172,7 +172,7 @@
                 number += 1
             assert number > 18, f"{kind}: fewer places than commands and the steps between them"
 
-    def test_one_that_stood_still_past_its_lease_orders_nothing(self) -> None:
+    def test_a_controller_stalled_past_its_lease_sends_no_commands(self) -> None:
         """A controller that stalled for 30 s, while its successor led, must not send commands afterwards."""
         driver = FleetDriver(self.plan, self.fleet)
         first, command_counts = self.controller(driver), []
@@ -190,7 +190,7 @@
         assert [driver.command_count] == command_counts, "the stalled controller sent a command afterwards"
         assert {(p.build, p.instance) for p in self.fleet.routers.values()} == {("beef", 2)}
 
-    def test_a_third_of_the_links_is_late_or_cut(self) -> None:
+    def test_a_zone_without_responses_holds_the_rollout(self) -> None:
         """More silent routers than ``unknown`` hold the rollout, which names them and then finishes."""
 
         class SilentZoneDriver(FleetDriver):
@@ -235,7 +235,7 @@
         assert diagnostics == []
         return plan
 
-    def test_a_tool_that_fails_or_hangs_is_told_with_its_output(self) -> None:
+    def test_a_tool_that_fails_or_hangs_is_reported_with_its_output(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             python = sys.executable
             plan = self.plan(
@@ -298,7 +298,7 @@
             time.sleep(0.05)
         raise AssertionError("the router does not respond within 20 s")
 
-    def test_an_ended_process_that_nobody_has_asked_about_has_ended(self) -> None:
+    def test_a_zombie_process_counts_as_ended(self) -> None:
         """A zombie process counts as ended.
 
         The pid of a process stays in use until its parent collects the exit status.  A slow parent made the
@@ -377,10 +377,10 @@
         share = float(self.preview_after(add_weight).split("edge-1: ")[1].split("%")[0])
         assert 15 < share < 40, "the cache with weight 3 gets half of the objects instead of a quarter"
 
-    def test_what_cannot_be_asked_is_said(self) -> None:
+    def test_placements_that_cannot_be_determined_are_reported(self) -> None:
         assert "homes not known: zone edge-1" in self.preview_after(lambda raw: raw.update(settings=5))
 
-    def test_one_build_tells_its_own(self) -> None:
+    def test_homes_prints_the_placement_of_one_build(self) -> None:
         result = CliRunner().invoke(
             main, ["homes", "--config", str(ROOT / "examples/config.json"), "--objects", "50"]
         )
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -128,7 +128,7 @@
             "without a required comparison there is no evidence"
         )
 
-    def test_insane_figures_say_nothing(self) -> None:
+    def test_differences_that_are_not_finite_are_ignored(self) -> None:
         test = SequentialTest(StopCriteria())
         for value in (float("nan"), float("inf"), -float("inf")):
             test.add_difference(value)
@@ -191,7 +191,7 @@
             assert fleet.max_unavailable[""] <= 3
             assert max(fleet.max_unavailable[f"z{n}"] for n in range(3)) <= 1
 
-    def test_a_trouble_of_a_whole_zone_stops_nothing(self) -> None:
+    def test_a_failure_of_a_whole_zone_stops_nothing(self) -> None:
         def hub_lost(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
             return 0.4 if p.zone == "z0" and 60 <= fleet.now / S - 1_000 < 120 else 0.0
 
@@ -254,7 +254,7 @@
         assert "not enough evidence of class" in fleet.rollout.reason
         assert len(fleet.changed_routers) == 1
 
-    def test_a_new_router_that_nobody_asks_is_not_good(self) -> None:
+    def test_a_new_router_without_requests_is_not_good(self) -> None:
         """New routers without requests must not pass a stage.
 
         Clients that had moved to other routers during the change stayed there.  The new routers got no
@@ -368,7 +368,7 @@
         assert (fleet.rollout.outcome, stall_count) == (RolloutOutcome.DONE, 20), fleet.rollout.reason
         assert "held" not in [entry.name for entry in fleet.history]
 
-    def test_one_that_dies_in_its_change_is_taken_back(self) -> None:
+    def test_a_router_that_crashes_in_its_change_is_rolled_back(self) -> None:
         """A router that crashes during its change is rolled back without a drain.
 
         It never responded, so it never reported that it was out of service, and the rollback hung.
@@ -385,7 +385,7 @@
         assert len(fleet.changed_routers) == 1
         assert {(p.build, p.alive) for p in fleet.routers.values()} == {("old", True)}
 
-    def test_one_that_dies_once_it_was_ready_holds_it(self) -> None:
+    def test_a_router_that_crashes_while_cold_holds_the_rollout(self) -> None:
         """A router that crashes while it is cold holds the rollout.
 
         It was neither compared nor counted as missing, so the stage waited for it forever.
@@ -405,7 +405,7 @@
         assert fleet.run() == RolloutOutcome.ROLLED_BACK
         assert {(p.build, p.alive) for p in fleet.routers.values()} == {("old", True)}
 
-    def test_lost_orders_hold_and_change_nobody_twice(self) -> None:
+    def test_lost_commands_hold_and_change_no_router_twice(self) -> None:
         for seed in range(4):
             fleet = self.make_fleet(sound, seed)
             fleet.lost_command_share = 0.2
@@ -420,7 +420,7 @@
             assert max(starts.values()) <= 3, "each router is changed once and rolled back at most once"
             assert fleet.max_unavailable[""] <= 4, "three, and one whose ENABLE command was lost"
 
-    def test_people_hold_resume_and_revert(self) -> None:
+    def test_operators_hold_resume_and_revert(self) -> None:
         fleet = self.make_fleet(sound)
         assert (
             fleet.run(
@@ -430,7 +430,7 @@
         )
         assert {p.build for p in fleet.routers.values()} == {"old"}
 
-    def test_contradictions_and_strangers_are_named_and_not_used(self) -> None:
+    def test_contradictions_and_unknown_routers_are_not_used(self) -> None:
         rollout = Rollout(make_plan(1, 4), 0)
         digests = {"program": "old"}
         rollout.handle(
@@ -456,7 +456,7 @@
             max_size=8,
         ),
     )
-    def test_whatever_happens(self, seed: int, incidents: list[tuple[int, str, int]]) -> None:
+    def test_random_failures_and_commands(self, seed: int, incidents: list[tuple[int, str, int]]) -> None:
         """Random failures and commands: the rollout keeps its limits, and a final outcome does not change."""
         defect = [0.0]
         fleet = SimulatedFleet(
--- a/tests/rollout/test_rollout_faults.py
+++ b/tests/rollout/test_rollout_faults.py
@@ -209,7 +209,7 @@
         assert "held" not in [row["name"] for row in controller.history()], controller.output()
 
     @pytest.mark.long
-    def test_an_old_one_killed_between_the_new_ones_yes_and_its_end(self) -> None:
+    def test_an_old_process_killed_during_an_upgrade(self) -> None:
         """An old process killed instead of its SIGTERM, or right after it, loses only its own requests.
 
         The rollout finishes.
@@ -224,7 +224,7 @@
                 assert load.counts["lost"] < 10, load.counts
 
     @pytest.mark.long
-    def test_a_new_one_killed_as_soon_as_the_old_one_has_gone(self) -> None:
+    def test_a_new_process_killed_when_the_old_one_has_ended(self) -> None:
         """A new process killed when the old one has ended: the router is silent, and the rollout is held.
 
         The reason names the router, or the missing evidence if the router was already warm.  An operator
@@ -374,7 +374,7 @@
                     3 if defect == "one class" else 0,
                 )
 
-    def test_one_in_twenty_refused(self) -> None:
+    def test_one_in_twenty_rejected(self) -> None:
         """A regression of 0.05, the smallest that the plan has to detect at its error rates."""
         field, digest = self.field("one in twenty", 1, 3)
         plan = (
--- a/tests/rollout/test_rollout_field.py
+++ b/tests/rollout/test_rollout_field.py
@@ -60,7 +60,7 @@
         worse = next(row for row in controller.history() if row["name"] == "worse")
         assert any(x["verdict"] == "worse" and x["mean"] > 0.1 for x in worse["figures"].values())
 
-    def test_signs_that_need_no_statistics_and_links_that_lie(self) -> None:
+    def test_a_build_that_is_never_ready_and_a_connection_with_garbage(self) -> None:
         """A build that never becomes ready is rolled back.
 
         Meanwhile the control connection to another router returns garbage, which must count as neither a good
@@ -78,7 +78,7 @@
         assert sum("new" in node.started_builds for node in field.nodes.values()) == 1
         assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
 
-    def test_two_controllers_and_people(self) -> None:
+    def test_two_controllers_and_operators(self) -> None:
         """A second controller cannot lead the run; the commands hold, status and revert take effect."""
         field, digest = self.field("sound", zones=1, each=3)
         controller = self.controller(field.rollout_plan(digest).replace('least="3s"', 'least="20s"'))
