--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -1,11 +1,12 @@
-"""A rollout as JSON and back, so that another process can go on with it.  Pure.
+"""Conversion of a rollout to JSON and back, so that another process can continue it; without I/O.
 
-What is kept: each router's phase, since when, what it was at first, its last report and its baseline; the
-stage; the evidence of the judge.  What is not: requests of the slice under way, which are lost with the
-process; that is evidence less, never more.
+A snapshot contains each router's phase with its start, original digests, last report and baseline, the stage,
+and the evidence of the judge.  It does not contain the requests of the current interval.  They are lost
+with the process, which can only reduce the evidence.
 
-The keys are a stored form that earlier and later versions read: they keep their names whatever the code calls
-what they hold.  ``hold_cause``, ``memory`` and ``was`` are missing in snapshots of earlier versions.
+The keys are a stored form that earlier and later versions read.  They keep their names even where the code
+names the same value differently.  ``hold_cause``, ``memory`` and ``was`` are missing in snapshots of earlier
+versions.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 from kelpcroft.rollout.state import RolloutState, RouterState
 from kelpcroft.rollout.state_machine import Rollout
 
-VERSION = 1
+VERSION = 1  # of the stored form
 
 StoredSample = list[float]  # request count, requested weight, in-time weight
 StoredSamples = dict[str, StoredSample]  # by class
 
 
 class StoredReport(TypedDict):
-    """A router's last report."""
+    """Stored form of a router's last report."""
 
     instance: str
     digests: dict[str, str]
@@ -40,7 +41,7 @@
 
 
 class StoredRouter(TypedDict):
-    """One router.  Times are nanoseconds."""
+    """Stored form of one router.  Times are nanoseconds."""
 
     phase: str
     since: int
@@ -53,11 +54,11 @@
 
 
 class StoredRollout(TypedDict):
-    """A whole snapshot.  Times are nanoseconds.
+    """Stored form of a rollout.  Times are nanoseconds.
 
-    ``bets`` holds a row for each test: zone, class, both sides' logarithms of evidence by stake, slices,
-    the sum of differences, the verdict.  ``sides`` holds a row for each side of each comparison: zone,
-    class, whether it is the new one, its baseline.
+    ``bets`` has a row for each test: zone, class, the logarithms by stake of the evidence of a regression and
+    of that against one, the number of intervals, the sum of differences, the verdict.  ``sides`` has a row
+    for each side of each comparison: zone, class, whether it is the new side, its baseline.
     """
 
     v: int
@@ -76,8 +77,8 @@
 
 
 def to_snapshot(rollout: RolloutState) -> StoredRollout:
-    """All that is needed to go on."""
-    place = rollout.regression_place
+    """Convert a rollout to the form from which ``from_snapshot`` restores it."""
+    zone_class = rollout.regression_place
     return {
         "v": VERSION,
         "now": rollout.now_ns,
@@ -87,12 +88,12 @@
         "why": rollout.reason,
         "hold_cause": rollout.hold_cause.value,
         "memory": rollout.old_peak_memory_kb,
-        "harmed": list(place) if place else None,
+        "harmed": list(zone_class) if zone_class else None,
         "after": rollout.rolled_back_ns,
         "routers": {name: _router_to_json(router) for name, router in rollout.routers.items()},
-        "bets": [_test_to_json(place, test) for place, test in rollout.judge.tests.items()],
+        "bets": [_test_to_json(zone_class, test) for zone_class, test in rollout.judge.tests.items()],
         "sides": [
-            [*key.place, key.is_new, _sample_to_json(side.baseline)]
+            [*key.zone_class, key.is_new, _sample_to_json(side.baseline)]
             for key, side in rollout.judge.sides.items()
         ],
     }
@@ -106,10 +107,10 @@
     return {name: _sample_to_json(sample) for name, sample in samples.items()}
 
 
-def _test_to_json(place: ZoneClass, test: SequentialTest) -> list[Any]:
+def _test_to_json(zone_class: ZoneClass, test: SequentialTest) -> list[Any]:
     return [
-        place.zone,
-        place.request_class,
+        zone_class.zone,
+        zone_class.request_class,
         test.regression_log_evidence,
         test.no_regression_log_evidence,
         test.slice_count,
@@ -145,14 +146,14 @@
 
 
 def from_snapshot(plan: RolloutPlan, raw: Mapping[str, Any]) -> Rollout:
-    """The rollout as it was left; ``resume_after_takeover`` gives it the time.
+    """Restore a rollout as of its last event; ``resume_after_takeover`` sets the current time.
 
     Args:
-        plan: The plan that the snapshot's rollout carries out.
-        raw: What ``to_snapshot`` gave, by way of JSON; its form is checked here.
+        plan: The plan that the snapshot's rollout executes.
+        raw: The result of ``to_snapshot``, decoded from JSON; its form is checked here.
 
     Raises:
-        SnapshotError: It is of another version, of other routers than the plan's, or broken.
+        SnapshotError: The snapshot has another version, has other routers than the plan, or is malformed.
     """
     try:
         _check_is_of_plan(plan, raw)
@@ -197,14 +198,14 @@
     return {name: _sample_from_json(row) for name, row in rows.items()}
 
 
-def _router_from_json(untouched: RouterState, row: StoredRouter) -> RouterState:
+def _router_from_json(initial: RouterState, row: StoredRouter) -> RouterState:
     report = row["report"]
     return RouterState(
-        untouched.target,
+        initial.target,
         phase=Phase(row["phase"]),
         phase_since_ns=int(row["since"]),
         last_report_ns=int(row["heard"]),
-        last_report=None if report is None else _report_from_json(untouched.name, report),
+        last_report=None if report is None else _report_from_json(initial.name, report),
         original_digests=dict(row["first"]),
         invariant_baseline=int(row["invariants"]),
         instance_before_restart=str(row.get("was", "")),
--- a/tests/rollout/test_rollout_field.py
+++ b/tests/rollout/test_rollout_field.py
@@ -1,6 +1,4 @@
-"""A rollout over real processes: routers of two zones under load, a controller of its own, and faults that
-fire on events.
-"""
+"""Rollouts to real processes: routers of two zones under load, a controller process, injected failures."""
 
 from __future__ import annotations
 
@@ -10,13 +8,14 @@
 
 from testbed.field import ClientLoad, Relay
 from testbed.field.relay import LinkMode
-from tests.support.rollout_field import Rollouts
+from tests.support.rollout_field import RolloutTestCase
 
 
-class OnAField(Rollouts):
+class RealProcesses(RolloutTestCase):
     def test_a_sound_change_with_a_controller_that_is_killed_twice(self) -> None:
-        """Killed when the third router is being changed, and again when the fifth is: each router is changed
-        once, no request is lost, and the history has every decision.
+        """A controller that is killed twice changes each router once, and the history is complete.
+
+        It is killed while the third router is being changed, and again at the fifth.  No request is lost.
         """
         field, digest = self.field("sound")
         controller = self.controller(field.rollout_plan(digest))
@@ -32,12 +31,12 @@
         with ClientLoad(field) as load:
             code = -signal.SIGKILL
             while code == -signal.SIGKILL and len(controller.processes) < 4:
-                code = self.finish(controller.start(), controller)
-                if code == 2 and "led by another" in controller.said():
-                    time.sleep(1)  # the lease of the killed one has not ended
+                code = self.wait_for_exit(controller.start(), controller)
+                if code == 2 and "led by another" in controller.output():
+                    time.sleep(1)  # the lease of the killed controller has not expired
                     code = -signal.SIGKILL
                     controller.processes.pop()
-        assert code == 0, controller.said()
+        assert code == 0, controller.output()
         assert killed == [3, 5]
         assert {n: node.started_builds for n, node in field.nodes.items()} == dict.fromkeys(
             field.nodes, ["old", "new"]
@@ -51,19 +50,21 @@
         field, digest = self.field("refuses")
         controller = self.controller(field.rollout_plan(digest))
         with ClientLoad(field) as load:
-            assert self.finish(controller.start(), controller) == 1, controller.said()
-        touched = [name for name, node in field.nodes.items() if "new" in node.started_builds]
-        assert len(touched) == 1
-        assert field.nodes[touched[0]].started_builds == ["old", "new", "old"]
-        assert "does worse in zone" in controller.said()
-        assert "the harm is gone" in controller.said()
+            assert self.wait_for_exit(controller.start(), controller) == 1, controller.output()
+        changed = [name for name, node in field.nodes.items() if "new" in node.started_builds]
+        assert len(changed) == 1
+        assert field.nodes[changed[0]].started_builds == ["old", "new", "old"]
+        assert "does worse in zone" in controller.output()
+        assert "the harm is gone" in controller.output()
         assert load.counts["lost"] == 0, load.counts
         worse = next(row for row in controller.history() if row["name"] == "worse")
         assert any(x["verdict"] == "worse" and x["mean"] > 0.1 for x in worse["figures"].values())
 
-    def test_signs_that_need_no_statistics_and_links_that_lie(self) -> None:
-        """A build that is never ready is taken back; the link to another router answers garbage meanwhile,
-        which is never taken for good or bad.
+    def test_a_build_that_is_never_ready_and_a_connection_with_garbage(self) -> None:
+        """A build that never becomes ready is rolled back.
+
+        Meanwhile the control connection to another router returns garbage, which must count as neither a good
+        result nor a regression.
         """
         field, digest = self.field("never-ready")
         with Relay(field.nodes["z1-2"].control_address) as relay:
@@ -72,27 +73,27 @@
             )
             controller = self.controller(plan)
             field.on_order["apply"] = lambda node: relay.change(LinkMode.GARBAGE)
-            assert self.finish(controller.start(), controller) == 1, controller.said()
-        assert "not-ready" in controller.said()
+            assert self.wait_for_exit(controller.start(), controller) == 1, controller.output()
+        assert "not-ready" in controller.output()
         assert sum("new" in node.started_builds for node in field.nodes.values()) == 1
         assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
 
-    def test_two_controllers_and_people(self) -> None:
-        """The second cannot lead; hold, status and revert do what they say."""
+    def test_two_controllers_and_operators(self) -> None:
+        """A second controller cannot lead the run; the commands hold, status and revert take effect."""
         field, digest = self.field("sound", zones=1, each=3)
         controller = self.controller(field.rollout_plan(digest).replace('least="3s"', 'least="20s"'))
         first = controller.start()
         store = ["--store", str(self.folder / "store.db")]
         while not any(row["name"] == "begun" for row in controller.history()):
-            assert first.poll() is None, controller.said()
+            assert first.poll() is None, controller.output()
             time.sleep(0.2)
         second = controller.start()
-        assert self.finish(second, controller) == 2
-        assert "led by another controller" in controller.said()
-        assert "said to run 1" in controller.verb("hold", *store)
-        while "held" not in controller.verb("status", *store):
+        assert self.wait_for_exit(second, controller) == 2
+        assert "led by another controller" in controller.output()
+        assert "said to run 1" in controller.run_command("hold", *store)
+        while "held" not in controller.run_command("status", *store):
             time.sleep(0.2)
-        controller.verb("revert", *store)
-        assert self.finish(first, controller) == 1
+        controller.run_command("revert", *store)
+        assert self.wait_for_exit(first, controller) == 1
         assert {node.started_builds[-1] for node in field.nodes.values()} == {"old"}
-        assert "is over" in controller.verb("hold", *store)
+        assert "is over" in controller.run_command("hold", *store)
