--- a/kelpcroft/operator_file/__init__.py
+++ b/kelpcroft/operator_file/__init__.py
@@ -1,12 +1,11 @@
-"""The operator's file: KDL 2 to a typed, checked model in which every value knows its line.
+"""The operator's file: from KDL 2 to a typed and checked model that records the line of every value.
 
-Owns the file's grammar and rules, and the files of control replicas, which are read the same way.  ``load``
-reads a file's bytes, ``check`` checks the model in a deployment, by its settings; both return diagnostics,
-all of them at once, and neither raises for anything that a file may hold.  Opens no socket, reads a
-file only in ``read_bytes``, and knows no state of a running router.
+Owns the grammar and the rules of the file, and those of a control replica's file, which is read the same
+way.  ``load`` parses the bytes of a file.  ``check`` checks the model against the settings of a deployment.
+Both return all diagnostics at once, and neither raises an exception for any content of a file.  Opens no
+socket, reads a file only in ``read_bytes``, and uses no state of a running router.
 
-Start reading at ``model`` (what a file says), then ``reader`` (how it is read) and ``check`` (what is
-refused).
+Start reading at ``model`` (the contents of a file), then ``reader`` (parsing) and ``check`` (the rules).
 """
 
 from kelpcroft.operator_file.check import check, load
--- a/kelpcroft/operator_file/check.py
+++ b/kelpcroft/operator_file/check.py
@@ -1,9 +1,10 @@
-"""Whether a file may be used: by itself, and in a deployment with its settings.
+"""Checks of an operator's file: by itself, and against the settings of a deployment.
 
-``load`` needs no deployment.  ``check`` knows the classes, zones and limits, and refuses what a rule forbids:
-a second run of what must not run twice, a wait past the client's give-up time, more sends than allowed.  Both
-find all faults at once, and raise for nothing that a file may hold.  Each comes in steps too, for the serving
-process, which has other work.
+``load`` needs no deployment.  ``check`` uses the classes, zones and limits of the deployment, and reports
+each broken rule: a second run of a request that must not run twice, a wait that is longer than the client's
+own timeout, more sends than the deployment allows.  Both report all diagnostics at once, and raise no
+exception for any content of a file.  Each has a variant in steps for the serving process, which does other
+work between the steps.
 """
 
 from __future__ import annotations
@@ -31,28 +32,28 @@
 from kelpcroft.routes.index import MAX_CELLS, largest_plane
 from kelpcroft.store.identity import hex_digest
 
-LIST_CALL_EVERY_S = MAX_NEWS_WAIT_MS / 1_000  # of a router that hears nothing new
+LIST_CALL_EVERY_S = MAX_NEWS_WAIT_MS / 1_000  # between watch requests of a router while there are no events
 MAX_REGIONS = 50_000  # groups times parts times objects, of all routes together
-MAX_NAMED_TAKERS = 3  # of a route that can never match
+MAX_NAMED_TAKERS = 3  # earlier routes named in the diagnostic of an unreachable route
 Result = TypeVar("Result")
 Steps = Generator[None, None, Result]
 
 
 def load(data: bytes) -> tuple[OperatorFile, list[Diagnostic]]:
-    """A file's bytes as a model, and all that is wrong with it without regard to a deployment."""
+    """Parse the bytes of a file.  Returns the model, and all diagnostics that need no deployment."""
     with garbage_collection_off():
         return run_to_end(load_steps(data))
 
 
 def check(file: OperatorFile, settings: api.Settings) -> list[Diagnostic]:
-    """All that is wrong with a file in a deployment.  Empty for a file that may be used there."""
+    """All diagnostics of a file in a deployment.  Empty for a file that can be used there."""
     with garbage_collection_off():
         return run_to_end(check_steps(file, settings))
 
 
 @contextmanager
 def garbage_collection_off() -> Generator[None, None, None]:
-    """Nothing here is cyclic, and collections took half of the time of a large file."""
+    """Disable garbage collection: there are no cycles here, and it took half of the time for a large file."""
     was_on = gc.isenabled()
     gc.disable()
     try:
@@ -63,7 +64,7 @@
 
 
 def run_to_end(steps: Steps[Result]) -> Result:
-    """All steps at once."""
+    """Run all steps and return the result."""
     while True:
         try:
             next(steps)
@@ -73,13 +74,13 @@
 
 
 def read_bytes(path: str) -> bytes:
-    """A file's bytes, one more than may be at the most.  Raises OSError."""
+    """Read a file, up to one byte more than MAX_FILE_BYTES.  Raises OSError."""
     with open(path, "rb") as stream:
         return stream.read(MAX_FILE_BYTES + 1)
 
 
 def read_steps(path: str, settings: api.Settings) -> Steps[OperatorFileRead]:
-    """A file on disk in steps, as the input that the reducer gets: the file itself where it may be used."""
+    """Read and check a file in steps.  Returns the reducer's input: the file, or the first diagnostic."""
     try:
         data = read_bytes(path)
     except OSError as error:
@@ -93,7 +94,7 @@
 
 
 def load_steps(data: bytes) -> Steps[tuple[OperatorFile, list[Diagnostic]]]:
-    """``load`` in steps of well under a millisecond."""
+    """Do the work of ``load`` in steps of well under a millisecond."""
     diagnostics = DiagnosticCollector()
     file = OperatorFile()
     with suppress(TooManyDiagnostics):
@@ -104,7 +105,7 @@
 
 
 def check_steps(file: OperatorFile, settings: api.Settings) -> Steps[list[Diagnostic]]:
-    """``check`` in steps of about a millisecond; one with much to subtract takes longer."""
+    """Do the work of ``check`` in steps of about a millisecond; one with many subtractions takes longer."""
     diagnostics = DiagnosticCollector()
     with suppress(TooManyDiagnostics):
         check_start(file, settings, diagnostics)
@@ -118,7 +119,7 @@
 
 
 def check_alone(file: OperatorFile, diagnostics: DiagnosticCollector) -> Steps[None]:
-    """What needs no deployment to be wrong."""
+    """Check the rules that need no deployment."""
     for route in file.routes:
         yield
         RouteRules(route, diagnostics).check_alone()
@@ -133,8 +134,8 @@
         diagnostics.add(
             crowded.match_position,
             "too-complex",
-            f"up to route {abbreviated(crowded.name)} the lists of "
-            f"groups, parts and objects make over {MAX_REGIONS} cases; use ranges",
+            f"the routes up to {abbreviated(crowded.name)} combine their lists of "
+            f"groups, parts and objects to over {MAX_REGIONS} cases; use ranges",
         )
         return
     yield
@@ -143,13 +144,13 @@
         diagnostics.add(
             file.routes[0].position,
             "too-complex",
-            f"{cells} meetings of group and part ranges under "
+            f"{cells} combinations of group and part ranges under "
             f"one object prefix, {MAX_CELLS} at most; use fewer ranges, or name objects",
         )
 
 
 def first_route_beyond(routes: Iterable[Route], max_regions: int) -> Route | None:
-    """The first route up to which there are more than ``max_regions`` regions; None where there is none."""
+    """The first route with which the sum of regions exceeds ``max_regions``; None where it never does."""
     total = 0
     for route in routes:
         total += region_count(route)
@@ -162,15 +163,15 @@
 
 
 def check_start(file: OperatorFile, settings: api.Settings, diagnostics: DiagnosticCollector) -> None:
-    """What the file says of starts, against the size and the reports of the deployment."""
+    """Check the start options against the number of routers and the load reports of the deployment."""
     start = file.start_options
     calls_at_rest_per_s = settings.instances / LIST_CALL_EVERY_S
     if 0 < start.list_calls_per_s < calls_at_rest_per_s:
         diagnostics.add(
             file.start_position,
             "rate-under-rest",
-            f"{settings.instances} routers at rest call the list service {calls_at_rest_per_s:g} "
-            f"times a second; list-calls={start.list_calls_per_s:g} cannot be kept",
+            f"{settings.instances} idle routers send {calls_at_rest_per_s:g} requests per second to the "
+            f"list service; list-calls={start.list_calls_per_s:g} is too low",
         )
     reports = settings.load_report_fields
     has_reports = settings.load_report_mode != "off" and "outstanding" in reports
@@ -178,13 +179,13 @@
         diagnostics.add(
             file.start_position,
             "no-report",
-            "count=#true wants servers that report 'outstanding'; "
-            f"this deployment's report {', '.join(reports) or 'nothing'}",
+            "count=#true needs servers that report 'outstanding'; "
+            f"the servers of this deployment report {', '.join(reports) or 'nothing'}",
         )
 
 
 def check_names(file: OperatorFile, settings: api.Settings, diagnostics: DiagnosticCollector) -> None:
-    """Classes and zones that routes name are the deployment's."""
+    """Check that the deployment has the classes and zones that routes name."""
     classes = list(dict.fromkeys(request_class.name for request_class in settings.classes))
     for route in file.routes:
         check_known(route, "class", route.match.classes, classes, diagnostics)
@@ -194,19 +195,19 @@
 def check_known(
     route: Route, what: str, names: Iterable[str], known: list[str], diagnostics: DiagnosticCollector
 ) -> None:
-    """Names of one kind, in a route's match, are known."""
+    """Check that the deployment has the names of one kind in a route's match."""
     for name in names:
         if name not in known:
             diagnostics.add(
                 route.match_position,
                 f"unknown-{what}",
-                f"route {abbreviated(route.name)}: there is no {what} {abbreviated(name)}"
+                f"route {abbreviated(route.name)}: unknown {what} {abbreviated(name)}"
                 f"{suggestion(name, known)}",
             )
 
 
 def check_routes(file: OperatorFile, settings: api.Settings, diagnostics: DiagnosticCollector) -> Steps[None]:
-    """What each route takes, then its policy; in the end, what no route takes."""
+    """Check each route's coverage and policy, and at the end that every request has a route."""
     coverage = RouteCoverage(settings)
     for route in file.routes:
         yield
@@ -216,7 +217,7 @@
                 note_unreachable(route, coverage.takers, diagnostics)
             continue
         if not route.policy.positions:
-            continue  # it says nothing that could be wrong
+            continue  # an empty policy breaks no rule
         rules = RouteRules(route, diagnostics)
         for request_class in settings.classes:
             if request_class.name in taken:
@@ -227,28 +228,29 @@
             diagnostics.add(
                 file.routes[-1].position,
                 "no-route",
-                f"class {abbreviated(name)} has requests that no route takes; "
+                f"class {abbreviated(name)} has requests that match no route; "
                 'add a last route with an empty match, route "rest" { match }',
             )
 
 
 def note_unreachable(route: Route, takers: list[str], diagnostics: DiagnosticCollector) -> None:
-    """A route can never match; ``takers`` are those that take what it would."""
+    """Report a route that can never match; ``takers`` are the earlier routes that match its requests."""
     names = ", ".join(abbreviated(name) for name in takers[:MAX_NAMED_TAKERS])
     if len(takers) > MAX_NAMED_TAKERS:
         names += " and others"
     diagnostics.add(
         route.match_position,
         "unreachable-route",
-        f"route {abbreviated(route.name)} can never match: {names or 'nothing'} takes all of it"
+        f"route {abbreviated(route.name)} can never match: all its requests match {names or 'no class'}"
         + ("; move it up" if takers else ""),
     )
 
 
 def is_for_other_deployments(route: Route, file: OperatorFile, settings: api.Settings) -> bool:
-    """Whether a route that takes nothing here is there for classes of another deployment.
+    """Whether a route that matches nothing here is meant for classes of other deployments.
 
-    It matches by what a class is and none here is that, or it takes the rest behind routes that match so.
+    Such a route has conditions on properties of classes that no class of this deployment meets.  A route
+    without conditions is also accepted if the file has routes with conditions on properties of classes.
     """
     match = route.match
     if match.matches_everything():
--- a/kelpcroft/operator_file/explain.py
+++ b/kelpcroft/operator_file/explain.py
@@ -1,4 +1,4 @@
-"""What a file makes of one request, and what two files make of all requests."""
+"""Explains the route and the policy of one request, and compares the routing of all requests by two files."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
 from kelpcroft.operator_file.values import format_duration
 from kelpcroft.routes.index import RouteIndex
 
-MAX_REGIONS_OF_CLASS = 20_000  # into which one class is cut for a comparison
-MAX_COMPARED_PAIRS = 50 * MAX_REGIONS_OF_CLASS
+MAX_REGIONS_OF_CLASS = 20_000  # into which one class is divided for a comparison
+MAX_COMPARED_PAIRS = 50 * MAX_REGIONS_OF_CLASS  # of regions of two files, in one class
 MAX_SHOWN_REGIONS = 4  # of one difference
 ANY_OBJECT = "0" * OBJECT_DIGITS
 
 
 @dataclass(frozen=True, slots=True)
 class RequestAttributes:
-    """One request, as far as routes look at it."""
+    """The attributes of a request that routes match."""
 
     request_class: api.RequestClass
     object_id: str = ANY_OBJECT
@@ -54,7 +54,7 @@
 
 
 class PolicyRow(NamedTuple):
-    """One field of a policy in words, and where the file says it."""
+    """One field of a policy in words, and its position in the file."""
 
     name: str
     words: str
@@ -62,11 +62,11 @@
 
 
 class TooManyRegionsError(ValueError):
-    """A class falls into more regions than are compared; the text is for people."""
+    """A class is divided into more regions than are compared; the text is for operators."""
 
 
 def find_route(file: OperatorFile, zone: str, request: RequestAttributes) -> Route | None:
-    """The first route that takes a request."""
+    """The first route that matches a request."""
     index = RouteIndex(file.routes, zone).find(
         request.request_class,
         request.object_id,
@@ -82,7 +82,7 @@
 
 
 def describe_policy(policy: RoutePolicy) -> Iterator[PolicyRow]:
-    """Each field of a policy that is said, in words, with its position."""
+    """Each stated field of a policy in words, with its position."""
     for field, name, words in POLICY_WORDS:
         value = getattr(policy, field)
         if value is not None:
@@ -91,7 +91,7 @@
 
 def answer_timeout_words(timeout: AnswerTimeout) -> str:
     """A duration or a share in words."""
-    return format_duration(timeout.ns) if timeout.ns else f"{timeout.share * 100:g}% of the client's patience"
+    return format_duration(timeout.ns) if timeout.ns else f"{timeout.share * 100:g}% of the client's timeout"
 
 
 def adaptive_duration_words(duration: AdaptiveDuration) -> str:
@@ -100,7 +100,7 @@
         return format_duration(duration.ns)
     least = f", at least {format_duration(duration.min_ns)}" if duration.min_ns else ""
     most = f", at most {format_duration(duration.max_ns)}" if duration.max_ns else ""
-    return f"p{duration.quantile * 100:g} of recent answers{least}{most}"
+    return f"p{duration.quantile * 100:g} of recent latencies{least}{most}"
 
 
 def backoff_words(backoff: Backoff) -> str:
@@ -112,14 +112,14 @@
 
 
 def hedging_words(hedging: Hedging) -> str:
-    """Second copies in words."""
+    """Hedges in words."""
     if not hedging.max_hedges:
         return "none"
     paid = f", from budget {hedging.budget!r}" if hedging.budget else ""
     return f"{hedging.max_hedges} after {adaptive_duration_words(hedging.delay)}{paid}"
 
 
-# Fields of RoutePolicy, what operators call them, and their values in words.
+# Fields of RoutePolicy, their names for operators, and the formats of their values.
 POLICY_WORDS: tuple[tuple[str, str, Callable[[Any], str]], ...] = (
     ("answer_timeout", "timeout", answer_timeout_words),
     ("attempt_timeout", "attempt timeout", adaptive_duration_words),
@@ -137,7 +137,7 @@
 
 
 def longest_wait_ns(policy: RoutePolicy, request_class: api.RequestClass) -> int:
-    """The longest that a client of a class can wait for its answer, in ns; 0 = the class does not tell."""
+    """The longest time in ns that a client of a class waits for its response; 0 = the class states none."""
     deadline_ns = request_class.deadline_ns
     if not policy.answer_timeout or not deadline_ns:
         return deadline_ns
@@ -145,7 +145,7 @@
 
 
 def max_sends(policy: RoutePolicy, request_class: api.RequestClass, limits: api.Limits) -> int:
-    """The most sends that one request of a class can cause."""
+    """The maximum number of sends for one request of a class."""
     allowed = limits.max_attempts
     attempts = 1
     hedges = 0
@@ -165,21 +165,21 @@
     """Requests of a class that two files treat differently."""
 
     class_name: str
-    where: str  # their regions, in words
-    old: str  # the route's name; "" = none
-    new: str
-    what: tuple[str, ...]  # fields of the policy that differ, in words
+    where: str  # the regions of the requests, in words
+    old: str  # the name of the route in the old file; "" = no route
+    new: str  # the name of the route in the new file; "" = no route
+    what: tuple[str, ...]  # the fields of the policy that differ, in words
 
 
 class RoutedRegion(NamedTuple):
-    """A region of a class, and the first route that takes it."""
+    """A region of a class, and the first route that matches it."""
 
     region: Region
     route: Route | None
 
 
 class Difference(NamedTuple):
-    """How two routes differ: their names, "" for none, and what of their policies does."""
+    """The names of two routes ("" = no route), and the fields of their policies that differ."""
 
     old: str
     new: str
@@ -187,7 +187,7 @@
 
 
 def routed_regions(file: OperatorFile, zone: str, request_class: api.RequestClass) -> list[RoutedRegion]:
-    """A class cut into disjoint regions, each with its first route.  Raises TooManyRegionsError."""
+    """Divide a class into disjoint regions, each with its first route.  Raises TooManyRegionsError."""
     remaining = [ALL_REQUESTS]
     found: list[RoutedRegion] = []
     for route in file.routes:
@@ -203,14 +203,14 @@
                 remaining.extend(subtract(left, region))
         if len(remaining) + len(found) > MAX_REGIONS_OF_CLASS:
             raise TooManyRegionsError(
-                f"class {request_class.name!r} falls into over {MAX_REGIONS_OF_CLASS} pieces; "
+                f"class {request_class.name!r} is divided into over {MAX_REGIONS_OF_CLASS} regions; "
                 "compare smaller files"
             )
     return found + [RoutedRegion(left, None) for left in remaining]
 
 
 def region_words(region: Region) -> str:
-    """A region in the words of a match."""
+    """A region in the syntax of a match."""
     retry, write, group, part, objects = region
     words = [
         *flag_words("retry", retry),
@@ -224,13 +224,13 @@
 
 
 def flag_words(name: str, values: Range) -> list[str]:
-    """A flag, where one of both values is meant."""
+    """A flag in the syntax of a match; empty where both values match."""
     low, high = values
     return [f"{name}=#{'true' if low else 'false'}"] if low == high else []
 
 
 def range_words(name: str, values: Range, full_range: Range) -> list[str]:
-    """A range, where it is not the full one."""
+    """A range in the syntax of a match; empty for the full range."""
     if values == full_range:
         return []
     low, high = values
@@ -238,7 +238,7 @@
 
 
 def object_words(objects: Range) -> str:
-    """A range of objects: the prefix that all of them have, where they are all that have it."""
+    """A range of objects: their common prefix, where the range has all objects with it, or else both ends."""
     low, high = objects
     first = f"{low:0{OBJECT_DIGITS}x}"
     last = f"{high:0{OBJECT_DIGITS}x}"
@@ -249,7 +249,7 @@
 
 
 def route_words(route: Route | None, budgets: dict[str, BudgetSettings]) -> dict[str, str]:
-    """A route's policy in words, with the budgets that it names."""
+    """The policy of a route in words, and the settings of the budgets that it names."""
     if route is None:
         return {}
     policy = route.policy
@@ -266,10 +266,10 @@
 def differences(
     old: OperatorFile, new: OperatorFile, zone: str, classes: Iterable[api.RequestClass]
 ) -> Iterator[Change]:
-    """Which requests of these classes two files treat differently.
+    """The requests of these classes that two files treat differently.
 
     Raises:
-        TooManyRegionsError: A class falls into too many regions to be compared.
+        TooManyRegionsError: A class is divided into more regions than are compared.
     """
     for request_class in classes:
         for difference, regions in differences_of_class(old, new, zone, request_class).items():
@@ -282,14 +282,14 @@
 def differences_of_class(
     old: OperatorFile, new: OperatorFile, zone: str, request_class: api.RequestClass
 ) -> dict[Difference, list[str]]:
-    """Each difference in one class, with the regions in words where it holds."""
+    """Each difference in one class, with its regions in words."""
     old_budgets = {budget.name: budget for budget in old.budgets}
     new_budgets = {budget.name: budget for budget in new.budgets}
     before = routed_regions(old, zone, request_class)
     after = routed_regions(new, zone, request_class)
     if len(before) * len(after) > MAX_COMPARED_PAIRS:
         raise TooManyRegionsError(
-            f"class {request_class.name!r} falls into too many pieces; compare smaller files"
+            f"class {request_class.name!r} is divided into too many regions; compare smaller files"
         )
     found: dict[Difference, list[str]] = {}
     for old_region, old_route in before:
@@ -306,12 +306,12 @@
 
 
 def name_of(route: Route | None) -> str:
-    """A route's name; empty for none."""
+    """The name of a route; empty for None."""
     return route.name if route else ""
 
 
 def changed_words(old: dict[str, str], new: dict[str, str]) -> tuple[str, ...]:
-    """What differs between two policies in words, by name."""
+    """The fields that differ between two policies in words, by name."""
     return tuple(
         f"{name}: {old.get(name, 'not said')} -> {new.get(name, 'not said')}"
         for name in sorted({*old, *new})
--- a/kelpcroft/operator_file/locator.py
+++ b/kelpcroft/operator_file/locator.py
@@ -1,8 +1,8 @@
-"""Where each node, argument and property of a KDL text stands: one pass over its tokens, in document order.
+"""Offsets of the nodes, arguments and properties of a KDL text, found in one pass over its tokens.
 
-The KDL parser in use (ckdl) reports no positions, so ``NodeLocator`` walks the same text beside it.  It also
-enforces the limits: nothing larger or deeper than these is handed to the parser.  Source of the grammar: KDL
-2.0.0, kdl.dev.
+The KDL parser in use (ckdl) reports no positions, so ``NodeLocator`` scans the same text itself, in document
+order.  It also enforces the limits: no text that exceeds them is passed to the parser.  Source of the
+grammar: KDL 2.0.0, kdl.dev.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 from kelpcroft.operator_file.diagnostics import NEWLINE, abbreviated
 
-MAX_NODES = 20_100  # of a file
-MAX_DEPTH = 16  # of children in children
-MAX_ENTRIES = 26_000  # arguments and properties in all
+MAX_NODES = 20_100  # in one file
+MAX_DEPTH = 16  # of nested children
+MAX_ENTRIES = 26_000  # arguments and properties in one file
 
 BLANK = r"[ \t\ufeff\u00a0\u1680\u2000-\u200a\u202f\u205f\u3000]"
 TOKEN = re.compile(
@@ -29,7 +29,7 @@
     r"|(?P<word>(?:[^\s{}();=\"\\/\ufeff\x85\u2028\u2029])+)|(?P<end>\Z))"
 )
 EQUALS = re.compile(rf"{BLANK}*(?:(?P<sure>=)|/\*|\\)")
-SIMPLE_ENTRY = re.compile(  # most properties and arguments, in one match
+SIMPLE_ENTRY = re.compile(  # the usual forms of a property or an argument, in one match
     rf'{BLANK}*(?:(?P<key>[A-Za-z_][A-Za-z0-9_-]*)=(?P<value>"[^"\\\n\r]*"|[A-Za-z0-9_.#-]+)'
     r'|(?P<arg>"[^"\\\n\r]*"))(?=[ \t\n;{}])'
 )
@@ -43,14 +43,14 @@
 
 
 class Token(NamedTuple):
-    """A token that means something."""
+    """A token other than blanks, block comments and line continuations."""
 
     kind: str  # name of a group of TOKEN, or END_OF_TEXT
     offset: int
     text: str
 
     def is_mark(self, mark: str) -> bool:
-        """Whether it is this mark of punctuation."""
+        """Whether it is this punctuation mark."""
         return self.kind == "mark" and self.text == mark
 
     def ends_node(self) -> bool:
@@ -59,11 +59,11 @@
 
 
 class KdlSyntaxError(Exception):
-    """The text stops being KDL.
+    """The text is not valid KDL.
 
     Attributes:
-        offset: Where, in characters into the text.
-        message: What is wrong, for people.
+        offset: The offset of the error in the text, in characters.
+        message: The message for operators.
         code: The rule that is broken, see Diagnostic.code.
     """
 
@@ -75,11 +75,11 @@
 
 
 class LimitExceededError(KdlSyntaxError):
-    """MAX_NODES, MAX_DEPTH or MAX_ENTRIES is passed at ``offset``."""
+    """MAX_NODES, MAX_DEPTH or MAX_ENTRIES is exceeded at ``offset``."""
 
 
 class PropertySpan(NamedTuple):
-    """Where a property stands; the key is as the parser gives it."""
+    """The key of a property, as the parser returns it, and its offsets in the text."""
 
     key: str
     key_offset: int
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class NodeSpan:
-    """Where a node and its parts stand: offsets into the text."""
+    """The offsets in the text of a node, its arguments, its properties and its children."""
 
     offset: int
     end: int = 0
@@ -98,22 +98,22 @@
 
 
 class NodeLocator:
-    """One pass over a text.  It judges no more of the grammar than it needs to find its way."""
+    """One pass over a text.  Checks only as much of the grammar as is needed to find the offsets."""
 
     def __init__(self, text: str) -> None:
         self.text = text
-        self.offset = 0  # of what is read next
+        self.offset = 0  # of the next token
         self.node_count = 0
         self.entry_count = 0
 
     def top_level_nodes(self) -> Iterator[NodeSpan]:
-        """The nodes at the top, each once it is whole.
+        """Yield each top-level node when it is complete.
 
         Raises:
-            KdlSyntaxError: The text is no KDL, or passes a limit.
+            KdlSyntaxError: The text is not valid KDL, or exceeds a limit.
         """
-        complete: list[NodeSpan] = []  # one at the most
-        parents: list[NodeSpan] = []  # whose children are being read, the outermost first
+        complete: list[NodeSpan] = []  # at most one
+        parents: list[NodeSpan] = []  # the nodes whose children are being read, the outermost first
         while True:
             token = self.next_token(skip_lines=True)
             if token.kind == END_OF_TEXT:
@@ -130,18 +130,18 @@
                 yield complete.pop()
 
     def read_node(self, token: Token, parents: list[NodeSpan], complete: list[NodeSpan]) -> None:
-        """A node that begins with ``token``, up to its end or to its children."""
+        """Read a node that begins with ``token``, up to its end or to its children."""
         is_dropped = token.kind == "dash"
         if is_dropped:
             token = self.next_token(skip_lines=True)
         if token.is_mark("("):
             token = self.token_after_annotation(token.offset)
         if token.kind not in VALUE_KINDS:
-            raise KdlSyntaxError(token.offset, f"a node's name is due, not {abbreviated(token.text)}")
+            raise KdlSyntaxError(token.offset, f"expected the name of a node, not {abbreviated(token.text)}")
         self.node_count += 1
         if self.node_count > MAX_NODES:
             raise LimitExceededError(
-                token.offset, f"over {MAX_NODES} nodes; match more with fewer", "too-many-nodes"
+                token.offset, f"over {MAX_NODES} nodes; use fewer, with lists and ranges", "too-many-nodes"
             )
         node = NodeSpan(token.offset, self.offset)
         if not is_dropped:
@@ -153,16 +153,16 @@
             parents.append(node)
 
     def close_children(self, token: Token, parents: list[NodeSpan]) -> None:
-        """A closing brace, and what follows it of the node that it belongs to."""
+        """Read a closing brace, and the rest of the node whose children it closes."""
         if not parents:
-            raise KdlSyntaxError(token.offset, "a '}' closes nothing")
+            raise KdlSyntaxError(token.offset, "this '}' has no matching '{'")
         node = parents.pop()
         node.end = self.offset
         if self.read_entries(node):
-            raise KdlSyntaxError(self.offset, "a node has children once")
+            raise KdlSyntaxError(self.offset, "a node has only one block of children")
 
     def read_entries(self, node: NodeSpan) -> bool:
-        """A node's arguments and properties up to its end.  True where its children begin."""
+        """Read a node's arguments and properties up to its end.  Returns True where its children begin."""
         while True:
             start = self.offset
             if self.read_simple_entry(node):
@@ -173,7 +173,7 @@
                 token = self.next_token(skip_lines=True)
             if token.ends_node():
                 if token.text == "}":
-                    self.offset = start  # it closes the node round this one
+                    self.offset = start  # this brace closes the parent
                 node.end = max(node.end, start)
                 return False
             if not token.is_mark("{"):
@@ -184,7 +184,7 @@
                 return True
 
     def read_simple_entry(self, node: NodeSpan) -> bool:
-        """An entry as most are written.  False, and nothing read, where there is none."""
+        """Read an entry of a usual form, see SIMPLE_ENTRY.  Returns False, and reads nothing, without one."""
         entry = SIMPLE_ENTRY.match(self.text, self.offset)
         if entry is None or self.entry_count >= MAX_ENTRIES:
             return False
@@ -198,12 +198,12 @@
         return True
 
     def read_entry(self, node: NodeSpan, token: Token, is_dropped: bool) -> None:
-        """An argument or a property that begins with ``token``."""
+        """Read an argument or a property that begins with ``token``."""
         if token.is_mark("("):
             token = self.token_after_annotation(token.offset)
         if token.kind not in VALUE_KINDS:
             raise KdlSyntaxError(
-                token.offset, f"an argument or a property is due, not {abbreviated(token.text)}"
+                token.offset, f"expected an argument or a property, not {abbreviated(token.text)}"
             )
         self.entry_count += 1
         if self.entry_count > MAX_ENTRIES:
@@ -217,7 +217,7 @@
                 value = self.token_after_annotation(value.offset)
             if value.kind not in VALUE_KINDS:
                 raise KdlSyntaxError(
-                    value.offset, f"a property's value is due, not {abbreviated(value.text)}"
+                    value.offset, f"expected the value of a property, not {abbreviated(value.text)}"
                 )
             if not is_dropped:
                 node.properties.append(PropertySpan(key, token.offset, value.offset))
@@ -226,7 +226,7 @@
         node.end = self.offset
 
     def skip_equals_sign(self) -> bool:
-        """Whether an equals sign follows, after blanks, comments and continued lines; it is taken if so."""
+        """Read an equals sign, after blanks, comments and line continuations.  Returns False without one."""
         before = self.offset
         match = EQUALS.match(self.text, before)
         if match is None:
@@ -240,7 +240,7 @@
         return follows
 
     def skip_children(self, offset: int) -> None:
-        """A block of children, begun at ``offset``, that was struck out with ``/-``."""
+        """Skip a block of children that begins at ``offset`` and is commented out with ``/-``."""
         depth = 1
         while depth:
             token = self.next_token(skip_lines=True)
@@ -252,19 +252,19 @@
                 depth -= 1
 
     def token_after_annotation(self, offset: int) -> Token:
-        """What follows a type annotation, which begins at ``offset``."""
+        """Skip a type annotation that begins at ``offset``, and return the next token."""
         self.next_token()
         if not self.next_token().is_mark(")"):
             raise KdlSyntaxError(offset, "a type annotation is not closed: ')'")
         return self.next_token()
 
     def next_token(self, skip_lines: bool = False) -> Token:
-        """The next token that means something, END_OF_TEXT at the end; ``skip_lines``: no ends of lines."""
+        """Read the next token; END_OF_TEXT at the end.  ``skip_lines`` skips newlines and line comments."""
         while True:
             match = TOKEN.match(self.text, self.offset)
             if match is None:
                 begins = self.text[self.offset : self.offset + 12]
-                raise KdlSyntaxError(self.offset, f"nothing in KDL begins with {abbreviated(begins)}")
+                raise KdlSyntaxError(self.offset, f"{abbreviated(begins)} does not begin a KDL token")
             kind = match.lastgroup or ""
             offset = match.start(kind)
             self.offset = match.end()
@@ -276,7 +276,7 @@
                 return Token(kind, offset, match[kind])
 
     def skip_block_comment(self, offset: int) -> None:
-        """A comment between ``/*`` and ``*/``, begun at ``offset``; such comments nest."""
+        """Skip a comment between ``/*`` and ``*/`` that begins at ``offset``; such comments nest."""
         depth = 1
         while depth:
             match = BLOCK_COMMENT_EDGE.search(self.text, self.offset)
@@ -287,7 +287,7 @@
 
 
 def parsed_key(token: Token) -> str:
-    """A property's key as the parser gives it."""
+    """The key of a property as the parser returns it."""
     if token.kind == "word":
         return token.text
     if token.kind == "string" and "\\" not in token.text:
--- a/kelpcroft/operator_file/match_reader.py
+++ b/kelpcroft/operator_file/match_reader.py
@@ -1,4 +1,4 @@
-"""Reads a route's ``match`` node: which requests the route takes."""
+"""The reader of a route's ``match`` node, which selects the requests of the route."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     """Reads ``match`` nodes."""
 
     def read_match(self, node: KdlNode) -> RouteMatch:
-        """A match, without the fields that cannot be used, which are noted."""
+        """Read a match.  Invalid properties are reported and left out."""
         self.check_structure(node, 0, MATCH_KEYS)
         return RouteMatch(
             classes=tuple(self.read_property(node, "class", values.parse_list) or ()),
@@ -46,7 +46,7 @@
         )
 
     def read_ranges(self, node: KdlNode, key: str, allowed: Range) -> tuple[Range, ...]:
-        """A property that lists ranges within the allowed one; a single one may be a plain number."""
+        """Parse a property that lists ranges within the allowed one; a single number is a range too."""
 
         def parse(raw: Value) -> tuple[Range, ...]:
             if isinstance(raw, int) and not isinstance(raw, bool):
@@ -57,22 +57,22 @@
 
 
 def parse_effects(raw: Value) -> list[str]:
-    """A list of EFFECT_NAMES."""
+    """Parse a list of EFFECT_NAMES."""
     effects = values.parse_list(raw)
     for effect in effects:
         if effect not in EFFECT_NAMES:
             raise InvalidValue(
                 "unknown-effect",
-                f"there is no effect {abbreviated(effect)}{suggestion(effect, EFFECT_NAMES)}; "
-                f"there are {', '.join(EFFECT_NAMES)}",
+                f"unknown effect {abbreviated(effect)}{suggestion(effect, EFFECT_NAMES)}; "
+                f"known effects: {', '.join(EFFECT_NAMES)}",
             )
     return effects
 
 
 def parse_object_prefixes(raw: Value) -> list[str]:
-    """A list of hex digits that objects begin with."""
+    """Parse a list of prefixes of object identifiers, in hex digits."""
     prefixes = values.parse_list(raw, "hex digits")
     for prefix in prefixes:
         if not OBJECT_PREFIX.fullmatch(prefix):
-            raise InvalidValue("bad-object", f"{abbreviated(prefix)} is not 1 to 16 hex digits in lower case")
+            raise InvalidValue("bad-object", f"{abbreviated(prefix)} is not 1 to 16 hex digits in lowercase")
     return prefixes
--- a/kelpcroft/operator_file/match_regions.py
+++ b/kelpcroft/operator_file/match_regions.py
@@ -1,12 +1,13 @@
-"""Algebra of match regions: which requests earlier routes have taken already.
+"""Algebra of match regions: finds unreachable routes and requests without a route.
 
 A request is a point: class, retry, write, group, part, object.  Within a class a region is a product of
-ranges, one for each of the other five, and a route takes a union of regions.  What is left of each class is
-kept as disjoint regions, and every route's are subtracted from it in turn: a route that takes nothing is
-unreachable, and a class of which something is left at the end has requests without a route.
+ranges, one for each of the other five attributes, and a route matches a union of regions.  The uncovered rest
+of each class is kept as disjoint regions, from which the regions of every route are subtracted in file order.
+A route that covers nothing of the rest is unreachable.  A class with a rest at the end has requests without a
+route.
 
-The work is bounded by a count of subtractions, not by a clock: past it no route is called unreachable, and no
-class without a route, unless that is plain without subtracting.
+The work is limited by a count of subtractions, not by a clock.  Beyond that limit a route is reported as
+unreachable, and a class as not covered, only where this is certain without subtractions.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 BITS_PER_DIGIT = 4
 OBJECT_RANGE: Range = (0, (1 << OBJECT_DIGITS * BITS_PER_DIGIT) - 1)
 FLAG_RANGES: dict[bool | None, Range] = {None: (0, 1), False: (0, 0), True: (1, 1)}
-MAX_SUBTRACTIONS = 100_000  # some tenths of a second of Python
-MAX_REGIONS_OF_CLASS = 2_000
+MAX_SUBTRACTIONS = 100_000  # take some tenths of a second in Python
+MAX_REGIONS_OF_CLASS = 2_000  # in the uncovered rest of one class
 Region = tuple[Range, ...]  # retry, write, group, part, object
 ALL_REQUESTS: Region = (FLAG_RANGES[None], FLAG_RANGES[None], GROUP_RANGE, PART_RANGE, OBJECT_RANGE)
 
 
 def objects_with_prefix(prefix: str) -> Range:
-    """The objects that begin with these hex digits."""
+    """The range of the objects that begin with these hex digits."""
     free_bits = BITS_PER_DIGIT * (OBJECT_DIGITS - len(prefix))
     low = int(prefix, 16) << free_bits
     return low, low + (1 << free_bits) - 1
@@ -44,7 +45,7 @@
 
 
 def intersect(region: Region, other: Region) -> Region:
-    """What two regions that overlap share."""
+    """The intersection of two regions that overlap."""
     return tuple(
         (max(low, other_low), min(high, other_high))
         for (low, high), (other_low, other_high) in zip(region, other, strict=True)
@@ -52,7 +53,7 @@
 
 
 def subtract(region: Region, taken: Region) -> Iterator[Region]:
-    """What is left of a region without another that overlaps it, as disjoint regions."""
+    """Subtract from a region another that overlaps it.  Yields the rest as disjoint regions."""
     for axis, (low, high) in enumerate(taken):
         here_low, here_high = region[axis]
         if low <= here_low and here_high <= high:
@@ -65,13 +66,13 @@
 
 
 def region_count(route: Route) -> int:
-    """How many regions a route's match takes of a class."""
+    """The number of regions of a class that a route matches."""
     match = route.match
     return max(1, len(match.groups)) * max(1, len(match.parts)) * max(1, len(match.objects))
 
 
 def regions_of(route: Route) -> list[Region]:
-    """All that a route's match takes of a class."""
+    """The regions of a class that a route matches."""
     match = route.match
     return list(
         product(
@@ -85,17 +86,17 @@
 
 
 def takes_whole_classes(match: RouteMatch) -> bool:
-    """Whether a match takes all requests of every class and zone that it takes any of."""
+    """Whether a match has no conditions other than on the class and the zone."""
     without_classes = replace(match, classes=(), zones=(), effects=(), uncacheable=None, multipart=None)
     return without_classes.matches_everything()
 
 
 class RouteCoverage:
-    """What is left of each class while routes are added in their order.
+    """The uncovered rest of each class, while routes are added in file order.
 
     Attributes:
-        gave_up: MAX_SUBTRACTIONS or MAX_REGIONS_OF_CLASS was passed; from then on nothing is subtracted.
-        takers: Names of the routes that take what the last route matches, where that took nothing.
+        gave_up: MAX_SUBTRACTIONS or MAX_REGIONS_OF_CLASS was exceeded; from then on nothing is subtracted.
+        takers: Names of the earlier routes that match the requests of the last unreachable route.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -111,11 +112,11 @@
         """Add the next route.
 
         Returns:
-            Names of the classes of which it takes something; empty for a route that can never match.
+            Names of the classes of which it covers something new; empty for a route that can never match.
         """
         names = tuple(c.name for c in self.classes if route.match.accepts_class(c))
         if not route.match.accepts_zone(self.zone):
-            return set(names)  # another zone's: what is left there is not known here
+            return set(names)  # the coverage of other zones is not computed here
         regions = [] if self.gave_up else regions_of(route)
         taken: set[str] = set()
         for name in names:
@@ -129,7 +130,7 @@
         return taken
 
     def take(self, name: str, regions: list[Region]) -> bool:
-        """Subtract regions from what is left of a class.  True where they take something, or may."""
+        """Subtract regions from the rest of a class.  Returns whether they cover, or may cover, any of it."""
         remaining = self.remaining[name]
         took = False
         for region in regions:
@@ -149,14 +150,14 @@
         return took
 
     def take_unbounded(self, name: str, route: Route) -> bool:
-        """What ``take`` does without subtracting: a route may take something of whatever is left."""
+        """Replace ``take`` beyond the limits: without subtractions, a route may cover some of any rest."""
         is_left = bool(self.remaining[name])
         if takes_whole_classes(route.match):
             self.remaining[name] = []
         return is_left
 
     def routes_that_took(self, names: tuple[str, ...], regions: list[Region]) -> list[str]:
-        """Names of the routes, in their order, that took something of these regions of these classes."""
+        """Names of the routes, in file order, that cover something of these regions of these classes."""
         found = (
             route_name
             for name in names
@@ -166,8 +167,9 @@
         return list(dict.fromkeys(found))
 
     def uncovered(self) -> list[str]:
-        """Names of the classes of which something is left."""
+        """Names of the classes that have requests without a route."""
         if self.gave_up:
-            # Many routes together may take all of a class, but none takes anything where all is left.
+            # Several routes together may cover a class.  Only a class of which nothing was subtracted is
+            # certainly not covered.
             return [name for name, left in self.remaining.items() if left == [ALL_REQUESTS]]
         return [name for name, left in self.remaining.items() if left]
--- a/kelpcroft/operator_file/model.py
+++ b/kelpcroft/operator_file/model.py
@@ -1,4 +1,4 @@
-"""The operator's file as typed, frozen values.  Times are integer nanoseconds; None = not said."""
+"""The model of an operator's file: frozen values.  Times are integer nanoseconds; None = not stated."""
 
 from __future__ import annotations
 
@@ -12,26 +12,27 @@
 GROUP_RANGE: Range = (0, 255)
 PART_RANGE: Range = (0, 9_999)
 EFFECT_NAMES = ("safe", "keyed", "unsafe")
-# Of these an attempt may have run; what proves that nothing ran is followed by a reroute, see RoutePolicy.
+# Outcomes of an attempt that may have run.  Outcomes that prove that nothing ran lead to a reroute instead,
+# see RoutePolicy.
 RETRYABLE_OUTCOMES = ("error", "reset", "timeout")
-MAX_BACKOFF_DOUBLINGS = 40  # a wait has reached any ``max_ns`` by then
+MAX_BACKOFF_DOUBLINGS = 40  # after so many doublings a wait has reached any ``max_ns``
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerTimeout:
-    """Time for the whole answer: a duration, or a share of the client's own patience."""
+    """Response timeout: a duration, or a share of the client's own timeout."""
 
     ns: int = 0
     share: float = 0.0
 
     def within(self, patience_ns: int) -> int:
-        """The time for a client of this patience, never beyond it, in ns."""
+        """The timeout in ns for a client with this timeout of its own, which is never exceeded."""
         return min(patience_ns, self.ns or int(self.share * patience_ns))
 
 
 @dataclass(frozen=True, slots=True)
 class AdaptiveDuration:
-    """A fixed duration, or a quantile (0 to 1) of the route's own recent answers within two bounds."""
+    """A fixed duration, or a quantile (0 to 1) of the route's recent latencies, limited by two bounds."""
 
     ns: int = 0
     quantile: float = 0.0
@@ -39,11 +40,11 @@
     max_ns: int = 0
 
     def longest_ns(self) -> int:
-        """The longest that it can be; 0 = no end is stated."""
+        """The upper bound; 0 = none is stated."""
         return self.ns or self.max_ns
 
     def shortest_ns(self) -> int:
-        """The shortest that it can be; 0 = no such is stated."""
+        """The lower bound; 0 = none is stated."""
         return self.ns or self.min_ns
 
 
@@ -56,17 +57,17 @@
     full_jitter: bool = False
 
     def step_ns(self, retry: int) -> int:
-        """The wait before a retry, counted from 0, without jitter."""
+        """The wait before a retry without jitter; retries are counted from 0."""
         return min(self.max_ns, self.initial_ns << min(retry, MAX_BACKOFF_DOUBLINGS))
 
     def longest_total_ns(self, attempts: int) -> int:
-        """All waits together, at the longest, of a request with so many attempts."""
+        """The upper bound of the sum of all waits of a request with this number of attempts."""
         return sum(self.step_ns(retry) for retry in range(attempts - 1))
 
 
 @dataclass(frozen=True, slots=True)
 class Hedging:
-    """Second copies of a request that is still unanswered (``copies`` in the file)."""
+    """Hedges: further copies of a request that has no response yet (``copies`` in the file)."""
 
     max_hedges: int
     delay: AdaptiveDuration
@@ -75,25 +76,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteMatch:
-    """Which requests a route takes.  A field that is empty or None takes all; fields are joined by "and"."""
+    """The conditions of a route: a request must meet all of them.  An empty field or None is no condition."""
 
     classes: tuple[str, ...] = ()
     groups: tuple[Range, ...] = ()
-    objects: tuple[str, ...] = ()  # hex digits that the object begins with
+    objects: tuple[str, ...] = ()  # prefixes of object identifiers, in hex digits
     parts: tuple[Range, ...] = ()
     zones: tuple[str, ...] = ()
-    retry: bool | None = None  # a client's own retry
-    write: bool | None = None  # it has a body
-    effects: tuple[str, ...] = ()  # the class's, whatever the class is called, as the next two are
-    uncacheable: bool | None = None  # it runs at the origin and leaves no copy (``through`` in the file)
+    retry: bool | None = None  # the request is a retry by the client
+    write: bool | None = None  # the request has a body
+    effects: tuple[str, ...] = ()  # a property of the class, independent of its name, as are the next two
+    uncacheable: bool | None = None  # runs at the origin and is not cached (``through`` in the file)
     multipart: bool | None = None  # objects of the class have parts
 
     def asks_class_properties(self) -> bool:
-        """Whether it asks what a class is, beside what it is called."""
+        """Whether it has conditions on properties of the class other than its name."""
         return bool(self.effects) or self.uncacheable is not None or self.multipart is not None
 
     def accepts_class(self, request_class: RequestClass) -> bool:
-        """Whether it takes requests of a class, as far as that depends on the class alone."""
+        """Whether a class meets the conditions that depend on the class alone."""
         return (
             (not self.classes or request_class.name in self.classes)
             and (not self.effects or request_class.idempotency.value in self.effects)
@@ -102,30 +103,32 @@
         )
 
     def accepts_zone(self, zone: str) -> bool:
-        """Whether it takes requests of routers in a zone."""
+        """Whether requests that arrive at routers of a zone can match."""
         return not self.zones or zone in self.zones
 
     def matches_everything(self) -> bool:
-        """Whether it takes whatever comes."""
+        """Whether it has no conditions."""
         return self == RouteMatch()
 
 
 @dataclass(frozen=True, slots=True)
 class RoutePolicy:
-    """What a route, or the defaults, let one request cost; what is None is left to whoever is asked next.
+    """The limits that a route, or the defaults, set for one request.
+
+    A field that is None is not limited here: the defaults apply to it, and then the decision package.
 
     Attributes:
-        answer_timeout: For the whole answer (``timeout`` in the file).
-        attempt_timeout: For one attempt (``attempt timeout=``).
-        max_attempts: Sends that may have run, without hedges (``attempts most=``).
+        answer_timeout: Response timeout (``timeout`` in the file).
+        attempt_timeout: Attempt timeout (``attempt timeout=``).
+        max_attempts: Attempts that may have run, without hedges (``attempts most=``).
         retry_on: Outcomes, of RETRYABLE_OUTCOMES, after which another attempt is made (``attempts on=``).
         retry_budget: Name of the budget that pays for further attempts (``attempts budget=``).
-        max_reroutes: Further sends after proof that nothing ran (``moves most=``).
+        max_reroutes: Further attempts after proof that nothing ran (``moves most=``).
         backoff: Waits between attempts.
-        hedging: Second copies (``copies``).
-        max_open_requests: Of the route at once (``limit open=``).
-        retry_after_ns: Pause that a rejected client is asked to make (``pause``).
-        positions: Where the file states each of them, by the names above.
+        hedging: Hedges (``copies``).
+        max_open_requests: Open requests of the route at any time (``limit open=``).
+        retry_after_ns: Pause before a retry that is sent to a rejected client (``pause``).
+        positions: Positions of the fields in the file, by the names above.
     """
 
     answer_timeout: AnswerTimeout | None = None
@@ -141,7 +144,7 @@
     positions: dict[str, FilePosition] = field(default_factory=dict, compare=False)
 
     def with_defaults(self, defaults: RoutePolicy) -> RoutePolicy:
-        """This policy, with what it does not say taken from the defaults."""
+        """This policy, with fields that are None taken from the defaults."""
         if defaults == RoutePolicy():
             return self
         merged = {}
@@ -151,7 +154,7 @@
         return RoutePolicy(**merged, positions={**defaults.positions, **self.positions})
 
 
-# Fields of RoutePolicy that a file may say, by name.
+# Names of the fields of RoutePolicy that a file may state.
 POLICY_FIELDS = (
     "answer_timeout",
     "attempt_timeout",
@@ -168,9 +171,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetSettings:
-    """A retry budget as the file declares it: further attempts and hedges that requests earn.
+    """A declared retry budget: its tokens pay for further attempts and hedges.
 
-    Each request earns ``ratio``, and time ``min_per_s`` a second at the least; up to ``burst`` are kept.
+    Each request earns ``ratio`` tokens, and each second ``min_per_s``.  The balance is at most ``burst``.
     """
 
     name: str
@@ -182,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A route with the defaults laid under it."""
+    """A route, with the defaults merged into its policy."""
 
     name: str
     match: RouteMatch
@@ -193,20 +196,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlReplicas:
-    """Control replicas that tell the list and the purges, in place of the configuration's feed."""
+    """Control replicas that send the endpoint list and the purges, instead of the configuration's feed."""
 
     addresses: tuple[tuple[str, int], ...]
-    stale_after_ns: int = 3 * 10**9  # after which a replica without news from upstream is left
+    stale_after_ns: int = 3 * 10**9  # a replica whose state is older than this is abandoned
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """A whole file.  Without routes it bounds nothing."""
+    """The contents of a file.  Without routes it limits nothing."""
 
     routes: tuple[Route, ...] = ()
     budgets: tuple[BudgetSettings, ...] = ()
     defaults: RoutePolicy = RoutePolicy()
-    exposes_state: bool = False  # the control address shows what this process is and did
+    exposes_state: bool = False  # the control address serves the identity and the state of this process
     start_options: StartupOptions = StartupOptions()  # noqa: RUF009 - frozen, so it may be shared
     control_replicas: ControlReplicas | None = None
     start_position: FilePosition = field(default=NO_POSITION, compare=False)
--- a/kelpcroft/operator_file/node_reader.py
+++ b/kelpcroft/operator_file/node_reader.py
@@ -1,6 +1,6 @@
-"""What all readers of KDL files share: the structure of a node, and its values.
+"""The base class of all readers of KDL files: checks the structure of a node and parses its values.
 
-Whatever is wrong is noted and left out, and the rest is read on.
+Everything that is wrong is reported and skipped, and reading continues.
 
 Readers of the operator's file (``reader``), of a control replica's file (``replica``) and of a rollout's plan
 (``kelpcroft.rollout.plan``) are subclasses.
@@ -18,13 +18,13 @@
 
 MAX_NAME_CHARACTERS = 64
 MAX_ADDRESSES = 16  # of control replicas
-REPEATABLE_NODES = ("match",)  # a route complains of a second one itself
+REPEATABLE_NODES = ("match",)  # the reader of a route reports a second one with a message of its own
 
 Parsed = TypeVar("Parsed")
 
 
 class NodeReader:
-    """Reads nodes and their values, and notes what is wrong with them in ``diagnostics``."""
+    """Reads nodes and their values, and reports errors to ``diagnostics``."""
 
     def __init__(self, diagnostics: DiagnosticCollector) -> None:
         self.diagnostics = diagnostics
@@ -32,7 +32,7 @@
     def check_structure(
         self, node: KdlNode, arguments: int, keys: tuple[str, ...], children: tuple[str, ...] = ()
     ) -> None:
-        """Note what a node may not hold: too many arguments, other keys, other or repeated children."""
+        """Report extra arguments, unknown keys, and unknown or repeated children of a node."""
         for _, offset in node.arguments[arguments:]:
             self.diagnostics.add(offset, "unknown-key", f"{node.name!r} takes {argument_count(arguments)}")
         for key, found in node.properties.items():
@@ -40,7 +40,7 @@
                 self.diagnostics.add(
                     found.key_offset,
                     "unknown-key",
-                    f"{node.name!r} has no {abbreviated(key)}{suggestion(key, keys)}",
+                    f"{node.name!r} has no property {abbreviated(key)}{suggestion(key, keys)}",
                 )
         seen: set[str] = set()
         for child in node.children:
@@ -48,29 +48,30 @@
                 self.diagnostics.add(
                     child.offset,
                     "unknown-node",
-                    f"{node.name!r} holds no {abbreviated(child.name)}{suggestion(child.name, children)}",
+                    f"{node.name!r} has no child {abbreviated(child.name)}{suggestion(child.name, children)}",
                 )
             elif child.name in seen and child.name not in REPEATABLE_NODES:
                 self.diagnostics.add(
-                    child.offset, "duplicate-node", f"{child.name!r} stands twice in this {node.name!r}"
+                    child.offset, "duplicate-node", f"{child.name!r} occurs twice in this {node.name!r}"
                 )
             seen.add(child.name)
 
     def read_value(
         self, node: KdlNode, offset: int, raw: Value, parse: Callable[[Value], Parsed]
     ) -> Parsed | None:
-        """A value of a node, parsed; None, and a diagnostic at its offset, where it cannot be used."""
+        """Parse a value of a node.  Returns None, and reports it at its offset, where it is invalid."""
         try:
             return parse(raw)
         except InvalidValue as error:
             self.diagnostics.add(offset, error.code, f"{node.name}: {error.reason}")
             return None
 
-    # What is read is typed by the caller: a parser of a union type would lose it otherwise.
+    # Returns Any, and callers annotate the result: with a type variable, the type of a parser that returns a
+    # union would be lost.
     def read_argument(self, node: KdlNode, parse: Callable[[Value], Any], expected: str) -> Any:
-        """A node's first argument, parsed; None, and a diagnostic, where it is missing or cannot be used."""
+        """Parse a node's first argument.  Returns None, and reports it, where it is missing or invalid."""
         if not node.arguments:
-            self.diagnostics.add(node.offset, "missing-value", f"{node.name!r} wants {expected}")
+            self.diagnostics.add(node.offset, "missing-value", f"{node.name!r} needs {expected}")
             return None
         argument = node.arguments[0]
         return self.read_value(node, argument.offset, argument.value, parse)
@@ -78,33 +79,34 @@
     def read_property(
         self, node: KdlNode, key: str, parse: Callable[[Value], Any], expected: str = ""
     ) -> Any:
-        """A property, parsed; None where it is missing, or cannot be used, which is noted.
+        """Parse a property.  Returns None where it is missing or invalid; an invalid value is reported.
 
         Args:
-            node: The node that may have it.
+            node: The node that may have the property.
             key: The property's key.
-            parse: Raises InvalidValue for what cannot be used.
-            expected: What is due, for a property that is not optional.
+            parse: The parser; raises InvalidValue for an invalid value.
+            expected: Description of the value for the message that a required property is missing; empty for
+                an optional property.
         """
         found = node.properties.get(key)
         if found is not None:
             return self.read_value(node, found.value_offset, found.value, parse)
         if expected:
-            self.diagnostics.add(node.offset, "missing-value", f"{node.name!r} wants {expected}")
+            self.diagnostics.add(node.offset, "missing-value", f"{node.name!r} needs {expected}")
         return None
 
     def read_name(self, node: KdlNode) -> str:
-        """A name, which is the node's argument; empty, and a diagnostic, where it cannot be used."""
+        """Parse the node's argument as a name.  Returns "" and reports it where it is missing or invalid."""
         return self.read_argument(node, parse_name, f'a name, as in {node.name} "orders"') or ""
 
     def read_addresses(self, node: KdlNode) -> tuple[tuple[str, int], ...]:
-        """All arguments, MAX_ADDRESSES at the most, as addresses, each once; one is due at the least."""
+        """Parse the arguments as addresses: at least one, at most MAX_ADDRESSES, and each only once."""
         found: set[tuple[str, int]] = set()
         addresses: list[tuple[str, int]] = []
         for raw, offset in node.arguments[:MAX_ADDRESSES]:
             address = self.read_value(node, offset, raw, values.parse_address)
             if address in found:
-                self.diagnostics.add(offset, "duplicate-name", f"{abbreviated(raw)} stands there already")
+                self.diagnostics.add(offset, "duplicate-name", f"{abbreviated(raw)} is listed twice")
             elif address is not None:
                 found.add(address)
                 addresses.append(address)
@@ -112,34 +114,34 @@
             self.diagnostics.add(
                 node.offset,
                 "missing-value",
-                f'{node.name!r} wants addresses, as in {node.name} "10.0.0.1:7100"',
+                f'{node.name!r} needs addresses, as in {node.name} "10.0.0.1:7100"',
             )
         return tuple(addresses)
 
     def line_of(self, offset: int) -> int:
-        """The line of an offset, from 1."""
+        """The line of an offset, counted from 1."""
         return self.diagnostics.position_of(offset).line
 
 
 def argument_count(count: int) -> str:
-    """How many arguments, in words."""
+    """A number of arguments in words."""
     if count == 0:
         return "no argument"
     return "one argument" if count == 1 else f"{count} arguments"
 
 
 def parse_name(raw: Value) -> str:
-    """Some printable text of up to MAX_NAME_CHARACTERS."""
+    """Parse a name: 1 to MAX_NAME_CHARACTERS printable characters."""
     text = values.parse_text(raw, "a name")
     if not text or len(text) > MAX_NAME_CHARACTERS or not text.isprintable():
         raise InvalidValue(
             "bad-name",
-            f"{abbreviated(raw)} is no name; 1 to {MAX_NAME_CHARACTERS} printable characters",
+            f"{abbreviated(raw)} is not a name; write 1 to {MAX_NAME_CHARACTERS} printable characters",
         )
     return text
 
 
 def value_offset(node: KdlNode, key: str) -> int:
-    """Where a property's value stands; where the node does if it has no such property."""
+    """The offset of a property's value, or the node's offset where it has no such property."""
     found = node.properties.get(key)
     return found.value_offset if found else node.offset
--- a/kelpcroft/operator_file/policy_reader.py
+++ b/kelpcroft/operator_file/policy_reader.py
@@ -1,4 +1,4 @@
-"""Reads what a route, or the defaults, let a request cost: the nodes from ``timeout`` to ``pause``."""
+"""The reader of the policy of a route or of the defaults: the nodes from ``timeout`` to ``pause``."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from kelpcroft.operator_file.text import KdlNode, Value
 from kelpcroft.operator_file.values import InvalidValue
 
-MAX_COUNT = 64  # attempts, moves and copies in a file; the deployment has a bound of its own
+MAX_COUNT = 64  # of attempts, moves and copies in a file; the deployment has a limit of its own
 MAX_OPEN_REQUESTS = 1_000_000
-# Outcomes after which the next send is a reroute, which ``moves`` bounds: they prove that nothing ran.
+# Outcomes that prove that nothing ran.  The next send is then a reroute, which ``moves`` limits.
 OUTCOMES_NOT_RUN = {"miss", "full", "refused", "moot", "connect"}
 NO_HEDGING = Hedging(0, AdaptiveDuration(ns=1))
 
 
 class PolicyField(NamedTuple):
-    """A field of RoutePolicy as it was read; a value of None was not said, or cannot be used."""
+    """A field of RoutePolicy as it was read; the value is None where it is missing or invalid."""
 
     name: str
     value: Any
@@ -35,21 +35,21 @@
 
 
 class BudgetUse(NamedTuple):
-    """A budget that a node names, and where."""
+    """A reference to a budget by its name, and its offset."""
 
     name: str
     offset: int
 
 
 class PolicyReader(NodeReader):
-    """Reads the nodes of POLICY_NODES, and keeps which budgets they name."""
+    """Reads the nodes of POLICY_NODES, and records the budgets to which they refer."""
 
     def __init__(self, diagnostics: DiagnosticCollector) -> None:
         super().__init__(diagnostics)
         self.budget_uses: list[BudgetUse] = []
 
     def read_policy(self, node: KdlNode) -> RoutePolicy:
-        """What the children of a route or of the defaults say."""
+        """Read the policy from the children of a route or of the defaults."""
         fields: dict[str, Any] = {}
         positions = {}
         for child in node.children:
@@ -62,19 +62,19 @@
         return RoutePolicy(**fields, positions=positions)
 
     def read_timeout(self, node: KdlNode) -> list[PolicyField]:
-        """``timeout "2.5s"`` or ``timeout "80%"``."""
+        """Read ``timeout "2.5s"`` or ``timeout "80%"``."""
         self.check_structure(node, 1, ())
-        timeout = self.read_argument(node, parse_answer_timeout, 'a wait, as in timeout "2.5s"')
+        timeout = self.read_argument(node, parse_answer_timeout, 'a time, as in timeout "2.5s"')
         return [PolicyField("answer_timeout", timeout, node.offset)]
 
     def read_attempt(self, node: KdlNode) -> list[PolicyField]:
-        """``attempt timeout="800ms"``, or a quantile with ``least`` and ``most``."""
+        """Read ``attempt timeout="800ms"``, or a quantile with ``least`` and ``most``."""
         self.check_structure(node, 0, ("timeout", "least", "most"))
         timeout = self.read_adaptive_duration(node, "timeout", 'a time, as in attempt timeout="800ms"')
         return [PolicyField("attempt_timeout", timeout, node.offset)]
 
     def read_attempts(self, node: KdlNode) -> list[PolicyField]:
-        """``attempts most=3 on="error,reset" budget="b"``."""
+        """Read ``attempts most=3 on="error,reset" budget="b"``."""
         self.check_structure(node, 0, ("most", "on", "budget"))
         max_count = self.read_property(node, "most", lambda raw: values.parse_count(raw, 1, MAX_COUNT))
         retry_on = self.read_property(node, "on", parse_retryable_outcomes)
@@ -86,7 +86,7 @@
         ]
 
     def read_moves(self, node: KdlNode) -> list[PolicyField]:
-        """``moves most=3``."""
+        """Read ``moves most=3``."""
         self.check_structure(node, 0, ("most",))
         max_count = self.read_property(
             node, "most", lambda raw: values.parse_count(raw, 0, MAX_COUNT), "a count, as in most=3"
@@ -94,7 +94,7 @@
         return [PolicyField("max_reroutes", max_count, value_offset(node, "most"))]
 
     def read_backoff(self, node: KdlNode) -> list[PolicyField]:
-        """``backoff first="20ms" most="1s" jitter="full"``."""
+        """Read ``backoff first="20ms" most="1s" jitter="full"``."""
         self.check_structure(node, 0, ("first", "most", "jitter"))
         first_ns = self.read_property(
             node, "first", values.parse_duration, 'a first wait, as in first="20ms"'
@@ -107,14 +107,14 @@
             self.diagnostics.add(
                 node.properties["first"].value_offset,
                 "least-over-most",
-                "backoff: 'first' is over 'most'",
+                "backoff: 'first' is greater than 'most'",
             )
             return []
         backoff = Backoff(first_ns, max_ns or first_ns, bool(has_jitter))
         return [PolicyField("backoff", backoff, node.offset)]
 
     def read_copies(self, node: KdlNode) -> list[PolicyField]:
-        """``copies most=1 after="p95" least="20ms" budget="b"``; ``copies most=0`` needs no more."""
+        """Read ``copies most=1 after="p95" least="20ms" budget="b"``; ``copies most=0`` is complete too."""
         self.check_structure(node, 0, ("most", "after", "least", "budget"))
         max_count = self.read_property(
             node, "most", lambda raw: values.parse_count(raw, 0, MAX_COUNT), "a count, as in most=1"
@@ -127,7 +127,7 @@
         return [PolicyField("hedging", hedging, node.offset)]
 
     def read_limit(self, node: KdlNode) -> list[PolicyField]:
-        """``limit open=400``."""
+        """Read ``limit open=400``."""
         self.check_structure(node, 0, ("open",))
         max_count = self.read_property(
             node,
@@ -138,15 +138,15 @@
         return [PolicyField("max_open_requests", max_count, node.offset)]
 
     def read_pause(self, node: KdlNode) -> list[PolicyField]:
-        """``pause "300ms"``."""
+        """Read ``pause "300ms"``."""
         self.check_structure(node, 1, ())
         pause_ns = self.read_argument(node, values.parse_duration, 'a time, as in pause "300ms"')
         return [PolicyField("retry_after_ns", pause_ns, node.offset)]
 
     def read_adaptive_duration(self, node: KdlNode, key: str, expected: str) -> AdaptiveDuration | None:
-        """A duration or a quantile under ``key``; a quantile's bounds are ``least`` and ``most``.
+        """Parse the property ``key``: a duration, or a quantile with the bounds ``least`` and ``most``.
 
-        Under ``after``, of copies, ``most`` is no bound: there it counts the copies.
+        For ``after`` of a ``copies`` node, ``most`` is not a bound but the number of copies.
         """
         found: AdaptiveDuration | None = self.read_property(node, key, parse_adaptive_duration, expected)
         bounds = ("least",) if key == "after" else ("least", "most")
@@ -160,20 +160,20 @@
                     self.diagnostics.add(
                         node.properties[bound].key_offset,
                         "unknown-key",
-                        f"{bound!r} goes with a quantile, and {key!r} is a duration",
+                        f"{bound!r} is allowed with a quantile only, and {key!r} is a duration",
                     )
             return found
         if min_ns and max_ns and min_ns > max_ns:
             self.diagnostics.add(
                 node.properties["least"].value_offset,
                 "least-over-most",
-                f"{node.name}: 'least' is over 'most'",
+                f"{node.name}: 'least' is greater than 'most'",
             )
             return None
         return AdaptiveDuration(quantile=found.quantile, min_ns=min_ns or 0, max_ns=max_ns or 0)
 
     def read_budget_use(self, node: KdlNode) -> str | None:
-        """The budget that a node names, if any."""
+        """Parse the name of the budget to which a node refers, if any, and record the reference."""
         name: str | None = self.read_property(node, "budget", lambda raw: values.parse_text(raw, "a name"))
         if name is not None:
             self.budget_uses.append(BudgetUse(name, node.properties["budget"].value_offset))
@@ -194,7 +194,7 @@
 
 
 def parse_answer_timeout(raw: Value) -> AnswerTimeout:
-    """A duration, or a share of the client's patience in percent."""
+    """Parse a duration, or a share of the client's own timeout in percent."""
     share = values.parse_share(raw)
     if share is None:
         return AnswerTimeout(ns=values.parse_duration(raw, "a wait"))
@@ -202,7 +202,7 @@
 
 
 def parse_adaptive_duration(raw: Value) -> AdaptiveDuration:
-    """A duration, or a quantile as ``p95``."""
+    """Parse a duration, or a quantile such as ``p95``."""
     quantile = values.parse_quantile(raw)
     if quantile is None:
         return AdaptiveDuration(ns=values.parse_duration(raw, "a moment"))
@@ -210,24 +210,24 @@
 
 
 def parse_jitter(raw: Value) -> bool:
-    """Whether each wait is drawn from 0 to its bound."""
+    """Parse the jitter: whether each wait is drawn from 0 to its step."""
     if raw not in ("full", "none"):
-        raise InvalidValue("unknown-word", f'jitter is "full" or "none", not {abbreviated(raw)}')
+        raise InvalidValue("unknown-word", f'jitter must be "full" or "none", not {abbreviated(raw)}')
     return raw == "full"
 
 
 def parse_retryable_outcomes(raw: Value) -> frozenset[str]:
-    """A list of RETRYABLE_OUTCOMES."""
+    """Parse a list of RETRYABLE_OUTCOMES."""
     outcomes = values.parse_list(raw)
     for outcome in outcomes:
         if outcome in OUTCOMES_NOT_RUN:
             raise InvalidValue(
                 "unknown-outcome",
-                f"{abbreviated(outcome)} proves that nothing ran; 'moves' bounds what follows it",
+                f"{abbreviated(outcome)} proves that nothing ran; 'moves' limits the sends that follow it",
             )
         if outcome not in RETRYABLE_OUTCOMES:
             raise InvalidValue(
                 "unknown-outcome",
-                f"{abbreviated(outcome)} is no outcome{suggestion(outcome, RETRYABLE_OUTCOMES)}",
+                f"unknown outcome {abbreviated(outcome)}{suggestion(outcome, RETRYABLE_OUTCOMES)}",
             )
     return frozenset(outcomes)
--- a/kelpcroft/operator_file/reader.py
+++ b/kelpcroft/operator_file/reader.py
@@ -1,4 +1,4 @@
-"""Reads the tree of an operator's file to its model, the nodes at its top in turn."""
+"""The reader of an operator's file: builds the model from the KDL tree, one top-level node after another."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from kelpcroft.startup.options import StartupOptions
 
 VERSION = 1
-MIN_STALE_NS = 2 * values.SECOND  # a replica hears from upstream once a second
+MIN_STALE_NS = 2 * values.SECOND  # a replica receives a response from its upstream once a second
 MAX_STALE_NS = 60 * values.SECOND
 MIN_LIST_CALLS_PER_S = 0.1
 MAX_LIST_CALLS_PER_S = 1e6
@@ -32,26 +32,26 @@
 
 
 class OperatorFileReader(NodeReader):
-    """Reads one file.  It is built up in the fields while nodes come."""
+    """Reads one file.  The attributes collect the contents of the nodes that were read so far."""
 
     def __init__(self, diagnostics: DiagnosticCollector) -> None:
         super().__init__(diagnostics)
         self.match_reader = MatchReader(diagnostics)
         self.policy_reader = PolicyReader(diagnostics)
-        self.routes: list[Route] = []  # without the defaults, which may come after them
+        self.routes: list[Route] = []  # without the defaults, which may follow the routes in the file
         self.budgets: list[BudgetSettings] = []
         self.defaults = RoutePolicy()
         self.exposes_state = False
         self.start_options = StartupOptions()
         self.control_replicas: ControlReplicas | None = None
-        self.node_offsets: dict[str, int] = {}  # of nodes that may stand once
+        self.node_offsets: dict[str, int] = {}  # of the nodes that may occur once, by node
         self.name_offsets: dict[tuple[str, str], int] = {}  # of budgets and routes, by node and name
 
     def read_file(self, nodes: Iterable[KdlNode]) -> Generator[None, None, OperatorFile]:
-        """A whole file, a step for each node at its top.
+        """Read a complete file, one step for each top-level node.
 
         Raises:
-            TooManyDiagnostics: More is wrong than is kept.
+            TooManyDiagnostics: The file has MAX_DIAGNOSTICS errors or more.
         """
         is_first = True
         for node in nodes:
@@ -60,7 +60,7 @@
                 self.diagnostics.add(
                     node.offset,
                     "no-version",
-                    f"the first node is 'kelpcroft version={VERSION}', not {abbreviated(node.name)}",
+                    f"the first node must be 'kelpcroft version={VERSION}', not {abbreviated(node.name)}",
                 )
             is_first = False
             self.read_top_level_node(node)
@@ -77,7 +77,7 @@
         return file
 
     def routes_with_defaults(self) -> tuple[Route, ...]:
-        """The routes, with the defaults laid under their policies."""
+        """The routes, with the defaults merged into their policies."""
         if self.defaults == RoutePolicy():
             return tuple(self.routes)
         return tuple(
@@ -85,7 +85,7 @@
         )
 
     def read_top_level_node(self, node: KdlNode) -> None:
-        """A node at the top: one of those that may stand once, or a budget or route with a name."""
+        """Read a top-level node: one that may occur once, or a budget or a route, which has a name."""
         if node.name in NAMED_NODES:
             self.read_named_node(node)
             return
@@ -93,27 +93,27 @@
             self.diagnostics.add(
                 node.offset,
                 "unknown-node",
-                f"a file holds no {abbreviated(node.name)}{suggestion(node.name, TOP_LEVEL_NODES)}",
+                f"unknown node {abbreviated(node.name)}{suggestion(node.name, TOP_LEVEL_NODES)}",
             )
             return
         if node.name in self.node_offsets:
             line = self.line_of(self.node_offsets[node.name])
             self.diagnostics.add(
-                node.offset, "duplicate-node", f"{node.name!r} stands at line {line} already"
+                node.offset, "duplicate-node", f"{node.name!r} already occurs at line {line}"
             )
             return
         self.node_offsets[node.name] = node.offset
         SINGLE_NODE_READERS[node.name](self, node)
 
     def read_named_node(self, node: KdlNode) -> None:
-        """A budget or a route; a name that was there already is noted, and the node read all the same."""
+        """Read a budget or a route.  A repeated name is reported, and the node is read nevertheless."""
         name = self.read_name(node)
         if name and (node.name, name) in self.name_offsets:
             line = self.line_of(self.name_offsets[node.name, name])
             self.diagnostics.add(
                 node.offset,
                 "duplicate-name",
-                f"{node.name} {abbreviated(name)} stands at line {line} already",
+                f"{node.name} {abbreviated(name)} is already declared at line {line}",
             )
         self.name_offsets.setdefault((node.name, name), node.offset)
         if node.name == "budget":
@@ -122,42 +122,42 @@
             self.routes.append(self.read_route(node, name))
 
     def read_version(self, node: KdlNode) -> None:
-        """``kelpcroft version=1``."""
+        """Read ``kelpcroft version=1``."""
         self.check_structure(node, 0, ("version",))
         found = node.properties.get("version")
         if found is None:
             self.diagnostics.add(
-                node.offset, "no-version", f"which version? write kelpcroft version={VERSION}"
+                node.offset, "no-version", f"the version is missing; write kelpcroft version={VERSION}"
             )
         elif isinstance(found.value, bool) or not isinstance(found.value, int):
             self.diagnostics.add(
                 found.value_offset,
                 "wrong-type",
-                f"a version is a whole number, not {abbreviated(found.value)}",
+                f"the version must be a whole number, not {abbreviated(found.value)}",
             )
         elif found.value != VERSION:
             self.diagnostics.add(
                 found.value_offset,
                 "unknown-version",
-                f"version {abbreviated(found.value)} is not known here; version {VERSION} is",
+                f"version {abbreviated(found.value)} is not supported; write version {VERSION}",
             )
 
     def read_control(self, node: KdlNode) -> None:
-        """``control state=#true``: what the control address tells."""
+        """Read ``control state=#true``: the information that the control address serves."""
         self.check_structure(node, 0, ("state",))
         self.exposes_state = bool(
-            self.read_property(node, "state", values.parse_flag, "what it tells, as in state=#true")
+            self.read_property(node, "state", values.parse_flag, "a flag, as in state=#true")
         )
 
     def read_start(self, node: KdlNode) -> None:
-        """``start list-calls=50 store=#true count=#true``: how routers begin beside each other."""
+        """Read ``start list-calls=50 store=#true count=#true``: limits while many routers start at once."""
         self.check_structure(node, 0, ("list-calls", "store", "count"))
         if not node.properties:
             self.diagnostics.add(
                 node.offset,
                 "missing-value",
-                "'start' wants list-calls=50, the calls a second "
-                "that the list service bears of all routers, store=#true or count=#true",
+                "'start' needs list-calls=50 (the requests a second of all routers "
+                "that the list service can serve), store=#true or count=#true",
             )
         list_calls = self.read_property(
             node,
@@ -169,15 +169,15 @@
         self.start_options = StartupOptions(list_calls or 0.0, bool(store), bool(count))
 
     def read_replicas(self, node: KdlNode) -> None:
-        """``replicas "10.0.0.1:7100" stale="3s"``: the control replicas that are watched."""
+        """Read ``replicas "10.0.0.1:7100" stale="3s"``: the control replicas that are watched."""
         self.check_structure(node, MAX_ADDRESSES, ("stale",))
         stale_ns = self.read_property(node, "stale", values.parse_duration)
         if stale_ns is not None and not MIN_STALE_NS <= stale_ns <= MAX_STALE_NS:
             self.diagnostics.add(
                 node.properties["stale"].value_offset,
                 "bad-duration",
-                f"'stale' is from {MIN_STALE_NS // values.SECOND}s, as a replica hears from "
-                f"upstream once a second, to {MAX_STALE_NS // values.SECOND}s",
+                f"'stale' must be from {MIN_STALE_NS // values.SECOND}s, as a replica receives a response "
+                f"from its upstream once a second, to {MAX_STALE_NS // values.SECOND}s",
             )
             stale_ns = None
         addresses = self.read_addresses(node)
@@ -189,12 +189,12 @@
             self.control_replicas = ControlReplicas(addresses, stale_ns)
 
     def read_defaults(self, node: KdlNode) -> None:
-        """``defaults { ... }``: the policy of routes that do not say otherwise."""
+        """Read ``defaults { ... }``: the policy for all fields that a route does not state."""
         self.check_structure(node, 0, (), POLICY_NODES)
         self.defaults = self.policy_reader.read_policy(node)
 
     def read_budget(self, node: KdlNode, name: str) -> BudgetSettings:
-        """``budget "b" ratio=0.2 least="5/s" burst=20``."""
+        """Read ``budget "b" ratio=0.2 least="5/s" burst=20``."""
         self.check_structure(node, 1, ("ratio", "least", "burst"))
         ratio = self.read_property(
             node,
@@ -215,7 +215,7 @@
         )
 
     def read_route(self, node: KdlNode, name: str) -> Route:
-        """``route "r" { match ...; ... }``, without the defaults."""
+        """Read ``route "r" { match ...; ... }``, without the defaults."""
         self.check_structure(node, 1, (), (*POLICY_NODES, "match"))
         matches = [child for child in node.children if child.name == "match"]
         match = RouteMatch()
@@ -225,13 +225,13 @@
             self.diagnostics.add(
                 node.offset,
                 "missing-value",
-                f"route {abbreviated(name)} has no 'match'; an empty one takes all",
+                f"route {abbreviated(name)} has no 'match'; an empty one matches all requests",
             )
         for repeated in matches[1:]:
             self.diagnostics.add(
                 repeated.offset,
                 "duplicate-node",
-                f"route {abbreviated(name)} has a 'match' already; one takes lists, such as class=\"a,b\"",
+                f"route {abbreviated(name)} has a second 'match'; write lists in one, such as class=\"a,b\"",
             )
         match_offset = matches[0].offset if matches else node.offset
         return Route(
@@ -243,7 +243,7 @@
         )
 
     def check_budget_names(self, file: OperatorFile) -> None:
-        """Note budgets that are named and not declared, and those that are declared and not named."""
+        """Report budgets that are used and not declared, and budgets that are declared and not used."""
         known = [budget.name for budget in file.budgets]
         for name, offset in self.policy_reader.budget_uses:
             if name not in known:
@@ -258,12 +258,12 @@
                 self.diagnostics.add(
                     budget.position,
                     "unused-budget",
-                    f"nobody uses budget {abbreviated(budget.name)}; "
-                    "name it at 'attempts' or 'copies', or take it out",
+                    f"budget {abbreviated(budget.name)} is not used; "
+                    "name it at 'attempts' or 'copies', or remove it",
                 )
 
 
-# Nodes at the top that may stand once.
+# Top-level nodes that may occur once.
 SINGLE_NODE_READERS: dict[str, Callable[[OperatorFileReader, KdlNode], None]] = {
     "kelpcroft": OperatorFileReader.read_version,
     "control": OperatorFileReader.read_control,
--- a/kelpcroft/operator_file/replica.py
+++ b/kelpcroft/operator_file/replica.py
@@ -1,14 +1,15 @@
-"""A control replica's file.
+"""The file of a control replica, and its reader.
 
     control-replica version=1
     listen "10.0.0.1:7100"
     list-service "10.0.0.9:7000"             // one or more; or
-    peer "10.0.0.2:7100"                     // other control replicas, tried in turn with it
-    lease "3s"                               // without word from upstream it is stale after this
-    batch "400ms"                            // between two answers to one watcher
-    watches 1000                             // at the most; more are refused
+    peer "10.0.0.2:7100"                     // other control replicas, used as upstreams too
+    lease "3s"                               // a state that upstream last confirmed before this is stale
+    batch "400ms"                            // interval between two responses to one watcher
+    watches 1000                             // maximum; further watch requests are rejected
 
-Read like the operator's file: KDL, every fault with its position and a stable code, all of them at once.
+Read like the operator's file: it is KDL, and all diagnostics are reported at once, each with its position and
+a stable code.
 """
 
 from __future__ import annotations
@@ -32,17 +33,17 @@
 MS = values.MS
 SECOND = values.SECOND
 HEAD = "control-replica"
-LEASE_RANGE_NS = (2 * SECOND, 60 * SECOND)  # upstream is heard once a second
-BATCH_RANGE_NS = (10 * MS, 1 * SECOND)  # more would keep news back for longer than purges may take
+LEASE_RANGE_NS = (2 * SECOND, 60 * SECOND)  # upstream sends a response once a second
+BATCH_RANGE_NS = (10 * MS, 1 * SECOND)  # a longer interval would delay events by more than purges may take
 MAX_WATCHES = 10_000
-FILE_OFFSET = 0  # of what a file lacks
+FILE_OFFSET = 0  # of diagnostics for missing nodes
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class ControlReplicaFile:
-    """What such a file says."""
+    """The contents of a control replica's file."""
 
     listen: Address = ("127.0.0.1", 0)
     list_services: tuple[Address, ...] = ()
@@ -53,7 +54,7 @@
 
 
 def load(data: bytes) -> tuple[ControlReplicaFile, list[Diagnostic]]:
-    """A file's bytes, and all that is wrong with them."""
+    """Parse the bytes of a file.  Returns its contents and all diagnostics."""
     diagnostics = DiagnosticCollector()
     file = ControlReplicaFile()
     with suppress(TooManyDiagnostics):
@@ -62,95 +63,97 @@
 
 
 class ReplicaFileReader(NodeReader):
-    """Reads one file; what nodes may hold is checked as in the operator's file."""
+    """Reads one file, and checks the structure of its nodes as in the operator's file."""
 
     def __init__(self, diagnostics: DiagnosticCollector) -> None:
         super().__init__(diagnostics)
-        self.file = ControlReplicaFile()  # as far as it was read
+        self.file = ControlReplicaFile()  # the contents that were read so far
         self.node_offsets: dict[str, int] = {}
 
     def read_file(self, nodes: Iterable[KdlNode]) -> ControlReplicaFile:
-        """The whole file; what it does not say, or not well, has its default."""
+        """Read a complete file.  Values that are missing or invalid have their defaults."""
         for index, node in enumerate(nodes):
             if index == 0 and node.name != HEAD:
                 self.diagnostics.add(
                     node.offset,
                     "no-version",
-                    f"the first node is '{HEAD} version={VERSION}', not {abbreviated(node.name)}",
+                    f"the first node must be '{HEAD} version={VERSION}', not {abbreviated(node.name)}",
                 )
             self.read_top_level_node(node)
         self.check_needed_nodes()
         return self.file
 
     def read_top_level_node(self, node: KdlNode) -> None:
-        """A node at the top, each of which may stand once."""
+        """Read a top-level node.  Each may occur once, and a repeated one is reported."""
         if node.name not in NODE_READERS:
             self.diagnostics.add(
                 node.offset,
                 "unknown-node",
-                f"a replica's file holds no {abbreviated(node.name)}{suggestion(node.name, NODE_READERS)}",
+                f"unknown node {abbreviated(node.name)}{suggestion(node.name, NODE_READERS)}",
             )
         elif node.name in self.node_offsets:
             line = self.line_of(self.node_offsets[node.name])
             self.diagnostics.add(
-                node.offset, "duplicate-node", f"{node.name!r} stands at line {line} already"
+                node.offset, "duplicate-node", f"{node.name!r} already occurs at line {line}"
             )
         else:
             self.node_offsets[node.name] = node.offset
             NODE_READERS[node.name](self, node)
 
     def check_needed_nodes(self) -> None:
-        """An address to listen at, and something to listen to."""
+        """Report a missing address to listen on, and missing upstreams."""
         if "listen" not in self.node_offsets:
             self.note_missing("listen", '"10.0.0.1:7100"')
         if "list-service" not in self.node_offsets and "peer" not in self.node_offsets:
             self.note_missing("list-service", '"10.0.0.9:7000"')
 
     def note_missing(self, name: str, example: str) -> None:
-        """A node is missing that the file needs."""
+        """Report that a required node is missing."""
         self.diagnostics.add(
             FILE_OFFSET, "missing-value", f"there is no {name}; add one, as {name} {example}"
         )
 
     def read_version(self, node: KdlNode) -> None:
-        """``control-replica version=1``."""
+        """Read ``control-replica version=1``."""
         self.check_structure(node, 0, ("version",))
         found = node.properties.get("version")
         if found is None or found.value != VERSION or isinstance(found.value, bool):
             offset = node.offset if found is None else found.value_offset
-            self.diagnostics.add(offset, "unknown-version", f"{HEAD} version={VERSION} is known here")
+            self.diagnostics.add(
+                offset, "unknown-version", f"unsupported version; write {HEAD} version={VERSION}"
+            )
 
     def read_listen(self, node: KdlNode) -> None:
-        """``listen "10.0.0.1:7100"``."""
+        """Read ``listen "10.0.0.1:7100"``."""
         self.check_structure(node, 1, ())
         address = self.read_argument(node, values.parse_address, 'an address, as in listen "10.0.0.1:7100"')
         if address is not None:
             self.file = replace(self.file, listen=address)
 
     def read_list_services(self, node: KdlNode) -> None:
-        """``list-service "10.0.0.9:7000"``, one or more."""
+        """Read ``list-service "10.0.0.9:7000"``, one or more addresses."""
         self.check_structure(node, len(node.arguments), ())
         self.file = replace(self.file, list_services=self.read_addresses(node))
 
     def read_peers(self, node: KdlNode) -> None:
-        """``peer "10.0.0.2:7100"``, one or more."""
+        """Read ``peer "10.0.0.2:7100"``, one or more addresses."""
         self.check_structure(node, len(node.arguments), ())
         self.file = replace(self.file, peers=self.read_addresses(node))
 
     def read_lease(self, node: KdlNode) -> None:
-        """``lease "3s"``."""
+        """Read ``lease "3s"``."""
         lease_ns = self.read_duration_within(node, LEASE_RANGE_NS)
         if lease_ns is not None:
             self.file = replace(self.file, lease_ns=lease_ns)
 
     def read_batch(self, node: KdlNode) -> None:
-        """``batch "400ms"``."""
+        """Read ``batch "400ms"``."""
         batch_ns = self.read_duration_within(node, BATCH_RANGE_NS)
         if batch_ns is not None:
             self.file = replace(self.file, batch_ns=batch_ns)
 
     def read_watches(self, node: KdlNode) -> None:
-        """``watches 1000``."""
+        """Read ``watches 1000``."""
         self.check_structure(node, 1, ())
         watches = self.read_argument(
             node, lambda raw: values.parse_count(raw, 1, MAX_WATCHES), "a count, as in watches 1000"
@@ -159,7 +162,7 @@
             self.file = replace(self.file, watches=watches)
 
     def read_duration_within(self, node: KdlNode, bounds_ns: tuple[int, int]) -> int | None:
-        """A node's argument as a duration between two others, in ns."""
+        """Parse a node's argument as a duration between two bounds, in ns.  Returns None if it is invalid."""
         self.check_structure(node, 1, ())
         duration_ns: int | None = self.read_argument(
             node, values.parse_duration, f'a time, as in {node.name} "500ms"'
@@ -172,7 +175,7 @@
         self.diagnostics.add(
             node.arguments[0].offset,
             "bad-duration",
-            f"{node.name!r} is from {min_ns // MS}ms to {max_ns // MS}ms",
+            f"{node.name!r} must be from {min_ns // MS}ms to {max_ns // MS}ms",
         )
         return None
 
--- a/kelpcroft/operator_file/route_rules.py
+++ b/kelpcroft/operator_file/route_rules.py
@@ -1,6 +1,6 @@
-"""Rules that a route's policy must keep: by itself, in a deployment, and for each class that it takes.
+"""Rules for the policy of a route: by itself, in a deployment, and for each class that the route matches.
 
-Each function notes what breaks a rule in a DiagnosticCollector, at the position where the file states it.
+Each broken rule is reported to a DiagnosticCollector, at the position of the policy's field in the file.
 """
 
 from __future__ import annotations
@@ -10,15 +10,16 @@
 from kelpcroft.operator_file.model import Route
 from kelpcroft.operator_file.values import format_duration
 
-MIN_ATTEMPTS_WITH_A_BACKOFF = 2  # a back-off in a route without a number of attempts waits at least once
+# Assumed attempts of a route with a back-off and no number of attempts: it waits at least once.
+MIN_ATTEMPTS_WITH_A_BACKOFF = 2
 RISK_BY_IDEMPOTENCY = {
     api.Idempotency.UNSAFE: "must never run twice",
-    api.Idempotency.KEYED: "may be repeated only where its repeats are dropped",
+    api.Idempotency.KEYED: "may be repeated only where duplicates are dropped",
 }
 
 
 class RouteRules:
-    """The rules for one route."""
+    """Checks the rules for one route."""
 
     def __init__(self, route: Route, diagnostics: DiagnosticCollector) -> None:
         self.route = route
@@ -26,24 +27,24 @@
         self.diagnostics = diagnostics
 
     def note(self, field: str, code: str, message: str) -> None:
-        """Note a diagnostic at the position of a field of the policy; the route's where it has none."""
+        """Report a diagnostic at the position of a field of the policy, or else at the route's."""
         position = self.policy.positions.get(field, self.route.position)
         self.diagnostics.add(position, code, f"route {abbreviated(self.route.name)}: {message}")
 
     def longest_backoff_ns(self) -> int:
-        """All waits between attempts together; 0 without a back-off."""
+        """The upper bound of the sum of all waits between attempts; 0 without a back-off."""
         if not self.policy.backoff:
             return 0
         return self.policy.backoff.longest_total_ns(self.attempts_with_backoff())
 
     def attempts_with_backoff(self) -> int:
-        """Attempts that a back-off is reckoned with."""
+        """The number of attempts for which waits are computed."""
         return self.policy.max_attempts or MIN_ATTEMPTS_WITH_A_BACKOFF
 
     # By itself ----------------------------------------------------------------------------------------------
 
     def check_alone(self) -> None:
-        """The parts of the policy against each other, as far as that needs no deployment."""
+        """Check the fields of the policy against each other, where that needs no deployment."""
         policy = self.policy
         answer_ns = policy.answer_timeout.ns if policy.answer_timeout else 0
         attempt_ns = policy.attempt_timeout.longest_ns() if policy.attempt_timeout else 0
@@ -55,11 +56,11 @@
                 "backoff",
                 "backoff-over-wait",
                 f"its waits between {self.attempts_with_backoff()} attempts come to "
-                f"{format_duration(longest_ns)}, the whole answer has {format_duration(answer_ns)}",
+                f"{format_duration(longest_ns)}, but the response timeout is {format_duration(answer_ns)}",
             )
 
     def check_attempt_alone(self, answer_ns: int, attempt_ns: int) -> None:
-        """An attempt's time against the whole answer's; 0 = not stated."""
+        """Check the attempt timeout against the response timeout; 0 = not stated."""
         timeout = self.policy.attempt_timeout
         if not answer_ns:
             return
@@ -68,18 +69,18 @@
                 "attempt_timeout",
                 "attempt-over-route",
                 f"an attempt may take {format_duration(attempt_ns)} "
-                f"and the whole answer {format_duration(answer_ns)}",
+                f"and the complete response {format_duration(answer_ns)}",
             )
         elif timeout and timeout.min_ns > answer_ns:
             self.note(
                 "attempt_timeout",
                 "attempt-over-route",
-                f"an attempt has {format_duration(timeout.min_ns)} at the least, "
-                f"the whole answer {format_duration(answer_ns)}",
+                f"an attempt has at least {format_duration(timeout.min_ns)}, "
+                f"the complete response {format_duration(answer_ns)}",
             )
 
     def check_hedging_alone(self, answer_ns: int, attempt_ns: int) -> None:
-        """When a copy is due, against an attempt's time and the whole answer's; 0 = not stated."""
+        """Check the hedge delay against the attempt timeout and the response timeout; 0 = not stated."""
         hedging = self.policy.hedging
         if not hedging or not hedging.max_hedges:
             return
@@ -88,21 +89,21 @@
             self.note(
                 "hedging",
                 "copy-after-attempt",
-                f"a copy is due after {format_duration(delay_ns)}, when the attempt has ended at its "
-                f"time-out of {format_duration(attempt_ns)}",
+                f"a copy is sent after {format_duration(delay_ns)}, when the attempt has ended at its "
+                f"timeout of {format_duration(attempt_ns)}",
             )
         if answer_ns and delay_ns >= answer_ns:
             self.note(
                 "hedging",
                 "copy-after-attempt",
-                f"a copy is due after {format_duration(delay_ns)}, "
-                f"past the whole wait of {format_duration(answer_ns)}",
+                f"a copy is sent after {format_duration(delay_ns)}, "
+                f"not before the response timeout of {format_duration(answer_ns)}",
             )
 
     # In a deployment ----------------------------------------------------------------------------------------
 
     def check_deployment(self, limits: api.Limits) -> None:
-        """The policy against the limits of a deployment."""
+        """Check the policy against the limits of a deployment."""
         policy = self.policy
         max_sends = limits.max_attempts
         if policy.max_attempts is not None and policy.max_attempts > max_sends:
@@ -115,14 +116,14 @@
             self.note(
                 "max_reroutes",
                 "moves-over-deployment",
-                f"{policy.max_reroutes} moves behind the first send; "
-                f"the deployment allows {max_sends} in all",
+                f"{policy.max_reroutes} moves after the first send; "
+                f"the deployment allows {max_sends} sends in total",
             )
         self.check_hedging_in_deployment(limits)
         self.check_pause_in_deployment(limits)
 
     def check_hedging_in_deployment(self, limits: api.Limits) -> None:
-        """Whether second copies are allowed, and so many."""
+        """Check that the deployment allows hedges, and this number of them."""
         hedging = self.policy.hedging
         if not hedging or not hedging.max_hedges:
             return
@@ -137,31 +138,31 @@
             )
 
     def check_pause_in_deployment(self, limits: api.Limits) -> None:
-        """Whether clients may be asked to pause, and for that long."""
+        """Check that the deployment allows a pause in rejections, and one of this length."""
         pause_ns = self.policy.retry_after_ns
         if not pause_ns:
             return
         if not limits.may_send_retry_after:
-            self.note("retry_after_ns", "pause-forbidden", "the deployment tells clients no pause")
+            self.note("retry_after_ns", "pause-forbidden", "the deployment does not allow a pause")
         elif pause_ns > limits.max_retry_after_ns > 0:
             self.note(
                 "retry_after_ns",
                 "pause-too-long",
-                f"a pause of {format_duration(pause_ns)}, of which "
-                f"the deployment allows {format_duration(limits.max_retry_after_ns)}",
+                f"a pause of {format_duration(pause_ns)}; "
+                f"the deployment allows at most {format_duration(limits.max_retry_after_ns)}",
             )
 
     # For a class --------------------------------------------------------------------------------------------
 
     def check_class(self, request_class: api.RequestClass) -> None:
-        """The policy against one class whose requests the route takes."""
+        """Check the policy against a class whose requests the route matches."""
         if request_class.idempotency is not api.Idempotency.SAFE:
             self.check_repeats(request_class)
         if request_class.deadline_ns:
             self.check_deadline(request_class)
 
     def check_repeats(self, request_class: api.RequestClass) -> None:
-        """A class whose requests must not run twice: no second attempt and no second copy."""
+        """Check a class that is not safe: no second attempt if it is unsafe, and no hedge in any case."""
         policy = self.policy
         named = f"class {abbreviated(request_class.name)}"
         risk = RISK_BY_IDEMPOTENCY[request_class.idempotency]
@@ -183,7 +184,7 @@
             )
 
     def check_deadline(self, request_class: api.RequestClass) -> None:
-        """The policy against the time after which clients of a class give up."""
+        """Check the policy against the time after which clients of a class cancel."""
         timeout = self.policy.answer_timeout
         deadline_ns = request_class.deadline_ns
         if timeout and timeout.ns > deadline_ns:
@@ -191,17 +192,17 @@
                 "answer_timeout",
                 "wait-over-class",
                 f"a wait of {format_duration(timeout.ns)}, but clients of class "
-                f"{abbreviated(request_class.name)} give up after {format_duration(deadline_ns)}",
+                f"{abbreviated(request_class.name)} cancel after {format_duration(deadline_ns)}",
             )
-        elif not timeout or not timeout.ns:  # else check_alone compared its parts with it
+        elif not timeout or not timeout.ns:  # check_alone compares the other fields with a stated duration
             answer_ns = timeout.within(deadline_ns) if timeout else deadline_ns
             self.check_parts_within(answer_ns, request_class)
 
     def check_parts_within(self, answer_ns: int, request_class: api.RequestClass) -> None:
-        """The parts of the policy against the time for the whole answer of a class."""
+        """Check the times of the policy against the response timeout for a class."""
         policy = self.policy
         whole = (
-            f"the whole answer of class {abbreviated(request_class.name)} has {format_duration(answer_ns)}"
+            f"the response timeout of class {abbreviated(request_class.name)} is {format_duration(answer_ns)}"
         )
         attempt_ns = 0
         if policy.attempt_timeout:
@@ -217,7 +218,7 @@
             self.note(
                 "hedging",
                 "copy-after-attempt",
-                f"a copy is due after {format_duration(hedging.delay.shortest_ns())}; {whole}",
+                f"a copy is sent after {format_duration(hedging.delay.shortest_ns())}; {whole}",
             )
         longest_ns = self.longest_backoff_ns()
         if policy.backoff and longest_ns >= answer_ns:
--- a/kelpcroft/operator_file/service.py
+++ b/kelpcroft/operator_file/service.py
@@ -1,4 +1,4 @@
-"""The operator's file as the serving process reads it: whole at its start, in steps while it serves."""
+"""Reads the operator's file for a serving process: at once at the start, in steps while it serves."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def load_at_start(path: str, settings: api.Settings) -> OperatorFileRead:
-    """The file with which a router starts.
+    """Load the file at the start of a router.
 
     Raises:
-        ConfigError: It cannot be used; a line for each fault.  Nobody wants a router that starts without the
-            bounds it was given.
+        ConfigError: The file cannot be used; the message has a line for each diagnostic.  The start fails, as
+            a router must not serve without the limits that its operators set.
     """
     try:
         data = read_bytes(path)
@@ -30,6 +30,6 @@
 
 
 def reload_steps(path: str, settings: api.Settings) -> Iterator[OperatorFileRead | None]:
-    """A file that is read again: None for each step, then what came of it."""
+    """Read the file again.  Yields None after each step, then the result."""
     file_read = yield from read_steps(path, settings)
     yield file_read
--- a/kelpcroft/operator_file/text.py
+++ b/kelpcroft/operator_file/text.py
@@ -1,7 +1,7 @@
-"""Bytes to a tree of KDL nodes in which every node, argument and property knows its offset in the text.
+"""The KDL parser: from bytes to a tree of nodes, arguments and properties, each with its offset in the text.
 
-ckdl parses and ``NodeLocator`` finds where each node stands; ``attach_offsets`` lays one beside the other.
-The locator runs first, as it also enforces the limits.  Both go node by node at the top.
+ckdl parses the values, and ``NodeLocator`` finds the offset of each node; ``attach_offsets`` combines both
+results.  The locator runs first, as it also enforces the limits.  Both process one top-level node at a time.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 MAX_FILE_BYTES = 1 << 20
 FILE_START = FilePosition(1, 1)
-EXCERPT_CHARACTERS = 30  # of the text, in a message
+EXCERPT_CHARACTERS = 30  # of the file's text, in a message
 
 Value = str | int | float | bool | None
 
 
 class KdlArgument(NamedTuple):
-    """An argument of a node, and its offset into the text."""
+    """An argument of a node, and its offset in the text."""
 
     value: Value
     offset: int
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class KdlProperty:
-    """A property's value, with the offsets of its key and of itself into the text."""
+    """The value of a property, and the offsets of its key and its value in the text."""
 
     value: Value
     key_offset: int
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class KdlNode:
-    """A node with its offset into the text."""
+    """A node, and its offset in the text."""
 
     name: str
     offset: int
@@ -50,12 +50,13 @@
 
 
 def parse_nodes(data: bytes, diagnostics: DiagnosticCollector) -> Iterator[KdlNode]:
-    """The nodes at the top of a file, one at a time, as a whole tree of a large file takes much memory.
+    """Parse the top-level nodes of a file one at a time: the tree of a large file takes much memory.
 
-    What is no KDL is noted in ``diagnostics`` and left out; that also learns the file's text, for positions.
+    Nodes that are not valid KDL are reported to ``diagnostics`` and left out.  The text of the file becomes
+    the source of ``diagnostics``, which computes positions from it.
 
     Raises:
-        TooManyDiagnostics: The file has more faults than are kept.
+        TooManyDiagnostics: The file has MAX_DIAGNOSTICS errors or more.
     """
     text = decode_text(data, diagnostics)
     if text is None:
@@ -69,9 +70,9 @@
 
 
 def decode_text(data: bytes, diagnostics: DiagnosticCollector) -> str | None:
-    """A file's text, or None and a diagnostic where it is too large or no UTF-8."""
+    """Decode a file.  Returns None, and reports it, where the file is too large or not UTF-8."""
     if len(data) > MAX_FILE_BYTES:
-        diagnostics.add(FILE_START, "too-large", f"over {MAX_FILE_BYTES} bytes")
+        diagnostics.add(FILE_START, "too-large", f"the file has over {MAX_FILE_BYTES} bytes")
         return None
     try:
         return data.decode()
@@ -80,13 +81,13 @@
         diagnostics.add(
             SourceText(before).position_of(len(before)),
             "not-utf8",
-            f"byte {data[error.start]:#04x} begins no UTF-8 character; save the file as UTF-8",
+            f"byte {data[error.start]:#04x} does not begin a UTF-8 character; save the file as UTF-8",
         )
         return None
 
 
 def parse_node(text: str, span: NodeSpan, diagnostics: DiagnosticCollector) -> list[KdlNode]:
-    """One node at the top; none, and diagnostics, where it cannot be parsed."""
+    """Parse one top-level node.  Returns an empty list, and reports it, where the node cannot be parsed."""
     try:
         nodes = ckdl.parse(text[span.offset : span.end], version=2).nodes
     except ValueError as error:
@@ -98,7 +99,7 @@
 
 
 def innermost_broken_node(text: str, broken: NodeSpan) -> int:
-    """Where the parser's fault is: the offset of the innermost node that does not parse on its own."""
+    """The offset of the innermost node that does not parse by itself: the place of the parser's error."""
     offset = broken.offset
     children = broken.children
     while True:
@@ -112,7 +113,7 @@
 
 
 def parses_alone(text: str, span: NodeSpan) -> bool:
-    """Whether the parser takes a node by itself."""
+    """Whether a node parses by itself."""
     try:
         ckdl.parse(text[span.offset : span.end], version=2)
     except ValueError:
@@ -123,9 +124,9 @@
 def attach_offsets(
     nodes: list[ckdl.Node], spans: list[NodeSpan], diagnostics: DiagnosticCollector
 ) -> list[KdlNode]:
-    """Parsed nodes with their offsets.  Where both passes disagree the file is refused, not guessed at."""
+    """Combine parsed nodes with their offsets.  Where parser and locator disagree, the file is rejected."""
     if len(nodes) != len(spans):
-        diagnostics.add(FILE_START, "not-kdl", f"{len(nodes)} nodes were parsed where {len(spans)} stand")
+        diagnostics.add(FILE_START, "not-kdl", f"{len(nodes)} nodes were parsed, but {len(spans)} located")
         return []
     located: list[KdlNode] = []
     for node, span in zip(nodes, spans, strict=True):
@@ -136,7 +137,7 @@
             diagnostics.add(
                 span.offset,
                 "not-kdl",
-                f"the parts of {abbreviated(node.name)} cannot be told apart; "
+                f"the arguments and properties of {abbreviated(node.name)} cannot be located; "
                 "write them without escapes and comments",
             )
             continue
@@ -153,14 +154,14 @@
 def locate_properties(
     parsed: Mapping[str, object], span: NodeSpan, diagnostics: DiagnosticCollector
 ) -> dict[str, KdlProperty]:
-    """A node's properties by key; a key that stands twice is noted, and its last value taken."""
+    """A node's properties by key.  A repeated key is reported, and its last value is used."""
     properties: dict[str, KdlProperty] = {}
     for key, key_offset, value_offset in span.properties:
         if key in properties:
-            diagnostics.add(key_offset, "duplicate-key", f"{key!r} stands here twice; the last would win")
+            diagnostics.add(key_offset, "duplicate-key", f"{key!r} occurs twice; write it once")
         if key not in parsed:
             diagnostics.add(
-                key_offset, "not-kdl", f"{abbreviated(key)} cannot be told apart; write it without escapes"
+                key_offset, "not-kdl", f"{abbreviated(key)} cannot be located; write it without escapes"
             )
             continue
         properties[key] = KdlProperty(without_annotation(parsed[key]), key_offset, value_offset)
@@ -168,7 +169,7 @@
 
 
 def without_annotation(value: object) -> Value:
-    """A value without its type annotation, which means nothing here."""
+    """A value without its type annotation, which has no meaning in this file."""
     if isinstance(value, (str, int, float, bool)):
         return value
     return without_annotation(value.value) if isinstance(value, ckdl.Value) else None
--- a/kelpcroft/operator_file/values.py
+++ b/kelpcroft/operator_file/values.py
@@ -1,7 +1,7 @@
 """Parsers of the file's values: durations, shares, quantiles, rates, ranges, lists.
 
-Each raises InvalidValue.  It takes whatever a KDL value may be, and refuses what has the wrong type with an
-example of the right one.
+Each parser accepts any KDL value and raises InvalidValue for an invalid one.  The message for a value of the
+wrong type has an example of the right type.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 }
 
 
-class InvalidValue(ValueError):  # noqa: N818 - a value of the operator's file, and no error of the program
-    """A value that cannot be used.
+class InvalidValue(ValueError):  # noqa: N818 - describes a value of the operator's file, not a program error
+    """A value cannot be used.
 
     Attributes:
-        code: The rule that it breaks, see Diagnostic.code.
-        reason: What is wrong, for people.
+        code: The rule that the value breaks, see Diagnostic.code.
+        reason: The message for operators.
     """
 
     def __init__(self, code: str, reason: str) -> None:
@@ -56,31 +56,33 @@
 
 
 def parse_text(value: object, what: str) -> str:
-    """A string without the blanks at its ends; ``what`` is a key of EXAMPLES."""
+    """Parse a string and strip whitespace at both ends; ``what`` is a key of EXAMPLES."""
     if not isinstance(value, str):
         raise InvalidValue(
-            "wrong-type", f"{what} is written as text, such as {EXAMPLES[what]}, not {abbreviated(value)}"
+            "wrong-type", f"{what} must be a string, such as {EXAMPLES[what]}, not {abbreviated(value)}"
         )
     return value.strip()
 
 
 def parse_duration(value: object, what: str = "a duration") -> int:
-    """Nanoseconds, above 0 and at most a day."""
+    """Parse a duration, above 0 and at most one day, to nanoseconds."""
     text = parse_text(value, what)
     match = DURATION.fullmatch(text)
     if not match:
         raise InvalidValue(
-            "bad-duration", f"{abbreviated(text)} is no duration; write one as {EXAMPLES[what]}"
+            "bad-duration", f"{abbreviated(text)} is not a duration; write one as {EXAMPLES[what]}"
         )
     number, unit = match[1], match[2]
     if number.lstrip("-") in ("inf", "nan"):
-        raise InvalidValue("bad-duration", f"{abbreviated(text)} has no end; a day is the most")
+        raise InvalidValue("bad-duration", f"{abbreviated(text)} is not finite; the maximum is a day")
     if not unit:
         raise InvalidValue(
-            "bad-duration", f"{abbreviated(text)} has no unit; {number}ms and {number}s are two of them"
+            "bad-duration", f"{abbreviated(text)} has no unit; write {number}ms or {number}s, for example"
         )
     if unit not in UNITS_NS:
-        raise InvalidValue("bad-duration", f"{abbreviated(unit)} is no unit; there are {', '.join(UNITS_NS)}")
+        raise InvalidValue(
+            "bad-duration", f"{abbreviated(unit)} is not a unit; units are {', '.join(UNITS_NS)}"
+        )
     ns = round(float(number) * UNITS_NS[unit])
     if ns <= 0:
         raise InvalidValue("bad-duration", f"{abbreviated(text)} is not above 0")
@@ -90,20 +92,20 @@
 
 
 def format_duration(ns: int) -> str:
-    """A time in ns as the file would write it: in ms under a second, else in s."""
+    """Format a time in ns as in the file: in ms below one second, else in s."""
     return f"{ns / SECOND:g}s" if ns >= SECOND else f"{ns / MS:g}ms"
 
 
 def parse_address(value: object) -> tuple[str, int]:
-    """``host:port`` as a socket wants it."""
+    """Parse ``host:port`` to the address form of the socket module."""
     address = parse_host_port(parse_text(value, "an address"))
     if address is None:
-        raise InvalidValue("bad-address", f"{abbreviated(value)} is no address; host:port would do")
+        raise InvalidValue("bad-address", f"{abbreviated(value)} is not an address; write host:port")
     return address
 
 
 def parse_share(value: object) -> float | None:
-    """A share above 0 and up to 1 from a text in percent; None for what is not written in percent."""
+    """Parse a percentage to a share above 0 and at most 1.  Returns None if the value is not a percentage."""
     match = SHARE.fullmatch(value.strip()) if isinstance(value, str) else None
     if not match:
         return None
@@ -114,7 +116,7 @@
 
 
 def parse_quantile(value: object) -> float | None:
-    """A quantile (0 to 1) from a text as ``p95``, p50 to p99.9; None for what is not written so."""
+    """Parse ``p50`` to ``p99.9`` to a quantile (0 to 1).  Returns None if the value has another form."""
     match = QUANTILE.fullmatch(value.strip()) if isinstance(value, str) else None
     if not match:
         return None
@@ -125,12 +127,12 @@
 
 
 def parse_rate(value: object) -> float:
-    """So many a second, from 0 to MAX_RATE_PER_S."""
+    """Parse a rate, from 0 to MAX_RATE_PER_S, to a number per second."""
     text = parse_text(value, "a rate")
     match = RATE.fullmatch(text)
     if not match or match[2] not in SECONDS_BY_RATE_UNIT:
         raise InvalidValue(
-            "bad-rate", f'{abbreviated(text)} is no rate; write one a second or a minute, as "5/s" or "30/m"'
+            "bad-rate", f'{abbreviated(text)} is not a rate; write one per second or minute: "5/s" or "30/m"'
         )
     per_s = float(match[1]) / SECONDS_BY_RATE_UNIT[match[2]]
     if not 0 <= per_s <= MAX_RATE_PER_S:
@@ -139,39 +141,39 @@
 
 
 def parse_number(value: object, minimum: float, maximum: float, code: str) -> float:
-    """A number between two others, both included; ``code`` is the rule that one beyond them breaks."""
+    """Parse a number between two bounds, both included; ``code`` is the rule that limits it."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise InvalidValue("wrong-type", f"a number is due, not {abbreviated(value)}")
+        raise InvalidValue("wrong-type", f"expected a number, not {abbreviated(value)}")
     if not minimum <= value <= maximum:
         raise InvalidValue(code, f"{abbreviated(value)} is not from {minimum:g} to {maximum:g}")
     return float(value)
 
 
 def parse_count(value: object, minimum: int, maximum: int) -> int:
-    """A whole number between two others, both included."""
+    """Parse a whole number between two bounds, both included."""
     if isinstance(value, bool) or not isinstance(value, int):
-        raise InvalidValue("wrong-type", f"a whole number is due, not {abbreviated(value)}")
+        raise InvalidValue("wrong-type", f"expected a whole number, not {abbreviated(value)}")
     if not minimum <= value <= maximum:
         raise InvalidValue("bad-count", f"{abbreviated(value)} is not from {minimum} to {maximum}")
     return value
 
 
 def parse_flag(value: object) -> bool:
-    """#true or #false."""
+    """Parse #true or #false."""
     if not isinstance(value, bool):
-        raise InvalidValue("wrong-type", f"#true or #false is due, not {abbreviated(value)}")
+        raise InvalidValue("wrong-type", f"expected #true or #false, not {abbreviated(value)}")
     return value
 
 
 def parse_range(value: object, allowed: tuple[int, int]) -> tuple[int, int]:
-    """A range as ``8``, ``8..19``, ``8..`` or ``..19``, both ends included, within the allowed one."""
+    """Parse ``8``, ``8..19``, ``8..`` or ``..19``, both ends included, to a range within the allowed one."""
     if isinstance(value, int) and not isinstance(value, bool):
         value = str(value)
     text = parse_text(value, "a range")
     match = RANGE.fullmatch(text)
     if not match or not is_range(match):
         raise InvalidValue(
-            "bad-range", f"{abbreviated(text)} is no range; write one as 8, 8..19, 8.. or ..19"
+            "bad-range", f"{abbreviated(text)} is not a range; write one as 8, 8..19, 8.. or ..19"
         )
     low = int(match["low"]) if match["low"] else allowed[0]
     if match["high"]:
@@ -181,19 +183,21 @@
     else:
         high = low
     if low > high:
-        raise InvalidValue("bad-range", f"{abbreviated(text)} is upside down; did you mean {high}..{low}?")
+        raise InvalidValue(
+            "bad-range", f"{abbreviated(text)} has its ends reversed; did you mean {high}..{low}?"
+        )
     if low < allowed[0] or high > allowed[1]:
         raise InvalidValue("bad-range", f"{abbreviated(text)} is not within {allowed[0]}..{allowed[1]}")
     return low, high
 
 
 def is_range(match: re.Match[str]) -> bool:
-    """Whether what RANGE takes is a range: it has an end, and dots between two ends."""
+    """Whether a match of RANGE is a range: it has at least one end, and dots if it has both."""
     if match["low"] and match["high"]:
         return bool(match["dots"])
     return bool(match["low"] or match["high"])
 
 
 def parse_list(value: object, what: str = "a list") -> list[str]:
-    """A list, its members apart by commas; ``what`` is a key of EXAMPLES."""
+    """Parse a comma-separated list; ``what`` is a key of EXAMPLES."""
     return [word.strip() for word in parse_text(value, what).split(",")]
