--- a/kelpcroft/operator_file/diagnostics.py
+++ b/kelpcroft/operator_file/diagnostics.py
@@ -23,7 +23,7 @@
 MAX_DIAGNOSTICS = 1_000  # of one file; the rest of the file is not read
 MAX_SHOWN_CHARACTERS = 60  # of a value in a message
 MAX_COMPARED_CHARACTERS = 64  # of an unknown word that is compared with the known ones
-MAX_SUGGESTED_WORDS = 12  # of the known words, where none is similar
+MAX_SUGGESTED_WORDS = 12  # of the known words in a message, where none is similar
 MIN_SIMILARITY = 0.6  # of a suggested word, see difflib.get_close_matches
 NEWLINE = r"\r\n|[\n\r\x85\x0b\x0c\u2028\u2029]"  # KDL 2, "Newline"
 
--- a/kelpcroft/operator_file/explain.py
+++ b/kelpcroft/operator_file/explain.py
@@ -38,7 +38,7 @@
 MAX_REGIONS_OF_CLASS = 20_000  # into which one class is divided for a comparison
 MAX_COMPARED_PAIRS = 50 * MAX_REGIONS_OF_CLASS  # of regions of two files, in one class
 MAX_SHOWN_REGIONS = 4  # of one difference
-ANY_OBJECT = "0" * OBJECT_DIGITS
+ANY_OBJECT = "0" * OBJECT_DIGITS  # the object of a request for which none is given
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +133,7 @@
     ("retry_after_ns", "pause", format_duration),
 )
 
-# What follows for one request -----------------------------------------------------------------------------
+# Limits for one request -----------------------------------------------------------------------------------
 
 
 def longest_wait_ns(policy: RoutePolicy, request_class: api.RequestClass) -> int:
--- a/kelpcroft/operator_file/match_regions.py
+++ b/kelpcroft/operator_file/match_regions.py
@@ -19,7 +19,7 @@
 from kelpcroft.decision import interface as api
 from kelpcroft.operator_file.model import GROUP_RANGE, PART_RANGE, Range, Route, RouteMatch
 
-OBJECT_DIGITS = 16
+OBJECT_DIGITS = 16  # hex digits of an object identifier
 BITS_PER_DIGIT = 4
 OBJECT_RANGE: Range = (0, (1 << OBJECT_DIGITS * BITS_PER_DIGIT) - 1)
 FLAG_RANGES: dict[bool | None, Range] = {None: (0, 1), False: (0, 0), True: (1, 1)}
--- a/kelpcroft/operator_file/model.py
+++ b/kelpcroft/operator_file/model.py
@@ -9,9 +9,9 @@
 from kelpcroft.startup.options import StartupOptions
 
 Range = tuple[int, int]  # both ends included
-GROUP_RANGE: Range = (0, 255)
-PART_RANGE: Range = (0, 9_999)
-EFFECT_NAMES = ("safe", "keyed", "unsafe")
+GROUP_RANGE: Range = (0, 255)  # all groups of objects
+PART_RANGE: Range = (0, 9_999)  # all parts of an object
+EFFECT_NAMES = ("safe", "keyed", "unsafe")  # values of ``effect`` in a match
 # Outcomes of an attempt that may have run.  Outcomes that prove that nothing ran lead to a reroute instead,
 # see RoutePolicy.
 RETRYABLE_OUTCOMES = ("error", "reset", "timeout")
--- a/kelpcroft/operator_file/node_reader.py
+++ b/kelpcroft/operator_file/node_reader.py
@@ -16,7 +16,7 @@
 from kelpcroft.operator_file.text import KdlNode, Value
 from kelpcroft.operator_file.values import InvalidValue
 
-MAX_NAME_CHARACTERS = 64
+MAX_NAME_CHARACTERS = 64  # of a budget, a route or another named node
 MAX_ADDRESSES = 16  # of control replicas
 REPEATABLE_NODES = ("match",)  # the reader of a route reports a second one with a message of its own
 
--- a/kelpcroft/operator_file/policy_reader.py
+++ b/kelpcroft/operator_file/policy_reader.py
@@ -20,10 +20,10 @@
 from kelpcroft.operator_file.values import InvalidValue
 
 MAX_COUNT = 64  # of attempts, moves and copies in a file; the deployment has a limit of its own
-MAX_OPEN_REQUESTS = 1_000_000
+MAX_OPEN_REQUESTS = 1_000_000  # upper bound of ``limit open=``
 # Outcomes that prove that nothing ran.  The next send is then a reroute, which ``moves`` limits.
 OUTCOMES_NOT_RUN = {"miss", "full", "refused", "moot", "connect"}
-NO_HEDGING = Hedging(0, AdaptiveDuration(ns=1))
+NO_HEDGING = Hedging(0, AdaptiveDuration(ns=1))  # ``copies most=0``; the delay has no effect
 
 
 class PolicyField(NamedTuple):
--- a/kelpcroft/operator_file/reader.py
+++ b/kelpcroft/operator_file/reader.py
@@ -21,14 +21,14 @@
 from kelpcroft.operator_file.text import KdlNode
 from kelpcroft.startup.options import StartupOptions
 
-VERSION = 1
+VERSION = 1  # of the file's format
 MIN_STALE_NS = 2 * values.SECOND  # a replica receives a response from its upstream once a second
-MAX_STALE_NS = 60 * values.SECOND
-MIN_LIST_CALLS_PER_S = 0.1
-MAX_LIST_CALLS_PER_S = 1e6
-MAX_BUDGET_RATIO = 10
-MIN_BURST = 1
-DEFAULT_BURST = 10.0
+MAX_STALE_NS = 60 * values.SECOND  # upper bound of ``stale``
+MIN_LIST_CALLS_PER_S = 0.1  # lower bound of ``list-calls``
+MAX_LIST_CALLS_PER_S = 1e6  # upper bound of ``list-calls``
+MAX_BUDGET_RATIO = 10  # tokens per request
+MIN_BURST = 1  # tokens; fewer would never allow an attempt
+DEFAULT_BURST = 10.0  # tokens
 
 
 class OperatorFileReader(NodeReader):
--- a/kelpcroft/operator_file/replica.py
+++ b/kelpcroft/operator_file/replica.py
@@ -35,7 +35,7 @@
 HEAD = "control-replica"
 LEASE_RANGE_NS = (2 * SECOND, 60 * SECOND)  # upstream sends a response once a second
 BATCH_RANGE_NS = (10 * MS, 1 * SECOND)  # a longer interval would delay events by more than purges may take
-MAX_WATCHES = 10_000
+MAX_WATCHES = 10_000  # upper bound of ``watches``
 FILE_OFFSET = 0  # of diagnostics for missing nodes
 
 Address = tuple[str, int]
--- a/kelpcroft/operator_file/route_rules.py
+++ b/kelpcroft/operator_file/route_rules.py
@@ -12,7 +12,7 @@
 
 # Assumed attempts of a route with a back-off and no number of attempts: it waits at least once.
 MIN_ATTEMPTS_WITH_A_BACKOFF = 2
-RISK_BY_IDEMPOTENCY = {
+RISK_BY_IDEMPOTENCY = {  # reasons against a second run, for messages
     api.Idempotency.UNSAFE: "must never run twice",
     api.Idempotency.KEYED: "may be repeated only where duplicates are dropped",
 }
@@ -41,7 +41,7 @@
         """The number of attempts for which waits are computed."""
         return self.policy.max_attempts or MIN_ATTEMPTS_WITH_A_BACKOFF
 
-    # By itself ----------------------------------------------------------------------------------------------
+    # Without a deployment -----------------------------------------------------------------------------------
 
     def check_alone(self) -> None:
         """Check the fields of the policy against each other, where that needs no deployment."""
--- a/kelpcroft/operator_file/text.py
+++ b/kelpcroft/operator_file/text.py
@@ -15,8 +15,8 @@
 from kelpcroft.operator_file.diagnostics import DiagnosticCollector, FilePosition, SourceText, abbreviated
 from kelpcroft.operator_file.locator import KdlSyntaxError, NodeLocator, NodeSpan
 
-MAX_FILE_BYTES = 1 << 20
-FILE_START = FilePosition(1, 1)
+MAX_FILE_BYTES = 1 << 20  # a larger file is rejected without being parsed
+FILE_START = FilePosition(1, 1)  # position of diagnostics for the complete file
 EXCERPT_CHARACTERS = 30  # of the file's text, in a message
 
 Value = str | int | float | bool | None
--- a/kelpcroft/operator_file/values.py
+++ b/kelpcroft/operator_file/values.py
@@ -13,13 +13,13 @@
 
 MS = 10**6
 SECOND = 10**9
-DAY_NS = 86_400 * SECOND
+DAY_NS = 86_400 * SECOND  # upper bound of each duration
 UNITS_NS = {"us": 10**3, "ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3_600 * SECOND}
 SECONDS_BY_RATE_UNIT = {"s": 1, "m": 60}
-MAX_RATE_PER_S = 100_000.0
-MAX_BURST = 1_000_000.0
-MIN_PERCENTILE = 50.0
-MAX_PERCENTILE = 99.9
+MAX_RATE_PER_S = 100_000.0  # upper bound of each rate
+MAX_BURST = 1_000_000.0  # tokens of a budget
+MIN_PERCENTILE = 50.0  # lower bound of a quantile, in percent
+MAX_PERCENTILE = 99.9  # upper bound of a quantile, in percent
 
 NUMBER = r"-?(?:\d{1,18}(?:\.\d{1,18})?|inf|nan)"
 DURATION = re.compile(rf"({NUMBER})\s*([a-z]*)")
@@ -28,7 +28,7 @@
 RATE = re.compile(rf"({NUMBER})\s*/\s*([a-z]+)")
 RANGE = re.compile(r"(?P<low>\d{1,18})?\s*(?P<dots>\.\.)?\s*(?P<high>\d{1,18})?")
 
-EXAMPLES = {
+EXAMPLES = {  # for messages: a valid value of each kind
     "a duration": '"250ms"',
     "a wait": '"2.5s" or "80%"',
     "a moment": '"150ms" or "p95"',
--- a/kelpcroft/routes/__init__.py
+++ b/kelpcroft/routes/__init__.py
@@ -1,10 +1,10 @@
-"""The operator's routes in service: which route takes a request, and what that lets it cost.
+"""The operator's routes at run time: finds the route of a request and the limits that it sets.
 
-Owns the retry budgets, the quantiles of recent answers and the counts of open requests.  Pure: time is an
-argument, chance a seeded generator, and no socket, file or log is touched.  Imports the operator file's
-model and the decision module's interface only.  The reducer owns the one ``RouteTable``; what it grants
-reaches the decision package as a frozen policy.  Compiled with mypyc as a group of its own, as nothing of it
-is loaded without an operator's file.
+Owns the retry budgets, the quantiles of recent latencies and the counts of open requests.  Pure: time is an
+argument, randomness comes from a seeded generator, and no socket, file or log is used.  Imports only the
+operator file's model and the decision package's interface.  The reducer owns the only ``RouteTable``; the
+limits of a request reach the decision package as a frozen policy.  Compiled with mypyc as a group of its own,
+as none of it is loaded without an operator's file.
 
 Start reading at ``table``.
 """
--- a/kelpcroft/routes/budget.py
+++ b/kelpcroft/routes/budget.py
@@ -1,7 +1,7 @@
-"""Retry budget: further attempts and hedges as a share of recent requests.
+"""Retry budget: limits further attempts and hedges to a share of recent requests.
 
-A token bucket that requests fill, as in Finagle's and Envoy's retry budgets, and that time fills a little.
-What is saved is bounded.
+A token bucket that is filled by requests, as in Finagle's and Envoy's retry budgets, and slowly by time.  The
+number of tokens is limited.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class RetryBudget:
-    """Tokens.  Each request earns ``ratio``, each second ``min_per_s``; up to ``burst`` are kept.
+    """A token bucket.  Each request adds ``ratio`` tokens and each second ``min_per_s``, up to ``burst``.
 
-    A further attempt or a hedge takes one.  Never overdrawn: ``spend`` is the only way down, and takes
-    whole tokens.
+    A further attempt or a hedge takes one token.  The bucket is never overdrawn: only ``spend`` takes tokens,
+    one at a time, and none from a bucket with less than one token.
     """
 
     def __init__(self, settings: BudgetSettings, now: int) -> None:
@@ -30,7 +30,7 @@
         self.denied = 0
 
     def reconfigure(self, settings: BudgetSettings, now: int) -> None:
-        """New figures; what is kept stays, up to the new burst."""
+        """Apply new settings.  The tokens are kept, up to the new burst."""
         self.refill(now)
         self.ratio = settings.ratio
         self.min_per_s = settings.min_per_s
@@ -38,24 +38,24 @@
         self.tokens = min(self.tokens, self.burst)
 
     def refill(self, now: int) -> None:
-        """What time has earned up to ``now``, in ns; a clock that stood still earns nothing."""
+        """Add the tokens for the time up to ``now``, in ns; none if the clock has not advanced."""
         if now > self.refilled_ns:
             earned = self.min_per_s * (now - self.refilled_ns) / NS_PER_S
             self.tokens = min(self.burst, self.tokens + earned)
             self.refilled_ns = now
 
     def earn(self, now: int) -> None:
-        """One more request."""
+        """Add the tokens for one request."""
         self.refill(now)
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def can_spend(self, now: int) -> bool:
-        """Whether a token may be taken."""
+        """Whether a token is available."""
         self.refill(now)
         return self.tokens >= 1
 
     def spend(self, now: int) -> bool:
-        """Take a token; False, and nothing taken, where there is none."""
+        """Take a token.  Returns False, and takes nothing, if none is available."""
         if not self.can_spend(now):
             self.denied += 1
             return False
--- a/kelpcroft/routes/index.py
+++ b/kelpcroft/routes/index.py
@@ -1,11 +1,11 @@
-"""The first route that takes a request, at a cost that does not grow with the number of routes.
+"""Index of routes: finds the first route that matches a request, at a cost independent of their number.
 
-Routes are filed under the object prefixes that they name (none: the empty one); a request looks under each
-prefix length in use, 17 at the most.  Under a prefix, the first request of a class, retry and write builds
-their plane of groups and parts: for each run of groups that are treated alike, the runs of parts that one
-route takes.  Two bisections find the run of a request, and so its route.
+Routes are stored under their object prefixes (a route without any under the empty prefix).  A lookup tries
+each prefix length in use, at most 17.  Under a prefix, the first request of a combination of class, retry and
+write builds the plane of groups and parts for that combination: for each run of groups with the same routes,
+the runs of parts with the same first route.  Two bisections find the run of a request, and so its route.
 
-A route's place is its position in the file, from 0; of two that match, the one with the lower place counts.
+The place of a route is its position in the file, from 0; of two routes that match, the lower place wins.
 """
 
 from __future__ import annotations
@@ -18,55 +18,55 @@
 from kelpcroft.decision.interface import RequestClass
 from kelpcroft.operator_file.model import GROUP_RANGE, PART_RANGE, Range, Route
 
-NO_ROUTE: Final = 0xFFFFFFFF  # beyond the place of any route
-NOT_FOUND: Final = -1
-MAX_CELLS: Final = 40_000  # of a plane, runs of groups times routes; see largest_plane
-PlacedRoute = tuple[int, Route]  # with its place in the file, from 0
+NO_ROUTE: Final = 0xFFFFFFFF  # greater than the place of any route
+NOT_FOUND: Final = -1  # the result of RouteIndex.find for a request without a route
+MAX_CELLS: Final = 40_000  # of a plane, runs of groups times ranges of parts; see largest_plane
+PlacedRoute = tuple[int, Route]  # the place in the file, from 0, and the route
 
 
 class PartRuns:
-    """Runs of parts: where each starts, and the place of the earliest route that takes it, or NO_ROUTE."""
+    """Runs of parts: the start of each, and the place of the first route that matches it, or NO_ROUTE."""
 
     def __init__(self) -> None:
         self.starts: array[int] = array("L")
         self.places: array[int] = array("L")
 
     def add_cell(self, start: int, place: int) -> None:
-        """The cell behind all that were added; neighbouring cells of one route are one run."""
+        """Append the next cell; adjacent cells of the same route form one run."""
         if not self.places or self.places[-1] != place:
             self.starts.append(start)
             self.places.append(place)
 
     def find(self, part: int) -> int:
-        """The place of the route that takes a part, or NO_ROUTE."""
+        """The place of the first route that matches a part, or NO_ROUTE."""
         return self.places[bisect_right(self.starts, part) - 1]
 
 
 class GroupPartPlane:
-    """Routes of one prefix, class, retry and write, by group and part."""
+    """The routes for one prefix, class, retry and write, by group and part."""
 
     def __init__(self, routes: Sequence[PlacedRoute]) -> None:
-        self.group_starts = group_run_starts(routes)  # of runs of groups that are treated alike
+        self.group_starts = group_run_starts(routes)  # of runs of groups with the same routes
         self.runs: list[PartRuns] = []  # of parts, for each run of groups
         by_places: dict[tuple[int, ...], PartRuns] = {}
         for group in self.group_starts:
             here = [(place, route) for place, route in routes if in_any_range(route.match.groups, group)]
             key = tuple([place for place, _ in here])
-            if key not in by_places:  # runs of groups with the same routes share theirs
+            if key not in by_places:  # runs of groups with the same routes share one object
                 by_places[key] = part_runs([(place, route.match.parts) for place, route in here])
             self.runs.append(by_places[key])
         self.is_uniform = len(self.group_starts) == 1 and len(self.runs[0].places) == 1
         self.first_place = self.runs[0].places[0]
 
     def find(self, group: int, part: int) -> int:
-        """The place of the earliest route, or NO_ROUTE."""
+        """The place of the first route that matches, or NO_ROUTE."""
         if self.is_uniform:
             return self.first_place
         return self.runs[bisect_right(self.group_starts, group) - 1].find(part)
 
 
 def group_run_starts(routes: Sequence[PlacedRoute]) -> list[int]:
-    """Where runs of groups start between which no route begins or ends."""
+    """The starts of the runs of groups; the same routes match all groups of a run."""
     edges = {GROUP_RANGE[0]}
     for _, route in routes:
         for low, high in route.match.groups:
@@ -75,21 +75,21 @@
 
 
 def in_any_range(ranges: Sequence[Range], value: int) -> bool:
-    """Whether a value lies in one of them; in none at all, any does."""
+    """Whether a value lies in one of the ranges; always true without ranges."""
     return not ranges or any(low <= value <= high for low, high in ranges)
 
 
 def part_runs(routes: Iterable[tuple[int, Sequence[Range]]]) -> PartRuns:
-    """Runs of parts, from routes by place and parts, in their order.
+    """Build the runs of parts from the places of routes and their ranges of parts, in file order.
 
-    Each cell between neighbouring edges goes to the first route that takes it, and stays with it.
-    ``next_free_cell`` skips cells that are taken by union-find, so the cost hardly grows with overlaps.
+    Each cell between adjacent edges is assigned to the first route that matches it.  ``next_free_cell`` skips
+    assigned cells by union-find, so that overlapping ranges hardly add to the cost.
     """
     ranges = [(place, low, high + 1) for place, parts in routes for low, high in parts or (PART_RANGE,)]
     edges = sorted({PART_RANGE[0], PART_RANGE[1] + 1, *(e for _, low, high in ranges for e in (low, high))})
     cell_of_edge = {edge: cell for cell, edge in enumerate(edges)}
     place_of_cell = array("L", [NO_ROUTE]) * (len(edges) - 1)
-    next_cells = list(range(len(edges)))  # of a cell that is taken: one behind it; of a free one: itself
+    next_cells = list(range(len(edges)))  # for an assigned cell: a later one; for a free cell: itself
     for place, low, high in ranges:
         cell = next_free_cell(next_cells, cell_of_edge[low])
         end = cell_of_edge[high]
@@ -104,7 +104,7 @@
 
 
 def next_free_cell(next_cells: list[int], cell: int) -> int:
-    """The first free cell from ``cell`` on; paths on the way are halved."""
+    """The first free cell from ``cell`` on.  Halves the paths that it follows (union-find)."""
     while next_cells[cell] != cell:
         next_cells[cell] = next_cells[next_cells[cell]]
         cell = next_cells[cell]
@@ -112,9 +112,9 @@
 
 
 class ClassRoutes:
-    """Routes for one class, retry and write: by length of prefix, then by prefix.
+    """The routes for one class, retry and write: by the length of the prefix, then by prefix.
 
-    Planes are laid out when they are first wanted; their number is bounded by the file.
+    Planes are built at the first lookup; their number is limited by the prefixes in the file.
     """
 
     def __init__(
@@ -138,7 +138,7 @@
         }
 
     def find(self, object_id: str, group: int, part: int) -> int:
-        """The place of the earliest route, or NO_ROUTE."""
+        """The place of the first route that matches, or NO_ROUTE."""
         earliest = NO_ROUTE
         for length, planes in self.planes.items():
             prefix = object_id[:length]
@@ -154,7 +154,7 @@
 
 
 class RouteIndex:
-    """All routes of a file, for requests of one zone."""
+    """All routes of a file, for routers of one zone."""
 
     def __init__(self, routes: Sequence[Route], zone: str) -> None:
         self.by_prefix: dict[str, list[PlacedRoute]] = {}
@@ -162,20 +162,20 @@
             if route.match.accepts_zone(zone):
                 for prefix in set(route.match.objects) or {""}:
                     self.by_prefix.setdefault(prefix, []).append((place, route))
-        # By name of the class, retry and write: four for each class that there is.
+        # By the name of the class, retry and write: at most four for each class.
         self.by_class: dict[tuple[str, bool, bool], ClassRoutes] = {}
 
     def find(
         self, request_class: RequestClass, object_id: str, group: int, part: int, retry: bool, write: bool
     ) -> int:
-        """The place in the file of the first route that takes a request, or NOT_FOUND.
+        """The place in the file of the first route that matches a request, or NOT_FOUND.
 
         Args:
-            request_class: A class may become another under its name in service.
-            object_id: 16 hex digits.
-            group: In GROUP_RANGE.
-            part: In PART_RANGE.
-            retry: Whether it is a client's own retry.
+            request_class: Its class.  A reload may replace a class by another of the same name.
+            object_id: Its object, as 16 hex digits.
+            group: The group of the object, in GROUP_RANGE.
+            part: The part of the object, in PART_RANGE.
+            retry: Whether it is a retry by the client.
             write: Whether it has a body.
         """
         key = request_class.name, retry, write
@@ -188,7 +188,7 @@
 
 
 def largest_plane(routes: Sequence[Route]) -> int:
-    """Cells of the largest plane that these routes may need; it should not be over MAX_CELLS."""
+    """Cells of the largest plane that these routes can need; must not exceed MAX_CELLS."""
     by_prefix: dict[str, list[Route]] = {}
     for route in routes:
         for prefix in set(route.match.objects) or {""}:
@@ -197,7 +197,7 @@
 
 
 def cell_count(routes: Sequence[Route]) -> int:
-    """Cells of the plane that these routes need at the most: runs of groups times ranges of parts."""
+    """The maximum number of cells in the plane of these routes: runs of groups times ranges of parts."""
     group_edges = {edge for route in routes for low, high in route.match.groups for edge in (low, high + 1)}
     group_edges.add(GROUP_RANGE[0])
     cells = 0
--- a/kelpcroft/routes/sketch.py
+++ b/kelpcroft/routes/sketch.py
@@ -1,9 +1,9 @@
-"""Quantiles of a route's recent answers, in a fixed space, with old samples fading.
+"""Quantiles of a route's recent latencies, in constant memory, with exponential decay of old samples.
 
-A histogram with logarithmic buckets: they grow by BUCKET_GROWTH from MIN_LATENCY_NS, so a quantile is off
-by half a bucket at the most (2.5%).  Exponential decay is weighted forward in time (each newer sample is
-heavier), which fades the old without touching them; the weights are brought back to size now and then.
-Source of forward decay: Cormode et al., 2009.  Why not hdrhistogram: docs/design/routes.md.
+A histogram with logarithmic buckets, which grow by BUCKET_GROWTH from MIN_LATENCY_NS, so that the error of a
+quantile is at most half a bucket (2.5%).  The decay is applied forward in time: each newer sample has a
+larger weight, so that old samples decay without being updated.  The weights are scaled down when they become
+too large.  Source of forward decay: Cormode et al., 2009.  Why not hdrhistogram: docs/design/routes.md.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from math import ceil, log
 from typing import Final
 
-MIN_LATENCY_NS: Final = 1_000_000
-MAX_LATENCY_NS: Final = 120 * 10**9
-BUCKET_GROWTH: Final = 1.05
-HALF_LIFE_NS: Final = 10 * 10**9  # after which a sample counts half
+MIN_LATENCY_NS: Final = 1_000_000  # shorter latencies count as this
+MAX_LATENCY_NS: Final = 120 * 10**9  # longer latencies count as this
+BUCKET_GROWTH: Final = 1.05  # ratio of the edges of adjacent buckets
+HALF_LIFE_NS: Final = 10 * 10**9  # after this time the weight of a sample is halved
 BUCKETS: Final = ceil(log(MAX_LATENCY_NS / MIN_LATENCY_NS) / log(BUCKET_GROWTH)) + 1
 BUCKET_EDGES_NS: Final = [MIN_LATENCY_NS * BUCKET_GROWTH**n for n in range(BUCKETS)]
 BYTES_PER_DOUBLE: Final = 8
-MAX_DOUBLINGS: Final = 1_000.0  # of a weight; a float ends at 1024
-MAX_WEIGHT: Final = 2.0**40  # of a new sample, at which all are brought back to size
-MIN_SAMPLES: Final = 20.0  # faded ones counted as they fade, under which nothing is known ...
-MIN_TAIL_SAMPLES: Final = 2.0  # ... nor with fewer than so many past the quantile ...
-MANY_SAMPLES: Final = 50 * MIN_SAMPLES  # ... unless there are so many in all
-CACHE_NS: Final = 100 * 10**6  # a quantile is worked out anew so often at the most
+MAX_DOUBLINGS: Final = 1_000.0  # of a weight; the exponent of a float is limited to 1024
+MAX_WEIGHT: Final = 2.0**40  # of a new sample; beyond it all weights are scaled down
+MIN_SAMPLES: Final = 20.0  # for any quantile, in samples weighted by their decay
+MIN_TAIL_SAMPLES: Final = 2.0  # above the quantile, unless there are MANY_SAMPLES
+MANY_SAMPLES: Final = 50 * MIN_SAMPLES  # so many samples are enough for every quantile
+CACHE_NS: Final = 100 * 10**6  # a computed quantile is reused for this time
 
 
 class CachedQuantile:
-    """A quantile, and when it was worked out."""
+    """A quantile, and the time at which it was computed."""
 
     def __init__(self, worked_out_ns: int, latency_ns: int) -> None:
         self.worked_out_ns = worked_out_ns
@@ -37,7 +37,7 @@
 
 
 class LatencySketch:
-    """The recent answers of one route."""
+    """The recent latencies of one route."""
 
     def __init__(self, now: int) -> None:
         self.weights = array("d", bytes(BYTES_PER_DOUBLE * BUCKETS))  # of the samples in each bucket
@@ -46,7 +46,7 @@
         self.cached: dict[float, CachedQuantile] = {}  # by quantile, 0 to 1
 
     def sample_weight(self, now: int) -> float:
-        """The weight of a sample of ``now``.  Brings all back to size where it has grown too large."""
+        """The weight of a sample at ``now``.  Scales all weights down if it exceeds MAX_WEIGHT."""
         weight = float(2.0 ** min(MAX_DOUBLINGS, max(0, now - self.epoch_ns) / HALF_LIFE_NS))
         if weight > MAX_WEIGHT:
             for bucket, bucket_weight in enumerate(self.weights):
@@ -57,14 +57,14 @@
         return weight
 
     def record(self, now: int, took_ns: int) -> None:
-        """One more answer, or the time after which one was given up: it would have taken longer still."""
+        """Add the latency of a response, or of an abandoned attempt, which would have taken even longer."""
         weight = self.sample_weight(now)
         bucket = min(BUCKETS - 1, bisect_left(BUCKET_EDGES_NS, took_ns))
         self.weights[bucket] += weight
         self.total_weight += weight
 
     def quantile(self, now: int, share: float) -> int:
-        """The time in ns within which this share (0 to 1) of recent answers came; 0 where too few did."""
+        """The latency in ns that this share (0 to 1) of recent samples does not exceed; 0 = too few."""
         cached = self.cached.get(share)
         if cached is not None and now - cached.worked_out_ns < CACHE_NS:
             return cached.latency_ns
@@ -73,8 +73,8 @@
         return latency_ns
 
     def work_out_quantile(self, now: int, share: float) -> int:
-        """``quantile``, from the buckets."""
-        weight = self.sample_weight(now)  # may bring the total back to size
+        """Compute ``quantile`` from the buckets."""
+        weight = self.sample_weight(now)  # may scale the total down
         samples = self.total_weight / weight
         if samples < MIN_SAMPLES:
             return 0
@@ -89,7 +89,7 @@
 
 
 def bucket_middle_ns(bucket: int) -> int:
-    """The latency that a bucket stands for."""
+    """The latency that represents a bucket."""
     if bucket == 0:
         return MIN_LATENCY_NS
     return int(BUCKET_EDGES_NS[bucket] / BUCKET_GROWTH**0.5)
--- a/kelpcroft/routes/table.py
+++ b/kelpcroft/routes/table.py
@@ -1,4 +1,4 @@
-"""The routes of a file in service: what each request is granted, and what its route has seen."""
+"""The table of routes at run time: the allowance of each request, and the state of each route."""
 
 from __future__ import annotations
 
@@ -13,22 +13,21 @@
 from kelpcroft.routes.sketch import LatencySketch
 
 OUTCOMES: Final = {"error": Outcome.ERROR, "reset": Outcome.RESET, "timeout": Outcome.TIMEOUT}
-NO_REROUTE_BOUND: Final = -1
-DEFAULT_ATTEMPTS_WITH_A_BACKOFF: Final = (
-    3  # that waits are drawn for, where a route states no number of attempts
-)
+NO_REROUTE_BOUND: Final = -1  # RouteRetryPolicy.max_reroutes without a limit
+# Attempts for which waits are drawn, if a route states no number of attempts.
+DEFAULT_ATTEMPTS_WITH_A_BACKOFF: Final = 3
 
 
 class RouteState:
-    """One route in service.  Open requests hold on to theirs when the file is read again.
+    """The state of one route.  Open requests keep a reference to it when the file is read again.
 
     Attributes:
-        open_requests: How many are open now.
-        taken: How many requests it took in all.
-        rejected: Those of them that came beyond ``max_open_requests``.
-        base_policy: What each request is granted, without what depends on the time or on chance.
-        is_fixed: Whether every request is granted just ``base_policy`` and its whole patience.
-        learns: Whether a quantile of recent answers is asked for.
+        open_requests: The number of requests that are open now.
+        taken: The total number of requests that matched.
+        rejected: The number of requests that were rejected because of ``max_open_requests``.
+        base_policy: The policy of each request, without values that depend on time or randomness.
+        is_fixed: Whether each request gets ``base_policy`` unchanged, and all of its remaining time.
+        learns: Whether the policy needs a quantile of recent latencies.
     """
 
     def __init__(self, route: Route, budgets: dict[str, RetryBudget]) -> None:
@@ -40,7 +39,7 @@
         self.configure(route, budgets)
 
     def configure(self, route: Route, budgets: dict[str, RetryBudget]) -> None:
-        """What the file says now; what was seen stays."""
+        """Apply the settings of a file; counts and recorded latencies are kept."""
         policy = route.policy
         hedging = policy.hedging
         attempt_timeout = policy.attempt_timeout
@@ -65,19 +64,22 @@
         self.is_fixed = whole_patience and not policy.backoff and not asks_quantile(attempt_timeout)
 
     def is_full(self) -> bool:
-        """Whether as many requests are open as may be."""
+        """Whether the limit of open requests is reached."""
         limit = self.policy.max_open_requests
         return limit is not None and self.open_requests >= limit
 
     def earn(self, now: int) -> None:
-        """One more request: its budgets earn by it, each once."""
+        """Add the tokens for one request to the budgets of the route; only once to a budget used for both."""
         if self.retry_budget:
             self.retry_budget.earn(now)
         if self.hedge_budget and self.hedge_budget is not self.retry_budget:
             self.hedge_budget.earn(now)
 
     def duration_ns(self, now: int, duration: AdaptiveDuration) -> int:
-        """A duration, or the quantile as it stands; 0 while too little is known and no most is given."""
+        """A fixed duration, or the present quantile within its bounds.
+
+        With too few samples the upper bound is used; 0 if there is none.
+        """
         if not duration.quantile:
             return duration.ns
         found = self.sketch.quantile(now, duration.quantile) if self.sketch else 0
@@ -87,37 +89,37 @@
         return min(found, duration.max_ns) if duration.max_ns else found
 
     def attempt_timeout_ns(self, now: int) -> int:
-        """The time of one attempt; 0 = not bounded."""
+        """The attempt timeout; 0 = no limit."""
         timeout = self.policy.attempt_timeout
         return self.duration_ns(now, timeout) if timeout else 0
 
     def hedge_delay_ns(self, now: int) -> int:
-        """After which a hedge of an attempt is due; 0 = none."""
+        """The delay after which an attempt is hedged; 0 = no hedge."""
         hedging = self.policy.hedging
         return self.duration_ns(now, hedging.delay) if hedging and hedging.max_hedges else 0
 
     def answer_timeout_ns(self, remaining_ns: int, elapsed_ns: int) -> int:
-        """The time that is left for the whole answer, of a client's patience of which some is gone."""
+        """The time left for the complete response, from the client's remaining and elapsed time."""
         timeout = self.policy.answer_timeout
         if not timeout:
             return remaining_ns
-        from_send_ns = timeout.within(remaining_ns + elapsed_ns)  # a duration counts from the client's send
+        from_send_ns = timeout.within(remaining_ns + elapsed_ns)  # counts from the client's send
         return max(0, min(remaining_ns, from_send_ns - elapsed_ns))
 
 
 def asks_quantile(duration: AdaptiveDuration | None) -> bool:
-    """Whether it is a quantile of recent answers."""
+    """Whether a duration is a quantile of recent latencies."""
     return duration is not None and duration.quantile > 0
 
 
 class RequestAllowance:
-    """What one request may cost, and the route that it is in.
+    """The limits of one request, and its route.
 
     Attributes:
-        bounds: The policy that the decision package gets with the request.
-        answer_timeout_ns: For the whole answer, from now.
-        hedge_delay_ns: After which a hedge of an attempt is due; 0 = none.
-        records_latency: Whether the route wanted to know of answers when the request came.
+        bounds: The policy that is passed to the decision package with the request.
+        answer_timeout_ns: The time for the complete response, from the admission of the request.
+        hedge_delay_ns: The delay after which an attempt is hedged; 0 = no hedge.
+        records_latency: Whether the route needed latencies when the request was admitted.
     """
 
     __slots__ = (
@@ -137,46 +139,46 @@
         self.bounds = bounds
         self.answer_timeout_ns = answer_timeout_ns
         self.hedge_delay_ns = hedge_delay_ns
-        # The request keeps these also where a file read again gives its route others.
+        # The request keeps these budgets even if a reload of the file gives its route others.
         self.retry_budget = route.retry_budget
         self.hedge_budget = route.hedge_budget
         self.records_latency = route.learns
 
     def can_retry(self, now: int) -> bool:
-        """Whether a further attempt is paid for."""
+        """Whether the budget allows a further attempt."""
         return self.retry_budget is None or self.retry_budget.can_spend(now)
 
     def can_hedge(self, now: int) -> bool:
-        """Whether a hedge is paid for."""
+        """Whether the budget allows a hedge."""
         return self.hedge_budget is None or self.hedge_budget.can_spend(now)
 
     def spend_retry(self, now: int) -> bool:
-        """A further attempt is made; False would overdraw."""
+        """Charge a further attempt to the budget; False if the budget does not allow it."""
         return self.retry_budget is None or self.retry_budget.spend(now)
 
     def spend_hedge(self, now: int) -> bool:
-        """A hedge is sent; False would overdraw."""
+        """Charge a hedge to the budget; False if the budget does not allow it."""
         return self.hedge_budget is None or self.hedge_budget.spend(now)
 
     def record_latency(self, now: int, took_ns: int) -> None:
-        """An answer came, or an attempt was given up, after ``took_ns``.
+        """Record that a response was received, or an attempt abandoned, after ``took_ns``.
 
-        Attempts that were given up count too: without them a quantile that ends attempts would fall with
-        each that it ends.
+        Abandoned attempts count too: without them, an attempt timeout that is a quantile would decrease with
+        each attempt that it ends.
         """
         route = self.route
-        if route.learns:  # as the file says now
+        if route.learns:  # a reload of the file may have changed this
             if route.sketch is None:
                 route.sketch = LatencySketch(now)
             route.sketch.record(now, took_ns)
 
     def release(self) -> None:
-        """The request is over."""
+        """End the request: it no longer counts as open."""
         self.route.open_requests -= 1
 
 
 class RouteTable:
-    """All routes of a file, for one router."""
+    """The routes and budgets of a file, for one router."""
 
     def __init__(self, file: OperatorFile, zone: str, seed: int, now: int) -> None:
         self.zone = zone
@@ -187,7 +189,7 @@
         self.replace(file, now)
 
     def replace(self, file: OperatorFile, now: int) -> None:
-        """Another file.  Routes and budgets that keep their name keep what they know."""
+        """Apply another file.  Routes and budgets whose name remains keep their state."""
         self.budgets = self.next_budgets(file, now)
         known = {state.name: state for state in self.routes}
         self.routes = []
@@ -201,7 +203,7 @@
         self.index = RouteIndex(file.routes, self.zone)
 
     def next_budgets(self, file: OperatorFile, now: int) -> dict[str, RetryBudget]:
-        """The budgets of another file by name, among them those that there are with new figures."""
+        """The budgets of another file by name: present ones with new settings, and new ones."""
         budgets: dict[str, RetryBudget] = {}
         for settings in file.budgets:
             budget = self.budgets.get(settings.name)
@@ -224,20 +226,20 @@
         remaining_ns: int,
         elapsed_ns: int,
     ) -> RequestAllowance | None:
-        """What a request is granted; None where no route takes it.
+        """Admit a request to its route.  Returns its allowance, or None if no route matches.
 
-        It counts as open until it is released.
+        The request counts as open until its allowance is released.
 
         Args:
-            now: In ns.
+            now: The present time in ns.
             request_class: Its class.
-            object_id: 16 hex digits.
-            group: Of the object.
-            part: Of the object.
-            retry: Whether it is a client's own retry.
+            object_id: Its object, as 16 hex digits.
+            group: The group of the object.
+            part: The part of the object.
+            retry: Whether it is a retry by the client.
             write: Whether it has a body.
-            remaining_ns: What is left of the client's patience.
-            elapsed_ns: What is gone of it.
+            remaining_ns: The remaining time of the client.
+            elapsed_ns: The time since the client's send.
         """
         place = self.index.find(request_class, object_id, group, part, retry, write)
         if place == NOT_FOUND:
@@ -255,7 +257,7 @@
         return self.allow(now, route, remaining_ns, elapsed_ns)
 
     def allow(self, now: int, route: RouteState, remaining_ns: int, elapsed_ns: int) -> RequestAllowance:
-        """What a request is granted by a route whose policy depends on the time, the patience or chance."""
+        """The allowance from a route whose policy depends on time, the remaining time or randomness."""
         attempt_timeout_ns = route.attempt_timeout_ns(now)
         answer_timeout_ns = route.answer_timeout_ns(remaining_ns, elapsed_ns)
         backoff = route.policy.backoff
@@ -276,7 +278,7 @@
         return RequestAllowance(route, policy, answer_timeout_ns, route.hedge_delay_ns(now))
 
     def draw_backoff(self, backoff: Backoff, max_attempts: int | None) -> tuple[int, ...]:
-        """The waits before each further attempt of one request, in ns."""
+        """Draw the waits before each further attempt of one request, in ns."""
         backoff_ns = []
         for retry in range((max_attempts or DEFAULT_ATTEMPTS_WITH_A_BACKOFF) - 1):
             longest_ns = backoff.step_ns(retry)
@@ -284,7 +286,7 @@
         return tuple(backoff_ns)
 
     def counters(self) -> list[tuple[str, dict[str, int]]]:
-        """Counters of each route that was used, and of each budget, for the log."""
+        """Counters for the log, of each route that has matched a request and of each budget."""
         rows = [
             (
                 f"route {route.name}",
@@ -300,7 +302,7 @@
 
 
 def rejection(route: RouteState, remaining_ns: int) -> RequestAllowance:
-    """What a request is granted where too many of its route are open: to be refused."""
+    """The allowance of a request that is rejected, as too many requests of its route are open."""
     policy = api.RouteRetryPolicy(
         retry_after_ns=route.base_policy.retry_after_ns, concurrency_limit_reached=True
     )
--- a/tests/operator_file/test_operator_faulty.py
+++ b/tests/operator_file/test_operator_faulty.py
@@ -1,7 +1,8 @@
-"""Files that must be refused (tests/faulty): code, line and reason; and files that may be used.
+"""Files that must be rejected (tests/faulty), with code, line and message; and files that must be accepted.
 
-The first lines of a file say what is due: ``//! LINE CODE words of the reason``, and ``//@ LIMIT=false`` for
-a deployment that forbids something.  All its faults are named there and no others may come.
+The first lines of a file state the expected diagnostics: ``//! LINE CODE words of the message``, and
+``//@ LIMIT=false`` for a deployment that forbids something.  The list is complete: no other diagnostic may be
+reported.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 LISTS = (
     f'route "r" {{ match part="{",".join(map(str, range(0, 9_999, 2)))}" '
     f'object="{",".join(f"{n:04x}" for n in range(0, 65_536, 2))}"; }}'
-)  # it took minutes
+)  # once took minutes to check
 
 
 def judged(data: bytes, settings: api.Settings) -> tuple[OperatorFile, list[Diagnostic]]:
@@ -62,7 +63,7 @@
                 assert judged(path.read_bytes(), settings)[1] == []
 
     def test_large_and_deep_files_are_refused(self) -> None:
-        """They made the parser take hundreds of MB; the locator stops before it is asked."""
+        """The parser took hundreds of MB for such files; the locator rejects them before they are parsed."""
         for data, code in (
             (b"/" * (MAX_FILE_BYTES + 1), "too-large"),
             ((HEAD + "route\n" * 100_000).encode(), "missing-value"),
@@ -80,7 +81,7 @@
                 assert len(faults) <= 1000
 
     def test_no_file_takes_much_memory(self) -> None:
-        """The largest file that may be used, in a process that may take 64 MB beyond its start."""
+        """The largest accepted file, in a process whose memory may grow by 64 MB over its start."""
         routes = (MAX_NODES - 2) // 2
         text = HEAD + "".join(f'route "r{n}" {{ match object="{n:04x}"; }}\n' for n in range(routes))
         code = (
--- a/tests/operator_file/test_operator_properties.py
+++ b/tests/operator_file/test_operator_properties.py
@@ -1,4 +1,4 @@
-"""Valid files in any dress read back as they were meant; broken ones are refused, never a crash."""
+"""Valid files are read correctly in any notation; invalid files are rejected without a crash."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 def written(file: OperatorFile, gap: str, end: str) -> str:
-    """A file as an operator may write it, with a filler between words and one between nodes."""
+    """The text of a file, with the given separators between words and between nodes."""
 
     def moment(m: AdaptiveDuration, key: str) -> str:
         if m.ns:
@@ -219,7 +219,7 @@
     @QUICK
     @given(st.text('a"#\\/*-{}();= \n1', max_size=40))
     def test_what_the_parser_takes_the_locator_finds(self, text: str) -> None:
-        """Nothing that ckdl reads may be lost, or be read as something else, for want of its place."""
+        """The locator must find each node that ckdl parses, or no offset could be assigned to it."""
         try:
             nodes = ckdl.parse(text, version=2).nodes
         except ValueError:
@@ -227,7 +227,7 @@
         try:
             spots = list(NodeLocator(text).top_level_nodes())
         except KdlSyntaxError:
-            return  # refused whole: stricter than the parser does no harm
+            return  # the file is rejected; the locator may be stricter than the parser
         assert len(spots) == len(nodes), text
 
 
--- a/tests/program/test_routes_loopback.py
+++ b/tests/program/test_routes_loopback.py
@@ -1,7 +1,7 @@
-"""The program on its sockets does what its operator's file declares, whatever the servers do.
+"""A router process on loopback sockets keeps the limits of its operator's file, whatever the servers do.
 
-Times are held from below only, or against what the file makes impossible to reach by chance: a slow machine
-must not change a verdict.
+Times are compared with lower bounds, or with upper bounds far above the expected value, so that the results
+are the same on a slow machine.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 HEAD = 'kelpcroft version=1\nroute "orders" { match class="order"; timeout "1.5s"; attempts most=1; }\n'
 ONE = ("cache1", "parent", "origin")
-LONG = 10_000  # patience in ms where the classes allow it: nothing here waits for it
+LONG = 10_000  # client timeout in ms, which no test here reaches
 SETTINGS = {
     "classes": [
         {
@@ -106,10 +106,10 @@
         assert second.received_ns - first.received_ns >= 145 * MS
         assert answer.kind == "refused"
         assert 300 <= answer.latency_ms < LONG / 2, answer
-        assert int(first.fields["limit"]) <= 150, "the server is told the attempt's time"
+        assert int(first.fields["limit"]) <= 150, "the server receives the attempt timeout"
 
     def test_an_answer_that_comes_late_is_nobodys(self) -> None:
-        """Attempts end at their time-out; what comes after it ends neither this request nor the next."""
+        """A response after the attempt timeout must not end this request or the next one."""
         world = StandInServers(
             lambda server, seen: ScriptedReply("DONE", 300 if seen.fields["chunk"] == "1" else 0)
         )
@@ -155,7 +155,7 @@
         assert answer.latency_ms >= 195
 
     def test_a_copy_after_a_quantile_waits_for_its_least(self) -> None:
-        """Answers take 5 ms; what is silent gets a copy, and not before 'least'."""
+        """Responses take 5 ms; a request without a response is hedged, but not before 'least'."""
 
         def script(server: str, seen: ServerCommand) -> ScriptedReply:
             same = list(world.requests(seen.request_id))
@@ -184,7 +184,7 @@
         )
         client = router.client()
         answers = [client.request("page", patience_ms=LONG, object=f"{n:016x}") for n in range(5)]
-        assert len(world.requests()) == 5 + 2, "two further attempts were in store"
+        assert len(world.requests()) == 5 + 2, "the budget has two tokens for retries"
         assert {(a.kind, a.fields["pause"]) for a in answers} == {("refused", "80")}
 
     def test_a_limit_refuses_what_is_over_it(self) -> None:
@@ -195,9 +195,11 @@
             client.send_request("page", patience_ms=LONG, part=part)
         kinds = [a.kind for a in client.responses(8)]
         assert sorted(kinds) == ["refused"] * 5 + ["served"] * 3
-        assert kinds[:5] == ["refused"] * 5, "at once: before the first that is served"
+        assert kinds[:5] == ["refused"] * 5, "rejected immediately: before the first is served"
         assert len(world.requests()) == 3
-        assert client.request("page", patience_ms=LONG).kind == "served", "places are given back"
+        assert client.request("page", patience_ms=LONG).kind == "served", (
+            "the open requests have been released"
+        )
 
     def test_each_request_is_treated_as_its_route_says(self) -> None:
         world = StandInServers(always("BROKE"))
@@ -217,7 +219,7 @@
             assert client.request("page", patience_ms=LONG, **more).fields["pause"] == pause, more
 
     def test_an_order_reaches_the_store_once_at_most(self) -> None:
-        """Under every fault, also with the file read again while it is out."""
+        """With every kind of failure, and a reload of the file while the order is in flight."""
         for word in ("silent", "BROKE", "reset", "cut", "LACK", "WAIT", "PAST", "DONE"):
             with self.subTest(word=word):
                 world = StandInServers(always(word, 60))
--- a/tests/routes/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -1,4 +1,4 @@
-"""The index, the budgets and the quantiles of routes, each on its own."""
+"""The index, the budgets and the quantiles of routes, each by itself."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def takes(m: RouteMatch, cls: str, item: str, group: int, part: int, retry: bool, write: bool) -> bool:
-    """What a match means, word by word."""
+    """A direct implementation of a match, as the reference for the index."""
     return (
         (not m.classes or cls in m.classes)
         and in_any_range(m.groups, group)
@@ -70,7 +70,7 @@
     def test_cover_agrees_with_the_index(
         self, found: list[RouteMatch], many: list[tuple[str, str, int, int, bool, bool]]
     ) -> None:
-        """A route that is called unreachable is never found, a class that is called covered always is."""
+        """The index never finds a route that is unreachable, and always one for a class that is covered."""
         cover = RouteCoverage(parse_config(EXAMPLE, {}).settings)
         rows = [Route(str(n), m, RoutePolicy()) for n, m in enumerate(found)]
         reachable = [cover.add_route(row) for row in rows]
@@ -102,7 +102,7 @@
     def test_never_overdrawn(
         self, ratio: float, least: float, burst: float, steps: list[tuple[int, bool]]
     ) -> None:
-        """Also with a clock that stands or is handed over too early."""
+        """Also with a clock that stands still or goes back."""
         budget, now, latest, earned = RetryBudget(Declared("b", ratio, least, burst), 0), 0, 0, 0
         for step, request in steps:
             now += step * MS
@@ -133,7 +133,7 @@
         assert table.routes[0].open_requests == 2
         grant.release()
         later.release()
-        assert table.routes[0].open_requests == 0, "the lane outlives the file"
+        assert table.routes[0].open_requests == 0, "the route's state is kept when the file is replaced"
 
 
 class Quantiles(unittest.TestCase):
@@ -157,7 +157,7 @@
         assert sketch.quantile(now, 0.5) > 700 * MS
         year = 365 * 86_400 * S
         for _ in range(100):
-            sketch.record(year, 20 * MS)  # weights are brought back to size; nothing overflows
+            sketch.record(year, 20 * MS)  # weights are scaled down; nothing overflows
         assert sketch.quantile(year, 0.95) < 25 * MS
 
     def test_few_samples_tell_nothing(self) -> None:
@@ -170,7 +170,7 @@
         assert sketch.quantile(S, 0.95) > MAX_LATENCY_NS // 2
 
     def test_what_is_cut_off_does_not_pull_its_own_limit_down(self) -> None:
-        """Only answers in time were counted: a p95 that ends attempts fell with each that it ended."""
+        """When only responses in time were counted, a p95 fell with each attempt that it timed out."""
         text = 'kelpcroft version=1\nroute "r" { match; attempt timeout="p95" least="1ms"; }\n'
         table, random, now = RouteTable(load(text.encode())[0], "edge-1", 1, 0), Random(1), 0
         cut = 0
@@ -183,7 +183,7 @@
             cut += n >= 2_000 and took > limit
             grant.record_latency(now, min(took, limit))
             grant.release()
-        assert cut / 2000 < 0.1, "about a twentieth is cut off, not more and more"
+        assert cut / 2000 < 0.1, "about a twentieth times out, and the share does not grow"
         assert cut / 2000 > 0.01
 
 
--- a/tests/routes/test_routes_rules.py
+++ b/tests/routes/test_routes_rules.py
@@ -1,4 +1,7 @@
-"""What a file declares holds on every schedule: reducer and module in virtual time, whatever servers do."""
+"""The limits of a file hold on every schedule: reducer and decision package in virtual time.
+
+The servers fail in random ways.
+"""
 
 from __future__ import annotations
 
@@ -52,7 +55,7 @@
 
 
 def declared(text: str, cls: str) -> dict[str, int]:
-    """The figures of the route that takes a class."""
+    """The limits of the route that matches a class."""
     line = next(x for x in text.splitlines() if f'"{"orders" if cls == "order" else "rest"}"' in x)
     words = line.replace(";", " ").replace('"', " ").split()
     found = dict.fromkeys(("attempts", "moves", "copies"), 0)
@@ -65,15 +68,15 @@
 
 class Rules(unittest.TestCase):
     def hold(self, story: RequestRecord, text: str) -> None:
-        """One request against what its route declares."""
+        """Check one request against the limits of its route."""
         said = declared(text, story.request.request_class)
-        assert len(story.final_effects) == 1, "one final answer"
+        assert len(story.final_effects) == 1, "one final response"
         end, final = story.final_effects[0]
         until = story.arrives_ns + min(said["wait"], story.request.remaining_time_ns)
         assert end <= until
         times = [sent.sent_ns for sent in story.attempts]
-        assert all(at < until for at in times), "never a send after the wait"
-        assert all(at <= end for at in times), "never a send after the answer"
+        assert all(at < until for at in times), "no send after the response timeout"
+        assert all(at <= end for at in times), "no send after the final response"
         assert len(times) <= min(6, said["attempts"] + said["moves"] + said["copies"])
         ran = [sent for sent in story.attempts if sent.fate not in FATES_NOT_EXECUTED]
         assert len(ran) <= said["attempts"] + said["copies"]
@@ -94,7 +97,7 @@
             world.schedule_request(n * gap * MS, "order" if n % 5 == 0 else "page", 2_400, n % 7)
             for n in range(60)
         ]
-        if again:  # the same file in the middle: what is open and earned lives on
+        if again:  # the same file is applied halfway: open requests and earned tokens are kept
             world.run(30 * gap * MS)
             world.apply_rules(text)
         world.run()
@@ -112,7 +115,7 @@
             if s.attempts
         )
         assert max(0, extra) <= spent
-        assert [lane.open_requests for lane in routes.routes] == [0, 0], "what was open is given back"
+        assert [lane.open_requests for lane in routes.routes] == [0, 0], "all requests are released"
 
     def test_one_seed_replays_to_the_byte(self) -> None:
         def play() -> list[object]:
@@ -130,7 +133,7 @@
         world.apply_rules(file(1, 0, 0, 600, 0, 30, 5))
         new = world.schedule_request(200 * MS, "page", 2_400)
         world.run()
-        # An attempt's time-out is half of the wait in these files, and there is one attempt.
+        # The attempt timeout is half of the response timeout in these files, and there is one attempt.
         assert [s.final_effects[0][0] - s.arrives_ns for s in (old, new)] == [1000 * MS, 300 * MS]
 
     def test_a_limit_refuses_at_once_and_forgets(self) -> None:
@@ -191,7 +194,7 @@
         assert [len(one.attempts), len(two.attempts)] == [2, 1]
         at, final = two.final_effects[0]
         assert isinstance(final, effects.RejectRequest)
-        assert at - two.arrives_ns < 20 * MS, "denied is given up at once"
+        assert at - two.arrives_ns < 20 * MS, "a request whose attempt is denied ends immediately"
 
 
 if __name__ == "__main__":
--- a/tests/support/route_strategies.py
+++ b/tests/support/route_strategies.py
@@ -1,4 +1,4 @@
-"""Hypothesis strategies for the match of a route."""
+"""Hypothesis strategies for route matches."""
 
 from __future__ import annotations
 
