--- a/kelpcroft/operator_file/check.py
+++ b/kelpcroft/operator_file/check.py
@@ -32,9 +32,10 @@
 from kelpcroft.routes.index import MAX_CELLS, largest_plane
 from kelpcroft.store.identity import hex_digest
 
-LIST_CALL_EVERY_S = MAX_NEWS_WAIT_MS / 1_000  # between watch requests of a router while there are no events
+# Interval between watch requests of a router while there are no events.
+IDLE_WATCH_INTERVAL_S = MAX_NEWS_WAIT_MS / 1_000
 MAX_REGIONS = 50_000  # groups times parts times objects, of all routes together
-MAX_NAMED_TAKERS = 3  # earlier routes named in the diagnostic of an unreachable route
+MAX_NAMED_ROUTES = 3  # earlier routes named in the diagnostic of an unreachable route
 Result = TypeVar("Result")
 Steps = Generator[None, None, Result]
 
@@ -42,13 +43,13 @@
 def load(data: bytes) -> tuple[OperatorFile, list[Diagnostic]]:
     """Parse the bytes of a file.  Returns the model, and all diagnostics that need no deployment."""
     with garbage_collection_off():
-        return run_to_end(load_steps(data))
+        return run_all_steps(load_steps(data))
 
 
 def check(file: OperatorFile, settings: api.Settings) -> list[Diagnostic]:
     """All diagnostics of a file in a deployment.  Empty for a file that can be used there."""
     with garbage_collection_off():
-        return run_to_end(check_steps(file, settings))
+        return run_all_steps(check_steps(file, settings))
 
 
 @contextmanager
@@ -63,13 +64,13 @@
             gc.enable()
 
 
-def run_to_end(steps: Steps[Result]) -> Result:
+def run_all_steps(steps: Steps[Result]) -> Result:
     """Run all steps and return the result."""
     while True:
         try:
             next(steps)
-        except StopIteration as end:
-            result: Result = end.value
+        except StopIteration as stop:
+            result: Result = stop.value
             return result
 
 
@@ -100,7 +101,7 @@
     with suppress(TooManyDiagnostics):
         file = yield from OperatorFileReader(diagnostics).read_file(parse_nodes(data, diagnostics))
         if not diagnostics.count:
-            yield from check_alone(file, diagnostics)
+            yield from check_without_deployment(file, diagnostics)
     return file, diagnostics.in_file_order()
 
 
@@ -118,23 +119,23 @@
 # Without a deployment -------------------------------------------------------------------------------------
 
 
-def check_alone(file: OperatorFile, diagnostics: DiagnosticCollector) -> Steps[None]:
+def check_without_deployment(file: OperatorFile, diagnostics: DiagnosticCollector) -> Steps[None]:
     """Check the rules that need no deployment."""
     for route in file.routes:
         yield
-        RouteRules(route, diagnostics).check_alone()
+        RouteRules(route, diagnostics).check_without_deployment()
     if not file.routes and file.defaults != RoutePolicy():
         diagnostics.add(
             min(file.defaults.positions.values(), default=FILE_START),
             "no-rest",
             'the defaults have no route to apply to; add route "rest" { match }',
         )
-    crowded = first_route_beyond(file.routes, MAX_REGIONS)
-    if crowded is not None:
+    first_beyond = first_route_beyond(file.routes, MAX_REGIONS)
+    if first_beyond is not None:
         diagnostics.add(
-            crowded.match_position,
+            first_beyond.match_position,
             "too-complex",
-            f"the routes up to {abbreviated(crowded.name)} combine their lists of "
+            f"the routes up to {abbreviated(first_beyond.name)} combine their lists of "
             f"groups, parts and objects to over {MAX_REGIONS} cases; use ranges",
         )
         return
@@ -151,10 +152,10 @@
 
 def first_route_beyond(routes: Iterable[Route], max_regions: int) -> Route | None:
     """The first route with which the sum of regions exceeds ``max_regions``; None where it never does."""
-    total = 0
+    region_total = 0
     for route in routes:
-        total += region_count(route)
-        if total > max_regions:
+        region_total += region_count(route)
+        if region_total > max_regions:
             return route
     return None
 
@@ -165,22 +166,22 @@
 def check_start(file: OperatorFile, settings: api.Settings, diagnostics: DiagnosticCollector) -> None:
     """Check the start options against the number of routers and the load reports of the deployment."""
     start = file.start_options
-    calls_at_rest_per_s = settings.instances / LIST_CALL_EVERY_S
-    if 0 < start.list_calls_per_s < calls_at_rest_per_s:
+    idle_requests_per_s = settings.instances / IDLE_WATCH_INTERVAL_S
+    if 0 < start.list_calls_per_s < idle_requests_per_s:
         diagnostics.add(
             file.start_position,
             "rate-under-rest",
-            f"{settings.instances} idle routers send {calls_at_rest_per_s:g} requests per second to the "
+            f"{settings.instances} idle routers send {idle_requests_per_s:g} requests per second to the "
             f"list service; list-calls={start.list_calls_per_s:g} is too low",
         )
-    reports = settings.load_report_fields
-    has_reports = settings.load_report_mode != "off" and "outstanding" in reports
-    if start.estimate_fleet_size and not has_reports:
+    report_fields = settings.load_report_fields
+    reports_outstanding = settings.load_report_mode != "off" and "outstanding" in report_fields
+    if start.estimate_fleet_size and not reports_outstanding:
         diagnostics.add(
             file.start_position,
             "no-report",
             "count=#true needs servers that report 'outstanding'; "
-            f"the servers of this deployment report {', '.join(reports) or 'nothing'}",
+            f"the servers of this deployment report {', '.join(report_fields) or 'nothing'}",
         )
 
 
@@ -193,15 +194,15 @@
 
 
 def check_known(
-    route: Route, what: str, names: Iterable[str], known: list[str], diagnostics: DiagnosticCollector
+    route: Route, kind: str, names: Iterable[str], known: list[str], diagnostics: DiagnosticCollector
 ) -> None:
     """Check that the deployment has the names of one kind in a route's match."""
     for name in names:
         if name not in known:
             diagnostics.add(
                 route.match_position,
-                f"unknown-{what}",
-                f"route {abbreviated(route.name)}: unknown {what} {abbreviated(name)}"
+                f"unknown-{kind}",
+                f"route {abbreviated(route.name)}: unknown {kind} {abbreviated(name)}"
                 f"{suggestion(name, known)}",
             )
 
@@ -211,16 +212,16 @@
     coverage = RouteCoverage(settings)
     for route in file.routes:
         yield
-        taken = coverage.add_route(route)
-        if not taken:
+        covered_classes = coverage.add_route(route)
+        if not covered_classes:
             if not is_for_other_deployments(route, file, settings):
-                note_unreachable(route, coverage.takers, diagnostics)
+                report_unreachable(route, coverage.covering_routes, diagnostics)
             continue
         if not route.policy.positions:
             continue  # an empty policy breaks no rule
         rules = RouteRules(route, diagnostics)
         for request_class in settings.classes:
-            if request_class.name in taken:
+            if request_class.name in covered_classes:
                 rules.check_class(request_class)
         rules.check_deployment(settings.limits)
     if file.routes:
@@ -233,16 +234,16 @@
             )
 
 
-def note_unreachable(route: Route, takers: list[str], diagnostics: DiagnosticCollector) -> None:
-    """Report a route that can never match; ``takers`` are the earlier routes that match its requests."""
-    names = ", ".join(abbreviated(name) for name in takers[:MAX_NAMED_TAKERS])
-    if len(takers) > MAX_NAMED_TAKERS:
+def report_unreachable(route: Route, covering_routes: list[str], diagnostics: DiagnosticCollector) -> None:
+    """Report a route that can never match, and the earlier routes that match its requests."""
+    names = ", ".join(abbreviated(name) for name in covering_routes[:MAX_NAMED_ROUTES])
+    if len(covering_routes) > MAX_NAMED_ROUTES:
         names += " and others"
     diagnostics.add(
         route.match_position,
         "unreachable-route",
         f"route {abbreviated(route.name)} can never match: all its requests match {names or 'no class'}"
-        + ("; move it up" if takers else ""),
+        + ("; move it up" if covering_routes else ""),
     )
 
 
@@ -254,9 +255,9 @@
     """
     match = route.match
     if match.matches_everything():
-        return any(other.match.asks_class_properties() for other in file.routes)
+        return any(other.match.has_class_property_conditions() for other in file.routes)
     return (
-        match.asks_class_properties()
+        match.has_class_property_conditions()
         and not match.classes
         and not any(match.accepts_class(request_class) for request_class in settings.classes)
     )
--- a/kelpcroft/operator_file/diagnostics.py
+++ b/kelpcroft/operator_file/diagnostics.py
@@ -90,12 +90,12 @@
     Returns:
         The end of a message, from its semicolon on; empty where there are no known words.
     """
-    choice = sorted(known)
-    near = get_close_matches(word[:MAX_COMPARED_CHARACTERS], choice, 1, MIN_SIMILARITY)
-    if near:
-        return f"; did you mean {near[0]!r}?"
-    if not choice:
+    sorted_words = sorted(known)
+    similar = get_close_matches(word[:MAX_COMPARED_CHARACTERS], sorted_words, 1, MIN_SIMILARITY)
+    if similar:
+        return f"; did you mean {similar[0]!r}?"
+    if not sorted_words:
         return ""
-    rest = len(choice) - MAX_SUGGESTED_WORDS
-    more = f" and {rest} more" if rest > 0 else ""
-    return f"; known: {', '.join(choice[:MAX_SUGGESTED_WORDS])}{more}"
+    hidden_count = len(sorted_words) - MAX_SUGGESTED_WORDS
+    more = f" and {hidden_count} more" if hidden_count > 0 else ""
+    return f"; known: {', '.join(sorted_words[:MAX_SUGGESTED_WORDS])}{more}"
--- a/kelpcroft/operator_file/explain.py
+++ b/kelpcroft/operator_file/explain.py
@@ -23,12 +23,12 @@
     GROUP_RANGE,
     PART_RANGE,
     AdaptiveDuration,
-    AnswerTimeout,
     Backoff,
     BudgetSettings,
     Hedging,
     OperatorFile,
     Range,
+    ResponseTimeout,
     Route,
     RoutePolicy,
 )
@@ -83,52 +83,53 @@
 
 def describe_policy(policy: RoutePolicy) -> Iterator[PolicyRow]:
     """Each stated field of a policy in words, with its position."""
-    for field, name, words in POLICY_WORDS:
+    for field, name, format_value in POLICY_TEXTS:
         value = getattr(policy, field)
         if value is not None:
-            yield PolicyRow(name, words(value), policy.positions.get(field, NO_POSITION))
+            yield PolicyRow(name, format_value(value), policy.positions.get(field, NO_POSITION))
 
 
-def answer_timeout_words(timeout: AnswerTimeout) -> str:
+def response_timeout_text(timeout: ResponseTimeout) -> str:
     """A duration or a share in words."""
     return format_duration(timeout.ns) if timeout.ns else f"{timeout.share * 100:g}% of the client's timeout"
 
 
-def adaptive_duration_words(duration: AdaptiveDuration) -> str:
+def adaptive_duration_text(duration: AdaptiveDuration) -> str:
     """A duration or a quantile in words."""
     if not duration.quantile:
         return format_duration(duration.ns)
-    least = f", at least {format_duration(duration.min_ns)}" if duration.min_ns else ""
-    most = f", at most {format_duration(duration.max_ns)}" if duration.max_ns else ""
-    return f"p{duration.quantile * 100:g} of recent latencies{least}{most}"
+    lower_bound = f", at least {format_duration(duration.min_ns)}" if duration.min_ns else ""
+    upper_bound = f", at most {format_duration(duration.max_ns)}" if duration.max_ns else ""
+    return f"p{duration.quantile * 100:g} of recent latencies{lower_bound}{upper_bound}"
 
 
-def backoff_words(backoff: Backoff) -> str:
+def backoff_text(backoff: Backoff) -> str:
     """A back-off in words."""
-    drawn = ", drawn from 0 to that" if backoff.full_jitter else ""
+    jitter_text = ", drawn from 0 to that" if backoff.full_jitter else ""
     return (
-        f"from {format_duration(backoff.initial_ns)}, doubled up to {format_duration(backoff.max_ns)}{drawn}"
+        f"from {format_duration(backoff.initial_ns)}, "
+        f"doubled up to {format_duration(backoff.max_ns)}{jitter_text}"
     )
 
 
-def hedging_words(hedging: Hedging) -> str:
+def hedging_text(hedging: Hedging) -> str:
     """Hedges in words."""
     if not hedging.max_hedges:
         return "none"
-    paid = f", from budget {hedging.budget!r}" if hedging.budget else ""
-    return f"{hedging.max_hedges} after {adaptive_duration_words(hedging.delay)}{paid}"
+    budget_text = f", from budget {hedging.budget!r}" if hedging.budget else ""
+    return f"{hedging.max_hedges} after {adaptive_duration_text(hedging.delay)}{budget_text}"
 
 
 # Fields of RoutePolicy, their names for operators, and the formats of their values.
-POLICY_WORDS: tuple[tuple[str, str, Callable[[Any], str]], ...] = (
-    ("answer_timeout", "timeout", answer_timeout_words),
-    ("attempt_timeout", "attempt timeout", adaptive_duration_words),
+POLICY_TEXTS: tuple[tuple[str, str, Callable[[Any], str]], ...] = (
+    ("answer_timeout", "timeout", response_timeout_text),
+    ("attempt_timeout", "attempt timeout", adaptive_duration_text),
     ("max_attempts", "attempts", "{} that may have run".format),
     ("retry_on", "tried again on", lambda outcomes: ", ".join(sorted(outcomes))),
     ("retry_budget", "budget", "further attempts from {!r}".format),
     ("max_reroutes", "moves", "{} after proof that nothing ran".format),
-    ("backoff", "backoff", backoff_words),
-    ("hedging", "copies", hedging_words),
+    ("backoff", "backoff", backoff_text),
+    ("hedging", "copies", hedging_text),
     ("max_open_requests", "limit", "{} open at once".format),
     ("retry_after_ns", "pause", format_duration),
 )
@@ -141,20 +142,20 @@
     deadline_ns = request_class.deadline_ns
     if not policy.answer_timeout or not deadline_ns:
         return deadline_ns
-    return policy.answer_timeout.within(deadline_ns)
+    return policy.answer_timeout.resolve_ns(deadline_ns)
 
 
 def max_sends(policy: RoutePolicy, request_class: api.RequestClass, limits: api.Limits) -> int:
     """The maximum number of sends for one request of a class."""
-    allowed = limits.max_attempts
+    max_attempts = limits.max_attempts
     attempts = 1
     hedges = 0
     if request_class.idempotency is not api.Idempotency.UNSAFE:
-        attempts = allowed if policy.max_attempts is None else policy.max_attempts
+        attempts = max_attempts if policy.max_attempts is None else policy.max_attempts
     if request_class.idempotency is api.Idempotency.SAFE and policy.hedging:
         hedges = policy.hedging.max_hedges
-    reroutes = allowed if policy.max_reroutes is None else policy.max_reroutes
-    return min(allowed, attempts + hedges + reroutes)
+    reroutes = max_attempts if policy.max_reroutes is None else policy.max_reroutes
+    return min(max_attempts, attempts + hedges + reroutes)
 
 
 # Comparison -----------------------------------------------------------------------------------------------
@@ -183,53 +184,53 @@
 
     old: str
     new: str
-    what: tuple[str, ...]
+    changes: tuple[str, ...]
 
 
 def routed_regions(file: OperatorFile, zone: str, request_class: api.RequestClass) -> list[RoutedRegion]:
     """Divide a class into disjoint regions, each with its first route.  Raises TooManyRegionsError."""
     remaining = [ALL_REQUESTS]
-    found: list[RoutedRegion] = []
+    routed: list[RoutedRegion] = []
     for route in file.routes:
         if not route.match.accepts_class(request_class) or not route.match.accepts_zone(zone):
             continue
         for region in regions_of(route):
-            hit = [left for left in remaining if overlaps(left, region)]
-            if not hit:
+            overlapping = [rest for rest in remaining if overlaps(rest, region)]
+            if not overlapping:
                 continue
-            remaining = [left for left in remaining if not overlaps(left, region)]
-            for left in hit:
-                found.append(RoutedRegion(intersect(left, region), route))
-                remaining.extend(subtract(left, region))
-        if len(remaining) + len(found) > MAX_REGIONS_OF_CLASS:
+            remaining = [rest for rest in remaining if not overlaps(rest, region)]
+            for rest in overlapping:
+                routed.append(RoutedRegion(intersect(rest, region), route))
+                remaining.extend(subtract(rest, region))
+        if len(remaining) + len(routed) > MAX_REGIONS_OF_CLASS:
             raise TooManyRegionsError(
                 f"class {request_class.name!r} is divided into over {MAX_REGIONS_OF_CLASS} regions; "
                 "compare smaller files"
             )
-    return found + [RoutedRegion(left, None) for left in remaining]
+    return routed + [RoutedRegion(rest, None) for rest in remaining]
 
 
-def region_words(region: Region) -> str:
+def region_text(region: Region) -> str:
     """A region in the syntax of a match."""
     retry, write, group, part, objects = region
-    words = [
-        *flag_words("retry", retry),
-        *flag_words("write", write),
-        *range_words("group", group, GROUP_RANGE),
-        *range_words("part", part, PART_RANGE),
+    texts = [
+        *flag_texts("retry", retry),
+        *flag_texts("write", write),
+        *range_texts("group", group, GROUP_RANGE),
+        *range_texts("part", part, PART_RANGE),
     ]
     if objects != OBJECT_RANGE:
-        words.append(object_words(objects))
-    return " ".join(words) or "all of it"
+        texts.append(object_text(objects))
+    return " ".join(texts) or "all of it"
 
 
-def flag_words(name: str, values: Range) -> list[str]:
+def flag_texts(name: str, values: Range) -> list[str]:
     """A flag in the syntax of a match; empty where both values match."""
     low, high = values
     return [f"{name}=#{'true' if low else 'false'}"] if low == high else []
 
 
-def range_words(name: str, values: Range, full_range: Range) -> list[str]:
+def range_texts(name: str, values: Range, full_range: Range) -> list[str]:
     """A range in the syntax of a match; empty for the full range."""
     if values == full_range:
         return []
@@ -237,30 +238,30 @@
     return [f'{name}="{low}"'] if low == high else [f'{name}="{low}..{high}"']
 
 
-def object_words(objects: Range) -> str:
+def object_text(objects: Range) -> str:
     """A range of objects: their common prefix, where the range has all objects with it, or else both ends."""
     low, high = objects
     first = f"{low:0{OBJECT_DIGITS}x}"
     last = f"{high:0{OBJECT_DIGITS}x}"
-    shared = sum(1 for _ in takewhile(lambda pair: pair[0] == pair[1], zip(first, last, strict=True)))
-    if set(first[shared:]) <= {"0"} and set(last[shared:]) <= {"f"}:
-        return f'object="{first[:shared]}"'
+    prefix_length = sum(1 for _ in takewhile(lambda pair: pair[0] == pair[1], zip(first, last, strict=True)))
+    if set(first[prefix_length:]) <= {"0"} and set(last[prefix_length:]) <= {"f"}:
+        return f'object="{first[:prefix_length]}"'
     return f"objects {first} to {last}"
 
 
-def route_words(route: Route | None, budgets: dict[str, BudgetSettings]) -> dict[str, str]:
+def route_texts(route: Route | None, budgets: dict[str, BudgetSettings]) -> dict[str, str]:
     """The policy of a route in words, and the settings of the budgets that it names."""
     if route is None:
         return {}
     policy = route.policy
-    words = {row.name: row.words for row in describe_policy(policy)}
+    texts = {row.name: row.words for row in describe_policy(policy)}
     hedge_budget = policy.hedging.budget if policy.hedging else None
     for name in {policy.retry_budget, hedge_budget} - {None}:
         budget = budgets[name or ""]
-        words[f"budget {name!r}"] = (
+        texts[f"budget {name!r}"] = (
             f"ratio {budget.ratio:g}, least {budget.min_per_s:g}/s, burst {budget.burst:g}"
         )
-    return words
+    return texts
 
 
 def differences(
@@ -273,10 +274,10 @@
     """
     for request_class in classes:
         for difference, regions in differences_of_class(old, new, zone, request_class).items():
-            rest = len(regions) - MAX_SHOWN_REGIONS
-            more = f" and {rest} more" if rest > 0 else ""
+            hidden_count = len(regions) - MAX_SHOWN_REGIONS
+            more = f" and {hidden_count} more" if hidden_count > 0 else ""
             where = "; ".join(regions[:MAX_SHOWN_REGIONS]) + more
-            yield Change(request_class.name, where, difference.old, difference.new, difference.what)
+            yield Change(request_class.name, where, difference.old, difference.new, difference.changes)
 
 
 def differences_of_class(
@@ -285,32 +286,32 @@
     """Each difference in one class, with its regions in words."""
     old_budgets = {budget.name: budget for budget in old.budgets}
     new_budgets = {budget.name: budget for budget in new.budgets}
-    before = routed_regions(old, zone, request_class)
-    after = routed_regions(new, zone, request_class)
-    if len(before) * len(after) > MAX_COMPARED_PAIRS:
+    old_regions = routed_regions(old, zone, request_class)
+    new_regions = routed_regions(new, zone, request_class)
+    if len(old_regions) * len(new_regions) > MAX_COMPARED_PAIRS:
         raise TooManyRegionsError(
             f"class {request_class.name!r} is divided into too many regions; compare smaller files"
         )
-    found: dict[Difference, list[str]] = {}
-    for old_region, old_route in before:
-        old_words = route_words(old_route, old_budgets)
-        for new_region, new_route in after:
+    regions_by_difference: dict[Difference, list[str]] = {}
+    for old_region, old_route in old_regions:
+        old_texts = route_texts(old_route, old_budgets)
+        for new_region, new_route in new_regions:
             if not overlaps(old_region, new_region):
                 continue
-            what = changed_words(old_words, route_words(new_route, new_budgets))
-            if what:
-                difference = Difference(name_of(old_route), name_of(new_route), what)
-                words = region_words(intersect(old_region, new_region))
-                found.setdefault(difference, []).append(words)
-    return found
+            changes = changed_texts(old_texts, route_texts(new_route, new_budgets))
+            if changes:
+                difference = Difference(route_name(old_route), route_name(new_route), changes)
+                region = region_text(intersect(old_region, new_region))
+                regions_by_difference.setdefault(difference, []).append(region)
+    return regions_by_difference
 
 
-def name_of(route: Route | None) -> str:
+def route_name(route: Route | None) -> str:
     """The name of a route; empty for None."""
     return route.name if route else ""
 
 
-def changed_words(old: dict[str, str], new: dict[str, str]) -> tuple[str, ...]:
+def changed_texts(old: dict[str, str], new: dict[str, str]) -> tuple[str, ...]:
     """The fields that differ between two policies in words, by name."""
     return tuple(
         f"{name}: {old.get(name, 'not said')} -> {new.get(name, 'not said')}"
--- a/kelpcroft/operator_file/locator.py
+++ b/kelpcroft/operator_file/locator.py
@@ -131,8 +131,8 @@
 
     def read_node(self, token: Token, parents: list[NodeSpan], complete: list[NodeSpan]) -> None:
         """Read a node that begins with ``token``, up to its end or to its children."""
-        is_dropped = token.kind == "dash"
-        if is_dropped:
+        is_commented_out = token.kind == "dash"
+        if is_commented_out:
             token = self.next_token(skip_lines=True)
         if token.is_mark("("):
             token = self.token_after_annotation(token.offset)
@@ -144,7 +144,7 @@
                 token.offset, f"over {MAX_NODES} nodes; use fewer, with lists and ranges", "too-many-nodes"
             )
         node = NodeSpan(token.offset, self.offset)
-        if not is_dropped:
+        if not is_commented_out:
             siblings = parents[-1].children if parents else complete
             siblings.append(node)
         if self.read_entries(node):
@@ -168,8 +168,8 @@
             if self.read_simple_entry(node):
                 continue
             token = self.next_token()
-            is_dropped = token.kind == "dash"
-            if is_dropped:
+            is_commented_out = token.kind == "dash"
+            if is_commented_out:
                 token = self.next_token(skip_lines=True)
             if token.ends_node():
                 if token.text == "}":
@@ -177,8 +177,8 @@
                 node.end = max(node.end, start)
                 return False
             if not token.is_mark("{"):
-                self.read_entry(node, token, is_dropped)
-            elif is_dropped:
+                self.read_entry(node, token, is_commented_out)
+            elif is_commented_out:
                 self.skip_children(token.offset)
             else:
                 return True
@@ -197,7 +197,7 @@
             node.properties.append(PropertySpan(entry["key"], entry.start("key"), entry.start("value")))
         return True
 
-    def read_entry(self, node: NodeSpan, token: Token, is_dropped: bool) -> None:
+    def read_entry(self, node: NodeSpan, token: Token, is_commented_out: bool) -> None:
         """Read an argument or a property that begins with ``token``."""
         if token.is_mark("("):
             token = self.token_after_annotation(token.offset)
@@ -219,25 +219,25 @@
                 raise KdlSyntaxError(
                     value.offset, f"expected the value of a property, not {abbreviated(value.text)}"
                 )
-            if not is_dropped:
+            if not is_commented_out:
                 node.properties.append(PropertySpan(key, token.offset, value.offset))
-        elif not is_dropped:
+        elif not is_commented_out:
             node.arguments.append(token.offset)
         node.end = self.offset
 
     def skip_equals_sign(self) -> bool:
         """Read an equals sign, after blanks, comments and line continuations.  Returns False without one."""
-        before = self.offset
-        match = EQUALS.match(self.text, before)
+        start = self.offset
+        match = EQUALS.match(self.text, start)
         if match is None:
             return False
         if match["sure"]:
             self.offset = match.end()
             return True
-        follows = self.next_token().text == "="
-        if not follows:
-            self.offset = before
-        return follows
+        has_equals_sign = self.next_token().text == "="
+        if not has_equals_sign:
+            self.offset = start
+        return has_equals_sign
 
     def skip_children(self, offset: int) -> None:
         """Skip a block of children that begins at ``offset`` and is commented out with ``/-``."""
@@ -263,8 +263,8 @@
         while True:
             match = TOKEN.match(self.text, self.offset)
             if match is None:
-                begins = self.text[self.offset : self.offset + 12]
-                raise KdlSyntaxError(self.offset, f"{abbreviated(begins)} does not begin a KDL token")
+                excerpt = self.text[self.offset : self.offset + 12]
+                raise KdlSyntaxError(self.offset, f"{abbreviated(excerpt)} does not begin a KDL token")
             kind = match.lastgroup or ""
             offset = match.start(kind)
             self.offset = match.end()
--- a/kelpcroft/operator_file/match_regions.py
+++ b/kelpcroft/operator_file/match_regions.py
@@ -38,8 +38,8 @@
 
 def overlaps(region: Region, other: Region) -> bool:
     """Whether two regions share a point."""
-    for (low, high), (other_low, other_high) in zip(region, other):  # noqa: B905 - in the innermost loop
-        if low > other_high or other_low > high:
+    for (region_low, region_high), (other_low, other_high) in zip(region, other):  # noqa: B905 - in the innermost loop
+        if region_low > other_high or other_low > region_high:
             return False
     return True
 
@@ -47,22 +47,22 @@
 def intersect(region: Region, other: Region) -> Region:
     """The intersection of two regions that overlap."""
     return tuple(
-        (max(low, other_low), min(high, other_high))
-        for (low, high), (other_low, other_high) in zip(region, other, strict=True)
+        (max(region_low, other_low), min(region_high, other_high))
+        for (region_low, region_high), (other_low, other_high) in zip(region, other, strict=True)
     )
 
 
-def subtract(region: Region, taken: Region) -> Iterator[Region]:
+def subtract(region: Region, other: Region) -> Iterator[Region]:
     """Subtract from a region another that overlaps it.  Yields the rest as disjoint regions."""
-    for axis, (low, high) in enumerate(taken):
-        here_low, here_high = region[axis]
-        if low <= here_low and here_high <= high:
+    for axis, (low, high) in enumerate(other):
+        region_low, region_high = region[axis]
+        if low <= region_low and region_high <= high:
             continue
-        if here_low < low:
-            yield (*region[:axis], (here_low, low - 1), *region[axis + 1 :])
-        if here_high > high:
-            yield (*region[:axis], (high + 1, here_high), *region[axis + 1 :])
-        region = (*region[:axis], (max(low, here_low), min(high, here_high)), *region[axis + 1 :])
+        if region_low < low:
+            yield (*region[:axis], (region_low, low - 1), *region[axis + 1 :])
+        if region_high > high:
+            yield (*region[:axis], (high + 1, region_high), *region[axis + 1 :])
+        region = (*region[:axis], (max(low, region_low), min(high, region_high)), *region[axis + 1 :])
 
 
 def region_count(route: Route) -> int:
@@ -85,28 +85,30 @@
     )
 
 
-def takes_whole_classes(match: RouteMatch) -> bool:
+def matches_complete_classes(match: RouteMatch) -> bool:
     """Whether a match has no conditions other than on the class and the zone."""
-    without_classes = replace(match, classes=(), zones=(), effects=(), uncacheable=None, multipart=None)
-    return without_classes.matches_everything()
+    other_conditions = replace(match, classes=(), zones=(), effects=(), uncacheable=None, multipart=None)
+    return other_conditions.matches_everything()
 
 
 class RouteCoverage:
     """The uncovered rest of each class, while routes are added in file order.
 
     Attributes:
-        gave_up: MAX_SUBTRACTIONS or MAX_REGIONS_OF_CLASS was exceeded; from then on nothing is subtracted.
-        takers: Names of the earlier routes that match the requests of the last unreachable route.
+        covered: The regions of each class that routes cover, with the names of the routes.
+        limit_exceeded: MAX_SUBTRACTIONS or MAX_REGIONS_OF_CLASS was exceeded; from then on nothing is
+            subtracted.
+        covering_routes: Names of the earlier routes that match the requests of the last unreachable route.
     """
 
     def __init__(self, settings: api.Settings) -> None:
         self.zone = settings.zone
         self.classes = settings.classes
         self.remaining: dict[str, list[Region]] = {c.name: [ALL_REQUESTS] for c in settings.classes}
-        self.taken: dict[str, list[tuple[str, Region]]] = {c.name: [] for c in settings.classes}
+        self.covered: dict[str, list[tuple[str, Region]]] = {c.name: [] for c in settings.classes}
         self.subtractions = 0
-        self.gave_up = False
-        self.takers: list[str] = []
+        self.limit_exceeded = False
+        self.covering_routes: list[str] = []
 
     def add_route(self, route: Route) -> set[str]:
         """Add the next route.
@@ -114,62 +116,66 @@
         Returns:
             Names of the classes of which it covers something new; empty for a route that can never match.
         """
-        names = tuple(c.name for c in self.classes if route.match.accepts_class(c))
+        class_names = tuple(c.name for c in self.classes if route.match.accepts_class(c))
         if not route.match.accepts_zone(self.zone):
-            return set(names)  # the coverage of other zones is not computed here
-        regions = [] if self.gave_up else regions_of(route)
-        taken: set[str] = set()
-        for name in names:
-            took = self.take_unbounded(name, route) if self.gave_up else self.take(name, regions)
-            if took:
-                taken.add(name)
-        if not taken and not self.gave_up:
-            self.takers = self.routes_that_took(names, regions)
-        for name in taken:
-            self.taken[name].extend((route.name, region) for region in regions)
-        return taken
-
-    def take(self, name: str, regions: list[Region]) -> bool:
+            return set(class_names)  # the coverage of other zones is not computed here
+        regions = [] if self.limit_exceeded else regions_of(route)
+        covered_classes: set[str] = set()
+        for name in class_names:
+            covers = (
+                self.cover_without_subtracting(name, route)
+                if self.limit_exceeded
+                else self.cover(name, regions)
+            )
+            if covers:
+                covered_classes.add(name)
+        if not covered_classes and not self.limit_exceeded:
+            self.covering_routes = self.routes_covering(class_names, regions)
+        for name in covered_classes:
+            self.covered[name].extend((route.name, region) for region in regions)
+        return covered_classes
+
+    def cover(self, class_name: str, regions: list[Region]) -> bool:
         """Subtract regions from the rest of a class.  Returns whether they cover, or may cover, any of it."""
-        remaining = self.remaining[name]
-        took = False
+        remaining = self.remaining[class_name]
+        covers = False
         for region in regions:
             self.subtractions += len(remaining) + 1
             if self.subtractions > MAX_SUBTRACTIONS:
-                took = True
+                covers = True
                 break
-            hit = [left for left in remaining if overlaps(left, region)]
-            if hit:
-                took = True
-                remaining = [left for left in remaining if not overlaps(left, region)]
-                for left in hit:
-                    remaining.extend(subtract(left, region))
-        self.remaining[name] = remaining
+            overlapping = [rest for rest in remaining if overlaps(rest, region)]
+            if overlapping:
+                covers = True
+                remaining = [rest for rest in remaining if not overlaps(rest, region)]
+                for rest in overlapping:
+                    remaining.extend(subtract(rest, region))
+        self.remaining[class_name] = remaining
         if len(remaining) > MAX_REGIONS_OF_CLASS or self.subtractions > MAX_SUBTRACTIONS:
-            self.gave_up = True
-        return took
+            self.limit_exceeded = True
+        return covers
 
-    def take_unbounded(self, name: str, route: Route) -> bool:
-        """Replace ``take`` beyond the limits: without subtractions, a route may cover some of any rest."""
-        is_left = bool(self.remaining[name])
-        if takes_whole_classes(route.match):
-            self.remaining[name] = []
-        return is_left
+    def cover_without_subtracting(self, class_name: str, route: Route) -> bool:
+        """Replace ``cover`` beyond the limits: without subtractions, a route may cover some of any rest."""
+        has_rest = bool(self.remaining[class_name])
+        if matches_complete_classes(route.match):
+            self.remaining[class_name] = []
+        return has_rest
 
-    def routes_that_took(self, names: tuple[str, ...], regions: list[Region]) -> list[str]:
+    def routes_covering(self, class_names: tuple[str, ...], regions: list[Region]) -> list[str]:
         """Names of the routes, in file order, that cover something of these regions of these classes."""
         found = (
             route_name
-            for name in names
-            for route_name, region in self.taken[name]
-            if any(overlaps(region, wanted) for wanted in regions)
+            for class_name in class_names
+            for route_name, region in self.covered[class_name]
+            if any(overlaps(region, other) for other in regions)
         )
         return list(dict.fromkeys(found))
 
     def uncovered(self) -> list[str]:
         """Names of the classes that have requests without a route."""
-        if self.gave_up:
+        if self.limit_exceeded:
             # Several routes together may cover a class.  Only a class of which nothing was subtracted is
             # certainly not covered.
-            return [name for name, left in self.remaining.items() if left == [ALL_REQUESTS]]
-        return [name for name, left in self.remaining.items() if left]
+            return [name for name, rest in self.remaining.items() if rest == [ALL_REQUESTS]]
+        return [name for name, rest in self.remaining.items() if rest]
--- a/kelpcroft/operator_file/model.py
+++ b/kelpcroft/operator_file/model.py
@@ -19,15 +19,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerTimeout:
+class ResponseTimeout:
     """Response timeout: a duration, or a share of the client's own timeout."""
 
     ns: int = 0
     share: float = 0.0
 
-    def within(self, patience_ns: int) -> int:
+    def resolve_ns(self, client_timeout_ns: int) -> int:
         """The timeout in ns for a client with this timeout of its own, which is never exceeded."""
-        return min(patience_ns, self.ns or int(self.share * patience_ns))
+        return min(client_timeout_ns, self.ns or int(self.share * client_timeout_ns))
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,11 +39,11 @@
     min_ns: int = 0
     max_ns: int = 0
 
-    def longest_ns(self) -> int:
+    def upper_bound_ns(self) -> int:
         """The upper bound; 0 = none is stated."""
         return self.ns or self.max_ns
 
-    def shortest_ns(self) -> int:
+    def lower_bound_ns(self) -> int:
         """The lower bound; 0 = none is stated."""
         return self.ns or self.min_ns
 
@@ -60,7 +60,7 @@
         """The wait before a retry without jitter; retries are counted from 0."""
         return min(self.max_ns, self.initial_ns << min(retry, MAX_BACKOFF_DOUBLINGS))
 
-    def longest_total_ns(self, attempts: int) -> int:
+    def max_total_ns(self, attempts: int) -> int:
         """The upper bound of the sum of all waits of a request with this number of attempts."""
         return sum(self.step_ns(retry) for retry in range(attempts - 1))
 
@@ -89,7 +89,7 @@
     uncacheable: bool | None = None  # runs at the origin and is not cached (``through`` in the file)
     multipart: bool | None = None  # objects of the class have parts
 
-    def asks_class_properties(self) -> bool:
+    def has_class_property_conditions(self) -> bool:
         """Whether it has conditions on properties of the class other than its name."""
         return bool(self.effects) or self.uncacheable is not None or self.multipart is not None
 
@@ -131,7 +131,7 @@
         positions: Positions of the fields in the file, by the names above.
     """
 
-    answer_timeout: AnswerTimeout | None = None
+    answer_timeout: ResponseTimeout | None = None
     attempt_timeout: AdaptiveDuration | None = None
     max_attempts: int | None = None
     retry_on: frozenset[str] | None = None
--- a/kelpcroft/operator_file/node_reader.py
+++ b/kelpcroft/operator_file/node_reader.py
@@ -30,31 +30,38 @@
         self.diagnostics = diagnostics
 
     def check_structure(
-        self, node: KdlNode, arguments: int, keys: tuple[str, ...], children: tuple[str, ...] = ()
+        self,
+        node: KdlNode,
+        max_arguments: int,
+        known_keys: tuple[str, ...],
+        known_children: tuple[str, ...] = (),
     ) -> None:
         """Report extra arguments, unknown keys, and unknown or repeated children of a node."""
-        for _, offset in node.arguments[arguments:]:
-            self.diagnostics.add(offset, "unknown-key", f"{node.name!r} takes {argument_count(arguments)}")
-        for key, found in node.properties.items():
-            if key not in keys:
+        for _, offset in node.arguments[max_arguments:]:
+            self.diagnostics.add(
+                offset, "unknown-key", f"{node.name!r} takes {argument_count(max_arguments)}"
+            )
+        for key, node_property in node.properties.items():
+            if key not in known_keys:
                 self.diagnostics.add(
-                    found.key_offset,
+                    node_property.key_offset,
                     "unknown-key",
-                    f"{node.name!r} has no property {abbreviated(key)}{suggestion(key, keys)}",
+                    f"{node.name!r} has no property {abbreviated(key)}{suggestion(key, known_keys)}",
                 )
-        seen: set[str] = set()
+        child_names: set[str] = set()
         for child in node.children:
-            if child.name not in children:
+            if child.name not in known_children:
                 self.diagnostics.add(
                     child.offset,
                     "unknown-node",
-                    f"{node.name!r} has no child {abbreviated(child.name)}{suggestion(child.name, children)}",
+                    f"{node.name!r} has no child {abbreviated(child.name)}"
+                    f"{suggestion(child.name, known_children)}",
                 )
-            elif child.name in seen and child.name not in REPEATABLE_NODES:
+            elif child.name in child_names and child.name not in REPEATABLE_NODES:
                 self.diagnostics.add(
                     child.offset, "duplicate-node", f"{child.name!r} occurs twice in this {node.name!r}"
                 )
-            seen.add(child.name)
+            child_names.add(child.name)
 
     def read_value(
         self, node: KdlNode, offset: int, raw: Value, parse: Callable[[Value], Parsed]
@@ -88,9 +95,9 @@
             expected: Description of the value for the message that a required property is missing; empty for
                 an optional property.
         """
-        found = node.properties.get(key)
-        if found is not None:
-            return self.read_value(node, found.value_offset, found.value, parse)
+        node_property = node.properties.get(key)
+        if node_property is not None:
+            return self.read_value(node, node_property.value_offset, node_property.value, parse)
         if expected:
             self.diagnostics.add(node.offset, "missing-value", f"{node.name!r} needs {expected}")
         return None
@@ -101,14 +108,14 @@
 
     def read_addresses(self, node: KdlNode) -> tuple[tuple[str, int], ...]:
         """Parse the arguments as addresses: at least one, at most MAX_ADDRESSES, and each only once."""
-        found: set[tuple[str, int]] = set()
+        seen: set[tuple[str, int]] = set()
         addresses: list[tuple[str, int]] = []
         for raw, offset in node.arguments[:MAX_ADDRESSES]:
             address = self.read_value(node, offset, raw, values.parse_address)
-            if address in found:
+            if address in seen:
                 self.diagnostics.add(offset, "duplicate-name", f"{abbreviated(raw)} is listed twice")
             elif address is not None:
-                found.add(address)
+                seen.add(address)
                 addresses.append(address)
         if not node.arguments:
             self.diagnostics.add(
@@ -143,5 +150,5 @@
 
 def value_offset(node: KdlNode, key: str) -> int:
     """The offset of a property's value, or the node's offset where it has no such property."""
-    found = node.properties.get(key)
-    return found.value_offset if found else node.offset
+    node_property = node.properties.get(key)
+    return node_property.value_offset if node_property else node.offset
--- a/kelpcroft/operator_file/policy_reader.py
+++ b/kelpcroft/operator_file/policy_reader.py
@@ -10,9 +10,9 @@
 from kelpcroft.operator_file.model import (
     RETRYABLE_OUTCOMES,
     AdaptiveDuration,
-    AnswerTimeout,
     Backoff,
     Hedging,
+    ResponseTimeout,
     RoutePolicy,
 )
 from kelpcroft.operator_file.node_reader import NodeReader, value_offset
@@ -34,7 +34,7 @@
     offset: int
 
 
-class BudgetUse(NamedTuple):
+class BudgetReference(NamedTuple):
     """A reference to a budget by its name, and its offset."""
 
     name: str
@@ -46,7 +46,7 @@
 
     def __init__(self, diagnostics: DiagnosticCollector) -> None:
         super().__init__(diagnostics)
-        self.budget_uses: list[BudgetUse] = []
+        self.budget_references: list[BudgetReference] = []
 
     def read_policy(self, node: KdlNode) -> RoutePolicy:
         """Read the policy from the children of a route or of the defaults."""
@@ -64,7 +64,7 @@
     def read_timeout(self, node: KdlNode) -> list[PolicyField]:
         """Read ``timeout "2.5s"`` or ``timeout "80%"``."""
         self.check_structure(node, 1, ())
-        timeout = self.read_argument(node, parse_answer_timeout, 'a time, as in timeout "2.5s"')
+        timeout = self.read_argument(node, parse_response_timeout, 'a time, as in timeout "2.5s"')
         return [PolicyField("answer_timeout", timeout, node.offset)]
 
     def read_attempt(self, node: KdlNode) -> list[PolicyField]:
@@ -78,7 +78,7 @@
         self.check_structure(node, 0, ("most", "on", "budget"))
         max_count = self.read_property(node, "most", lambda raw: values.parse_count(raw, 1, MAX_COUNT))
         retry_on = self.read_property(node, "on", parse_retryable_outcomes)
-        budget = self.read_budget_use(node)
+        budget = self.read_budget_reference(node)
         return [
             PolicyField("max_attempts", max_count, value_offset(node, "most")),
             PolicyField("retry_on", retry_on, value_offset(node, "on")),
@@ -96,21 +96,21 @@
     def read_backoff(self, node: KdlNode) -> list[PolicyField]:
         """Read ``backoff first="20ms" most="1s" jitter="full"``."""
         self.check_structure(node, 0, ("first", "most", "jitter"))
-        first_ns = self.read_property(
+        initial_ns = self.read_property(
             node, "first", values.parse_duration, 'a first wait, as in first="20ms"'
         )
         max_ns = self.read_property(node, "most", values.parse_duration)
-        has_jitter = self.read_property(node, "jitter", parse_jitter)
-        if first_ns is None:
+        full_jitter = self.read_property(node, "jitter", parse_jitter)
+        if initial_ns is None:
             return []
-        if max_ns is not None and first_ns > max_ns:
+        if max_ns is not None and initial_ns > max_ns:
             self.diagnostics.add(
                 node.properties["first"].value_offset,
                 "least-over-most",
                 "backoff: 'first' is greater than 'most'",
             )
             return []
-        backoff = Backoff(first_ns, max_ns or first_ns, bool(has_jitter))
+        backoff = Backoff(initial_ns, max_ns or initial_ns, bool(full_jitter))
         return [PolicyField("backoff", backoff, node.offset)]
 
     def read_copies(self, node: KdlNode) -> list[PolicyField]:
@@ -122,7 +122,7 @@
         if max_count == 0:
             return [PolicyField("hedging", NO_HEDGING, node.offset)]
         delay = self.read_adaptive_duration(node, "after", 'a time, as in after="p95"')
-        budget = self.read_budget_use(node)
+        budget = self.read_budget_reference(node)
         hedging = Hedging(max_count, delay, budget) if max_count and delay else None
         return [PolicyField("hedging", hedging, node.offset)]
 
@@ -140,21 +140,21 @@
     def read_pause(self, node: KdlNode) -> list[PolicyField]:
         """Read ``pause "300ms"``."""
         self.check_structure(node, 1, ())
-        pause_ns = self.read_argument(node, values.parse_duration, 'a time, as in pause "300ms"')
-        return [PolicyField("retry_after_ns", pause_ns, node.offset)]
+        retry_after_ns = self.read_argument(node, values.parse_duration, 'a time, as in pause "300ms"')
+        return [PolicyField("retry_after_ns", retry_after_ns, node.offset)]
 
     def read_adaptive_duration(self, node: KdlNode, key: str, expected: str) -> AdaptiveDuration | None:
         """Parse the property ``key``: a duration, or a quantile with the bounds ``least`` and ``most``.
 
         For ``after`` of a ``copies`` node, ``most`` is not a bound but the number of copies.
         """
-        found: AdaptiveDuration | None = self.read_property(node, key, parse_adaptive_duration, expected)
+        duration: AdaptiveDuration | None = self.read_property(node, key, parse_adaptive_duration, expected)
         bounds = ("least",) if key == "after" else ("least", "most")
         min_ns = self.read_property(node, "least", values.parse_duration)
         max_ns = self.read_property(node, "most", values.parse_duration) if "most" in bounds else None
-        if found is None:
+        if duration is None:
             return None
-        if found.ns:
+        if duration.ns:
             for bound in bounds:
                 if bound in node.properties:
                     self.diagnostics.add(
@@ -162,7 +162,7 @@
                         "unknown-key",
                         f"{bound!r} is allowed with a quantile only, and {key!r} is a duration",
                     )
-            return found
+            return duration
         if min_ns and max_ns and min_ns > max_ns:
             self.diagnostics.add(
                 node.properties["least"].value_offset,
@@ -170,13 +170,13 @@
                 f"{node.name}: 'least' is greater than 'most'",
             )
             return None
-        return AdaptiveDuration(quantile=found.quantile, min_ns=min_ns or 0, max_ns=max_ns or 0)
+        return AdaptiveDuration(quantile=duration.quantile, min_ns=min_ns or 0, max_ns=max_ns or 0)
 
-    def read_budget_use(self, node: KdlNode) -> str | None:
+    def read_budget_reference(self, node: KdlNode) -> str | None:
         """Parse the name of the budget to which a node refers, if any, and record the reference."""
         name: str | None = self.read_property(node, "budget", lambda raw: values.parse_text(raw, "a name"))
         if name is not None:
-            self.budget_uses.append(BudgetUse(name, node.properties["budget"].value_offset))
+            self.budget_references.append(BudgetReference(name, node.properties["budget"].value_offset))
         return name
 
 
@@ -193,12 +193,12 @@
 POLICY_NODES = tuple(FIELD_READERS)
 
 
-def parse_answer_timeout(raw: Value) -> AnswerTimeout:
+def parse_response_timeout(raw: Value) -> ResponseTimeout:
     """Parse a duration, or a share of the client's own timeout in percent."""
     share = values.parse_share(raw)
     if share is None:
-        return AnswerTimeout(ns=values.parse_duration(raw, "a wait"))
-    return AnswerTimeout(share=share)
+        return ResponseTimeout(ns=values.parse_duration(raw, "a wait"))
+    return ResponseTimeout(share=share)
 
 
 def parse_adaptive_duration(raw: Value) -> AdaptiveDuration:
--- a/kelpcroft/operator_file/reader.py
+++ b/kelpcroft/operator_file/reader.py
@@ -124,22 +124,22 @@
     def read_version(self, node: KdlNode) -> None:
         """Read ``kelpcroft version=1``."""
         self.check_structure(node, 0, ("version",))
-        found = node.properties.get("version")
-        if found is None:
+        version = node.properties.get("version")
+        if version is None:
             self.diagnostics.add(
                 node.offset, "no-version", f"the version is missing; write kelpcroft version={VERSION}"
             )
-        elif isinstance(found.value, bool) or not isinstance(found.value, int):
+        elif isinstance(version.value, bool) or not isinstance(version.value, int):
             self.diagnostics.add(
-                found.value_offset,
+                version.value_offset,
                 "wrong-type",
-                f"the version must be a whole number, not {abbreviated(found.value)}",
+                f"the version must be a whole number, not {abbreviated(version.value)}",
             )
-        elif found.value != VERSION:
+        elif version.value != VERSION:
             self.diagnostics.add(
-                found.value_offset,
+                version.value_offset,
                 "unknown-version",
-                f"version {abbreviated(found.value)} is not supported; write version {VERSION}",
+                f"version {abbreviated(version.value)} is not supported; write version {VERSION}",
             )
 
     def read_control(self, node: KdlNode) -> None:
@@ -159,14 +159,16 @@
                 "'start' needs list-calls=50 (the requests a second of all routers "
                 "that the list service can serve), store=#true or count=#true",
             )
-        list_calls = self.read_property(
+        list_calls_per_s = self.read_property(
             node,
             "list-calls",
             lambda raw: values.parse_number(raw, MIN_LIST_CALLS_PER_S, MAX_LIST_CALLS_PER_S, "bad-rate"),
         )
-        store = self.read_property(node, "store", values.parse_flag)
-        count = self.read_property(node, "count", values.parse_flag)
-        self.start_options = StartupOptions(list_calls or 0.0, bool(store), bool(count))
+        limit_origin_fetches = self.read_property(node, "store", values.parse_flag)
+        estimate_fleet_size = self.read_property(node, "count", values.parse_flag)
+        self.start_options = StartupOptions(
+            list_calls_per_s or 0.0, bool(limit_origin_fetches), bool(estimate_fleet_size)
+        )
 
     def read_replicas(self, node: KdlNode) -> None:
         """Read ``replicas "10.0.0.1:7100" stale="3s"``: the control replicas that are watched."""
@@ -244,15 +246,15 @@
 
     def check_budget_names(self, file: OperatorFile) -> None:
         """Report budgets that are used and not declared, and budgets that are declared and not used."""
-        known = [budget.name for budget in file.budgets]
-        for name, offset in self.policy_reader.budget_uses:
-            if name not in known:
+        declared = [budget.name for budget in file.budgets]
+        for name, offset in self.policy_reader.budget_references:
+            if name not in declared:
                 self.diagnostics.add(
                     offset,
                     "unknown-budget",
-                    f"there is no budget {abbreviated(name)}{suggestion(name, known)}",
+                    f"there is no budget {abbreviated(name)}{suggestion(name, declared)}",
                 )
-        used = {use.name for use in self.policy_reader.budget_uses}
+        used = {reference.name for reference in self.policy_reader.budget_references}
         for budget in file.budgets:
             if budget.name and budget.name not in used:
                 self.diagnostics.add(
--- a/kelpcroft/operator_file/replica.py
+++ b/kelpcroft/operator_file/replica.py
@@ -32,7 +32,7 @@
 VERSION = 1
 MS = values.MS
 SECOND = values.SECOND
-HEAD = "control-replica"
+VERSION_NODE = "control-replica"
 LEASE_RANGE_NS = (2 * SECOND, 60 * SECOND)  # upstream sends a response once a second
 BATCH_RANGE_NS = (10 * MS, 1 * SECOND)  # a longer interval would delay events by more than purges may take
 MAX_WATCHES = 10_000  # upper bound of ``watches``
@@ -73,14 +73,15 @@
     def read_file(self, nodes: Iterable[KdlNode]) -> ControlReplicaFile:
         """Read a complete file.  Values that are missing or invalid have their defaults."""
         for index, node in enumerate(nodes):
-            if index == 0 and node.name != HEAD:
+            if index == 0 and node.name != VERSION_NODE:
                 self.diagnostics.add(
                     node.offset,
                     "no-version",
-                    f"the first node must be '{HEAD} version={VERSION}', not {abbreviated(node.name)}",
+                    f"the first node must be '{VERSION_NODE} version={VERSION}', "
+                    f"not {abbreviated(node.name)}",
                 )
             self.read_top_level_node(node)
-        self.check_needed_nodes()
+        self.check_required_nodes()
         return self.file
 
     def read_top_level_node(self, node: KdlNode) -> None:
@@ -100,14 +101,14 @@
             self.node_offsets[node.name] = node.offset
             NODE_READERS[node.name](self, node)
 
-    def check_needed_nodes(self) -> None:
+    def check_required_nodes(self) -> None:
         """Report a missing address to listen on, and missing upstreams."""
         if "listen" not in self.node_offsets:
-            self.note_missing("listen", '"10.0.0.1:7100"')
+            self.report_missing_node("listen", '"10.0.0.1:7100"')
         if "list-service" not in self.node_offsets and "peer" not in self.node_offsets:
-            self.note_missing("list-service", '"10.0.0.9:7000"')
+            self.report_missing_node("list-service", '"10.0.0.9:7000"')
 
-    def note_missing(self, name: str, example: str) -> None:
+    def report_missing_node(self, name: str, example: str) -> None:
         """Report that a required node is missing."""
         self.diagnostics.add(
             FILE_OFFSET, "missing-value", f"there is no {name}; add one, as {name} {example}"
@@ -116,11 +117,11 @@
     def read_version(self, node: KdlNode) -> None:
         """Read ``control-replica version=1``."""
         self.check_structure(node, 0, ("version",))
-        found = node.properties.get("version")
-        if found is None or found.value != VERSION or isinstance(found.value, bool):
-            offset = node.offset if found is None else found.value_offset
+        version = node.properties.get("version")
+        if version is None or version.value != VERSION or isinstance(version.value, bool):
+            offset = node.offset if version is None else version.value_offset
             self.diagnostics.add(
-                offset, "unknown-version", f"unsupported version; write {HEAD} version={VERSION}"
+                offset, "unknown-version", f"unsupported version; write {VERSION_NODE} version={VERSION}"
             )
 
     def read_listen(self, node: KdlNode) -> None:
@@ -181,7 +182,7 @@
 
 
 NODE_READERS: dict[str, Callable[[ReplicaFileReader, KdlNode], None]] = {
-    HEAD: ReplicaFileReader.read_version,
+    VERSION_NODE: ReplicaFileReader.read_version,
     "listen": ReplicaFileReader.read_listen,
     "list-service": ReplicaFileReader.read_list_services,
     "peer": ReplicaFileReader.read_peers,
--- a/kelpcroft/operator_file/text.py
+++ b/kelpcroft/operator_file/text.py
@@ -77,9 +77,9 @@
     try:
         return data.decode()
     except UnicodeDecodeError as error:
-        before = data[: error.start].decode()
+        valid_text = data[: error.start].decode()
         diagnostics.add(
-            SourceText(before).position_of(len(before)),
+            SourceText(valid_text).position_of(len(valid_text)),
             "not-utf8",
             f"byte {data[error.start]:#04x} does not begin a UTF-8 character; save the file as UTF-8",
         )
@@ -91,20 +91,20 @@
     try:
         nodes = ckdl.parse(text[span.offset : span.end], version=2).nodes
     except ValueError as error:
-        offset = innermost_broken_node(text, span)
+        offset = innermost_invalid_node(text, span)
         excerpt = text[offset : offset + EXCERPT_CHARACTERS]
         diagnostics.add(offset, "not-kdl", f"{error}: near {abbreviated(excerpt)}")
         return []
     return attach_offsets(nodes, [span], diagnostics)
 
 
-def innermost_broken_node(text: str, broken: NodeSpan) -> int:
+def innermost_invalid_node(text: str, span: NodeSpan) -> int:
     """The offset of the innermost node that does not parse by itself: the place of the parser's error."""
-    offset = broken.offset
-    children = broken.children
+    offset = span.offset
+    children = span.children
     while True:
         for child in children:
-            if not parses_alone(text, child):
+            if not parses_by_itself(text, child):
                 offset = child.offset
                 children = child.children
                 break
@@ -112,7 +112,7 @@
             return offset
 
 
-def parses_alone(text: str, span: NodeSpan) -> bool:
+def parses_by_itself(text: str, span: NodeSpan) -> bool:
     """Whether a node parses by itself."""
     try:
         ckdl.parse(text[span.offset : span.end], version=2)
--- a/kelpcroft/operator_file/values.py
+++ b/kelpcroft/operator_file/values.py
@@ -55,22 +55,22 @@
         self.reason = reason
 
 
-def parse_text(value: object, what: str) -> str:
+def parse_text(value: object, kind: str) -> str:
     """Parse a string and strip whitespace at both ends; ``what`` is a key of EXAMPLES."""
     if not isinstance(value, str):
         raise InvalidValue(
-            "wrong-type", f"{what} must be a string, such as {EXAMPLES[what]}, not {abbreviated(value)}"
+            "wrong-type", f"{kind} must be a string, such as {EXAMPLES[kind]}, not {abbreviated(value)}"
         )
     return value.strip()
 
 
-def parse_duration(value: object, what: str = "a duration") -> int:
+def parse_duration(value: object, kind: str = "a duration") -> int:
     """Parse a duration, above 0 and at most one day, to nanoseconds."""
-    text = parse_text(value, what)
+    text = parse_text(value, kind)
     match = DURATION.fullmatch(text)
     if not match:
         raise InvalidValue(
-            "bad-duration", f"{abbreviated(text)} is not a duration; write one as {EXAMPLES[what]}"
+            "bad-duration", f"{abbreviated(text)} is not a duration; write one as {EXAMPLES[kind]}"
         )
     number, unit = match[1], match[2]
     if number.lstrip("-") in ("inf", "nan"):
@@ -198,6 +198,6 @@
     return bool(match["low"] or match["high"])
 
 
-def parse_list(value: object, what: str = "a list") -> list[str]:
+def parse_list(value: object, kind: str = "a list") -> list[str]:
     """Parse a comma-separated list; ``what`` is a key of EXAMPLES."""
-    return [word.strip() for word in parse_text(value, what).split(",")]
+    return [word.strip() for word in parse_text(value, kind).split(",")]
--- a/kelpcroft/routes/table.py
+++ b/kelpcroft/routes/table.py
@@ -103,7 +103,7 @@
         timeout = self.policy.answer_timeout
         if not timeout:
             return remaining_ns
-        from_send_ns = timeout.within(remaining_ns + elapsed_ns)  # counts from the client's send
+        from_send_ns = timeout.resolve_ns(remaining_ns + elapsed_ns)  # counts from the client's send
         return max(0, min(remaining_ns, from_send_ns - elapsed_ns))
 
 
--- a/tests/deployment_check/test_deployments.py
+++ b/tests/deployment_check/test_deployments.py
@@ -217,7 +217,7 @@
 
     CODE_ARGUMENT = {
         "add": 1,
-        "note": 1,
+        "report": 1,
         "InvalidValue": 0,
         "KdlSyntaxError": 2,
         "LimitExceededError": 2,
--- a/tests/operator_file/test_operator_properties.py
+++ b/tests/operator_file/test_operator_properties.py
@@ -15,11 +15,11 @@
 from kelpcroft.operator_file.model import (
     RETRYABLE_OUTCOMES,
     AdaptiveDuration,
-    AnswerTimeout,
     Backoff,
     BudgetSettings,
     Hedging,
     OperatorFile,
+    ResponseTimeout,
     Route,
     RoutePolicy,
 )
@@ -39,7 +39,7 @@
 )
 bounds = st.builds(
     RoutePolicy,
-    answer_timeout=maybe(st.builds(AnswerTimeout, ns=st.integers(10_000, 20_000).map(lambda n: n * MS))),
+    answer_timeout=maybe(st.builds(ResponseTimeout, ns=st.integers(10_000, 20_000).map(lambda n: n * MS))),
     attempt_timeout=maybe(
         st.builds(AdaptiveDuration, ns=st.integers(9_000, 9_900).map(lambda n: n * MS)) | quantiles
     ),
