--- a/kelpcroft/__main__.py
+++ b/kelpcroft/__main__.py
@@ -1,7 +1,7 @@
-"""One request router, as its environment describes it.
+"""The router process, configured by its environment.
 
 ``ROUTER_CONFIG`` names its configuration, ``ROUTER_RULES`` the operator's file if any, and ``ROUTER_FD`` a
-listening socket handed down by the platform (see ``kelpcroft.config``).  Exit codes: 0 asked to end, 2 bad
+listening socket inherited from the platform (see ``kelpcroft.config``).  Exit codes: 0 after a signal, 2 bad
 configuration.
 """
 
@@ -26,16 +26,16 @@
 
 EXIT_ENDED = 0
 EXIT_BAD_CONFIGURATION = 2
-GC_THRESHOLDS = 50_000, 20, 20  # hardly anything here is cyclic
+GC_THRESHOLDS = 50_000, 20, 20  # high, because few objects form cycles
 
 OperatorFileSteps = Callable[[Settings], Iterator[inputs.OperatorFileRead | None]]
 
 
 def main() -> int:
-    """Serves until SIGTERM or SIGINT; returns the exit code.
+    """Serve until SIGTERM or SIGINT, and return the exit code.
 
-    Signals are taken from the first line on: one that comes while the configuration is read waits in the pipe
-    until the loop looks.
+    Signals are received from the first line on: a signal that arrives while the configuration is read stays
+    in the pipe until the event loop reads it.
     """
     signals = _open_signal_pipe()
     try:
@@ -52,7 +52,7 @@
         return _bad_configuration(f"configuration: {error}")
     event_log = EventLog(config.name, form=os.environ.get("ROUTER_LOG", ""))
     loop = EventLoop(config, Clock(), partial(reread_config, os.environ), read_again, event_log)
-    gc.freeze()  # what is there by now stays; collections need not look at it
+    gc.freeze()  # objects created so far stay; collections need not visit them
     gc.set_threshold(*GC_THRESHOLDS)
     delay_ns = _crash_loop_delay_ns(config, operator_file)
     predecessor = predecessor_files.read_handover(config.state_dir, config.name)
@@ -62,29 +62,29 @@
 
 
 def _open_signal_pipe() -> int:
-    """Has signals written to a pipe; returns its reading end.
+    """Have signal numbers written to a pipe, and return its reading end.
 
-    A pipe, not a socket pair: only TCP and UDP sockets are to be had.
+    It is a pipe and not a socket pair, because only TCP and UDP sockets are available.
     """
     reading_end, writing_end = os.pipe()
     for end in (reading_end, writing_end):
         os.set_blocking(end, False)
     signal.set_wakeup_fd(writing_end, warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(number, lambda *_: None)  # the byte in the pipe is what the loop sees
+        signal.signal(number, lambda *_: None)  # the event loop reads the byte from the pipe
     return reading_end
 
 
 def _read_operator_file(config: Config) -> tuple[inputs.OperatorFileRead | None, OperatorFileSteps | None]:
-    """The operator's file, if one is named, and what reads it again.
+    """Return the operator's file and the steps that read it again; None for both if no file is named.
 
     Raises:
-        ConfigError: it cannot be used.
+        ConfigError: The file cannot be used.
     """
     path = os.environ.get("ROUTER_RULES")
     if not path:
         return None, None
-    from kelpcroft.operator_file.service import (  # not even imported without a file
+    from kelpcroft.operator_file.service import (  # not imported without a file
         load_at_start,
         reload_steps,
     )
@@ -93,10 +93,10 @@
 
 
 def _open_listeners(config: Config) -> tuple[socket.socket, socket.socket | None]:
-    """The clients' listening socket, inherited or bound, and that of the control address, if any.
+    """Return the listening socket for clients, inherited or bound, and the one for control clients, or None.
 
     Raises:
-        ConfigError: one cannot be had.
+        ConfigError: A socket cannot be opened.
     """
     if config.inherited_listener_fd is not None:
         listener = listeners.adopt_listener(config.inherited_listener_fd)
@@ -108,7 +108,7 @@
 
 
 def _crash_loop_delay_ns(config: Config, operator_file: inputs.OperatorFileRead | None) -> int:
-    """How long the first call of the list waits, where the operator's file limits such calls."""
+    """Return how long the first list request is delayed; 0 if the operator's file does not limit them."""
     if operator_file is None or operator_file.file is None:
         return 0
     if not operator_file.file.start_options.list_calls_per_s:
--- a/kelpcroft/cli/__init__.py
+++ b/kelpcroft/cli/__init__.py
@@ -1,4 +1,7 @@
-"""The ``kelpcroft`` command: one module per verb.  Exit codes: 0 good, 1 the answer is no, 2 used wrongly."""
+"""The ``kelpcroft`` command: one module per subcommand.
+
+Exit codes: 0 success, 1 negative result, 2 usage error.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +18,9 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 def main() -> None:
-    """A request router for caches: start it, and check what its operator's file says.
+    """A request router for caches: run it, check its files and roll out changes.
 
-    Exit codes: 0 good, 1 the answer is no, 2 used wrongly.
+    Exit codes: 0 success, 1 negative result, 2 usage error.
     """
 
 
--- a/kelpcroft/cli/check.py
+++ b/kelpcroft/cli/check.py
@@ -1,4 +1,4 @@
-"""``kelpcroft check``: may this operator's file be used?"""
+"""The ``kelpcroft check`` command: whether an operator's file or a configuration can be used."""
 
 from __future__ import annotations
 
@@ -27,13 +27,15 @@
 @config_option()
 @format_option
 def check(file: str | None, config: str | None, form: str) -> None:
-    """Name every fault of an operator's FILE with its line, column, code and reason, and of a router's
-    CONFIG every setting that is unusable (fault), odd (doubt) or unknown, with what would do.
+    """Check an operator's FILE, a router's CONFIG, or FILE in the deployment of CONFIG.
 
-    Without --config only what needs no deployment is checked: names of classes and zones, give-up times and
-    the deployment's limits are not.  Without FILE only CONFIG is looked at.  Exit code 1 where there is a
+    Prints each fault of FILE with its line, column, code and reason.  Prints each setting of CONFIG that is
+    unusable (fault), questionable (doubt) or unknown, with a value that would be accepted.
+
+    Without --config the checks that need a deployment are left out: names of classes and zones, deadlines of
+    classes, and the deployment's limits.  Without FILE only CONFIG is checked.  Exit code 1 if there is a
     fault.
-    """  # noqa: D205 - the text of --help
+    """
     if file is None and config is None:
         raise CommandError("nothing to check: name a FILE, or --config CONFIG, or both")
     config_diagnostics = diagnose_configuration(config) if config else []
@@ -58,7 +60,7 @@
 def report_configuration(
     config: str, file: str | None, diagnostics: list[Diagnostic], is_usable: bool, form: str
 ) -> None:
-    """The answer where only a configuration was looked at; its diagnostics as text are printed already."""
+    """Print the result if only the configuration was checked; its text diagnostics are printed before."""
     if form == "json":
         print_json({"config": config, "good": is_usable, "settings": [placed_json(d) for d in diagnostics]})
     elif is_usable:
@@ -77,7 +79,7 @@
     *,
     has_deployment: bool,
 ) -> None:
-    """The answer for a file, as JSON."""
+    """Print the result for an operator's file as JSON."""
     print_json(
         {
             "file": path,
@@ -91,7 +93,7 @@
 
 
 def echo_file(path: str, model: OperatorFile, faults: list[Diagnostic], *, has_deployment: bool) -> None:
-    """The answer for a file, as text."""
+    """Print the result for an operator's file as text."""
     if faults:
         echo_diagnostics(path, faults)
         click.echo(f"{len(faults)} fault{'s' if len(faults) != 1 else ''}", err=True)
--- a/kelpcroft/cli/common.py
+++ b/kelpcroft/cli/common.py
@@ -1,4 +1,4 @@
-"""What the verbs share: options, files, and answers as text or JSON."""
+"""Options, file access and output as text or JSON, shared by the subcommands."""
 
 from __future__ import annotations
 
@@ -16,21 +16,24 @@
 from kelpcroft.operator_file.check import check, load, read_bytes
 from kelpcroft.operator_file.model import OperatorFile
 
-EXIT_NEGATIVE = 1  # the answer is no
+# The command ran and its result is negative, for example a file with a fault or two files that differ.
+EXIT_NEGATIVE = 1
+# The command cannot run as it was given.
 EXIT_USED_WRONGLY = 2
+# Placeholder for the addresses that a configuration may lack if only its settings are used.
 ANY_ADDRESS = "127.0.0.1:1"
 
 F = TypeVar("F", bound=Callable[..., Any])
 
 
 class CommandError(click.ClickException):
-    """One line on standard error, exit code 2: the command cannot be carried out as it was given."""
+    """The command cannot run as it was given: one line on standard error, exit code 2."""
 
     exit_code = EXIT_USED_WRONGLY
 
 
 class PositionedJson(TypedDict):
-    """A diagnostic of a KDL file in JSON answers."""
+    """A diagnostic of a KDL file in JSON output."""
 
     line: int
     column: int
@@ -39,7 +42,7 @@
 
 
 class PlacedJson(TypedDict):
-    """A diagnostic of a JSON configuration in JSON answers."""
+    """A diagnostic of a JSON configuration in JSON output."""
 
     level: str
     place: str
@@ -48,19 +51,19 @@
 
 
 def format_option(command: F) -> F:
-    """``--format text|json``."""
+    """Add the option ``--format text|json`` to a command."""
     return click.option(
         "--format",
         "form",
         type=click.Choice(["text", "json"]),
         default="text",
         show_default=True,
-        help="How the answer is printed.",
+        help="How the result is printed.",
     )(command)
 
 
 def config_option(required: bool = False) -> Callable[[F], F]:
-    """``--config CONFIG``."""
+    """Return a decorator that adds the option ``--config CONFIG`` to a command."""
     return click.option(
         "--config",
         required=required,
@@ -70,7 +73,7 @@
 
 
 def read_configuration(path: str) -> dict[str, Any]:
-    """A router's configuration as it stands.  Raises CommandError where it cannot be read."""
+    """Return a router's configuration as parsed, unchecked.  Raises CommandError if it cannot be read."""
     try:
         return require_object("the file", orjson.loads(Path(path).read_bytes()))
     except OSError as error:
@@ -80,12 +83,12 @@
 
 
 def diagnose_configuration(path: str) -> list[Diagnostic]:
-    """What is wrong or odd in a router's configuration, as its start would say it."""
+    """Return the diagnostics of a router's configuration, the same as the router reports at its start."""
     return check_configuration(read_configuration(path))
 
 
 def read_settings(path: str) -> api.Settings:
-    """The deployment's settings from a router's configuration.  Its addresses may be missing.
+    """Return the deployment's settings from a router's configuration, whose addresses may be missing.
 
     Raises:
         CommandError: The configuration cannot be used.
@@ -103,7 +106,10 @@
 
 
 def diagnose_file(path: str, settings: api.Settings | None) -> tuple[OperatorFile, list[Diagnostic]]:
-    """An operator's file and all that is wrong with it, in a deployment if one is given."""
+    """Return an operator's file and its diagnostics, including those for the deployment if one is given.
+
+    The checks for the deployment run only on a file without other diagnostics.
+    """
     try:
         data = read_bytes(path)
     except OSError as error:
@@ -115,7 +121,7 @@
 
 
 def load_usable_file(path: str, settings: api.Settings | None) -> OperatorFile:
-    """An operator's file that may be used; its faults and exit code 1 where it may not."""
+    """Return a usable operator's file; for an unusable one, print its errors and exit with code 1."""
     file, diagnostics = diagnose_file(path, settings)
     if diagnostics:
         echo_diagnostics(path, diagnostics, err=True)
@@ -124,13 +130,13 @@
 
 
 def echo_diagnostics(path: str, diagnostics: Iterable[Diagnostic], *, err: bool = False) -> None:
-    """A line for each diagnostic of a KDL file; ``err``: on standard error."""
+    """Print one line for each diagnostic of a KDL file, on standard error if ``err`` is set."""
     for diagnostic in diagnostics:
         click.echo(diagnostic.format_for(path), err=err)
 
 
 def positioned_json(diagnostic: Diagnostic) -> PositionedJson:
-    """A diagnostic of a KDL file for a JSON answer."""
+    """Return a diagnostic of a KDL file as a JSON object."""
     return {
         "line": diagnostic.position.line,
         "column": diagnostic.position.column,
@@ -140,7 +146,7 @@
 
 
 def placed_json(diagnostic: Diagnostic) -> PlacedJson:
-    """A diagnostic of a JSON configuration for a JSON answer."""
+    """Return a diagnostic of a JSON configuration as a JSON object."""
     return {
         "level": diagnostic.level.value,
         "place": diagnostic.place,
@@ -150,10 +156,10 @@
 
 
 def print_json(value: Any) -> None:
-    """One JSON document on standard output."""
+    """Print one JSON document on standard output."""
     click.echo(orjson.dumps(value, option=orjson.OPT_INDENT_2).decode())
 
 
 def exit_negative() -> NoReturn:
-    """The answer is no."""
+    """Exit with the code for a negative result."""
     raise SystemExit(EXIT_NEGATIVE)
--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -1,4 +1,4 @@
-"""``kelpcroft control-replica``: follow the list service for many routers."""
+"""The ``kelpcroft control-replica`` command: a control replica between the list service and many routers."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 EXIT_NO_ADDRESS = 2
 
 HELP = """\
-Follow the list service, or another replica, as FILE says, and tell routers the list of servers and the
-purges in the same form.  CONFIG is the configuration of any of the routers: it tells how long purges
-matter.
+Follow the list service, or another replica, as FILE says, and serve the list of servers and the purges
+to routers in the same form.  CONFIG is the configuration of any of the routers: it sets how long purges
+are retained.
 
-Serves until SIGTERM.  GET /control/state on its address tells what it is and did.
+Serves until SIGTERM.  GET /control/state on its address returns its state and counters.
 """
 
 
 def read_file(path: str) -> ControlReplicaFile:
-    """A file that may be used; its faults and exit code 1 where it may not."""
+    """Return a usable control replica's file; for an unusable one, print its errors and exit with code 1."""
     try:
         with Path(path).open("rb") as stream:
             file, diagnostics = load(stream.read(MAX_FILE_BYTES + 1))
@@ -51,8 +51,8 @@
 )
 @click.argument("file")
 @config_option(required=True)
-@click.option("--name", default="control-replica", show_default=True, help="Its name in the log.")
-@click.option("--dry-run", is_flag=True, help="Only check FILE and CONFIG, and say what would be served.")
+@click.option("--name", default="control-replica", show_default=True, help="Name of the replica in the log.")
+@click.option("--dry-run", is_flag=True, help="Only check FILE and CONFIG, and print what would be served.")
 @click.option(
     "--format",
     "log_format",
@@ -62,7 +62,7 @@
     help="How log lines are printed; auto is text on a terminal.",
 )
 def control_replica(file: str, config: str, name: str, dry_run: bool, log_format: str) -> None:
-    """Check FILE and CONFIG, and serve until a signal asks for the end."""
+    """Check FILE and CONFIG, and serve until a signal ends the process."""
     options = read_file(file)
     purge_span_ns = read_settings(config).rules.purge_retention_ns
     if dry_run:
@@ -72,7 +72,7 @@
 
 
 def describe(file: ControlReplicaFile, purge_span_ns: int) -> str:
-    """What a replica with this file would do, in a line."""
+    """Return one line with the address, the upstreams and the limits of a replica with this file."""
     upstreams = ", ".join(f"{host}:{port}" for host, port in (*file.list_services, *file.peers))
     return (
         f"{file.watches} watchers at {file.listen[0]}:{file.listen[1]} from {upstreams}; "
@@ -81,12 +81,12 @@
 
 
 def serve(file: ControlReplicaFile, purge_span_ns: int, name: str, log_format: str) -> int:
-    """Serve until a signal asks for the end.
+    """Serve until a signal ends the process.
 
     Returns:
-        The exit code: 0 asked to end, 2 the address cannot be had.
+        The exit code: 0 after a signal, 2 if the address cannot be bound.
     """
-    # Only here: the other commands start sooner without them.
+    # Imported here, so that the other commands start sooner.
     from kelpcroft.config import ConfigError
     from kelpcroft.control_log.replica import ControlReplica
     from kelpcroft.core.effects import LogEvent
@@ -113,7 +113,7 @@
 
 
 def replica_options(file: ControlReplicaFile, purge_span_ns: int) -> ReplicaOptions:
-    """The settings of a replica with this file."""
+    """Return the options of a replica with this file."""
     from kelpcroft.control_log.messages import ReplicaOptions
 
     return ReplicaOptions(
@@ -127,7 +127,10 @@
 
 
 def open_signal_pipe() -> int:
-    """The reading end of a pipe into which signals' numbers are written; both ends stay open to the end."""
+    """Have signal numbers written to a pipe and return its reading end.
+
+    Both ends stay open until the process ends.
+    """
     read_end, write_end = os.pipe()
     for end in (read_end, write_end):
         os.set_blocking(end, False)
--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -1,8 +1,8 @@
-"""The process that carries a rollout out: polls routers, commits each step, sends the step's commands.
+"""The controller of a rollout: polls routers, commits each step and sends the commands of the step.
 
-The decisions are ``kelpcroft.rollout``'s.  Commands go out only after the step that they are of was committed
-under this controller's lease; after a restart, ``Rollout.resume_after_takeover`` decides which of them go out
-again.
+The package ``kelpcroft.rollout`` makes the decisions.  The commands of a step are sent only after the step
+was committed under this controller's lease.  After a restart, ``Rollout.resume_after_takeover`` decides which
+commands are sent again.
 """
 
 from __future__ import annotations
@@ -31,26 +31,26 @@
 from kelpcroft.rollout.state_machine import Rollout
 from kelpcroft.store.rollouts import LeaseLostError, RolloutStore, StoredRun
 
-MAX_THREADS = 64
-LEASE_RENEWAL_NS = 4 * 10**9  # a step is committed this often even if nothing was decided
-MAX_TURN_S = 0.25
-TURNS_PER_POLL = 4
-STOP_VERB = "stop"  # for the controller itself; the other verbs are the state machine's
+MAX_THREADS = 64  # of the pool that runs commands and polls
+LEASE_RENEWAL_NS = 4 * 10**9  # a step is committed at least this often, even without a decision
+MAX_TURN_S = 0.25  # longest sleep before a step
+TURNS_PER_POLL = 4  # steps within one poll interval, if MAX_TURN_S does not shorten the sleep
+STOP_VERB = "stop"  # operator command for the controller; all others are for the state machine
 
 
 @dataclass(frozen=True, slots=True)
 class RunningCommand:
-    """A command that was sent, and its result once it has ended: "" or why it failed."""
+    """A command that was sent, with its future result: "", or the reason for its failure."""
 
     command: RouterCommand
     result: Future[str]
 
 
 class RolloutController:
-    """One process's leadership of one run.
+    """Leadership of one run by one process.
 
-    Commands and polls run in threads, at most one command at a time at a router; the state machine and the
-    store are used by the leading thread alone.
+    Commands and polls run in threads, with at most one command at a time per router.  Only the thread that
+    calls ``lead`` uses the state machine and the store.
     """
 
     def __init__(
@@ -63,16 +63,16 @@
         clock: Callable[[], int] = time.time_ns,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
-        """Prepare to lead; nothing is touched yet.
+        """Prepare to lead, without using the store or a router.
 
         Args:
-            store: Where the run is.
+            store: The store that holds the run.
             run: The run to lead.
-            plan: What it carries out.
-            on_entry: Is given each entry of the history once it is committed.
-            driver: What touches routers; by default the one that the plan names.
-            clock: The time in Unix nanoseconds.
-            sleep: Waits for so many seconds.
+            plan: The plan of the run.
+            on_entry: Called with each entry of the history after it was committed.
+            driver: Polls and changes routers; by default the driver that the plan names.
+            clock: Returns the time in Unix nanoseconds.
+            sleep: Sleeps for a number of seconds.
         """
         self.store = store
         self.run = run
@@ -83,7 +83,7 @@
         self.clock = clock
         self.sleep = sleep
         self.targets = {target.name: target for target in plan.routers}
-        # Each router may have a poll and a command under way.
+        # Each router may have one poll and one command in progress.
         self.pool = ThreadPoolExecutor(min(MAX_THREADS, 2 * len(self.targets) + 2))
         self.pending_polls: dict[str, Future[Event]] = {}
         self.running_commands: list[RunningCommand] = []
@@ -92,23 +92,23 @@
         self.is_stopped = False
 
     def lead(self) -> RolloutOutcome:
-        """Lead until the run is over, or people stop this controller.
+        """Lead until the run is over or an operator stops this controller.
 
         Returns:
-            Where the run is then.
+            The outcome of the run at that time.
 
         Raises:
-            LeaseLostError: Another controller leads it, or this one stood still for too long.
-            SnapshotError: What the store holds cannot be used.
+            LeaseLostError: Another controller leads the run, or a process stall outlasted this one's lease.
+            SnapshotError: The snapshot in the store cannot be used.
         """
         now_ns = self.clock()
         self.store.acquire_lease(self.run.id, self.owner, now_ns)
-        run = self.store.newest_run()  # as it was committed last: another may have led until now
+        run = self.store.newest_run()  # the last committed state: another controller may have led until now
         assert run is not None
         assert run.id == self.run.id
         self.rollout: Rollout = from_snapshot(self.plan, run.snapshot)
         try:
-            was_led = bool(self.run.owner)  # by another before, or by one that died
+            was_led = bool(self.run.owner)  # by an earlier controller, whether it ended in order or not
             effects = (
                 self.rollout.resume_after_takeover(now_ns, self.plan.commands_repeatable) if was_led else []
             )
@@ -121,7 +121,7 @@
             self.store.release_lease(self.run.id, self.owner)
 
     def _turn(self) -> None:
-        """Take one turn: collect commands and answers, make the step, commit it, send its commands."""
+        """Make one step: collect operator commands, poll results and failures, commit, send commands."""
         self.sleep(min(MAX_TURN_S, self.plan.poll_interval_ns / (TURNS_PER_POLL * 1e9)))
         now_ns = self.clock()
         events, last_command_number = self._take_operator_commands()
@@ -132,7 +132,7 @@
         self._commit(now_ns, effects, last_command_number)
 
     def _take_operator_commands(self) -> tuple[list[Event], int]:
-        """What people have ordered, and the number of their last command; 0 = none."""
+        """Return the pending operator commands and the number of the last one; 0 = there is none."""
         events: list[Event] = []
         last_command_number = 0
         for number, verb in self.store.pending_operator_commands(self.run.id):
@@ -144,14 +144,14 @@
         return events, last_command_number
 
     def _take_answers(self) -> list[Event]:
-        """The polls that have ended."""
+        """Return the results of the polls that have ended."""
         ended = {name: future for name, future in self.pending_polls.items() if future.done()}
         for name in ended:
             del self.pending_polls[name]
         return [future.result() for future in ended.values()]
 
     def _take_failures(self) -> list[HistoryEntry]:
-        """An entry for each command that has ended and failed."""
+        """Return a history entry for each command that has ended and failed."""
         ended = [running for running in self.running_commands if running.result.done()]
         failures = []
         for running in ended:
@@ -164,7 +164,7 @@
         return failures
 
     def _commit(self, now_ns: int, effects: list[Effect], last_command_number: int) -> None:
-        """Commit the step first; then publish its history and send its commands."""
+        """Commit the step, then publish its history entries and send its commands."""
         entries = [effect for effect in effects if isinstance(effect, HistoryEntry)]
         sent = [effect for effect in effects if isinstance(effect, RouterCommand)]
         commands = [command for command in sent if command.kind is not CommandKind.POLL]
@@ -190,7 +190,7 @@
                 self.pending_polls[command.router] = self.pool.submit(self.driver.poll, target)
 
     def _execute(self, command: RouterCommand) -> str:
-        """Carry a command out, in a thread of the pool."""
+        """Execute a command in a thread of the pool; return "", or the reason for its failure."""
         with self.command_locks[command.router]:
             return self.driver.execute(self.targets[command.router], command.kind)
 
@@ -198,16 +198,16 @@
 def begin_or_continue_run(
     store: RolloutStore, data: bytes, plan: RolloutPlan, clock: Callable[[], int] = time.time_ns
 ) -> StoredRun:
-    """The run to lead: the one that is not over, if it is of this very plan, else a new one.
+    """Return the run to lead: the unfinished run if it has the same rollout file, else a new one.
 
     Args:
-        store: Where runs are.
+        store: The store that holds the runs.
         data: The bytes of the rollout file.
-        plan: What they say.
-        clock: The time in Unix nanoseconds.
+        plan: The plan in these bytes.
+        clock: Returns the time in Unix nanoseconds.
 
     Raises:
-        LeaseLostError: A run of another plan is not over.
+        LeaseLostError: A run of another rollout file is not over.
     """
     newest = store.newest_run()
     if newest is not None and newest.outcome not in FINAL_OUTCOME_VALUES:
--- a/kelpcroft/cli/diff.py
+++ b/kelpcroft/cli/diff.py
@@ -1,4 +1,4 @@
-"""``kelpcroft diff``: which requests would two files treat differently?"""
+"""The ``kelpcroft diff`` command: the requests that two operator's files treat differently."""
 
 from __future__ import annotations
 
@@ -27,17 +27,18 @@
 
 
 class LabelledClass(NamedTuple):
-    """A class to compare by, and what the answer calls it."""
+    """A class to compare by, and its label in the output."""
 
     label: str
     request_class: RequestClass
 
 
 def supposed_classes(matches: Iterable[RouteMatch]) -> list[LabelledClass]:
-    """Classes to compare by where no deployment is given.
+    """Return classes to compare by if no deployment is given.
 
-    They are those that the matches name and one that they do not, of each effect, written through or not,
-    in parts or not, as far as any match asks for that.
+    They have the names that the matches contain, and one further name.  If any match has a condition on the
+    effect, there is a class of each effect for each name; the same holds for the conditions on uncacheable
+    classes and on classes whose objects have several parts.
     """
     matches = list(matches)
     effects = list(Idempotency) if any(m.effects for m in matches) else [Idempotency.SAFE]
@@ -64,12 +65,12 @@
 @click.argument("old")
 @click.argument("new")
 @config_option()
-@click.option("--zone", help="The zone whose routers are meant; else the configuration's.")
+@click.option("--zone", help="Zone of the routers to compare for; else the configuration's.")
 @format_option
 def diff(old: str, new: str, config: str | None, zone: str | None, form: str) -> None:
-    """Tell which requests the files OLD and NEW treat differently, and how.
+    """Print which requests the files OLD and NEW treat differently, and how.
 
-    Without --config the classes are those that the files name, and one that neither names.  Exit code 1 where
+    Without --config the classes are those that the files name, and one that neither names.  Exit code 1 if
     there is a difference.
     """
     settings = read_settings(config) if config else None
@@ -88,7 +89,7 @@
 def classes_to_compare(
     before: OperatorFile, after: OperatorFile, settings: api.Settings | None
 ) -> list[LabelledClass]:
-    """The deployment's classes, or those that the files suppose."""
+    """Return the deployment's classes or, without a deployment, classes derived from both files."""
     if settings:
         return [LabelledClass(c.name, c) for c in settings.classes]
     return supposed_classes(route.match for file in (before, after) for route in file.routes)
@@ -97,7 +98,11 @@
 def compare(
     before: OperatorFile, after: OperatorFile, zone: str, classes: Iterable[LabelledClass]
 ) -> list[Change]:
-    """All differences, each under its class's label.  Raises CommandError for files in too many pieces."""
+    """Return all differences, each with the label of its class.
+
+    Raises:
+        CommandError: The files divide the requests into too many regions.
+    """
     try:
         return [
             replace(change, class_name=label)
@@ -109,7 +114,7 @@
 
 
 def change_json(change: Change) -> dict[str, object]:
-    """A difference for the JSON answer."""
+    """Return a difference as a JSON object."""
     return {
         "class": change.class_name,
         "where": change.where,
@@ -120,7 +125,7 @@
 
 
 def echo_changes(changes: list[Change]) -> None:
-    """All differences as text."""
+    """Print all differences as text."""
     if not changes:
         click.echo("every request is treated alike")
     for change in changes:
--- a/kelpcroft/cli/explain.py
+++ b/kelpcroft/cli/explain.py
@@ -1,4 +1,4 @@
-"""``kelpcroft explain``: what happens to one request, and which line says so."""
+"""The ``kelpcroft explain`` command: the route of one request, and the lines that set its bounds."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 )
 @click.argument("file")
 @config_option(required=True)
-@click.option("--class", "class_name", required=True, help="The class of the request.")
-@click.option("--object", "object_id", default=ANY_OBJECT, help="Its object, 16 hex digits.")
-@click.option("--part", type=click.IntRange(*PART_RANGE), default=0, help="Its part.")
-@click.option("--group", type=click.IntRange(*GROUP_RANGE), default=0, help="Its group.")
-@click.option("--retry", is_flag=True, help="It is a client's own retry.")
-@click.option("--write", is_flag=True, help="It has a body.")
+@click.option("--class", "class_name", required=True, help="Class of the request.")
+@click.option("--object", "object_id", default=ANY_OBJECT, help="Object of the request, 16 hex digits.")
+@click.option("--part", type=click.IntRange(*PART_RANGE), default=0, help="Part of the object.")
+@click.option("--group", type=click.IntRange(*GROUP_RANGE), default=0, help="Group of the object.")
+@click.option("--retry", is_flag=True, help="The request is a client's own retry.")
+@click.option("--write", is_flag=True, help="The request has a body.")
 @format_option
 def explain(
     file: str,
@@ -56,8 +56,11 @@
     write: bool,
     form: str,
 ) -> None:
-    """Print the route that takes a request, each bound with the line it came from, and the most that follows:
-    the longest wait and the number of sends."""  # noqa: D205, D209 - the text of --help
+    """Print the route that matches a request, and the bounds that the route sets.
+
+    Each bound is printed with the line of FILE that it comes from.  The longest wait and the largest number
+    of sends that follow from the bounds are printed last.
+    """
     settings = read_settings(config)
     request_class = class_of(settings, class_name)
     if not OBJECT_ID.fullmatch(object_id):
@@ -74,7 +77,7 @@
 
 
 def class_of(settings: api.Settings, name: str) -> api.RequestClass:
-    """A class by its name.  Raises CommandError where there is none."""
+    """Return the class with a name.  Raises CommandError if there is none."""
     known = {request_class.name: request_class for request_class in settings.classes}
     if name not in known:
         raise CommandError(f"--class: there is no class {name!r}{suggestion(name, known)}")
@@ -82,7 +85,7 @@
 
 
 def report_no_route(form: str) -> None:
-    """The answer where no route takes the request."""
+    """Print that no route matches the request."""
     if form == "json":
         print_json({"route": None})
     else:
@@ -90,7 +93,7 @@
 
 
 def print_route_json(route: Route, request_class: api.RequestClass, limits: api.Limits) -> None:
-    """The answer as JSON."""
+    """Print the route and its bounds as JSON."""
     print_json(
         {
             "route": route.name,
@@ -104,12 +107,12 @@
 
 
 def row_json(row: PolicyRow) -> dict[str, object]:
-    """A row of the policy for the JSON answer."""
+    """Return a row of the policy as a JSON object."""
     return {"bound": row.name, "value": row.words, "line": row.position.line}
 
 
 def echo_route(route: Route, request_class: api.RequestClass, limits: api.Limits) -> None:
-    """The answer as text."""
+    """Print the route and its bounds as text."""
     click.echo(f"route {route.name!r}, line {route.position.line}")
     rows = list(describe_policy(route.policy))
     width = max((len(row.name) for row in rows), default=0)
--- a/kelpcroft/cli/placement.py
+++ b/kelpcroft/cli/placement.py
@@ -1,4 +1,4 @@
-"""``kelpcroft homes``: to which cache this build's decision code sends objects."""
+"""The ``kelpcroft homes`` command: the cache to which this build's decision package sends each object."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def homes_by_config(config_path: str, count: int) -> tuple[str, list[str]]:
-    """The zone of a configuration, and the homes of so many objects by its own list of servers."""
+    """Return the zone of a configuration, and the homes of ``count`` objects in its initial endpoint list."""
     try:
         parsed = parse_config(read_configuration(config_path), {})
     except ConfigError as error:
@@ -46,10 +46,10 @@
 @click.option("--objects", type=click.IntRange(1, MAX_OBJECTS), default=DEFAULT_OBJECTS, show_default=True)
 @format_option
 def homes_command(config: str, objects: int, form: str) -> None:
-    """Print how many of a row of objects each cache is the home of.
+    """Print for each cache the number of sample objects whose home it is.
 
-    By this build and CONFIG's settings and list.  Two builds print the same row of objects, so `rollout plan`
-    can tell how many would move.
+    The homes follow from this build and from CONFIG's settings and list of servers.  Every build uses the
+    same sample objects, so that `rollout plan` can count the objects that would move.
     """
     zone, homes = homes_by_config(config, objects)
     if form == "json":
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -1,4 +1,4 @@
-"""``kelpcroft rollout``: a change in stages."""
+"""The ``kelpcroft rollout`` commands: change routers in stages."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 from kelpcroft.rollout.plan_file import load_plan
 from kelpcroft.store.rollouts import LeaseLostError, RolloutStore, StoredRun
 
-NEGATIVE_OUTCOME_VALUES = frozenset(  # `status` answers no
+NEGATIVE_OUTCOME_VALUES = frozenset(  # for these, `status` exits with code 1
     outcome.value
     for outcome in (RolloutOutcome.HELD, RolloutOutcome.ROLLING_BACK, RolloutOutcome.ROLLED_BACK)
 )
-WATCH_INTERVAL_S = 0.5
+WATCH_INTERVAL_S = 0.5  # between two reads of the store by `watch`
 
 
 @click.group()
 def rollout() -> None:
-    """A change in stages: judged new against old, stopped and taken back where it does worse."""
+    """Change routers in stages: compare new with old, and hold or roll back on a regression."""
 
 
 def usable_plan(path: str, form: str) -> RolloutPlan:
-    """A rollout file that may be used; its faults and exit code 1 where it may not."""
+    """Return the plan of a rollout file; for an unusable file, print its errors and exit with code 1."""
     try:
         plan, diagnostics = load_plan(read(path))
     except OSError as error:
@@ -48,7 +48,7 @@
 
 
 def report_faults(path: str, diagnostics: list[Diagnostic], form: str) -> NoReturn:
-    """Print what is wrong with a file; exit code 1."""
+    """Print the errors of a file and exit with code 1."""
     if form == "json":
         rows = [
             {
@@ -71,11 +71,12 @@
 @click.argument("file")
 @format_option
 def plan(file: str, form: str) -> None:
-    """Check a rollout FILE and print what it would do: nothing is touched.
+    """Check a rollout FILE and print a preview of it, without changing any router.
 
-    Each stage with the routers that it changes, the shortest and longest time, the worst share of each zone
-    that is out at once, where nothing of the old is left to compare with, and the share of objects whose home
-    differs between the two builds, where the file says how to ask them.  Exit code 1 where there is a fault.
+    The preview has each stage with the routers that it changes, the shortest and longest time, the largest
+    share of each zone that is out of service at once, the zones without an old router to compare with, and
+    the share of objects whose home differs between the two builds, if FILE has the commands that print it.
+    Exit code 1 if there is a fault.
     """
     found = preview(usable_plan(file, form))
     if form == "json":
@@ -85,7 +86,7 @@
 
 
 def store_option(command: F) -> F:
-    """``--store FILE``."""
+    """Add the option ``--store FILE`` to a command."""
     return click.option(
         "--store",
         "path",
@@ -97,13 +98,13 @@
 
 
 def open_store(path: str, must_exist: bool = True) -> RolloutStore:
-    """The store.
+    """Open the store.
 
     Raises:
-        CommandError: There is none where one must exist, or it cannot be opened.
+        CommandError: The file must exist and does not, or it cannot be opened.
     """
     if must_exist and not Path(path).exists():
-        raise CommandError(f"{path}: there is no such store; a rollout that was started makes one")
+        raise CommandError(f"{path}: there is no such store; `kelpcroft rollout start` creates it")
     try:
         return RolloutStore(path)
     except sqlite3.Error as error:
@@ -111,10 +112,10 @@
 
 
 def newest_run(store: RolloutStore, path: str) -> StoredRun:
-    """The newest run.
+    """Return the newest run.
 
     Raises:
-        CommandError: The store has none.
+        CommandError: The store has no run.
     """
     run = store.newest_run()
     if run is None:
@@ -123,10 +124,10 @@
 
 
 def check_can_be_led(file: str, plan: RolloutPlan) -> None:
-    """Refuse a plan that cannot be carried out; `rollout plan` needs less.
+    """Check that a plan can be led; `rollout plan` accepts plans that cannot.
 
     Raises:
-        CommandError: A router has no control address, or nothing says how a router is changed.
+        CommandError: A router has no control address, or the plan has no way to change a router.
     """
     without_address = [target.name for target in plan.routers if not target.control_address]
     if without_address:
@@ -136,7 +137,7 @@
 
 
 def entry_printer(form: str) -> Callable[[HistoryEntry], None]:
-    """What prints each decision of a run, one a line."""
+    """Return a function that prints a decision of a run on one line."""
 
     def print_entry(entry: HistoryEntry) -> None:
         if form == "json":
@@ -155,8 +156,8 @@
 def start(file: str, path: str, form: str) -> None:
     """Lead the rollout of FILE until it is over or stopped, printing each decision.
 
-    A run of the same FILE that is not over is gone on with: a controller that died is started again just so.
-    Exit code 0 for done, 1 for taken back or stopped, 2 where it cannot be led.
+    An unfinished run of the same FILE is continued, so the same command replaces a controller that failed.
+    Exit code 0 for done, 1 for taken back or stopped, 2 if it cannot be led.
     """
     found = usable_plan(file, form)
     check_can_be_led(file, found)
@@ -167,7 +168,7 @@
     except (LeaseLostError, SnapshotError) as error:
         raise CommandError(str(error)) from error
     except KeyboardInterrupt:
-        raise CommandError("left as it stands; start it again to go on") from None
+        raise CommandError("interrupted; the run is left as it is, start it again to continue") from None
     if outcome is not RolloutOutcome.DONE:
         exit_negative()
 
@@ -176,7 +177,7 @@
 @store_option
 @format_option
 def status(path: str, form: str) -> None:
-    """Print where the newest run stands.  Exit code 1 where it is held or taken back."""
+    """Print the state of the newest run.  Exit code 1 if it is held, reverting or taken back."""
     run = newest_run(open_store(path), path)
     found = run_status(run)
     if form == "json":
@@ -209,7 +210,7 @@
 @store_option
 @format_option
 def history(path: str, form: str) -> None:
-    """Print every decision of the newest run, with the figures that it was made on."""
+    """Print every decision of the newest run, with the figures behind it."""
     store = open_store(path)
     rows = store.history(newest_run(store, path).id)
     if form == "json":
@@ -222,7 +223,7 @@
 
 
 def operator_verb(verb: str, help_text: str) -> click.Command:
-    """A verb that only leaves a command for the controller."""
+    """Return a subcommand that stores an operator command for the controller."""
 
     @click.command(verb, help=help_text, epilog=f"Example:  kelpcroft rollout {verb} --store /tmp/rollout.db")
     @store_option
@@ -244,9 +245,9 @@
 
 
 for verb, help_text in (
-    ("hold", "Begin nothing new; what is under way at a router is finished."),
-    ("resume", "Go on with a held run."),
-    ("revert", "Take back all that was changed."),
-    ("stop", "Have the controller leave the run as it stands."),
+    ("hold", "Begin no further change; a change in progress at a router is finished."),
+    ("resume", "Continue a held run."),
+    ("revert", "Roll back all that was changed."),
+    ("stop", "Stop the controller and leave the run as it is."),
 ):
     rollout.add_command(operator_verb(verb, help_text))
--- a/kelpcroft/cli/rollout_preview.py
+++ b/kelpcroft/cli/rollout_preview.py
@@ -1,4 +1,4 @@
-"""What ``kelpcroft rollout plan`` prints: what a rollout would do.  Nothing is touched."""
+"""The preview of a rollout, printed by ``kelpcroft rollout plan``, which changes no router."""
 
 from __future__ import annotations
 
@@ -18,17 +18,19 @@
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget, Stage
 from kelpcroft.rollout.router_drivers import fill_in_placeholders
 
+# Length to which the error text of a placement command is cut.
 MAX_ERROR_CHARACTERS = 200
+# Arguments of the Python interpreter that print a local build's placements.
 ASK_PLACEMENT = ("-c", "from kelpcroft.cli import main; main()", "homes", "--config", "{config}")
 
 
 class StagePreview(NamedTuple):
-    """One stage.
+    """Preview of one stage.
 
     Attributes:
-        stage: The plan's record of it.
-        router_names: Who is changed in it.
-        uncompared_zones: Where no old router is left to compare with.
+        stage: The stage in the plan.
+        router_names: The routers that are changed in this stage.
+        uncompared_zones: Zones of these routers in which no old router is left to compare with.
     """
 
     stage: Stage
@@ -38,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutPreview:
-    """What a rollout would do.
+    """Preview of a rollout.
 
     Attributes:
         plan: The plan.
         stages: Its stages.
-        max_unavailable_share: By zone, the largest share of its routers that may be out at once.
-        placement_diffs: By zone, how many objects have another home in the new build.
-        placement_errors: Why some placements are not known.
+        max_unavailable_share: By zone, the largest share of its routers that may be out of service at once.
+        placement_diffs: By zone, the number of objects whose home differs in the new build.
+        placement_errors: For each zone without a placement diff, the reason.
     """
 
     plan: RolloutPlan
@@ -56,7 +58,7 @@
 
 
 def preview(plan: RolloutPlan) -> RolloutPreview:
-    """What a plan would do; each build is asked for its placements, where the file says how."""
+    """Return the preview of a plan; runs the commands that print the builds' placements, if there are any."""
     diffs, errors = _compare_builds(plan)
     return RolloutPreview(plan, _preview_stages(plan), _max_unavailable_share(plan), diffs, errors)
 
@@ -81,15 +83,15 @@
     return shares
 
 
-# Placements: each build is asked by its own command --------------------------------------------------------
+# Placements: printed by a command of each build -----------------------------------------------------------
 
 
 class PlacementQuestion(NamedTuple):
-    """How one build is asked where it puts objects.
+    """The command that prints where one build places objects.
 
     Attributes:
-        words: The command; what stands in braces is filled in for each zone.
-        folder: Where it runs; None = here.
+        words: The arguments of the command; placeholders in braces are filled in for each zone.
+        folder: The folder in which it runs; None = the current one.
     """
 
     words: Sequence[str]
@@ -97,7 +99,7 @@
 
 
 def _placement_questions(plan: RolloutPlan) -> list[PlacementQuestion]:
-    """How the old build and the new are asked; none where the file does not say."""
+    """Return the commands of the old and the new build; none if the plan has no commands or builds."""
     if plan.placement_commands:
         return [PlacementQuestion(words, None) for words in plan.placement_commands]
     if plan.local_builds:
@@ -108,7 +110,7 @@
 
 
 def _compare_builds(plan: RolloutPlan) -> tuple[dict[str, PlacementDiff], list[str]]:
-    """By zone, how many objects have another home in the new build; and why that is not known elsewhere."""
+    """Return the placement diff of each zone, and an error text for each zone without one."""
     diffs: dict[str, PlacementDiff] = {}
     errors: list[str] = []
     questions = _placement_questions(plan)
@@ -125,10 +127,10 @@
 
 
 def _ask_placement(plan: RolloutPlan, question: PlacementQuestion, target: RouterTarget) -> list[str]:
-    """The home of each object, as one build answers.
+    """Run the command of one build and return the home of each object.
 
     Raises:
-        PlacementError: The command cannot be run, fails, takes too long or prints something else.
+        PlacementError: The command cannot be run, fails, times out or prints anything but the homes.
     """
     if question.folder:
         target = replace(target, config_path=str(Path(target.config_path).absolute()))
@@ -153,7 +155,7 @@
 
 
 def preview_to_json(path: str, found: RolloutPreview) -> dict[str, Any]:
-    """The preview for scripts; the keys are part of the command."""
+    """Return the preview as a JSON object; scripts rely on its keys."""
     plan = found.plan
     return {
         "file": path,
@@ -186,7 +188,7 @@
 
 
 def print_preview(found: RolloutPreview) -> None:
-    """Print the preview for people."""
+    """Print the preview as text."""
     plan = found.plan
     click.echo("changes " + ", ".join(f"{component} to {digest}" for component, digest in plan.changes))
     for row in found.stages:
--- a/kelpcroft/cli/rollout_status.py
+++ b/kelpcroft/cli/rollout_status.py
@@ -1,4 +1,4 @@
-"""What ``kelpcroft rollout status`` prints: where a run stands and the evidence so far."""
+"""The state of a run and the evidence gathered, printed by ``kelpcroft rollout status``."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from kelpcroft.store.rollouts import StoredRun
 
-# One comparison; a functional form, as one of its keys is a word of the language.
+# One comparison.  The functional form is needed because the key ``class`` is a Python keyword.
 EvidenceRow = TypedDict(
     "EvidenceRow", {"zone": str, "class": str, "slices": int, "mean": float, "verdict": str}
 )
 
 
 class RunStatus(TypedDict):
-    """A run as people and scripts see it; the keys are part of the command.
+    """The printed state of a run; scripts rely on the keys.
 
-    ``stage`` counts from 1, 0 before the first; ``routers`` holds their phases; ``led`` says whether a
-    controller's lease lasts.
+    ``stage`` counts from 1 and is 0 before the first stage; ``routers`` has the phase of each router by name;
+    ``led`` is true while a controller holds a lease that has not expired.
     """
 
     run: int
@@ -33,12 +33,12 @@
 
 
 def is_led(run: StoredRun) -> bool:
-    """Whether a controller's lease lasts."""
+    """Return whether a controller holds a lease that has not expired."""
     return run.lease_ns > time.time_ns()
 
 
 def run_status(run: StoredRun) -> RunStatus:
-    """Where a run stands."""
+    """Return the state of a run."""
     snapshot = run.snapshot
     return {
         "run": run.id,
@@ -62,7 +62,7 @@
 
 
 def print_status(status: RunStatus) -> None:
-    """Print where a run stands, for people."""
+    """Print the state of a run as text."""
     reason = f": {status['why']}" if status["why"] else ""
     led = "led" if status["led"] else "nobody leads it"
     click.echo(f"run {status['run']}: {status['outcome']}{reason}, stage {status['stage']}, {led}")
--- a/kelpcroft/cli/serve.py
+++ b/kelpcroft/cli/serve.py
@@ -1,4 +1,4 @@
-"""``kelpcroft serve``: start the router with its configuration and, if wanted, an operator's file."""
+"""The ``kelpcroft serve`` command: run the router with its configuration and an optional operator's file."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 @click.command(epilog="Example:  kelpcroft serve --config examples/config.json --file examples/operator.kdl")
 @click.option("--config", metavar="CONFIG", help="The JSON configuration; else $ROUTER_CONFIG.")
 @click.option("--file", metavar="FILE", help="The operator's file; else $ROUTER_RULES, else none.")
-@click.option("--name", help="Its name; else $ROUTER_NAME, else the configuration's.")
+@click.option("--name", help="Name of the router; else $ROUTER_NAME, else the configuration's.")
 @click.option(
     "--listen",
     metavar="HOST:PORT",
-    help="Where clients connect; else $ROUTER_LISTEN, else the configuration's.",
+    help="Address for clients; else $ROUTER_LISTEN, else the configuration's.",
 )
 @click.option("--release", is_flag=True, help="Count broken invariants instead of stopping at the first.")
 @click.option(
@@ -31,7 +31,7 @@
 def serve(
     config: str | None, file: str | None, name: str | None, listen: str | None, release: bool, form: str
 ) -> None:
-    """Serve until SIGTERM.  SIGHUP has the configuration and the operator's file read again."""
+    """Run the router until SIGTERM.  On SIGHUP it reads the configuration and the operator's file again."""
     options = {
         "ROUTER_CONFIG": config,
         "ROUTER_RULES": file,
@@ -42,7 +42,7 @@
     environment = dict(os.environ)
     environment.update({key: value for key, value in options.items() if value is not None})
     interpreter_options = ["-O"] if release else []
-    # Another image of the process: nothing of the command line stays in the memory of the router.
+    # Replaces the process image, so that no memory of the command line stays in the router's process.
     command = [sys.executable, *interpreter_options, "-m", "kelpcroft"]
     sys.stdout.flush()
     os.execve(sys.executable, command, environment)
--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -1,4 +1,4 @@
-"""The environment and its JSON as one typed Config.  What cannot be used is named by its key."""
+"""Typed configuration from the environment and a JSON file.  Errors name the key of the unusable value."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 from kelpcroft.settings_wire import MachineKinds, parse_settings
 
 NS_PER_MS = 1_000_000
-MAX_CONFIG_FILE_BYTES = 16 << 20  # of a configuration read again
-MAX_DESCRIPTOR_DIGITS = 7  # of ROUTER_FD
-DEFAULT_MAX_DESCRIPTORS = 1024
-DEFAULT_MEMORY_MB = 192
+MAX_CONFIG_FILE_BYTES = 16 << 20  # of a configuration that is read again
+MAX_DESCRIPTOR_DIGITS = 7  # in the value of ROUTER_FD
+DEFAULT_MAX_DESCRIPTORS = 1024  # without limits.sockets
+DEFAULT_MEMORY_MB = 192  # without limits.memory_mb
+# Without settings.limits.dial_timeout_ns.
 DEFAULT_CONNECT_TIMEOUT_NS = 400 * NS_PER_MS
 
 Address = tuple[str, int]  # host and port
 
 
 class ConfigError(ValueError):
-    """A value that cannot be used; the text names its key."""
+    """A value cannot be used; the message names its key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,23 +39,24 @@
     """The configuration that a router starts with.
 
     Attributes:
-        name: The router's own.
-        listen_address: Where clients connect.
-        feed_address: Where the list of servers and the purges come from.
-        max_descriptors: How many file descriptors the process uses at most.
-        memory_mb: The process stays under it.
-        max_attempts_per_connection: That one connection to a server carries.
-        server_idle_timeout_ns: Servers close a connection that has been idle for so long.
-        connect_timeout_ns: A connection to a server is established within this, or given up.
-        settings: For the decision module.
-        kinds: The settings' kinds of machines and their roles.
-        initial_endpoints: What is known of the servers before the feed has answered.
-        is_tracing: Every step of every attempt goes to the log (ROUTER_TRACE=1).
-        control_address: Where the control address listens; None = nowhere.
-        inherited_listener_fd: A listening socket's descriptor, served on and not bound (ROUTER_FD).
-        state_dir: Where a process leaves its state of service for the next ($TMPDIR).
-        raw: The file as it was read.
-        warnings: What is odd in it, and starts all the same.
+        name: Name of the router.
+        listen_address: Address for clients.
+        feed_address: Address that publishes the list of servers and the purges.
+        max_descriptors: Maximum number of file descriptors that the process uses.
+        memory_mb: Memory limit of the process.
+        max_attempts_per_connection: Maximum number of attempts in flight on one connection to a server.
+        server_idle_timeout_ns: Idle time after which servers close a connection.
+        connect_timeout_ns: Connect timeout of connections to servers.
+        settings: Settings of the decision package.
+        kinds: Kinds of machines that the settings name, and their roles.
+        initial_endpoints: The servers known before the feed's first response.
+        is_tracing: Whether every step of every attempt is logged (ROUTER_TRACE=1).
+        control_address: Address for control clients; None = the router has none.
+        inherited_listener_fd: Descriptor of an inherited listening socket, used instead of binding one
+            (ROUTER_FD).
+        state_dir: Folder in which a process stores its service state for its successor ($TMPDIR).
+        raw: The JSON of the file.
+        warnings: Diagnostics of the file that do not prevent the start.
     """
 
     name: str
@@ -77,14 +79,14 @@
 
 
 def parse_address(key: str, text: Any) -> Address:
-    """``host:port`` as a socket wants it.
+    """Parse ``host:port`` into an address for a socket.
 
     Args:
-        key: Named in the error.
-        text: As it was read.
+        key: Key or variable for the error message.
+        text: The value as read.
 
     Raises:
-        ConfigError: It is no such text.
+        ConfigError: The value is not an address.
     """
     address = parse_host_port(text)
     if address is None:
@@ -93,13 +95,13 @@
 
 
 def require_number(key: str, value: Any, least: int, default: int | None = None) -> int:
-    """A number of at least so much; raises ConfigError where it is none.
+    """Return a number of at least ``least`` as an int; raises ConfigError for any other value.
 
     Args:
-        key: Named in the error.
-        value: As it was read; None = missing.
-        least: The lowest that will do.
-        default: Where it is missing; None = it must be there.
+        key: Key for the error message.
+        value: The value as read; None = missing.
+        least: The lowest accepted value.
+        default: Returned for a missing value; None = the value is required.
     """
     if value is None and default is not None:
         return default
@@ -109,17 +111,17 @@
 
 
 def require_object(key: str, value: Any) -> dict[str, Any]:
-    """A JSON object; raises ConfigError where it is none."""
+    """Return a value that is a JSON object; raises ConfigError for any other value."""
     if not isinstance(value, dict):
         raise ConfigError(f"{key}: {'is missing' if value is None else 'is not an object'}")
     return value
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
-    """Read the environment, and the file that it names.
+    """Read the environment and the file that it names.
 
     Raises:
-        ConfigError: It cannot be used: a line for each fault.
+        ConfigError: The file cannot be used; the message has a line for each error.
     """
     path = environ.get("ROUTER_CONFIG", "")
     if not path:
@@ -140,19 +142,19 @@
 
 
 def system_descriptors() -> int:
-    """How many descriptors the system lets this process have."""
+    """Return the number of file descriptors that the system allows this process."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return sys.maxsize if soft == resource.RLIM_INFINITY else soft
 
 
 def limit_to_system_descriptors(config: Config, available: int) -> Config:
-    """A configuration that counts on no more descriptors than the system gives.
+    """Return the configuration with ``max_descriptors`` reduced to what the system allows.
 
-    The settings may name more: a process that counts on those fails on the first that is not there, with
-    clients already taken.
+    The settings may name more.  A process that relied on them would fail at the first descriptor that it
+    cannot get, when it has already accepted clients.
 
     Raises:
-        ConfigError: The system gives too few to serve with.
+        ConfigError: The system allows fewer than MIN_DESCRIPTORS.
     """
     if config.max_descriptors <= available:
         return config
@@ -171,7 +173,10 @@
 
 
 def reread_config(environ: Mapping[str, str]) -> ConfigFileRead:
-    """The file's bytes once more, for the reducer to check; MAX_CONFIG_FILE_BYTES of them at most."""
+    """Return the file's bytes, read again for the reducer to check, or why there are none.
+
+    A file of over MAX_CONFIG_FILE_BYTES counts as unreadable.
+    """
     path = environ.get("ROUTER_CONFIG", "")
     try:
         with open(path, "rb") as file:
@@ -184,10 +189,10 @@
 
 
 def parse_config(raw: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    """The JSON's values; ROUTER_NAME, ROUTER_LISTEN and ROUTER_MGMT go before what it says.
+    """Parse the JSON's values; ROUTER_NAME, ROUTER_LISTEN and ROUTER_MGMT override them.
 
     Raises:
-        ConfigError: The first fault, named by its key.
+        ConfigError: A value cannot be used; the message names the key of the first.
     """
     limits = require_object("limits", raw.get("limits", {}))
     options = require_object("settings", raw.get("settings"))
@@ -196,7 +201,7 @@
     initial_endpoints = parse_initial_endpoints(raw)
     name = parse_name(raw, environ)
     inherited_listener_fd = parse_inherited_fd(environ)
-    # Of several faults the first in this order is reported.
+    # Of several errors the first in this order is reported.
     return Config(
         name=name,
         listen_address=parse_overridden_address("listen", "ROUTER_LISTEN", raw, environ),
@@ -220,12 +225,12 @@
 
 
 def limit(place: str, limits: dict[str, Any], key: str, least: int, default: int) -> int:
-    """One number of a table of limits; ``place`` names the table in the error."""
+    """Return one number of a table of limits; ``place`` is the table's path for the error message."""
     return require_number(f"{place}.{key}", limits.get(key), least, default)
 
 
 def parse_seed(raw: dict[str, Any]) -> int:
-    """The seed, a hexadecimal number; 0 where there is none."""
+    """Return the seed, a hexadecimal number; 0 if it is absent."""
     try:
         return int(raw.get("seed", "0"), 16)
     except (TypeError, ValueError) as error:
@@ -233,7 +238,7 @@
 
 
 def parse_decision_settings(options: dict[str, Any], seed: int) -> tuple[Settings, MachineKinds]:
-    """The decision module's settings, and the kinds of machines."""
+    """Return the decision package's settings and the kinds of machines."""
     try:
         return parse_settings(options, seed), MachineKinds(options)
     except SettingsError as error:
@@ -245,7 +250,7 @@
 
 
 def parse_initial_endpoints(raw: dict[str, Any]) -> WatchResponse:
-    """What is known of the servers at the start, written as the feed writes it; all of it must be usable."""
+    """Return the servers known at the start, given in the feed's form; every event must be usable."""
     try:
         known = parse_watch_response(require_object("known", raw.get("known")))
     except FeedError as error:
@@ -256,7 +261,7 @@
 
 
 def parse_name(raw: dict[str, Any], environ: Mapping[str, str]) -> str:
-    """The router's name."""
+    """Return the router's name."""
     name = environ.get("ROUTER_NAME") or raw.get("name")
     if not isinstance(name, str) or not name:
         raise ConfigError("name: is missing, and so is ROUTER_NAME")
@@ -264,7 +269,7 @@
 
 
 def parse_inherited_fd(environ: Mapping[str, str]) -> int | None:
-    """The descriptor of a listening socket that the process was started with, if any."""
+    """Return the descriptor of the inherited listening socket, or None."""
     text = environ.get("ROUTER_FD", "")
     if not text:
         return None
@@ -276,13 +281,13 @@
 def parse_overridden_address(
     key: str, variable: str, raw: dict[str, Any], environ: Mapping[str, str]
 ) -> Address:
-    """An address that a variable may name in the file's place; the error names where it was read."""
+    """Return an address from a variable or else from the file; the error names the one that was read."""
     text = environ.get(variable)
     return parse_address(variable if text else key, text or raw.get(key))
 
 
 def parse_control_address(raw: dict[str, Any], environ: Mapping[str, str]) -> Address | None:
-    """The control address, if any."""
+    """Return the control address, or None."""
     if not (environ.get("ROUTER_MGMT") or raw.get("mgmt")):
         return None
     return parse_overridden_address("mgmt", "ROUTER_MGMT", raw, environ)
--- a/kelpcroft/deployment_check/__init__.py
+++ b/kelpcroft/deployment_check/__init__.py
@@ -1,7 +1,7 @@
-"""What a deployment's JSON configuration says: every known key, what is wrong, and what it lacks.
+"""Check of a deployment's JSON configuration: its known keys, its diagnostics and its missing features.
 
-Owns the table of keys (``known_keys``), which ``docs/operators/sites.md`` has for people.  Pure: no file,
-socket or clock; imports the decision package's interface and ``kelpcroft.diagnostics``.  Start reading at
+The table of keys is in ``known_keys``; ``docs/operators/sites.md`` repeats it for operators.  Pure: no file,
+socket or clock.  Imports the decision package's interface and ``kelpcroft.diagnostics``.  Start reading at
 ``check``.
 """
 
--- a/kelpcroft/deployment_check/check.py
+++ b/kelpcroft/deployment_check/check.py
@@ -1,6 +1,6 @@
-"""Whether a configuration can be used, key by key, and where it contradicts itself.
+"""Diagnostics of a configuration: missing, malformed, unknown and contradictory values.
 
-Each diagnostic has a level, see ``kelpcroft.diagnostics.Severity``: with a fault the program does not start.
+Each diagnostic has a level, see ``kelpcroft.diagnostics.Severity``.  With an error the router does not start.
 """
 
 from __future__ import annotations
@@ -13,8 +13,10 @@
 from kelpcroft.deployment_check.known_keys import CONFIGURATION_KEYS
 from kelpcroft.diagnostics import Diagnostic, Severity
 
-MAX_DIAGNOSTICS = 100  # returned of one configuration, the worst first
+MAX_DIAGNOSTICS = 100  # returned for one configuration; the most severe are kept
+# Paths without which the router does not start; classes are checked apart.
 NEEDED_PATHS = ("feed", "known", "settings.az", "settings.dcs")
+# Paths whose value must be an object.
 OBJECT_PATHS = (
     "limits",
     "settings",
@@ -23,19 +25,20 @@
     "settings.family_info",
     "settings.report",
 )
-ROOT_PATH = ""
-# Keys that hold others, by the path of their object; they stand in the table only by what they hold.
+ROOT_PATH = ""  # path of the configuration itself
+# Keys whose value holds other keys, by the path of their object.  The table has only the keys that they hold.
 CONTAINER_KEYS = {
     ROOT_PATH: ("limits", "settings"),
     "settings": ("limits", "contract", "family_info", "report", "classes"),
 }
+# The most severe level first.
 LEVELS_BY_WEIGHT = (Severity.FAULT, Severity.DOUBT, Severity.UNKNOWN)
 
 
 def check_configuration(raw: JsonObject) -> list[Diagnostic]:
-    """All diagnostics, faults first, each level in the order of the keys; MAX_DIAGNOSTICS at the most.
+    """Return at most MAX_DIAGNOSTICS diagnostics, errors first, each level in the order in which it is found.
 
-    ROUTER_NAME and ROUTER_LISTEN may stand in for ``name`` and ``listen``, so their absence is none.
+    A missing ``name`` or ``listen`` is not reported, because ROUTER_NAME and ROUTER_LISTEN may replace them.
     """
     found = [*missing_values(raw), *malformed_values(raw), *unknown_keys(raw)]
     settings = raw.get("settings")
@@ -45,11 +48,11 @@
 
 
 def values_at(raw: Any, path: str, parent: str = "") -> Iterator[tuple[str, Any]]:
-    """What stands under a path of the table, with its place; nothing where it is absent or null.
+    """Yield each value at a path of the table, with its place; none if it is absent or null.
 
     Args:
-        raw: A JSON object; anything else holds nothing.
-        path: Keys joined by dots; ``[]`` behind one stands for each entry of a list.
+        raw: A JSON object; any other value yields nothing.
+        path: Keys joined by dots; ``[]`` after a key means each entry of its list.
         parent: The place of ``raw``.
     """
     step, _, rest = path.partition(".")
@@ -69,7 +72,7 @@
 
 
 def missing_values(raw: JsonObject) -> Iterator[Diagnostic]:
-    """What the program needs and the configuration does not have."""
+    """Yield a diagnostic for each required value that is missing."""
     has_settings = raw.get("settings") is not None
     if not has_settings:
         yield Diagnostic("settings", "is missing", "the program does not start without them")
@@ -83,7 +86,7 @@
 
 
 def missing_class_values(classes: Any) -> Iterator[Diagnostic]:
-    """Classes are a list of objects with a name each, one at the least."""
+    """Check that the classes are a list of at least one object, each with a name."""
     if not isinstance(classes, list) or not classes:
         yield Diagnostic("settings.classes", "is missing or empty", "a list of at least one class would do")
         return
@@ -96,7 +99,7 @@
 
 
 def malformed_values(raw: JsonObject) -> Iterator[Diagnostic]:
-    """Values of a form that cannot be used.  Of those that nobody reads it is only doubted."""
+    """Yield a diagnostic for each value of an unusable form: an error, or a warning if no module reads it."""
     for path in OBJECT_PATHS:
         for place, value in values_at(raw, path):
             if not isinstance(value, dict):
@@ -110,7 +113,7 @@
 
 
 def unknown_keys(raw: JsonObject) -> Iterator[Diagnostic]:
-    """Keys that the table does not have."""
+    """Yield a diagnostic for each key that is not in the table."""
     known: dict[str, set[str]] = {path: set(keys) for path, keys in CONTAINER_KEYS.items()}
     for key in CONFIGURATION_KEYS:
         parent, _, last = key.path.rpartition(".")
@@ -123,10 +126,10 @@
 
 
 def unknown_keys_of(place: str, value: JsonObject, known: Collection[str]) -> Iterator[Diagnostic]:
-    """Keys of one object that are none of the known ones."""
+    """Yield a diagnostic for each unknown key of one object."""
     for name in value:
         if name not in known:
-            from difflib import get_close_matches  # not in a process whose every key is known
+            from difflib import get_close_matches  # imported only if a key is unknown
 
             near = get_close_matches(name, known, 1)
             yield Diagnostic(
--- a/kelpcroft/deployment_check/contradictions.py
+++ b/kelpcroft/deployment_check/contradictions.py
@@ -1,4 +1,4 @@
-"""Settings that can be used one by one and do not fit together."""
+"""Rules for settings that are each usable but contradict one another."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 from kelpcroft.deployment_check.json_values import JsonObject, abbreviated_json, list_at, object_at
 from kelpcroft.diagnostics import Diagnostic, Severity
 
-# Lists of ``family_info`` that have a value for each class, and for each zone.
+# Lists of ``family_info`` with a value for each class.
 LISTS_BY_CLASS = ("goes_through", "multi_part", "max_age_ns", "usable_after_ns", "old_copy_worth")
+# Lists of ``family_info`` with a value for each zone.
 LISTS_BY_ZONE = ("hub_of", "instances_by_zone", "zone_link_kb_per_s")
+# Keys of ``family_info`` whose value is an index into ``machine_types``.
 MACHINE_KIND_KEYS = ("master_kind", "shield_kind")
 
 
 class SettingsView:
-    """The settings by their parts; a part that is missing, or no object or list, is empty."""
+    """The sections of the settings; a section that is missing or of another type is empty."""
 
     def __init__(self, settings: JsonObject) -> None:
         self.settings = settings
@@ -30,19 +32,19 @@
 
 
 def contradictions(settings: JsonObject) -> Iterator[Diagnostic]:
-    """All contradictions, in the order of RULES."""
+    """Yield a diagnostic for each contradiction, in the order of RULES."""
     view = SettingsView(settings)
     for rule in RULES:
         yield from rule(view)
 
 
 def doubt(place: str, found: str, expected: str) -> Diagnostic:
-    """A diagnostic of settings with which the program starts all the same."""
+    """Return a warning; the router starts with such settings."""
     return Diagnostic(place, found, expected, Severity.DOUBT)
 
 
 def check_zone(view: SettingsView) -> Iterator[Diagnostic]:
-    """The router's own zone is one of all."""
+    """Check that the router's own zone is in the list of zones."""
     zone = view.settings.get("az")
     if isinstance(view.settings.get("dcs"), list) and zone is not None and zone not in view.zones:
         yield Diagnostic(
@@ -53,7 +55,7 @@
 
 
 def check_class_names(view: SettingsView) -> Iterator[Diagnostic]:
-    """No two classes have one name."""
+    """Check that no two classes have the same name."""
     names = [entry.get("name") for entry in view.classes]
     for index, name in enumerate(names):
         if name in names[:index]:
@@ -65,7 +67,7 @@
 
 
 def check_class_times(view: SettingsView) -> Iterator[Diagnostic]:
-    """A class's times fit each other, and a keyed class has a window."""
+    """Check that a class's objective is within its deadline, and that a keyed class has a window."""
     for index, entry in enumerate(view.classes):
         place = f"settings.classes[{index}]"
         aim_ns: Any = entry.get("aim_ns")
@@ -86,7 +88,7 @@
 
 
 def check_list_lengths(view: SettingsView) -> Iterator[Diagnostic]:
-    """Lists by class, and by zone, have a value for each."""
+    """Check that lists by class or by zone have one value for each."""
     for keys, entries, what in (
         (LISTS_BY_CLASS, view.class_entries, "classes"),
         (LISTS_BY_ZONE, view.zones, "zones in dcs"),
@@ -102,7 +104,7 @@
 
 
 def check_machine_kinds(view: SettingsView) -> Iterator[Diagnostic]:
-    """Kinds of servers are places in the list of machine types."""
+    """Check that the kinds of servers are indices into the list of machine types."""
     kinds = len(view.machine_types)
     for key in MACHINE_KIND_KEYS:
         place = view.family_info.get(key)
@@ -115,7 +117,7 @@
 
 
 def check_hubs(view: SettingsView) -> Iterator[Diagnostic]:
-    """Hubs are places in the list of zones."""
+    """Check that the zones' hubs are indices into the list of zones."""
     zones = len(view.zones)
     for index, hub in enumerate(list_at(view.family_info, "hub_of")):
         if isinstance(hub, int) and zones and hub >= zones:
@@ -127,7 +129,7 @@
 
 
 def check_router_index(view: SettingsView) -> Iterator[Diagnostic]:
-    """The router's own number is one of all routers'."""
+    """Check that the router's own index is less than the number of routers."""
     index = view.settings.get("self_index")
     instances = view.settings.get("instances")
     if isinstance(index, int) and isinstance(instances, int) and index >= instances:
@@ -137,7 +139,7 @@
 
 
 def check_zone_instances(view: SettingsView) -> Iterator[Diagnostic]:
-    """There are routers in this router's zone."""
+    """Check that the number of routers in this router's zone is not 0."""
     by_zone = view.family_info.get("instances_by_zone")
     zone = view.settings.get("az")
     if not isinstance(by_zone, list) or len(by_zone) != len(view.zones) or zone not in view.zones:
@@ -151,13 +153,13 @@
 
 
 def check_second_copies(view: SettingsView) -> Iterator[Diagnostic]:
-    """Second copies need a second send."""
+    """Check that hedging is allowed only with at least two attempts."""
     if view.limits.get("second_copies") is True and view.limits.get("most_tries", 1) == 1:
         yield doubt("settings.limits.second_copies", "allowed, but most_tries is 1", "2 or more would do")
 
 
 def check_retry_after(view: SettingsView) -> Iterator[Diagnostic]:
-    """A longest pause goes with pauses."""
+    """Check that a longest pause is set only if ``retry_after`` is allowed."""
     if view.limits.get("max_retry_after_ns") and not view.limits.get("retry_after"):
         yield doubt(
             "settings.limits.max_retry_after_ns",
@@ -167,7 +169,7 @@
 
 
 def check_cold_start(view: SettingsView) -> Iterator[Diagnostic]:
-    """Caches that start cold are warm at some time."""
+    """Check that caches that start cold have a time after which they are warm."""
     cold = view.contract.get("cold_from")
     if isinstance(cold, (int, float)) and cold < 1 and not view.contract.get("cold_ns"):
         yield doubt(
@@ -178,7 +180,7 @@
 
 
 def check_reports(view: SettingsView) -> Iterator[Diagnostic]:
-    """Fields of a report go with reports."""
+    """Check that report fields are named only if reports are on."""
     if view.report.get("fields") and view.report.get("how", "off") == "off":
         yield doubt(
             "settings.report.how",
--- a/kelpcroft/deployment_check/json_values.py
+++ b/kelpcroft/deployment_check/json_values.py
@@ -1,4 +1,4 @@
-"""Values of a JSON configuration: those of one type, and in words."""
+"""Access to values of a JSON configuration by type, and their text in diagnostics."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 import orjson
 
-MAX_SHOWN_CHARACTERS = 60
-JsonObject = dict[str, Any]  # as it was parsed, before any check
+MAX_SHOWN_CHARACTERS = 60  # of a value in a diagnostic
+JsonObject = dict[str, Any]  # as parsed, before any check
 
 
 def object_at(parent: JsonObject, key: str) -> JsonObject:
-    """An object under a key; empty where there is none."""
+    """Return the object at a key; empty if the key is absent or its value is no object."""
     value = parent.get(key)
     return value if isinstance(value, dict) else {}
 
 
 def list_at(parent: JsonObject, key: str) -> list[Any]:
-    """A list under a key; empty where there is none."""
+    """Return the list at a key; empty if the key is absent or its value is no list."""
     value = parent.get(key)
     return value if isinstance(value, list) else []
 
 
 def abbreviated_json(value: Any) -> str:
-    """A value as the file has it, cut where it is long."""
+    """Return a value as JSON text, cut after MAX_SHOWN_CHARACTERS."""
     try:
         text = orjson.dumps(value).decode()
     except TypeError:
--- a/kelpcroft/deployment_check/known_keys.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -1,7 +1,7 @@
-"""Every key of a configuration: its form, who reads it, and what its absence means.
+"""Table of all known keys of a configuration: form of the value, reading modules, meaning of an absent key.
 
-``docs/operators/sites.md`` has the same table for people; a test compares the two.  A key that nobody
-reads says why that may be.  ``[]`` stands for each entry of a list.
+``docs/operators/sites.md`` has the same table for operators; a test compares the two.  A key that no module
+reads has a reason for that.  ``[]`` in a path means each entry of a list.
 """
 
 from __future__ import annotations
@@ -11,15 +11,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-Form = Callable[[Any], str]  # what would do in place of a value, or "" where it will do
+# Returns a text about the values that would be accepted in place of a value, or "" if the value is accepted.
+Form = Callable[[Any], str]
 MAX_PORT = 65_535
-HEX_EXPECTED = "hex digits in a text would do"
+HEX_EXPECTED = "hex digits in a text would do"  # in diagnostics of ``hexadecimal``
 
 
 def number(
     minimum: float, maximum: float = math.inf, *, is_whole: bool = False, is_above: bool = False
 ) -> Form:
-    """The form of a finite number in a range; ``is_above``: its lower end is none."""
+    """Return the form of a finite number in a range; ``is_above`` excludes the minimum itself."""
     what = "a whole number" if is_whole else "a number"
     bounds = f"above {minimum:g}" if is_above else f"of at least {minimum:g}"
     if maximum < math.inf:
@@ -40,7 +41,7 @@
 
 
 def word(*words: str) -> Form:
-    """The form of one of some words."""
+    """Return the form of a text that is one of ``words``."""
 
     def form(value: Any) -> str:
         return "" if value in words else f"one of {', '.join(words)} would do"
@@ -49,17 +50,17 @@
 
 
 def text(value: Any) -> str:
-    """The form of a text that is not empty."""
+    """Accept a text that is not empty."""
     return "" if isinstance(value, str) and value else "a text would do"
 
 
 def flag(value: Any) -> str:
-    """The form of true or false."""
+    """Accept true or false."""
     return "" if isinstance(value, bool) else "true or false would do"
 
 
 def listed(entry_form: Form) -> Form:
-    """The form of a list whose every entry has a form."""
+    """Return the form of a list whose entries all have a form."""
 
     def form(value: Any) -> str:
         if not isinstance(value, list):
@@ -71,7 +72,7 @@
 
 
 def parse_host_port(value: Any) -> tuple[str, int] | None:
-    """``host:port`` as a socket wants it, or None where it is none.  The one place that reads addresses."""
+    """Parse ``host:port`` into an address for a socket, or return None.  All addresses are parsed here."""
     if not isinstance(value, str):
         return None
     host, colon, port = value.rpartition(":")
@@ -82,12 +83,12 @@
 
 
 def address_form(value: Any) -> str:
-    """The form of ``host:port``."""
+    """Accept ``host:port``."""
     return "" if parse_host_port(value) else "an address as host:port would do"
 
 
 def hexadecimal(value: Any) -> str:
-    """The form of hex digits, as ``int`` reads them, in a text."""
+    """Accept a text of hex digits that ``int`` can parse, without a minus sign."""
     try:
         return "" if isinstance(value, str) and int(value, 16) >= 0 else HEX_EXPECTED
     except ValueError:
@@ -95,7 +96,7 @@
 
 
 def anything(_value: Any) -> str:
-    """The form of whatever stands there."""
+    """Accept any value."""
     return ""
 
 
@@ -103,7 +104,7 @@
 COUNT = number(0, is_whole=True)
 SHARE = number(0, 1)
 COUNT_FROM_ONE = number(1, is_whole=True)
-KIND = number(-1, is_whole=True)  # a place in the list of machine types; -1 = none
+KIND = number(-1, is_whole=True)  # index into the list of machine types; -1 = none
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,11 +112,11 @@
     """One key of a configuration.
 
     Attributes:
-        path: Keys joined by dots; ``[]`` behind one stands for each entry of a list.
-        form: What its value may be.
-        reader: Modules below ``kelpcroft``, and what it is for there; "" = nobody reads it.
-        absent: What its absence means; "needed" = the program does not start.
-        why: Where nobody reads it, why that may be.
+        path: Keys joined by dots; ``[]`` after a key means each entry of its list.
+        form: Check of its value.
+        reader: Modules below ``kelpcroft`` that read it, and its use there; "" = no module reads it.
+        absent: Meaning of an absent key; "needed" = the router does not start.
+        why: Reason why no module reads it; "" if one does.
     """
 
     path: str
--- a/kelpcroft/deployment_check/missing_features.py
+++ b/kelpcroft/deployment_check/missing_features.py
@@ -1,6 +1,6 @@
-"""What a deployment does not have, in the words of one log line.
+"""Names of the features that a deployment does not have, for one log line.
 
-Each means that something is done by measurement, or not at all.
+For each missing feature the router uses measurements instead, or leaves a function out.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 
 
 def missing_features(settings: Settings, roles: frozenset[Role] | None = None) -> tuple[str, ...]:
-    """Names of what is missing.
+    """Return the names of the features that are missing.
 
     Args:
-        settings: The deployment's.
-        roles: Kinds of the servers on the list; None where no list is known.
+        settings: The deployment's settings.
+        roles: Roles of the servers on the endpoint list; None if there is no list yet.
     """
     limits = settings.limits
     reports = settings.load_report_mode != "off"
--- a/kelpcroft/settings_wire.py
+++ b/kelpcroft/settings_wire.py
@@ -1,6 +1,6 @@
-"""Settings as a JSON object, in the words of the simulator's wire; ``config.json`` has them in the same form.
+"""Parser of the settings in JSON, under the keys of the simulator's wire, which ``config.json`` uses too.
 
-Keys that are not known are skipped: ``deployment_check`` names them to the operator.
+Unknown keys are ignored; ``deployment_check`` reports them to the operator.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from kelpcroft.decision import interface as api
 
-JsonObject = dict[str, Any]  # values are of any type until they are parsed
+JsonObject = dict[str, Any]  # values may be of any type until they are parsed
 
 
 def parse_settings(options: JsonObject, seed: int) -> api.Settings:
@@ -17,12 +17,12 @@
 
     Args:
         options: The object.
-        seed: Of chance, which is not part of the object.
+        seed: Seed of random numbers, which is not part of the object.
 
     Raises:
         SettingsError: A value can't be used.
         KeyError: A class has no name.
-        TypeError, ValueError: A value is of another type than it should be.
+        TypeError, ValueError: A value is of a wrong type.
     """
     family: JsonObject = options.get("family_info") or {}
     limits: JsonObject = options.get("limits") or {}
@@ -54,7 +54,7 @@
 
 
 class FamilySettings(TypedDict):
-    """The settings that stand in ``family_info``; see ``Settings``."""
+    """The settings from ``family_info``; see ``Settings``."""
 
     zone_instances: int
     hub_index_by_zone: tuple[int, ...]
@@ -81,7 +81,7 @@
 
 
 def _parse_class(entry: JsonObject, family: JsonObject, index: int) -> api.RequestClass:
-    """Return one class; some of its values stand in lists of ``family_info``, at its index."""
+    """Return one class; some of its values are in lists of ``family_info``, at its index."""
     word = entry.get("idempotency") or "safe"
     try:
         idempotency = api.Idempotency(word)
@@ -139,7 +139,7 @@
 
 
 class MachineKinds:
-    """How one router's settings name the kinds of machine that are parents and the origin.
+    """The kinds of machines in one router's settings, and which of them are parents or the origin.
 
     Attributes:
         names: All kinds that the settings name.
@@ -159,17 +159,17 @@
         return kinds[index] if index is not None and 0 <= index < len(kinds) else None
 
     def role_of(self, kind: str) -> api.Role:
-        """Return the role of a kind of machine; those that the settings do not name are caches."""
+        """Return the role of a kind of machine; a kind that the settings do not name is a cache."""
         if kind == self.origin:
             return api.Role.ORIGIN
         return api.Role.PARENT if kind == self.parent else api.Role.CACHE
 
 
 def _or_default(value: Any, default: Any) -> Any:
-    """Return a value that may be 0, or the default where it is absent."""
+    """Return a value, which may be 0, or the default if it is absent."""
     return default if value is None else value
 
 
 def _item(values: Any, index: int, default: Any) -> Any:
-    """Return a list's value at an index, or the default where the list or the value is absent."""
+    """Return a list's value at an index, or the default if the list or the value is absent."""
     return values[index] if values and index < len(values) and values[index] is not None else default
