--- a/kelpcroft/__main__.py
+++ b/kelpcroft/__main__.py
@@ -37,13 +37,13 @@
     Signals are received from the first line on: a signal that arrives while the configuration is read stays
     in the pipe until the event loop reads it.
     """
-    signals = _open_signal_pipe()
+    signal_pipe = _open_signal_pipe()
     try:
         config = load_config(os.environ)
     except ConfigError as error:
         return _bad_configuration(f"configuration: {error}")
     try:
-        operator_file, read_again = _read_operator_file(config)
+        operator_file, reload_steps = _read_operator_file(config)
     except ConfigError as error:
         return _bad_configuration(str(error))
     try:
@@ -51,12 +51,12 @@
     except ConfigError as error:
         return _bad_configuration(f"configuration: {error}")
     event_log = EventLog(config.name, form=os.environ.get("ROUTER_LOG", ""))
-    loop = EventLoop(config, Clock(), partial(reread_config, os.environ), read_again, event_log)
+    loop = EventLoop(config, Clock(), partial(reread_config, os.environ), reload_steps, event_log)
     gc.freeze()  # objects created so far stay; collections need not visit them
     gc.set_threshold(*GC_THRESHOLDS)
     delay_ns = _crash_loop_delay_ns(config, operator_file)
     predecessor = predecessor_files.read_handover(config.state_dir, config.name)
-    loop.start(signals, operator_file, listener, control_listener, predecessor, delay_ns)
+    loop.start(signal_pipe, operator_file, listener, control_listener, predecessor, delay_ns)
     loop.run()
     return EXIT_ENDED
 
@@ -70,8 +70,8 @@
     for end in (reading_end, writing_end):
         os.set_blocking(end, False)
     signal.set_wakeup_fd(writing_end, warn_on_full_buffer=False)
-    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(number, lambda *_: None)  # the event loop reads the byte from the pipe
+    for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        signal.signal(signal_number, lambda *_: None)  # the event loop reads the byte from the pipe
     return reading_end
 
 
--- a/kelpcroft/cli/__init__.py
+++ b/kelpcroft/cli/__init__.py
@@ -24,5 +24,5 @@
     """
 
 
-for verb in (serve, check, explain, diff, homes_command, rollout, control_replica):
-    main.add_command(verb)
+for subcommand in (serve, check, explain, diff, homes_command, rollout, control_replica):
+    main.add_command(subcommand)
--- a/kelpcroft/cli/check.py
+++ b/kelpcroft/cli/check.py
@@ -6,14 +6,14 @@
 
 from kelpcroft.cli.common import (
     CommandError,
+    config_diagnostic_json,
     config_option,
     diagnose_configuration,
     diagnose_file,
     echo_diagnostics,
     exit_negative,
     format_option,
-    placed_json,
-    positioned_json,
+    kdl_diagnostic_json,
     print_json,
     read_settings,
 )
@@ -26,7 +26,7 @@
 @click.argument("file", required=False)
 @config_option()
 @format_option
-def check(file: str | None, config: str | None, form: str) -> None:
+def check(file: str | None, config: str | None, output_format: str) -> None:
     """Check an operator's FILE, a router's CONFIG, or FILE in the deployment of CONFIG.
 
     Prints each fault of FILE with its line, column, code and reason.  Prints each setting of CONFIG that is
@@ -40,29 +40,35 @@
         raise CommandError("nothing to check: name a FILE, or --config CONFIG, or both")
     config_diagnostics = diagnose_configuration(config) if config else []
     is_usable = not any(diagnostic.level is Severity.FAULT for diagnostic in config_diagnostics)
-    if form == "text":
+    if output_format == "text":
         for diagnostic in config_diagnostics:
             click.echo(f"{config}: {diagnostic.level}: {diagnostic}")
     if file is None or not is_usable:
-        report_configuration(config or "", file, config_diagnostics, is_usable, form)
+        report_configuration(config or "", file, config_diagnostics, is_usable, output_format)
         if not is_usable:
             exit_negative()
         return
-    model, faults = diagnose_file(file, read_settings(config) if config else None)
-    if form == "json":
-        print_file_json(file, model, faults, config_diagnostics, has_deployment=bool(config))
+    model, file_diagnostics = diagnose_file(file, read_settings(config) if config else None)
+    if output_format == "json":
+        print_file_json(file, model, file_diagnostics, config_diagnostics, has_deployment=bool(config))
     else:
-        echo_file(file, model, faults, has_deployment=bool(config))
-    if faults:
+        echo_file(file, model, file_diagnostics, has_deployment=bool(config))
+    if file_diagnostics:
         exit_negative()
 
 
 def report_configuration(
-    config: str, file: str | None, diagnostics: list[Diagnostic], is_usable: bool, form: str
+    config: str, file: str | None, diagnostics: list[Diagnostic], is_usable: bool, output_format: str
 ) -> None:
     """Print the result if only the configuration was checked; its text diagnostics are printed before."""
-    if form == "json":
-        print_json({"config": config, "good": is_usable, "settings": [placed_json(d) for d in diagnostics]})
+    if output_format == "json":
+        print_json(
+            {
+                "config": config,
+                "good": is_usable,
+                "settings": [config_diagnostic_json(diagnostic) for diagnostic in diagnostics],
+            }
+        )
     elif is_usable:
         missing = ", ".join(missing_features(read_settings(config))) or "lack"
         click.echo(f"{config}: good, {len(diagnostics)} to look at; it has no {missing}")
@@ -74,7 +80,7 @@
 def print_file_json(
     path: str,
     model: OperatorFile,
-    faults: list[Diagnostic],
+    file_diagnostics: list[Diagnostic],
     config_diagnostics: list[Diagnostic],
     *,
     has_deployment: bool,
@@ -83,20 +89,20 @@
     print_json(
         {
             "file": path,
-            "good": not faults,
+            "good": not file_diagnostics,
             "routes": len(model.routes),
             "deployment": has_deployment,
-            "settings": [placed_json(diagnostic) for diagnostic in config_diagnostics],
-            "faults": [positioned_json(fault) for fault in faults],
+            "settings": [config_diagnostic_json(diagnostic) for diagnostic in config_diagnostics],
+            "faults": [kdl_diagnostic_json(diagnostic) for diagnostic in file_diagnostics],
         }
     )
 
 
-def echo_file(path: str, model: OperatorFile, faults: list[Diagnostic], *, has_deployment: bool) -> None:
+def echo_file(path: str, model: OperatorFile, diagnostics: list[Diagnostic], *, has_deployment: bool) -> None:
     """Print the result for an operator's file as text."""
-    if faults:
-        echo_diagnostics(path, faults)
-        click.echo(f"{len(faults)} fault{'s' if len(faults) != 1 else ''}", err=True)
+    if diagnostics:
+        echo_diagnostics(path, diagnostics)
+        click.echo(f"{len(diagnostics)} fault{'s' if len(diagnostics) != 1 else ''}", err=True)
         return
     scope = "held against the deployment" if has_deployment else "without a deployment"
     click.echo(f"{path}: good, {len(model.routes)} routes, {scope}")
--- a/kelpcroft/cli/common.py
+++ b/kelpcroft/cli/common.py
@@ -19,9 +19,9 @@
 # The command ran and its result is negative, for example a file with a fault or two files that differ.
 EXIT_NEGATIVE = 1
 # The command cannot run as it was given.
-EXIT_USED_WRONGLY = 2
+EXIT_USAGE_ERROR = 2
 # Placeholder for the addresses that a configuration may lack if only its settings are used.
-ANY_ADDRESS = "127.0.0.1:1"
+PLACEHOLDER_ADDRESS = "127.0.0.1:1"
 
 F = TypeVar("F", bound=Callable[..., Any])
 
@@ -29,10 +29,10 @@
 class CommandError(click.ClickException):
     """The command cannot run as it was given: one line on standard error, exit code 2."""
 
-    exit_code = EXIT_USED_WRONGLY
+    exit_code = EXIT_USAGE_ERROR
 
 
-class PositionedJson(TypedDict):
+class KdlDiagnosticJson(TypedDict):
     """A diagnostic of a KDL file in JSON output."""
 
     line: int
@@ -41,7 +41,7 @@
     reason: str
 
 
-class PlacedJson(TypedDict):
+class ConfigDiagnosticJson(TypedDict):
     """A diagnostic of a JSON configuration in JSON output."""
 
     level: str
@@ -54,7 +54,7 @@
     """Add the option ``--format text|json`` to a command."""
     return click.option(
         "--format",
-        "form",
+        "output_format",
         type=click.Choice(["text", "json"]),
         default="text",
         show_default=True,
@@ -93,14 +93,14 @@
     Raises:
         CommandError: The configuration cannot be used.
     """
-    stand_ins = {
+    placeholders = {
         "name": "n",
-        "listen": ANY_ADDRESS,
-        "feed": ANY_ADDRESS,
+        "listen": PLACEHOLDER_ADDRESS,
+        "feed": PLACEHOLDER_ADDRESS,
         "known": {"n": 0, "events": []},
     }
     try:
-        return parse_config({**stand_ins, **read_configuration(path)}, {}).settings
+        return parse_config({**placeholders, **read_configuration(path)}, {}).settings
     except ConfigError as error:
         raise CommandError(f"{path}: {error}") from error
 
@@ -135,7 +135,7 @@
         click.echo(diagnostic.format_for(path), err=err)
 
 
-def positioned_json(diagnostic: Diagnostic) -> PositionedJson:
+def kdl_diagnostic_json(diagnostic: Diagnostic) -> KdlDiagnosticJson:
     """Return a diagnostic of a KDL file as a JSON object."""
     return {
         "line": diagnostic.position.line,
@@ -145,7 +145,7 @@
     }
 
 
-def placed_json(diagnostic: Diagnostic) -> PlacedJson:
+def config_diagnostic_json(diagnostic: Diagnostic) -> ConfigDiagnosticJson:
     """Return a diagnostic of a JSON configuration as a JSON object."""
     return {
         "level": diagnostic.level.value,
--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -30,7 +30,7 @@
 """
 
 
-def read_file(path: str) -> ControlReplicaFile:
+def load_usable_replica_file(path: str) -> ControlReplicaFile:
     """Return a usable control replica's file; for an unusable one, print its errors and exit with code 1."""
     try:
         with Path(path).open("rb") as stream:
@@ -63,7 +63,7 @@
 )
 def control_replica(file: str, config: str, name: str, dry_run: bool, log_format: str) -> None:
     """Check FILE and CONFIG, and serve until a signal ends the process."""
-    options = read_file(file)
+    options = load_usable_replica_file(file)
     purge_span_ns = read_settings(config).rules.purge_retention_ns
     if dry_run:
         click.echo(f"{file}: good; would serve {describe(options, purge_span_ns)}")
@@ -135,6 +135,6 @@
     for end in (read_end, write_end):
         os.set_blocking(end, False)
     signal.set_wakeup_fd(write_end, warn_on_full_buffer=False)
-    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(number, lambda *_: None)
+    for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        signal.signal(signal_number, lambda *_: None)
     return read_end
--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -33,9 +33,9 @@
 
 MAX_THREADS = 64  # of the pool that runs commands and polls
 LEASE_RENEWAL_NS = 4 * 10**9  # a step is committed at least this often, even without a decision
-MAX_TURN_S = 0.25  # longest sleep before a step
-TURNS_PER_POLL = 4  # steps within one poll interval, if MAX_TURN_S does not shorten the sleep
-STOP_VERB = "stop"  # operator command for the controller; all others are for the state machine
+MAX_STEP_SLEEP_S = 0.25  # longest sleep before a step
+STEPS_PER_POLL_INTERVAL = 4  # steps within one poll interval, if MAX_STEP_SLEEP_S does not shorten the sleep
+STOP_COMMAND = "stop"  # operator command for the controller; all others are for the state machine
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,60 +114,60 @@
             )
             self._commit(now_ns, effects, last_command_number=0)
             while not self.rollout.outcome.is_final and not self.is_stopped:
-                self._turn()
+                self._step()
             return self.rollout.outcome
         finally:
             self.pool.shutdown(wait=False, cancel_futures=True)
             self.store.release_lease(self.run.id, self.owner)
 
-    def _turn(self) -> None:
+    def _step(self) -> None:
         """Make one step: collect operator commands, poll results and failures, commit, send commands."""
-        self.sleep(min(MAX_TURN_S, self.plan.poll_interval_ns / (TURNS_PER_POLL * 1e9)))
+        self.sleep(min(MAX_STEP_SLEEP_S, self.plan.poll_interval_ns / (STEPS_PER_POLL_INTERVAL * 1e9)))
         now_ns = self.clock()
-        events, last_command_number = self._take_operator_commands()
-        events += self._take_answers()
-        effects: list[Effect] = [*self._take_failures()]
+        events, last_command_number = self._collect_operator_commands()
+        events += self._collect_poll_results()
+        effects: list[Effect] = [*self._collect_command_failures()]
         for event in (*events, Tick()):
             effects += self.rollout.handle(now_ns, event)
         self._commit(now_ns, effects, last_command_number)
 
-    def _take_operator_commands(self) -> tuple[list[Event], int]:
+    def _collect_operator_commands(self) -> tuple[list[Event], int]:
         """Return the pending operator commands and the number of the last one; 0 = there is none."""
         events: list[Event] = []
         last_command_number = 0
-        for number, verb in self.store.pending_operator_commands(self.run.id):
+        for number, name in self.store.pending_operator_commands(self.run.id):
             last_command_number = number
-            if verb == STOP_VERB:
+            if name == STOP_COMMAND:
                 self.is_stopped = True
             else:
-                events.append(OperatorCommand(verb))
+                events.append(OperatorCommand(name))
         return events, last_command_number
 
-    def _take_answers(self) -> list[Event]:
+    def _collect_poll_results(self) -> list[Event]:
         """Return the results of the polls that have ended."""
         ended = {name: future for name, future in self.pending_polls.items() if future.done()}
         for name in ended:
             del self.pending_polls[name]
         return [future.result() for future in ended.values()]
 
-    def _take_failures(self) -> list[HistoryEntry]:
+    def _collect_command_failures(self) -> list[HistoryEntry]:
         """Return a history entry for each command that has ended and failed."""
         ended = [running for running in self.running_commands if running.result.done()]
         failures = []
         for running in ended:
             self.running_commands.remove(running)
-            why = running.result.result()
-            if why:
+            reason = running.result.result()
+            if reason:
                 command = running.command
-                text = f"{command.router}: {command.kind.value}: {why}"
+                text = f"{command.router}: {command.kind.value}: {reason}"
                 failures.append(HistoryEntry("order-failed", text, {}))
         return failures
 
     def _commit(self, now_ns: int, effects: list[Effect], last_command_number: int) -> None:
         """Commit the step, then publish its history entries and send its commands."""
         entries = [effect for effect in effects if isinstance(effect, HistoryEntry)]
-        sent = [effect for effect in effects if isinstance(effect, RouterCommand)]
-        commands = [command for command in sent if command.kind is not CommandKind.POLL]
+        router_commands = [effect for effect in effects if isinstance(effect, RouterCommand)]
+        commands = [command for command in router_commands if command.kind is not CommandKind.POLL]
         renewal_due = now_ns - self.committed_ns >= LEASE_RENEWAL_NS
         if entries or commands or last_command_number or renewal_due:
             self.store.commit_step(
@@ -184,7 +184,7 @@
             self.on_entry(entry)
         for command in commands:
             self.running_commands.append(RunningCommand(command, self.pool.submit(self._execute, command)))
-        for command in sent:
+        for command in router_commands:
             if command.kind is CommandKind.POLL and command.router not in self.pending_polls:
                 target = self.targets[command.router]
                 self.pending_polls[command.router] = self.pool.submit(self.driver.poll, target)
@@ -196,13 +196,13 @@
 
 
 def begin_or_continue_run(
-    store: RolloutStore, data: bytes, plan: RolloutPlan, clock: Callable[[], int] = time.time_ns
+    store: RolloutStore, file_bytes: bytes, plan: RolloutPlan, clock: Callable[[], int] = time.time_ns
 ) -> StoredRun:
     """Return the run to lead: the unfinished run if it has the same rollout file, else a new one.
 
     Args:
         store: The store that holds the runs.
-        data: The bytes of the rollout file.
+        file_bytes: The bytes of the rollout file.
         plan: The plan in these bytes.
         clock: Returns the time in Unix nanoseconds.
 
@@ -211,7 +211,7 @@
     """
     newest = store.newest_run()
     if newest is not None and newest.outcome not in FINAL_OUTCOME_VALUES:
-        if newest.plan != data:
+        if newest.plan != file_bytes:
             raise LeaseLostError(
                 f"run {newest.id} of another plan is not over; revert it, or go on with its own file",
                 path=store.path,
@@ -219,7 +219,7 @@
             )
         return newest
     now_ns = clock()
-    store.create_run(now_ns, data, to_snapshot(Rollout(plan, now_ns)))
+    store.create_run(now_ns, file_bytes, to_snapshot(Rollout(plan, now_ns)))
     run = store.newest_run()
     assert run is not None
     return run
--- a/kelpcroft/cli/diff.py
+++ b/kelpcroft/cli/diff.py
@@ -33,7 +33,7 @@
     request_class: RequestClass
 
 
-def supposed_classes(matches: Iterable[RouteMatch]) -> list[LabelledClass]:
+def classes_from_matches(matches: Iterable[RouteMatch]) -> list[LabelledClass]:
     """Return classes to compare by if no deployment is given.
 
     They have the names that the matches contain, and one further name.  If any match has a condition on the
@@ -41,22 +41,24 @@
     classes and on classes whose objects have several parts.
     """
     matches = list(matches)
-    effects = list(Idempotency) if any(m.effects for m in matches) else [Idempotency.SAFE]
-    through = (False, True) if any(m.uncacheable is not None for m in matches) else (False,)
-    parts = (False, True) if any(m.multipart is not None for m in matches) else (False,)
+    idempotencies = list(Idempotency) if any(m.effects for m in matches) else [Idempotency.SAFE]
+    uncacheable_values = (False, True) if any(m.uncacheable is not None for m in matches) else (False,)
+    multipart_values = (False, True) if any(m.multipart is not None for m in matches) else (False,)
     names = sorted({name for match in matches for name in match.classes})
-    found = []
+    labelled_classes = []
     for name in [*names, ANY_OTHER_CLASS]:
-        for effect, uncacheable, multipart in product(effects, through, parts):
-            words = [effect.value] if len(effects) > 1 else []
+        for idempotency, uncacheable, multipart in product(
+            idempotencies, uncacheable_values, multipart_values
+        ):
+            qualifiers = [idempotency.value] if len(idempotencies) > 1 else []
             if uncacheable:
-                words.append("through")
+                qualifiers.append("through")
             if multipart:
-                words.append("multipart")
-            label = f"{name} ({', '.join(words)})" if words else name
-            request_class = RequestClass(name, effect, uncacheable=uncacheable, multipart=multipart)
-            found.append(LabelledClass(label, request_class))
-    return found
+                qualifiers.append("multipart")
+            label = f"{name} ({', '.join(qualifiers)})" if qualifiers else name
+            request_class = RequestClass(name, idempotency, uncacheable=uncacheable, multipart=multipart)
+            labelled_classes.append(LabelledClass(label, request_class))
+    return labelled_classes
 
 
 @click.command(
@@ -67,7 +69,7 @@
 @config_option()
 @click.option("--zone", help="Zone of the routers to compare for; else the configuration's.")
 @format_option
-def diff(old: str, new: str, config: str | None, zone: str | None, form: str) -> None:
+def diff(old: str, new: str, config: str | None, zone: str | None, output_format: str) -> None:
     """Print which requests the files OLD and NEW treat differently, and how.
 
     Without --config the classes are those that the files name, and one that neither names.  Exit code 1 if
@@ -78,7 +80,7 @@
     after = load_usable_file(new, settings)
     own_zone = zone or (settings.zone if settings else "")
     changes = compare(before, after, own_zone, classes_to_compare(before, after, settings))
-    if form == "json":
+    if output_format == "json":
         print_json({"same": not changes, "changes": [change_json(change) for change in changes]})
     else:
         echo_changes(changes)
@@ -92,7 +94,7 @@
     """Return the deployment's classes or, without a deployment, classes derived from both files."""
     if settings:
         return [LabelledClass(c.name, c) for c in settings.classes]
-    return supposed_classes(route.match for file in (before, after) for route in file.routes)
+    return classes_from_matches(route.match for file in (before, after) for route in file.routes)
 
 
 def compare(
@@ -131,5 +133,5 @@
     for change in changes:
         click.echo(f"class {change.class_name}: {change.where}")
         click.echo(f"  {change.old or 'no route'} -> {change.new or 'no route'}")
-        for words in change.what:
-            click.echo(f"  {words}")
+        for difference in change.what:
+            click.echo(f"  {difference}")
--- a/kelpcroft/cli/explain.py
+++ b/kelpcroft/cli/explain.py
@@ -54,7 +54,7 @@
     group: int,
     retry: bool,
     write: bool,
-    form: str,
+    output_format: str,
 ) -> None:
     """Print the route that matches a request, and the bounds that the route sets.
 
@@ -62,31 +62,31 @@
     of sends that follow from the bounds are printed last.
     """
     settings = read_settings(config)
-    request_class = class_of(settings, class_name)
+    request_class = find_class(settings, class_name)
     if not OBJECT_ID.fullmatch(object_id):
         raise CommandError(f"--object: {object_id!r} is not 16 hex digits in lower case")
     request = RequestAttributes(request_class, object_id, part, group, retry, write)
     route = find_route(load_usable_file(file, settings), settings.zone, request)
     if route is None:
-        report_no_route(form)
+        report_no_route(output_format)
         exit_negative()
-    if form == "json":
+    if output_format == "json":
         print_route_json(route, request_class, settings.limits)
     else:
         echo_route(route, request_class, settings.limits)
 
 
-def class_of(settings: api.Settings, name: str) -> api.RequestClass:
+def find_class(settings: api.Settings, name: str) -> api.RequestClass:
     """Return the class with a name.  Raises CommandError if there is none."""
-    known = {request_class.name: request_class for request_class in settings.classes}
-    if name not in known:
-        raise CommandError(f"--class: there is no class {name!r}{suggestion(name, known)}")
-    return known[name]
+    classes_by_name = {request_class.name: request_class for request_class in settings.classes}
+    if name not in classes_by_name:
+        raise CommandError(f"--class: there is no class {name!r}{suggestion(name, classes_by_name)}")
+    return classes_by_name[name]
 
 
-def report_no_route(form: str) -> None:
+def report_no_route(output_format: str) -> None:
     """Print that no route matches the request."""
-    if form == "json":
+    if output_format == "json":
         print_json({"route": None})
     else:
         click.echo("no route takes it: the file bounds nothing")
@@ -98,7 +98,7 @@
         {
             "route": route.name,
             "line": route.position.line,
-            "bounds": [row_json(row) for row in describe_policy(route.policy)],
+            "bounds": [policy_row_json(row) for row in describe_policy(route.policy)],
             "longest_wait_ms": longest_wait_ns(route.policy, request_class) / MS,
             "most_sends": max_sends(route.policy, request_class, limits),
             "effect": request_class.idempotency.value,
@@ -106,7 +106,7 @@
     )
 
 
-def row_json(row: PolicyRow) -> dict[str, object]:
+def policy_row_json(row: PolicyRow) -> dict[str, object]:
     """Return a row of the policy as a JSON object."""
     return {"bound": row.name, "value": row.words, "line": row.position.line}
 
@@ -121,5 +121,5 @@
     wait_ns = longest_wait_ns(route.policy, request_class)
     click.echo(f"longest wait: {format_duration(wait_ns) if wait_ns else 'as the client says'}")
     is_unsafe = request_class.idempotency is api.Idempotency.UNSAFE
-    once = ", one of which may have run" if is_unsafe else ""
-    click.echo(f"most sends:   {max_sends(route.policy, request_class, limits)}{once}")
+    unsafe_note = ", one of which may have run" if is_unsafe else ""
+    click.echo(f"most sends:   {max_sends(route.policy, request_class, limits)}{unsafe_note}")
--- a/kelpcroft/cli/placement.py
+++ b/kelpcroft/cli/placement.py
@@ -18,25 +18,25 @@
 def homes_by_config(config_path: str, count: int) -> tuple[str, list[str]]:
     """Return the zone of a configuration, and the homes of ``count`` objects in its initial endpoint list."""
     try:
-        parsed = parse_config(read_configuration(config_path), {})
+        config = parse_config(read_configuration(config_path), {})
     except ConfigError as error:
         raise CommandError(f"{config_path}: {error}") from error
     servers = [
         api.Server(
             endpoint.name,
-            parsed.kinds.role_of(endpoint.kind),
+            config.kinds.role_of(endpoint.kind),
             endpoint.zone,
             endpoint.cell,
             endpoint.state,
             endpoint.weight,
             endpoint.started_ns,
         )
-        for event in parsed.initial_endpoints.events
+        for event in config.initial_endpoints.events
         if isinstance(event, EndpointUpdate)
         for endpoint in event.endpoints
     ]
     try:
-        return parsed.settings.zone, place_objects(parsed.settings, servers, count)
+        return config.settings.zone, place_objects(config.settings, servers, count)
     except PlacementError as error:
         raise CommandError(f"{config_path}: {error}") from error
 
@@ -45,14 +45,14 @@
 @config_option(required=True)
 @click.option("--objects", type=click.IntRange(1, MAX_OBJECTS), default=DEFAULT_OBJECTS, show_default=True)
 @format_option
-def homes_command(config: str, objects: int, form: str) -> None:
+def homes_command(config: str, objects: int, output_format: str) -> None:
     """Print for each cache the number of sample objects whose home it is.
 
     The homes follow from this build and from CONFIG's settings and list of servers.  Every build uses the
     same sample objects, so that `rollout plan` can count the objects that would move.
     """
     zone, homes = homes_by_config(config, objects)
-    if form == "json":
+    if output_format == "json":
         print_json({"zone": zone, "objects": objects, "homes": homes})
         return
     click.echo(f"zone {zone}: {objects} objects")
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -16,7 +16,7 @@
 from kelpcroft.cli.rollout_preview import preview, preview_to_json, print_preview
 from kelpcroft.cli.rollout_status import is_led, print_status, run_status
 from kelpcroft.diagnostics import Diagnostic
-from kelpcroft.operator_file.check import read_bytes as read
+from kelpcroft.operator_file.check import read_bytes
 from kelpcroft.rollout.errors import SnapshotError
 from kelpcroft.rollout.events import HistoryEntry
 from kelpcroft.rollout.phases import FINAL_OUTCOME_VALUES, RolloutOutcome
@@ -36,33 +36,33 @@
     """Change routers in stages: compare new with old, and hold or roll back on a regression."""
 
 
-def usable_plan(path: str, form: str) -> RolloutPlan:
+def load_usable_plan(path: str, output_format: str) -> RolloutPlan:
     """Return the plan of a rollout file; for an unusable file, print its errors and exit with code 1."""
     try:
-        plan, diagnostics = load_plan(read(path))
+        plan, diagnostics = load_plan(read_bytes(path))
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}") from error
     if diagnostics:
-        report_faults(path, diagnostics, form)
+        report_diagnostics(path, diagnostics, output_format)
     return plan
 
 
-def report_faults(path: str, diagnostics: list[Diagnostic], form: str) -> NoReturn:
+def report_diagnostics(path: str, diagnostics: list[Diagnostic], output_format: str) -> NoReturn:
     """Print the errors of a file and exit with code 1."""
-    if form == "json":
+    if output_format == "json":
         rows = [
             {
-                "line": found.position.line,
-                "column": found.position.column,
-                "code": found.code,
-                "reason": found.message,
+                "line": diagnostic.position.line,
+                "column": diagnostic.position.column,
+                "code": diagnostic.code,
+                "reason": diagnostic.message,
             }
-            for found in diagnostics
+            for diagnostic in diagnostics
         ]
         print_json({"file": path, "good": False, "faults": rows})
     else:
-        for found in diagnostics:
-            click.echo(found.format_for(path))
+        for diagnostic in diagnostics:
+            click.echo(diagnostic.format_for(path))
         click.echo(f"{len(diagnostics)} fault{'s' * (len(diagnostics) != 1)}", err=True)
     exit_negative()
 
@@ -70,7 +70,7 @@
 @rollout.command(epilog="Example:  kelpcroft rollout plan examples/rollout.kdl")
 @click.argument("file")
 @format_option
-def plan(file: str, form: str) -> None:
+def plan(file: str, output_format: str) -> None:
     """Check a rollout FILE and print a preview of it, without changing any router.
 
     The preview has each stage with the routers that it changes, the shortest and longest time, the largest
@@ -78,11 +78,11 @@
     the share of objects whose home differs between the two builds, if FILE has the commands that print it.
     Exit code 1 if there is a fault.
     """
-    found = preview(usable_plan(file, form))
-    if form == "json":
-        print_json(preview_to_json(file, found))
+    plan_preview = preview(load_usable_plan(file, output_format))
+    if output_format == "json":
+        print_json(preview_to_json(file, plan_preview))
     else:
-        print_preview(found)
+        print_preview(plan_preview)
 
 
 def store_option(command: F) -> F:
@@ -136,11 +136,11 @@
         raise CommandError(f"{file}: it has no 'act': nothing says how a router is changed")
 
 
-def entry_printer(form: str) -> Callable[[HistoryEntry], None]:
+def entry_printer(output_format: str) -> Callable[[HistoryEntry], None]:
     """Return a function that prints a decision of a run on one line."""
 
     def print_entry(entry: HistoryEntry) -> None:
-        if form == "json":
+        if output_format == "json":
             figures = dict(entry.figures)
             click.echo(orjson.dumps({"name": entry.name, "text": entry.text, "figures": figures}))
         else:
@@ -153,18 +153,18 @@
 @click.argument("file")
 @store_option
 @format_option
-def start(file: str, path: str, form: str) -> None:
+def start(file: str, path: str, output_format: str) -> None:
     """Lead the rollout of FILE until it is over or stopped, printing each decision.
 
     An unfinished run of the same FILE is continued, so the same command replaces a controller that failed.
     Exit code 0 for done, 1 for taken back or stopped, 2 if it cannot be led.
     """
-    found = usable_plan(file, form)
-    check_can_be_led(file, found)
+    rollout_plan = load_usable_plan(file, output_format)
+    check_can_be_led(file, rollout_plan)
     store = open_store(path, must_exist=False)
     try:
-        run = begin_or_continue_run(store, read(file), found)
-        outcome = RolloutController(store, run, found, entry_printer(form)).lead()
+        run = begin_or_continue_run(store, read_bytes(file), rollout_plan)
+        outcome = RolloutController(store, run, rollout_plan, entry_printer(output_format)).lead()
     except (LeaseLostError, SnapshotError) as error:
         raise CommandError(str(error)) from error
     except KeyboardInterrupt:
@@ -176,14 +176,14 @@
 @rollout.command(epilog="Example:  kelpcroft rollout status --store /tmp/rollout.db")
 @store_option
 @format_option
-def status(path: str, form: str) -> None:
+def status(path: str, output_format: str) -> None:
     """Print the state of the newest run.  Exit code 1 if it is held, reverting or taken back."""
     run = newest_run(open_store(path), path)
-    found = run_status(run)
-    if form == "json":
-        print_json(found)
+    current_status = run_status(run)
+    if output_format == "json":
+        print_json(current_status)
     else:
-        print_status(found)
+        print_status(current_status)
     if run.outcome in NEGATIVE_OUTCOME_VALUES:
         exit_negative()
 
@@ -191,7 +191,7 @@
 @rollout.command(epilog="Example:  kelpcroft rollout watch --store /tmp/rollout.db")
 @store_option
 @format_option
-def watch(path: str, form: str) -> None:
+def watch(path: str, output_format: str) -> None:
     """Print the newest run's decisions as they are made, until it is over."""
     store = open_store(path)
     printed_count = 0
@@ -199,7 +199,7 @@
         run = newest_run(store, path)
         rows = store.history(run.id)
         for row in rows[printed_count:]:
-            click.echo(orjson.dumps(row) if form == "json" else f"{row['name']}: {row['text']}")
+            click.echo(orjson.dumps(row) if output_format == "json" else f"{row['name']}: {row['text']}")
         printed_count = len(rows)
         if run.outcome in FINAL_OUTCOME_VALUES:
             return
@@ -209,11 +209,11 @@
 @rollout.command(epilog="Example:  kelpcroft rollout history --store /tmp/rollout.db")
 @store_option
 @format_option
-def history(path: str, form: str) -> None:
+def history(path: str, output_format: str) -> None:
     """Print every decision of the newest run, with the figures behind it."""
     store = open_store(path)
     rows = store.history(newest_run(store, path).id)
-    if form == "json":
+    if output_format == "json":
         print_json(rows)
         return
     for row in rows:
@@ -222,32 +222,32 @@
         click.echo(f"{at} {row['name']}: {row['text']}{figures}")
 
 
-def operator_verb(verb: str, help_text: str) -> click.Command:
+def operator_subcommand(name: str, help_text: str) -> click.Command:
     """Return a subcommand that stores an operator command for the controller."""
 
-    @click.command(verb, help=help_text, epilog=f"Example:  kelpcroft rollout {verb} --store /tmp/rollout.db")
+    @click.command(name, help=help_text, epilog=f"Example:  kelpcroft rollout {name} --store /tmp/rollout.db")
     @store_option
     @format_option
-    def leave_command(path: str, form: str) -> None:
+    def store_command(path: str, output_format: str) -> None:
         store = open_store(path)
         run = newest_run(store, path)
         if run.outcome in FINAL_OUTCOME_VALUES:
             raise CommandError(f"run {run.id} is over: {run.outcome}")
-        store.add_operator_command(run.id, time.time_ns(), verb)
-        led = is_led(run)
-        if form == "json":
-            print_json({"run": run.id, "said": verb, "led": led})
+        store.add_operator_command(run.id, time.time_ns(), name)
+        has_leader = is_led(run)
+        if output_format == "json":
+            print_json({"run": run.id, "said": name, "led": has_leader})
         else:
-            remark = "" if led else "; nobody leads it: start it to have it heard"
+            remark = "" if has_leader else "; nobody leads it: start it to have it heard"
             click.echo(f"said to run {run.id}{remark}")
 
-    return leave_command
+    return store_command
 
 
-for verb, help_text in (
+for command_name, help_text in (
     ("hold", "Begin no further change; a change in progress at a router is finished."),
     ("resume", "Continue a held run."),
     ("revert", "Roll back all that was changed."),
     ("stop", "Stop the controller and leave the run as it is."),
 ):
-    rollout.add_command(operator_verb(verb, help_text))
+    rollout.add_command(operator_subcommand(command_name, help_text))
--- a/kelpcroft/cli/rollout_preview.py
+++ b/kelpcroft/cli/rollout_preview.py
@@ -21,7 +21,7 @@
 # Length to which the error text of a placement command is cut.
 MAX_ERROR_CHARACTERS = 200
 # Arguments of the Python interpreter that print a local build's placements.
-ASK_PLACEMENT = ("-c", "from kelpcroft.cli import main; main()", "homes", "--config", "{config}")
+PLACEMENT_ARGUMENTS = ("-c", "from kelpcroft.cli import main; main()", "homes", "--config", "{config}")
 
 
 class StagePreview(NamedTuple):
@@ -78,34 +78,34 @@
     shares = {}
     for zone, routers in plan.routers_by_zone().items():
         total = len(routers)
-        out = min(plan.max_unavailable_per_zone, plan.max_unavailable, total)
-        shares[zone] = round(out / total, 3)
+        unavailable = min(plan.max_unavailable_per_zone, plan.max_unavailable, total)
+        shares[zone] = round(unavailable / total, 3)
     return shares
 
 
 # Placements: printed by a command of each build -----------------------------------------------------------
 
 
-class PlacementQuestion(NamedTuple):
+class PlacementCommand(NamedTuple):
     """The command that prints where one build places objects.
 
     Attributes:
-        words: The arguments of the command; placeholders in braces are filled in for each zone.
+        arguments: The arguments of the command; placeholders in braces are filled in for each zone.
         folder: The folder in which it runs; None = the current one.
     """
 
-    words: Sequence[str]
+    arguments: Sequence[str]
     folder: str | None
 
 
-def _placement_questions(plan: RolloutPlan) -> list[PlacementQuestion]:
+def _placement_commands(plan: RolloutPlan) -> list[PlacementCommand]:
     """Return the commands of the old and the new build; none if the plan has no commands or builds."""
     if plan.placement_commands:
-        return [PlacementQuestion(words, None) for words in plan.placement_commands]
+        return [PlacementCommand(arguments, None) for arguments in plan.placement_commands]
     if plan.local_builds:
         count = str(plan.placement_object_count)
-        words = [sys.executable, *ASK_PLACEMENT, "--objects", count, "--format", "json"]
-        return [PlacementQuestion(words, folder) for folder in plan.local_builds]
+        arguments = [sys.executable, *PLACEMENT_ARGUMENTS, "--objects", count, "--format", "json"]
+        return [PlacementCommand(arguments, folder) for folder in plan.local_builds]
     return []
 
 
@@ -113,50 +113,50 @@
     """Return the placement diff of each zone, and an error text for each zone without one."""
     diffs: dict[str, PlacementDiff] = {}
     errors: list[str] = []
-    questions = _placement_questions(plan)
-    if not questions:
+    commands = _placement_commands(plan)
+    if not commands:
         return diffs, errors
-    one_of_zone = {router.zone: router for router in plan.routers}
-    for zone, target in one_of_zone.items():
+    router_by_zone = {router.zone: router for router in plan.routers}
+    for zone, target in router_by_zone.items():
         try:
-            old, new = [_ask_placement(plan, question, target) for question in questions]
+            old, new = [_run_placement_command(plan, command, target) for command in commands]
             diffs[zone] = compare_placements(old, new)
         except PlacementError as error:
             errors.append(f"zone {zone}: {error}")
     return diffs, errors
 
 
-def _ask_placement(plan: RolloutPlan, question: PlacementQuestion, target: RouterTarget) -> list[str]:
+def _run_placement_command(plan: RolloutPlan, command: PlacementCommand, target: RouterTarget) -> list[str]:
     """Run the command of one build and return the home of each object.
 
     Raises:
         PlacementError: The command cannot be run, fails, times out or prints anything but the homes.
     """
-    if question.folder:
+    if command.folder:
         target = replace(target, config_path=str(Path(target.config_path).absolute()))
     try:
-        ended = subprocess.run(
-            fill_in_placeholders(question.words, target),
-            cwd=question.folder,
+        completed = subprocess.run(
+            fill_in_placeholders(command.arguments, target),
+            cwd=command.folder,
             capture_output=True,
             timeout=plan.command_timeout_ns / 1e9,
             check=True,
         )
-        return [str(home) for home in orjson.loads(ended.stdout)["homes"]]
+        return [str(home) for home in orjson.loads(completed.stdout)["homes"]]
     except (OSError, subprocess.SubprocessError, ValueError, KeyError, TypeError) as error:
         raise PlacementError(
             f"{type(error).__name__}: {str(error)[:MAX_ERROR_CHARACTERS]}",
             zone=target.zone,
-            command=tuple(question.words),
+            command=tuple(command.arguments),
         ) from error
 
 
 # Printing --------------------------------------------------------------------------------------------------
 
 
-def preview_to_json(path: str, found: RolloutPreview) -> dict[str, Any]:
+def preview_to_json(path: str, rollout_preview: RolloutPreview) -> dict[str, Any]:
     """Return the preview as a JSON object; scripts rely on its keys."""
-    plan = found.plan
+    plan = rollout_preview.plan
     return {
         "file": path,
         "good": True,
@@ -169,44 +169,44 @@
                 "most_s": row.stage.max_ns / 10**9,
                 "nothing_to_compare_in": row.uncompared_zones,
             }
-            for row in found.stages
+            for row in rollout_preview.stages
         ],
         "shortest_s": plan.shortest_ns() / 10**9,
         "longest_s": plan.longest_ns() / 10**9,
-        "worst_share_out": found.max_unavailable_share,
+        "worst_share_out": rollout_preview.max_unavailable_share,
         "homes": {
             zone: {
                 "objects": diff.object_count,
                 "moved": diff.moved_count,
                 "share": round(diff.moved_share, 4),
             }
-            for zone, diff in found.placement_diffs.items()
+            for zone, diff in rollout_preview.placement_diffs.items()
         },
-        "homes_unasked": found.placement_errors,
+        "homes_unasked": rollout_preview.placement_errors,
         "then": "take-back" if plan.rolls_back_on_harm else "hold",
     }
 
 
-def print_preview(found: RolloutPreview) -> None:
+def print_preview(rollout_preview: RolloutPreview) -> None:
     """Print the preview as text."""
-    plan = found.plan
+    plan = rollout_preview.plan
     click.echo("changes " + ", ".join(f"{component} to {digest}" for component, digest in plan.changes))
-    for row in found.stages:
-        alone = ", ".join(row.uncompared_zones)
+    for row in rollout_preview.stages:
+        uncompared = ", ".join(row.uncompared_zones)
         click.echo(
             f"stage {row.stage.name!r}: {', '.join(row.router_names)}; "
             f"{format_duration(row.stage.min_ns)} to {format_duration(row.stage.max_ns)}"
-            + (f"; no old router left to compare with in {alone}" if alone else "")
+            + (f"; no old router left to compare with in {uncompared}" if uncompared else "")
         )
     shortest, longest = format_duration(plan.shortest_ns()), format_duration(plan.longest_ns())
     click.echo(f"shortest {shortest}, longest {longest}")
-    shares = (f"{share * 100:g}% of {zone}" for zone, share in found.max_unavailable_share.items())
+    shares = (f"{share * 100:g}% of {zone}" for zone, share in rollout_preview.max_unavailable_share.items())
     click.echo("out at once at the worst: " + ", ".join(shares))
-    for zone, diff in found.placement_diffs.items():
+    for zone, diff in rollout_preview.placement_diffs.items():
         click.echo(
             f"zone {zone}: {diff.moved_share * 100:.1f}% of objects have another home in the new"
             + ("; as many of the copies kept there are filled once more" if diff.moved_count else "")
         )
-    for why in found.placement_errors:
-        click.echo(f"homes not known: {why}")
+    for error in rollout_preview.placement_errors:
+        click.echo(f"homes not known: {error}")
     click.echo("harm is " + ("taken back" if plan.rolls_back_on_harm else "held for people to decide"))
--- a/kelpcroft/cli/rollout_status.py
+++ b/kelpcroft/cli/rollout_status.py
@@ -64,8 +64,8 @@
 def print_status(status: RunStatus) -> None:
     """Print the state of a run as text."""
     reason = f": {status['why']}" if status["why"] else ""
-    led = "led" if status["led"] else "nobody leads it"
-    click.echo(f"run {status['run']}: {status['outcome']}{reason}, stage {status['stage']}, {led}")
+    leader = "led" if status["led"] else "nobody leads it"
+    click.echo(f"run {status['run']}: {status['outcome']}{reason}, stage {status['stage']}, {leader}")
     names_by_phase: dict[str, list[str]] = {}
     for name, phase in status["routers"].items():
         names_by_phase.setdefault(phase, []).append(name)
--- a/kelpcroft/cli/serve.py
+++ b/kelpcroft/cli/serve.py
@@ -22,14 +22,14 @@
 @click.option("--release", is_flag=True, help="Count broken invariants instead of stopping at the first.")
 @click.option(
     "--format",
-    "form",
+    "log_format",
     type=click.Choice(LOG_FORMATS),
     default="auto",
     show_default=True,
     help="How log lines are printed; auto is text on a terminal.",
 )
 def serve(
-    config: str | None, file: str | None, name: str | None, listen: str | None, release: bool, form: str
+    config: str | None, file: str | None, name: str | None, listen: str | None, release: bool, log_format: str
 ) -> None:
     """Run the router until SIGTERM.  On SIGHUP it reads the configuration and the operator's file again."""
     options = {
@@ -37,7 +37,7 @@
         "ROUTER_RULES": file,
         "ROUTER_NAME": name,
         "ROUTER_LISTEN": listen,
-        "ROUTER_LOG": None if form == "auto" else form,
+        "ROUTER_LOG": None if log_format == "auto" else log_format,
     }
     environment = dict(os.environ)
     environment.update({key: value for key, value in options.items() if value is not None})
--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -94,19 +94,19 @@
     return address
 
 
-def require_number(key: str, value: Any, least: int, default: int | None = None) -> int:
-    """Return a number of at least ``least`` as an int; raises ConfigError for any other value.
+def require_number(key: str, value: Any, minimum: int, default: int | None = None) -> int:
+    """Return a number of at least ``minimum`` as an int; raises ConfigError for any other value.
 
     Args:
         key: Key for the error message.
         value: The value as read; None = missing.
-        least: The lowest accepted value.
+        minimum: The lowest accepted value.
         default: Returned for a missing value; None = the value is required.
     """
     if value is None and default is not None:
         return default
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < least:
-        raise ConfigError(f"{key}: {value!r} is not a number of at least {least}")
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < minimum:
+        raise ConfigError(f"{key}: {value!r} is not a number of at least {minimum}")
     return int(value)
 
 
@@ -206,11 +206,11 @@
         name=name,
         listen_address=parse_overridden_address("listen", "ROUTER_LISTEN", raw, environ),
         feed_address=parse_address("feed", raw.get("feed")),
-        max_descriptors=limit("limits", limits, "sockets", MIN_DESCRIPTORS, DEFAULT_MAX_DESCRIPTORS),
-        memory_mb=limit("limits", limits, "memory_mb", 1, DEFAULT_MEMORY_MB),
-        max_attempts_per_connection=limit("settings.limits", server_limits, "max_streams", 1, 1),
-        server_idle_timeout_ns=limit("settings.limits", server_limits, "conn_idle_ns", 0, 0),
-        connect_timeout_ns=limit(
+        max_descriptors=parse_limit("limits", limits, "sockets", MIN_DESCRIPTORS, DEFAULT_MAX_DESCRIPTORS),
+        memory_mb=parse_limit("limits", limits, "memory_mb", 1, DEFAULT_MEMORY_MB),
+        max_attempts_per_connection=parse_limit("settings.limits", server_limits, "max_streams", 1, 1),
+        server_idle_timeout_ns=parse_limit("settings.limits", server_limits, "conn_idle_ns", 0, 0),
+        connect_timeout_ns=parse_limit(
             "settings.limits", server_limits, "dial_timeout_ns", 1, DEFAULT_CONNECT_TIMEOUT_NS
         ),
         settings=settings,
@@ -224,9 +224,9 @@
     )
 
 
-def limit(place: str, limits: dict[str, Any], key: str, least: int, default: int) -> int:
+def parse_limit(place: str, limits: dict[str, Any], key: str, minimum: int, default: int) -> int:
     """Return one number of a table of limits; ``place`` is the table's path for the error message."""
-    return require_number(f"{place}.{key}", limits.get(key), least, default)
+    return require_number(f"{place}.{key}", limits.get(key), minimum, default)
 
 
 def parse_seed(raw: dict[str, Any]) -> int:
@@ -252,12 +252,12 @@
 def parse_initial_endpoints(raw: dict[str, Any]) -> WatchResponse:
     """Return the servers known at the start, given in the feed's form; every event must be usable."""
     try:
-        known = parse_watch_response(require_object("known", raw.get("known")))
+        response = parse_watch_response(require_object("known", raw.get("known")))
     except FeedError as error:
         raise ConfigError(f"known: {error}") from error
-    if known.unusable_events:
-        raise ConfigError(f"known: {known.unusable_events[0]}")
-    return known
+    if response.unusable_events:
+        raise ConfigError(f"known: {response.unusable_events[0]}")
+    return response
 
 
 def parse_name(raw: dict[str, Any], environ: Mapping[str, str]) -> str:
--- a/kelpcroft/deployment_check/check.py
+++ b/kelpcroft/deployment_check/check.py
@@ -15,7 +15,7 @@
 
 MAX_DIAGNOSTICS = 100  # returned for one configuration; the most severe are kept
 # Paths without which the router does not start; classes are checked apart.
-NEEDED_PATHS = ("feed", "known", "settings.az", "settings.dcs")
+REQUIRED_PATHS = ("feed", "known", "settings.az", "settings.dcs")
 # Paths whose value must be an object.
 OBJECT_PATHS = (
     "limits",
@@ -32,7 +32,7 @@
     "settings": ("limits", "contract", "family_info", "report", "classes"),
 }
 # The most severe level first.
-LEVELS_BY_WEIGHT = (Severity.FAULT, Severity.DOUBT, Severity.UNKNOWN)
+LEVELS_BY_SEVERITY = (Severity.FAULT, Severity.DOUBT, Severity.UNKNOWN)
 
 
 def check_configuration(raw: JsonObject) -> list[Diagnostic]:
@@ -40,11 +40,13 @@
 
     A missing ``name`` or ``listen`` is not reported, because ROUTER_NAME and ROUTER_LISTEN may replace them.
     """
-    found = [*missing_values(raw), *malformed_values(raw), *unknown_keys(raw)]
+    diagnostics = [*missing_values(raw), *malformed_values(raw), *unknown_keys(raw)]
     settings = raw.get("settings")
     if isinstance(settings, dict):
-        found += contradictions(settings)
-    return sorted(found, key=lambda d: LEVELS_BY_WEIGHT.index(d.level))[:MAX_DIAGNOSTICS]
+        diagnostics += contradictions(settings)
+    return sorted(diagnostics, key=lambda diagnostic: LEVELS_BY_SEVERITY.index(diagnostic.level))[
+        :MAX_DIAGNOSTICS
+    ]
 
 
 def values_at(raw: Any, path: str, parent: str = "") -> Iterator[tuple[str, Any]]:
@@ -61,10 +63,10 @@
         return
     value = raw[key]
     place = f"{parent}.{key}" if parent else key
-    found = [(place, value)]
+    placed_values = [(place, value)]
     if step.endswith("[]") and isinstance(value, list):
-        found = [(f"{place}[{index}]", entry) for index, entry in enumerate(value)]
-    for entry_place, entry in found:
+        placed_values = [(f"{place}[{index}]", entry) for index, entry in enumerate(value)]
+    for entry_place, entry in placed_values:
         if rest:
             yield from values_at(entry, rest, entry_place)
         else:
@@ -76,7 +78,7 @@
     has_settings = raw.get("settings") is not None
     if not has_settings:
         yield Diagnostic("settings", "is missing", "the program does not start without them")
-    for path in NEEDED_PATHS:
+    for path in REQUIRED_PATHS:
         if not has_settings and path.startswith("settings."):
             continue
         if not any(True for _ in values_at(raw, path)):
@@ -131,10 +133,10 @@
         if name not in known:
             from difflib import get_close_matches  # imported only if a key is unknown
 
-            near = get_close_matches(name, known, 1)
+            close_matches = get_close_matches(name, known, 1)
             yield Diagnostic(
                 f"{place}.{name}" if place else name,
                 "is not a key known here",
-                f"did you mean {near[0]}?" if near else "it is passed over",
+                f"did you mean {close_matches[0]}?" if close_matches else "it is passed over",
                 Severity.UNKNOWN,
             )
--- a/kelpcroft/deployment_check/contradictions.py
+++ b/kelpcroft/deployment_check/contradictions.py
@@ -38,7 +38,7 @@
         yield from rule(view)
 
 
-def doubt(place: str, found: str, expected: str) -> Diagnostic:
+def warning(place: str, found: str, expected: str) -> Diagnostic:
     """Return a warning; the router starts with such settings."""
     return Diagnostic(place, found, expected, Severity.DOUBT)
 
@@ -74,13 +74,13 @@
         deadline_ns: Any = entry.get("give_up_ns")
         are_numbers = isinstance(aim_ns, (int, float)) and isinstance(deadline_ns, (int, float))
         if are_numbers and aim_ns > deadline_ns > 0:
-            yield doubt(
+            yield warning(
                 f"{place}.aim_ns",
                 "clients give up before an answer is late",
                 "an aim under give_up_ns would do",
             )
         if entry.get("idempotency") == "keyed" and not entry.get("dedup_window_ns"):
-            yield doubt(
+            yield warning(
                 f"{place}.dedup_window_ns",
                 "no window for a keyed class",
                 "how long repeats are dropped; with none it is never sent again",
@@ -89,42 +89,42 @@
 
 def check_list_lengths(view: SettingsView) -> Iterator[Diagnostic]:
     """Check that lists by class or by zone have one value for each."""
-    for keys, entries, what in (
+    for keys, entries, entry_kind in (
         (LISTS_BY_CLASS, view.class_entries, "classes"),
         (LISTS_BY_ZONE, view.zones, "zones in dcs"),
     ):
         for key in keys:
             values = view.family_info.get(key)
             if isinstance(values, list) and entries and len(values) != len(entries):
-                yield doubt(
+                yield warning(
                     f"settings.family_info.{key}",
-                    f"{len(values)} values for {len(entries)} {what}",
+                    f"{len(values)} values for {len(entries)} {entry_kind}",
                     "one for each would do; missing ones mean the default",
                 )
 
 
 def check_machine_kinds(view: SettingsView) -> Iterator[Diagnostic]:
     """Check that the kinds of servers are indices into the list of machine types."""
-    kinds = len(view.machine_types)
+    kind_count = len(view.machine_types)
     for key in MACHINE_KIND_KEYS:
-        place = view.family_info.get(key)
-        if isinstance(place, int) and place >= kinds:
-            yield doubt(
+        index = view.family_info.get(key)
+        if isinstance(index, int) and index >= kind_count:
+            yield warning(
                 f"settings.family_info.{key}",
-                f"{place} is no place in machine_types",
-                f"0 to {kinds - 1} or -1 would do",
+                f"{index} is no place in machine_types",
+                f"0 to {kind_count - 1} or -1 would do",
             )
 
 
 def check_hubs(view: SettingsView) -> Iterator[Diagnostic]:
     """Check that the zones' hubs are indices into the list of zones."""
-    zones = len(view.zones)
+    zone_count = len(view.zones)
     for index, hub in enumerate(list_at(view.family_info, "hub_of")):
-        if isinstance(hub, int) and zones and hub >= zones:
-            yield doubt(
+        if isinstance(hub, int) and zone_count and hub >= zone_count:
+            yield warning(
                 f"settings.family_info.hub_of[{index}]",
                 f"{hub} is no place in dcs",
-                f"0 to {zones - 1} would do",
+                f"0 to {zone_count - 1} would do",
             )
 
 
@@ -133,19 +133,23 @@
     index = view.settings.get("self_index")
     instances = view.settings.get("instances")
     if isinstance(index, int) and isinstance(instances, int) and index >= instances:
-        yield doubt(
+        yield warning(
             "settings.self_index", f"{index} of {instances} instances", "a number under instances would do"
         )
 
 
 def check_zone_instances(view: SettingsView) -> Iterator[Diagnostic]:
     """Check that the number of routers in this router's zone is not 0."""
-    by_zone = view.family_info.get("instances_by_zone")
+    instances_by_zone = view.family_info.get("instances_by_zone")
     zone = view.settings.get("az")
-    if not isinstance(by_zone, list) or len(by_zone) != len(view.zones) or zone not in view.zones:
+    if (
+        not isinstance(instances_by_zone, list)
+        or len(instances_by_zone) != len(view.zones)
+        or zone not in view.zones
+    ):
         return
-    if not by_zone[view.zones.index(zone)]:
-        yield doubt(
+    if not instances_by_zone[view.zones.index(zone)]:
+        yield warning(
             "settings.family_info.instances_by_zone",
             "no instance in this router's zone",
             "at least 1 there would do; 1 is taken",
@@ -155,13 +159,13 @@
 def check_second_copies(view: SettingsView) -> Iterator[Diagnostic]:
     """Check that hedging is allowed only with at least two attempts."""
     if view.limits.get("second_copies") is True and view.limits.get("most_tries", 1) == 1:
-        yield doubt("settings.limits.second_copies", "allowed, but most_tries is 1", "2 or more would do")
+        yield warning("settings.limits.second_copies", "allowed, but most_tries is 1", "2 or more would do")
 
 
 def check_retry_after(view: SettingsView) -> Iterator[Diagnostic]:
     """Check that a longest pause is set only if ``retry_after`` is allowed."""
     if view.limits.get("max_retry_after_ns") and not view.limits.get("retry_after"):
-        yield doubt(
+        yield warning(
             "settings.limits.max_retry_after_ns",
             "a longest pause, but retry_after is not allowed",
             "retry_after true would do",
@@ -170,9 +174,13 @@
 
 def check_cold_start(view: SettingsView) -> Iterator[Diagnostic]:
     """Check that caches that start cold have a time after which they are warm."""
-    cold = view.contract.get("cold_from")
-    if isinstance(cold, (int, float)) and cold < 1 and not view.contract.get("cold_ns"):
-        yield doubt(
+    cold_capacity_share = view.contract.get("cold_from")
+    if (
+        isinstance(cold_capacity_share, (int, float))
+        and cold_capacity_share < 1
+        and not view.contract.get("cold_ns")
+    ):
+        yield warning(
             "settings.contract.cold_ns",
             "caches start cold and never warm",
             "the time until they are warm would do; with none they count as warm",
@@ -182,7 +190,7 @@
 def check_reports(view: SettingsView) -> Iterator[Diagnostic]:
     """Check that report fields are named only if reports are on."""
     if view.report.get("fields") and view.report.get("how", "off") == "off":
-        yield doubt(
+        yield warning(
             "settings.report.how",
             "fields are named, but no reports are given",
             "inline or on_probe would do",
--- a/kelpcroft/deployment_check/known_keys.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -21,7 +21,7 @@
     minimum: float, maximum: float = math.inf, *, is_whole: bool = False, is_above: bool = False
 ) -> Form:
     """Return the form of a finite number in a range; ``is_above`` excludes the minimum itself."""
-    what = "a whole number" if is_whole else "a number"
+    type_name = "a whole number" if is_whole else "a number"
     bounds = f"above {minimum:g}" if is_above else f"of at least {minimum:g}"
     if maximum < math.inf:
         bounds += f" and at most {maximum:g}"
@@ -35,16 +35,16 @@
             and not (is_above and value == minimum)
             and (not is_whole or float(value).is_integer())
         )
-        return "" if fits else f"{what} {bounds} would do"
+        return "" if fits else f"{type_name} {bounds} would do"
 
     return form
 
 
-def word(*words: str) -> Form:
-    """Return the form of a text that is one of ``words``."""
+def one_of(*choices: str) -> Form:
+    """Return the form of a text that is one of ``choices``."""
 
     def form(value: Any) -> str:
-        return "" if value in words else f"one of {', '.join(words)} would do"
+        return "" if value in choices else f"one of {', '.join(choices)} would do"
 
     return form
 
@@ -116,19 +116,19 @@
         form: Check of its value.
         reader: Modules below ``kelpcroft`` that read it, and its use there; "" = no module reads it.
         absent: Meaning of an absent key; "needed" = the router does not start.
-        why: Reason why no module reads it; "" if one does.
+        unread_reason: Reason why no module reads it; "" if one does.
     """
 
     path: str
     form: Form
     reader: str
     absent: str
-    why: str = ""
+    unread_reason: str = ""
 
 
-JUDGE = "how the operators judge a day; no decision hangs on it"
-PEERS = "routers send one another nothing yet: membership is off"
-OWN = "the router keeps no copies of its own"
+EVALUATION_ONLY = "how the operators judge a day; no decision hangs on it"
+MEMBERSHIP_OFF = "routers send one another nothing yet: membership is off"
+NO_OWN_COPIES = "the router keeps no copies of its own"
 
 CONFIGURATION_KEYS = (
     ConfigurationKey("name", text, "config", "needed, unless ROUTER_NAME is set"),
@@ -137,11 +137,11 @@
     ConfigurationKey("seed", hexadecimal, "config", "0"),
     ConfigurationKey("feed", address_form, "config", "needed"),
     ConfigurationKey("known", anything, "net.feed_codec", "needed"),
-    ConfigurationKey("peer_listen", address_form, "", "", PEERS),
-    ConfigurationKey("peers", listed(address_form), "", "", PEERS),
-    ConfigurationKey("peers_all", address_form, "", "", PEERS),
-    ConfigurationKey("flow_bytes_per_s", number(0), "", "", OWN),
-    ConfigurationKey("link_bytes_per_s", number(0), "", "", OWN),
+    ConfigurationKey("peer_listen", address_form, "", "", MEMBERSHIP_OFF),
+    ConfigurationKey("peers", listed(address_form), "", "", MEMBERSHIP_OFF),
+    ConfigurationKey("peers_all", address_form, "", "", MEMBERSHIP_OFF),
+    ConfigurationKey("flow_bytes_per_s", number(0), "", "", NO_OWN_COPIES),
+    ConfigurationKey("link_bytes_per_s", number(0), "", "", NO_OWN_COPIES),
     ConfigurationKey(
         "limits.cores", number(0, is_above=True), "", "", "the platform holds it; there is one loop anyway"
     ),
@@ -161,15 +161,15 @@
     ),
     ConfigurationKey(
         "settings.weight_source",
-        word("off", "nominal", "rough", "live"),
+        one_of("off", "nominal", "rough", "live"),
         "decision: limits and cold budgets",
         "off: no weights, capacity is measured",
     ),
-    ConfigurationKey("settings.discovery", word("push", "ask"), "decision", "push"),
+    ConfigurationKey("settings.discovery", one_of("push", "ask"), "decision", "push"),
     ConfigurationKey("settings.tick_ns", COUNT_FROM_ONE, "decision: margin of a key's window", "1"),
     ConfigurationKey(
         "settings.report.how",
-        word("inline", "on_probe", "off"),
+        one_of("inline", "on_probe", "off"),
         "Settings only: reports are read as they come",
         "off",
     ),
@@ -179,13 +179,13 @@
     ConfigurationKey("settings.classes[].name", text, "core.client_requests, decision", "needed"),
     ConfigurationKey(
         "settings.classes[].idempotency",
-        word("safe", "keyed", "unsafe"),
+        one_of("safe", "keyed", "unsafe"),
         "decision, core.idempotency_keys: rule 2",
         "safe",
     ),
     ConfigurationKey(
         "settings.classes[].group",
-        word("all", "zone", "cell"),
+        one_of("all", "zone", "cell"),
         "decision: rule 2; core.client_requests",
         "all",
     ),
@@ -304,11 +304,11 @@
         "0: sizes are of no use, times are measured",
     ),
     ConfigurationKey("settings.family_info.may_pass_by", flag, "decision", "false"),
-    ConfigurationKey("settings.family_info.sideways", word("off", "location", "any"), "decision", "off"),
+    ConfigurationKey("settings.family_info.sideways", one_of("off", "location", "any"), "decision", "off"),
     ConfigurationKey("settings.family_info.merges_fills", flag, "decision", "false"),
     ConfigurationKey(
         "settings.family_info.notes_given",
-        word("all", "hit", "off"),
+        one_of("all", "hit", "off"),
         "Settings only: notes are read as they come",
         "off",
     ),
@@ -330,7 +330,7 @@
         "0",
     ),
     ConfigurationKey("settings.family_info.purge_takes_ns", NANOSECONDS, "decision: rule 5", "0"),
-    ConfigurationKey("settings.family_info.price_of_link", number(0), "", "", JUDGE),
+    ConfigurationKey("settings.family_info.price_of_link", number(0), "", "", EVALUATION_ONLY),
     ConfigurationKey(
         "settings.family_info.root_fall_multiple",
         number(0),
@@ -341,12 +341,12 @@
     ConfigurationKey("settings.family_info.origin_bears_ns", NANOSECONDS, "", "", "as above"),
     ConfigurationKey("settings.family_info.report_x0", anything, "", "", "words for people: what x0 means"),
     ConfigurationKey("settings.family_info.report_x1", anything, "", "", "words for people: what x1 means"),
-    ConfigurationKey("settings.blend", anything, "", "", JUDGE),
+    ConfigurationKey("settings.blend", anything, "", "", EVALUATION_ONLY),
     ConfigurationKey(
-        "settings.costs", anything, "", "", JUDGE + "; what they price is sent sparingly everywhere"
+        "settings.costs", anything, "", "", EVALUATION_ONLY + "; what they price is sent sparingly everywhere"
     ),
-    ConfigurationKey("settings.worth_by", anything, "", "", JUDGE),
-    ConfigurationKey("settings.over_share_worth", anything, "", "", JUDGE),
+    ConfigurationKey("settings.worth_by", anything, "", "", EVALUATION_ONLY),
+    ConfigurationKey("settings.over_share_worth", anything, "", "", EVALUATION_ONLY),
     ConfigurationKey(
         "settings.customers", anything, "", "", "no deployment has tenants; their shares are not kept"
     ),
--- a/kelpcroft/deployment_check/missing_features.py
+++ b/kelpcroft/deployment_check/missing_features.py
@@ -16,8 +16,8 @@
         roles: Roles of the servers on the endpoint list; None if there is no list yet.
     """
     limits = settings.limits
-    reports = settings.load_report_mode != "off"
-    fields = settings.load_report_fields
+    has_reports = settings.load_report_mode != "off"
+    report_fields = settings.load_report_fields
     features = (
         ("cancels", limits.may_cancel),
         ("probes", limits.may_probe),
@@ -25,10 +25,10 @@
         ("second copies", limits.may_hedge),
         ("pauses", limits.may_send_retry_after),
         ("weights", settings.weight_source != "off"),
-        ("load reports", reports and bool(fields)),
-        ("reports of load", not reports or "utilization" in fields),
-        ("reports of hits", not reports or "x0" in fields),
-        ("reports of links", not reports or "x1" in fields),
+        ("load reports", has_reports and bool(report_fields)),
+        ("reports of load", not has_reports or "utilization" in report_fields),
+        ("reports of hits", not has_reports or "x0" in report_fields),
+        ("reports of links", not has_reports or "x1" in report_fields),
         ("notes of fills", settings.notes != "off"),
         ("joined fills", settings.coalesces_fills),
         ("siblings", settings.siblings != "off"),
@@ -40,4 +40,4 @@
         ("an origin", roles is None or Role.ORIGIN in roles),
         ("caches", roles is None or Role.CACHE in roles),
     )
-    return tuple(name for name, is_there in features if not is_there)
+    return tuple(name for name, is_present in features if not is_present)
--- a/kelpcroft/settings_wire.py
+++ b/kelpcroft/settings_wire.py
@@ -69,9 +69,9 @@
 def _parse_family(family: JsonObject, zone_index: int, instances: int) -> FamilySettings:
     """Return the settings of ``family_info``; some are lists by zone."""
     return FamilySettings(
-        zone_instances=max(1, int(_item(family.get("instances_by_zone"), zone_index, instances))),
+        zone_instances=max(1, int(_item_or_default(family.get("instances_by_zone"), zone_index, instances))),
         hub_index_by_zone=tuple(family.get("hub_of") or []),
-        fill_link_kb_per_s=float(_item(family.get("zone_link_kb_per_s"), zone_index, 0)),
+        fill_link_kb_per_s=float(_item_or_default(family.get("zone_link_kb_per_s"), zone_index, 0)),
         max_transfer_kb_per_s=float(family.get("pace_kb_per_s") or 0),
         allows_cache_bypass=bool(family.get("may_pass_by")),
         siblings=family.get("sideways") or "off",
@@ -82,12 +82,12 @@
 
 def _parse_class(entry: JsonObject, family: JsonObject, index: int) -> api.RequestClass:
     """Return one class; some of its values are in lists of ``family_info``, at its index."""
-    word = entry.get("idempotency") or "safe"
+    idempotency_name = entry.get("idempotency") or "safe"
     try:
-        idempotency = api.Idempotency(word)
+        idempotency = api.Idempotency(idempotency_name)
     except ValueError as error:
         reason = "is not safe, keyed or unsafe"
-        raise api.SettingsError(f"classes[{index}].idempotency: {word!r} {reason}") from error
+        raise api.SettingsError(f"classes[{index}].idempotency: {idempotency_name!r} {reason}") from error
     return api.RequestClass(
         name=entry["name"],
         idempotency=idempotency,
@@ -99,11 +99,11 @@
         priority_weight=float(_or_default(entry.get("credit"), 1)),
         late_value_share=float(entry.get("late_value") or 0),
         streamed=bool(entry.get("stream")),
-        uncacheable=bool(_item(family.get("goes_through"), index, False)),
-        multipart=bool(_item(family.get("multi_part"), index, False)),
-        freshness_lifetime_ns=int(_item(family.get("max_age_ns"), index, 0)),
-        stale_grace_ns=int(_item(family.get("usable_after_ns"), index, 0)),
-        stale_value_share=float(_item(family.get("old_copy_worth"), index, 1)),
+        uncacheable=bool(_item_or_default(family.get("goes_through"), index, False)),
+        multipart=bool(_item_or_default(family.get("multi_part"), index, False)),
+        freshness_lifetime_ns=int(_item_or_default(family.get("max_age_ns"), index, 0)),
+        stale_grace_ns=int(_item_or_default(family.get("usable_after_ns"), index, 0)),
+        stale_value_share=float(_item_or_default(family.get("old_copy_worth"), index, 1)),
     )
 
 
@@ -170,6 +170,6 @@
     return default if value is None else value
 
 
-def _item(values: Any, index: int, default: Any) -> Any:
+def _item_or_default(values: Any, index: int, default: Any) -> Any:
     """Return a list's value at an index, or the default if the list or the value is absent."""
     return values[index] if values and index < len(values) and values[index] is not None else default
--- a/tests/deployment_check/test_deployments.py
+++ b/tests/deployment_check/test_deployments.py
@@ -336,7 +336,7 @@
         page = (ROOT / "docs/operators/sites.md").read_text()
         for key in deployment_check.known_keys.CONFIGURATION_KEYS:
             assert (
-                f"| `{key.path}` | {key.reader or 'nobody: ' + key.why} | "
+                f"| `{key.path}` | {key.reader or 'nobody: ' + key.unread_reason} | "
                 f"{key.absent or 'nothing changes'} |" in page
             )
 
