--- a/examples/ask.py
+++ b/examples/ask.py
@@ -21,6 +21,6 @@
     unpacker = msgpack.Unpacker()
     while data := sock.recv(65_536):
         unpacker.feed(data)
-        for answer in unpacker:
-            print(answer)
+        for response in unpacker:
+            print(response)
             sys.exit(0)
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -15,13 +15,13 @@
 from urllib.parse import parse_qs, urlsplit
 
 PORTS = {"cache": 9401, "parent": 9402, "origin": 9403}
-FEED = 9400
+LIST_SERVICE_PORT = 9400
 
 
-class Shelf(socketserver.StreamRequestHandler):
+class ServerHandler(socketserver.StreamRequestHandler):
     """A cache, parent or origin that speaks RESP: arrays of bulk strings, one response to each PULL."""
 
-    def words(self) -> list[bytes]:
+    def read_command(self) -> list[bytes]:
         """Return the words of the next command; none if the connection has ended."""
         count = self.rfile.readline()
         words = []
@@ -33,16 +33,16 @@
     def handle(self) -> None:
         """Respond to every PULL of a connection."""
         name = next(n for n, p in PORTS.items() if p == self.server.server_address[1])
-        while words := self.words():
-            print(name, *words, flush=True)
-            if words[0] == b"PULL":
+        while command := self.read_command():
+            print(name, *command, flush=True)
+            if command[0] == b"PULL":
                 body = b"answered by the " + name.encode()
                 fields = b"sum=4be0c1927d55a6f3,t0=%d,tell=mem" % (time.time() * 1000)
-                answer = (words[1], b"DONE", fields, body)
-                self.wfile.write(b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(x), x) for x in answer))
+                response = (command[1], b"DONE", fields, body)
+                self.wfile.write(b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(x), x) for x in response))
 
 
-class Feed(socketserver.StreamRequestHandler):
+class ListServiceHandler(socketserver.StreamRequestHandler):
     """A list service whose log has no further event; watch requests are HTTP/1.1 long polls."""
 
     def handle(self) -> None:
@@ -63,9 +63,12 @@
 
 
 if __name__ == "__main__":
-    servers = [Server(("127.0.0.1", FEED), Feed), *(Server(("127.0.0.1", p), Shelf) for p in PORTS.values())]
+    servers = [
+        Server(("127.0.0.1", LIST_SERVICE_PORT), ListServiceHandler),
+        *(Server(("127.0.0.1", p), ServerHandler) for p in PORTS.values()),
+    ]
     for server in servers:
         threading.Thread(target=server.serve_forever, daemon=True).start()
-    print("feed on", FEED, "and", PORTS, flush=True)
+    print("feed on", LIST_SERVICE_PORT, "and", PORTS, flush=True)
     with suppress(KeyboardInterrupt):
         threading.Event().wait()
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -26,27 +26,27 @@
 FAULTY = str(ROOT / "tests/faulty/two-faults-at-once.kdl")
 
 
-def run(*words: str) -> Result:
-    return CliRunner().invoke(main, list(words))
+def run(*arguments: str) -> Result:
+    return CliRunner().invoke(main, list(arguments))
 
 
 class Command(unittest.TestCase):
     def test_help_has_an_example_for_each_verb(self) -> None:
         for verb in ("serve", "check", "explain", "diff"):
-            done = run(verb, "--help")
-            assert done.exit_code == 0
-            assert f"Example:  kelpcroft {verb}" in done.output
-            assert "--format" in done.output
+            result = run(verb, "--help")
+            assert result.exit_code == 0
+            assert f"Example:  kelpcroft {verb}" in result.output
+            assert "--format" in result.output
 
     def test_check(self) -> None:
         assert run("check", EXAMPLE, "--config", CONFIG).exit_code == 0
-        done = run("check", FAULTY, "--config", CONFIG)
-        assert done.exit_code == 1
-        first = done.stdout.splitlines()[0]
-        assert re.search(r"two-faults-at-once\.kdl:6:13: bad-duration: timeout: '5' has no unit", first)
-        told = json.loads(run("check", FAULTY, "--format", "json").stdout)
-        assert not told["good"]
-        assert [f["code"] for f in told["faults"]] == ["bad-duration", "unknown-key", "bad-range"]
+        result = run("check", FAULTY, "--config", CONFIG)
+        assert result.exit_code == 1
+        first_line = result.stdout.splitlines()[0]
+        assert re.search(r"two-faults-at-once\.kdl:6:13: bad-duration: timeout: '5' has no unit", first_line)
+        output = json.loads(run("check", FAULTY, "--format", "json").stdout)
+        assert not output["good"]
+        assert [f["code"] for f in output["faults"]] == ["bad-duration", "unknown-key", "bad-range"]
 
     def test_check_without_a_deployment_looks_at_the_file_alone(self) -> None:
         path = str(ROOT / "tests/faulty/unknown-class.kdl")
@@ -55,34 +55,34 @@
 
     def test_explain_names_route_lines_and_what_can_follow(self) -> None:
         lines = Path(EXAMPLE).read_text().splitlines()
-        told = json.loads(
+        output = json.loads(
             run(
                 "explain", EXAMPLE, "--config", CONFIG, "--class", "page", "--part", "9", "--format", "json"
             ).stdout
         )
-        assert (told["route"], told["longest_wait_ms"], told["most_sends"]) == ("tails", 2000, 6)
-        for bound in told["bounds"]:
+        assert (output["route"], output["longest_wait_ms"], output["most_sends"]) == ("tails", 2000, 6)
+        for bound in output["bounds"]:
             assert (
                 bound["bound"].split()[0].replace("tried", "attempts").replace("budget", "budget=")
                 in lines[bound["line"] - 1]
             )
-        order = run("explain", EXAMPLE, "--config", CONFIG, "--class", "order", "--write")
-        assert "one of which may have run" in order.output
-        assert "longest wait: 2.5s" in order.output
+        order_result = run("explain", EXAMPLE, "--config", CONFIG, "--class", "order", "--write")
+        assert "one of which may have run" in order_result.output
+        assert "longest wait: 2.5s" in order_result.output
 
     def test_diff(self) -> None:
         assert run("diff", EXAMPLE, EXAMPLE, "--config", CONFIG).exit_code == 0
         with tempfile.TemporaryDirectory() as folder:
             other = Path(folder) / "new.kdl"
             other.write_text(Path(EXAMPLE).read_text().replace('part="8.."', 'part="4.."'))
-            done = run("diff", EXAMPLE, str(other), "--config", CONFIG)
-            assert done.exit_code == 1
-            assert 'class page: part="4..7"\n  rest -> tails\n' in done.output
-            told = json.loads(run("diff", EXAMPLE, str(other), "--format", "json").stdout)
-            assert {c["class"] for c in told["changes"]} == {"page"}
+            result = run("diff", EXAMPLE, str(other), "--config", CONFIG)
+            assert result.exit_code == 1
+            assert 'class page: part="4..7"\n  rest -> tails\n' in result.output
+            output = json.loads(run("diff", EXAMPLE, str(other), "--format", "json").stdout)
+            assert {c["class"] for c in output["changes"]} == {"page"}
 
     def test_used_wrongly_is_one_line_and_two(self) -> None:
-        for words in (
+        for arguments in (
             ("check", "/nowhere/file"),
             ("check", EXAMPLE, "--config", "/nowhere/config"),
             ("check", EXAMPLE, "--config", EXAMPLE),
@@ -90,27 +90,27 @@
             ("explain", EXAMPLE, "--config", CONFIG, "--class", "pge"),
             ("explain", EXAMPLE, "--config", CONFIG, "--class", "page", "--object", "xyz"),
         ):
-            with self.subTest(words=words):
-                done = run(*words)
-                assert done.exit_code == 2, done.output
-                assert done.output.strip().count("\n") == 0, done.output
-                assert done.output.startswith("Error: ")
-        for words in (("chek",), ("explain", EXAMPLE), ("explain", EXAMPLE, "--part", "-1")):
-            assert run(*words).exit_code == 2
+            with self.subTest(words=arguments):
+                result = run(*arguments)
+                assert result.exit_code == 2, result.output
+                assert result.output.strip().count("\n") == 0, result.output
+                assert result.output.startswith("Error: ")
+        for arguments in (("chek",), ("explain", EXAMPLE), ("explain", EXAMPLE, "--part", "-1")):
+            assert run(*arguments).exit_code == 2
 
     def test_serve_is_the_router_itself(self) -> None:
         with (
             StandInServers() as world,
-            RouterProcess(world) as other,
+            RouterProcess(world) as router,
             tempfile.TemporaryDirectory() as folder,
         ):
-            other.process.terminate()  # its configuration and port are used by the next process
-            other.process.wait(20)
+            router.process.terminate()  # its configuration and port are used by the next process
+            router.process.wait(20)
             log = Path(folder) / "log"
-            words = [
+            arguments = [
                 "serve",
                 "--config",
-                str(other.config_path),
+                str(router.config_path),
                 "--file",
                 EXAMPLE,
                 "--name",
@@ -119,17 +119,17 @@
                 "json",
             ]
             with log.open("w") as stream:
-                other.process = subprocess.Popen(
-                    [sys.executable, "-c", f"from kelpcroft.cli import main; main({words!r})"],
+                router.process = subprocess.Popen(
+                    [sys.executable, "-c", f"from kelpcroft.cli import main; main({arguments!r})"],
                     cwd=ROOT,
                     stderr=stream,
                     env={**os.environ, "PYTHONPATH": str(ROOT)},
                 )
-            assert other.client().request("page").kind == "served"
-            modules = Path(f"/proc/{other.process.pid}/cmdline").read_bytes().split(b"\0")
-            assert modules[1:3] == [b"-m", b"kelpcroft"], "the command line replaced its process"
-            other.process.terminate()
-            assert other.process.wait(20) == 0
+            assert router.client().request("page").kind == "served"
+            command_line = Path(f"/proc/{router.process.pid}/cmdline").read_bytes().split(b"\0")
+            assert command_line[1:3] == [b"-m", b"kelpcroft"], "the command line replaced its process"
+            router.process.terminate()
+            assert router.process.wait(20) == 0
             lines = [json.loads(line) for line in log.read_text().splitlines()]
             assert {line["router"] for line in lines} == {"n7"}
             assert "rules.taken" in [line["event"] for line in lines]
@@ -170,8 +170,8 @@
 
     def test_plain_lines(self) -> None:
         lines = self.write(MAX_LINES_PER_EVENT + 3, "text")
-        due = "2025-12-01T08:00:10.123456Z WARNING feed.lost: feed: again (3 left out before)"
-        assert lines[-1] == due
+        expected = "2025-12-01T08:00:10.123456Z WARNING feed.lost: feed: again (3 left out before)"
+        assert lines[-1] == expected
 
 
 if __name__ == "__main__":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,16 +15,16 @@
 
 pytest.register_assert_rewrite("tests.support")
 
-from tests.support.known_red import LISTED, Listed, faults, read
+from tests.support.known_red import LIST_FILE, ListedTest, missing_tests, parse
 
 ROOT = Path(__file__).parent.parent
 
 
-class Red:
+class KnownFailures:
     """Plugin that changes the reports of the listed tests."""
 
-    def __init__(self, listed: list[Listed]) -> None:
-        self.listed = {one.test: one for one in listed}
+    def __init__(self, listed: list[ListedTest]) -> None:
+        self.listed = {entry.test: entry for entry in listed}
         self.failed: dict[str, str] = {}  # listed tests that failed, with the first line of the error
         self.passed: list[str] = []
 
@@ -37,33 +37,38 @@
                 report.outcome, report.wasxfail = "skipped", self.listed[item.nodeid].cause
             elif report.when == "call" and item.nodeid not in self.failed:
                 self.passed.append(item.nodeid)
-                report.outcome, report.longrepr = "failed", f"{item.nodeid} passes: take it out of {LISTED}"
+                report.outcome, report.longrepr = (
+                    "failed",
+                    f"{item.nodeid} passes: take it out of {LIST_FILE}",
+                )
         return report
 
     def pytest_terminal_summary(self, terminalreporter: Any) -> None:
-        for test, how in self.failed.items():
-            one = self.listed[test]
-            terminalreporter.write_line(f"KNOWN RED {test}: {how} (cause: {one.cause}; issue {one.issue})")
+        for test, message in self.failed.items():
+            entry = self.listed[test]
+            terminalreporter.write_line(
+                f"KNOWN RED {test}: {message} (cause: {entry.cause}; issue {entry.issue})"
+            )
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     path = Path(config.getoption("--known-red"))
     if not path.exists():
         return
-    listed, wrong = read(path.read_text())
+    listed, errors = parse(path.read_text())
     known = {item.nodeid for item in items}
     files = {item.nodeid.partition("::")[0] for item in items}
     # A run of some files checks only the listed tests of these files, and of files that do not exist.
-    here = [
-        one
-        for one in listed
-        if one.test.partition("::")[0] in files or not (ROOT / one.test.partition("::")[0]).exists()
+    relevant = [
+        entry
+        for entry in listed
+        if entry.test.partition("::")[0] in files or not (ROOT / entry.test.partition("::")[0]).exists()
     ]
-    wrong += faults(here, known if not config.getoption("keyword") else None)
-    if wrong:
-        raise pytest.UsageError("\n".join(f"{path.name}: {why}" for why in wrong))
-    config.pluginmanager.register(Red(listed), "known-red")
+    errors += missing_tests(relevant, known if not config.getoption("keyword") else None)
+    if errors:
+        raise pytest.UsageError("\n".join(f"{path.name}: {error}" for error in errors))
+    config.pluginmanager.register(KnownFailures(listed), "known-red")
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    parser.addoption("--known-red", default=str(ROOT / LISTED), help="the list of known failures")
+    parser.addoption("--known-red", default=str(ROOT / LIST_FILE), help="the list of known failures")
--- a/tests/documents/test_architecture_page.py
+++ b/tests/documents/test_architecture_page.py
@@ -43,8 +43,8 @@
     text = page.read_text()
     if heading:
         text = text.split(f"## {heading}\n", 1)[1].split("\n## ", 1)[0]
-    found = [re.split(r"(?<!\\)\|", line)[1:-1] for line in text.splitlines() if line.startswith("|")]
-    cells = [[cell.strip() for cell in row] for row in found]
+    row_cells = [re.split(r"(?<!\\)\|", line)[1:-1] for line in text.splitlines() if line.startswith("|")]
+    cells = [[cell.strip() for cell in row] for row in row_cells]
     followed = zip(cells, [*cells[1:], []], strict=True)
     return [row for row, following in followed if not is_rule(row) and not is_rule(following)]
 
@@ -67,11 +67,11 @@
 
 def has_member(module: str, qualified: str) -> bool:
     """Return whether a module has this function, class or method; methods may be inherited."""
-    found: object = importlib.import_module(module_path(module))
+    member: object = importlib.import_module(module_path(module))
     for part in qualified.split("."):
-        if not hasattr(found, part) and part not in getattr(found, "__annotations__", {}):
+        if not hasattr(member, part) and part not in getattr(member, "__annotations__", {}):
             return False
-        found = getattr(found, part, None)
+        member = getattr(member, part, None)
     return True
 
 
@@ -93,12 +93,12 @@
 
 def class_members() -> dict[str, set[str]]:
     """Return all classes of the program by name, with the names that their bodies define."""
-    found: dict[str, set[str]] = {}
+    members: dict[str, set[str]] = {}
     for tree in trees():
         for node in ast.walk(tree):
             if isinstance(node, ast.ClassDef):
-                found.setdefault(node.name, set()).update(defined_in(node))
-    return found
+                members.setdefault(node.name, set()).update(defined_in(node))
+    return members
 
 
 def defined_in(node: ast.ClassDef) -> Iterator[str]:
@@ -114,7 +114,7 @@
 
 def written_events() -> set[str]:
     """Return the names of all log events that the program writes."""
-    found = set()
+    names = set()
     for tree in trees():
         for node in ast.walk(tree):
             if isinstance(node, ast.Call) and node.args and isinstance(node.args[0], ast.Constant):
@@ -123,8 +123,8 @@
                 )
                 name = node.args[0].value
                 if called in EVENT_WRITERS and isinstance(name, str) and LOG_EVENT.fullmatch(name):
-                    found.add(name)
-    return found
+                    names.add(name)
+    return names
 
 
 def imported_packages(path: Path) -> Iterator[str]:
@@ -145,11 +145,11 @@
 
 def imports_by_package() -> dict[str, set[str]]:
     """Return the other packages that each package or module directly below ``kelpcroft`` imports."""
-    found: dict[str, set[str]] = {}
+    imports: dict[str, set[str]] = {}
     for path in sorted(PACKAGE.rglob("*.py")):
         own = path.relative_to(PACKAGE).parts[0].removesuffix(".py")
-        found.setdefault(own, set()).update(set(imported_packages(path)) - {own})
-    return {name: imported for name, imported in found.items() if not name.startswith("__init__")}
+        imports.setdefault(own, set()).update(set(imported_packages(path)) - {own})
+    return {name: imported for name, imported in imports.items() if not name.startswith("__init__")}
 
 
 def test_architecture_page_names_functions_that_exist() -> None:
--- a/tests/documents/test_capacity_page.py
+++ b/tests/documents/test_capacity_page.py
@@ -16,13 +16,13 @@
         assert page.PAGE.read_text() == page.whole()
 
     def test_each_measurement_says_what_it_is_of(self) -> None:
-        found = sorted(page.FOLDER.glob("*.json"))
-        assert len(found) >= 5
-        for path in found:
-            told = json.loads(path.read_text())
-            assert set(told) == FIELDS, path.name
-            assert told["rounds"] >= 1
-            for row in told["rows"]:
+        paths = sorted(page.FOLDER.glob("*.json"))
+        assert len(paths) >= 5
+        for path in paths:
+            measurement = json.loads(path.read_text())
+            assert set(measurement) == FIELDS, path.name
+            assert measurement["rounds"] >= 1
+            for row in measurement["rows"]:
                 for name, figure in row["figures"].items():
                     assert figure["least"] <= figure["median"], (path.name, name)
                     assert figure["median"] <= figure["most"], (path.name, name)
--- a/tests/documents/test_fleet_counts.py
+++ b/tests/documents/test_fleet_counts.py
@@ -35,11 +35,11 @@
             log.write(10**18 + n, line)
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "n0.log").write_text("no event here\n0.001 " + text.getvalue() + '{"half": ')
-            out = count(folder)
-        assert out.returncode == 0, out.stderr
-        assert "taken 20" in out.stdout
-        assert "final Serve 20" in out.stdout
-        assert "hit OK/HIT 20" in out.stdout
+            completed = count(folder)
+        assert completed.returncode == 0, completed.stderr
+        assert "taken 20" in completed.stdout
+        assert "final Serve 20" in completed.stdout
+        assert "hit OK/HIT 20" in completed.stdout
 
     def test_nothing_is_traced_unless_asked_for(self) -> None:
         world = VirtualRouter(None, 3, {"done": 1.0})
@@ -58,9 +58,9 @@
     def test_what_cannot_be_counted_is_said(self) -> None:
         assert count("/no/such/folder").returncode == 2
         with tempfile.TemporaryDirectory() as folder:
-            out = count(folder)
-        assert out.returncode == 1
-        assert "ROUTER_TRACE=1" in out.stderr
+            completed = count(folder)
+        assert completed.returncode == 1
+        assert "ROUTER_TRACE=1" in completed.stderr
 
 
 if __name__ == "__main__":
--- a/tests/documents/test_known_red.py
+++ b/tests/documents/test_known_red.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from tests.support.exchange_player import ROOT, WAIT_S
-from tests.support.known_red import MOST, read
+from tests.support.known_red import MAX_LINES, parse
 
 SAMPLE = """
 import unittest
@@ -30,7 +30,7 @@
             sample, path = Path(folder) / "test_sample.py", Path(folder) / "list.txt"
             sample.write_text(SAMPLE)
             path.write_text(listed.replace("SAMPLE", str(sample.relative_to(ROOT))))
-            done = subprocess.run(
+            completed = subprocess.run(
                 [
                     sys.executable,
                     "-m",
@@ -46,25 +46,25 @@
                 text=True,
                 timeout=3 * WAIT_S,
             )
-        return done.returncode, done.stdout + done.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
     def test_a_listed_failure_is_printed_and_passes(self) -> None:
-        code, said = self.run_with("SAMPLE::Sample::test_red | one is not two | 27\n")
-        assert code == 0, said
-        assert "KNOWN RED" in said
-        assert "(cause: one is not two; issue 27)" in said
+        code, output = self.run_with("SAMPLE::Sample::test_red | one is not two | 27\n")
+        assert code == 0, output
+        assert "KNOWN RED" in output
+        assert "(cause: one is not two; issue 27)" in output
 
     def test_any_other_failure_fails(self) -> None:
         assert self.run_with("# none\n")[0] == 1
 
     def test_a_listed_test_that_passes_fails_the_run(self) -> None:
-        red = "SAMPLE::Sample::test_red | one is not two | 27\n"
-        code, said = self.run_with(red + "SAMPLE::Sample::test_green | was red | 27\n")
-        assert code == 1, said
-        assert "take it out of KNOWN-RED.txt" in said
+        failing_line = "SAMPLE::Sample::test_red | one is not two | 27\n"
+        code, output = self.run_with(failing_line + "SAMPLE::Sample::test_green | was red | 27\n")
+        assert code == 1, output
+        assert "take it out of KNOWN-RED.txt" in output
 
     def test_what_cannot_be_used_fails_the_run(self) -> None:
-        for line, why in (
+        for line, message in (
             ("test_red", "is not 'tests/"),
             ("SAMPLE::Sample::test_red | | 27", "is not 'tests/"),
             ("SAMPLE::Sample::test_red | why | soon", "is not 'tests/"),
@@ -72,12 +72,12 @@
             ("tests/test_gone.txt.py::test_x | why | 27", "no such test"),
         ):
             with self.subTest(line=line):
-                code, said = self.run_with(line + "\n")
-                assert code == 4, said
-                assert why in said
+                code, output = self.run_with(line + "\n")
+                assert code == 4, output
+                assert message in output
 
     def test_the_list_has_an_end(self) -> None:
-        lines = "".join(f"tests/test_x.py::test_{n} | why | 27\n" for n in range(MOST + 1))
-        assert len(read(lines)[1]) == 1
-        assert read(lines.splitlines()[0])[1] == []
-        assert len(read(2 * lines.splitlines(True)[0])[1]) == 1
+        lines = "".join(f"tests/test_x.py::test_{n} | why | 27\n" for n in range(MAX_LINES + 1))
+        assert len(parse(lines)[1]) == 1
+        assert parse(lines.splitlines()[0])[1] == []
+        assert len(parse(2 * lines.splitlines(True)[0])[1]) == 1
--- a/tests/golden/test_golden_stored_data.py
+++ b/tests/golden/test_golden_stored_data.py
@@ -20,14 +20,13 @@
 from kelpcroft.control_log.follower import LogPosition
 from kelpcroft.control_log.messages import ReplicaOptions, SendWatchResponse, UpstreamResponse, WatchRequest
 from kelpcroft.control_log.replica import ControlReplica
-from kelpcroft.net.feed_codec import FeedCodec
-from kelpcroft.net.feed_codec import FeedError as AnswerError
+from kelpcroft.net.feed_codec import FeedCodec, FeedError
 from kelpcroft.net.upstream_codec import UpstreamCodec
 from kelpcroft.net.watch_codec import EventsRequest, WatchServerCodec, encode_response
 from kelpcroft.rollout.events import HistoryEntry, OperatorCommand, RouterReport
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
-from kelpcroft.rollout.plan_file import load_plan as read_plan
+from kelpcroft.rollout.plan_file import load_plan
 
 # Imported names and the attributes that are read below are the only names of the program in this file.
 from kelpcroft.rollout.router_drivers import parse_state
@@ -47,7 +46,7 @@
 STORED = ROOT / "tests/golden/stored"
 MS, SECOND = 10**6, 10**9
 NOW = 1_764_576_000 * SECOND
-MARK_4 = "b05a0f1811469659"  # fingerprint of the last event
+FINGERPRINT_4 = "b05a0f1811469659"  # of the last event
 SNAPSHOTS = ("done", "held", "phases", "reverting", "running", "silent", "taken_back")
 
 
@@ -62,17 +61,17 @@
 
 
 @pytest.fixture(scope="module")
-def made() -> dict[str, bytes]:
+def written_files() -> dict[str, bytes]:
     """Return the deterministic files as this build writes them."""
-    return generator.made()
+    return generator.deterministic_files()
 
 
 @pytest.fixture(scope="module")
 def plan() -> RolloutPlan:
     """Return the plan of the snapshots and runs."""
-    found, faults = read_plan(golden("plan.kdl"))
-    assert faults == []
-    return found
+    rollout_plan, diagnostics = load_plan(golden("plan.kdl"))
+    assert diagnostics == []
+    return rollout_plan
 
 
 @pytest.fixture
@@ -109,10 +108,10 @@
 
 
 @pytest.mark.parametrize("name", DETERMINISTIC)
-def test_the_same_state_is_written_with_the_same_bytes(name: str, made: dict[str, bytes]) -> None:
+def test_the_same_state_is_written_with_the_same_bytes(name: str, written_files: dict[str, bytes]) -> None:
     """The writer is deterministic and writes the committed bytes."""
-    assert set(made) == set(DETERMINISTIC)
-    assert made[name] == golden(name)
+    assert set(written_files) == set(DETERMINISTIC)
+    assert written_files[name] == golden(name)
 
 
 # State of service -------------------------------------------------------------------------------------------
@@ -130,8 +129,8 @@
     name: str, in_service: bool, since_ns: int, written_ns: int, pid: int, ended_ns: int
 ) -> None:
     """Each field of the file is read, and the same fields are written as the same bytes."""
-    found, why = decode_service(golden(name), "n3", NOW + SECOND)
-    assert why == ""
+    found, reason = decode_service(golden(name), "n3", NOW + SECOND)
+    assert reason == ""
     assert found is not None
     assert found.in_service is in_service
     assert found.since_ns == since_ns
@@ -186,7 +185,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "now_s", "stage", "stage_s", "outcome", "why", "hold_cause", "harmed", "after_ns"),
+    ("name", "now_s", "stage", "stage_s", "outcome", "reason", "hold_cause", "regression_place", "after_ns"),
     [
         ("done", 1738, 2, 1677, "done", "", "", None, -1),
         ("held", 1060, 0, 1030, "held", "ordered", "people", None, -1),
@@ -213,9 +212,9 @@
     stage: int,
     stage_s: int,
     outcome: str,
-    why: str,
+    reason: str,
     hold_cause: str,
-    harmed: tuple[str, str] | None,
+    regression_place: tuple[str, str] | None,
     after_ns: int,
 ) -> None:
     """Each field of the rollout is read."""
@@ -224,9 +223,9 @@
     assert r.stage_index == stage
     assert r.stage_since_ns == stage_s * SECOND
     assert r.outcome.value == outcome
-    assert r.reason == why
+    assert r.reason == reason
     assert r.hold_cause.value == hold_cause
-    assert r.regression_place == harmed
+    assert r.regression_place == regression_place
     assert r.rolled_back_ns == after_ns
     assert r.old_peak_memory_kb == 30_720
     assert len(r.routers) == 12
@@ -383,8 +382,8 @@
     for _, word in store.pending_operator_commands(2)[:2]:
         rollout.handle(NOW + 86 * SECOND, OperatorCommand(word))
     assert rollout.outcome.value == "reverting"
-    notes = [HistoryEntry("ended", "taken back", {"z0": 1})]
-    store.commit_step(2, "5000-11", NOW + 86 * SECOND, to_snapshot(rollout), "taken back", notes, 4)
+    entries = [HistoryEntry("ended", "taken back", {"z0": 1})]
+    store.commit_step(2, "5000-11", NOW + 86 * SECOND, to_snapshot(rollout), "taken back", entries, 4)
     assert store.pending_operator_commands(2) == []
     assert store.history(2) == [
         {"at_ns": NOW + 86 * SECOND, "name": "ended", "text": "taken back", "figures": {"z0": 1}}
@@ -398,27 +397,27 @@
     (taken_back,) = store.database.execute("select snapshot from run where id = 1").fetchone()
     store.close()
     path, text = tmp_path / "again.db", golden("plan.kdl")
-    again = RolloutStore(str(path))
-    again.create_run(NOW, text, orjson.loads(taken_back))
-    again.acquire_lease(1, "4711-00c0ffee", NOW + SECOND)
-    again.commit_step(1, "4711-00c0ffee", NOW + 2 * SECOND, orjson.loads(taken_back), "taken back", history)
-    again.release_lease(1, "4711-00c0ffee")
+    copy = RolloutStore(str(path))
+    copy.create_run(NOW, text, orjson.loads(taken_back))
+    copy.acquire_lease(1, "4711-00c0ffee", NOW + SECOND)
+    copy.commit_step(1, "4711-00c0ffee", NOW + 2 * SECOND, orjson.loads(taken_back), "taken back", history)
+    copy.release_lease(1, "4711-00c0ffee")
     running = orjson.loads(golden("snapshot_running.json"))
-    again.create_run(NOW + 60 * SECOND, text, running)
-    again.acquire_lease(2, "4712-0badcafe", NOW + 61 * SECOND)
+    copy.create_run(NOW + 60 * SECOND, text, running)
+    copy.acquire_lease(2, "4712-0badcafe", NOW + 61 * SECOND)
     for n, verb in enumerate(("hold", "resume", "revert", "stop")):
-        again.add_operator_command(2, NOW + (62 + n) * SECOND, verb)
-    again.commit_step(2, "4712-0badcafe", NOW + 70 * SECOND, running, "running", [], 1)
-    again.close()
+        copy.add_operator_command(2, NOW + (62 + n) * SECOND, verb)
+    copy.commit_step(2, "4712-0badcafe", NOW + 70 * SECOND, running, "running", [], 1)
+    copy.close()
     assert rows_of(path) == rows_of(tmp_path / "rollouts.db")
 
 
 # The control address ----------------------------------------------------------------------------------------
 
 
-def test_the_keys_of_the_control_state_are_unchanged(made: dict[str, bytes]) -> None:
+def test_the_keys_of_the_control_state_are_unchanged(written_files: dict[str, bytes]) -> None:
     """All keys that this build reports, in their order, and the keys of a class."""
-    raw = orjson.loads(made["control_state.http"].partition(b"\r\n\r\n")[2])
+    raw = orjson.loads(written_files["control_state.http"].partition(b"\r\n\r\n")[2])
     assert list(raw) == [
         "name",
         "instance",
@@ -471,7 +470,7 @@
 # Control replicas -------------------------------------------------------------------------------------------
 
 
-def upstream_answer(name: str) -> UpstreamResponse:
+def upstream_response(name: str) -> UpstreamResponse:
     """Return a committed response as the codec of a following replica reads it."""
     (found,) = UpstreamCodec().receive_data(memoryview(golden(name)))
     return found
@@ -480,9 +479,9 @@
 @pytest.mark.parametrize(("name", "events"), [("state", 3), ("tail", 2), ("none", 0)])
 def test_a_replica_reads_the_answer_of_an_older_one(name: str, events: int) -> None:
     """Each field of a response is read; its events are kept as received."""
-    feed = upstream_answer(f"replica_{name}.http")
+    feed = upstream_response(f"replica_{name}.http")
     assert feed.last_event_number == 4
-    assert feed.fingerprint == MARK_4
+    assert feed.fingerprint == FINGERPRINT_4
     assert feed.as_of_ms == NOW // MS
     assert feed.has_more is False
     assert len(feed.events) == events
@@ -491,12 +490,12 @@
 
 def test_a_router_reads_the_state_of_an_older_replica() -> None:
     """Each field of a list of servers, of a purge of an object and of a purge of a group is read."""
-    (news,) = FeedCodec().receive_data(memoryview(golden("replica_state.http")))
-    assert news.last_event == 4
-    assert news.unusable_events == ()
-    assert news.log_fingerprint == MARK_4
-    assert news.as_of_ms == NOW // MS
-    members, by_object, by_group = (dataclasses.astuple(event) for event in news.events)
+    (update,) = FeedCodec().receive_data(memoryview(golden("replica_state.http")))
+    assert update.last_event == 4
+    assert update.unusable_events == ()
+    assert update.log_fingerprint == FINGERPRINT_4
+    assert update.as_of_ms == NOW // MS
+    members, by_object, by_group = (dataclasses.astuple(event) for event in update.events)
     assert members == (
         True,
         (
@@ -511,8 +510,8 @@
 
 def test_a_router_reads_the_tail_of_an_older_replica() -> None:
     """An update of the list with a server that has left is read."""
-    (news,) = FeedCodec().receive_data(memoryview(golden("replica_tail.http")))
-    purge, members = (dataclasses.astuple(event) for event in news.events)
+    (update,) = FeedCodec().receive_data(memoryview(golden("replica_tail.http")))
+    purge, members = (dataclasses.astuple(event) for event in update.events)
     assert purge == (None, 17, NOW - SECOND)
     assert members == (False, (("s-c2", "10.0.0.1:7001", "edge-1", "box", 3, "terminated", 1.0, 0),), 4)
 
@@ -522,9 +521,9 @@
     upstream = ("10.0.0.8", 7000)
     replica = ControlReplica(ReplicaOptions((upstream,), frozenset((upstream,))), 1)
     replica.start(NOW)
-    replica.on_upstream_response(NOW, upstream_answer("replica_state.http"))
+    replica.on_upstream_response(NOW, upstream_response("replica_state.http"))
     for watcher, (name, position) in enumerate(
-        {"state": LogPosition(), "none": LogPosition(4, MARK_4)}.items()
+        {"state": LogPosition(), "none": LogPosition(4, FINGERPRINT_4)}.items()
     ):
         (effect,) = replica.on_watch(NOW, WatchRequest(watcher, position, True, 0))
         assert isinstance(effect, SendWatchResponse)
@@ -544,13 +543,13 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "why", "retry_after_ns"),
+    ("name", "reason", "retry_after_ns"),
     [("replica_refused.http", "status 503", SECOND), ("replica_bad.http", "status 400", 0)],
 )
-def test_a_router_reads_the_refusal_of_an_older_replica(name: str, why: str, retry_after_ns: int) -> None:
+def test_a_router_reads_the_refusal_of_an_older_replica(name: str, reason: str, retry_after_ns: int) -> None:
     """The response has no state; the time after which the router may try again is read."""
     codec = FeedCodec()
-    with pytest.raises(AnswerError, match=why):
+    with pytest.raises(FeedError, match=reason):
         codec.receive_data(memoryview(golden(name)))
     assert codec.retry_after_ns == retry_after_ns
 
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -5,14 +5,14 @@
 import re
 from dataclasses import dataclass
 
-LISTED = "KNOWN-RED.txt"
-MOST = 3
-TEST = re.compile(r"tests/\S+\.py::\S+")
-FORM = "tests/test_x.py::Case::test_y | cause in words | number of the issue"
+LIST_FILE = "KNOWN-RED.txt"
+MAX_LINES = 3
+TEST_ID = re.compile(r"tests/\S+\.py::\S+")
+LINE_FORM = "tests/test_x.py::Case::test_y | cause in words | number of the issue"
 
 
 @dataclass(frozen=True)
-class Listed:
+class ListedTest:
     """One line of the list."""
 
     test: str
@@ -20,27 +20,27 @@
     issue: str
 
 
-def read(text: str) -> tuple[list[Listed], list[str]]:
+def parse(text: str) -> tuple[list[ListedTest], list[str]]:
     """Return the usable lines, and an error for each unusable line or for too many lines."""
-    found: list[Listed] = []
-    wrong: list[str] = []
+    found: list[ListedTest] = []
+    errors: list[str] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
         parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not TEST.fullmatch(parts[0]) or not parts[1] or not parts[2].isdigit():
-            wrong.append(f"line {number}: {line.strip()[:60]!r} is not '{FORM}'")
-        elif parts[0] in [one.test for one in found]:
-            wrong.append(f"line {number}: {parts[0]} is listed twice; one line per test is allowed")
+        if len(parts) != 3 or not TEST_ID.fullmatch(parts[0]) or not parts[1] or not parts[2].isdigit():
+            errors.append(f"line {number}: {line.strip()[:60]!r} is not '{LINE_FORM}'")
+        elif parts[0] in [entry.test for entry in found]:
+            errors.append(f"line {number}: {parts[0]} is listed twice; one line per test is allowed")
         else:
-            found.append(Listed(*parts))
-    if len(found) > MOST:
-        wrong.append(f"{len(found)} lines; at most {MOST} are allowed: fix one first")
-    return found, wrong
+            found.append(ListedTest(*parts))
+    if len(found) > MAX_LINES:
+        errors.append(f"{len(found)} lines; at most {MAX_LINES} are allowed: fix one first")
+    return found, errors
 
 
-def faults(listed: list[Listed], known: set[str] | None) -> list[str]:
+def missing_tests(listed: list[ListedTest], known: set[str] | None) -> list[str]:
     """Return an error for each listed test that does not exist; none if ``known`` is None (partial run)."""
     if known is None:
         return []
-    return [f"{one.test}: no such test; remove its line" for one in listed if one.test not in known]
+    return [f"{entry.test}: no such test; remove its line" for entry in listed if entry.test not in known]
--- a/tools/compile.py
+++ b/tools/compile.py
@@ -19,7 +19,7 @@
 TARGET = ROOT / ".compiled"
 PACKAGES = ("kelpcroft",)
 # Modules that are compiled together.
-HOT = (
+HOT_MODULES = (
     "kelpcroft/decision/units.py",
     "kelpcroft/decision/statistics.py",
     "kelpcroft/decision/settings.py",
@@ -87,48 +87,48 @@
 LINKER_FLAGS = "-s -Wl,--gc-sections"
 # Compiled apart: modules that are compiled together are loaded together, and these are needed only with an
 # operator's file.
-ROUTES = tuple(f"kelpcroft/routes/{name}.py" for name in ("budget", "sketch", "index", "table"))
+ROUTE_MODULES = tuple(f"kelpcroft/routes/{name}.py" for name in ("budget", "sketch", "index", "table"))
 
 
 def sources() -> list[Path]:
     """Return the files to copy, and the other files that the result depends on."""
-    found = [p for package in PACKAGES for p in (ROOT / package).rglob("*") if p.suffix in (".py", ".typed")]
-    return sorted([*found, ROOT / "pyproject.toml", ROOT / "requirements.txt", Path(__file__).resolve()])
+    files = [p for package in PACKAGES for p in (ROOT / package).rglob("*") if p.suffix in (".py", ".typed")]
+    return sorted([*files, ROOT / "pyproject.toml", ROOT / "requirements.txt", Path(__file__).resolve()])
 
 
 def digest() -> str:
     """Return a name for this state of the sources."""
-    hashed = hashlib.sha256(sys.version.encode())
+    hasher = hashlib.sha256(sys.version.encode())
     for path in sources():
-        hashed.update(str(path.relative_to(ROOT)).encode() + b"\0" + path.read_bytes() + b"\0")
-    return hashed.hexdigest()[:16]
+        hasher.update(str(path.relative_to(ROOT)).encode() + b"\0" + path.read_bytes() + b"\0")
+    return hasher.hexdigest()[:16]
 
 
-def make(folder: Path) -> None:
+def make_copy(folder: Path) -> None:
     """Make the copy in a folder, and compile it if possible."""
     for package in PACKAGES:
         shutil.copytree(
             ROOT / package, folder / package, ignore=shutil.ignore_patterns("__pycache__", "*.so")
         )
     shutil.copy(ROOT / "pyproject.toml", folder)
-    for group in (HOT, ROUTES):
-        done = subprocess.run(
+    for group in (HOT_MODULES, ROUTE_MODULES):
+        completed = subprocess.run(
             [sys.executable, "-m", "mypyc", *group],
             cwd=folder,
             capture_output=True,
             text=True,
             env={**os.environ, "MYPYC_OPT_LEVEL": "2", "CFLAGS": COMPILER_FLAGS, "LDFLAGS": LINKER_FLAGS},
         )
-        if done.returncode:
+        if completed.returncode:
             print(
-                f"not compiled, the uncompiled modules are used: {(done.stderr or done.stdout)[-600:]}",
+                f"not compiled, the plain modules are used: {(completed.stderr or completed.stdout)[-600:]}",
                 file=sys.stderr,
             )
-            for built in folder.rglob("*.so"):
-                built.unlink()
+            for library in folder.rglob("*.so"):
+                library.unlink()
             break
-    for left in (folder / "build", folder / ".mypy_cache"):
-        shutil.rmtree(left, ignore_errors=True)
+    for leftover in (folder / "build", folder / ".mypy_cache"):
+        shutil.rmtree(leftover, ignore_errors=True)
 
 
 def main() -> None:
@@ -137,7 +137,7 @@
     TARGET.mkdir(exist_ok=True)
     if not (TARGET / name).is_dir():
         with tempfile.TemporaryDirectory(dir=TARGET) as scratch:
-            make(Path(scratch) / name)
+            make_copy(Path(scratch) / name)
             (Path(scratch) / name).rename(TARGET / name)
     link = TARGET / "next"
     link.unlink(missing_ok=True)
--- a/tools/fleet_counts.py
+++ b/tools/fleet_counts.py
@@ -35,24 +35,24 @@
                 yield {"router": path.stem, **event}
 
 
-def load(folder: Path) -> list[Event]:
+def load_events(folder: Path) -> list[Event]:
     """Return all routers' events in the order of their times; ``at`` is in seconds from the first."""
-    found = [e for path in sorted(folder.glob("*.log")) for e in events_of(path)]
-    found.sort(key=lambda e: int(e["t"]))
-    for event in found:
-        event["at"] = (event["t"] - found[0]["t"]) / 1e9
-    return found
+    events = [e for path in sorted(folder.glob("*.log")) for e in events_of(path)]
+    events.sort(key=lambda e: int(e["t"]))
+    for event in events:
+        event["at"] = (event["t"] - events[0]["t"]) / 1e9
+    return events
 
 
-def zones_of(found: list[Event]) -> dict[str, str]:
+def zones_of(events: list[Event]) -> dict[str, str]:
     """Return the zone of each server that any traced endpoint list has."""
-    return {line[0]: line[2] for e in found if e["event"] == "list" for line in e["servers"]}
+    return {line[0]: line[2] for e in events if e["event"] == "list" for line in e["servers"]}
 
 
-def by_second(found: list[Event], zone: str) -> dict[int, Counter[str]]:
+def by_second(events: list[Event], zone: str) -> dict[int, Counter[str]]:
     """Count all routers' events in each second.  ``zone`` leaves out events for servers of other zones."""
-    zones, table = zones_of(found), defaultdict[int, Counter[str]](Counter)
-    for e in found:
+    zones, table = zones_of(events), defaultdict[int, Counter[str]](Counter)
+    for e in events:
         if zone and "server" in e and zones.get(e["server"]) != zone:
             continue
         row, name = table[int(e["at"])], str(e["event"])
@@ -66,10 +66,10 @@
     return dict(table)
 
 
-def by_server(found: list[Event]) -> dict[str, dict[int, list[dict[str, float]]]]:
+def by_server(events: list[Event]) -> dict[str, dict[int, list[dict[str, float]]]]:
     """Return each server's load reports by the second in which their responses arrived."""
     table: dict[str, dict[int, list[dict[str, float]]]] = defaultdict(lambda: defaultdict(list))
-    for e in found:
+    for e in events:
         if e["event"] == "ended" and e["report"]:
             table[e["server"]][int(e["at"])].append(e["report"])
     return table
@@ -92,13 +92,13 @@
     if not args.logs.is_dir():
         print(f"{args.logs}: is not a folder; name the folder with the routers' logs", file=sys.stderr)
         return 2
-    found = load(args.logs)
-    if not found:
+    events = load_events(args.logs)
+    if not events:
         print(f"{args.logs}: no traced events; start the routers with ROUTER_TRACE=1", file=sys.stderr)
         return 1
     if args.servers:
-        zones = zones_of(found)
-        for name, seconds in sorted(by_server(found).items(), key=lambda x: (zones.get(x[0], ""), x[0])):
+        zones = zones_of(events)
+        for name, seconds in sorted(by_server(events).items(), key=lambda x: (zones.get(x[0], ""), x[0])):
             cells = [
                 f"{t}s {len(rows)} busy {mean(rows, 'utilization'):.2f} hits {mean(rows, 'x0'):.2f} "
                 f"link {mean(rows, 'x1'):.1f}"
@@ -108,7 +108,7 @@
             if cells:
                 print(f"{zones.get(name, '?')} {name}: " + "; ".join(cells))
     else:
-        for t, row in sorted(by_second(found, args.zone).items()):
+        for t, row in sorted(by_second(events, args.zone).items()):
             if args.start <= t <= args.end:
                 print(f"{t}s " + ", ".join(f"{k} {v}" for k, v in sorted(row.items())))
     return 0
--- a/tools/golden_digests.py
+++ b/tools/golden_digests.py
@@ -20,8 +20,8 @@
 
 def main() -> None:
     """Print the digests of all kinds of runs and their seeds."""
-    found = {kind: {str(seed): run(seed).hex() for seed in seeds} for kind, (run, seeds) in KINDS.items()}
-    print(json.dumps(found, indent=2))
+    digests = {kind: {str(seed): run(seed).hex() for seed in seeds} for kind, (run, seeds) in KINDS.items()}
+    print(json.dumps(digests, indent=2))
 
 
 if __name__ == "__main__":
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -7,7 +7,7 @@
 a test that fails means that this build no longer reads or writes the forms of that one.  Existing files are
 therefore not overwritten.  A new kind of file is added, and its commit is named here.
 
-``made`` returns the deterministic files, which the tests compare with the committed files byte for byte.  The
+``deterministic_files`` returns the files that the tests compare with the committed files byte for byte.  The
 rollout snapshots and the database come from a simulated rollout and are made once: the tests read them and
 write their state again.
 """
@@ -42,7 +42,7 @@
 from kelpcroft.net.watch_codec import encode_bad_request, encode_refusal, encode_response  # noqa: E402
 from kelpcroft.rollout.events import OperatorCommand  # noqa: E402
 from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome  # noqa: E402
-from kelpcroft.rollout.plan_file import load_plan as read_plan  # noqa: E402
+from kelpcroft.rollout.plan_file import load_plan  # noqa: E402
 from kelpcroft.rollout.snapshot import to_snapshot  # noqa: E402
 from kelpcroft.startup.crash_loop_backoff import encode as encode_starts  # noqa: E402
 from kelpcroft.store.handover import encode as encode_service  # noqa: E402
@@ -75,7 +75,7 @@
 """
 
 
-def line(name: str, status: str = "active", **more: Any) -> dict[str, Any]:
+def server_entry(name: str, status: str = "active", **more: Any) -> dict[str, Any]:
     """Return one server's entry in a list event."""
     return {
         "name": name,
@@ -87,38 +87,42 @@
     }
 
 
-def listed(number: int, *lines: dict[str, Any], snapshot: bool = False) -> dict[str, Any]:
+def list_event(number: int, *entries: dict[str, Any], snapshot: bool = False) -> dict[str, Any]:
     """Return an event with entries of the list."""
-    return {"n": number, "members": {"index": number, "snapshot": snapshot, "endpoints": list(lines)}}
+    return {"n": number, "members": {"index": number, "snapshot": snapshot, "endpoints": list(entries)}}
 
 
 EVENTS: tuple[dict[str, Any], ...] = (
-    listed(
+    list_event(
         1,
-        line("s-c1", weight=2.5, since_ms=1_764_575_000_000),
-        line("s-c2", group=3),
-        line("s-c3", "leaving"),
+        server_entry("s-c1", weight=2.5, since_ms=1_764_575_000_000),
+        server_entry("s-c2", group=3),
+        server_entry("s-c3", "leaving"),
         snapshot=True,
     ),
     {"n": 2, "purge": {"key": "7f3a9c21e0b4d655", "at": NOW // MS - 2_000}},
     {"n": 3, "purge": {"group": 17, "at": NOW // MS - 1_000}},
-    listed(4, line("s-c2", "left", group=3)),
+    list_event(4, server_entry("s-c2", "left", group=3)),
 )
 
 
-def replica_answers() -> dict[str, bytes]:
+def replica_responses() -> dict[str, bytes]:
     """Return a control replica's responses: the complete state, the tail of the log, and no events."""
     replica = ControlReplica(ReplicaOptions((("10.0.0.9", 7000),)), 1)
     replica.start(NOW)
     replica.on_upstream_response(NOW, UpstreamResponse(4, EVENTS))
-    marks = {entry.number: entry.fingerprint for entry in replica.log.tail}
-    positions = {"state": LogPosition(), "tail": LogPosition(2, marks[2]), "none": LogPosition(4, marks[4])}
-    found = {}
+    fingerprints = {entry.number: entry.fingerprint for entry in replica.log.tail}
+    positions = {
+        "state": LogPosition(),
+        "tail": LogPosition(2, fingerprints[2]),
+        "none": LogPosition(4, fingerprints[4]),
+    }
+    files = {}
     for number, (name, position) in enumerate(positions.items()):
         effect_list = replica.on_watch(NOW, WatchRequest(number, position, True, 0))
         (body,) = [e.body for e in effect_list if isinstance(e, SendWatchResponse)]
-        found[f"replica_{name}.http"] = encode_response(body)
-    return found
+        files[f"replica_{name}.http"] = encode_response(body)
+    return files
 
 
 def control_state() -> bytes:
@@ -126,8 +130,8 @@
     reducer = Reducer(parse_config(json.loads((FOLDER / "config.json").read_bytes()), {}))
     reducer.start(NOW)
     reducer.handle(NOW, inputs.ProcessIdentity("5f2c09e1a7b3d480", "0123456789abcdef"))
-    reducer.state.statistics = ledger = RequestStatistics()
-    for how, attempts, in_time in (
+    reducer.state.statistics = statistics = RequestStatistics()
+    for outcome, attempts, in_time in (
         ("served", 1, True),
         ("served", 2, False),
         ("refused", 0, False),
@@ -135,14 +139,14 @@
         ("gone", 1, True),
         ("gone", 1, False),
     ):
-        ledger.record_end("page", how, attempts, 2.5, in_time)
+        statistics.record_end("page", outcome, attempts, 2.5, in_time)
     reducer.handle(NOW + SECOND, inputs.ControlRequest(7, inputs.ControlVerb.OUT_OF_SERVICE))
     effect_list = reducer.handle(NOW + 3 * SECOND, inputs.ControlRequest(8, inputs.ControlVerb.STATE))
-    (told,) = [e for e in effect_list if isinstance(e, effects.ControlResponse)]
-    return reply(told.ok, {**told.fields, "memory_kb": 31_744})  # the event loop adds the memory
+    (response,) = [e for e in effect_list if isinstance(e, effects.ControlResponse)]
+    return reply(response.ok, {**response.fields, "memory_kb": 31_744})  # the event loop adds the memory
 
 
-def made() -> dict[str, bytes]:
+def deterministic_files() -> dict[str, bytes]:
     """Return the deterministic files, by name."""
     return {
         "service_drained.json": encode_service("n3", 4711, NOW + 123 * MS, False, NOW - 2 * SECOND),
@@ -159,18 +163,18 @@
         "watch_marked.http": encode_poll(("10.0.0.9", 7000), 42, 5_000, "a0b1c2d3e4f50617"),
         "replica_refused.http": encode_refusal("stale", 1),
         "replica_bad.http": encode_bad_request("a call with a body"),
-        **replica_answers(),
+        **replica_responses(),
     }
 
 
 def rollouts() -> tuple[dict[str, bytes], SimulatedFleet]:
     """Return the files of rollouts in all outcomes and router phases, and the fleet that was rolled back."""
 
-    def harm(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
+    def regression_of_new_build(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
         return 0.3 if p.build == "beef" else 0.0
 
-    plan, faults = read_plan(PLAN.encode())
-    assert not faults, faults
+    plan, diagnostics = load_plan(PLAN.encode())
+    assert not diagnostics, diagnostics
     running = SimulatedFleet(plan, 1, lambda world, p, cls: 0.0)
     for _ in range(200):
         running.run_second()
@@ -189,12 +193,12 @@
     assert silent.rollout.hold_cause is HoldCause.SILENCE
     done = SimulatedFleet(plan, 6, lambda world, p, cls: 0.0)
     assert done.run() is RolloutOutcome.DONE
-    back = SimulatedFleet(plan, 3, harm)
-    while back.rollout.outcome is RolloutOutcome.RUNNING:
-        back.run_second()
-    reverting = orjson.dumps(to_snapshot(back.rollout))
-    assert back.rollout.outcome is RolloutOutcome.ROLLING_BACK
-    assert back.run() is RolloutOutcome.ROLLED_BACK
+    rolled_back = SimulatedFleet(plan, 3, regression_of_new_build)
+    while rolled_back.rollout.outcome is RolloutOutcome.RUNNING:
+        rolled_back.run_second()
+    reverting = orjson.dumps(to_snapshot(rolled_back.rollout))
+    assert rolled_back.rollout.outcome is RolloutOutcome.ROLLING_BACK
+    assert rolled_back.run() is RolloutOutcome.ROLLED_BACK
     phases = SimulatedFleet(plan, 4, lambda world, p, cls: 0.0)
     for _ in range(20):
         phases.run_second()
@@ -203,33 +207,33 @@
         router.phase, router.phase_since_ns = phase, 1_000 * SECOND + n
         router.instance_before_restart = f"was-{n}"
     next(iter(phases.rollout.routers.values())).last_report = None
-    worlds = {
+    fleets = {
         "running": running,
         "held": held,
         "silent": silent,
         "done": done,
-        "taken_back": back,
+        "taken_back": rolled_back,
         "phases": phases,
     }
     files = {
-        f"snapshot_{name}.json": orjson.dumps(to_snapshot(world.rollout)) for name, world in worlds.items()
+        f"snapshot_{name}.json": orjson.dumps(to_snapshot(world.rollout)) for name, world in fleets.items()
     }
-    return {"plan.kdl": PLAN.encode(), "snapshot_reverting.json": reverting, **files}, back
+    return {"plan.kdl": PLAN.encode(), "snapshot_reverting.json": reverting, **files}, rolled_back
 
 
-def write_database(path: Path, back: SimulatedFleet, running: dict[str, Any]) -> None:
+def write_database(path: Path, rolled_back: SimulatedFleet, running: dict[str, Any]) -> None:
     """Write a rolled back run with its history, and a running one with a lease and three pending commands."""
     store = RolloutStore(str(path))
     plan = PLAN.encode()
-    first = store.create_run(NOW, plan, to_snapshot(back.rollout))
+    first = store.create_run(NOW, plan, to_snapshot(rolled_back.rollout))
     store.acquire_lease(first, "4711-00c0ffee", NOW + SECOND)
     store.commit_step(
         first,
         "4711-00c0ffee",
         NOW + 2 * SECOND,
-        to_snapshot(back.rollout),
-        back.rollout.outcome.value,
-        back.history,
+        to_snapshot(rolled_back.rollout),
+        rolled_back.rollout.outcome.value,
+        rolled_back.history,
     )
     store.release_lease(first, "4711-00c0ffee")
     second = store.create_run(NOW + 60 * SECOND, plan, running)
@@ -253,13 +257,13 @@
     FOLDER.mkdir(parents=True, exist_ok=True)
     if not (FOLDER / "config.json").exists():
         (FOLDER / "config.json").write_bytes((ROOT / "examples/config.json").read_bytes())
-    snapshots, back = rollouts()
-    for name, data in {**made(), **snapshots, "digests.txt": digests()}.items():
+    snapshots, rolled_back = rollouts()
+    for name, data in {**deterministic_files(), **snapshots, "digests.txt": digests()}.items():
         if not (FOLDER / name).exists():
             (FOLDER / name).write_bytes(data)
     database = FOLDER / "rollouts.db"
     if not database.exists():
-        write_database(database, back, orjson.loads(snapshots["snapshot_running.json"]))
+        write_database(database, rolled_back, orjson.loads(snapshots["snapshot_running.json"]))
     return 0
 
 
--- a/tools/site_variants.py
+++ b/tools/site_variants.py
@@ -20,16 +20,16 @@
 from pathlib import Path
 
 # Files that are copied if they are next to the original site file.
-BESIDE = ("wire.json", "real.json", "design.json", "unlock.txt")
+COPIED_FILES = ("wire.json", "real.json", "design.json", "unlock.txt")
 
 
 @dataclass(frozen=True)
 class Change:
-    """New values of one table; ``place`` is the index among the tables of this name, from 0."""
+    """New values of one table; ``index`` counts the tables of this name, from 0."""
 
     table: str
     values: dict[str, str]  # by key, in TOML syntax
-    place: int = 0
+    index: int = 0
 
 
 # By name of the variant: the path of the original site file in the kit, and the changes.
@@ -85,7 +85,7 @@
 }
 
 
-def changed(text: str, changes: tuple[Change, ...]) -> str:
+def apply_changes(text: str, changes: tuple[Change, ...]) -> str:
     """Return a site file with changed values.
 
     Raises:
@@ -93,28 +93,33 @@
     """
     lines = text.splitlines()
     for change in changes:
-        head = -1 if not change.table else None
-        pattern, seen = re.compile(rf"\[\[?{re.escape(change.table)}\]\]?"), 0
+        table_line = -1 if not change.table else None
+        pattern, matching_tables = re.compile(rf"\[\[?{re.escape(change.table)}\]\]?"), 0
         for n, line in enumerate(lines):
-            if head is None and pattern.fullmatch(line.strip()):
-                if seen == change.place:
-                    head = n
-                seen += 1
-        if head is None:
-            raise ValueError(f"no table {change.table!r} number {change.place}")
-        end = next((n for n in range(head + 1, len(lines)) if lines[n].startswith("[")), len(lines))
+            if table_line is None and pattern.fullmatch(line.strip()):
+                if matching_tables == change.index:
+                    table_line = n
+                matching_tables += 1
+        if table_line is None:
+            raise ValueError(f"no table {change.table!r} number {change.index}")
+        table_end = next(
+            (n for n in range(table_line + 1, len(lines)) if lines[n].startswith("[")), len(lines)
+        )
         for key, value in change.values.items():
-            at = next((n for n in range(head + 1, end) if re.match(rf"{re.escape(key)}\s*=", lines[n])), None)
-            if at is not None:
-                lines[at] = f"{key} = {value}"
+            key_line = next(
+                (n for n in range(table_line + 1, table_end) if re.match(rf"{re.escape(key)}\s*=", lines[n])),
+                None,
+            )
+            if key_line is not None:
+                lines[key_line] = f"{key} = {value}"
             elif change.table == "class":
-                lines.insert(head + 1, f"{key} = {value}")
-                end += 1
+                lines.insert(table_line + 1, f"{key} = {value}")
+                table_end += 1
             else:
                 raise ValueError(f"{change.table or 'the top'} has no key {key!r}")
-    made = "\n".join(lines) + "\n"
-    tomllib.loads(made)
-    return made
+    result = "\n".join(lines) + "\n"
+    tomllib.loads(result)
+    return result
 
 
 def main() -> int:
@@ -122,19 +127,19 @@
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("kit", type=Path, help="the operators' kit")
     parser.add_argument("--to", type=Path, default=Path(__file__).parent.parent / "deploy/sites")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     for name, (site, changes) in VARIANTS.items():
-        source = given.kit / site
+        source = arguments.kit / site
         try:
-            text = changed(source.read_text(), changes)
+            text = apply_changes(source.read_text(), changes)
         except (OSError, ValueError) as error:
             print(f"{source}: {error}", file=sys.stderr)
             return 2
-        folder = given.to / name
+        folder = arguments.to / name
         folder.mkdir(parents=True, exist_ok=True)
-        for beside in BESIDE:
-            if (source.parent / beside).exists():
-                shutil.copyfile(source.parent / beside, folder / beside)
+        for file_name in COPIED_FILES:
+            if (source.parent / file_name).exists():
+                shutil.copyfile(source.parent / file_name, folder / file_name)
         (folder / f"{name}.toml").write_text(text)
         print(folder / f"{name}.toml")
     return 0
