--- a/tests/deployment_check/test_deployments.py
+++ b/tests/deployment_check/test_deployments.py
@@ -30,8 +30,8 @@
 from testbed.stand_ins import ROOT
 from tests.support.exchange_player import EXAMPLE
 
-HERE = parse_config(EXAMPLE, {}).settings
-QUICK = settings(max_examples=80, deadline=None, derandomize=True)
+EXAMPLE_SETTINGS = parse_config(EXAMPLE, {}).settings
+FEW_EXAMPLES = settings(max_examples=80, deadline=None, derandomize=True)
 classes = st.lists(
     st.builds(
         api.RequestClass,
@@ -54,20 +54,20 @@
 class RunLine(unittest.TestCase):
     """`run` once named a file with one deployment's class names: at others the router exited with code 2."""
 
-    @QUICK
+    @FEW_EXAMPLES
     @given(classes, limits)
     def test_the_file_of_run_holds_in_any_deployment(
-        self, found: tuple[api.RequestClass, ...], allowed: api.Limits
+        self, given_classes: tuple[api.RequestClass, ...], given_limits: api.Limits
     ) -> None:
         run = re.search(r"ROUTER_RULES=\S*(deploy/\S+)", (ROOT / "deploy/balancer.toml").read_text())
         assert run
-        file, faults = load((ROOT / run[1]).read_bytes())
-        here = replace(HERE, classes=found, limits=allowed)
-        assert (faults or check(file, here)) == []
-        for cls in found:
-            at = RouteIndex(file.routes, "edge-1").find(cls, "0" * 16, 0, 0, False, False)
-            assert file.routes[at].policy.max_attempts == (
-                1 if cls.idempotency is api.Idempotency.UNSAFE else None
+        file, diagnostics = load((ROOT / run[1]).read_bytes())
+        deployment = replace(EXAMPLE_SETTINGS, classes=given_classes, limits=given_limits)
+        assert (diagnostics or check(file, deployment)) == []
+        for request_class in given_classes:
+            route = RouteIndex(file.routes, "edge-1").find(request_class, "0" * 16, 0, 0, False, False)
+            assert file.routes[route].policy.max_attempts == (
+                1 if request_class.idempotency is api.Idempotency.UNSAFE else None
             )
 
     def test_a_class_that_becomes_another_in_service_is_matched_anew(self) -> None:
@@ -75,44 +75,44 @@
             b'kelpcroft version=1\nroute "once" { match effect="unsafe"; }\nroute "rest" { match; }\n'
         )[0]
         index = RouteIndex(file.routes, "edge-1")
-        page = HERE.classes[0]
-        found = [
+        page = EXAMPLE_SETTINGS.classes[0]
+        routes = [
             index.find(c, "0" * 16, 0, 0, False, False)
             for c in (page, replace(page, idempotency=api.Idempotency.UNSAFE), page)
         ]
-        assert found == [1, 0, 1]
+        assert routes == [1, 0, 1]
 
     def test_a_kind_that_no_class_here_is_waits_for_one(self) -> None:
         file = load(b'kelpcroft version=1\nroute "k" { match effect="keyed"; }\nroute "r" { match; }\n')[0]
-        assert check(file, HERE) == []
+        assert check(file, EXAMPLE_SETTINGS) == []
         named = load(
             b'kelpcroft version=1\nroute "k" { match class="page" effect="keyed"; }\nroute "r" { match; }\n'
         )[0]
-        assert [f.code for f in check(named, HERE)] == ["unreachable-route"]
+        assert [f.code for f in check(named, EXAMPLE_SETTINGS)] == ["unreachable-route"]
 
 
 class Printed(unittest.TestCase):
     def test_every_printed_example_runs_as_printed(self) -> None:
         """They once combined a file of one deployment with the configuration of another: three errors."""
         for verb in ("check", "explain", "diff", "rollout plan"):
-            told = CliRunner().invoke(main, [*verb.split(), "--help"]).output
-            example = re.search(r"Example:\s+(kelpcroft .*?)(?:\n\n|\Z)", told, re.S)
-            assert example, told
-            words = shlex.split(example[1])[1:]
-            done = CliRunner().invoke(main, [str(ROOT / w) if "/" in w else w for w in words])
-            assert done.exit_code in ((0, 1) if verb == "diff" else (0,)), done.output
-            assert "unknown" not in done.output
+            output = CliRunner().invoke(main, [*verb.split(), "--help"]).output
+            example = re.search(r"Example:\s+(kelpcroft .*?)(?:\n\n|\Z)", output, re.S)
+            assert example, output
+            arguments = shlex.split(example[1])[1:]
+            result = CliRunner().invoke(main, [str(ROOT / w) if "/" in w else w for w in arguments])
+            assert result.exit_code in ((0, 1) if verb == "diff" else (0,)), result.output
+            assert "unknown" not in result.output
 
     def test_the_example_of_serve_runs_as_printed(self) -> None:
         """It listens on a free port, because the port of the example may be in use."""
-        told = CliRunner().invoke(main, ["serve", "--help"]).output
-        example = re.search(r"Example:\s+kelpcroft (serve .*?)(?:\n\n|\Z)", told, re.S)
-        assert example, told
+        output = CliRunner().invoke(main, ["serve", "--help"]).output
+        example = re.search(r"Example:\s+kelpcroft (serve .*?)(?:\n\n|\Z)", output, re.S)
+        assert example, output
         with socket.create_server(("127.0.0.1", 0)) as free:
             port = free.getsockname()[1]
-        words = shlex.split(example[1])
+        arguments = shlex.split(example[1])
         process = subprocess.Popen(
-            [sys.executable, "-c", f"from kelpcroft.cli import main; main({words!r})"],
+            [sys.executable, "-c", f"from kelpcroft.cli import main; main({arguments!r})"],
             cwd=ROOT,
             text=True,
             stderr=subprocess.PIPE,
@@ -121,52 +121,54 @@
         self.addCleanup(process.wait)
         self.addCleanup(process.kill)
         assert process.stderr
-        said = iter(process.stderr.readline, "")
-        assert any("router.listens" in line for line in said), "the router does not serve"
+        lines = iter(process.stderr.readline, "")
+        assert any("router.listens" in line for line in lines), "the router does not serve"
         process.terminate()
         process.stderr.read()
         assert process.wait(20) == 0
 
     def test_diff_without_a_deployment_tells_kinds_apart(self) -> None:
-        words = ["diff", str(ROOT / "deploy/routes.kdl"), str(ROOT / "examples/operator.kdl")]
-        told = CliRunner().invoke(main, words).output
-        assert "class any other (unsafe): all of it\n  once -> no route\n" in told
-        assert "class any other (keyed): all of it\n  rest -> no route\n" in told
+        arguments = ["diff", str(ROOT / "deploy/routes.kdl"), str(ROOT / "examples/operator.kdl")]
+        output = CliRunner().invoke(main, arguments).output
+        assert "class any other (unsafe): all of it\n  once -> no route\n" in output
+        assert "class any other (keyed): all of it\n  rest -> no route\n" in output
 
 
 class Fields(unittest.TestCase):
-    def call(self, **more: str) -> ClientRequest:
-        fields = {"trace": "0" * 16, "patience": "900", "entity": "0" * 16, **more}
+    def request(self, **more_fields: str) -> ClientRequest:
+        fields = {"trace": "0" * 16, "patience": "900", "entity": "0" * 16, **more_fields}
         codec = ClientCodec(1, 65_536)
-        (call,) = codec.receive_data(memoryview(msgpack.packb([0, 1, "page", [fields, b""]])))
-        assert isinstance(call, ClientRequest)
-        return call
+        (request,) = codec.receive_data(memoryview(msgpack.packb([0, 1, "page", [fields, b""]])))
+        assert isinstance(request, ClientRequest)
+        return request
 
-    @QUICK
+    @FEW_EXAMPLES
     @given(
         st.text(max_size=MAX_IDEMPOTENCY_KEY_CHARS + 9)
         | st.text("!~aZ0.-_:", min_size=1, max_size=MAX_IDEMPOTENCY_KEY_CHARS + 9)
     )
     def test_a_nonce_passes_unchanged_or_is_a_fault(self, nonce: str) -> None:
-        call = self.call(nonce=nonce)
-        good = 0 < len(nonce) <= MAX_IDEMPOTENCY_KEY_CHARS and all(
+        request = self.request(nonce=nonce)
+        is_valid = 0 < len(nonce) <= MAX_IDEMPOTENCY_KEY_CHARS and all(
             "!" <= c <= "~" and c not in ",=" for c in nonce
         )
-        assert (call.idempotency_key, bool(call.validation_error)) == ((nonce, False) if good else ("", True))
+        assert (request.idempotency_key, bool(request.validation_error)) == (
+            (nonce, False) if is_valid else ("", True)
+        )
 
-    @QUICK
+    @FEW_EXAMPLES
     @given(st.text(max_size=40) | st.floats().map(repr))
     def test_a_size_is_a_finite_number_above_none_or_not_told(self, size: str) -> None:
-        found = self.call(size=size).size_kb
+        found = self.request(size=size).size_kb
         assert 0 <= found <= 1000000000.0
         if found:
             assert found == float(size)
-        assert self.call(size="412.5").size_kb == 412.5
+        assert self.request(size="412.5").size_kb == 412.5
 
 
 def constants_of_the_program() -> dict[str, list[object]]:
     """Return the values of all module constants, by name; None for a value that is not plain arithmetic."""
-    found: dict[str, list[object]] = {}
+    constants: dict[str, list[object]] = {}
     for path in sorted((ROOT / "kelpcroft").rglob("*.py")):
         values: dict[str, object] = {"MS": 10**6, "SECOND": 10**9, "SECOND_NS": 10**9}
         for node in ast.parse(path.read_text()).body:
@@ -179,8 +181,8 @@
                 except Exception:
                     value = None
                 values[target.id] = value
-                found.setdefault(target.id, []).append(value)
-    return found
+                constants.setdefault(target.id, []).append(value)
+    return constants
 
 
 class PageOfFigures(unittest.TestCase):
@@ -245,17 +247,17 @@
 class Settings(unittest.TestCase):
     """`kelpcroft check --config` and the start report the same diagnostics of a configuration."""
 
-    def found(self, change: dict[str, object]) -> list[tuple[str, str]]:
+    def levels_and_places(self, change: dict[str, object]) -> list[tuple[str, str]]:
         raw = json.loads(json.dumps(EXAMPLE))
         for path, value in change.items():
-            *way, last = path.split(".")
-            at = raw
-            for step in way:
-                at = at[int(step)] if step.isdigit() else at[step]
+            *parents, last = path.split(".")
+            node = raw
+            for step in parents:
+                node = node[int(step)] if step.isdigit() else node[step]
             if value is None:
-                at.pop(last, None)
+                node.pop(last, None)
             else:
-                at[last] = value
+                node[last] = value
         return [(f.level, f.place) for f in deployment_check.check_configuration(raw)]
 
     def test_the_example_is_good(self) -> None:
@@ -263,7 +265,7 @@
 
     def test_each_is_named_by_its_key(self) -> None:
         s, fi = "settings.", "settings.family_info."
-        for change, due in (
+        for change, expected in (
             ({"feed": None}, ("fault", "feed")),
             ({"feed": "nowhere"}, ("fault", "feed")),
             ({"seed": "xyz"}, ("fault", "seed")),
@@ -295,9 +297,9 @@
             ({"peers": ["here"]}, ("doubt", "peers")),
         ):
             with self.subTest(change=change):
-                assert due in self.found(change)
+                assert expected in self.levels_and_places(change)
 
-    @QUICK
+    @FEW_EXAMPLES
     @given(
         st.recursive(
             st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=4),
@@ -317,17 +319,17 @@
 
     def test_what_the_check_lets_pass_starts(self) -> None:
         """`parse_config` accepts a configuration without errors: all keys, each with values of many forms."""
-        odd = [None, 0, 1, -1, 0.5, 1e300, "", "x", "off", True, [], [0], [True], ["a"], {}, {"a": 1}]
+        values = [None, 0, 1, -1, 0.5, 1e300, "", "x", "off", True, [], [0], [True], ["a"], {}, {"a": 1}]
         for key in deployment_check.known_keys.CONFIGURATION_KEYS:
             if "[]" in key.path or not key.path.startswith("settings.") or not key.reader:
                 continue
-            for value in odd:
+            for value in values:
                 raw = json.loads(json.dumps(EXAMPLE))
-                *way, last = key.path.split(".")
-                at = raw
-                for step in way:
-                    at = at[step]
-                at[last] = value
+                *parents, last = key.path.split(".")
+                node = raw
+                for step in parents:
+                    node = node[step]
+                node[last] = value
                 if not any(f.level == "fault" for f in deployment_check.check_configuration(raw)):
                     with self.subTest(key=key.path, value=value):
                         parse_config(raw, {})
@@ -361,8 +363,8 @@
             path = f"{folder}/config.json"
             with open(path, "w") as file:
                 json.dump(raw, file)
-            told = CliRunner().invoke(main, ["check", "--config", path])
-            assert told.exit_code == 1
+            result = CliRunner().invoke(main, ["check", "--config", path])
+            assert result.exit_code == 1
             started = subprocess.run(
                 [sys.executable, "-m", "kelpcroft"],
                 cwd=ROOT,
@@ -373,14 +375,14 @@
             )
             assert started.returncode == 2
             for key in ("settings.weight_source", "settings.limits.most_tries"):
-                assert key in told.output
+                assert key in result.output
                 assert key in started.stderr
             del raw["feed"]  # the command once filled it in, so that only the start rejected its absence
             with open(path, "w") as file:
                 json.dump(raw, file)
-            told = CliRunner().invoke(main, ["check", "--config", path])
-            assert "fault: feed: is missing" in told.output
+            result = CliRunner().invoke(main, ["check", "--config", path])
+            assert "fault: feed: is missing" in result.output
         assert CliRunner().invoke(main, ["check"]).exit_code == 2
-        good = CliRunner().invoke(main, ["check", "--config", str(ROOT / "examples/config.json")])
-        assert good.exit_code == 0
-        assert "weights" in good.output, "a missing feature"
+        good_result = CliRunner().invoke(main, ["check", "--config", str(ROOT / "examples/config.json")])
+        assert good_result.exit_code == 0
+        assert "weights" in good_result.output, "a missing feature"
--- a/tests/deployment_check/test_generated.py
+++ b/tests/deployment_check/test_generated.py
@@ -12,172 +12,198 @@
 SLACK = 51 * MS
 
 
-class Watch:
+class DayCheck:
     """Check of a simulated day: compares attempts and their ends and clients' responses with the settings."""
 
     def __init__(self, day: SimulatedDay) -> None:
-        self.day, self.found = day, list[str]()
-        self.s = day.raw_config["settings"]
+        self.day, self.violations = day, list[str]()
+        self.settings = day.raw_config["settings"]
         self.addresses = {e["name"]: e for e in day.endpoints.values()}
         by_key: dict[str, list[AttemptRecord]] = {}
-        for sent in day.attempts:
-            ask = day.requests_by_trace[sent.command.attempt_id]
-            by_key.setdefault(ask.request.idempotency_key or sent.command.attempt_id, []).append(sent)
-            self.purges(sent, ask)
-            self.drains(sent)
-        if self.s["weight_source"] != "off":
-            for at, what, name in day.notices:
-                if what == "active":
-                    self.cold(name, at)
-        for ask in day.requests.values():
-            self.answers(ask)
-        for key, sends in by_key.items():
-            self.effects(key, sends)
-
-    def say(self, rule: str, what: str) -> None:
-        self.found.append(f"{rule}: {what}")
-
-    def answers(self, ask: RequestRecord) -> None:
+        for attempt in day.attempts:
+            record = day.requests_by_trace[attempt.command.attempt_id]
+            by_key.setdefault(record.request.idempotency_key or attempt.command.attempt_id, []).append(
+                attempt
+            )
+            self.check_purges(attempt, record)
+            self.check_drains(attempt)
+        if self.settings["weight_source"] != "off":
+            for at, kind, name in day.notices:
+                if kind == "active":
+                    self.check_cold_start(name, at)
+        for record in day.requests.values():
+            self.check_responses(record)
+        for key, attempts in by_key.items():
+            self.check_attempts(key, attempts)
+
+    def report(self, rule: str, text: str) -> None:
+        self.violations.append(f"{rule}: {text}")
+
+    def check_responses(self, record: RequestRecord) -> None:
         """Each request gets one final response in time if the router that received it is still running."""
-        due = ask.arrived_ns + ask.request.remaining_time_ns + SLACK
-        if len(ask.final_effects) > 1 or (not ask.final_effects and (not ask.gone_ns or ask.gone_ns >= due)):
-            self.say("answered", f"{ask.request.trace_id} has {len(ask.final_effects)} answers")
-        if ask.final_effects and ask.final_effects[0][0] > due:
-            self.say("answered", f"{ask.request.trace_id} is late")
-        sends = [x for x in self.day.attempts if x.command.attempt_id == ask.request.trace_id]
-        if len(sends) > self.s["limits"]["most_tries"]:
-            self.say("attempts", f"{ask.request.trace_id} was sent {len(sends)} times")
-        if ask.final_effects and sends and max(x.sent_ns for x in sends) > ask.final_effects[0][0]:
-            self.say("answered", f"{ask.request.trace_id} was sent after its answer")
-
-    def may_have_run(self, sent: AttemptRecord, now: int) -> bool:
+        due_ns = record.arrived_ns + record.request.remaining_time_ns + SLACK
+        if len(record.final_effects) > 1 or (
+            not record.final_effects and (not record.gone_ns or record.gone_ns >= due_ns)
+        ):
+            self.report("answered", f"{record.request.trace_id} has {len(record.final_effects)} answers")
+        if record.final_effects and record.final_effects[0][0] > due_ns:
+            self.report("answered", f"{record.request.trace_id} is late")
+        attempts = [x for x in self.day.attempts if x.command.attempt_id == record.request.trace_id]
+        if len(attempts) > self.settings["limits"]["most_tries"]:
+            self.report("attempts", f"{record.request.trace_id} was sent {len(attempts)} times")
+        if (
+            record.final_effects
+            and attempts
+            and max(x.sent_ns for x in attempts) > record.final_effects[0][0]
+        ):
+            self.report("answered", f"{record.request.trace_id} was sent after its answer")
+
+    def may_have_run(self, attempt: AttemptRecord, now_ns: int) -> bool:
         """Whether an attempt may have run, as known at a time; its end can prove that it did not run."""
-        return not (sent.fate in FATES_NOT_EXECUTED and sent.ended_ns and sent.ended_ns <= now)
+        return not (attempt.fate in FATES_NOT_EXECUTED and attempt.ended_ns and attempt.ended_ns <= now_ns)
 
-    def effects(self, key: str, sends: list[AttemptRecord]) -> None:
+    def check_attempts(self, key: str, attempts: list[AttemptRecord]) -> None:
         """Second attempts and rejections of one key, over all its requests, follow the rules of its class."""
-        cls = self.day.classes[sends[0].command.request_class]
-        for n, sent in enumerate(sends):
-            out = [
-                x
-                for x in sends[:n]
-                if x.router_life == sent.router_life and not (x.ended_ns and x.ended_ns <= sent.sent_ns)
+        request_class = self.day.classes[attempts[0].command.request_class]
+        for n, attempt in enumerate(attempts):
+            open_attempts = [
+                other
+                for other in attempts[:n]
+                if other.router_life == attempt.router_life
+                and not (other.ended_ns and other.ended_ns <= attempt.sent_ns)
             ]
-            if out and not (self.s["limits"]["second_copies"] and cls["idempotency"] == "safe"):
-                self.say("one out", f"{key} has two out")
-            if cls["idempotency"] == "safe":
+            if open_attempts and not (
+                self.settings["limits"]["second_copies"] and request_class["idempotency"] == "safe"
+            ):
+                self.report("one out", f"{key} has two out")
+            if request_class["idempotency"] == "safe":
                 continue
-            ran = [
-                x
-                for x in sends[:n]
-                if self.may_have_run(x, sent.sent_ns) and x.router_life == sent.router_life
+            maybe_run = [
+                other
+                for other in attempts[:n]
+                if self.may_have_run(other, attempt.sent_ns) and other.router_life == attempt.router_life
             ]
-            if ran and cls["idempotency"] == "unsafe":
-                self.say("twice", f"{key} was sent again")
-            if ran and cls["idempotency"] == "keyed":
-                if sent.sent_ns >= ran[0].sent_ns + cls["dedup_window_ns"]:
-                    self.say(
+            if maybe_run and request_class["idempotency"] == "unsafe":
+                self.report("twice", f"{key} was sent again")
+            if maybe_run and request_class["idempotency"] == "keyed":
+                if attempt.sent_ns >= maybe_run[0].sent_ns + request_class["dedup_window_ns"]:
+                    self.report(
                         "window",
-                        f"{key} was sent {(sent.sent_ns - ran[0].sent_ns) / S:.2f} s after the first",
+                        f"{key} was sent {(attempt.sent_ns - maybe_run[0].sent_ns) / S:.2f} s "
+                        "after the first",
                     )
-                a, b = self.addresses[ran[0].server], self.addresses[sent.server]
-                shared = {"all": "", "zone": "zone", "cell": "group"}[cls["group"]]
-                if shared and a[shared] != b[shared]:
-                    self.say("group", f"{key} was sent outside the {cls['group']}")
+                first_server, server = self.addresses[maybe_run[0].server], self.addresses[attempt.server]
+                shared_key = {"all": "", "zone": "zone", "cell": "group"}[request_class["group"]]
+                if shared_key and first_server[shared_key] != server[shared_key]:
+                    self.report("group", f"{key} was sent outside the {request_class['group']}")
             if (
-                sent.command.idempotency_key
-                != self.day.requests_by_trace[sent.command.attempt_id].request.idempotency_key
+                attempt.command.idempotency_key
+                != self.day.requests_by_trace[attempt.command.attempt_id].request.idempotency_key
             ):
-                self.say("nonce", f"{key} went out as {sent.command.idempotency_key!r}")
-        if cls["idempotency"] == "safe" or (cls["idempotency"] == "keyed" and cls["group"] == "all"):
+                self.report("nonce", f"{key} went out as {attempt.command.idempotency_key!r}")
+        if request_class["idempotency"] == "safe" or (
+            request_class["idempotency"] == "keyed" and request_class["group"] == "all"
+        ):
             return
-        for trace in {x.command.attempt_id for x in sends}:
-            ask = self.day.requests_by_trace[trace]
-            for at, answer in ask.final_effects:
-                if isinstance(answer, effects.RejectRequest) and any(
-                    x.sent_ns <= at and self.may_have_run(x, at) and x.router_life == ask.router_life
-                    for x in sends
+        for trace in {other.command.attempt_id for other in attempts}:
+            record = self.day.requests_by_trace[trace]
+            for at_ns, response in record.final_effects:
+                if isinstance(response, effects.RejectRequest) and any(
+                    other.sent_ns <= at_ns
+                    and self.may_have_run(other, at_ns)
+                    and other.router_life == record.router_life
+                    for other in attempts
                 ):
-                    self.say("refused", f"{key} may have run")
+                    self.report("refused", f"{key} may have run")
 
-    def drains(self, sent: AttemptRecord) -> None:
+    def check_drains(self, attempt: AttemptRecord) -> None:
         """No attempt is sent to or filled from a server after its drain notice; the grace is not used."""
-        for name in (sent.server, sent.command.source):
-            told = [(at, what) for at, what, who in self.day.notices if who == name and at < sent.sent_ns]
-            if name and told and max(told)[1] == "leaving":
-                self.say(
-                    "drain", f"{name} was sent to, told {(sent.sent_ns - max(told)[0]) / MS:.0f} ms before"
+        for name in (attempt.server, attempt.command.source):
+            notices = [
+                (at_ns, kind)
+                for at_ns, kind, server in self.day.notices
+                if server == name and at_ns < attempt.sent_ns
+            ]
+            if name and notices and max(notices)[1] == "leaving":
+                self.report(
+                    "drain",
+                    f"{name} was sent to, told {(attempt.sent_ns - max(notices)[0]) / MS:.0f} ms before",
                 )
 
-    def purges(self, sent: AttemptRecord, ask: RequestRecord) -> None:
+    def check_purges(self, attempt: AttemptRecord, record: RequestRecord) -> None:
         """No attempt allows a copy from before a reported purge."""
-        call = ask.request
-        done = self.s["family_info"]["purge_takes_ns"]
-        for at, what, more in self.day.notices:
-            if what == "purge" and at <= sent.sent_ns < at + done:
-                item, group, when = more
-                if item == call.object_number or (item is None and group == call.group):
-                    if not 0 < sent.command.max_age_ms * MS <= sent.sent_ns - when:
-                        self.say("purge", f"{call.trace_id} allows {sent.command.max_age_ms} ms")
-
-    def cold(self, name: str, born: int) -> None:
+        request = record.request
+        sweep_ns = self.settings["family_info"]["purge_takes_ns"]
+        for at_ns, kind, purge in self.day.notices:
+            if kind == "purge" and at_ns <= attempt.sent_ns < at_ns + sweep_ns:
+                object_number, group, purged_ns = purge
+                if object_number == request.object_number or (
+                    object_number is None and group == request.group
+                ):
+                    if not 0 < attempt.command.max_age_ms * MS <= attempt.sent_ns - purged_ns:
+                        self.report("purge", f"{request.trace_id} allows {attempt.command.max_age_ms} ms")
+
+    def check_cold_start(self, name: str, start_ns: int) -> None:
         """A server that has just started is sent no more than its cold capacity allows.
 
         In any window of ``fall_ns``, the sending times of the attempts that are sent to it or filled from it
         stay within the rule's bound.  The largest attempt is not counted, because one can always be sent.
         """
-        f, contract = self.s["family_info"], self.s["contract"]
-        e = self.addresses[name]
-        parent = e["type"] == "hub"
-        low = f["parent_cold_from"] if parent else contract["cold_from"]
-        span = f["parent_warms_in_ns"] if parent else contract["cold_ns"]
-        multiple = f["parent_fall_multiple"] if parent else contract["fall_multiple"]
-        fall = contract["fall_ns"]
-        if low >= 1:
+        family_info, contract = self.settings["family_info"], self.settings["contract"]
+        endpoint = self.addresses[name]
+        is_parent = endpoint["type"] == "hub"
+        cold_share = family_info["parent_cold_from"] if is_parent else contract["cold_from"]
+        warm_up_ns = family_info["parent_warms_in_ns"] if is_parent else contract["cold_ns"]
+        multiple = family_info["parent_fall_multiple"] if is_parent else contract["fall_multiple"]
+        window_ns = contract["fall_ns"]
+        if cold_share >= 1:
             return  # the server is never cold
-        again = min(
-            (at for at, what, who in self.day.notices if who == name and at > born), default=born + span
+        next_notice_ns = min(
+            (at_ns for at_ns, kind, server in self.day.notices if server == name and at_ns > start_ns),
+            default=start_ns + warm_up_ns,
         )
-        here = [
-            s
-            for s in self.day.attempts
-            if born <= s.sent_ns < min(again, born + span) and name in (s.server, s.command.source)
+        attempts = [
+            other
+            for other in self.day.attempts
+            if start_ns <= other.sent_ns < min(next_notice_ns, start_ns + warm_up_ns)
+            and name in (other.server, other.command.source)
         ]
-        pace = f["pace_kb_per_s"]
-        for n, sent in enumerate(here):
-            window = [s for s in here[: n + 1] if s.sent_ns > sent.sent_ns - fall]
-            work = [self.work(s, pace) for s in window]
-            share = low + (1 - low) * (sent.sent_ns - born) / span
-            room = multiple * share * e["weight"] * fall
-            if sum(work) - max(work) > room:
-                self.say(
+        pace = family_info["pace_kb_per_s"]
+        for n, attempt in enumerate(attempts):
+            window = [other for other in attempts[: n + 1] if other.sent_ns > attempt.sent_ns - window_ns]
+            work = [self.sending_time_ns(other, pace) for other in window]
+            share = cold_share + (1 - cold_share) * (attempt.sent_ns - start_ns) / warm_up_ns
+            bound_ns = multiple * share * endpoint["weight"] * window_ns
+            if sum(work) - max(work) > bound_ns:
+                self.report(
                     "cold",
-                    f"{name} is sent {sum(work) / S:.2f} s in {fall / S:.0f} s, "
-                    f"{(sent.sent_ns - born) / S:.2f} s after its start, where {room / S:.2f} s fit",
+                    f"{name} is sent {sum(work) / S:.2f} s in {window_ns / S:.0f} s, "
+                    f"{(attempt.sent_ns - start_ns) / S:.2f} s after its start, "
+                    f"where {bound_ns / S:.2f} s fit",
                 )
                 return
 
-    def work(self, sent: AttemptRecord, pace: float) -> float:
+    def sending_time_ns(self, attempt: AttemptRecord, pace: float) -> float:
         """Sending time of one attempt in ns: from size and pace if both are known, else the service time."""
-        size = self.day.requests_by_trace[sent.command.attempt_id].request.size_kb
-        return size / pace * S if size and pace else sent.service_ns
+        size = self.day.requests_by_trace[attempt.command.attempt_id].request.size_kb
+        return size / pace * S if size and pace else attempt.service_ns
 
 
 class Generated(unittest.TestCase):
     def test_rules_at_any_deployment(self) -> None:
-        served = sent = 0
+        served_count = attempt_count = 0
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
                 day = SimulatedDay(seed)
-                assert Watch(day).found == []
-                served += sum(
-                    isinstance(f, effects.SendResponse)
-                    for a in day.requests.values()
-                    for _, f in a.final_effects
+                assert DayCheck(day).violations == []
+                served_count += sum(
+                    isinstance(effect, effects.SendResponse)
+                    for record in day.requests.values()
+                    for _, effect in record.final_effects
                 )
-                sent += len(day.attempts)
-        assert served > 30 * SEEDS, "days with few served requests prove little"
-        assert sent > served
+                attempt_count += len(day.attempts)
+        assert served_count > 30 * SEEDS, "days with few served requests prove little"
+        assert attempt_count > served_count
 
     def test_a_seed_replays_a_day(self) -> None:
         one, two = SimulatedDay(5), SimulatedDay(5)
@@ -188,37 +214,46 @@
     def test_the_watch_sees_what_is_broken(self) -> None:
         """Each rule that is broken in the record of a correct day is reported."""
 
-        def broken(change: str) -> set[str]:
-            seen: set[str] = set()
+        def rules_broken_by(change: str) -> set[str]:
+            rules: set[str] = set()
             for seed in range(12):
                 day = SimulatedDay(seed, 6)
-                for sent in day.attempts[:]:
-                    ask = day.requests_by_trace[sent.command.attempt_id]
+                for attempt in day.attempts[:]:
+                    record = day.requests_by_trace[attempt.command.attempt_id]
                     if change == "again":
                         day.attempts.append(
-                            AttemptRecord(sent.sent_ns + 1, sent.command, "store", sent.router_life, "done")
+                            AttemptRecord(
+                                attempt.sent_ns + 1, attempt.command, "store", attempt.router_life, "done"
+                            )
                         )
                     elif change == "drain":
-                        day.notices.append((sent.sent_ns - 1, "leaving", sent.server))
+                        day.notices.append((attempt.sent_ns - 1, "leaving", attempt.server))
                     elif change == "purge":
                         day.notices.append(
-                            (sent.sent_ns - 1, "purge", (ask.request.object_number, 0, sent.sent_ns + S))
+                            (
+                                attempt.sent_ns - 1,
+                                "purge",
+                                (record.request.object_number, 0, attempt.sent_ns + S),
+                            )
                         )
                     elif change == "cold":
-                        day.notices.append((sent.sent_ns - 1, "active", sent.server))
-                        day.attempts += [replace(sent, service_ns=S, command=sent.command)] * 400
+                        day.notices.append((attempt.sent_ns - 1, "active", attempt.server))
+                        day.attempts += [replace(attempt, service_ns=S, command=attempt.command)] * 400
                         break
-                    elif change == "twice" and ask.final_effects:
-                        ask.final_effects.append(ask.final_effects[0])
+                    elif change == "twice" and record.final_effects:
+                        record.final_effects.append(record.final_effects[0])
                     elif change == "silent":
-                        ask.final_effects.clear()
-                    elif change == "refused" and ask.final_effects:
-                        ask.final_effects[0] = (ask.final_effects[0][0] + S, effects.RejectRequest(1, 1, 0))
-                seen |= {line.split(":")[0] for line in Watch(day).found}
-            return seen
-
-        assert {"one out", "twice", "group"} <= broken("again")
-        for change, due in (
+                        record.final_effects.clear()
+                    elif change == "refused" and record.final_effects:
+                        record.final_effects[0] = (
+                            record.final_effects[0][0] + S,
+                            effects.RejectRequest(1, 1, 0),
+                        )
+                rules |= {line.split(":")[0] for line in DayCheck(day).violations}
+            return rules
+
+        assert {"one out", "twice", "group"} <= rules_broken_by("again")
+        for change, rule in (
             ("cold", "cold"),
             ("drain", "drain"),
             ("purge", "purge"),
@@ -226,4 +261,4 @@
             ("silent", "answered"),
             ("refused", "refused"),
         ):
-            assert due in broken(change), change
+            assert rule in rules_broken_by(change), change
--- a/tests/deployment_check/test_places.py
+++ b/tests/deployment_check/test_places.py
@@ -22,84 +22,89 @@
 class Refused(unittest.TestCase):
     """One connection is open and full; the next is refused."""
 
-    def crowded(self, heard_ns: int) -> tuple[Reducer, effects.OpenServerConnection, list[effects.Effect]]:
+    def refuse_second_connection(
+        self, since_response_ns: int
+    ) -> tuple[Reducer, effects.OpenServerConnection, list[effects.Effect]]:
         """Return the router, the first connection's effect, and the effects of the second one's refusal.
 
-        The refusal comes ``heard_ns`` after the last response on the first connection.
+        The refusal comes ``since_response_ns`` after the last response on the first connection.
         """
-        r = router()
+        reducer = router()
         now = NOW + 10 * SECOND
-        (first,) = only(effects.OpenServerConnection, r.handle(now, call(1)))
+        (first,) = only(effects.OpenServerConnection, reducer.handle(now, call(1)))
         assert isinstance(first, effects.OpenServerConnection)
-        r.handle(now, inputs.ServerConnected(first.connection))
+        reducer.handle(now, inputs.ServerConnected(first.connection))
         for n in range(2, ATTEMPTS_BEFORE_NEW_CONNECTION + 1):
-            r.handle(now, call(n))
-        r.handle(
+            reducer.handle(now, call(n))
+        reducer.handle(
             now + MS,
             inputs.ServerResponse(
                 first.connection, f"{1:016x}", Outcome.OK, FillResult.HIT, 0, {}, False, b"x"
             ),
         )
-        r.handle(now + 2 * MS, call(ATTEMPTS_BEFORE_NEW_CONNECTION + 1))
+        reducer.handle(now + 2 * MS, call(ATTEMPTS_BEFORE_NEW_CONNECTION + 1))
         (second,) = only(
-            effects.OpenServerConnection, r.handle(now + 3 * MS, call(ATTEMPTS_BEFORE_NEW_CONNECTION + 2))
+            effects.OpenServerConnection,
+            reducer.handle(now + 3 * MS, call(ATTEMPTS_BEFORE_NEW_CONNECTION + 2)),
         )
         assert isinstance(second, effects.OpenServerConnection)
-        r.state.connections.by_number[first.connection].last_response_ns = now + 4 * MS - heard_ns
+        reducer.state.connections.by_number[first.connection].last_response_ns = (
+            now + 4 * MS - since_response_ns
+        )
         return (
-            r,
+            reducer,
             first,
-            r.handle(now + 4 * MS, inputs.ServerConnectionLost(second.connection, "refused", True)),
+            reducer.handle(now + 4 * MS, inputs.ServerConnectionLost(second.connection, "refused", True)),
         )
 
     def test_what_waited_takes_the_one_that_stands(self) -> None:
         """Once the server was ejected, its copies forgotten and clients rejected for at least a second."""
-        r, first, effect_list = self.crowded(0)
-        (pull,) = only(effects.SendAttempt, effect_list)
-        assert isinstance(pull, effects.SendAttempt)
-        assert (pull.connection, pull.attempt_id) == (
+        reducer, first, effect_list = self.refuse_second_connection(0)
+        (attempt,) = only(effects.SendAttempt, effect_list)
+        assert isinstance(attempt, effects.SendAttempt)
+        assert (attempt.connection, attempt.attempt_id) == (
             first.connection,
             f"{ATTEMPTS_BEFORE_NEW_CONNECTION + 2:016x}",
         )
-        assert r.state.counters["no place"] == 1
-        assert not any(n.is_ejected for n in r.state.policy.endpoints.values())
-        effect_list = r.handle(NOW + 10 * SECOND + 5 * MS, call(40))
+        assert reducer.state.counters["no place"] == 1
+        assert not any(n.is_ejected for n in reducer.state.policy.endpoints.values())
+        effect_list = reducer.handle(NOW + 10 * SECOND + 5 * MS, call(40))
         assert (
             len(only(effects.OpenServerConnection, effect_list)),
             len(only(effects.SendAttempt, effect_list)),
         ) == (0, 1), "no connection is opened yet"
         later = NOW + 10 * SECOND + 4 * MS + 2 * REFUSAL_BACKOFF_NS
-        assert len(only(effects.OpenServerConnection, r.handle(later, call(41)))) == 1, (
+        assert len(only(effects.OpenServerConnection, reducer.handle(later, call(41)))) == 1, (
             "one is opened after the backoff"
         )
 
     def test_one_that_was_not_heard_of_late_is_gone(self) -> None:
-        r, _, _effect_list = self.crowded(2 * SECOND)
-        assert r.state.counters["no place"] == 0
-        assert any(n.is_ejected for n in r.state.policy.endpoints.values())
+        reducer, _, _effect_list = self.refuse_second_connection(2 * SECOND)
+        assert reducer.state.counters["no place"] == 0
+        assert any(n.is_ejected for n in reducer.state.policy.endpoints.values())
 
     def test_what_must_not_run_twice_does_not_share(self) -> None:
-        links = ConnectionPool(64, 32)
-        links.record_refusal("s", NOW)
-        assert links.find("s", "order", True, NOW) is None
-        assert not links.may_connect("s", NOW)
+        pool = ConnectionPool(64, 32)
+        pool.record_refusal("s", NOW)
+        assert pool.find("s", "order", True, NOW) is None
+        assert not pool.may_connect("s", NOW)
 
 
 class Waits(unittest.TestCase):
     def test_they_double_to_an_end_and_no_two_routers_are_in_step(self) -> None:
-        waits = {}
+        backoffs_ns = {}
         for seed in range(40):
-            links, now = ConnectionPool(64, 32, seed), NOW
+            pool, now = ConnectionPool(64, 32, seed), NOW
             for _ in range(10):
-                links.created_count += 1
-                links.record_refusal("s", now)
-                now = links.refusals["s"].until_ns
-                assert links.may_connect("s", now)
-                assert not links.may_connect("s", now - 1)
-            waits[seed] = now - NOW
-            last = links.refusals["s"].backoff_ns
-            assert last == MAX_REFUSAL_BACKOFF_NS
-        assert len(set(waits.values())) == 40
+                pool.created_count += 1
+                pool.record_refusal("s", now)
+                now = pool.refusals["s"].until_ns
+                assert pool.may_connect("s", now)
+                assert not pool.may_connect("s", now - 1)
+            backoffs_ns[seed] = now - NOW
+            last_backoff_ns = pool.refusals["s"].backoff_ns
+            assert last_backoff_ns == MAX_REFUSAL_BACKOFF_NS
+        assert len(set(backoffs_ns.values())) == 40
 
     def test_many_routers_beside_boxes_with_few_places(self) -> None:
         """Forty routers, caches with 32 connections: a refused router once ejected the cache."""
--- a/tests/deployment_check/test_two_sites.py
+++ b/tests/deployment_check/test_two_sites.py
@@ -17,31 +17,31 @@
 
 S, MS = 10**9, 10**6
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_text())["settings"]
-RUN = (ROOT / "deploy/balancer.toml").read_text()
-FILE = re.search(r"ROUTER_RULES=\S*(deploy/\S+)", RUN)
+RUN_FILE = (ROOT / "deploy/balancer.toml").read_text()
+FILE_MATCH = re.search(r"ROUTER_RULES=\S*(deploy/\S+)", RUN_FILE)
 
 
 def deployment(
-    classes: list[dict[str, Any]], through: list[bool], limits: dict[str, Any], **more: Any
+    classes: list[dict[str, Any]], uncacheable: list[bool], limits: dict[str, Any], **more: Any
 ) -> dict[str, Any]:
-    each = len(classes)
-    info = {
+    class_count = len(classes)
+    family_info = {
         **EXAMPLE["family_info"],
-        "goes_through": through,
-        "max_age_ns": [0] * each,
-        "usable_after_ns": [0] * each,
+        "goes_through": uncacheable,
+        "max_age_ns": [0] * class_count,
+        "usable_after_ns": [0] * class_count,
         **more.pop("family_info", {}),
     }
     return {
         **EXAMPLE,
         "classes": classes,
-        "family_info": info,
+        "family_info": family_info,
         "limits": {**EXAMPLE["limits"], **limits},
         **more,
     }
 
 
-def kind(name: str, effect: str, deadline_ms: int, **more: Any) -> dict[str, Any]:
+def request_class(name: str, effect: str, deadline_ms: int, **more: Any) -> dict[str, Any]:
     return {
         "name": name,
         "idempotency": effect,
@@ -52,17 +52,17 @@
     }
 
 
-SITES = {
+DEPLOYMENTS = {
     "reads and orders": deployment(
-        [kind("leaf", "safe", 2_500, aim_stretch=2.0), kind("stamp", "unsafe", 3_000)],
+        [request_class("leaf", "safe", 2_500, aim_stretch=2.0), request_class("stamp", "unsafe", 3_000)],
         [False, True],
         {"most_tries": 6, "second_copies": True},
     ),
     "parts and keyed writes": deployment(
         [
-            kind("reel", "safe", 5_000),
-            kind("sheet", "keyed", 3_000, group="all", dedup_window_ns=3 * S),
-            kind("vote", "keyed", 3_000, group="zone", dedup_window_ns=S),
+            request_class("reel", "safe", 5_000),
+            request_class("sheet", "keyed", 3_000, group="all", dedup_window_ns=3 * S),
+            request_class("vote", "keyed", 3_000, group="zone", dedup_window_ns=S),
         ],
         [False, True, True],
         {"most_tries": 8, "second_copies": False, "max_retry_after_ns": 0, "retry_after": False},
@@ -76,30 +76,30 @@
         },
     ),
     "writes alone": deployment(
-        [kind("only", "unsafe", 1_000)], [True], {"most_tries": 1, "second_copies": False}
+        [request_class("only", "unsafe", 1_000)], [True], {"most_tries": 1, "second_copies": False}
     ),
 }
 
 
-def broken_once(word: str) -> tuple[StandInServers, list[ServerCommand]]:
-    """Return servers of which the first to get a request ends it with ``word``; the others serve it."""
+def servers_that_fail_once(reply: str) -> tuple[StandInServers, list[ServerCommand]]:
+    """Return servers of which the first to get a request ends it with ``reply``; the others serve it."""
     seen: list[ServerCommand] = []
 
-    def script(server: str, one: ServerCommand) -> ScriptedReply:
-        first = not any(s.request_id == one.request_id for s in seen)
-        seen.append(one)
-        return ScriptedReply(word) if first else ScriptedReply("DONE", body=b"fine")
+    def script(server: str, command: ServerCommand) -> ScriptedReply:
+        first = not any(s.request_id == command.request_id for s in seen)
+        seen.append(command)
+        return ScriptedReply(reply) if first else ScriptedReply("DONE", body=b"fine")
 
     return StandInServers(script), seen
 
 
 class Sites(unittest.TestCase):
     def setUp(self) -> None:
-        assert FILE
-        self.file = (ROOT / FILE[1]).read_text()
+        assert FILE_MATCH
+        self.file = (ROOT / FILE_MATCH[1]).read_text()
 
     def test_each_class_is_served_by_the_same_line(self) -> None:
-        for name, settings in SITES.items():
+        for name, settings in DEPLOYMENTS.items():
             with (
                 self.subTest(site=name),
                 StandInServers() as world,
@@ -107,41 +107,45 @@
             ):
                 client = router.client()
                 for cls in settings["classes"]:
-                    more = {"nonce": "k-1"} if cls["idempotency"] == "keyed" else {}
-                    answer = client.request(
-                        cls["name"], patience_ms=900, body=b"x", more={**more, "size": "40.5"}
+                    more_fields = {"nonce": "k-1"} if cls["idempotency"] == "keyed" else {}
+                    response = client.request(
+                        cls["name"], patience_ms=900, body=b"x", more={**more_fields, "size": "40.5"}
                     )
-                    assert answer.kind == "served", (name, cls["name"])
+                    assert response.kind == "served", (name, cls["name"])
                     (pull,) = world.requests()[-1:]
-                    assert pull.fields.get("nonce") == more.get("nonce")
-                lacks = next(line for line in router.log_events() if line["event"] == "deployment.lacks")
-                assert ("weights" in lacks["lacks"]) == (settings["weight_source"] == "off")
-                assert ("second copies" in lacks["lacks"]) == (not settings["limits"]["second_copies"])
+                    assert pull.fields.get("nonce") == more_fields.get("nonce")
+                lacks_event = next(
+                    line for line in router.log_events() if line["event"] == "deployment.lacks"
+                )
+                assert ("weights" in lacks_event["lacks"]) == (settings["weight_source"] == "off")
+                assert ("second copies" in lacks_event["lacks"]) == (not settings["limits"]["second_copies"])
 
     def test_what_may_have_run_is_sent_again_only_as_its_class_allows(self) -> None:
-        for word in ("reset", "BROKE"):
-            for name, settings in SITES.items():
-                world, seen = broken_once(word)
+        for reply in ("reset", "BROKE"):
+            for name, settings in DEPLOYMENTS.items():
+                world, seen = servers_that_fail_once(reply)
                 with (
-                    self.subTest(site=name, word=word),
+                    self.subTest(site=name, word=reply),
                     world,
                     RouterProcess(world, self.file, settings=settings) as router,
                 ):
                     client = router.client()
                     for cls in settings["classes"]:
-                        more = {"nonce": f"key-of-{cls['name']}"} if cls["idempotency"] == "keyed" else {}
-                        answer = client.request(cls["name"], patience_ms=900, body=b"x", more=more)
-                        mine = [s for s in seen if s.fields["cls"] == cls["name"]]
+                        more_fields = (
+                            {"nonce": f"key-of-{cls['name']}"} if cls["idempotency"] == "keyed" else {}
+                        )
+                        response = client.request(cls["name"], patience_ms=900, body=b"x", more=more_fields)
+                        commands = [s for s in seen if s.fields["cls"] == cls["name"]]
                         if cls["idempotency"] == "unsafe":
-                            assert (answer.kind, len(mine)) == ("failed", 1), cls["name"]
+                            assert (response.kind, len(commands)) == ("failed", 1), cls["name"]
                         else:
-                            assert (answer.kind, len(mine)) == ("served", 2), cls["name"]
-                        assert {s.fields.get("nonce") for s in mine} == {more.get("nonce")}
+                            assert (response.kind, len(commands)) == ("served", 2), cls["name"]
+                        assert {s.fields.get("nonce") for s in commands} == {more_fields.get("nonce")}
 
     def test_a_keyed_retry_at_the_process_that_takes_over(self) -> None:
         """The predecessor completes its request; the client's retry reaches the successor, with its key."""
-        settings = SITES["parts and keyed writes"]
-        world, seen = broken_once("silent")
+        settings = DEPLOYMENTS["parts and keyed writes"]
+        world, seen = servers_that_fail_once("silent")
         with world, RouterProcess(world, self.file, settings=settings) as router:
             client = router.client()
             client.send_request("sheet", patience_ms=600, body=b"x", more={"nonce": "k"})
@@ -151,10 +155,10 @@
                 router.process.terminate()
                 assert next(client.responses(1)).kind == "failed"
                 world.script = lambda server, one: (seen.append(one), ScriptedReply("DONE"))[1]
-                answer = other.client().request(
+                response = other.client().request(
                     "sheet", patience_ms=900, body=b"x", retry=True, more={"nonce": "k"}
                 )
-                assert answer.kind == "served"
+                assert response.kind == "served"
                 assert router.process.wait(20) == 0
             assert {s.fields["nonce"] for s in seen if s.verb == "PULL"} == {"k"}
 
