--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -26,7 +26,7 @@
 to routers in the same form.  CONFIG is the configuration of any of the routers: it sets how long purges
 are retained.
 
-Serves until SIGTERM.  GET /control/state on its address returns its state and counters.
+Serves until SIGTERM.  GET /control/state on its address returns its status and counters.
 """
 
 
--- a/tests/deployment_check/test_generated.py
+++ b/tests/deployment_check/test_generated.py
@@ -45,7 +45,7 @@
         if len(record.final_effects) > 1 or (
             not record.final_effects and (not record.gone_ns or record.gone_ns >= due_ns)
         ):
-            self.report("answered", f"{record.request.trace_id} has {len(record.final_effects)} answers")
+            self.report("answered", f"{record.request.trace_id} has {len(record.final_effects)} responses")
         if record.final_effects and record.final_effects[0][0] > due_ns:
             self.report("answered", f"{record.request.trace_id} is late")
         attempts = [x for x in self.day.attempts if x.command.attempt_id == record.request.trace_id]
@@ -56,7 +56,7 @@
             and attempts
             and max(x.sent_ns for x in attempts) > record.final_effects[0][0]
         ):
-            self.report("answered", f"{record.request.trace_id} was sent after its answer")
+            self.report("answered", f"{record.request.trace_id} was sent after its response")
 
     def may_have_run(self, attempt: AttemptRecord, now_ns: int) -> bool:
         """Whether an attempt may have run, as known at a time; its end can prove that it did not run."""
@@ -75,7 +75,7 @@
             if open_attempts and not (
                 self.settings["limits"]["second_copies"] and request_class["idempotency"] == "safe"
             ):
-                self.report("one out", f"{key} has two out")
+                self.report("one out", f"{key} has two attempts in flight")
             if request_class["idempotency"] == "safe":
                 continue
             maybe_run = [
@@ -127,7 +127,8 @@
             if name and notices and max(notices)[1] == "leaving":
                 self.report(
                     "drain",
-                    f"{name} was sent to, told {(attempt.sent_ns - max(notices)[0]) / MS:.0f} ms before",
+                    f"{name} got an attempt "
+                    f"{(attempt.sent_ns - max(notices)[0]) / MS:.0f} ms after its drain notice",
                 )
 
     def check_purges(self, attempt: AttemptRecord, record: RequestRecord) -> None:
