--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -81,7 +81,7 @@
             output = json.loads(run("diff", EXAMPLE, str(other), "--format", "json").stdout)
             assert {c["class"] for c in output["changes"]} == {"page"}
 
-    def test_used_wrongly_is_one_line_and_two(self) -> None:
+    def test_a_usage_error_is_one_line_and_exit_code_2(self) -> None:
         for arguments in (
             ("check", "/nowhere/file"),
             ("check", EXAMPLE, "--config", "/nowhere/config"),
--- a/tests/deployment_check/test_deployments.py
+++ b/tests/deployment_check/test_deployments.py
@@ -70,7 +70,7 @@
                 1 if request_class.idempotency is api.Idempotency.UNSAFE else None
             )
 
-    def test_a_class_that_becomes_another_in_service_is_matched_anew(self) -> None:
+    def test_a_class_that_is_changed_in_service_is_matched_again(self) -> None:
         file = load(
             b'kelpcroft version=1\nroute "once" { match effect="unsafe"; }\nroute "rest" { match; }\n'
         )[0]
@@ -82,7 +82,7 @@
         ]
         assert routes == [1, 0, 1]
 
-    def test_a_kind_that_no_class_here_is_waits_for_one(self) -> None:
+    def test_a_match_on_an_effect_without_a_class_is_allowed(self) -> None:
         file = load(b'kelpcroft version=1\nroute "k" { match effect="keyed"; }\nroute "r" { match; }\n')[0]
         assert check(file, EXAMPLE_SETTINGS) == []
         named = load(
@@ -158,7 +158,7 @@
 
     @FEW_EXAMPLES
     @given(st.text(max_size=40) | st.floats().map(repr))
-    def test_a_size_is_a_finite_number_above_none_or_not_told(self, size: str) -> None:
+    def test_a_size_is_a_positive_finite_number_or_unknown(self, size: str) -> None:
         found = self.request(size=size).size_kb
         assert 0 <= found <= 1000000000.0
         if found:
@@ -314,10 +314,10 @@
             ),
         )
     )
-    def test_whatever_stands_there_it_does_not_crash(self, raw: object) -> None:
+    def test_the_check_of_any_json_does_not_crash(self, raw: object) -> None:
         deployment_check.check_configuration({"settings": raw} if not isinstance(raw, dict) else raw)
 
-    def test_what_the_check_lets_pass_starts(self) -> None:
+    def test_a_configuration_that_passes_the_check_starts(self) -> None:
         """`parse_config` accepts a configuration without errors: all keys, each with values of many forms."""
         values = [None, 0, 1, -1, 0.5, 1e300, "", "x", "off", True, [], [0], [True], ["a"], {}, {"a": 1}]
         for key in deployment_check.known_keys.CONFIGURATION_KEYS:
--- a/tests/deployment_check/test_generated.py
+++ b/tests/deployment_check/test_generated.py
@@ -212,7 +212,7 @@
             (s.sent_ns, s.server, s.command.attempt_id) for s in two.attempts
         ]
 
-    def test_the_watch_sees_what_is_broken(self) -> None:
+    def test_the_day_check_reports_each_broken_rule(self) -> None:
         """Each rule that is broken in the record of a correct day is reported."""
 
         def rules_broken_by(change: str) -> set[str]:
--- a/tests/deployment_check/test_places.py
+++ b/tests/deployment_check/test_places.py
@@ -57,7 +57,7 @@
             reducer.handle(now + 4 * MS, inputs.ServerConnectionLost(second.connection, "refused", True)),
         )
 
-    def test_what_waited_takes_the_one_that_stands(self) -> None:
+    def test_a_waiting_request_takes_the_open_connection_after_a_refusal(self) -> None:
         """Once the server was ejected, its copies forgotten and clients rejected for at least a second."""
         reducer, first, effect_list = self.refuse_second_connection(0)
         (attempt,) = only(effects.SendAttempt, effect_list)
@@ -78,12 +78,12 @@
             "one is opened after the backoff"
         )
 
-    def test_one_that_was_not_heard_of_late_is_gone(self) -> None:
+    def test_a_refusing_server_without_a_recent_response_is_ejected(self) -> None:
         reducer, _, _effect_list = self.refuse_second_connection(2 * SECOND)
         assert reducer.state.counters["no place"] == 0
         assert any(n.is_ejected for n in reducer.state.policy.endpoints.values())
 
-    def test_what_must_not_run_twice_does_not_share(self) -> None:
+    def test_a_request_that_must_not_run_twice_does_not_share_a_connection(self) -> None:
         pool = ConnectionPool(64, 32)
         pool.record_refusal("s", NOW)
         assert pool.find("s", "order", True, NOW) is None
@@ -91,7 +91,7 @@
 
 
 class Waits(unittest.TestCase):
-    def test_they_double_to_an_end_and_no_two_routers_are_in_step(self) -> None:
+    def test_backoffs_double_up_to_a_limit_and_differ_between_routers(self) -> None:
         backoffs_ns = {}
         for seed in range(40):
             pool, now = ConnectionPool(64, 32, seed), NOW
@@ -106,7 +106,7 @@
             assert last_backoff_ns == MAX_REFUSAL_BACKOFF_NS
         assert len(set(backoffs_ns.values())) == 40
 
-    def test_many_routers_beside_boxes_with_few_places(self) -> None:
+    def test_many_routers_with_caches_of_few_connections(self) -> None:
         """Forty routers, caches with 32 connections: a refused router once ejected the cache."""
         before, cold_start.ROUTERS_PER_ZONE = cold_start.ROUTERS_PER_ZONE, 40
         try:
--- a/tests/documents/test_fleet_counts.py
+++ b/tests/documents/test_fleet_counts.py
@@ -55,7 +55,7 @@
         rows = [json.loads(line) for line in text.getvalue().splitlines()]
         assert [row["n"] for row in rows] == list(range(500))
 
-    def test_what_cannot_be_counted_is_said(self) -> None:
+    def test_missing_traces_are_reported(self) -> None:
         assert count("/no/such/folder").returncode == 2
         with tempfile.TemporaryDirectory() as folder:
             completed = count(folder)
--- a/tests/documents/test_known_red.py
+++ b/tests/documents/test_known_red.py
@@ -76,7 +76,7 @@
                 assert code == 4, output
                 assert message in output
 
-    def test_the_list_has_an_end(self) -> None:
+    def test_the_list_has_a_maximum_length(self) -> None:
         lines = "".join(f"tests/test_x.py::test_{n} | why | 27\n" for n in range(MAX_LINES + 1))
         assert len(parse(lines)[1]) == 1
         assert parse(lines.splitlines()[0])[1] == []
