--- a/kelpcroft/cli/check.py
+++ b/kelpcroft/cli/check.py
@@ -27,7 +27,7 @@
 @config_option()
 @format_option
 def check(file: str | None, config: str | None, output_format: str) -> None:
-    """Check an operator's FILE, a router's CONFIG, or FILE in the deployment of CONFIG.
+    """Check an operator's FILE, a router's CONFIG, or both.
 
     Prints each fault of FILE with its line, column, code and reason.  Prints each setting of CONFIG that is
     unusable (fault), questionable (doubt) or unknown, with a value that would be accepted.
--- a/kelpcroft/cli/explain.py
+++ b/kelpcroft/cli/explain.py
@@ -56,7 +56,7 @@
     write: bool,
     output_format: str,
 ) -> None:
-    """Print the route that matches a request, and the bounds that the route sets.
+    """Print the route that matches a request, and its bounds.
 
     Each bound is printed with the line of FILE that it comes from.  The longest wait and the largest number
     of sends that follow from the bounds are printed last.
--- a/kelpcroft/cli/placement.py
+++ b/kelpcroft/cli/placement.py
@@ -46,7 +46,7 @@
 @click.option("--objects", type=click.IntRange(1, MAX_OBJECTS), default=DEFAULT_OBJECTS, show_default=True)
 @format_option
 def homes_command(config: str, objects: int, output_format: str) -> None:
-    """Print for each cache the number of sample objects whose home it is.
+    """Print how many sample objects each cache is the home of.
 
     The homes follow from this build and from CONFIG's settings and list of servers.  Every build uses the
     same sample objects, so that `rollout plan` can count the objects that would move.
