--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,8 +1,9 @@
-"""A toy world for one router: a feed, one cache, one parent and the origin in one process, for trying it out.
+"""Minimal servers to try out one router: a list service, a cache, a parent and the origin in one process.
 
     .venv/bin/python examples/toy_server.py
 
-It answers every PULL with a short text that says who answered, and each poll of the feed after its wait.
+The response to every PULL is a short text that names the server.  Each watch request at the list service is
+answered without events at the end of its wait.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from urllib.parse import parse_qs, urlsplit
 
 PORTS = {"cache": 9401, "parent": 9402, "origin": 9403}
-FEED = 9400
+LIST_SERVICE_PORT = 9400
 
 
-class Shelf(socketserver.StreamRequestHandler):
-    """RESP: arrays of bulk strings, one answer for each PULL."""
+class ServerHandler(socketserver.StreamRequestHandler):
+    """A cache, parent or origin that speaks RESP: arrays of bulk strings, one response to each PULL."""
 
-    def words(self) -> list[bytes]:
-        """The next command; none where the connection has ended."""
+    def read_command(self) -> list[bytes]:
+        """Return the words of the next command; none if the connection has ended."""
         count = self.rfile.readline()
         words = []
         for _ in range(int(count[1:]) if count else 0):
@@ -30,22 +31,22 @@
         return words
 
     def handle(self) -> None:
-        """Answer every PULL of a connection."""
+        """Respond to every PULL of a connection."""
         name = next(n for n, p in PORTS.items() if p == self.server.server_address[1])
-        while words := self.words():
-            print(name, *words, flush=True)
-            if words[0] == b"PULL":
+        while command := self.read_command():
+            print(name, *command, flush=True)
+            if command[0] == b"PULL":
                 body = b"answered by the " + name.encode()
                 fields = b"sum=4be0c1927d55a6f3,t0=%d,tell=mem" % (time.time() * 1000)
-                answer = (words[1], b"DONE", fields, body)
-                self.wfile.write(b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(x), x) for x in answer))
+                response = (command[1], b"DONE", fields, body)
+                self.wfile.write(b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(x), x) for x in response))
 
 
-class Feed(socketserver.StreamRequestHandler):
-    """HTTP/1.1 long polls: there is never any news."""
+class ListServiceHandler(socketserver.StreamRequestHandler):
+    """A list service whose log has no further event; watch requests are HTTP/1.1 long polls."""
 
     def handle(self) -> None:
-        """Answer every poll of a connection after its wait."""
+        """Respond to every watch request of a connection at the end of its wait."""
         while line := self.rfile.readline():
             while self.rfile.readline().strip():
                 pass
@@ -56,15 +57,18 @@
 
 
 class Server(socketserver.ThreadingTCPServer):
-    """A thread for each connection; the port is free again at once."""
+    """A TCP server with a thread for each connection, whose port can be reused immediately."""
 
     allow_reuse_address = daemon_threads = True
 
 
 if __name__ == "__main__":
-    servers = [Server(("127.0.0.1", FEED), Feed), *(Server(("127.0.0.1", p), Shelf) for p in PORTS.values())]
+    servers = [
+        Server(("127.0.0.1", LIST_SERVICE_PORT), ListServiceHandler),
+        *(Server(("127.0.0.1", p), ServerHandler) for p in PORTS.values()),
+    ]
     for server in servers:
         threading.Thread(target=server.serve_forever, daemon=True).start()
-    print("feed on", FEED, "and", PORTS, flush=True)
+    print("feed on", LIST_SERVICE_PORT, "and", PORTS, flush=True)
     with suppress(KeyboardInterrupt):
         threading.Event().wait()
--- a/kelpcroft/cli/explain.py
+++ b/kelpcroft/cli/explain.py
@@ -1,4 +1,4 @@
-"""``kelpcroft explain``: what happens to one request, and which line says so."""
+"""The ``kelpcroft explain`` command: the route of one request, and the lines that set its bounds."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 )
 @click.argument("file")
 @config_option(required=True)
-@click.option("--class", "class_name", required=True, help="The class of the request.")
-@click.option("--object", "object_id", default=ANY_OBJECT, help="Its object, 16 hex digits.")
-@click.option("--part", type=click.IntRange(*PART_RANGE), default=0, help="Its part.")
-@click.option("--group", type=click.IntRange(*GROUP_RANGE), default=0, help="Its group.")
-@click.option("--retry", is_flag=True, help="It is a client's own retry.")
-@click.option("--write", is_flag=True, help="It has a body.")
+@click.option("--class", "class_name", required=True, help="Class of the request.")
+@click.option("--object", "object_id", default=ANY_OBJECT, help="Object of the request, 16 hex digits.")
+@click.option("--part", type=click.IntRange(*PART_RANGE), default=0, help="Part of the object.")
+@click.option("--group", type=click.IntRange(*GROUP_RANGE), default=0, help="Group of the object.")
+@click.option("--retry", is_flag=True, help="The request is a client's own retry.")
+@click.option("--write", is_flag=True, help="The request has a body.")
 @format_option
 def explain(
     file: str,
@@ -54,48 +54,51 @@
     group: int,
     retry: bool,
     write: bool,
-    form: str,
+    output_format: str,
 ) -> None:
-    """Print the route that takes a request, each bound with the line it came from, and the most that follows:
-    the longest wait and the number of sends."""  # noqa: D205, D209 - the text of --help
+    """Print the route that matches a request, and its bounds.
+
+    Each bound is printed with the line of FILE that it comes from.  The longest wait and the largest number
+    of sends that follow from the bounds are printed last.
+    """
     settings = read_settings(config)
-    request_class = class_of(settings, class_name)
+    request_class = find_class(settings, class_name)
     if not OBJECT_ID.fullmatch(object_id):
         raise CommandError(f"--object: {object_id!r} is not 16 hex digits in lower case")
     request = RequestAttributes(request_class, object_id, part, group, retry, write)
     route = find_route(load_usable_file(file, settings), settings.zone, request)
     if route is None:
-        report_no_route(form)
+        report_no_route(output_format)
         exit_negative()
-    if form == "json":
+    if output_format == "json":
         print_route_json(route, request_class, settings.limits)
     else:
         echo_route(route, request_class, settings.limits)
 
 
-def class_of(settings: api.Settings, name: str) -> api.RequestClass:
-    """A class by its name.  Raises CommandError where there is none."""
-    known = {request_class.name: request_class for request_class in settings.classes}
-    if name not in known:
-        raise CommandError(f"--class: there is no class {name!r}{suggestion(name, known)}")
-    return known[name]
+def find_class(settings: api.Settings, name: str) -> api.RequestClass:
+    """Return the class with a name.  Raises CommandError if there is none."""
+    classes_by_name = {request_class.name: request_class for request_class in settings.classes}
+    if name not in classes_by_name:
+        raise CommandError(f"--class: there is no class {name!r}{suggestion(name, classes_by_name)}")
+    return classes_by_name[name]
 
 
-def report_no_route(form: str) -> None:
-    """The answer where no route takes the request."""
-    if form == "json":
+def report_no_route(output_format: str) -> None:
+    """Print that no route matches the request."""
+    if output_format == "json":
         print_json({"route": None})
     else:
         click.echo("no route takes it: the file bounds nothing")
 
 
 def print_route_json(route: Route, request_class: api.RequestClass, limits: api.Limits) -> None:
-    """The answer as JSON."""
+    """Print the route and its bounds as JSON."""
     print_json(
         {
             "route": route.name,
             "line": route.position.line,
-            "bounds": [row_json(row) for row in describe_policy(route.policy)],
+            "bounds": [policy_row_json(row) for row in describe_policy(route.policy)],
             "longest_wait_ms": longest_wait_ns(route.policy, request_class) / MS,
             "most_sends": max_sends(route.policy, request_class, limits),
             "effect": request_class.idempotency.value,
@@ -103,13 +106,13 @@
     )
 
 
-def row_json(row: PolicyRow) -> dict[str, object]:
-    """A row of the policy for the JSON answer."""
+def policy_row_json(row: PolicyRow) -> dict[str, object]:
+    """Return a row of the policy as a JSON object."""
     return {"bound": row.name, "value": row.words, "line": row.position.line}
 
 
 def echo_route(route: Route, request_class: api.RequestClass, limits: api.Limits) -> None:
-    """The answer as text."""
+    """Print the route and its bounds as text."""
     click.echo(f"route {route.name!r}, line {route.position.line}")
     rows = list(describe_policy(route.policy))
     width = max((len(row.name) for row in rows), default=0)
@@ -118,5 +121,5 @@
     wait_ns = longest_wait_ns(route.policy, request_class)
     click.echo(f"longest wait: {format_duration(wait_ns) if wait_ns else 'as the client says'}")
     is_unsafe = request_class.idempotency is api.Idempotency.UNSAFE
-    once = ", one of which may have run" if is_unsafe else ""
-    click.echo(f"most sends:   {max_sends(route.policy, request_class, limits)}{once}")
+    unsafe_note = ", one of which may have run" if is_unsafe else ""
+    click.echo(f"most sends:   {max_sends(route.policy, request_class, limits)}{unsafe_note}")
--- a/kelpcroft/deployment_check/known_keys.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -1,7 +1,7 @@
-"""Every key of a configuration: its form, who reads it, and what its absence means.
+"""Table of all known keys of a configuration: form of the value, reading modules, meaning of an absent key.
 
-``docs/operators/sites.md`` has the same table for people; a test compares the two.  A key that nobody
-reads says why that may be.  ``[]`` stands for each entry of a list.
+``docs/operators/sites.md`` has the same table for operators; a test compares the two.  A key that no module
+reads has a reason for that.  ``[]`` in a path means each entry of a list.
 """
 
 from __future__ import annotations
@@ -11,16 +11,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-Form = Callable[[Any], str]  # what would do in place of a value, or "" where it will do
+# Returns a text about the values that would be accepted in place of a value, or "" if the value is accepted.
+Form = Callable[[Any], str]
 MAX_PORT = 65_535
-HEX_EXPECTED = "hex digits in a text would do"
+HEX_EXPECTED = "hex digits in a text would do"  # in diagnostics of ``hexadecimal``
 
 
 def number(
     minimum: float, maximum: float = math.inf, *, is_whole: bool = False, is_above: bool = False
 ) -> Form:
-    """The form of a finite number in a range; ``is_above``: its lower end is none."""
-    what = "a whole number" if is_whole else "a number"
+    """Return the form of a finite number in a range; ``is_above`` excludes the minimum itself."""
+    type_name = "a whole number" if is_whole else "a number"
     bounds = f"above {minimum:g}" if is_above else f"of at least {minimum:g}"
     if maximum < math.inf:
         bounds += f" and at most {maximum:g}"
@@ -34,32 +35,32 @@
             and not (is_above and value == minimum)
             and (not is_whole or float(value).is_integer())
         )
-        return "" if fits else f"{what} {bounds} would do"
+        return "" if fits else f"{type_name} {bounds} would do"
 
     return form
 
 
-def word(*words: str) -> Form:
-    """The form of one of some words."""
+def one_of(*choices: str) -> Form:
+    """Return the form of a text that is one of ``choices``."""
 
     def form(value: Any) -> str:
-        return "" if value in words else f"one of {', '.join(words)} would do"
+        return "" if value in choices else f"one of {', '.join(choices)} would do"
 
     return form
 
 
 def text(value: Any) -> str:
-    """The form of a text that is not empty."""
+    """Accept a text that is not empty."""
     return "" if isinstance(value, str) and value else "a text would do"
 
 
 def flag(value: Any) -> str:
-    """The form of true or false."""
+    """Accept true or false."""
     return "" if isinstance(value, bool) else "true or false would do"
 
 
 def listed(entry_form: Form) -> Form:
-    """The form of a list whose every entry has a form."""
+    """Return the form of a list whose entries all have a form."""
 
     def form(value: Any) -> str:
         if not isinstance(value, list):
@@ -71,7 +72,7 @@
 
 
 def parse_host_port(value: Any) -> tuple[str, int] | None:
-    """``host:port`` as a socket wants it, or None where it is none.  The one place that reads addresses."""
+    """Parse ``host:port`` into an address for a socket, or return None.  All addresses are parsed here."""
     if not isinstance(value, str):
         return None
     host, colon, port = value.rpartition(":")
@@ -82,12 +83,12 @@
 
 
 def address_form(value: Any) -> str:
-    """The form of ``host:port``."""
+    """Accept ``host:port``."""
     return "" if parse_host_port(value) else "an address as host:port would do"
 
 
 def hexadecimal(value: Any) -> str:
-    """The form of hex digits, as ``int`` reads them, in a text."""
+    """Accept a text of hex digits that ``int`` can parse, without a minus sign."""
     try:
         return "" if isinstance(value, str) and int(value, 16) >= 0 else HEX_EXPECTED
     except ValueError:
@@ -95,7 +96,7 @@
 
 
 def anything(_value: Any) -> str:
-    """The form of whatever stands there."""
+    """Accept any value."""
     return ""
 
 
@@ -103,7 +104,7 @@
 COUNT = number(0, is_whole=True)
 SHARE = number(0, 1)
 COUNT_FROM_ONE = number(1, is_whole=True)
-KIND = number(-1, is_whole=True)  # a place in the list of machine types; -1 = none
+KIND = number(-1, is_whole=True)  # index into the list of machine types; -1 = none
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,23 +112,23 @@
     """One key of a configuration.
 
     Attributes:
-        path: Keys joined by dots; ``[]`` behind one stands for each entry of a list.
-        form: What its value may be.
-        reader: Modules below ``kelpcroft``, and what it is for there; "" = nobody reads it.
-        absent: What its absence means; "needed" = the program does not start.
-        why: Where nobody reads it, why that may be.
+        path: Keys joined by dots; ``[]`` after a key means each entry of its list.
+        form: Check of its value.
+        reader: Modules below ``kelpcroft`` that read it, and its use there; "" = no module reads it.
+        absent: Meaning of an absent key; "needed" = the router does not start.
+        unread_reason: Reason why no module reads it; "" if one does.
     """
 
     path: str
     form: Form
     reader: str
     absent: str
-    why: str = ""
+    unread_reason: str = ""
 
 
-JUDGE = "how the operators judge a day; no decision hangs on it"
-PEERS = "routers send one another nothing yet: membership is off"
-OWN = "the router keeps no copies of its own"
+EVALUATION_ONLY = "how the operators judge a day; no decision hangs on it"
+MEMBERSHIP_OFF = "routers send one another nothing yet: membership is off"
+NO_OWN_COPIES = "the router keeps no copies of its own"
 
 CONFIGURATION_KEYS = (
     ConfigurationKey("name", text, "config", "needed, unless ROUTER_NAME is set"),
@@ -136,11 +137,11 @@
     ConfigurationKey("seed", hexadecimal, "config", "0"),
     ConfigurationKey("feed", address_form, "config", "needed"),
     ConfigurationKey("known", anything, "net.feed_codec", "needed"),
-    ConfigurationKey("peer_listen", address_form, "", "", PEERS),
-    ConfigurationKey("peers", listed(address_form), "", "", PEERS),
-    ConfigurationKey("peers_all", address_form, "", "", PEERS),
-    ConfigurationKey("flow_bytes_per_s", number(0), "", "", OWN),
-    ConfigurationKey("link_bytes_per_s", number(0), "", "", OWN),
+    ConfigurationKey("peer_listen", address_form, "", "", MEMBERSHIP_OFF),
+    ConfigurationKey("peers", listed(address_form), "", "", MEMBERSHIP_OFF),
+    ConfigurationKey("peers_all", address_form, "", "", MEMBERSHIP_OFF),
+    ConfigurationKey("flow_bytes_per_s", number(0), "", "", NO_OWN_COPIES),
+    ConfigurationKey("link_bytes_per_s", number(0), "", "", NO_OWN_COPIES),
     ConfigurationKey(
         "limits.cores", number(0, is_above=True), "", "", "the platform holds it; there is one loop anyway"
     ),
@@ -160,15 +161,15 @@
     ),
     ConfigurationKey(
         "settings.weight_source",
-        word("off", "nominal", "rough", "live"),
+        one_of("off", "nominal", "rough", "live"),
         "decision: limits and cold budgets",
         "off: no weights, capacity is measured",
     ),
-    ConfigurationKey("settings.discovery", word("push", "ask"), "decision", "push"),
+    ConfigurationKey("settings.discovery", one_of("push", "ask"), "decision", "push"),
     ConfigurationKey("settings.tick_ns", COUNT_FROM_ONE, "decision: margin of a key's window", "1"),
     ConfigurationKey(
         "settings.report.how",
-        word("inline", "on_probe", "off"),
+        one_of("inline", "on_probe", "off"),
         "Settings only: reports are read as they come",
         "off",
     ),
@@ -178,13 +179,13 @@
     ConfigurationKey("settings.classes[].name", text, "core.client_requests, decision", "needed"),
     ConfigurationKey(
         "settings.classes[].idempotency",
-        word("safe", "keyed", "unsafe"),
+        one_of("safe", "keyed", "unsafe"),
         "decision, core.idempotency_keys: rule 2",
         "safe",
     ),
     ConfigurationKey(
         "settings.classes[].group",
-        word("all", "zone", "cell"),
+        one_of("all", "zone", "cell"),
         "decision: rule 2; core.client_requests",
         "all",
     ),
@@ -303,11 +304,11 @@
         "0: sizes are of no use, times are measured",
     ),
     ConfigurationKey("settings.family_info.may_pass_by", flag, "decision", "false"),
-    ConfigurationKey("settings.family_info.sideways", word("off", "location", "any"), "decision", "off"),
+    ConfigurationKey("settings.family_info.sideways", one_of("off", "location", "any"), "decision", "off"),
     ConfigurationKey("settings.family_info.merges_fills", flag, "decision", "false"),
     ConfigurationKey(
         "settings.family_info.notes_given",
-        word("all", "hit", "off"),
+        one_of("all", "hit", "off"),
         "Settings only: notes are read as they come",
         "off",
     ),
@@ -329,7 +330,7 @@
         "0",
     ),
     ConfigurationKey("settings.family_info.purge_takes_ns", NANOSECONDS, "decision: rule 5", "0"),
-    ConfigurationKey("settings.family_info.price_of_link", number(0), "", "", JUDGE),
+    ConfigurationKey("settings.family_info.price_of_link", number(0), "", "", EVALUATION_ONLY),
     ConfigurationKey(
         "settings.family_info.root_fall_multiple",
         number(0),
@@ -340,12 +341,12 @@
     ConfigurationKey("settings.family_info.origin_bears_ns", NANOSECONDS, "", "", "as above"),
     ConfigurationKey("settings.family_info.report_x0", anything, "", "", "words for people: what x0 means"),
     ConfigurationKey("settings.family_info.report_x1", anything, "", "", "words for people: what x1 means"),
-    ConfigurationKey("settings.blend", anything, "", "", JUDGE),
+    ConfigurationKey("settings.blend", anything, "", "", EVALUATION_ONLY),
     ConfigurationKey(
-        "settings.costs", anything, "", "", JUDGE + "; what they price is sent sparingly everywhere"
+        "settings.costs", anything, "", "", EVALUATION_ONLY + "; what they price is sent sparingly everywhere"
     ),
-    ConfigurationKey("settings.worth_by", anything, "", "", JUDGE),
-    ConfigurationKey("settings.over_share_worth", anything, "", "", JUDGE),
+    ConfigurationKey("settings.worth_by", anything, "", "", EVALUATION_ONLY),
+    ConfigurationKey("settings.over_share_worth", anything, "", "", EVALUATION_ONLY),
     ConfigurationKey(
         "settings.customers", anything, "", "", "no deployment has tenants; their shares are not kept"
     ),
--- a/kelpcroft/deployment_check/missing_features.py
+++ b/kelpcroft/deployment_check/missing_features.py
@@ -1,6 +1,6 @@
-"""What a deployment does not have, in the words of one log line.
+"""Names of the features that a deployment does not have, for one log line.
 
-Each means that something is done by measurement, or not at all.
+For each missing feature the router uses measurements instead, or leaves a function out.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 
 
 def missing_features(settings: Settings, roles: frozenset[Role] | None = None) -> tuple[str, ...]:
-    """Names of what is missing.
+    """Return the names of the features that are missing.
 
     Args:
-        settings: The deployment's.
-        roles: Kinds of the servers on the list; None where no list is known.
+        settings: The deployment's settings.
+        roles: Roles of the servers on the endpoint list; None if there is no list yet.
     """
     limits = settings.limits
-    reports = settings.load_report_mode != "off"
-    fields = settings.load_report_fields
+    has_reports = settings.load_report_mode != "off"
+    report_fields = settings.load_report_fields
     features = (
         ("cancels", limits.may_cancel),
         ("probes", limits.may_probe),
@@ -25,10 +25,10 @@
         ("second copies", limits.may_hedge),
         ("pauses", limits.may_send_retry_after),
         ("weights", settings.weight_source != "off"),
-        ("load reports", reports and bool(fields)),
-        ("reports of load", not reports or "utilization" in fields),
-        ("reports of hits", not reports or "x0" in fields),
-        ("reports of links", not reports or "x1" in fields),
+        ("load reports", has_reports and bool(report_fields)),
+        ("reports of load", not has_reports or "utilization" in report_fields),
+        ("reports of hits", not has_reports or "x0" in report_fields),
+        ("reports of links", not has_reports or "x1" in report_fields),
         ("notes of fills", settings.notes != "off"),
         ("joined fills", settings.coalesces_fills),
         ("siblings", settings.siblings != "off"),
@@ -40,4 +40,4 @@
         ("an origin", roles is None or Role.ORIGIN in roles),
         ("caches", roles is None or Role.CACHE in roles),
     )
-    return tuple(name for name, is_there in features if not is_there)
+    return tuple(name for name, is_present in features if not is_present)
--- a/tools/compile.py
+++ b/tools/compile.py
@@ -1,8 +1,8 @@
-"""Compiles the hot modules with mypyc into .compiled/now, where `run` starts the program.
+"""Compile the hot modules with mypyc into .compiled/now, from where `run` starts the router.
 
-A copy of both packages is made and compiled there, so that the sources stay what tests, readers and the
-simulator's adapter use.  It is made again whenever a source has changed.  Where no C compiler works the plain
-copy serves as well, at about half the speed, and a line says so.
+A copy of the package is made and compiled there; tests and the simulator's adapter use the uncompiled
+sources.  The copy is made again whenever a source has changed.  If no C compiler works, the router runs from
+the uncompiled copy at about half the speed, and a line on standard error reports it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 ROOT = Path(__file__).parent.parent
 TARGET = ROOT / ".compiled"
 PACKAGES = ("kelpcroft",)
-HOT = (
+# Modules that are compiled together.
+HOT_MODULES = (
     "kelpcroft/decision/units.py",
     "kelpcroft/decision/statistics.py",
     "kelpcroft/decision/settings.py",
@@ -80,62 +81,63 @@
     "kelpcroft/net/signals.py",
     "kelpcroft/net/event_loop.py",
 )
-# Names stay inside a library, functions that nothing calls go, and there are no tables for unwinding C++
-# exceptions: a router holds half a megabyte less, and calls within a library are direct.
+# Symbols are not exported, unused functions are removed, and there are no tables for unwinding C++
+# exceptions: a router needs half a megabyte less memory, and calls within a library are direct.
 COMPILER_FLAGS = "-fvisibility=hidden -ffunction-sections -fno-asynchronous-unwind-tables"
 LINKER_FLAGS = "-s -Wl,--gc-sections"
-# Compiled apart: what is compiled together is loaded together, and these are wanted only with a file.
-ROUTES = tuple(f"kelpcroft/routes/{name}.py" for name in ("budget", "sketch", "index", "table"))
+# Compiled apart: modules that are compiled together are loaded together, and these are needed only with an
+# operator's file.
+ROUTE_MODULES = tuple(f"kelpcroft/routes/{name}.py" for name in ("budget", "sketch", "index", "table"))
 
 
 def sources() -> list[Path]:
-    """All files that the copy is made from, and what the result depends on besides."""
-    found = [p for package in PACKAGES for p in (ROOT / package).rglob("*") if p.suffix in (".py", ".typed")]
-    return sorted([*found, ROOT / "pyproject.toml", ROOT / "requirements.txt", Path(__file__).resolve()])
+    """Return the files to copy, and the other files that the result depends on."""
+    files = [p for package in PACKAGES for p in (ROOT / package).rglob("*") if p.suffix in (".py", ".typed")]
+    return sorted([*files, ROOT / "pyproject.toml", ROOT / "requirements.txt", Path(__file__).resolve()])
 
 
 def digest() -> str:
-    """A name for this state of the sources."""
-    hashed = hashlib.sha256(sys.version.encode())
+    """Return a name for this state of the sources."""
+    hasher = hashlib.sha256(sys.version.encode())
     for path in sources():
-        hashed.update(str(path.relative_to(ROOT)).encode() + b"\0" + path.read_bytes() + b"\0")
-    return hashed.hexdigest()[:16]
+        hasher.update(str(path.relative_to(ROOT)).encode() + b"\0" + path.read_bytes() + b"\0")
+    return hasher.hexdigest()[:16]
 
 
-def make(folder: Path) -> None:
-    """The copy, compiled if that can be done."""
+def make_copy(folder: Path) -> None:
+    """Make the copy in a folder, and compile it if possible."""
     for package in PACKAGES:
         shutil.copytree(
             ROOT / package, folder / package, ignore=shutil.ignore_patterns("__pycache__", "*.so")
         )
     shutil.copy(ROOT / "pyproject.toml", folder)
-    for group in (HOT, ROUTES):
-        done = subprocess.run(
+    for group in (HOT_MODULES, ROUTE_MODULES):
+        completed = subprocess.run(
             [sys.executable, "-m", "mypyc", *group],
             cwd=folder,
             capture_output=True,
             text=True,
             env={**os.environ, "MYPYC_OPT_LEVEL": "2", "CFLAGS": COMPILER_FLAGS, "LDFLAGS": LINKER_FLAGS},
         )
-        if done.returncode:
+        if completed.returncode:
             print(
-                f"not compiled, the plain modules are used: {(done.stderr or done.stdout)[-600:]}",
+                f"not compiled, the plain modules are used: {(completed.stderr or completed.stdout)[-600:]}",
                 file=sys.stderr,
             )
-            for built in folder.rglob("*.so"):
-                built.unlink()
+            for library in folder.rglob("*.so"):
+                library.unlink()
             break
-    for left in (folder / "build", folder / ".mypy_cache"):
-        shutil.rmtree(left, ignore_errors=True)
+    for leftover in (folder / "build", folder / ".mypy_cache"):
+        shutil.rmtree(leftover, ignore_errors=True)
 
 
 def main() -> None:
-    """Make what is not there yet, and let `now` point at it."""
+    """Make the copy of this state of the sources if it is missing, and make `now` point to it."""
     name = digest()
     TARGET.mkdir(exist_ok=True)
     if not (TARGET / name).is_dir():
         with tempfile.TemporaryDirectory(dir=TARGET) as scratch:
-            make(Path(scratch) / name)
+            make_copy(Path(scratch) / name)
             (Path(scratch) / name).rename(TARGET / name)
     link = TARGET / "next"
     link.unlink(missing_ok=True)
--- a/tools/site_variants.py
+++ b/tools/site_variants.py
@@ -1,12 +1,12 @@
-"""Deployments of our own for the bench, made from the operators' site files by stated lists of changes.
+"""Variants of the operators' deployments for benchmarks, made from their site files by lists of changes.
 
     python tools/site_variants.py KIT [--to deploy/sites]
 
-KIT is the operators' kit. Each variant gets a folder with its site file and copies of the files that lie
-beside the site that it is made from. The folder is ignored by git: nothing of a kit enters the repository.
-A change names a table, which of its tables where there are several, and the keys it sets. One whose key or
-table the site does not have is an error: a variant that silently changes nothing proves nothing.
-Exit codes: 0 made, 2 used wrongly.
+KIT is the operators' kit. Each variant gets a folder with its site file and copies of the files next to the
+original site file. The folder is ignored by git, so that no file of a kit enters the repository.
+A change names a table, its index if several tables have this name, and the keys that it sets. A change whose
+key or table is missing in the site file is an error, because a variant without changes tests nothing new.
+Exit codes: 0 success, 2 usage error.
 """
 
 from __future__ import annotations
@@ -19,20 +19,22 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-BESIDE = ("wire.json", "real.json", "design.json", "unlock.txt")
+# Files that are copied if they are next to the original site file.
+COPIED_FILES = ("wire.json", "real.json", "design.json", "unlock.txt")
 
 
 @dataclass(frozen=True)
 class Change:
-    """Keys of one table; ``place`` counts tables of the same name from 0."""
+    """New values of one table; ``index`` counts the tables of this name, from 0."""
 
     table: str
-    values: dict[str, str]  # as TOML writes them
-    place: int = 0
+    values: dict[str, str]  # by key, in TOML syntax
+    index: int = 0
 
 
+# By name of the variant: the path of the original site file in the kit, and the changes.
 VARIANTS: dict[str, tuple[str, tuple[Change, ...]]] = {
-    # Orders carry a key that binds for a short window; near deadlines, few attempts, dear calls.
+    # Writes with an idempotency key that has a short window; short deadlines, few attempts, high prices.
     "near-keyed": (
         "sites/tt-kits.toml",
         (
@@ -61,7 +63,7 @@
             Change("tier.conn", {"idle_s": "8", "streams": "8"}),
         ),
     ),
-    # Two classes that must not run twice, one of them most of the worth; nothing can be called off or probed.
+    # Two classes must not run twice, and one of them has most of the value; no cancellation and no probes.
     "far-once": (
         "more/mass/other/branch-caches.toml",
         (
@@ -83,56 +85,61 @@
 }
 
 
-def changed(text: str, changes: tuple[Change, ...]) -> str:
-    """A site file with other values.
+def apply_changes(text: str, changes: tuple[Change, ...]) -> str:
+    """Return a site file with changed values.
 
     Raises:
-        ValueError: The file has no such table, or a key is new to a table that is not a class.
+        ValueError: The file lacks a table, or a key of a table other than a class.
     """
     lines = text.splitlines()
     for change in changes:
-        head = -1 if not change.table else None
-        pattern, seen = re.compile(rf"\[\[?{re.escape(change.table)}\]\]?"), 0
+        table_line = -1 if not change.table else None
+        pattern, matching_tables = re.compile(rf"\[\[?{re.escape(change.table)}\]\]?"), 0
         for n, line in enumerate(lines):
-            if head is None and pattern.fullmatch(line.strip()):
-                if seen == change.place:
-                    head = n
-                seen += 1
-        if head is None:
-            raise ValueError(f"no table {change.table!r} number {change.place}")
-        end = next((n for n in range(head + 1, len(lines)) if lines[n].startswith("[")), len(lines))
+            if table_line is None and pattern.fullmatch(line.strip()):
+                if matching_tables == change.index:
+                    table_line = n
+                matching_tables += 1
+        if table_line is None:
+            raise ValueError(f"no table {change.table!r} number {change.index}")
+        table_end = next(
+            (n for n in range(table_line + 1, len(lines)) if lines[n].startswith("[")), len(lines)
+        )
         for key, value in change.values.items():
-            at = next((n for n in range(head + 1, end) if re.match(rf"{re.escape(key)}\s*=", lines[n])), None)
-            if at is not None:
-                lines[at] = f"{key} = {value}"
+            key_line = next(
+                (n for n in range(table_line + 1, table_end) if re.match(rf"{re.escape(key)}\s*=", lines[n])),
+                None,
+            )
+            if key_line is not None:
+                lines[key_line] = f"{key} = {value}"
             elif change.table == "class":
-                lines.insert(head + 1, f"{key} = {value}")
-                end += 1
+                lines.insert(table_line + 1, f"{key} = {value}")
+                table_end += 1
             else:
                 raise ValueError(f"{change.table or 'the top'} has no key {key!r}")
-    made = "\n".join(lines) + "\n"
-    tomllib.loads(made)
-    return made
+    result = "\n".join(lines) + "\n"
+    tomllib.loads(result)
+    return result
 
 
 def main() -> int:
-    """The command."""
+    """Run the command."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("kit", type=Path, help="the operators' kit")
     parser.add_argument("--to", type=Path, default=Path(__file__).parent.parent / "deploy/sites")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     for name, (site, changes) in VARIANTS.items():
-        source = given.kit / site
+        source = arguments.kit / site
         try:
-            text = changed(source.read_text(), changes)
+            text = apply_changes(source.read_text(), changes)
         except (OSError, ValueError) as error:
             print(f"{source}: {error}", file=sys.stderr)
             return 2
-        folder = given.to / name
+        folder = arguments.to / name
         folder.mkdir(parents=True, exist_ok=True)
-        for beside in BESIDE:
-            if (source.parent / beside).exists():
-                shutil.copyfile(source.parent / beside, folder / beside)
+        for file_name in COPIED_FILES:
+            if (source.parent / file_name).exists():
+                shutil.copyfile(source.parent / file_name, folder / file_name)
         (folder / f"{name}.toml").write_text(text)
         print(folder / f"{name}.toml")
     return 0
