--- a/kelpcroft/routes/index.py
+++ b/kelpcroft/routes/index.py
@@ -48,13 +48,15 @@
     def __init__(self, routes: Sequence[PlacedRoute]) -> None:
         self.group_starts = group_run_starts(routes)  # of runs of groups with the same routes
         self.runs: list[PartRuns] = []  # of parts, for each run of groups
-        by_places: dict[tuple[int, ...], PartRuns] = {}
+        runs_by_places: dict[tuple[int, ...], PartRuns] = {}
         for group in self.group_starts:
-            here = [(place, route) for place, route in routes if in_any_range(route.match.groups, group)]
-            key = tuple([place for place, _ in here])
-            if key not in by_places:  # runs of groups with the same routes share one object
-                by_places[key] = part_runs([(place, route.match.parts) for place, route in here])
-            self.runs.append(by_places[key])
+            group_routes = [
+                (place, route) for place, route in routes if in_any_range(route.match.groups, group)
+            ]
+            key = tuple([place for place, _ in group_routes])
+            if key not in runs_by_places:  # runs of groups with the same routes share one object
+                runs_by_places[key] = part_runs([(place, route.match.parts) for place, route in group_routes])
+            self.runs.append(runs_by_places[key])
         self.is_uniform = len(self.group_starts) == 1 and len(self.runs[0].places) == 1
         self.first_place = self.runs[0].places[0]
 
@@ -86,7 +88,9 @@
     assigned cells by union-find, so that overlapping ranges hardly add to the cost.
     """
     ranges = [(place, low, high + 1) for place, parts in routes for low, high in parts or (PART_RANGE,)]
-    edges = sorted({PART_RANGE[0], PART_RANGE[1] + 1, *(e for _, low, high in ranges for e in (low, high))})
+    edges = sorted(
+        {PART_RANGE[0], PART_RANGE[1] + 1, *(edge for _, low, high in ranges for edge in (low, high))}
+    )
     cell_of_edge = {edge: cell for cell, edge in enumerate(edges)}
     place_of_cell = array("L", [NO_ROUTE]) * (len(edges) - 1)
     next_cells = list(range(len(edges)))  # for an assigned cell: a later one; for a free cell: itself
@@ -123,18 +127,18 @@
         self.request_class = request_class
         by_length: dict[int, dict[str, list[PlacedRoute]]] = {}
         for prefix, routes in by_prefix.items():
-            here = [
+            matching = [
                 (place, route)
                 for place, route in routes
                 if route.match.accepts_class(request_class)
                 and route.match.retry in (None, retry)
                 and route.match.write in (None, write)
             ]
-            if here:
-                by_length.setdefault(len(prefix), {})[prefix] = here
-        self.not_laid_out = by_length
+            if matching:
+                by_length.setdefault(len(prefix), {})[prefix] = matching
+        self.routes_without_plane = by_length
         self.planes: dict[int, dict[str, GroupPartPlane | None]] = {
-            length: dict.fromkeys(found) for length, found in sorted(by_length.items())
+            length: dict.fromkeys(prefix_routes) for length, prefix_routes in sorted(by_length.items())
         }
 
     def find(self, object_id: str, group: int, part: int) -> int:
@@ -145,7 +149,7 @@
             if prefix in planes:
                 plane = planes[prefix]
                 if plane is None:
-                    plane = GroupPartPlane(self.not_laid_out[length].pop(prefix))
+                    plane = GroupPartPlane(self.routes_without_plane[length].pop(prefix))
                     planes[prefix] = plane
                 place = plane.find(group, part)
                 if place < earliest:
@@ -202,6 +206,6 @@
     group_edges.add(GROUP_RANGE[0])
     cells = 0
     for route in routes:
-        groups = sum(high - low + 1 for low, high in route.match.groups) or len(group_edges)
-        cells += max(1, len(route.match.parts)) * min(len(group_edges), groups)
+        group_count = sum(high - low + 1 for low, high in route.match.groups) or len(group_edges)
+        cells += max(1, len(route.match.parts)) * min(len(group_edges), group_count)
     return cells
--- a/kelpcroft/routes/sketch.py
+++ b/kelpcroft/routes/sketch.py
@@ -31,8 +31,8 @@
 class CachedQuantile:
     """A quantile, and the time at which it was computed."""
 
-    def __init__(self, worked_out_ns: int, latency_ns: int) -> None:
-        self.worked_out_ns = worked_out_ns
+    def __init__(self, computed_ns: int, latency_ns: int) -> None:
+        self.computed_ns = computed_ns
         self.latency_ns = latency_ns
 
 
@@ -56,23 +56,23 @@
             weight = 1.0
         return weight
 
-    def record(self, now: int, took_ns: int) -> None:
+    def record(self, now: int, latency_ns: int) -> None:
         """Add the latency of a response, or of an abandoned attempt, which would have taken even longer."""
         weight = self.sample_weight(now)
-        bucket = min(BUCKETS - 1, bisect_left(BUCKET_EDGES_NS, took_ns))
+        bucket = min(BUCKETS - 1, bisect_left(BUCKET_EDGES_NS, latency_ns))
         self.weights[bucket] += weight
         self.total_weight += weight
 
     def quantile(self, now: int, share: float) -> int:
         """The latency in ns that this share (0 to 1) of recent samples does not exceed; 0 = too few."""
         cached = self.cached.get(share)
-        if cached is not None and now - cached.worked_out_ns < CACHE_NS:
+        if cached is not None and now - cached.computed_ns < CACHE_NS:
             return cached.latency_ns
-        latency_ns = self.work_out_quantile(now, share)
+        latency_ns = self.compute_quantile(now, share)
         self.cached[share] = CachedQuantile(now, latency_ns)
         return latency_ns
 
-    def work_out_quantile(self, now: int, share: float) -> int:
+    def compute_quantile(self, now: int, share: float) -> int:
         """Compute ``quantile`` from the buckets."""
         weight = self.sample_weight(now)  # may scale the total down
         samples = self.total_weight / weight
@@ -80,10 +80,10 @@
             return 0
         if samples * (1 - share) < MIN_TAIL_SAMPLES and samples < MANY_SAMPLES:
             return 0
-        left = share * self.total_weight
+        remaining_weight = share * self.total_weight
         for bucket, bucket_weight in enumerate(self.weights):
-            left -= bucket_weight
-            if left <= 0 and bucket_weight:
+            remaining_weight -= bucket_weight
+            if remaining_weight <= 0 and bucket_weight:
                 return bucket_middle_ns(bucket)
         return MAX_LATENCY_NS
 
--- a/kelpcroft/routes/table.py
+++ b/kelpcroft/routes/table.py
@@ -13,9 +13,9 @@
 from kelpcroft.routes.sketch import LatencySketch
 
 OUTCOMES: Final = {"error": Outcome.ERROR, "reset": Outcome.RESET, "timeout": Outcome.TIMEOUT}
-NO_REROUTE_BOUND: Final = -1  # RouteRetryPolicy.max_reroutes without a limit
+NO_REROUTE_LIMIT: Final = -1  # RouteRetryPolicy.max_reroutes without a limit
 # Attempts for which waits are drawn, if a route states no number of attempts.
-DEFAULT_ATTEMPTS_WITH_A_BACKOFF: Final = 3
+DEFAULT_BACKOFF_ATTEMPTS: Final = 3
 
 
 class RouteState:
@@ -34,7 +34,7 @@
         self.name = route.name
         self.sketch: LatencySketch | None = None
         self.open_requests = 0
-        self.taken = 0
+        self.matched = 0
         self.rejected = 0
         self.configure(route, budgets)
 
@@ -48,20 +48,20 @@
         self.policy = policy
         self.retry_budget = budgets.get(policy.retry_budget or "")
         self.hedge_budget = budgets.get(hedging.budget or "") if hedging else None
-        self.learns = asks_quantile(attempt_timeout) or asks_quantile(hedge_delay)
+        self.needs_latencies = is_quantile(attempt_timeout) or is_quantile(hedge_delay)
         self.base_policy = api.RouteRetryPolicy(
             attempt_timeout_ns=attempt_timeout.ns if attempt_timeout else 0,
             max_attempts=policy.max_attempts or 0,
             retry_on=None
             if policy.retry_on is None
             else frozenset(OUTCOMES[name] for name in policy.retry_on),
-            max_reroutes=NO_REROUTE_BOUND if policy.max_reroutes is None else policy.max_reroutes,
+            max_reroutes=NO_REROUTE_LIMIT if policy.max_reroutes is None else policy.max_reroutes,
             max_hedges=max_hedges,
             retry_after_ns=policy.retry_after_ns or 0,
             has_retry_budget=self.retry_budget is not None,
         )
-        whole_patience = policy.answer_timeout is None or policy.answer_timeout.share >= 1
-        self.is_fixed = whole_patience and not policy.backoff and not asks_quantile(attempt_timeout)
+        allows_full_time = policy.answer_timeout is None or policy.answer_timeout.share >= 1
+        self.is_fixed = allows_full_time and not policy.backoff and not is_quantile(attempt_timeout)
 
     def is_full(self) -> bool:
         """Whether the limit of open requests is reached."""
@@ -82,11 +82,11 @@
         """
         if not duration.quantile:
             return duration.ns
-        found = self.sketch.quantile(now, duration.quantile) if self.sketch else 0
-        if not found:
+        latency_ns = self.sketch.quantile(now, duration.quantile) if self.sketch else 0
+        if not latency_ns:
             return duration.max_ns
-        found = max(found, duration.min_ns)
-        return min(found, duration.max_ns) if duration.max_ns else found
+        latency_ns = max(latency_ns, duration.min_ns)
+        return min(latency_ns, duration.max_ns) if duration.max_ns else latency_ns
 
     def attempt_timeout_ns(self, now: int) -> int:
         """The attempt timeout; 0 = no limit."""
@@ -107,7 +107,7 @@
         return max(0, min(remaining_ns, from_send_ns - elapsed_ns))
 
 
-def asks_quantile(duration: AdaptiveDuration | None) -> bool:
+def is_quantile(duration: AdaptiveDuration | None) -> bool:
     """Whether a duration is a quantile of recent latencies."""
     return duration is not None and duration.quantile > 0
 
@@ -142,7 +142,7 @@
         # The request keeps these budgets even if a reload of the file gives its route others.
         self.retry_budget = route.retry_budget
         self.hedge_budget = route.hedge_budget
-        self.records_latency = route.learns
+        self.records_latency = route.needs_latencies
 
     def can_retry(self, now: int) -> bool:
         """Whether the budget allows a further attempt."""
@@ -160,17 +160,17 @@
         """Charge a hedge to the budget; False if the budget does not allow it."""
         return self.hedge_budget is None or self.hedge_budget.spend(now)
 
-    def record_latency(self, now: int, took_ns: int) -> None:
+    def record_latency(self, now: int, latency_ns: int) -> None:
         """Record that a response was received, or an attempt abandoned, after ``took_ns``.
 
         Abandoned attempts count too: without them, an attempt timeout that is a quantile would decrease with
         each attempt that it ends.
         """
         route = self.route
-        if route.learns:  # a reload of the file may have changed this
+        if route.needs_latencies:  # a reload of the file may have changed this
             if route.sketch is None:
                 route.sketch = LatencySketch(now)
-            route.sketch.record(now, took_ns)
+            route.sketch.record(now, latency_ns)
 
     def release(self) -> None:
         """End the request: it no longer counts as open."""
@@ -190,11 +190,11 @@
 
     def replace(self, file: OperatorFile, now: int) -> None:
         """Apply another file.  Routes and budgets whose name remains keep their state."""
-        self.budgets = self.next_budgets(file, now)
-        known = {state.name: state for state in self.routes}
+        self.budgets = self.budgets_for(file, now)
+        old_states = {state.name: state for state in self.routes}
         self.routes = []
         for route in file.routes:
-            state = known.get(route.name)
+            state = old_states.get(route.name)
             if state:
                 state.configure(route, self.budgets)
             else:
@@ -202,7 +202,7 @@
             self.routes.append(state)
         self.index = RouteIndex(file.routes, self.zone)
 
-    def next_budgets(self, file: OperatorFile, now: int) -> dict[str, RetryBudget]:
+    def budgets_for(self, file: OperatorFile, now: int) -> dict[str, RetryBudget]:
         """The budgets of another file by name: present ones with new settings, and new ones."""
         budgets: dict[str, RetryBudget] = {}
         for settings in file.budgets:
@@ -246,7 +246,7 @@
             return None
         route = self.routes[place]
         is_full = route.is_full()
-        route.taken += 1
+        route.matched += 1
         route.open_requests += 1
         if is_full:
             route.rejected += 1
@@ -254,9 +254,11 @@
         route.earn(now)
         if route.is_fixed:
             return RequestAllowance(route, route.base_policy, remaining_ns, route.hedge_delay_ns(now))
-        return self.allow(now, route, remaining_ns, elapsed_ns)
+        return self.compute_allowance(now, route, remaining_ns, elapsed_ns)
 
-    def allow(self, now: int, route: RouteState, remaining_ns: int, elapsed_ns: int) -> RequestAllowance:
+    def compute_allowance(
+        self, now: int, route: RouteState, remaining_ns: int, elapsed_ns: int
+    ) -> RequestAllowance:
         """The allowance from a route whose policy depends on time, the remaining time or randomness."""
         attempt_timeout_ns = route.attempt_timeout_ns(now)
         answer_timeout_ns = route.answer_timeout_ns(remaining_ns, elapsed_ns)
@@ -280,9 +282,9 @@
     def draw_backoff(self, backoff: Backoff, max_attempts: int | None) -> tuple[int, ...]:
         """Draw the waits before each further attempt of one request, in ns."""
         backoff_ns = []
-        for retry in range((max_attempts or DEFAULT_ATTEMPTS_WITH_A_BACKOFF) - 1):
-            longest_ns = backoff.step_ns(retry)
-            backoff_ns.append(self.random.randint(0, longest_ns) if backoff.full_jitter else longest_ns)
+        for retry in range((max_attempts or DEFAULT_BACKOFF_ATTEMPTS) - 1):
+            max_wait_ns = backoff.step_ns(retry)
+            backoff_ns.append(self.random.randint(0, max_wait_ns) if backoff.full_jitter else max_wait_ns)
         return tuple(backoff_ns)
 
     def counters(self) -> list[tuple[str, dict[str, int]]]:
@@ -290,14 +292,14 @@
         rows = [
             (
                 f"route {route.name}",
-                {"taken": route.taken, "open": route.open_requests, "crowded": route.rejected},
+                {"taken": route.matched, "open": route.open_requests, "crowded": route.rejected},
             )
             for route in self.routes
-            if route.taken
+            if route.matched
         ]
         return rows + [
-            (f"budget {name}", {"left": int(b.tokens), "taken": b.spent, "denied": b.denied})
-            for name, b in self.budgets.items()
+            (f"budget {name}", {"left": int(budget.tokens), "taken": budget.spent, "denied": budget.denied})
+            for name, budget in self.budgets.items()
         ]
 
 
--- a/tests/operator_file/test_operator_faulty.py
+++ b/tests/operator_file/test_operator_faulty.py
@@ -20,7 +20,7 @@
 from kelpcroft.operator_file.text import MAX_FILE_BYTES
 from tests.support.exchange_player import EXAMPLE
 
-HERE = Path(__file__).parent.parent
+TESTS = Path(__file__).parent.parent
 # Keys of a configuration's limits, as the files of tests/faulty name them, and the fields that hold them.
 LIMIT_FIELDS = {"second_copies": "may_hedge", "retry_after": "may_send_retry_after"}
 HEAD = "kelpcroft version=1\n"
@@ -30,37 +30,42 @@
 )  # once took minutes to check
 
 
-def judged(data: bytes, settings: api.Settings) -> tuple[OperatorFile, list[Diagnostic]]:
-    file, faults = load(data)
-    return file, faults or check(file, settings)
+def load_and_check(data: bytes, settings: api.Settings) -> tuple[OperatorFile, list[Diagnostic]]:
+    file, diagnostics = load(data)
+    return file, diagnostics or check(file, settings)
 
 
 class Faulty(unittest.TestCase):
     def test_each_is_refused_for_its_reason(self) -> None:
         settings = parse_config(EXAMPLE, {}).settings
-        files = sorted((HERE / "faulty").glob("*.kdl"))
+        files = sorted((TESTS / "faulty").glob("*.kdl"))
         assert len(files) >= 60
         for path in files:
             data = path.read_bytes()
-            head = [line.decode() for line in data.split(b"\n") if line.startswith((b"//!", b"//@"))]
-            due = sorted((int(a), b, c) for a, b, c in (x[4:].split(" ", 2) for x in head if x[2] == "!"))
-            limits = {LIMIT_FIELDS[x[4:].split("=")[0]]: False for x in head if x[2] == "@"}
+            header = [line.decode() for line in data.split(b"\n") if line.startswith((b"//!", b"//@"))]
+            expected = sorted(
+                (int(a), b, c) for a, b, c in (x[4:].split(" ", 2) for x in header if x[2] == "!")
+            )
+            limits = {LIMIT_FIELDS[x[4:].split("=")[0]]: False for x in header if x[2] == "@"}
             with self.subTest(file=path.name):
-                here = replace(settings, limits=replace(settings.limits, **limits))
-                _, faults = judged(data, here)
-                found = sorted((f.position.line, f.code, f.message) for f in faults)
-                assert [x[:2] for x in found] == [x[:2] for x in due], found
-                for (_, _, reason), (_, _, words) in zip(found, due, strict=True):
-                    assert words in reason
-                for fault in faults:
-                    assert fault.position.column > 0
-                    assert fault.format_for("f").count("\n") == 0
+                deployment = replace(settings, limits=replace(settings.limits, **limits))
+                _, diagnostics = load_and_check(data, deployment)
+                found = sorted(
+                    (diagnostic.position.line, diagnostic.code, diagnostic.message)
+                    for diagnostic in diagnostics
+                )
+                assert [x[:2] for x in found] == [x[:2] for x in expected], found
+                for (_, _, message), (_, _, expected_words) in zip(found, expected, strict=True):
+                    assert expected_words in message
+                for diagnostic in diagnostics:
+                    assert diagnostic.position.column > 0
+                    assert diagnostic.format_for("f").count("\n") == 0
 
     def test_valid_files_are_used(self) -> None:
         settings = parse_config(EXAMPLE, {}).settings
-        for path in sorted((HERE / "valid").glob("*.kdl")):
+        for path in sorted((TESTS / "valid").glob("*.kdl")):
             with self.subTest(file=path.name):
-                assert judged(path.read_bytes(), settings)[1] == []
+                assert load_and_check(path.read_bytes(), settings)[1] == []
 
     def test_large_and_deep_files_are_refused(self) -> None:
         """The parser took hundreds of MB for such files; the locator rejects them before they are parsed."""
@@ -76,9 +81,9 @@
             ((HEAD + "a " + "#" * 200_000).encode(), "not-kdl"),
         ):
             with self.subTest(code=code):
-                faults = load(data)[1]
-                assert code in {f.code for f in faults}
-                assert len(faults) <= 1000
+                diagnostics = load(data)[1]
+                assert code in {diagnostic.code for diagnostic in diagnostics}
+                assert len(diagnostics) <= 1000
 
     def test_no_file_takes_much_memory(self) -> None:
         """The largest accepted file, in a process whose memory may grow by 64 MB over its start."""
@@ -91,17 +96,17 @@
             "after = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss\n"
             "print(len(file.routes), len(faults), after - before)"
         )
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-c", code],
             input=text.encode(),
             capture_output=True,
             check=True,
-            cwd=HERE.parent,
+            cwd=TESTS.parent,
         )
-        count, faults, grown = map(int, done.stdout.split())
-        assert (count, faults) == (routes, 0), done.stderr
+        count, diagnostics, growth = map(int, process.stdout.split())
+        assert (count, diagnostics) == (routes, 0), process.stderr
         unit = 1 if sys.platform == "darwin" else 1024
-        assert grown * unit < 64 << 20
+        assert growth * unit < 64 << 20
 
 
 if __name__ == "__main__":
--- a/tests/support/route_strategies.py
+++ b/tests/support/route_strategies.py
@@ -12,12 +12,12 @@
 )
 
 
-def maybe(strategy: st.SearchStrategy[Any]) -> st.SearchStrategy[Any]:
+def optional(strategy: st.SearchStrategy[Any]) -> st.SearchStrategy[Any]:
     return st.none() | strategy
 
 
-def ranges(most: int) -> st.SearchStrategy[Any]:
-    pair = st.tuples(st.integers(0, most), st.integers(0, most)).map(lambda p: (min(p), max(p)))
+def ranges(maximum: int) -> st.SearchStrategy[Any]:
+    pair = st.tuples(st.integers(0, maximum), st.integers(0, maximum)).map(lambda p: (min(p), max(p)))
     return st.lists(pair, max_size=3).map(tuple)
 
 
@@ -28,9 +28,9 @@
     objects=st.lists(st.text("0123456789abcdef", min_size=1, max_size=16), max_size=3).map(tuple),
     parts=ranges(9_999),
     zones=st.just(()),
-    retry=maybe(st.booleans()),
-    write=maybe(st.booleans()),
+    retry=optional(st.booleans()),
+    write=optional(st.booleans()),
     effects=st.lists(st.sampled_from(EFFECT_NAMES), max_size=2).map(tuple),
-    uncacheable=maybe(st.booleans()),
-    multipart=maybe(st.booleans()),
+    uncacheable=optional(st.booleans()),
+    multipart=optional(st.booleans()),
 )
