--- a/kelpcroft/core/control_requests.py
+++ b/kelpcroft/core/control_requests.py
@@ -4,7 +4,7 @@
 
 from kelpcroft.core.effects import ControlResponse, DrainClients, PersistServiceState
 from kelpcroft.core.endpoint_list import EndpointList
-from kelpcroft.core.inputs import ControlRequest, ControlVerb
+from kelpcroft.core.inputs import ControlOperation, ControlRequest
 from kelpcroft.core.process_status import ProcessStatus
 from kelpcroft.core.state import MS, SECOND, State
 from kelpcroft.invariants import violations
@@ -21,19 +21,21 @@
 
     def on_request(self, request: ControlRequest) -> None:
         """Carry out a control request and send its response."""
-        if request.verb is ControlVerb.OUT_OF_SERVICE:
+        if request.operation is ControlOperation.OUT_OF_SERVICE:
             self.drain()
-        elif request.verb is ControlVerb.IN_SERVICE:
+        elif request.operation is ControlOperation.IN_SERVICE:
             self.resume()
         reason = self.process.not_ready_reason(self.endpoint_list.has_list)
-        if request.verb is ControlVerb.STATE:
-            self.state.effects.append(ControlResponse(request.caller, True, self.process_state(reason)))
+        if request.operation is ControlOperation.STATE:
+            self.state.effects.append(
+                ControlResponse(request.control_client, True, self.process_state(reason))
+            )
             return
         fields: dict[str, object] = {"ready": not reason, "service": self.process.service_state.mode.value}
         if reason:
             fields["why"] = reason
-        is_ok = request.verb is not ControlVerb.READY or not reason
-        self.state.effects.append(ControlResponse(request.caller, is_ok, fields))
+        is_ok = request.operation is not ControlOperation.READY or not reason
+        self.state.effects.append(ControlResponse(request.control_client, is_ok, fields))
 
     def drain(self) -> None:
         """Go out of service: close each client's connection once no response is pending on it.
--- a/kelpcroft/core/descriptors.py
+++ b/kelpcroft/core/descriptors.py
@@ -30,7 +30,7 @@
 
     clients: int
     draining_clients: int
-    control_callers: int
+    control_clients: int
     servers: int
 
 
--- a/kelpcroft/core/effects.py
+++ b/kelpcroft/core/effects.py
@@ -145,7 +145,7 @@
 
 
 @message
-class PollFeed:
+class SendWatchRequest:
     """Send the feed a watch request for the events after a given event.
 
     Attributes:
@@ -192,9 +192,15 @@
 
 @message
 class ControlResponse:
-    """Response to a control request: success or not, and the fields of its JSON body."""
+    """Response to a control request.
 
-    caller: int
+    Attributes:
+        control_client: Number of the control client's connection.
+        ok: Whether the request succeeded.
+        fields: The fields of the JSON body.
+    """
+
+    control_client: int
     ok: bool
     fields: dict[str, object]
 
@@ -244,7 +250,7 @@
     | CancelAttempt
     | SendHealthCheck
     | CloseServerConnection
-    | PollFeed
+    | SendWatchRequest
     | SwitchFeed
     | ScheduleTimer
     | LogEvent
--- a/kelpcroft/core/feed_position.py
+++ b/kelpcroft/core/feed_position.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from kelpcroft.core.effects import PollFeed
+from kelpcroft.core.effects import SendWatchRequest
 from kelpcroft.core.inputs import WatchResponse
 from kelpcroft.core.messages import TimerKind
 from kelpcroft.core.state import MS, State
@@ -71,11 +71,11 @@
     def poll_feed(self, wait_ms: int, response_timeout_ns: int) -> None:
         """Send one watch request, from the subscription's position or after the last event."""
         if self.subscription is None:
-            self.state.effects.append(PollFeed(self.last_event, wait_ms, response_timeout_ns))
+            self.state.effects.append(SendWatchRequest(self.last_event, wait_ms, response_timeout_ns))
             return
         position = self.subscription.requested_position()
         self.state.effects.append(
-            PollFeed(position.event_number, wait_ms, response_timeout_ns, position.fingerprint)
+            SendWatchRequest(position.event_number, wait_ms, response_timeout_ns, position.fingerprint)
         )
 
     def timeouts(self) -> WatchTimeouts:
--- a/kelpcroft/core/inputs.py
+++ b/kelpcroft/core/inputs.py
@@ -256,7 +256,7 @@
     """Clients can connect."""
 
 
-class ControlVerb(Enum):
+class ControlOperation(Enum):
     """The operation of a control request.  The values are on the wire of the control address."""
 
     READY = "ready"  # reports whether this process accepts clients
@@ -267,10 +267,15 @@
 
 @message
 class ControlRequest:
-    """A request on the control address; ``caller`` is the number of the control client's connection."""
+    """A request on the control address.
 
-    caller: int
-    verb: ControlVerb
+    Attributes:
+        control_client: Number of the control client's connection.
+        operation: The requested operation.
+    """
+
+    control_client: int
+    operation: ControlOperation
 
 
 @message
--- a/kelpcroft/net/client_acceptor.py
+++ b/kelpcroft/net/client_acceptor.py
@@ -8,7 +8,13 @@
 from kelpcroft.core import effects, inputs
 from kelpcroft.net.client_connections import ClientConnection, ClientConnections
 from kelpcroft.net.listeners import LISTEN_QUEUE_LENGTH, Listener, bind_listener, listening_address
-from kelpcroft.net.transport import MAX_ACCEPTS_PER_TURN, OUT_OF_DESCRIPTORS, READABLE, SECOND, Transport
+from kelpcroft.net.transport import (
+    MAX_ACCEPTS_PER_ITERATION,
+    OUT_OF_DESCRIPTORS_ERRORS,
+    READABLE,
+    SECOND,
+    Transport,
+)
 
 # A client that connected or sent a message within this time is not evicted for a new one.
 EVICTION_GRACE_NS: Final = SECOND // 10
@@ -38,9 +44,9 @@
 
     def accept(self) -> bool:
         """Accepts waiting clients, a limited number at once; returns whether more may be waiting."""
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if len(self.clients.open) >= self.clients.max_open and not self.evict_idle_client():
-                self.listener.set_listening(False)
+                self.listener.set_registered(False)
                 return False
             try:
                 sock = self.listener.accept()
@@ -59,12 +65,12 @@
 
     def _recover_from_failed_accept(self, error: OSError) -> bool:
         """Handles a failed accept; returns whether to try the next client."""
-        is_out_of_descriptors = error.errno in OUT_OF_DESCRIPTORS
+        is_out_of_descriptors = error.errno in OUT_OF_DESCRIPTORS_ERRORS
         if is_out_of_descriptors and self.free_descriptor():
             return True
         self.listener.log_failed_accept("accept", error)
         if is_out_of_descriptors:
-            self.listener.set_listening(False)
+            self.listener.set_registered(False)
             return False
         return True  # the failed connection has left the accept queue
 
@@ -77,7 +83,7 @@
         if self.listener.sock is None:
             return
         if self.transport.config.inherited_listener_fd is None:
-            for _ in range(LISTEN_QUEUE_LENGTH // MAX_ACCEPTS_PER_TURN):
+            for _ in range(LISTEN_QUEUE_LENGTH // MAX_ACCEPTS_PER_ITERATION):
                 if not self.accept():
                     break
         self.listener.close()
--- a/kelpcroft/net/client_connections.py
+++ b/kelpcroft/net/client_connections.py
@@ -90,7 +90,7 @@
         self.max_open = max_open
         self.open: dict[int, ClientConnection] = {}
         self.lingering = LingeringClients(self, max_closing)
-        self.with_pending: dict[ClientConnection, None] = {}  # clients with pending messages
+        self.clients_with_pending: dict[ClientConnection, None] = {}  # clients with pending messages
         # Closes that the reducer has requested, each with its reason.
         self.requested_closes: list[tuple[ClientConnection, str]] = []
         self.is_draining = False  # each connection is closed once no response is due on it
@@ -153,7 +153,7 @@
                     self.transport.handle_input(message)
             else:
                 connection.pending_messages.append((now, message))
-                self.with_pending[connection] = None
+                self.clients_with_pending[connection] = None
 
     def dispatch_pending(self, client: ClientConnection) -> None:
         """Passes a client's pending messages to the reducer, in the order in which they were sent.
@@ -171,7 +171,7 @@
                 )
             self.transport.handle_input(message)
         client.pending_messages.clear()
-        self.with_pending.pop(client, None)
+        self.clients_with_pending.pop(client, None)
 
     def malformed_input(self, connection: ClientConnection, reason: str) -> None:
         """Closes a connection after malformed input; responses already sent still arrive."""
@@ -203,9 +203,9 @@
             return
         client.is_closing = True
         client.closing_since_ns = self.transport.clock.now()
-        self.with_pending.pop(client, None)
+        self.clients_with_pending.pop(client, None)
         del self.open[client.number]
-        self.listener.set_listening(True)
+        self.listener.set_registered(True)
         self._log_loss(client, reason)
         self.lingering.add(client)
         self.lingering.end_output(client)
@@ -263,12 +263,12 @@
     def close(self, connection: ClientConnection) -> None:
         """Closes the socket of an open or closing connection immediately."""
         self.transport.close(connection)
-        self.with_pending.pop(connection, None)
+        self.clients_with_pending.pop(connection, None)
         connection.pending_messages.clear()
         self.open.pop(connection.number, None)
         self.lingering.clients.pop(connection.number, None)
         if len(self.open) < self.max_open:
-            self.listener.set_listening(True)
+            self.listener.set_registered(True)
 
     # Sweep ------------------------------------------------------------------------------------------------
 
--- a/kelpcroft/net/connector.py
+++ b/kelpcroft/net/connector.py
@@ -7,7 +7,7 @@
 
 from kelpcroft.config import Address
 from kelpcroft.net.client_acceptor import ClientAcceptor
-from kelpcroft.net.transport import OUT_OF_DESCRIPTORS
+from kelpcroft.net.transport import OUT_OF_DESCRIPTORS_ERRORS
 
 
 class Connector:
@@ -29,7 +29,7 @@
         try:
             sock = socket.socket(family, socket.SOCK_STREAM)
         except OSError as error:
-            if error.errno not in OUT_OF_DESCRIPTORS or not self.acceptor.free_descriptor():
+            if error.errno not in OUT_OF_DESCRIPTORS_ERRORS or not self.acceptor.free_descriptor():
                 raise
             sock = socket.socket(family, socket.SOCK_STREAM)
         sock.setblocking(False)
--- a/kelpcroft/net/control_codec.py
+++ b/kelpcroft/net/control_codec.py
@@ -21,7 +21,7 @@
 import httptools
 import orjson
 
-from kelpcroft.core.inputs import ControlVerb
+from kelpcroft.core.inputs import ControlOperation
 
 MAX_HEAD_BYTES: Final = 4_096  # size of the request line and the headers together
 MAX_BODY_BYTES: Final = 1_024  # size of a body, which is ignored
@@ -33,14 +33,14 @@
     """The control request that one path stands for, and its method."""
 
     method: bytes
-    kind: ControlVerb
+    kind: ControlOperation
 
 
 CONTROL_TARGETS = {
-    b"/control/ready": ControlTarget(b"GET", ControlVerb.READY),
-    b"/control/state": ControlTarget(b"GET", ControlVerb.STATE),
-    b"/control/out-of-service": ControlTarget(b"PUT", ControlVerb.OUT_OF_SERVICE),
-    b"/control/in-service": ControlTarget(b"PUT", ControlVerb.IN_SERVICE),
+    b"/control/ready": ControlTarget(b"GET", ControlOperation.READY),
+    b"/control/state": ControlTarget(b"GET", ControlOperation.STATE),
+    b"/control/out-of-service": ControlTarget(b"PUT", ControlOperation.OUT_OF_SERVICE),
+    b"/control/in-service": ControlTarget(b"PUT", ControlOperation.IN_SERVICE),
 }
 
 
@@ -98,7 +98,7 @@
         self.exceeded_limit = status
         raise _LimitExceededError
 
-    def receive_data(self, data: bytes | memoryview) -> ControlVerb | bytes | None:
+    def receive_data(self, data: bytes | memoryview) -> ControlOperation | bytes | None:
         """Decodes bytes of the request.
 
         Each byte of the head is counted before the parser can store it.
@@ -127,7 +127,7 @@
         self.head_bytes += head_bytes
         return None
 
-    def _parse(self, data: bytes) -> ControlVerb | bytes | None:
+    def _parse(self, data: bytes) -> ControlOperation | bytes | None:
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -146,7 +146,7 @@
             )
         return _encode_error(HTTPStatus.BAD_REQUEST, f"not HTTP/1.1: {error}"[:MAX_ERROR_CHARS])
 
-    def _find_request(self) -> ControlVerb | bytes:
+    def _find_request(self) -> ControlOperation | bytes:
         """Returns the control request that the complete request stands for, or an error response."""
         try:
             path = httptools.parse_url(self.url).path
@@ -155,7 +155,7 @@
         targets = {
             known_path: known_target
             for known_path, known_target in CONTROL_TARGETS.items()
-            if self.serves_state or known_target.kind is not ControlVerb.STATE
+            if self.serves_state or known_target.kind is not ControlOperation.STATE
         }
         target = targets.get(path.rstrip(b"/") if len(path) > 1 else path)
         if target is None:
@@ -181,7 +181,7 @@
         return self.head_bytes > 0 and not self.is_done
 
 
-def reply(ok: bool, fields: Mapping[str, object], omits_body: bool = False) -> bytes:
+def encode_control_response(ok: bool, fields: Mapping[str, object], omits_body: bool = False) -> bytes:
     """Encodes the response to a control request that the reducer handled: 200, or 503 if not ``ok``."""
     status = HTTPStatus.OK if ok else HTTPStatus.SERVICE_UNAVAILABLE
     return _encode_response(status, fields, omits_body=omits_body)
--- a/kelpcroft/net/control_endpoint.py
+++ b/kelpcroft/net/control_endpoint.py
@@ -12,8 +12,8 @@
 from kelpcroft.net.listeners import Listener, bind_listener, listening_address
 from kelpcroft.net.memory import peak_kb
 from kelpcroft.net.transport import (
-    MAX_ACCEPTS_PER_TURN,
-    OUT_OF_DESCRIPTORS,
+    MAX_ACCEPTS_PER_ITERATION,
+    OUT_OF_DESCRIPTORS_ERRORS,
     READABLE,
     SECOND,
     Connection,
@@ -45,7 +45,7 @@
         self.acceptor = acceptor
         self.max_connections = max_connections
         self.listener = Listener(transport)
-        self.callers: dict[int, ControlConnection] = {}
+        self.connections: dict[int, ControlConnection] = {}
         self.serves_state = False  # GET /control/state is enabled
         self.has_sent_identity = False
 
@@ -62,22 +62,22 @@
 
     def accept(self) -> None:
         """Accepts waiting connections; at their limit a new one replaces the oldest one."""
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock = self.listener.accept()
             except BlockingIOError:
                 return
             except OSError as error:
                 self.listener.log_failed_accept("control accept", error)
-                if error.errno in OUT_OF_DESCRIPTORS and not self._free_descriptor():
-                    self.listener.set_listening(False)
+                if error.errno in OUT_OF_DESCRIPTORS_ERRORS and not self._free_descriptor():
+                    self.listener.set_registered(False)
                     return
                 continue
-            if len(self.callers) >= self.max_connections:
+            if len(self.connections) >= self.max_connections:
                 self._close_oldest()
             number = self.transport.next_number()
             connection = ControlConnection(self, number, sock, self.transport.clock.now())
-            self.callers[number] = connection
+            self.connections[number] = connection
             self.transport.set_interest(connection, READABLE)
 
     def _free_descriptor(self) -> bool:
@@ -85,25 +85,27 @@
 
         The oldest would be closed after ``CONTROL_CLIENT_TIMEOUT_NS`` in any case; it is closed now.
         """
-        if self.callers:
+        if self.connections:
             self._close_oldest()
             return True
         return self.acceptor.free_descriptor()
 
     def _close_oldest(self) -> None:
-        self.close(min(self.callers.values(), key=_opened_ns))
+        self.close(min(self.connections.values(), key=_opened_ns))
 
     # Effects ----------------------------------------------------------------------------------------------
 
     def respond(self, effect: effects.ControlResponse) -> None:
         """Sends the response to a control request that the reducer handled."""
-        connection = self.callers.get(effect.caller)
+        connection = self.connections.get(effect.control_client)
         if connection is None:
             return
         fields = effect.fields
         if "instance" in fields:  # the response to GET /control/state
             fields = {**fields, "memory_kb": peak_kb()}
-        self._send_response(connection, control_codec.reply(effect.ok, fields, connection.codec.omits_body))
+        self._send_response(
+            connection, control_codec.encode_control_response(effect.ok, fields, connection.codec.omits_body)
+        )
 
     def set_state_endpoint(self, effect: effects.SetStateEndpoint) -> None:
         """Enables or disables GET /control/state.
@@ -137,7 +139,7 @@
             self.close(connection)
         elif not connection.ignores_input:
             result = connection.codec.receive_data(data)
-            if isinstance(result, inputs.ControlVerb):
+            if isinstance(result, inputs.ControlOperation):
                 connection.ignores_input = True
                 self.transport.handle_input(inputs.ControlRequest(connection.number, result))
             elif result is not None:
@@ -163,12 +165,12 @@
     def close(self, connection: ControlConnection) -> None:
         """Closes a connection."""
         self.transport.close(connection)
-        self.callers.pop(connection.number, None)
+        self.connections.pop(connection.number, None)
 
     def sweep(self, now: int) -> None:
         """Closes connections that have been open for longer than ``CONTROL_CLIENT_TIMEOUT_NS``."""
         for connection in [
-            other for other in self.callers.values() if now - other.opened_ns > CONTROL_CLIENT_TIMEOUT_NS
+            other for other in self.connections.values() if now - other.opened_ns > CONTROL_CLIENT_TIMEOUT_NS
         ]:
             self.close(connection)
 
--- a/kelpcroft/net/control_replica_server.py
+++ b/kelpcroft/net/control_replica_server.py
@@ -30,7 +30,7 @@
 from kelpcroft.net.clock import Clock
 from kelpcroft.net.control_replica_upstream import UpstreamClient
 from kelpcroft.net.control_replica_watchers import WatcherConnections
-from kelpcroft.net.watch_codec import EventsRequest, StateRequest, encode_refusal, encode_response
+from kelpcroft.net.watch_codec import EventsRequest, StateRequest, encode_rejection, encode_response
 
 MS = 1_000_000
 SECOND = 1_000 * MS
@@ -145,7 +145,7 @@
                     self._response_bytes += len(body)
                     self._watchers.write(watcher_id, encode_response(body))
                 case RefuseWatcher(watcher_id, reason, retry_after_s):
-                    self._watchers.write(watcher_id, encode_refusal(reason, retry_after_s))
+                    self._watchers.write(watcher_id, encode_rejection(reason, retry_after_s))
                 case CallUpstream():
                     self._upstream.schedule(effect)
                 case WriteLogEvent(event, text, fields, level):
--- a/kelpcroft/net/control_replica_upstream.py
+++ b/kelpcroft/net/control_replica_upstream.py
@@ -13,7 +13,7 @@
 from kelpcroft.control_log.upstream import UPSTREAM_WAIT_NS
 from kelpcroft.control_log.upstream_selection import Address
 from kelpcroft.net.clock import Clock
-from kelpcroft.net.feed_codec import MAX_SNAPSHOT_BYTES, FeedError, encode_poll
+from kelpcroft.net.feed_codec import MAX_SNAPSHOT_BYTES, FeedError, encode_watch_request
 from kelpcroft.net.upstream_codec import UpstreamCodec
 
 MS = 1_000_000
@@ -118,7 +118,7 @@
             connection = self._connect(request.address, now)
             self._connection = connection
         fingerprint = request.position.fingerprint if request.address in self._peers else None
-        connection.unwritten += encode_poll(
+        connection.unwritten += encode_watch_request(
             request.address, request.position.event_number, request.wait_ns // MS, fingerprint
         )
         connection.awaits_response = True
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -35,9 +35,9 @@
 
 MAX_WAIT_S: Final = 1.0  # maximum time that one iteration waits for the selector
 # In each iteration, new requests are dispatched for at most this long after the selector returned.
-CLIENT_REQUESTS_TURN_NS: Final = 20_000_000
+MAX_DISPATCH_NS: Final = 20_000_000
 # In a long iteration, queued output is written and disconnects are read at this interval.
-LONG_TURN_FLUSH_INTERVAL_NS: Final = 25_000_000
+LONG_ITERATION_FLUSH_INTERVAL_NS: Final = 25_000_000
 # A client with at least this many pending messages is not read for a disconnect.
 MAX_PENDING_MESSAGES: Final = 64
 SWEEP_INTERVAL_NS: Final = SECOND // 10  # between sweeps for silent, idle, stalled and stuck connections
@@ -102,7 +102,7 @@
         connector = Connector(self.acceptor)
         self.servers = ServerConnections(self.transport, connector)
         self.feed = FeedClient(self.transport, connector)
-        self.control = ControlEndpoint(self.transport, self.acceptor, budget.control_callers)
+        self.control = ControlEndpoint(self.transport, self.acceptor, budget.control_clients)
         self.predecessor = PredecessorFiles(self.transport)
         self.signals = Signals(self.transport, read_config, rules)
         self.transport.effect_handlers = self._effect_handlers()
@@ -131,7 +131,7 @@
             effects.SendAttempt: self.servers.send_attempt,
             effects.CancelAttempt: self.servers.cancel_attempt,
             effects.SendHealthCheck: self.servers.send_health_check,
-            effects.PollFeed: self.feed.poll,
+            effects.SendWatchRequest: self.feed.send_watch_request,
             effects.SwitchFeed: self.feed.switch_feed,
             effects.ControlResponse: self.control.respond,
             effects.SetStateEndpoint: self.control.set_state_endpoint,
@@ -196,7 +196,7 @@
     def run(self) -> None:
         """Runs iterations until the reducer requests the exit; call ``start`` first."""
         while not self.is_stopping:
-            self.run_turn()
+            self.run_iteration()
         self.flush_and_close()
 
     def flush_and_close(self) -> None:
@@ -223,7 +223,7 @@
 
     # One iteration ----------------------------------------------------------------------------------------
 
-    def run_turn(self) -> None:
+    def run_iteration(self) -> None:
         """Runs one iteration: waits, reads, fires timers, writes.
 
         The order matters: updates of the endpoint list and purges come before responses, disconnects before
@@ -262,14 +262,14 @@
         self.dispatch_requests(ready.clients, previous_select_ns)
         now = self.clock.now()
         self._fire_timers(now)
-        self.feed.give_up_if_overdue(now)
+        self.feed.fail_if_overdue(now)
         if now - self.last_sweep_ns > SWEEP_INTERVAL_NS:
             self.sweep(now)
         self.flush()
 
     def _wait_s(self, now: int) -> float:
         """Returns how long the selector may wait, in seconds."""
-        if self.clients.with_pending:
+        if self.clients.clients_with_pending:
             return 0.0
         wait_s = MAX_WAIT_S
         if self.timers:
@@ -329,8 +329,10 @@
         the feed and forwards responses.  Input that is reported now may have arrived at any time since
         ``previous_select_ns``, when the previous select returned.
         """
-        deadline_ns = self.last_select_ns + CLIENT_REQUESTS_TURN_NS
-        clients_with_pending: list[ReadyConnection] = [(client, 0) for client in self.clients.with_pending]
+        deadline_ns = self.last_select_ns + MAX_DISPATCH_NS
+        clients_with_pending: list[ReadyConnection] = [
+            (client, 0) for client in self.clients.clients_with_pending
+        ]
         for index, (connection, events) in enumerate(clients_with_pending + ready):
             if events and not connection.unread_since_ns:
                 connection.unread_since_ns = previous_select_ns
@@ -352,7 +354,7 @@
     def _flush_in_long_iteration(self) -> None:
         """In a long iteration, writes queued output and reads disconnects at a fixed interval."""
         now = self.clock.now()
-        if now - self.last_flush_ns < LONG_TURN_FLUSH_INTERVAL_NS:
+        if now - self.last_flush_ns < LONG_ITERATION_FLUSH_INTERVAL_NS:
             return
         self.flush()
         ready = ReadyConnections()
@@ -374,8 +376,8 @@
     def sweep(self, now: int) -> None:
         """Closes inactive connections, and accepts new ones again if there is room for them."""
         self.last_sweep_ns = now
-        self.acceptor.listener.set_listening(True)
-        self.control.listener.set_listening(True)
+        self.acceptor.listener.set_registered(True)
+        self.control.listener.set_registered(True)
         self.control.sweep(now)
         self.clients.sweep(now)
         self.servers.sweep(now)
@@ -410,7 +412,7 @@
             self.shutdown_delay_limit_ns = now + MAX_SHUTDOWN_DELAY_NS
         if now >= self.shutdown_delay_limit_ns:
             return False
-        return bool(self.clients.with_pending) or any(
+        return bool(self.clients.clients_with_pending) or any(
             client.has_unread_input() for client in self.clients.open.values()
         )
 
--- a/kelpcroft/net/feed_client.py
+++ b/kelpcroft/net/feed_client.py
@@ -13,7 +13,7 @@
     MAX_UNSPLIT_RESPONSE_BYTES,
     FeedCodec,
     FeedError,
-    encode_poll,
+    encode_watch_request,
 )
 from kelpcroft.net.transport import SECOND, WRITABLE, Connection, ConnectionHandler, Transport
 
@@ -53,7 +53,7 @@
 
     # Effects ----------------------------------------------------------------------------------------------
 
-    def poll(self, effect: effects.PollFeed) -> None:
+    def send_watch_request(self, effect: effects.SendWatchRequest) -> None:
         """Sends a watch request, on the open connection or on a new one."""
         now = self.transport.clock.now()
         connection = self.connection
@@ -72,7 +72,9 @@
         connection.awaits_response = True
         connection.watch_wait_ns = effect.wait_ms * NS_PER_MS
         connection.response_timeout_ns = effect.response_timeout_ns
-        request = encode_poll(self.address, effect.after_event, effect.wait_ms, effect.log_fingerprint)
+        request = encode_watch_request(
+            self.address, effect.after_event, effect.wait_ms, effect.log_fingerprint
+        )
         self.transport.queue_write(connection, (request,))
 
     def switch_feed(self, effect: effects.SwitchFeed) -> None:
@@ -129,8 +131,8 @@
 
         Updates that the feed announced during the stall are binding on this router, and the response to the
         old request may be older than they are.  Until the new response is complete, or for ``FEED_ONLY_NS``,
-        the loop reads no server and no client and fires no timer (``EventLoop.run_turn``).  Control clients,
-        signals, accepts and queued writes are still handled.
+        the loop reads no server and no client and fires no timer (``EventLoop.run_iteration``).  Control
+        clients, signals, accepts and queued writes are still handled.
         """
         now = self.transport.clock.now()
         connection = self.connection
@@ -143,7 +145,7 @@
         self.close(connection)  # it waits for an event, and its response may predate the stall
         self.transport.handle_input(inputs.ProcessStalled())
 
-    def give_up_if_overdue(self, now: int) -> None:
+    def fail_if_overdue(self, now: int) -> None:
         """Fails a watch request whose response is overdue."""
         connection = self.connection
         if (
--- a/kelpcroft/net/feed_codec.py
+++ b/kelpcroft/net/feed_codec.py
@@ -40,7 +40,7 @@
     """A response that cannot be used."""
 
 
-def encode_poll(
+def encode_watch_request(
     address: tuple[str, int], after_event: int, wait_ms: int, log_fingerprint: str | None = None
 ) -> bytes:
     """Encodes one watch request.
--- a/kelpcroft/net/listeners.py
+++ b/kelpcroft/net/listeners.py
@@ -81,22 +81,22 @@
     def __init__(self, transport: Transport) -> None:
         self.transport = transport
         self.sock: socket.socket | None = None
-        self.is_listening = False  # whether the selector watches the socket
+        self.is_registered = False  # whether the selector watches the socket
 
     def open(self, sock: socket.socket) -> None:
         """Starts to accept connections on a socket."""
         self.sock = sock
-        self.set_listening(True)
+        self.set_registered(True)
 
-    def set_listening(self, is_on: bool) -> None:
+    def set_registered(self, is_on: bool) -> None:
         """Starts or stops watching the socket.
 
         A socket with waiting connections that cannot be accepted is ready in every iteration, and the loop
         would spin on it.  The sweep starts watching again.
         """
-        if self.sock is None or is_on == self.is_listening:
+        if self.sock is None or is_on == self.is_registered:
             return
-        self.is_listening = is_on
+        self.is_registered = is_on
         if is_on:
             self.transport.selector.register(self.sock, selectors.EVENT_READ, None)
         else:
@@ -123,6 +123,6 @@
     def close(self) -> None:
         """Closes the listening socket; no more connections are accepted."""
         if self.sock is not None:
-            self.set_listening(False)
+            self.set_registered(False)
             self.sock.close()
             self.sock = None
--- a/testbed/cold_start.py
+++ b/testbed/cold_start.py
@@ -354,7 +354,7 @@
         for e in effect_list:
             if isinstance(e, effects.ScheduleTimer):
                 self._schedule(max(e.at_ns, self.now), router, inputs.TimerFired(e.key))
-            elif isinstance(e, effects.PollFeed):
+            elif isinstance(e, effects.SendWatchRequest):
                 self._poll(router, e.after_event, e.wait_ms)
             elif isinstance(e, effects.OpenServerConnection):
                 self._connect(router, e)
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -55,7 +55,7 @@
         The time since its last turn was waited outside of it, and is no stall.
         """
         self.loop.last_select_ns = self.loop.clock.now()
-        self.loop.run_turn()
+        self.loop.run_iteration()
         known = self.loop.reducer.endpoint_list.last_event
         if not self.seen or self.seen[-1][0] != known:
             self.seen.append((known, time.time_ns()))
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -249,7 +249,7 @@
                 if self.out is not None:
                     self.out.over = True
                     self.out = None
-            elif isinstance(e, effects.PollFeed):
+            elif isinstance(e, effects.SendWatchRequest):
                 self.poll(e)
             elif isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.POLL_FEED:
                 self.net.at(e.at_ns - self.now(), lambda e=e: self.due(e, start))  # type: ignore[misc]
@@ -261,7 +261,7 @@
         if start == self.starts:
             self.tell(inputs.TimerFired(e.key))
 
-    def poll(self, e: effects.PollFeed) -> None:
+    def poll(self, e: effects.SendWatchRequest) -> None:
         """Call the feed, unless a call is out."""
         if self.out is not None:
             return
--- a/tests/control_log/test_control_log.py
+++ b/tests/control_log/test_control_log.py
@@ -287,12 +287,14 @@
         )
         assert [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)] == [("10.0.0.1", 1)]
         effect_list = reducer.handle(NOW, inputs.TimerFired((messages.TimerKind.POLL_FEED, 0, 0)))
-        polls = [(e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.PollFeed)]
+        polls = [
+            (e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.SendWatchRequest)
+        ]
         assert polls == [(0, "")]
         effect_list = reducer.handle(NOW, inputs.OperatorFileRead(OperatorFile()))
         assert [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)] == [("10.0.0.9", 1)]
         assert [
-            (e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.PollFeed)
+            (e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.SendWatchRequest)
         ] == [(0, None)]
         assert set(reducer.state.endpoints) == endpoints_before, "the endpoint list stays in the meantime"
 
@@ -304,7 +306,7 @@
         switched = [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)]
         assert switched[0] in addresses
         effect_list = reducer.handle(now, inputs.TimerFired((messages.TimerKind.POLL_FEED, 0, 0)))
-        while any(isinstance(e, effects.PollFeed) for e in effect_list) and polls < 50:
+        while any(isinstance(e, effects.SendWatchRequest) for e in effect_list) and polls < 50:
             now, polls = now + 2 * MS, polls + 1
             response = inputs.WatchResponse(1, (), log_fingerprint="aa", as_of_ms=now // MS)
             effect_list = reducer.handle(now, response)
--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -24,7 +24,7 @@
         """Control clients had no share: with all other kinds at their limits they exceeded the total."""
         for descriptors in range(MIN_DESCRIPTORS, 5_000):
             shares = allocate_descriptors(descriptors)
-            kinds = (shares.clients, shares.draining_clients, shares.control_callers, shares.servers)
+            kinds = (shares.clients, shares.draining_clients, shares.control_clients, shares.servers)
             assert all(kind > 0 for kind in kinds), (descriptors, shares)
             assert sum(kinds) < descriptors, "some descriptors are left for the process itself"
             assert shares.clients >= descriptors // 3, (
@@ -89,7 +89,10 @@
         t.until(t.taken("cache1").pulls, "later requests are sent to a server")
 
     def test_the_feed_is_polled_again_once_a_descriptor_is_free(self) -> None:
-        """``poll`` created a new socket in the error handler, as ``dial`` did, and ended the process."""
+        """The handler of a failed watch request created a new socket, as that of a failed connect did.
+
+        The error of that socket ended the process.
+        """
         t = Turns(self, feed=False)
         t.until(
             lambda: t.loop.feed.connection is None and not t.loop.transport.failed_opens,
@@ -115,7 +118,7 @@
         pending = socket.create_connection(t.address, WAIT_S)
         self.addCleanup(pending.close)
         with t.no_descriptors():
-            t.until(lambda: not t.loop.acceptor.listener.is_listening, "the listener is paused")
+            t.until(lambda: not t.loop.acceptor.listener.is_registered, "the listener is paused")
             t.turn(turns=20)
             assert len([log for log in t.logged if log.event == "accept.failed"]) == 1
         t.turn(200 * MS)
--- a/tests/core/test_gone.py
+++ b/tests/core/test_gone.py
@@ -6,7 +6,7 @@
 
 import msgpack
 
-from kelpcroft.net.event_loop import CLIENT_REQUESTS_TURN_NS, LONG_TURN_FLUSH_INTERVAL_NS
+from kelpcroft.net.event_loop import LONG_ITERATION_FLUSH_INTERVAL_NS, MAX_DISPATCH_NS
 from kelpcroft.net.server_connections import ServerConnection
 from kelpcroft.net.transport import Connection as RouterConnection
 from tests.support.loop_turns import MS, SECOND, Peer, Turns, call, done
@@ -58,7 +58,7 @@
         def close_client_while_reading(peer: RouterConnection, events: int) -> None:
             if isinstance(peer, ServerConnection) and not peers_read:
                 client.close()
-                t.now += LONG_TURN_FLUSH_INTERVAL_NS
+                t.now += LONG_ITERATION_FLUSH_INTERVAL_NS
             peers_read.append(peer)
             handle_ready(peer, events)
 
@@ -137,9 +137,9 @@
     def test_a_request_that_is_read_and_not_taken_can_be_cancelled(self) -> None:
         t = Turns(self)
         client, cache = self.client_with_attempt(t)
-        t.tick_ns = 2 * CLIENT_REQUESTS_TURN_NS  # each clock reading uses up the iteration's time
+        t.tick_ns = 2 * MAX_DISPATCH_NS  # each clock reading uses up the iteration's time
         client.send(call(2))
-        t.until(lambda: t.loop.clients.with_pending, "the request is read")
+        t.until(lambda: t.loop.clients.clients_with_pending, "the request is read")
         client.send(cancel(2))
         t.until(lambda: not any(c.pending_messages for c in t.loop.clients.open.values()), "it is cancelled")
         t.tick_ns = 0
--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -22,7 +22,7 @@
     ClientConnection,
 )
 from kelpcroft.net.clock import Clock
-from kelpcroft.net.event_loop import CLIENT_REQUESTS_TURN_NS, EventLoop
+from kelpcroft.net.event_loop import MAX_DISPATCH_NS, EventLoop
 from kelpcroft.net.server_codec import ServerCodec
 from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS, ServerConnection
 from tests.support.exchange_player import EXAMPLE
@@ -118,7 +118,7 @@
         """All clients were read before the feed was read again, so an iteration could exceed the time that
         the purge rule allows.  Clients left unread keep the time since which their requests may have waited.
         """
-        ticks = iter(range(NOW, NOW + 10**12, CLIENT_REQUESTS_TURN_NS // 2))
+        ticks = iter(range(NOW, NOW + 10**12, MAX_DISPATCH_NS // 2))
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: next(ticks)))
         self.addCleanup(loop.selector.close)
         peers_read: list[int] = []
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -5,7 +5,7 @@
 import contextlib
 import unittest
 
-from kelpcroft.net.client_codec import MAX_OPEN_CALLS_PER_CLIENT
+from kelpcroft.net.client_codec import MAX_OPEN_REQUESTS_PER_CLIENT
 from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS
 from tests.support.loop_turns import MS, Peer, Turns, call, done
 
@@ -15,7 +15,7 @@
         """Checks that no buffer, pending message or open request is left."""
         assert (
             t.loop.transport.pool.in_use,
-            t.loop.clients.with_pending,
+            t.loop.clients.clients_with_pending,
             t.loop.reducer.state.requests_by_client,
         ) == (0, {}, {})
 
@@ -54,7 +54,7 @@
         flooding = t.client()
         with contextlib.suppress(BlockingIOError):
             flooding.send(
-                b"".join(call(n, trace=f"{n + 99:016x}") for n in range(1, 10 * MAX_OPEN_CALLS_PER_CLIENT))
+                b"".join(call(n, trace=f"{n + 99:016x}") for n in range(1, 10 * MAX_OPEN_REQUESTS_PER_CLIENT))
             )
         flooding.close()
         t.turn(turns=5)
--- a/tests/net/test_size.py
+++ b/tests/net/test_size.py
@@ -105,8 +105,8 @@
     def test_a_failed_watch_is_retried_sooner_than_the_rule_needs(self) -> None:
         r = router()
         first = r.handle(NOW, inputs.WatchFailed("reset"))
-        assert [e for e in first if isinstance(e, effects.PollFeed)] == [
-            effects.PollFeed(r.endpoint_list.last_event)
+        assert [e for e in first if isinstance(e, effects.SendWatchRequest)] == [
+            effects.SendWatchRequest(r.endpoint_list.last_event)
         ]
         delays = []
         for n in range(1, 9):
--- a/tests/program/test_control.py
+++ b/tests/program/test_control.py
@@ -31,15 +31,15 @@
             for start in range(0, len(READY), size):
                 results.append(codec.receive_data(READY[start : start + size]))
             with self.subTest(size=size):
-                assert [s for s in results if s is not None] == [inputs.ControlVerb.READY]
+                assert [s for s in results if s is not None] == [inputs.ControlOperation.READY]
                 assert not codec.has_partial_message()
         out = b"PUT /control/out-of-service HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
-        for text, verb in (
-            (out, inputs.ControlVerb.OUT_OF_SERVICE),
-            (b"PUT /control/in-service/ HTTP/1.1\r\n\r\n", inputs.ControlVerb.IN_SERVICE),
-            (b"GET /control/ready?now=1 HTTP/1.0\r\n\r\n", inputs.ControlVerb.READY),
+        for text, operation in (
+            (out, inputs.ControlOperation.OUT_OF_SERVICE),
+            (b"PUT /control/in-service/ HTTP/1.1\r\n\r\n", inputs.ControlOperation.IN_SERVICE),
+            (b"GET /control/ready?now=1 HTTP/1.0\r\n\r\n", inputs.ControlOperation.READY),
         ):
-            assert ControlCodec().receive_data(text) is verb
+            assert ControlCodec().receive_data(text) is operation
 
     def test_an_invalid_request_is_answered_and_nothing_more_is_read(self) -> None:
         cases = [
@@ -121,29 +121,30 @@
     def test_a_drain_through_the_reducer(self) -> None:
         r = router()
         r.handle(NOW, inputs.ClientConnected(1))
-        assert r.handle(NOW, inputs.ControlRequest(7, inputs.ControlVerb.READY)) == [
+        assert r.handle(NOW, inputs.ControlRequest(7, inputs.ControlOperation.READY)) == [
             effects.ControlResponse(7, True, {"ready": True, "service": "in"})
         ]
-        effect_list = r.handle(NOW, inputs.ControlRequest(8, inputs.ControlVerb.OUT_OF_SERVICE))
+        effect_list = r.handle(NOW, inputs.ControlRequest(8, inputs.ControlOperation.OUT_OF_SERVICE))
         assert only(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
         assert only(effects.ControlResponse, effect_list) == [
             effects.ControlResponse(8, True, {"ready": False, "service": "out", "why": "out of service"})
         ]
         assert only(
-            effects.ControlResponse, r.handle(NOW, inputs.ControlRequest(9, inputs.ControlVerb.READY))
+            effects.ControlResponse, r.handle(NOW, inputs.ControlRequest(9, inputs.ControlOperation.READY))
         )[0] == effects.ControlResponse(9, False, {"ready": False, "service": "out", "why": "out of service"})
         assert r.handle(NOW, inputs.HealthRequest(1, 1)) == [effects.SendHealth(1, 1, False)]
         # Requests on open connections are served during the grace period, then rejected immediately.
         assert only(effects.OpenServerConnection, r.handle(NOW + MS, call(2))) != []
         late = NOW + DRAIN_GRACE_NS
         assert r.handle(late, call(3)) == [effects.RejectRequest(1, 3, 0)]
-        effect_list = r.handle(late + SECOND, inputs.ControlRequest(10, inputs.ControlVerb.IN_SERVICE))
+        effect_list = r.handle(late + SECOND, inputs.ControlRequest(10, inputs.ControlOperation.IN_SERVICE))
         assert only(effects.DrainClients, effect_list) == [effects.DrainClients(False)]
         assert r.handle(late + SECOND, inputs.HealthRequest(1, 4)) == [effects.SendHealth(1, 4, True)]
         assert only(effects.RejectRequest, r.handle(late + SECOND, call(5))) == []
         assert (
             only(
-                effects.Exit, r.handle(late + 9 * SECOND, inputs.ControlRequest(11, inputs.ControlVerb.READY))
+                effects.Exit,
+                r.handle(late + 9 * SECOND, inputs.ControlRequest(11, inputs.ControlOperation.READY)),
             )
             == []
         )
--- a/tests/program/test_handover.py
+++ b/tests/program/test_handover.py
@@ -90,14 +90,14 @@
         r = router()
         assert only(
             effects.PersistServiceState,
-            r.handle(NOW, inputs.ControlRequest(1, inputs.ControlVerb.OUT_OF_SERVICE)),
+            r.handle(NOW, inputs.ControlRequest(1, inputs.ControlOperation.OUT_OF_SERVICE)),
         ) == [effects.PersistServiceState(False, NOW)]
-        resumed = r.handle(NOW + SECOND, inputs.ControlRequest(2, inputs.ControlVerb.IN_SERVICE))
+        resumed = r.handle(NOW + SECOND, inputs.ControlRequest(2, inputs.ControlOperation.IN_SERVICE))
         assert only(effects.PersistServiceState, resumed) == [effects.PersistServiceState(True, NOW + SECOND)]
         assert (
             only(
                 effects.PersistServiceState,
-                r.handle(NOW + SECOND, inputs.ControlRequest(3, inputs.ControlVerb.IN_SERVICE)),
+                r.handle(NOW + SECOND, inputs.ControlRequest(3, inputs.ControlOperation.IN_SERVICE)),
             )
             == []
         )  # no change
@@ -105,7 +105,8 @@
         effect_list = successor.handle(NOW, inputs.PredecessorState(False, NOW - SECOND))
         assert only(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
         (reply,) = only(
-            effects.ControlResponse, successor.handle(NOW, inputs.ControlRequest(4, inputs.ControlVerb.READY))
+            effects.ControlResponse,
+            successor.handle(NOW, inputs.ControlRequest(4, inputs.ControlOperation.READY)),
         )
         assert isinstance(reply, effects.ControlResponse)
         assert not reply.ok
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -236,8 +236,8 @@
 BUDGET = StartupOptions(list_calls_per_s=50.0)
 
 
-def polls(effect_list: list[effects.Effect]) -> list[effects.PollFeed]:
-    return [e for e in only(effects.PollFeed, effect_list) if isinstance(e, effects.PollFeed)]
+def polls(effect_list: list[effects.Effect]) -> list[effects.SendWatchRequest]:
+    return [e for e in only(effects.SendWatchRequest, effect_list) if isinstance(e, effects.SendWatchRequest)]
 
 
 def feed_wakes(effect_list: list[effects.Effect]) -> list[effects.ScheduleTimer]:
--- a/tests/support/loop_turns.py
+++ b/tests/support/loop_turns.py
@@ -189,7 +189,7 @@
         for peer in [
             *loop.clients.open.values(),
             *loop.servers.open.values(),
-            *loop.control.callers.values(),
+            *loop.control.connections.values(),
             *([loop.feed.connection] if loop.feed.connection else []),
         ]:
             peer.sock.close()
@@ -209,16 +209,16 @@
         end = self.now + after_ns
         while self.now < end:
             self.now = min(end, self.now + STEP_NS)
-            self.loop.run_turn()
+            self.loop.run_iteration()
         for _ in range(turns - bool(after_ns)):
-            self.loop.run_turn()
+            self.loop.run_iteration()
 
     def until(self, condition: Callable[[], Any], description: str = "") -> None:
         """Runs iterations at this instant until a condition holds, so that bytes in flight arrive."""
         end = time.monotonic() + WAIT_S
         while not condition():
             assert time.monotonic() < end, f"condition not reached in {WAIT_S} s: {description or condition}"
-            self.loop.run_turn()
+            self.loop.run_iteration()
 
     def client(self) -> Peer:
         """Returns a client whose connection the router has accepted."""
@@ -272,7 +272,7 @@
     def none(self, name: str, turns: int = 5) -> None:
         """Checks that the router does not connect to a server."""
         for _ in range(turns):
-            self.loop.run_turn()
+            self.loop.run_iteration()
             with pytest.raises(BlockingIOError):
                 self.listeners[name].accept()
 
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -103,11 +103,11 @@
         return self.hash.hexdigest()
 
 
-def poll(digest: Digest, e: effects.PollFeed) -> tuple[int, bytes]:
+def poll(digest: Digest, e: effects.SendWatchRequest) -> tuple[int, bytes]:
     """Encodes a watch request as it is sent to the feed, and its response timeout."""
-    return 0, feed.encode_poll(digest.feed_codec, e.after_event, e.wait_ms, e.log_fingerprint) + fields(
-        e.response_timeout_ns
-    )
+    return 0, feed.encode_watch_request(
+        digest.feed_codec, e.after_event, e.wait_ms, e.log_fingerprint
+    ) + fields(e.response_timeout_ns)
 
 
 def move(digest: Digest, e: effects.SwitchFeed) -> tuple[int, bytes]:
@@ -143,12 +143,15 @@
         lambda _, e: (e.connection, b"".join(server_codec.encode_health_check(e))),
     ),
     effects.CloseServerConnection: ("close-server", lambda _, e: (e.connection, b"")),
-    effects.PollFeed: ("poll", poll),
+    effects.SendWatchRequest: ("poll", poll),
     effects.SwitchFeed: ("move-feed", move),
     effects.ScheduleTimer: ("timer", lambda _, e: (0, fields(e.at_ns, TIMERS[e.key[0]], *e.key[1:]))),
     effects.LogEvent: ("log", lambda _, e: (0, b"")),
     effects.StopAccepting: ("stop-listening", lambda _, e: (0, b"")),
-    effects.ControlResponse: ("control", lambda _, e: (e.caller, control_codec.reply(e.ok, e.fields))),
+    effects.ControlResponse: (
+        "control",
+        lambda _, e: (e.control_client, control_codec.encode_control_response(e.ok, e.fields)),
+    ),
     effects.PersistServiceState: (
         "keep",
         lambda _, e: (0, fields(e.is_in_service, e.since_ns, e.ended_at_ns, e.shutdown_began_ns)),
@@ -183,13 +186,13 @@
         self.deliver(inputs.ProcessIdentity("0123456789abcdef", f"process-{self.router_life}"))
         self.deliver(inputs.ClientConnected(10**6))
         calls = (
-            inputs.ControlVerb.READY,
-            inputs.ControlVerb.STATE,
-            inputs.ControlVerb.OUT_OF_SERVICE,
-            inputs.ControlVerb.READY,
-            inputs.ControlVerb.STATE,
-            inputs.ControlVerb.IN_SERVICE,
-            inputs.ControlVerb.STATE,
+            inputs.ControlOperation.READY,
+            inputs.ControlOperation.STATE,
+            inputs.ControlOperation.OUT_OF_SERVICE,
+            inputs.ControlOperation.READY,
+            inputs.ControlOperation.STATE,
+            inputs.ControlOperation.IN_SERVICE,
+            inputs.ControlOperation.STATE,
         )
         for n, verb in enumerate(calls, 1):
             self.schedule(self.now + n * 700 * MS, inputs.ControlRequest(n, verb))
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -37,9 +37,9 @@
 from kelpcroft.core import effects, inputs  # noqa: E402
 from kelpcroft.core.reducer import Reducer  # noqa: E402
 from kelpcroft.core.request_statistics import RequestStatistics  # noqa: E402
-from kelpcroft.net.control_codec import reply  # noqa: E402
-from kelpcroft.net.feed_codec import encode_poll  # noqa: E402
-from kelpcroft.net.watch_codec import encode_bad_request, encode_refusal, encode_response  # noqa: E402
+from kelpcroft.net.control_codec import encode_control_response  # noqa: E402
+from kelpcroft.net.feed_codec import encode_watch_request  # noqa: E402
+from kelpcroft.net.watch_codec import encode_bad_request, encode_rejection, encode_response  # noqa: E402
 from kelpcroft.rollout.events import OperatorCommand  # noqa: E402
 from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome  # noqa: E402
 from kelpcroft.rollout.plan_file import load_plan as read_plan  # noqa: E402
@@ -136,10 +136,11 @@
         ("gone", 1, False),
     ):
         ledger.record_end("page", how, attempts, 2.5, in_time)
-    reducer.handle(NOW + SECOND, inputs.ControlRequest(7, inputs.ControlVerb.OUT_OF_SERVICE))
-    effect_list = reducer.handle(NOW + 3 * SECOND, inputs.ControlRequest(8, inputs.ControlVerb.STATE))
+    reducer.handle(NOW + SECOND, inputs.ControlRequest(7, inputs.ControlOperation.OUT_OF_SERVICE))
+    effect_list = reducer.handle(NOW + 3 * SECOND, inputs.ControlRequest(8, inputs.ControlOperation.STATE))
     (told,) = [e for e in effect_list if isinstance(e, effects.ControlResponse)]
-    return reply(told.ok, {**told.fields, "memory_kb": 31_744})  # the network loop adds the memory
+    # The network loop adds the memory.
+    return encode_control_response(told.ok, {**told.fields, "memory_kb": 31_744})
 
 
 def made() -> dict[str, bytes]:
@@ -155,9 +156,9 @@
             "n3", [NOW + n * 2_027 * MS for n in range(5)], NOW + 5 * 2_027 * MS
         ),
         "control_state.http": control_state(),
-        "watch_unmarked.http": encode_poll(("10.0.0.9", 7000), 41, 1_000),
-        "watch_marked.http": encode_poll(("10.0.0.9", 7000), 42, 5_000, "a0b1c2d3e4f50617"),
-        "replica_refused.http": encode_refusal("stale", 1),
+        "watch_unmarked.http": encode_watch_request(("10.0.0.9", 7000), 41, 1_000),
+        "watch_marked.http": encode_watch_request(("10.0.0.9", 7000), 42, 5_000, "a0b1c2d3e4f50617"),
+        "replica_refused.http": encode_rejection("stale", 1),
         "replica_bad.http": encode_bad_request("a call with a body"),
         **replica_answers(),
     }
