--- a/kelpcroft/core/attempt_completion.py
+++ b/kelpcroft/core/attempt_completion.py
@@ -55,7 +55,7 @@
                 attempt.forward.server,
                 outcome,
                 elapsed_ns,
-                request.is_answered,
+                request.has_final_response,
                 fill_result,
                 source_wait_ns,
                 load_report or {},
@@ -72,7 +72,7 @@
     ) -> None:
         """Report the end to the origin concurrency limit, the fleet size estimate and the route's latency."""
         state = self.state
-        if attempt.asks_origin and state.origin_limit is not None:
+        if attempt.fetches_from_origin and state.origin_limit is not None:
             is_late = self.is_late_at_origin(attempt, outcome, fill_result, source_wait_ns)
             state.origin_limit.record_finished(state.now, attempt.started_ns, is_late)
             state.set_cold_budget_share(state.cold_budget_share)
@@ -95,7 +95,7 @@
         self.connections.release(connection)
         del self.state.attempt_numbers[request.id, attempt.index]
         request.attempts_in_flight -= 1
-        self.state.touched_requests.append(request)
+        self.state.requests_to_check.append(request)
 
     def record_execution(self, attempt: Attempt, outcome: Outcome) -> None:
         """Count the outcome, and record whether the attempt may have been executed."""
--- a/kelpcroft/core/attempt_sending.py
+++ b/kelpcroft/core/attempt_sending.py
@@ -44,7 +44,7 @@
         """
         state = self.state
         request = state.requests.get(int(action.id))
-        if request is None or not holds(not request.is_answered, "no attempt behind the final answer"):
+        if request is None or not holds(not request.has_final_response, "no attempt behind the final answer"):
             return
         index = request.attempts_made
         request.attempts_made += 1
@@ -69,8 +69,8 @@
         request.attempts_in_flight += 1
         if state.origin_limit is not None:
             source = state.endpoints[action.fill_source]
-            attempt.asks_origin = state.config.kinds.role_of(source.kind) is api.Role.ORIGIN
-            if attempt.asks_origin:
+            attempt.fetches_from_origin = state.config.kinds.role_of(source.kind) is api.Role.ORIGIN
+            if attempt.fetches_from_origin:
                 state.origin_limit.record_sent()
                 state.set_cold_budget_share(state.cold_budget_share)
         state.attempts[attempt.number] = attempt
@@ -113,7 +113,7 @@
 
         Nothing was sent on the lost connection, and its reset is not evidence against the server.
         """
-        if attempt.request.is_answered:
+        if attempt.request.has_final_response:
             return False
         attempt.failed_connections += 1
         if attempt.failed_connections >= MAX_CONNECTIONS_PER_ATTEMPT:
@@ -137,7 +137,7 @@
     def send(self, attempt: Attempt) -> None:
         """Send an attempt with the rest of its timeout."""
         state, forward = self.state, attempt.forward
-        if attempt.request.is_answered:
+        if attempt.request.has_final_response:
             # The client has left or has its response, so an attempt that waited for a connection is not sent.
             self.completion.finish(attempt, Outcome.MOOT)
             return
@@ -224,9 +224,9 @@
         retention_rank=forward.retention_rank,
         max_age_ms=max(1, forward.max_age_ns // MS) if forward.max_age_ns else 0,
         join_fill=forward.coalesce,
-        cache_only=forward.cached_only,
+        cached_only=forward.cached_only,
         no_parent_copy=forward.no_parent_copy,
-        refresh_behind=forward.refresh_in_background,
+        refresh_in_background=forward.refresh_in_background,
         etag=message.etag,
         body=message.body,
         idempotency_key=message.idempotency_key,
--- a/kelpcroft/core/attempts.py
+++ b/kelpcroft/core/attempts.py
@@ -73,13 +73,15 @@
             outcome = Outcome.ERROR
         else:
             self.response_times.record(state.now - attempt.started_ns)
-            if outcome is Outcome.OK and not attempt.request.is_answered:
+            if outcome is Outcome.OK and not attempt.request.has_final_response:
                 final_response = SendResponse(
                     message.client, message.request_number, response.body, response.not_modified
                 )
                 self.requests.finish(attempt.request, final_response)
                 state.counters["served"] += 1
-        self.completion.finish(attempt, outcome, response.note, response.source_wait_ns, response.load_report)
+        self.completion.finish(
+            attempt, outcome, response.fill_result, response.source_wait_ns, response.load_report
+        )
 
     def on_connected(self, number: int) -> None:
         """Handle an established connection: send the attempts and health checks that waited for it."""
@@ -121,19 +123,19 @@
         if connection is None:
             return
         self.log_connection_lost(connection, message)
-        is_crowded = message.is_unreachable and self.is_crowded(connection)
-        if is_crowded:
+        is_at_connection_limit = message.is_unreachable and self.is_at_connection_limit(connection)
+        if is_at_connection_limit:
             state.counters["no place"] += 1
             state.connections.record_refusal(connection.server, state.now)
         unsent_outcome = Outcome.MOOT
-        if message.is_unreachable and not is_crowded:
+        if message.is_unreachable and not is_at_connection_limit:
             unsent_outcome = Outcome.CONNECT_FAILED
         for attempt_id, number in list(connection.unsent.items()):
             self.end_or_requeue(number, unsent_outcome, attempt_id in message.unsent_attempt_ids)
         for attempt_id, number in list(connection.in_flight.items()):
             self.end_or_requeue(number, Outcome.RESET, attempt_id in message.unsent_attempt_ids)
 
-    def is_crowded(self, connection: PooledConnection) -> bool:
+    def is_at_connection_limit(self, connection: PooledConnection) -> bool:
         """Whether a server that refused a connection is only at its connection limit.
 
         A server that responded on another connection within RECENT_RESPONSE_NS is running.  The waiting
@@ -202,7 +204,7 @@
             # The connection has been silent since the attempt began: the machine may be cut off from the
             # network, and be reachable again only through a new connection.
             attempt.connection.is_retiring = True
-        self.withdraw(attempt)
+        self.cancel_at_server(attempt)
         self.completion.finish(attempt, Outcome.TIMEOUT)
 
     def cancel(self, action: api.Cancel) -> None:
@@ -212,16 +214,16 @@
             return
         attempt = self.state.attempts[number]
         if attempt.is_sent:
-            self.withdraw(attempt)
+            self.cancel_at_server(attempt)
         self.completion.finish(attempt, Outcome.CANCELLED)
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel_at_server(self, attempt: Attempt) -> None:
         """Send the server a cancellation of a sent attempt; the connection stays open for other attempts."""
         connection, attempt_id = attempt.connection, attempt.request.message.trace_id
         connection.retired_ids[attempt_id] = self.state.now
         self.state.effects.append(CancelAttempt(connection.number, attempt_id))
 
-    def abandon(self, request: OpenRequest) -> None:
+    def end_unsent(self, request: OpenRequest) -> None:
         """End the attempts of a finished request that still wait for a connection."""
         for index in range(request.attempts_made):
             number = self.state.attempt_numbers.get((request.id, index), 0)
@@ -254,7 +256,7 @@
         """Report the end of a request's back-off to the decision package."""
         request = self.state.requests.get(number)
         if request is not None and request.is_backing_off:
-            self.state.touched_requests.append(request)
+            self.state.requests_to_check.append(request)
             self.state.events.append(api.BackoffElapsed(request.id))
 
     def on_hedge_due(self, number: int, attempts_made: int) -> None:
--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -129,7 +129,7 @@
                 state.now, message.request_class, message.idempotency_key
             )
         state.counters["taken"] += 1
-        state.touched_requests.append(request)
+        state.requests_to_check.append(request)
         if state.is_tracing:
             self.trace_admitted(message)
         prior_attempt_unknown = is_keyed and message.is_retry and prior_execution is None
@@ -199,10 +199,10 @@
 
     def finish(self, request: OpenRequest, response: FinalResponse | None) -> None:
         """End a request: send its final response, or none (``response`` is None) if its client left."""
-        if not holds(not request.is_answered, "one final answer for each request"):
+        if not holds(not request.has_final_response, "one final answer for each request"):
             return
         state = self.state
-        request.is_answered = True
+        request.has_final_response = True
         self.remove_from_tables(request)
         if request.allowance is not None:
             request.allowance.release()
--- a/kelpcroft/core/clients.py
+++ b/kelpcroft/core/clients.py
@@ -66,9 +66,9 @@
         No further attempt begins for it, even where the settings forbid cancelling attempts in flight.
         """
         self.requests.finish_without_response(request)
-        self.attempts.abandon(request)
+        self.attempts.end_unsent(request)
 
     def on_health_request(self, message: HealthRequest) -> None:
         """Respond to a client's health request: whether this router is ready."""
-        reason = self.process.not_ready_reason(self.endpoint_list.has_list)
+        reason = self.process.not_ready_reason(self.endpoint_list.has_endpoint_list)
         self.state.effects.append(SendHealth(message.client, message.request_number, not reason))
--- a/kelpcroft/core/config_reload.py
+++ b/kelpcroft/core/config_reload.py
@@ -92,7 +92,7 @@
     def apply(self, path: str, checked: CheckedConfig) -> None:
         """Apply a file that passed all checks."""
         state = self.state
-        deferred = kept_keys(checked.raw["settings"], state.raw_config.get("settings", {}))
+        deferred = deferred_keys(checked.raw["settings"], state.raw_config.get("settings", {}))
         state.raw_config = checked.raw
         feed_text = self.watch.move_feed(checked.feed_address)
         change = config_reload.diff_settings(state.settings, checked.settings)
@@ -136,7 +136,7 @@
         )
 
 
-def kept_keys(new: dict[str, Any], old: dict[str, Any]) -> list[str]:
+def deferred_keys(new: dict[str, Any], old: dict[str, Any]) -> list[str]:
     """Keys of the settings whose values differ and stay unchanged until the next start.
 
     These are all keys except classes, limits, and the lists of ``family_info`` that belong to the classes.
--- a/kelpcroft/core/configured_feed.py
+++ b/kelpcroft/core/configured_feed.py
@@ -28,12 +28,12 @@
 
         It is sent immediately because the rules count an event as known to the router as soon as the feed has
         it.  Repeated early responses without events count as failures, because the router would otherwise
-        poll in a loop.  Event numbers that went back cost each router of the fleet a second request, for a
-        snapshot.  That request is delayed as after a failure, so that under a budget the fleet's requests are
-        spread over time.
+        send watch requests in a loop.  Event numbers that went back cost each router of the fleet a second
+        request, for a snapshot.  That request is delayed as after a failure, so that under a budget the
+        fleet's requests are spread over time.
         """
         if response.has_more:
-            self.take_piece(response)
+            self.apply_chunk(response)
             return
         schedule = self.position.schedule
         has_events = bool(
@@ -43,7 +43,7 @@
             self.empty_responses += 1
         else:
             self.empty_responses = 0
-        needs_full_list = self.apply_response(response)
+        needs_snapshot = self.apply_response(response)
         made_no_progress = (
             self.endpoint_list.chunked_response_events > 0
             and self.position.last_event <= self.position.requested_from_event
@@ -51,11 +51,11 @@
         self.end_chunked_response()
         if made_no_progress:
             self.position.schedule_watch_request(schedule.record_failure(wasted_bytes=response.bytes_read))
-        elif needs_full_list or self.empty_responses >= (1 if schedule.has_budget else MAX_EMPTY_RESPONSES):
+        elif needs_snapshot or self.empty_responses >= (1 if schedule.has_budget else MAX_EMPTY_RESPONSES):
             self.position.schedule_watch_request(schedule.record_failure())
         else:
             schedule.record_success()
-            self.position.call()
+            self.position.send_watch_request()
 
     def apply_response(self, response: WatchResponse) -> bool:
         """Apply a complete response, or the end of a response that arrived in chunks.
@@ -67,8 +67,8 @@
         view.begin_response(response.last_event)
         self.endpoint_list.apply_events(response)
         before = self.position.last_event
-        needs_full_list = view.end_response(self.state.now, response.last_event)
-        if needs_full_list:
+        needs_snapshot = view.end_response(self.state.now, response.last_event)
+        if needs_snapshot:
             self.state.log(
                 "feed.renumbered",
                 f"feed: event numbers went back from {before} to {response.last_event}: "
@@ -76,9 +76,9 @@
                 "warning",
                 {"before": before, "after": response.last_event},
             )
-        return needs_full_list
+        return needs_snapshot
 
-    def take_piece(self, response: WatchResponse) -> None:
+    def apply_chunk(self, response: WatchResponse) -> None:
         """Apply one chunk of a response too long to be decoded at once, as after hours without the feed."""
         endpoint_list, requested_from = self.endpoint_list, self.position.requested_from_event
         if not endpoint_list.chunked_response_events:
@@ -126,4 +126,4 @@
         self.address = address
         self.position.schedule.consecutive_failures = 0
         self.state.effects.append(SwitchFeed(address))
-        self.position.call()
+        self.position.send_watch_request()
--- a/kelpcroft/core/control_requests.py
+++ b/kelpcroft/core/control_requests.py
@@ -25,7 +25,7 @@
             self.drain()
         elif request.operation is ControlOperation.IN_SERVICE:
             self.resume()
-        reason = self.process.not_ready_reason(self.endpoint_list.has_list)
+        reason = self.process.not_ready_reason(self.endpoint_list.has_endpoint_list)
         if request.operation is ControlOperation.STATE:
             self.state.effects.append(
                 ControlResponse(request.control_client, True, self.process_state(reason))
--- a/kelpcroft/core/decision_loop.py
+++ b/kelpcroft/core/decision_loop.py
@@ -47,7 +47,7 @@
     def run(self) -> None:
         """Pass events to the decision package until none is left, including those that its actions cause.
 
-        Then check the progress of each request that this input touched.
+        Then check the progress of each request in ``requests_to_check``.
         """
         state = self.state
         while state.events:
@@ -55,9 +55,9 @@
             if state.routes is not None and isinstance(event, api.AttemptEnded):
                 event = self.with_retry_budget(event)
             self.perform(state.policy.handle(state.now, event))
-        if state.touched_requests:
-            touched, state.touched_requests = state.touched_requests, []
-            for request in touched:
+        if state.requests_to_check:
+            requests, state.requests_to_check = state.requests_to_check, []
+            for request in requests:
                 self.check_progress(request)
 
     def check_progress(self, request: OpenRequest) -> None:
@@ -66,7 +66,7 @@
         Rule 1: the decision package either makes another attempt or ends the request, and never holds one
         without either.
         """
-        if request.is_answered or request.attempts_in_flight or request.is_backing_off:
+        if request.has_final_response or request.attempts_in_flight or request.is_backing_off:
             return
         if not holds(False, "a request is tried or answered"):
             message = request.message
--- a/kelpcroft/core/effects.py
+++ b/kelpcroft/core/effects.py
@@ -92,9 +92,9 @@
         retention_rank: How long the server should keep the copy; 0 = not at all.
         max_age_ms: Maximum age of a copy that may be served; 0 = the freshness lifetime of the class.
         join_fill: Wait for a fill of the same part that is in progress.
-        cache_only: The fill source serves only a copy that it already holds.
+        cached_only: The fill source serves only a copy that it already holds.
         no_parent_copy: The parent keeps no copy of the data that it forwards.
-        refresh_behind: Serve an ageing copy and refresh it in the background.
+        refresh_in_background: Serve an ageing copy and refresh it in the background.
         etag: ETag of the copy that the client holds; "" = none.
         body: Unchanged from the client's request.
         idempotency_key: Unchanged from the client's request; "" = none.
@@ -110,9 +110,9 @@
     retention_rank: int
     max_age_ms: int
     join_fill: bool
-    cache_only: bool
+    cached_only: bool
     no_parent_copy: bool
-    refresh_behind: bool
+    refresh_in_background: bool
     etag: str
     body: Body
     idempotency_key: str = ""
--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -19,7 +19,7 @@
 
     Attributes:
         position: The last event that was applied, and the watch on the feed.
-        has_list: A snapshot or an update has been applied.
+        has_endpoint_list: A snapshot or an update has been applied.
         chunked_response_events: Number of events received of a watch response that arrives in chunks; 0 where
             no such response is arriving.
         skipped_purges: Number of purges of that response that were skipped as too old.
@@ -32,7 +32,7 @@
         self.position = position
         self.attempts = attempts
         self.decisions = decisions
-        self.has_list = False
+        self.has_endpoint_list = False
         self.chunked_response_events = 0
         self.skipped_purges = 0
 
@@ -49,21 +49,21 @@
             if isinstance(event, EndpointUpdate):
                 self.apply_usable(event)
             else:
-                self.take_purge(event)
+                self.apply_purge(event)
 
     def apply_usable(self, update: EndpointUpdate) -> None:
         """Apply the usable endpoints of a snapshot or an update."""
         reason = self.unknown_field(update)
         usable, reasons = self.position.view.select_usable(
-            update.endpoints, update.is_full_list, update.event_number
+            update.endpoints, update.is_snapshot, update.event_number
         )
         for rejection in [reason] if reason else reasons:
             self.log_not_applied(rejection)
         if not reason and (usable or not reasons):
-            self.position.view.apply(usable, update.is_full_list)
-            self.apply(EndpointUpdate(update.is_full_list, tuple(usable), update.event_number))
+            self.position.view.apply(usable, update.is_snapshot)
+            self.apply(EndpointUpdate(update.is_snapshot, tuple(usable), update.event_number))
 
-    def take_purge(self, purge: Purge) -> None:
+    def apply_purge(self, purge: Purge) -> None:
         """Apply a purge.
 
         In a response that arrives in chunks, a purge older than ``purge_retention_ns`` is skipped: a router
@@ -101,7 +101,7 @@
         update_kind = self.kind_of_update(update)
         if update_kind == "replace":
             self.retire_unlisted(update.endpoints)
-        self.has_list = True
+        self.has_endpoint_list = True
         if self.state.is_tracing:
             self.trace_list(update)
         for endpoint in update.endpoints:
@@ -117,9 +117,9 @@
 
     def kind_of_update(self, update: EndpointUpdate) -> str:
         """Name of an update in the decision package: "restored" first, then "replace" or "update"."""
-        if not self.has_list:
+        if not self.has_endpoint_list:
             return "restored"
-        return "replace" if update.is_full_list else "update"
+        return "replace" if update.is_snapshot else "update"
 
     def to_decision_server(self, endpoint: EndpointRecord) -> api.Server:
         """Convert an endpoint to the decision package's type."""
@@ -157,7 +157,7 @@
         """Log the step ``list`` of the trace."""
         self.state.trace(
             "list",
-            whole=update.is_full_list,
+            whole=update.is_snapshot,
             servers=[[e.name, e.kind, e.zone, e.state, e.weight, e.started_ns] for e in update.endpoints],
         )
 
--- a/kelpcroft/core/feed_position.py
+++ b/kelpcroft/core/feed_position.py
@@ -49,26 +49,26 @@
         if wait_ns > 0:
             self.state.schedule(wait_ns, TimerKind.POLL_FEED)
         else:
-            self.call()
+            self.send_watch_request()
 
-    def call(self) -> None:
+    def send_watch_request(self) -> None:
         """Send a watch request for the events after the last one."""
         self.requested_ns = self.state.now
         self.requested_from_event = self.last_event
         self.requires_immediate_response = False
         timeouts = self.timeouts()
-        self.poll_feed(timeouts.wait_ns // MS, timeouts.silence_ns)
+        self.append_watch_request(timeouts.wait_ns // MS, timeouts.silence_ns)
 
-    def call_after_stall(self) -> None:
-        """Send a watch request that is answered immediately, after a process stall.
+    def refresh_after_stall(self) -> None:
+        """Send a watch request after a process stall, to which the feed responds immediately.
 
         The rules count the events that the feed published during the stall as known to the router.
         """
         self.state.counters["stalls"] += 1
         self.requires_immediate_response = True
-        self.poll_feed(AFTER_STALL_WAIT_MS, self.timeouts().silence_ns)
+        self.append_watch_request(AFTER_STALL_WAIT_MS, self.timeouts().silence_ns)
 
-    def poll_feed(self, wait_ms: int, response_timeout_ns: int) -> None:
+    def append_watch_request(self, wait_ms: int, response_timeout_ns: int) -> None:
         """Send one watch request, from the subscription's position or after the last event."""
         if self.subscription is None:
             self.state.effects.append(SendWatchRequest(self.last_event, wait_ms, response_timeout_ns))
@@ -85,7 +85,7 @@
     def is_early_empty_response(self, response: WatchResponse, has_events: bool) -> bool:
         """Whether a response without events arrived before half of its wait had passed.
 
-        The router would poll in a loop if it followed such responses with an immediate request each time.
+        The router would send requests in a loop if it followed each such response with one immediately.
         """
         if has_events or response.last_event != self.last_event:
             return False
--- a/kelpcroft/core/feed_watch.py
+++ b/kelpcroft/core/feed_watch.py
@@ -96,7 +96,7 @@
 
     def on_stalled(self, _message: ProcessStalled) -> None:
         """Request the current events after a process stall: the feed may have published some meanwhile."""
-        self.position.call_after_stall()
+        self.position.refresh_after_stall()
 
     def move_feed(self, address: tuple[str, int]) -> str:
         """Apply the feed address of a reloaded configuration.
--- a/kelpcroft/core/housekeeping.py
+++ b/kelpcroft/core/housekeeping.py
@@ -41,12 +41,12 @@
             self.operator_settings.set_zone_routers(state.fleet_size.estimated_routers(state.now))
         idle_limit_ns = int(IDLE_CLOSE_SHARE * state.config.server_idle_timeout_ns)
         for connection in list(state.connections.by_number.values()):
-            self.forget_retired_ids(connection)
+            self.expire_retired_ids(connection)
             self.close_if_idle(connection, idle_limit_ns)
         if state.now - self.counters_logged_ns >= COUNTERS_INTERVAL_NS:
             self.log_counters()
 
-    def forget_retired_ids(self, connection: PooledConnection) -> None:
+    def expire_retired_ids(self, connection: PooledConnection) -> None:
         """Let ids that were retired more than RETIRED_ID_NS ago be used on their connection again."""
         now = self.state.now
         expired_ids = [
--- a/kelpcroft/core/inputs.py
+++ b/kelpcroft/core/inputs.py
@@ -139,7 +139,7 @@
         connection: The connection on which the response arrived.
         attempt_id: The id with which the attempt or check was sent.
         outcome: The server's result for the attempt.
-        note: Result of the server's own fetch (fill).
+        fill_result: Result of the server's own fetch (fill).
         source_wait_ns: How long the server waited for the source of its fill; 0 = not reported.
         load_report: The server's report of its own load, by the names in the settings.
         not_modified: The copy that the client holds is current, so the response has no body.
@@ -150,7 +150,7 @@
     connection: int
     attempt_id: str
     outcome: Outcome
-    note: FillResult
+    fill_result: FillResult
     source_wait_ns: int
     load_report: dict[str, float]
     not_modified: bool
@@ -190,7 +190,7 @@
 class EndpointUpdate:
     """The complete endpoint list, or the changes to it; ``event_number`` 0 = unknown."""
 
-    is_full_list: bool
+    is_snapshot: bool
     endpoints: tuple[EndpointRecord, ...]
     event_number: int = 0
 
--- a/kelpcroft/core/replica_feed.py
+++ b/kelpcroft/core/replica_feed.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from kelpcroft.operator_file.model import ControlReplicas
 
-# Early responses without events, in a row, that do not count as a polling loop: one for a first state that is
+# Early responses without events, in a row, that do not count as a request loop: one for a first state that is
 # suspect, and two that are in flight across a move to another replica.
 MAX_EMPTY_RESPONSES = 3
 
@@ -57,16 +57,16 @@
         if response.has_more:
             self.chunks += 1
             return
-        has_full_list = any(isinstance(e, EndpointUpdate) and e.is_full_list for e in response.events)
+        has_snapshot = any(isinstance(e, EndpointUpdate) and e.is_snapshot for e in response.events)
         as_of_ms = 0 if self.chunks else response.as_of_ms
-        head = ResponseHead(response.last_event, response.log_fingerprint, as_of_ms, has_full_list)
+        head = ResponseHead(response.last_event, response.log_fingerprint, as_of_ms, has_snapshot)
         self.chunks = 0
-        if self.is_polling_in_a_loop(response):
+        if self.is_requesting_in_a_loop(response):
             self.move_to_next_replica("it responds immediately without events")
             return
         outcome = self.subscription.record_response(self.state.now, head)
         if outcome.verdict is ResponseVerdict.APPLY:
-            self.apply_all(response, has_full_list)
+            self.apply_all(response, has_snapshot)
         elif outcome.verdict is ResponseVerdict.APPLY_REMOVALS_ONLY:
             self.apply_removals(response)
         if outcome.next_call is NextCall.NEXT_REPLICA:
@@ -74,9 +74,9 @@
             return
         if outcome.next_call is NextCall.HOME_REPLICA:
             self.state.effects.append(SwitchFeed(self.subscription.current_address))
-        self.position.call()
+        self.position.send_watch_request()
 
-    def is_polling_in_a_loop(self, response: WatchResponse) -> bool:
+    def is_requesting_in_a_loop(self, response: WatchResponse) -> bool:
         """Whether too many early responses without events arrived in a row.
 
         A replica in good order waits for events before it responds.
@@ -87,13 +87,13 @@
             self.empty_responses = 0
         return self.empty_responses > MAX_EMPTY_RESPONSES
 
-    def apply_all(self, response: WatchResponse, has_full_list: bool) -> None:
+    def apply_all(self, response: WatchResponse, has_snapshot: bool) -> None:
         """Apply all events of a response.
 
         A snapshot may belong to another log, whose event numbers are lower.
         """
         view = self.position.view
-        if has_full_list:
+        if has_snapshot:
             view.last_event_number = 0
         view.begin_response(max(view.last_event_number, response.last_event))
         self.endpoint_list.apply_events(response)
@@ -107,7 +107,7 @@
         known = self.position.view.endpoints
         for event in response.events:
             if isinstance(event, Purge):
-                self.endpoint_list.take_purge(event)
+                self.endpoint_list.apply_purge(event)
                 continue
             removed = tuple(
                 endpoint
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -44,7 +44,7 @@
         connection: The connection on which the attempt is in flight, or for which it waits.
         is_sent: The attempt's bytes were passed to the event loop.
         failed_connections: Number of connections that failed before the attempt was sent.
-        asks_origin: The attempt counts towards the limit on concurrent fetches at the origin.
+        fetches_from_origin: The attempt counts towards the limit on concurrent fetches at the origin.
     """
 
     number: int
@@ -55,7 +55,7 @@
     connection: PooledConnection
     is_sent: bool = False
     failed_connections: int = 0
-    asks_origin: bool = False
+    fetches_from_origin: bool = False
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         message: The request as decoded.
         deadline_ns: When the final response is due.
         allowance: The limits and budgets of its route; None without a route.
-        is_answered: The final response was requested, or the client no longer waits for one.
+        has_final_response: The final response was requested, or the client no longer waits for one.
         attempts_made: Number of attempts that were started.
         attempts_in_flight: Number of attempts that have not ended.
         may_have_executed: The attempt that ended last may have run.
@@ -79,7 +79,7 @@
     message: ClientRequest
     deadline_ns: int
     allowance: RequestAllowance | None = None
-    is_answered: bool = False
+    has_final_response: bool = False
     attempts_made: int = 0
     attempts_in_flight: int = 0
     may_have_executed: bool = False
@@ -138,7 +138,7 @@
         self.counters: Counter[str] = Counter()
         self.effects: list[Effect] = []
         self.events: deque[api.Event] = deque()  # events of the current input for the decision package
-        self.touched_requests: list[OpenRequest] = []  # accepted, or with an attempt ended, in this input
+        self.requests_to_check: list[OpenRequest] = []  # accepted, or with an attempt ended, in this input
         self.now = 0  # time of the current input
         self.is_tracing = config.is_tracing  # ROUTER_TRACE=1: each step of a request is logged
 
--- a/kelpcroft/discovery/endpoint_view.py
+++ b/kelpcroft/discovery/endpoint_view.py
@@ -62,18 +62,18 @@
         return False
 
     def select_usable(
-        self, endpoints: Iterable[EndpointRecord], is_full_list: bool, event_number: int
+        self, endpoints: Iterable[EndpointRecord], is_snapshot: bool, event_number: int
     ) -> tuple[list[EndpointRecord], list[str]]:
         """Returns the records of a list event that are usable, and why each other record is not.
 
         A complete list with a reason and no record is discarded altogether.
         """
         records = list(endpoints)
-        if is_full_list and not any(record.state == IN_SERVICE for record in records):
+        if is_snapshot and not any(record.state == IN_SERVICE for record in records):
             return [], [f"event {event_number}: a complete list of {len(records)} servers, none in service"]
         is_old = self._numbers_went_back or 0 < event_number <= self.last_event_number
         by_address = {known.address: known for known in self.endpoints.values() if known.state == IN_SERVICE}
-        leaving_names = self._leaving_names(records, is_full_list)
+        leaving_names = self._leaving_names(records, is_snapshot)
         usable: list[EndpointRecord] = []
         reasons: list[str] = []
         for record in records:
@@ -87,10 +87,10 @@
                 usable.append(record)
         return usable, reasons
 
-    def _leaving_names(self, records: list[EndpointRecord], is_full_list: bool) -> set[str]:
+    def _leaving_names(self, records: list[EndpointRecord], is_snapshot: bool) -> set[str]:
         """Returns the servers that a list event takes out of service: by their record, or by its absence."""
         leaving_names = {record.name for record in records if record.state != IN_SERVICE}
-        if is_full_list:
+        if is_snapshot:
             leaving_names |= set(self.endpoints) - {record.name for record in records}
         return leaving_names
 
@@ -101,9 +101,9 @@
             return ""
         return f"{record.name} is leaving or gone according to a later event"
 
-    def apply(self, endpoints: Iterable[EndpointRecord], is_full_list: bool) -> None:
+    def apply(self, endpoints: Iterable[EndpointRecord], is_snapshot: bool) -> None:
         """Stores the records that are used from now on."""
-        if is_full_list:
+        if is_snapshot:
             self.endpoints = {}
         for record in endpoints:
             self.endpoints[record.name] = record
--- a/kelpcroft/net/server_codec.py
+++ b/kelpcroft/net/server_codec.py
@@ -55,7 +55,7 @@
     "crowded": FillResult.NO_FILL_PLACE,
     "behind": FillResult.ORIGIN_FAILED,
 }
-# An attempt's options on the wire, keyed by (join_fill, cache_only, no_parent_copy, refresh_behind).
+# An attempt's options on the wire, keyed by (join_fill, cached_only, no_parent_copy, refresh_in_background).
 OPTIONS = {
     flags: "+".join(letter for letter, flag in zip("jhnr", flags, strict=True) if flag)
     for flags in product((False, True), repeat=4)
@@ -85,7 +85,9 @@
         fields.append(f"admit={attempt.retention_rank}")
     if attempt.max_age_ms:
         fields.append(f"agelim={attempt.max_age_ms}")
-    options = OPTIONS[attempt.join_fill, attempt.cache_only, attempt.no_parent_copy, attempt.refresh_behind]
+    options = OPTIONS[
+        attempt.join_fill, attempt.cached_only, attempt.no_parent_copy, attempt.refresh_in_background
+    ]
     if options:
         fields.append(f"ways={options}")
     if attempt.etag:
--- a/testbed/cold_start_servers.py
+++ b/testbed/cold_start_servers.py
@@ -188,7 +188,7 @@
         wait_ns = transfer_ns - PART_TRANSFER_NS + WITHIN_ZONE_NS
         if parent.has_object(item, self._object_seeds[command.source]):
             return Fill(wait_ns, FillResult.FILLED)
-        if command.cache_only:
+        if command.cached_only:
             return Fill(None, FillResult.SOURCE_LACKS)
         origin_ns = self.origin.answer(now_ns)
         if origin_ns is None:
--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -333,7 +333,7 @@
                 memoryview(data)[cut:]
             )
             assert [
-                (response.attempt_id, response.outcome, response.note, bytes(response.body))
+                (response.attempt_id, response.outcome, response.fill_result, bytes(response.body))
                 for response in responses
             ] == [
                 ("a", Outcome.OK, FillResult.STALE, b"by\r\nt"),
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -170,7 +170,7 @@
         event = {"n": 9, "members": {"snapshot": True, "endpoints": endpoints}}
         responses = decode(FeedCodec(), http_response(response_body([event], 9)))
         updates = [e for response in responses for e in response.events if isinstance(e, EndpointUpdate)]
-        assert [(len(e.endpoints), e.is_full_list, e.event_number) for e in updates] == [(5000, True, 9)]
+        assert [(len(e.endpoints), e.is_snapshot, e.event_number) for e in updates] == [(5000, True, 9)]
 
 
 class RouterProcesses(unittest.TestCase):
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -175,9 +175,9 @@
         self.view.end_response(0, 5)
 
     def usable(
-        self, *records: inputs.EndpointRecord, is_full_list: bool = False, number: int = 6
+        self, *records: inputs.EndpointRecord, is_snapshot: bool = False, number: int = 6
     ) -> list[str]:
-        usable, _ = self.view.select_usable(records, is_full_list, number)
+        usable, _ = self.view.select_usable(records, is_snapshot, number)
         return [f"{e.name} {e.state}" for e in usable]
 
     def test_a_whole_list_with_none_in_service_is_none(self) -> None:
@@ -196,7 +196,7 @@
             "a terminated",
             "x in_service",
         ], "it has taken the address of a server that leaves"
-        assert self.usable(record("x", address=address), record("b"), is_full_list=True) == [
+        assert self.usable(record("x", address=address), record("b"), is_snapshot=True) == [
             "x in_service",
             "b in_service",
         ]
@@ -226,10 +226,10 @@
 
 
 def watch_response(
-    last: int, *records: inputs.EndpointRecord, is_full_list: bool = False
+    last: int, *records: inputs.EndpointRecord, is_snapshot: bool = False
 ) -> inputs.WatchResponse:
     return inputs.WatchResponse(
-        last, (inputs.EndpointUpdate(is_full_list, records, last),) if records or is_full_list else ()
+        last, (inputs.EndpointUpdate(is_snapshot, records, last),) if records or is_snapshot else ()
     )
 
 
@@ -301,7 +301,7 @@
     def test_an_empty_whole_list_changes_nothing_and_is_said_once(self) -> None:
         r = self.reducer()
         before = dict(r.state.endpoints)
-        effect_list = r.handle(NOW + 2 * S, watch_response(3, is_full_list=True))
+        effect_list = r.handle(NOW + 2 * S, watch_response(3, is_snapshot=True))
         assert r.state.endpoints == before
         assert events(effect_list) == ["feed.refused"]
         assert [e.after_event for e in polls(effect_list)] == [3], "the next watch request continues after it"
