--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -36,7 +36,7 @@
 
     def retry_delay_ns(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
         """The wait after a failure, in ns."""
-        return SECOND // 2 + self.chance(SECOND)
+        return SECOND // 2 + self.random_delay_ns(SECOND)
 
 
 class Exponential(DiscoverySchedule):
@@ -44,7 +44,7 @@
 
     def retry_delay_ns(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
         """The wait after a failure, in ns."""
-        return self.chance(min(100 * MS << min(self.consecutive_failures, 10), 30 * SECOND))
+        return self.random_delay_ns(min(100 * MS << min(self.consecutive_failures, 10), 30 * SECOND))
 
 
 WAYS: dict[str, tuple[type[DiscoverySchedule], float]] = {
--- a/kelpcroft/__main__.py
+++ b/kelpcroft/__main__.py
@@ -108,10 +108,10 @@
 
 
 def _crash_loop_delay_ns(config: Config, operator_file: inputs.OperatorFileRead | None) -> int:
-    """How long the first call of the list waits, where the operator's file limits such calls."""
+    """How long the first list request is delayed, where the operator's file sets a budget for them."""
     if operator_file is None or operator_file.file is None:
         return 0
-    if not operator_file.file.start_options.list_calls_per_s:
+    if not operator_file.file.start_options.list_requests_per_s:
         return 0
     return predecessor_files.crash_loop_delay_ns(config.state_dir, config.name, time.time_ns())
 
--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -64,23 +64,23 @@
 def control_replica(file: str, config: str, name: str, dry_run: bool, log_format: str) -> None:
     """Check FILE and CONFIG, and serve until a signal asks for the end."""
     options = read_file(file)
-    purge_span_ns = read_settings(config).rules.purge_retention_ns
+    purge_lifetime_ns = read_settings(config).rules.purge_retention_ns
     if dry_run:
-        click.echo(f"{file}: good; would serve {describe(options, purge_span_ns)}")
+        click.echo(f"{file}: good; would serve {describe(options, purge_lifetime_ns)}")
         return
-    sys.exit(serve(options, purge_span_ns, name, "" if log_format == "auto" else log_format))
+    sys.exit(serve(options, purge_lifetime_ns, name, "" if log_format == "auto" else log_format))
 
 
-def describe(file: ControlReplicaFile, purge_span_ns: int) -> str:
+def describe(file: ControlReplicaFile, purge_lifetime_ns: int) -> str:
     """What a replica with this file would do, in a line."""
     upstreams = ", ".join(f"{host}:{port}" for host, port in (*file.list_services, *file.peers))
     return (
         f"{file.watches} watchers at {file.listen[0]}:{file.listen[1]} from {upstreams}; "
-        f"a purge matters for {purge_span_ns / NS_PER_S:g} s"
+        f"a purge matters for {purge_lifetime_ns / NS_PER_S:g} s"
     )
 
 
-def serve(file: ControlReplicaFile, purge_span_ns: int, name: str, log_format: str) -> int:
+def serve(file: ControlReplicaFile, purge_lifetime_ns: int, name: str, log_format: str) -> int:
     """Serve until a signal asks for the end.
 
     Returns:
@@ -107,12 +107,12 @@
         address = listening_address(listener)
         text = f"{name} listens on {address}"
         events.write(clock.now(), LogEvent("replica.listens", text, "info", {"at": address}))
-        replica = ControlReplica(replica_options(file, purge_span_ns), clock.now() ^ os.getpid())
+        replica = ControlReplica(replica_options(file, purge_lifetime_ns), clock.now() ^ os.getpid())
         ControlReplicaServer(replica, listener, clock, events).run(signals)
     return EXIT_STOPPED
 
 
-def replica_options(file: ControlReplicaFile, purge_span_ns: int) -> ReplicaOptions:
+def replica_options(file: ControlReplicaFile, purge_lifetime_ns: int) -> ReplicaOptions:
     """The settings of a replica with this file."""
     from kelpcroft.control_log.messages import ReplicaOptions
 
@@ -122,7 +122,7 @@
         lease_ns=file.lease_ns,
         batch_ns=file.batch_ns,
         max_watches=file.watches,
-        purge_span_ns=purge_span_ns,
+        purge_lifetime_ns=purge_lifetime_ns,
     )
 
 
--- a/kelpcroft/control_log/__init__.py
+++ b/kelpcroft/control_log/__init__.py
@@ -1,7 +1,7 @@
 """Control log: the list of servers and the purges, replicated and forwarded to routers.  Pure: no I/O.
 
-A list service numbers its events.  Control replicas follow it, or each other, and respond to the long polls
-of many routers in its place.  Two programs are built on this package: the control replica
+A list service numbers its events.  Control replicas follow it, or each other, and respond to the watch
+requests of many routers in its place.  Two programs are built on this package: the control replica
 (``kelpcroft.net.control_replica_server``) and the router's watch on replicas (``kelpcroft.core``).
 
 Owns the state of a control replica and a router's position in the log.  Imports nothing of the rest of
--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -20,7 +20,7 @@
 MAX_SERVERS = 10_000  # with more servers than this there is no snapshot
 MAX_PURGES = 20_000  # at most this many relevant purges at a time: 300 a second for a minute
 FINGERPRINT_BYTES = 8  # length of a fingerprint before its hex encoding
-SNAPSHOT_LIFETIMES_PER_PURGE_SPAN = 8  # a snapshot is reused for at most an eighth of ``purge_span_ms``
+SNAPSHOT_LIFETIMES_PER_PURGE_SPAN = 8  # a snapshot is reused for at most an eighth of ``purge_lifetime_ms``
 
 JsonObject = dict[str, Any]  # a JSON object of the feed; any field may be missing or of another type
 
@@ -72,13 +72,13 @@
 class ControlLog:
     """One log, as far as it has been received."""
 
-    def __init__(self, purge_span_ms: int) -> None:
+    def __init__(self, purge_lifetime_ms: int) -> None:
         """Creates an empty log.
 
         Args:
-            purge_span_ms: How long a purge stays relevant, counted from the time that it states.
+            purge_lifetime_ms: How long a purge stays relevant, counted from the time that it states.
         """
-        self.purge_span_ms = purge_span_ms
+        self.purge_lifetime_ms = purge_lifetime_ms
         self.servers: dict[str, JsonObject] = {}  # by name: the newest record, as it was received
         self.purges: dict[PurgeKey, int] = {}  # when each was made, in Unix ms
         self.tail: deque[TailEvent] = deque()
@@ -171,17 +171,17 @@
     def _apply_purge(self, purge: JsonObject, now_ms: int) -> None:
         purged_ms = int(purge["at"])
         key = purge_key(purge)
-        if now_ms - purged_ms > self.purge_span_ms:
+        if now_ms - purged_ms > self.purge_lifetime_ms:
             return
         if key not in self.purges and len(self.purges) >= MAX_PURGES:
             self._drop_expired_purges(now_ms)
             if len(self.purges) >= MAX_PURGES:
-                self._incomplete_until_ms = max(self._incomplete_until_ms, purged_ms + self.purge_span_ms)
+                self._incomplete_until_ms = max(self._incomplete_until_ms, purged_ms + self.purge_lifetime_ms)
                 return
         self.purges[key] = max(purged_ms, self.purges.pop(key, 0))  # ``pop`` moves the key to the end
 
     def _drop_expired_purges(self, now_ms: int) -> None:
-        oldest_ms = now_ms - self.purge_span_ms
+        oldest_ms = now_ms - self.purge_lifetime_ms
         self.purges = {key: purged_ms for key, purged_ms in self.purges.items() if purged_ms >= oldest_ms}
 
     # Reading ----------------------------------------------------------------------------------------------
@@ -230,7 +230,7 @@
 
     def _can_reuse_snapshot(self, now_ms: int) -> bool:
         """Returns whether the last snapshot is of the last event and includes few expired purges."""
-        reused_for_ms = self.purge_span_ms // SNAPSHOT_LIFETIMES_PER_PURGE_SPAN
+        reused_for_ms = self.purge_lifetime_ms // SNAPSHOT_LIFETIMES_PER_PURGE_SPAN
         return (
             bool(self._snapshot)
             and self._snapshot_number == self.last_event_number
--- a/kelpcroft/control_log/messages.py
+++ b/kelpcroft/control_log/messages.py
@@ -26,7 +26,7 @@
     lease_ns: int = 3 * SECOND  # a state that was last complete longer ago than this is stale
     batch_ns: int = 400 * MS  # minimum interval between two responses to one watcher
     max_watches: int = 1_000  # watch requests that wait at one time
-    purge_span_ns: int = 66 * SECOND  # how long a purge stays relevant
+    purge_lifetime_ns: int = 66 * SECOND  # how long a purge stays relevant
 
 
 # Inputs ---------------------------------------------------------------------------------------------------
@@ -49,7 +49,7 @@
 
     watcher_id: int  # of its connection
     position: LogPosition
-    knows_fingerprints: bool  # if not, the position is its number alone
+    has_fingerprint: bool  # if not, the position is its number alone
     wait_ns: int  # how long the watcher waits for new events
 
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RefuseWatcher:
+class RejectWatcher:
     """Reject a watcher's request for now.  The reason is sent to the watcher."""
 
     watcher_id: int
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallUpstream:
+class SendUpstreamRequest:
     """Send an upstream address a watch request for the events after a position, ``delay_ns`` from now.
 
     ``on_new_connection``: open another connection, because data still to come on the present one is useless.
@@ -97,7 +97,7 @@
     level: str = "info"
 
 
-Effect = SendWatchResponse | RefuseWatcher | CallUpstream | WriteLogEvent
+Effect = SendWatchResponse | RejectWatcher | SendUpstreamRequest | WriteLogEvent
 
 
 @dataclass(slots=True)
--- a/kelpcroft/control_log/replica.py
+++ b/kelpcroft/control_log/replica.py
@@ -44,7 +44,7 @@
         """
         self.options = options
         self.counters = ReplicaCounters()
-        self.log = ControlLog(options.purge_span_ns // MS)
+        self.log = ControlLog(options.purge_lifetime_ns // MS)
         self._effects = EffectList()
         self.upstream = UpstreamSession(options, seed, self.log, self._effects, self.counters)
         follower = self.upstream.follower
--- a/kelpcroft/control_log/subscription.py
+++ b/kelpcroft/control_log/subscription.py
@@ -11,7 +11,7 @@
 MS = 1_000_000
 
 
-class NextCall(Enum):
+class NextRequest(Enum):
     """Where the router sends the watch request that follows a response."""
 
     SAME_REPLICA = "call"  # immediately
@@ -24,7 +24,7 @@
     """What to do with a watch response, and where the next watch request goes."""
 
     verdict: ResponseVerdict
-    next_call: NextCall
+    next_request: NextRequest
     reason: str = ""  # why the router leaves the replica
 
 
@@ -57,16 +57,16 @@
         """Judges a response from the current replica, and moves the position and the replica."""
         if not head.as_of_ms:
             reason = "not a control replica, or one without a state yet"
-            return ResponseOutcome(ResponseVerdict.OUTDATED, NextCall.NEXT_REPLICA, reason)
+            return ResponseOutcome(ResponseVerdict.OUTDATED, NextRequest.NEXT_REPLICA, reason)
         verdict = self.follower.judge(head)
         self.follower.record_verdict(head, verdict)
         if verdict is ResponseVerdict.OUTDATED:
-            return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "its state is behind")
+            return ResponseOutcome(verdict, NextRequest.NEXT_REPLICA, "its state is behind")
         if now - head.as_of_ms * MS > self.stale_after_ns:
-            return ResponseOutcome(verdict, NextCall.NEXT_REPLICA, "its state is stale")
+            return ResponseOutcome(verdict, NextRequest.NEXT_REPLICA, "its state is stale")
         if self.selector.record_success(now):
-            return ResponseOutcome(verdict, NextCall.HOME_REPLICA)
-        return ResponseOutcome(verdict, NextCall.SAME_REPLICA)
+            return ResponseOutcome(verdict, NextRequest.HOME_REPLICA)
+        return ResponseOutcome(verdict, NextRequest.SAME_REPLICA)
 
     def select_next_replica(self, now: int) -> int:
         """Leaves the current replica: the next watch request goes to another address.
--- a/kelpcroft/control_log/upstream.py
+++ b/kelpcroft/control_log/upstream.py
@@ -15,10 +15,10 @@
 from kelpcroft.control_log.messages import (
     MS,
     SECOND,
-    CallUpstream,
     EffectList,
     ReplicaCounters,
     ReplicaOptions,
+    SendUpstreamRequest,
     UpstreamResponse,
 )
 from kelpcroft.control_log.upstream_selection import UpstreamSelector
@@ -55,7 +55,9 @@
         position = self.follower.requested_position()
         if self._must_verify_log and position.event_number and address not in self._options.peers:
             position = LogPosition(self._log.last_event_number - 1)  # the last event is sent again
-        self._effects.add(CallUpstream(address, position, UPSTREAM_WAIT_NS, delay_ns, on_new_connection))
+        self._effects.add(
+            SendUpstreamRequest(address, position, UPSTREAM_WAIT_NS, delay_ns, on_new_connection)
+        )
 
     def switch_upstream(self, now: int, reason: str) -> None:
         """Leaves the current upstream for the next one.  The log stays."""
@@ -213,8 +215,8 @@
     def _send_next_request(self, now: int, has_new_events: bool) -> None:
         """Sends the next watch request, to the home address where that is due.
 
-        It waits for ``batch_ns`` after an early response without new events, because it would otherwise poll
-        in a tight loop.
+        It waits for ``batch_ns`` after an early response without new events, because it would otherwise send
+        watch requests in a tight loop.
         """
         self.selector.record_success(now)
         is_early = now - self._requested_ns < UPSTREAM_WAIT_NS // 2
--- a/kelpcroft/control_log/watchers.py
+++ b/kelpcroft/control_log/watchers.py
@@ -20,7 +20,7 @@
     MS,
     SECOND,
     EffectList,
-    RefuseWatcher,
+    RejectWatcher,
     ReplicaCounters,
     ReplicaOptions,
     SendWatchResponse,
@@ -150,7 +150,7 @@
             return True
         number = request.position.event_number
         last_number = self._log.last_event_number
-        if not request.knows_fingerprints or number < last_number:
+        if not request.has_fingerprint or number < last_number:
             return number != last_number
         if number > last_number:
             return False
@@ -160,7 +160,7 @@
         """Responds with the events after a watcher's position."""
         watcher_id = request.watcher_id
         del self.pending[watcher_id]
-        if self._lease.is_stale and not request.knows_fingerprints:
+        if self._lease.is_stale and not request.has_fingerprint:
             self._reject(watcher_id, "stale")  # it cannot tell an outdated state from a current one
             return
         try:
@@ -176,11 +176,11 @@
 
     def _reject(self, watcher_id: int, reason: str) -> None:
         self._counters.refusals += 1
-        self._effects.add(RefuseWatcher(watcher_id, reason))
+        self._effects.add(RejectWatcher(watcher_id, reason))
 
     def _response_body(self, now: int, request: WatchRequest) -> bytes:
         """Returns the response's JSON, which is cached by position for watchers with fingerprints."""
-        if not request.knows_fingerprints:
+        if not request.has_fingerprint:
             return self._encode(self._events_for(now, request))
         body = self._bodies.get(request.position)
         if body is None:
@@ -200,7 +200,7 @@
         last_number = self._log.last_event_number
         if not last_number or number > last_number:
             return []
-        if request.knows_fingerprints:
+        if request.has_fingerprint:
             has_position = self._log.contains(number, request.position.fingerprint)
         else:
             has_position = self._log.contains_number(number)
--- a/kelpcroft/core/feed_position.py
+++ b/kelpcroft/core/feed_position.py
@@ -80,7 +80,7 @@
 
     def timeouts(self) -> WatchTimeouts:
         """How long a watch request waits for events, and its silence timeout after that."""
-        return watch_timeouts(self.state.settings.rules, self.schedule.news_wait_ms() * MS)
+        return watch_timeouts(self.state.settings.rules, self.schedule.event_wait_ms() * MS)
 
     def is_early_empty_response(self, response: WatchResponse, has_events: bool) -> bool:
         """Whether a response without events arrived before half of its wait had passed.
--- a/kelpcroft/core/feed_watch.py
+++ b/kelpcroft/core/feed_watch.py
@@ -41,13 +41,13 @@
             replicas: The control replicas of the operator's file; None = none are named.
         """
         config = self.state.config
-        schedule = DiscoverySchedule(config.settings.instances, self.new_seed(), options.list_calls_per_s)
+        schedule = DiscoverySchedule(config.settings.instances, self.new_seed(), options.list_requests_per_s)
         self.position.schedule = schedule
         self.configured.apply_response(config.initial_endpoints)
         if replicas is not None:
             self.watch_replicas(replicas)
             return
-        wait_ns = schedule.first_call_delay_ns() + crash_loop_delay_ns if schedule.has_budget else 0
+        wait_ns = schedule.first_request_delay_ns() + crash_loop_delay_ns if schedule.has_budget else 0
         self.position.schedule_watch_request(wait_ns)
 
     def new_seed(self) -> int:
@@ -56,7 +56,7 @@
 
     def set_start_options(self, options: StartupOptions) -> None:
         """Apply the start options of an operator's file that was read."""
-        self.position.schedule.set_budget(self.state.settings.instances, options.list_calls_per_s)
+        self.position.schedule.set_budget(self.state.settings.instances, options.list_requests_per_s)
 
     def watch_replicas(self, replicas: ControlReplicas | None) -> None:
         """Watch control replicas from now on, or the configuration's feed where none are named.
--- a/kelpcroft/core/replica_feed.py
+++ b/kelpcroft/core/replica_feed.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from kelpcroft.control_log.follower import ResponseHead, ResponseVerdict
-from kelpcroft.control_log.subscription import NextCall, Subscription
+from kelpcroft.control_log.subscription import NextRequest, Subscription
 from kelpcroft.core.effects import SwitchFeed
 from kelpcroft.core.endpoint_list import EndpointList
 from kelpcroft.core.feed_position import FeedPosition
@@ -69,10 +69,10 @@
             self.apply_all(response, has_snapshot)
         elif outcome.verdict is ResponseVerdict.APPLY_REMOVALS_ONLY:
             self.apply_removals(response)
-        if outcome.next_call is NextCall.NEXT_REPLICA:
+        if outcome.next_request is NextRequest.NEXT_REPLICA:
             self.move_to_next_replica(outcome.reason)
             return
-        if outcome.next_call is NextCall.HOME_REPLICA:
+        if outcome.next_request is NextRequest.HOME_REPLICA:
             self.state.effects.append(SwitchFeed(self.subscription.current_address))
         self.position.send_watch_request()
 
--- a/kelpcroft/discovery/schedule.py
+++ b/kelpcroft/discovery/schedule.py
@@ -32,14 +32,14 @@
 SECOND_RETRY_DELAY_NS = 25 * MS  # without a budget: after a second failure; doubles with each further one
 MAX_RETRY_DELAY_NS = 400 * MS  # without a budget: longest delay after a failure
 MAX_DOUBLINGS = 8  # after more doublings the delay exceeds its bound anyway
-MIN_NEWS_WAIT_MS = 1_000  # shortest wait of a request for new events
-MAX_NEWS_WAIT_MS = 4_000  # longest wait of a request for new events
+MIN_EVENT_WAIT_MS = 1_000  # shortest wait of a watch request for new events
+MAX_EVENT_WAIT_MS = 4_000  # longest wait of a watch request for new events
 MAX_FIRST_REQUEST_DELAY_NS = 5 * SECOND  # the first request is sent by then, whatever the fleet's size
 MAX_RETRY_CYCLES = 1.5  # a failed request is repeated within this many cycles
 MAX_RETRY_AFTER_NS = 30 * SECOND  # a longer Retry-After is cut to this
 FREE_WASTED_BYTES = 256 << 10  # a response without progress up to this size adds no delay
 WASTED_BYTES_PER_S = 64 << 10  # a larger one adds the time that it would take at this rate
-MAX_WASTE_DELAY_NS = 60 * SECOND  # longest such delay, so that a recovered feed is polled by then
+MAX_WASTE_DELAY_NS = 60 * SECOND  # longest such delay, so that a recovered feed receives a request by then
 
 
 class DiscoverySchedule:
@@ -80,17 +80,17 @@
         """The longest delay of the first new event after an outage."""
         return int(MAX_RETRY_CYCLES * self.cycle_ns) if self.has_budget else MAX_RETRY_DELAY_NS
 
-    def chance(self, max_ns: int) -> int:
+    def random_delay_ns(self, max_ns: int) -> int:
         """Returns a uniformly random duration up to ``max_ns``; 0 without a budget."""
         return int(self.random() * max_ns) if self.random else 0
 
-    def first_call_delay_ns(self) -> int:
+    def first_request_delay_ns(self) -> int:
         """Returns how long after its start the router sends its first request."""
-        return self.chance(min(self.cycle_ns, MAX_FIRST_REQUEST_DELAY_NS))
+        return self.random_delay_ns(min(self.cycle_ns, MAX_FIRST_REQUEST_DELAY_NS))
 
-    def news_wait_ms(self) -> int:
+    def event_wait_ms(self) -> int:
         """Returns how long a request waits for new events."""
-        return min(MAX_NEWS_WAIT_MS, max(MIN_NEWS_WAIT_MS, self.cycle_ns // MS))
+        return min(MAX_EVENT_WAIT_MS, max(MIN_EVENT_WAIT_MS, self.cycle_ns // MS))
 
     def record_success(self) -> None:
         """Records a response: the next request may be sent immediately."""
@@ -117,11 +117,13 @@
         """Returns how long to wait after a failure, apart from the bytes that it wasted."""
         if not self.has_budget:
             return self._backoff_ns()
-        wait_ns = self.chance(self.cycle_ns)  # a single lost connection is replaced soon
+        wait_ns = self.random_delay_ns(self.cycle_ns)  # a single lost connection is replaced soon
         if self.consecutive_failures > 1:
             wait_ns += self.cycle_ns // 2  # spreads the retries of a whole fleet over its cycle
         if retry_after_ns > 0:
-            retry_after_delay_ns = min(retry_after_ns, MAX_RETRY_AFTER_NS) + self.chance(self.cycle_ns)
+            retry_after_delay_ns = min(retry_after_ns, MAX_RETRY_AFTER_NS) + self.random_delay_ns(
+                self.cycle_ns
+            )
             wait_ns = max(wait_ns, retry_after_delay_ns)
         return wait_ns
 
--- a/kelpcroft/net/control_replica_server.py
+++ b/kelpcroft/net/control_replica_server.py
@@ -16,9 +16,9 @@
 import orjson
 
 from kelpcroft.control_log.messages import (
-    CallUpstream,
     Effect,
-    RefuseWatcher,
+    RejectWatcher,
+    SendUpstreamRequest,
     SendWatchResponse,
     UpstreamResponse,
     WatchRequest,
@@ -144,9 +144,9 @@
                 case SendWatchResponse(watcher_id, body):
                     self._response_bytes += len(body)
                     self._watchers.write(watcher_id, encode_response(body))
-                case RefuseWatcher(watcher_id, reason, retry_after_s):
+                case RejectWatcher(watcher_id, reason, retry_after_s):
                     self._watchers.write(watcher_id, encode_rejection(reason, retry_after_s))
-                case CallUpstream():
+                case SendUpstreamRequest():
                     self._upstream.schedule(effect)
                 case WriteLogEvent(event, text, fields, level):
                     self._events.write(self._clock.now(), LogEvent(event, text, level, fields))
@@ -162,7 +162,7 @@
         if isinstance(request, StateRequest):
             self._watchers.write(watcher_id, encode_response(orjson.dumps(self._status())))
             return
-        watch = WatchRequest(watcher_id, request.position, request.knows_fingerprints, request.wait_ns)
+        watch = WatchRequest(watcher_id, request.position, request.has_fingerprint, request.wait_ns)
         self._perform(self._replica.on_watch(self._clock.now(), watch))
 
     def _status(self) -> ReplicaStatus:
--- a/kelpcroft/net/control_replica_upstream.py
+++ b/kelpcroft/net/control_replica_upstream.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from kelpcroft.control_log.messages import UPSTREAM_TIMEOUT_MARGIN_NS, CallUpstream, UpstreamResponse
+from kelpcroft.control_log.messages import UPSTREAM_TIMEOUT_MARGIN_NS, SendUpstreamRequest, UpstreamResponse
 from kelpcroft.control_log.upstream import UPSTREAM_WAIT_NS
 from kelpcroft.control_log.upstream_selection import Address
 from kelpcroft.net.clock import Clock
@@ -41,7 +41,7 @@
 
     due_ns: int
     sequence: int
-    request: CallUpstream
+    request: SendUpstreamRequest
 
 
 class UpstreamClient:
@@ -73,7 +73,7 @@
         self._scheduled: list[ScheduledRequest] = []  # a heap
         self._sequence = 0
 
-    def schedule(self, request: CallUpstream) -> None:
+    def schedule(self, request: SendUpstreamRequest) -> None:
         """Schedules a request that is sent when its delay has passed."""
         self._sequence += 1
         due_ns = self._clock.now() + request.delay_ns
@@ -107,7 +107,7 @@
             self._connection.sock.close()
             self._connection = None
 
-    def _send_request(self, request: CallUpstream) -> None:
+    def _send_request(self, request: SendUpstreamRequest) -> None:
         """Sends a request, on the open connection or on a new one."""
         now = self._clock.now()
         connection = self._connection
--- a/kelpcroft/net/watch_codec.py
+++ b/kelpcroft/net/watch_codec.py
@@ -33,7 +33,7 @@
     """A watch request for the events after a position."""
 
     position: LogPosition
-    knows_fingerprints: bool  # the request has a fingerprint, which may be ""
+    has_fingerprint: bool  # the request has a fingerprint, which may be ""
     wait_ns: int  # how long the replica may wait for an event before it sends a response
 
 
--- a/kelpcroft/operator_file/check.py
+++ b/kelpcroft/operator_file/check.py
@@ -16,7 +16,7 @@
 
 from kelpcroft.core.inputs import OperatorFileRead
 from kelpcroft.decision import interface as api
-from kelpcroft.discovery.schedule import MAX_NEWS_WAIT_MS
+from kelpcroft.discovery.schedule import MAX_EVENT_WAIT_MS
 from kelpcroft.operator_file.diagnostics import (
     Diagnostic,
     DiagnosticCollector,
@@ -33,7 +33,7 @@
 from kelpcroft.store.identity import hex_digest
 
 # Interval between watch requests of a router while there are no events.
-IDLE_WATCH_INTERVAL_S = MAX_NEWS_WAIT_MS / 1_000
+IDLE_WATCH_INTERVAL_S = MAX_EVENT_WAIT_MS / 1_000
 MAX_REGIONS = 50_000  # groups times parts times objects, of all routes together
 MAX_NAMED_ROUTES = 3  # earlier routes named in the diagnostic of an unreachable route
 Result = TypeVar("Result")
@@ -167,12 +167,12 @@
     """Check the start options against the number of routers and the load reports of the deployment."""
     start = file.start_options
     idle_requests_per_s = settings.instances / IDLE_WATCH_INTERVAL_S
-    if 0 < start.list_calls_per_s < idle_requests_per_s:
+    if 0 < start.list_requests_per_s < idle_requests_per_s:
         diagnostics.add(
             file.start_position,
             "rate-under-rest",
             f"{settings.instances} idle routers send {idle_requests_per_s:g} requests per second to the "
-            f"list service; list-calls={start.list_calls_per_s:g} is too low",
+            f"list service; list-calls={start.list_requests_per_s:g} is too low",
         )
     report_fields = settings.load_report_fields
     reports_outstanding = settings.load_report_mode != "off" and "outstanding" in report_fields
--- a/kelpcroft/operator_file/reader.py
+++ b/kelpcroft/operator_file/reader.py
@@ -159,7 +159,7 @@
                 "'start' needs list-calls=50 (the requests a second of all routers "
                 "that the list service can serve), store=#true or count=#true",
             )
-        list_calls_per_s = self.read_property(
+        list_requests_per_s = self.read_property(
             node,
             "list-calls",
             lambda raw: values.parse_number(raw, MIN_LIST_CALLS_PER_S, MAX_LIST_CALLS_PER_S, "bad-rate"),
@@ -167,7 +167,7 @@
         limit_origin_fetches = self.read_property(node, "store", values.parse_flag)
         estimate_fleet_size = self.read_property(node, "count", values.parse_flag)
         self.start_options = StartupOptions(
-            list_calls_per_s or 0.0, bool(limit_origin_fetches), bool(estimate_fleet_size)
+            list_requests_per_s or 0.0, bool(limit_origin_fetches), bool(estimate_fleet_size)
         )
 
     def read_replicas(self, node: KdlNode) -> None:
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -169,18 +169,18 @@
         """Carry out what the replica's core asks for, in its order."""
         start = self.starts
         for e in effect_list:
-            if isinstance(e, (core.SendWatchResponse, core.RefuseWatcher)):
+            if isinstance(e, (core.SendWatchResponse, core.RejectWatcher)):
                 call = self.watches.pop(e.watcher_id, None)
                 if call and isinstance(e, core.SendWatchResponse):
                     self.net.reply(call, e.body)
                 elif call:
                     self.net.fail(call)
-            elif isinstance(e, core.CallUpstream):
+            elif isinstance(e, core.SendUpstreamRequest):
                 self.net.at(e.delay_ns, lambda e=e: self.call(e, start))  # type: ignore[misc]
             else:
                 self.notes.append(e.event)
 
-    def call(self, e: core.CallUpstream, start: int) -> None:
+    def call(self, e: core.SendUpstreamRequest, start: int) -> None:
         """Call upstream, unless the process that wanted it (number ``start``) has ended."""
         if not self.up or start != self.starts:
             return
--- a/tests/control_log/test_control_log.py
+++ b/tests/control_log/test_control_log.py
@@ -13,9 +13,9 @@
 from kelpcroft.control_log.follower import LogFollower, LogPosition, ResponseHead, ResponseVerdict
 from kelpcroft.control_log.log import ControlLog, SnapshotIncompleteError, canonical_json, event_fingerprint
 from kelpcroft.control_log.messages import (
-    CallUpstream,
-    RefuseWatcher,
+    RejectWatcher,
     ReplicaOptions,
+    SendUpstreamRequest,
     SendWatchResponse,
     UpstreamResponse,
     WatchRequest,
@@ -176,7 +176,7 @@
         return [
             orjson.loads(e.body) if isinstance(e, SendWatchResponse) else e
             for e in replica.on_watch(now, watch)
-            if isinstance(e, (SendWatchResponse, RefuseWatcher))
+            if isinstance(e, (SendWatchResponse, RejectWatcher))
         ]
 
     def test_calls_of_a_watcher_are_bounded_whatever_the_rate_of_events(self) -> None:
@@ -220,7 +220,7 @@
             == 1
         )
         rejected = self.responses(replica, end + SECOND, WatchRequest(8, LogPosition(1), False, SECOND))
-        assert isinstance(rejected[0], RefuseWatcher), (
+        assert isinstance(rejected[0], RejectWatcher), (
             "a watcher without fingerprints cannot detect a stale state"
         )
 
@@ -233,7 +233,7 @@
             )
         assert isinstance(
             self.responses(replica, NOW, WatchRequest(9, LogPosition(1, fingerprint), True, SECOND))[0],
-            RefuseWatcher,
+            RejectWatcher,
         )
         replica.on_watcher_disconnected(0)
         assert self.responses(replica, NOW, WatchRequest(9, LogPosition(1, fingerprint), True, SECOND)) == []
@@ -259,7 +259,7 @@
         replica, now, requests = self.replica(), NOW, 0
         effect_list = replica.on_upstream_response(now, UpstreamResponse(1, (snapshot_event(1, "a"),)))
         while now < NOW + 10 * SECOND:
-            request = next(e for e in effect_list if isinstance(e, CallUpstream))
+            request = next(e for e in effect_list if isinstance(e, SendUpstreamRequest))
             now, requests = now + request.delay_ns + MS, requests + 1
             effect_list = replica.on_upstream_response(now, UpstreamResponse(1, (snapshot_event(1, "a"),)))
         assert requests < 10 * SECOND // replica.options.batch_ns + 5
--- a/tests/control_log/test_control_machine.py
+++ b/tests/control_log/test_control_machine.py
@@ -21,14 +21,16 @@
 SERVICE = address_of(0)
 RECOVERY_NS = 12 * SECOND  # a lease, the moves past all replicas, and twice the clock difference
 MAX_REQUESTS_PER_S = 12  # watch requests of one router at all replicas: one per batch interval, and moves
-PURGE_SPAN_NS = 66 * SECOND  # of the example's settings
+PURGE_LIFETIME_NS = 66 * SECOND  # of the example's settings
 
 
 def fleet() -> VirtualNetwork:
     """Returns two replicas that watch the list service, and one that watches these two."""
-    first = ReplicaOptions((SERVICE,), purge_span_ns=PURGE_SPAN_NS)
+    first = ReplicaOptions((SERVICE,), purge_lifetime_ns=PURGE_LIFETIME_NS)
     peers = (address_of(1), address_of(2))
-    second_level = ReplicaOptions(peers, frozenset(peers), batch_ns=200 * MS, purge_span_ns=PURGE_SPAN_NS)
+    second_level = ReplicaOptions(
+        peers, frozenset(peers), batch_ns=200 * MS, purge_lifetime_ns=PURGE_LIFETIME_NS
+    )
     return VirtualNetwork(SIZE, [first, first, second_level], SKEWS_NS)
 
 
@@ -119,7 +121,7 @@
             drained |= self.drained - serving
             purged, known_purges = router.purged(), self.purges_at_router[router.name]
             for number, at in known_purges.items():
-                assert number in purged or self.network.now - at > PURGE_SPAN_NS, (router.name, number)
+                assert number in purged or self.network.now - at > PURGE_LIFETIME_NS, (router.name, number)
             known_purges.update({n: self.purges[n] for n in purged if n in self.purges})
 
     @invariant()
@@ -143,7 +145,7 @@
             assert router.serving() == active, (router.name, router.serving() ^ active)
             if router.starts == 1:
                 required = {
-                    n for n, at in self.purges.items() if self.network.now - at < PURGE_SPAN_NS - SECOND
+                    n for n, at in self.purges.items() if self.network.now - at < PURGE_LIFETIME_NS - SECOND
                 }
                 assert required <= router.purged(), (router.name, required - router.purged())
 
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -51,12 +51,12 @@
     """
     times = []
     for schedule in schedules:
-        at = schedule.first_call_delay_ns()
+        at = schedule.first_request_delay_ns()
         while at < seconds * S:
             times.append(at)
             if serves(at):
                 schedule.record_success()
-                at += schedule.news_wait_ms() * MS
+                at += schedule.event_wait_ms() * MS
             else:
                 at += 2 * MS + schedule.record_failure()
     return times
@@ -85,7 +85,7 @@
         """Rules whose grace starts when the feed has an event require each request to be sent immediately."""
         for count in (1, 60, 200, 5_000):
             schedule = DiscoverySchedule(count, 1)
-            assert (schedule.first_call_delay_ns(), schedule.news_wait_ms()) == (0, 1000)
+            assert (schedule.first_request_delay_ns(), schedule.event_wait_ms()) == (0, 1000)
             delays = [schedule.record_failure(9 * S) for _ in range(9)]
             assert delays == [0] + [min(25 << n, 400) * MS for n in range(8)]
             assert (schedule.random, schedule.max_delay_ns) == (None, 400 * MS), "``random`` is not imported"
@@ -120,7 +120,7 @@
         assert (schedule.has_budget, schedule.cycle_ns) == (True, 20 * S)
         assert schedule.record_failure() != schedule.record_failure()
         schedule.set_budget(200, 0.0)
-        assert (schedule.has_budget, schedule.news_wait_ms()) == (False, 1000)
+        assert (schedule.has_budget, schedule.event_wait_ms()) == (False, 1000)
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(EVENTS, st.integers(1, 5_000), st.integers(0, 2**32), st.sampled_from([0.0, 1.0, 50.0, 1e6]))
@@ -136,8 +136,8 @@
             else:
                 schedule.record_success()
                 assert schedule.consecutive_failures == 0
-            assert schedule.first_call_delay_ns() <= MAX_FIRST_REQUEST_DELAY_NS
-            assert 1000 <= schedule.news_wait_ms() <= 4000
+            assert schedule.first_request_delay_ns() <= MAX_FIRST_REQUEST_DELAY_NS
+            assert 1000 <= schedule.event_wait_ms() <= 4000
         # After any sequence the next request is sent within a bounded time.
         assert schedule.record_failure() <= schedule.max_delay_ns
 
@@ -233,7 +233,7 @@
     )
 
 
-BUDGET = StartupOptions(list_calls_per_s=50.0)
+BUDGET = StartupOptions(list_requests_per_s=50.0)
 
 
 def polls(effect_list: list[effects.Effect]) -> list[effects.SendWatchRequest]:
