--- a/kelpcroft/__main__.py
+++ b/kelpcroft/__main__.py
@@ -108,7 +108,7 @@
 
 
 def _crash_loop_delay_ns(config: Config, operator_file: inputs.OperatorFileRead | None) -> int:
-    """How long the first list request is delayed, where the operator's file sets a budget for them."""
+    """How long the first call of the list waits, where the operator's file limits such calls."""
     if operator_file is None or operator_file.file is None:
         return 0
     if not operator_file.file.start_options.list_requests_per_s:
--- a/kelpcroft/cli/check.py
+++ b/kelpcroft/cli/check.py
@@ -37,7 +37,7 @@
     if file is None and config is None:
         raise CommandError("nothing to check: name a FILE, or --config CONFIG, or both")
     config_diagnostics = diagnose_configuration(config) if config else []
-    is_usable = not any(diagnostic.level is Severity.FAULT for diagnostic in config_diagnostics)
+    is_usable = not any(diagnostic.level is Severity.ERROR for diagnostic in config_diagnostics)
     if form == "text":
         for diagnostic in config_diagnostics:
             click.echo(f"{config}: {diagnostic.level}: {diagnostic}")
--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -165,7 +165,7 @@
         "limits.sockets",
         f"{config.max_descriptors}, but the system gives {available}",
         f"a limit of that many; {available} are counted on",
-        Severity.DOUBT,
+        Severity.WARNING,
     )
     return replace(config, max_descriptors=available, warnings=(*config.warnings, warning))
 
--- a/kelpcroft/core/attempt_completion.py
+++ b/kelpcroft/core/attempt_completion.py
@@ -6,7 +6,7 @@
 from kelpcroft.core.state import Attempt, State
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.interface import FillResult, Outcome
-from kelpcroft.invariants import holds
+from kelpcroft.invariants import check_invariant
 
 # Outcomes after which the elapsed time is a sample of the route's latency.
 TIMED_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)
@@ -39,7 +39,7 @@
             load_report: The load that the server reports; None = no report.
         """
         state = self.state
-        if not holds(state.attempts.pop(attempt.number, None) is not None, "an attempt ends once"):
+        if not check_invariant(state.attempts.pop(attempt.number, None) is not None, "an attempt ends once"):
             return
         request = attempt.request
         elapsed_ns = state.now - attempt.started_ns
--- a/kelpcroft/core/attempt_sending.py
+++ b/kelpcroft/core/attempt_sending.py
@@ -14,7 +14,7 @@
 from kelpcroft.core.state import MS, Attempt, OpenRequest, State
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.interface import Idempotency, Outcome
-from kelpcroft.invariants import holds
+from kelpcroft.invariants import check_invariant
 
 if TYPE_CHECKING:
     from kelpcroft.routes import RequestAllowance
@@ -44,7 +44,9 @@
         """
         state = self.state
         request = state.requests.get(int(action.id))
-        if request is None or not holds(not request.has_final_response, "no attempt behind the final answer"):
+        if request is None or not check_invariant(
+            not request.has_final_response, "no attempt behind the final answer"
+        ):
             return
         index = request.attempts_made
         request.attempts_made += 1
@@ -103,7 +105,7 @@
         elif request.attempts_made > 1 and request.may_have_executed and not request.is_backing_off:
             within_budget = allowance.spend_retry(state.now)
         request.is_backing_off = False
-        holds(within_budget, "no budget is overdrawn")
+        check_invariant(within_budget, "no budget is overdrawn")
         if allowance.hedge_delay_ns:
             key = TimerKey(TimerKind.HEDGE, int(request.id), request.attempts_made)
             state.effects.append(ScheduleTimer(state.now + allowance.hedge_delay_ns, key))
--- a/kelpcroft/core/attempts.py
+++ b/kelpcroft/core/attempts.py
@@ -23,7 +23,7 @@
 from kelpcroft.core.state import SECOND, Attempt, OpenRequest, State
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.interface import Outcome
-from kelpcroft.invariants import holds
+from kelpcroft.invariants import check_invariant
 
 # A server that responded within this time is running, even if it refuses a connection.
 RECENT_RESPONSE_NS = SECOND
@@ -244,11 +244,11 @@
     def back_off(self, action: api.BackOff) -> None:
         """Start a request's back-off; the next attempt is charged to the route's retry budget now."""
         request = self.state.requests.get(int(action.id))
-        if request is None or not holds(not request.is_backing_off, "a request waits once"):
+        if request is None or not check_invariant(not request.is_backing_off, "a request waits once"):
             return
         request.is_backing_off = True
         if request.allowance is not None:
-            holds(request.allowance.spend_retry(self.state.now), "no budget is overdrawn")
+            check_invariant(request.allowance.spend_retry(self.state.now), "no budget is overdrawn")
         key = TimerKey(TimerKind.RETRY_BACKOFF, int(action.id), 0)
         self.state.effects.append(ScheduleTimer(action.until_ns, key))
 
--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -9,7 +9,7 @@
 from kelpcroft.core.state import OpenRequest, State
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.interface import Idempotency, RequestClass
-from kelpcroft.invariants import holds
+from kelpcroft.invariants import check_invariant
 
 if TYPE_CHECKING:
     from kelpcroft.routes import RequestAllowance
@@ -199,7 +199,7 @@
 
     def finish(self, request: OpenRequest, response: FinalResponse | None) -> None:
         """End a request: send its final response, or none (``response`` is None) if its client left."""
-        if not holds(not request.has_final_response, "one final answer for each request"):
+        if not check_invariant(not request.has_final_response, "one final answer for each request"):
             return
         state = self.state
         request.has_final_response = True
--- a/kelpcroft/core/decision_loop.py
+++ b/kelpcroft/core/decision_loop.py
@@ -12,7 +12,7 @@
 from kelpcroft.core.messages import TimerKey, TimerKind
 from kelpcroft.core.state import OpenRequest, State
 from kelpcroft.decision import interface as api
-from kelpcroft.invariants import holds
+from kelpcroft.invariants import check_invariant
 
 
 class DecisionLoop:
@@ -68,7 +68,7 @@
         """
         if request.has_final_response or request.attempts_in_flight or request.is_backing_off:
             return
-        if not holds(False, "a request is tried or answered"):
+        if not check_invariant(False, "a request is tried or answered"):
             message = request.message
             self.requests.finish(request, FailRequest(message.client, message.request_number))
 
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -175,7 +175,7 @@
         if (share, origin_available) != (self.cold_budget_share, self.origin_available):
             self.cold_budget_share = share
             self.origin_available = origin_available
-            self.events.append(api.RouterShare(share, origin_available))
+            self.events.append(api.RouterShareChanged(share, origin_available))
 
     def expected_transfer_ns(self, request_class: str, size_kb: float) -> float:
         """How long the transfer of a response's bytes takes, without the server's processing time.
--- a/kelpcroft/decision/admission.py
+++ b/kelpcroft/decision/admission.py
@@ -14,7 +14,7 @@
 from collections import deque
 from typing import Final
 
-from kelpcroft.decision.endpoint import WORK_SPAN_NS, Endpoint
+from kelpcroft.decision.endpoint import WORK_TIME_CONSTANT_NS, Endpoint
 from kelpcroft.decision.latency_model import AVERAGE_GAIN, TRANSFER_TIME_GAIN, LatencyModel
 from kelpcroft.decision.requests import InFlightRequest
 from kelpcroft.decision.router_state import RouterState
@@ -75,7 +75,7 @@
         self.lowered_ns = 0
         self.last_evidence_ns = 0
         self.recent_arrivals: deque[tuple[float, float]] = deque(maxlen=MAX_RECENT_ARRIVALS)
-        self.offered_work = DecayingSum(WORK_SPAN_NS)
+        self.offered_work = DecayingSum(WORK_TIME_CONSTANT_NS)
         self.link_load = LinearDecay(LOAD_SIGNAL_DECAY_NS)
         self.cache_load = LinearDecay(LOAD_SIGNAL_DECAY_NS)
         self.source_wait = LinearDecay(LOAD_SIGNAL_DECAY_NS)
@@ -135,7 +135,7 @@
             capacity: The number of parallel transfers that there is capacity for; infinity if it is unknown.
         """
         total = self.offered_work.total
-        capacity_share = capacity * WORK_SPAN_NS / total if total else math.inf
+        capacity_share = capacity * WORK_TIME_CONSTANT_NS / total if total else math.inf
         if capacity_share < 1:
             self.capacity_threshold = price_threshold(self.recent_arrivals, capacity_share)
         else:
--- a/kelpcroft/decision/endpoint.py
+++ b/kelpcroft/decision/endpoint.py
@@ -25,7 +25,7 @@
 MAX_LOAD_PREFERENCE: Final = 4.0
 # Weight of a new sample in the running means of one server, of which one router receives few samples
 ENDPOINT_GAIN: Final = 0.3
-WORK_SPAN_NS: Final = 4 * SECOND_NS  # offered or completed work of this age counts 1/e
+WORK_TIME_CONSTANT_NS: Final = 4 * SECOND_NS  # offered or completed work of this age counts 1/e
 MAX_COLD_UTILIZATION: Final = 0.7  # highest reported utilization up to which a cold cache is loaded
 MIN_COLD_UTILIZATION: Final = 0.25  # a lower reported utilization of a cold cache counts as this value
 LONG_AGO_NS: Final = 10**15  # 11 days, longer than the interval of any rule
@@ -72,7 +72,7 @@
         self.first_byte_updated_ns = 0
         self.slowdown = MeanDeviation(1.0, ENDPOINT_GAIN)
         self.work_sent = SlidingWindowSum()
-        self.work_completed = DecayingSum(WORK_SPAN_NS)
+        self.work_completed = DecayingSum(WORK_TIME_CONSTANT_NS)
         self.utilization = 1.0
         self.mean_utilization = MeanDeviation(1.0, UTILIZATION_GAIN)
 
@@ -103,7 +103,7 @@
     def record_restart(self, at_ns: int) -> None:
         """Record a start, listed or inferred; work completed before it does not show current capacity."""
         if at_ns > self.started_ns:
-            self.work_completed = DecayingSum(WORK_SPAN_NS)
+            self.work_completed = DecayingSum(WORK_TIME_CONSTANT_NS)
         self.started_ns = at_ns
 
     def spare_capacity(self, now_ns: int) -> float:
@@ -112,7 +112,12 @@
         It is derived from the work that the server has recently completed and the utilization it reported.
         """
         completed = self.work_completed.value_at(now_ns)
-        return completed / WORK_SPAN_NS * MAX_COLD_UTILIZATION / max(self.utilization, MIN_COLD_UTILIZATION)
+        return (
+            completed
+            / WORK_TIME_CONSTANT_NS
+            * MAX_COLD_UTILIZATION
+            / max(self.utilization, MIN_COLD_UTILIZATION)
+        )
 
     def load_preference(self, zone_mean: float, min_utilization: float) -> float:
         """Return the factor on the server's weight, above 1 if its utilization is below the zone's mean.
--- a/kelpcroft/decision/events.py
+++ b/kelpcroft/decision/events.py
@@ -284,8 +284,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouterShare:
-    """The share of its router's budgets that this process may use.
+class RouterShareChanged:
+    """The share of its router's budgets that this process may use has changed.
 
     Attributes:
         share: The share of the budgets for cold servers, under 1 while another process of the same router may
@@ -312,5 +312,5 @@
     | PeerMessage
     | Purged
     | SettingsChanged
-    | RouterShare
+    | RouterShareChanged
 )
--- a/kelpcroft/decision/policy.py
+++ b/kelpcroft/decision/policy.py
@@ -29,7 +29,7 @@
     Request,
     RequestEvent,
     ResponseStarted,
-    RouterShare,
+    RouterShareChanged,
     ServerList,
     SettingsChanged,
     TimerExpired,
@@ -147,7 +147,7 @@
         elif isinstance(event, SettingsChanged):
             self.state.change_settings(event.settings)
             self.latency_model.update_classes()
-        elif isinstance(event, RouterShare):
+        elif isinstance(event, RouterShareChanged):
             self.state.router_share = event.share
             self.state.origin_fills_allowed = event.origin_fills_allowed
         elif isinstance(event, (ResponseStarted, HedgeDue, BackoffElapsed, ClientDisconnected)):
@@ -215,7 +215,7 @@
         if event.is_final or request.is_closed:
             self.completion.close(request)
         elif not request.attempts_in_flight and not request.response_started:
-            self.retries.after_failure(request, attempt, event)
+            self.retries.handle_failure(request, attempt, event)
 
     # Timers
 
--- a/kelpcroft/decision/retries.py
+++ b/kelpcroft/decision/retries.py
@@ -39,7 +39,7 @@
         """Add the tokens of a new request to the retry budget."""
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
 
-    def after_failure(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
+    def handle_failure(self, request: InFlightRequest, attempt: Attempt, event: AttemptEnded) -> None:
         """Send another attempt after the last attempt in flight failed, or send the final response."""
         retry_policy = request.request.retry_policy
         is_past_deadline = self.state.now_ns >= request.deadline_ns
--- a/kelpcroft/decision/slow_start.py
+++ b/kelpcroft/decision/slow_start.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from kelpcroft.decision.admission import Admission
-from kelpcroft.decision.endpoint import WORK_SPAN_NS, Endpoint
+from kelpcroft.decision.endpoint import WORK_TIME_CONSTANT_NS, Endpoint
 from kelpcroft.decision.events import Role
 from kelpcroft.decision.latency_model import LatencyModel
 from kelpcroft.decision.requests import InFlightRequest
@@ -23,7 +23,7 @@
 MAX_COLLAPSE_BUDGET_SHARE: Final = 0.6
 # Capacity assumed for a server without a weight, as a share of this router's load on the server's peers:
 # under overload, peers receive more than they have capacity for
-UNKNOWN_CAPACITY_OVER_LOAD: Final = 0.5
+ASSUMED_CAPACITY_OVER_LOAD: Final = 0.5
 # Intervals per cycle of turns, as a multiple of a request's cost over the router's budget: any window of
 # overload_collapse_ns overlaps two turns, and the hashes of router numbers cluster
 TURNS_PER_REQUEST: Final = 3
@@ -90,7 +90,7 @@
     def assumed_capacity_share(self, endpoint: Endpoint) -> float:
         """Return this router's share of the capacity assumed for a server if the list has no weights.
 
-        It is ``UNKNOWN_CAPACITY_OVER_LOAD`` times the transfer time per unit of time that this router sends
+        It is ``ASSUMED_CAPACITY_OVER_LOAD`` times the transfer time per unit of time that this router sends
         to a warm peer on average, and at least this router's share of one transfer.
         """
         settings = self.state.settings
@@ -107,6 +107,6 @@
         if not loads and endpoint.server.role is Role.CACHE:
             # No peer is warm: assume that the zone's caches have capacity for the load of its clients.
             offered = self.admission.all_requests.offered_work.value_at(now_ns)
-            loads = [offered / WORK_SPAN_NS / len(self.state.directory.zone_caches)]
-        assumed_share = UNKNOWN_CAPACITY_OVER_LOAD * sum(loads) / len(loads) if loads else 0.0
+            loads = [offered / WORK_TIME_CONSTANT_NS / len(self.state.directory.zone_caches)]
+        assumed_share = ASSUMED_CAPACITY_OVER_LOAD * sum(loads) / len(loads) if loads else 0.0
         return max(assumed_share, 1 / routers)
--- a/kelpcroft/deployment_check/check.py
+++ b/kelpcroft/deployment_check/check.py
@@ -29,7 +29,7 @@
     ROOT_PATH: ("limits", "settings"),
     "settings": ("limits", "contract", "family_info", "report", "classes"),
 }
-LEVELS_BY_WEIGHT = (Severity.FAULT, Severity.DOUBT, Severity.UNKNOWN)
+LEVELS_BY_WEIGHT = (Severity.ERROR, Severity.WARNING, Severity.UNKNOWN)
 
 
 def check_configuration(raw: JsonObject) -> list[Diagnostic]:
@@ -105,7 +105,7 @@
         for place, value in values_at(raw, key.path):
             expected = key.form(value)
             if expected:
-                level = Severity.FAULT if key.reader else Severity.DOUBT
+                level = Severity.ERROR if key.reader else Severity.WARNING
                 yield Diagnostic(place, abbreviated_json(value), expected, level)
 
 
--- a/kelpcroft/deployment_check/contradictions.py
+++ b/kelpcroft/deployment_check/contradictions.py
@@ -38,7 +38,7 @@
 
 def doubt(place: str, found: str, expected: str) -> Diagnostic:
     """A diagnostic of settings with which the program starts all the same."""
-    return Diagnostic(place, found, expected, Severity.DOUBT)
+    return Diagnostic(place, found, expected, Severity.WARNING)
 
 
 def check_zone(view: SettingsView) -> Iterator[Diagnostic]:
--- a/kelpcroft/diagnostics.py
+++ b/kelpcroft/diagnostics.py
@@ -26,8 +26,8 @@
 class Severity(StrEnum):
     """Level of a diagnostic.  ``kelpcroft check`` prints the values, also as JSON."""
 
-    FAULT = "fault"  # an error: the file cannot be used
-    DOUBT = "doubt"  # a warning: the file can be used, but an operator should check the place
+    ERROR = "fault"  # an error: the file cannot be used
+    WARNING = "doubt"  # a warning: the file can be used, but an operator should check the place
     UNKNOWN = "unknown"  # an unknown feature: a key that no version up to this one supports, which is ignored
 
 
@@ -50,7 +50,7 @@
     place: str = ""
     found: str = ""
     expected: str = ""
-    level: Severity = Severity.FAULT
+    level: Severity = Severity.ERROR
     position: FilePosition = NO_POSITION
     code: str = ""
 
@@ -62,7 +62,7 @@
     def __str__(self) -> str:
         """Returns ``PLACE: found; expected``, the line of a JSON configuration's diagnostic."""
         # An error without a place concerns the whole file; for an unknown key it is the key "".
-        is_whole_file = not self.place and self.level is Severity.FAULT
+        is_whole_file = not self.place and self.level is Severity.ERROR
         return f"{'the file' if is_whole_file else self.place}: {self.found}; {self.expected}"
 
     def format_for(self, path: str) -> str:
--- a/kelpcroft/invariants.py
+++ b/kelpcroft/invariants.py
@@ -7,7 +7,7 @@
 violations: Counter[str] = Counter()  # number of violations of each invariant in this process
 
 
-def holds(condition: bool, invariant: str) -> bool:
+def check_invariant(condition: bool, invariant: str) -> bool:
     """Returns whether an invariant holds; if not, a debug build fails and a release build counts it.
 
     Args:
--- a/kelpcroft/net/buffers.py
+++ b/kelpcroft/net/buffers.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from kelpcroft.core.messages import Body
-from kelpcroft.invariants import holds
+from kelpcroft.invariants import check_invariant
 
 BUFFER_BYTES: Final = 64 * 1024
 MAX_CHUNKS_PER_WRITE: Final = 64  # chunks in one gathering write; the kernel accepts at most 1,024
@@ -30,7 +30,7 @@
 
     def release(self, buffer: bytearray) -> None:
         """Returns a buffer to the pool."""
-        if holds(self.in_use > 0 and len(buffer) == BUFFER_BYTES, "a buffer goes back once"):
+        if check_invariant(self.in_use > 0 and len(buffer) == BUFFER_BYTES, "a buffer goes back once"):
             self.in_use -= 1
             self.free.append(buffer)
 
--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -81,7 +81,7 @@
         (
             "kelpcroft/core/client_requests.py",
             "        if self.close_misbehaving_client(message):\n",
-            '        holds(self.state.last_number % 50 != 0, "a defect")\n'
+            '        check_invariant(self.state.last_number % 50 != 0, "a defect")\n'
             "        if self.close_misbehaving_client(message):\n",
         ),
     ),
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -100,7 +100,7 @@
         policies = []
         for share in shares:
             p = policy(records)
-            p.handle(COLD, api.RouterShare(share))
+            p.handle(COLD, api.RouterShareChanged(share))
             policies.append(p)
         return policies
 
