--- a/kelpcroft/__main__.py
+++ b/kelpcroft/__main__.py
@@ -111,7 +111,7 @@
     """Return how long the first list request is delayed; 0 if the operator's file does not limit them."""
     if operator_file is None or operator_file.file is None:
         return 0
-    if not operator_file.file.start_options.list_calls_per_s:
+    if not operator_file.file.start_options.list_requests_per_s:
         return 0
     return predecessor_files.crash_loop_delay_ns(config.state_dir, config.name, time.time_ns())
 
--- a/kelpcroft/core/attempt_completion.py
+++ b/kelpcroft/core/attempt_completion.py
@@ -6,7 +6,7 @@
 from kelpcroft.core.state import Attempt, State
 from kelpcroft.decision import interface as api
 from kelpcroft.decision.interface import FillResult, Outcome
-from kelpcroft.invariants import holds
+from kelpcroft.invariants import check_invariant
 
 # Outcomes after which the elapsed time is a sample of the route's latency.
 TIMED_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)
@@ -39,7 +39,7 @@
             load_report: The load that the server reports; None = no report.
         """
         state = self.state
-        if not holds(state.attempts.pop(attempt.number, None) is not None, "an attempt ends once"):
+        if not check_invariant(state.attempts.pop(attempt.number, None) is not None, "an attempt ends once"):
             return
         request = attempt.request
         elapsed_ns = state.now - attempt.started_ns
@@ -55,7 +55,7 @@
                 attempt.forward.server,
                 outcome,
                 elapsed_ns,
-                request.is_answered,
+                request.has_final_response,
                 fill_result,
                 source_wait_ns,
                 load_report or {},
@@ -72,7 +72,7 @@
     ) -> None:
         """Report the end to the origin concurrency limit, the fleet size estimate and the route's latency."""
         state = self.state
-        if attempt.asks_origin and state.origin_limit is not None:
+        if attempt.fetches_from_origin and state.origin_limit is not None:
             is_late = self.is_late_at_origin(attempt, outcome, fill_result, source_wait_ns)
             state.origin_limit.record_finished(state.now, attempt.started_ns, is_late)
             state.set_cold_budget_share(state.cold_budget_share)
@@ -95,7 +95,7 @@
         self.connections.release(connection)
         del self.state.attempt_numbers[request.id, attempt.index]
         request.attempts_in_flight -= 1
-        self.state.touched_requests.append(request)
+        self.state.requests_to_check.append(request)
 
     def record_execution(self, attempt: Attempt, outcome: Outcome) -> None:
         """Count the outcome, and record whether the attempt may have been executed."""
--- a/kelpcroft/deployment_check/check.py
+++ b/kelpcroft/deployment_check/check.py
@@ -32,7 +32,7 @@
     "settings": ("limits", "contract", "family_info", "report", "classes"),
 }
 # The most severe level first.
-LEVELS_BY_SEVERITY = (Severity.FAULT, Severity.DOUBT, Severity.UNKNOWN)
+LEVELS_BY_SEVERITY = (Severity.ERROR, Severity.WARNING, Severity.UNKNOWN)
 
 
 def check_configuration(raw: JsonObject) -> list[Diagnostic]:
@@ -110,7 +110,7 @@
         for place, value in values_at(raw, key.path):
             expected = key.form(value)
             if expected:
-                level = Severity.FAULT if key.reader else Severity.DOUBT
+                level = Severity.ERROR if key.reader else Severity.WARNING
                 yield Diagnostic(place, abbreviated_json(value), expected, level)
 
 
--- a/kelpcroft/deployment_check/contradictions.py
+++ b/kelpcroft/deployment_check/contradictions.py
@@ -40,7 +40,7 @@
 
 def warning(place: str, found: str, expected: str) -> Diagnostic:
     """Return a warning; the router starts with such settings."""
-    return Diagnostic(place, found, expected, Severity.DOUBT)
+    return Diagnostic(place, found, expected, Severity.WARNING)
 
 
 def check_zone(view: SettingsView) -> Iterator[Diagnostic]:
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -169,18 +169,18 @@
         """Carry out what the replica's core asks for, in its order."""
         start = self.starts
         for e in effect_list:
-            if isinstance(e, (core.SendWatchResponse, core.RefuseWatcher)):
+            if isinstance(e, (core.SendWatchResponse, core.RejectWatcher)):
                 call = self.watches.pop(e.watcher_id, None)
                 if call and isinstance(e, core.SendWatchResponse):
                     self.net.reply(call, e.body)
                 elif call:
                     self.net.fail(call)
-            elif isinstance(e, core.CallUpstream):
+            elif isinstance(e, core.SendUpstreamRequest):
                 self.net.at(e.delay_ns, lambda e=e: self.call(e, start))  # type: ignore[misc]
             else:
                 self.notes.append(e.event)
 
-    def call(self, e: core.CallUpstream, start: int) -> None:
+    def call(self, e: core.SendUpstreamRequest, start: int) -> None:
         """Call upstream, unless the process that wanted it (number ``start``) has ended."""
         if not self.up or start != self.starts:
             return
@@ -249,7 +249,7 @@
                 if self.out is not None:
                     self.out.over = True
                     self.out = None
-            elif isinstance(e, effects.PollFeed):
+            elif isinstance(e, effects.SendWatchRequest):
                 self.poll(e)
             elif isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.POLL_FEED:
                 self.net.at(e.at_ns - self.now(), lambda e=e: self.due(e, start))  # type: ignore[misc]
@@ -261,7 +261,7 @@
         if start == self.starts:
             self.tell(inputs.TimerFired(e.key))
 
-    def poll(self, e: effects.PollFeed) -> None:
+    def poll(self, e: effects.SendWatchRequest) -> None:
         """Call the feed, unless a call is out."""
         if self.out is not None:
             return
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -51,12 +51,12 @@
     """
     times = []
     for schedule in schedules:
-        at = schedule.first_call_delay_ns()
+        at = schedule.first_request_delay_ns()
         while at < seconds * S:
             times.append(at)
             if serves(at):
                 schedule.record_success()
-                at += schedule.news_wait_ms() * MS
+                at += schedule.event_wait_ms() * MS
             else:
                 at += 2 * MS + schedule.record_failure()
     return times
@@ -85,7 +85,7 @@
         """Rules whose grace starts when the feed has an event require each request to be sent immediately."""
         for count in (1, 60, 200, 5_000):
             schedule = DiscoverySchedule(count, 1)
-            assert (schedule.first_call_delay_ns(), schedule.news_wait_ms()) == (0, 1000)
+            assert (schedule.first_request_delay_ns(), schedule.event_wait_ms()) == (0, 1000)
             delays = [schedule.record_failure(9 * S) for _ in range(9)]
             assert delays == [0] + [min(25 << n, 400) * MS for n in range(8)]
             assert (schedule.random, schedule.max_delay_ns) == (None, 400 * MS), "``random`` is not imported"
@@ -120,7 +120,7 @@
         assert (schedule.has_budget, schedule.cycle_ns) == (True, 20 * S)
         assert schedule.record_failure() != schedule.record_failure()
         schedule.set_budget(200, 0.0)
-        assert (schedule.has_budget, schedule.news_wait_ms()) == (False, 1000)
+        assert (schedule.has_budget, schedule.event_wait_ms()) == (False, 1000)
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(EVENTS, st.integers(1, 5_000), st.integers(0, 2**32), st.sampled_from([0.0, 1.0, 50.0, 1e6]))
@@ -136,8 +136,8 @@
             else:
                 schedule.record_success()
                 assert schedule.consecutive_failures == 0
-            assert schedule.first_call_delay_ns() <= MAX_FIRST_REQUEST_DELAY_NS
-            assert 1000 <= schedule.news_wait_ms() <= 4000
+            assert schedule.first_request_delay_ns() <= MAX_FIRST_REQUEST_DELAY_NS
+            assert 1000 <= schedule.event_wait_ms() <= 4000
         # After any sequence the next request is sent within a bounded time.
         assert schedule.record_failure() <= schedule.max_delay_ns
 
@@ -175,9 +175,9 @@
         self.view.end_response(0, 5)
 
     def usable(
-        self, *records: inputs.EndpointRecord, is_full_list: bool = False, number: int = 6
+        self, *records: inputs.EndpointRecord, is_snapshot: bool = False, number: int = 6
     ) -> list[str]:
-        usable, _ = self.view.select_usable(records, is_full_list, number)
+        usable, _ = self.view.select_usable(records, is_snapshot, number)
         return [f"{e.name} {e.state}" for e in usable]
 
     def test_a_whole_list_with_none_in_service_is_none(self) -> None:
@@ -196,7 +196,7 @@
             "a terminated",
             "x in_service",
         ], "it has taken the address of a server that leaves"
-        assert self.usable(record("x", address=address), record("b"), is_full_list=True) == [
+        assert self.usable(record("x", address=address), record("b"), is_snapshot=True) == [
             "x in_service",
             "b in_service",
         ]
@@ -226,18 +226,18 @@
 
 
 def watch_response(
-    last: int, *records: inputs.EndpointRecord, is_full_list: bool = False
+    last: int, *records: inputs.EndpointRecord, is_snapshot: bool = False
 ) -> inputs.WatchResponse:
     return inputs.WatchResponse(
-        last, (inputs.EndpointUpdate(is_full_list, records, last),) if records or is_full_list else ()
+        last, (inputs.EndpointUpdate(is_snapshot, records, last),) if records or is_snapshot else ()
     )
 
 
-BUDGET = StartupOptions(list_calls_per_s=50.0)
+BUDGET = StartupOptions(list_requests_per_s=50.0)
 
 
-def polls(effect_list: list[effects.Effect]) -> list[effects.PollFeed]:
-    return [e for e in only(effects.PollFeed, effect_list) if isinstance(e, effects.PollFeed)]
+def polls(effect_list: list[effects.Effect]) -> list[effects.SendWatchRequest]:
+    return [e for e in only(effects.SendWatchRequest, effect_list) if isinstance(e, effects.SendWatchRequest)]
 
 
 def feed_wakes(effect_list: list[effects.Effect]) -> list[effects.ScheduleTimer]:
@@ -301,7 +301,7 @@
     def test_an_empty_whole_list_changes_nothing_and_is_said_once(self) -> None:
         r = self.reducer()
         before = dict(r.state.endpoints)
-        effect_list = r.handle(NOW + 2 * S, watch_response(3, is_full_list=True))
+        effect_list = r.handle(NOW + 2 * S, watch_response(3, is_snapshot=True))
         assert r.state.endpoints == before
         assert events(effect_list) == ["feed.refused"]
         assert [e.after_event for e in polls(effect_list)] == [3], "the next watch request continues after it"
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -37,9 +37,9 @@
 from kelpcroft.core import effects, inputs  # noqa: E402
 from kelpcroft.core.reducer import Reducer  # noqa: E402
 from kelpcroft.core.request_statistics import RequestStatistics  # noqa: E402
-from kelpcroft.net.control_codec import reply  # noqa: E402
-from kelpcroft.net.feed_codec import encode_poll  # noqa: E402
-from kelpcroft.net.watch_codec import encode_bad_request, encode_refusal, encode_response  # noqa: E402
+from kelpcroft.net.control_codec import encode_control_response  # noqa: E402
+from kelpcroft.net.feed_codec import encode_watch_request  # noqa: E402
+from kelpcroft.net.watch_codec import encode_bad_request, encode_rejection, encode_response  # noqa: E402
 from kelpcroft.rollout.events import OperatorCommand  # noqa: E402
 from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome  # noqa: E402
 from kelpcroft.rollout.plan_file import load_plan  # noqa: E402
@@ -140,10 +140,12 @@
         ("gone", 1, False),
     ):
         statistics.record_end("page", outcome, attempts, 2.5, in_time)
-    reducer.handle(NOW + SECOND, inputs.ControlRequest(7, inputs.ControlVerb.OUT_OF_SERVICE))
-    effect_list = reducer.handle(NOW + 3 * SECOND, inputs.ControlRequest(8, inputs.ControlVerb.STATE))
+    reducer.handle(NOW + SECOND, inputs.ControlRequest(7, inputs.ControlOperation.OUT_OF_SERVICE))
+    effect_list = reducer.handle(NOW + 3 * SECOND, inputs.ControlRequest(8, inputs.ControlOperation.STATE))
     (response,) = [e for e in effect_list if isinstance(e, effects.ControlResponse)]
-    return reply(response.ok, {**response.fields, "memory_kb": 31_744})  # the event loop adds the memory
+    return encode_control_response(
+        response.ok, {**response.fields, "memory_kb": 31_744}
+    )  # the event loop adds the memory
 
 
 def deterministic_files() -> dict[str, bytes]:
@@ -159,9 +161,9 @@
             "n3", [NOW + n * 2_027 * MS for n in range(5)], NOW + 5 * 2_027 * MS
         ),
         "control_state.http": control_state(),
-        "watch_unmarked.http": encode_poll(("10.0.0.9", 7000), 41, 1_000),
-        "watch_marked.http": encode_poll(("10.0.0.9", 7000), 42, 5_000, "a0b1c2d3e4f50617"),
-        "replica_refused.http": encode_refusal("stale", 1),
+        "watch_unmarked.http": encode_watch_request(("10.0.0.9", 7000), 41, 1_000),
+        "watch_marked.http": encode_watch_request(("10.0.0.9", 7000), 42, 5_000, "a0b1c2d3e4f50617"),
+        "replica_refused.http": encode_rejection("stale", 1),
         "replica_bad.http": encode_bad_request("a call with a body"),
         **replica_responses(),
     }
