--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -161,12 +161,12 @@
     if available < MIN_DESCRIPTORS:
         raise ConfigError(
             f"limits.sockets: the system gives this process {available} descriptors; "
-            f"{MIN_DESCRIPTORS} at the least would do"
+            f"must be at least {MIN_DESCRIPTORS}"
         )
     warning = Diagnostic(
         "limits.sockets",
         f"{config.max_descriptors}, but the system gives {available}",
-        f"a limit of that many; {available} are counted on",
+        f"must be at most {available}, the number that is used",
         Severity.DOUBT,
     )
     return replace(config, max_descriptors=available, warnings=(*config.warnings, warning))
--- a/kelpcroft/deployment_check/check.py
+++ b/kelpcroft/deployment_check/check.py
@@ -77,12 +77,12 @@
     """Yield a diagnostic for each required value that is missing."""
     has_settings = raw.get("settings") is not None
     if not has_settings:
-        yield Diagnostic("settings", "is missing", "the program does not start without them")
+        yield Diagnostic("settings", "is missing", "must be an object; the program does not start without it")
     for path in REQUIRED_PATHS:
         if not has_settings and path.startswith("settings."):
             continue
         if not any(True for _ in values_at(raw, path)):
-            yield Diagnostic(path, "is missing", "the program does not start without it")
+            yield Diagnostic(path, "is missing", "must be set; the program does not start without it")
     if isinstance(raw.get("settings"), dict):
         yield from missing_class_values(raw["settings"].get("classes"))
 
@@ -90,14 +90,14 @@
 def missing_class_values(classes: Any) -> Iterator[Diagnostic]:
     """Check that the classes are a list of at least one object, each with a name."""
     if not isinstance(classes, list) or not classes:
-        yield Diagnostic("settings.classes", "is missing or empty", "a list of at least one class would do")
+        yield Diagnostic("settings.classes", "is missing or empty", "must be a list of at least one class")
         return
     for index, entry in enumerate(classes):
         place = f"settings.classes[{index}]"
         if not isinstance(entry, dict):
-            yield Diagnostic(place, abbreviated_json(entry), "an object would do")
+            yield Diagnostic(place, abbreviated_json(entry), "must be an object")
         elif "name" not in entry:
-            yield Diagnostic(f"{place}.name", "is missing", "a text would do")
+            yield Diagnostic(f"{place}.name", "is missing", "must be a text that is not empty")
 
 
 def malformed_values(raw: JsonObject) -> Iterator[Diagnostic]:
@@ -105,7 +105,7 @@
     for path in OBJECT_PATHS:
         for place, value in values_at(raw, path):
             if not isinstance(value, dict):
-                yield Diagnostic(place, abbreviated_json(value), "an object would do")
+                yield Diagnostic(place, abbreviated_json(value), "must be an object")
     for key in CONFIGURATION_KEYS:
         for place, value in values_at(raw, key.path):
             expected = key.form(value)
@@ -137,6 +137,6 @@
             yield Diagnostic(
                 f"{place}.{name}" if place else name,
                 "is not a key known here",
-                f"did you mean {close_matches[0]}?" if close_matches else "it is passed over",
+                f"did you mean {close_matches[0]}?" if close_matches else "it is ignored",
                 Severity.UNKNOWN,
             )
--- a/kelpcroft/deployment_check/contradictions.py
+++ b/kelpcroft/deployment_check/contradictions.py
@@ -50,7 +50,7 @@
         yield Diagnostic(
             "settings.az",
             f"{abbreviated_json(zone)} is not one of dcs",
-            "the router's own zone would do",
+            "must be the router's own zone",
         )
 
 
@@ -61,8 +61,8 @@
         if name in names[:index]:
             yield Diagnostic(
                 f"settings.classes[{index}].name",
-                f"{abbreviated_json(name)} is named twice",
-                "one class of each name would do",
+                f"{abbreviated_json(name)} is the name of another class",
+                "must be unique",
             )
 
 
@@ -76,14 +76,14 @@
         if are_numbers and aim_ns > deadline_ns > 0:
             yield warning(
                 f"{place}.aim_ns",
-                "clients give up before an answer is late",
-                "an aim under give_up_ns would do",
+                "clients cancel before a response is late",
+                "must be at most give_up_ns",
             )
         if entry.get("idempotency") == "keyed" and not entry.get("dedup_window_ns"):
             yield warning(
                 f"{place}.dedup_window_ns",
                 "no window for a keyed class",
-                "how long repeats are dropped; with none it is never sent again",
+                "must be the time in which repeats are dropped; without it a request is never sent again",
             )
 
 
@@ -99,7 +99,7 @@
                 yield warning(
                     f"settings.family_info.{key}",
                     f"{len(values)} values for {len(entries)} {entry_kind}",
-                    "one for each would do; missing ones mean the default",
+                    "must be a list with one value for each; a missing value means the default",
                 )
 
 
@@ -111,8 +111,8 @@
         if isinstance(index, int) and index >= kind_count:
             yield warning(
                 f"settings.family_info.{key}",
-                f"{index} is no place in machine_types",
-                f"0 to {kind_count - 1} or -1 would do",
+                f"{index} is not an index into machine_types",
+                f"must be from 0 to {kind_count - 1}, or -1 for none",
             )
 
 
@@ -123,8 +123,8 @@
         if isinstance(hub, int) and zone_count and hub >= zone_count:
             yield warning(
                 f"settings.family_info.hub_of[{index}]",
-                f"{hub} is no place in dcs",
-                f"0 to {zone_count - 1} would do",
+                f"{hub} is not an index into dcs",
+                f"must be from 0 to {zone_count - 1}",
             )
 
 
@@ -134,7 +134,7 @@
     instances = view.settings.get("instances")
     if isinstance(index, int) and isinstance(instances, int) and index >= instances:
         yield warning(
-            "settings.self_index", f"{index} of {instances} instances", "a number under instances would do"
+            "settings.self_index", f"{index} of {instances} instances", "must be less than instances"
         )
 
 
@@ -152,14 +152,16 @@
         yield warning(
             "settings.family_info.instances_by_zone",
             "no instance in this router's zone",
-            "at least 1 there would do; 1 is taken",
+            "must be at least 1 there; 1 is used",
         )
 
 
 def check_second_copies(view: SettingsView) -> Iterator[Diagnostic]:
     """Check that hedging is allowed only with at least two attempts."""
     if view.limits.get("second_copies") is True and view.limits.get("most_tries", 1) == 1:
-        yield warning("settings.limits.second_copies", "allowed, but most_tries is 1", "2 or more would do")
+        yield warning(
+            "settings.limits.second_copies", "allowed, but most_tries is 1", "most_tries must be at least 2"
+        )
 
 
 def check_retry_after(view: SettingsView) -> Iterator[Diagnostic]:
@@ -168,7 +170,7 @@
         yield warning(
             "settings.limits.max_retry_after_ns",
             "a longest pause, but retry_after is not allowed",
-            "retry_after true would do",
+            "retry_after must be true",
         )
 
 
@@ -183,7 +185,7 @@
         yield warning(
             "settings.contract.cold_ns",
             "caches start cold and never warm",
-            "the time until they are warm would do; with none they count as warm",
+            "must be the time until they are warm; without it they count as warm",
         )
 
 
@@ -192,8 +194,8 @@
     if view.report.get("fields") and view.report.get("how", "off") == "off":
         yield warning(
             "settings.report.how",
-            "fields are named, but no reports are given",
-            "inline or on_probe would do",
+            "fields are named, but reports are off",
+            "must be one of inline, on_probe",
         )
 
 
--- a/kelpcroft/deployment_check/known_keys.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -14,7 +14,7 @@
 # Returns a text about the values that would be accepted in place of a value, or "" if the value is accepted.
 Form = Callable[[Any], str]
 MAX_PORT = 65_535
-HEX_EXPECTED = "hex digits in a text would do"  # in diagnostics of ``hexadecimal``
+HEX_EXPECTED = "must be a text of hex digits"  # in diagnostics of ``hexadecimal``
 
 
 def number(
@@ -35,7 +35,7 @@
             and not (is_above and value == minimum)
             and (not is_whole or float(value).is_integer())
         )
-        return "" if fits else f"{type_name} {bounds} would do"
+        return "" if fits else f"must be {type_name} {bounds}"
 
     return form
 
@@ -44,19 +44,19 @@
     """Return the form of a text that is one of ``choices``."""
 
     def form(value: Any) -> str:
-        return "" if value in choices else f"one of {', '.join(choices)} would do"
+        return "" if value in choices else f"must be one of {', '.join(choices)}"
 
     return form
 
 
 def text(value: Any) -> str:
     """Accept a text that is not empty."""
-    return "" if isinstance(value, str) and value else "a text would do"
+    return "" if isinstance(value, str) and value else "must be a text that is not empty"
 
 
 def flag(value: Any) -> str:
     """Accept true or false."""
-    return "" if isinstance(value, bool) else "true or false would do"
+    return "" if isinstance(value, bool) else "must be true or false"
 
 
 def listed(entry_form: Form) -> Form:
@@ -64,9 +64,9 @@
 
     def form(value: Any) -> str:
         if not isinstance(value, list):
-            return "a list would do"
+            return "must be a list"
         expected = next((expected for expected in map(entry_form, value) if expected), "")
-        return f"a list would do in whose every entry {expected}" if expected else ""
+        return f"must be a list, and every entry {expected}" if expected else ""
 
     return form
 
@@ -84,7 +84,7 @@
 
 def address_form(value: Any) -> str:
     """Accept ``host:port``."""
-    return "" if parse_host_port(value) else "an address as host:port would do"
+    return "" if parse_host_port(value) else "must be an address as host:port"
 
 
 def hexadecimal(value: Any) -> str:
--- a/kelpcroft/diagnostics.py
+++ b/kelpcroft/diagnostics.py
@@ -39,7 +39,8 @@
         place: Path of keys and indices in a JSON configuration, such as ``settings.classes[2].give_up_ns``;
             for a file that is not JSON the line and column as text; empty for the whole file, and for KDL.
         found: Text about the value in the file; for KDL the complete message.
-        expected: Text about a value that would be accepted; may be empty.
+        expected: Requirement that the value does not meet, mostly ``must be ...`` with the place as subject;
+            for an unknown key a suggestion or the consequence; may be empty.
         level: Consequence for the program.
         position: Line and column in a KDL file.
         code: Name of the violated rule of a KDL file.  It is stable, because scripts may rely on it.
--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -41,7 +41,7 @@
         assert (limited.max_descriptors, [d.place for d in limited.warnings]) == (100, ["limits.sockets"])
         with pytest.raises(ConfigError) as caught:
             limit_to_system_descriptors(config, MIN_DESCRIPTORS - 1)
-        assert "the system gives this process 63 descriptors; 64" in str(caught.value)
+        assert "the system gives this process 63 descriptors; must be at least 64" in str(caught.value)
 
     def test_a_process_under_a_low_limit_says_so(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/deployment_check/test_diagnostics.py
+++ b/tests/deployment_check/test_diagnostics.py
@@ -8,17 +8,17 @@
 
 
 def test_a_configuration_is_printed_by_its_path_of_keys() -> None:
-    diagnostic = Diagnostic("settings.az", '"mars" is not one of dcs', "the router's own zone would do")
-    assert str(diagnostic) == 'settings.az: "mars" is not one of dcs; the router\'s own zone would do'
+    diagnostic = Diagnostic("settings.az", '"mars" is not one of dcs', "must be the router's own zone")
+    assert str(diagnostic) == 'settings.az: "mars" is not one of dcs; must be the router\'s own zone'
 
 
 def test_a_fault_without_a_place_is_the_whole_file() -> None:
-    assert str(Diagnostic("", "is empty", "a JSON object would do")).startswith("the file: is empty; ")
+    assert str(Diagnostic("", "is empty", "must be a JSON object")).startswith("the file: is empty; ")
 
 
 def test_an_unknown_key_may_be_the_empty_text() -> None:
-    diagnostic = Diagnostic("", "is not a key known here", "it is passed over", Severity.UNKNOWN)
-    assert str(diagnostic) == ": is not a key known here; it is passed over"
+    diagnostic = Diagnostic("", "is not a key known here", "it is ignored", Severity.UNKNOWN)
+    assert str(diagnostic) == ": is not a key known here; it is ignored"
 
 
 @pytest.mark.parametrize(
