--- a/kelpcroft/__main__.py
+++ b/kelpcroft/__main__.py
@@ -50,7 +50,7 @@
         listener, control_listener = _open_listeners(config)
     except ConfigError as error:
         return _bad_configuration(f"configuration: {error}")
-    event_log = EventLog(config.name, form=os.environ.get("ROUTER_LOG", ""))
+    event_log = EventLog(config.name, log_format=os.environ.get("ROUTER_LOG", ""))
     loop = EventLoop(config, Clock(), partial(reread_config, os.environ), reload_steps, event_log)
     gc.freeze()  # objects created so far stay; collections need not visit them
     gc.set_threshold(*GC_THRESHOLDS)
--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -103,7 +103,7 @@
         return EXIT_NO_ADDRESS
     with listener:
         clock = Clock()
-        events = EventLog(name, form=log_format)
+        events = EventLog(name, log_format=log_format)
         address = listening_address(listener)
         text = f"{name} listens on {address}"
         events.write(clock.now(), LogEvent("replica.listens", text, "info", {"at": address}))
--- a/kelpcroft/cli/diff.py
+++ b/kelpcroft/cli/diff.py
@@ -122,7 +122,7 @@
         "where": change.where,
         "old": change.old or None,
         "new": change.new or None,
-        "what": list(change.what),
+        "what": list(change.changes),
     }
 
 
@@ -133,5 +133,5 @@
     for change in changes:
         click.echo(f"class {change.class_name}: {change.where}")
         click.echo(f"  {change.old or 'no route'} -> {change.new or 'no route'}")
-        for difference in change.what:
+        for difference in change.changes:
             click.echo(f"  {difference}")
--- a/kelpcroft/cli/explain.py
+++ b/kelpcroft/cli/explain.py
@@ -108,7 +108,7 @@
 
 def policy_row_json(row: PolicyRow) -> dict[str, object]:
     """Return a row of the policy as a JSON object."""
-    return {"bound": row.name, "value": row.words, "line": row.position.line}
+    return {"bound": row.name, "value": row.text, "line": row.position.line}
 
 
 def echo_route(route: Route, request_class: api.RequestClass, limits: api.Limits) -> None:
@@ -117,7 +117,7 @@
     rows = list(describe_policy(route.policy))
     width = max((len(row.name) for row in rows), default=0)
     for row in rows:
-        click.echo(f"  {row.name:<{width}}  {row.words}  (line {row.position.line})")
+        click.echo(f"  {row.name:<{width}}  {row.text}  (line {row.position.line})")
     wait_ns = longest_wait_ns(route.policy, request_class)
     click.echo(f"longest wait: {format_duration(wait_ns) if wait_ns else 'as the client says'}")
     is_unsafe = request_class.idempotency is api.Idempotency.UNSAFE
--- a/kelpcroft/cli/placement.py
+++ b/kelpcroft/cli/placement.py
@@ -24,7 +24,7 @@
     servers = [
         api.Server(
             endpoint.name,
-            config.kinds.role_of(endpoint.kind),
+            config.machine_kinds.role_of(endpoint.kind),
             endpoint.zone,
             endpoint.cell,
             endpoint.state,
--- a/kelpcroft/cli/rollout_preview.py
+++ b/kelpcroft/cli/rollout_preview.py
@@ -183,7 +183,7 @@
             for zone, diff in rollout_preview.placement_diffs.items()
         },
         "homes_unasked": rollout_preview.placement_errors,
-        "then": "take-back" if plan.rolls_back_on_harm else "hold",
+        "then": "take-back" if plan.rolls_back_on_regression else "hold",
     }
 
 
@@ -209,4 +209,4 @@
         )
     for error in rollout_preview.placement_errors:
         click.echo(f"homes not known: {error}")
-    click.echo("harm is " + ("taken back" if plan.rolls_back_on_harm else "held for people to decide"))
+    click.echo("harm is " + ("taken back" if plan.rolls_back_on_regression else "held for people to decide"))
--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -48,7 +48,7 @@
         server_idle_timeout_ns: Idle time after which servers close a connection.
         connect_timeout_ns: Connect timeout of connections to servers.
         settings: Settings of the decision package.
-        kinds: Kinds of machines that the settings name, and their roles.
+        machine_kinds: Kinds of machines that the settings name, and their roles.
         initial_endpoints: The servers known before the feed's first response.
         is_tracing: Whether every step of every attempt is logged (ROUTER_TRACE=1).
         control_address: Address for control clients; None = the router has none.
@@ -68,7 +68,7 @@
     server_idle_timeout_ns: int
     connect_timeout_ns: int
     settings: Settings
-    kinds: MachineKinds
+    machine_kinds: MachineKinds
     initial_endpoints: WatchResponse
     is_tracing: bool = False
     control_address: Address | None = None
@@ -196,7 +196,7 @@
     """
     limits = require_object("limits", raw.get("limits", {}))
     options = require_object("settings", raw.get("settings"))
-    settings, kinds = parse_decision_settings(options, parse_seed(raw))
+    settings, machine_kinds = parse_decision_settings(options, parse_seed(raw))
     server_limits = require_object("settings.limits", options.get("limits", {}))
     initial_endpoints = parse_initial_endpoints(raw)
     name = parse_name(raw, environ)
@@ -214,7 +214,7 @@
             "settings.limits", server_limits, "dial_timeout_ns", 1, DEFAULT_CONNECT_TIMEOUT_NS
         ),
         settings=settings,
-        kinds=kinds,
+        machine_kinds=machine_kinds,
         initial_endpoints=initial_endpoints,
         is_tracing=environ.get("ROUTER_TRACE") == "1",
         raw=raw,
--- a/kelpcroft/core/attempt_sending.py
+++ b/kelpcroft/core/attempt_sending.py
@@ -69,7 +69,7 @@
         request.attempts_in_flight += 1
         if state.origin_limit is not None:
             source = state.endpoints[action.fill_source]
-            attempt.asks_origin = state.config.kinds.role_of(source.kind) is api.Role.ORIGIN
+            attempt.asks_origin = state.config.machine_kinds.role_of(source.kind) is api.Role.ORIGIN
             if attempt.asks_origin:
                 state.origin_limit.record_sent()
                 state.set_cold_budget_share(state.cold_budget_share)
--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -115,7 +115,7 @@
         allowance = self.route_allowance(message, request_class)
         time_allowed_ns = message.remaining_time_ns
         if allowance is not None:
-            time_allowed_ns = allowance.answer_timeout_ns
+            time_allowed_ns = allowance.response_timeout_ns
         request = OpenRequest(
             str(number), message, state.now + time_allowed_ns, allowance, time_allowed_ns=time_allowed_ns
         )
@@ -293,7 +293,7 @@
         size_kb=message.size_kb,
         is_write=len(message.body) > 0,
         is_retry=message.is_retry,
-        retry_policy=None if request.allowance is None else request.allowance.bounds,
+        retry_policy=None if request.allowance is None else request.allowance.policy,
         prior_execution=prior_execution,
         prior_attempt_unknown=prior_attempt_unknown,
     )
--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -84,7 +84,7 @@
 
         An update that contains one is not applied.
         """
-        zones, kinds = self.state.config.settings.zones, self.state.config.kinds.names
+        zones, kinds = self.state.config.settings.zones, self.state.config.machine_kinds.names
         for endpoint in update.endpoints:
             if endpoint.zone not in zones:
                 return f"zone: {endpoint.zone!r} of {endpoint.name} is not one of {', '.join(zones)}"
@@ -125,7 +125,7 @@
         """Convert an endpoint to the decision package's type."""
         return api.Server(
             endpoint.name,
-            self.state.config.kinds.role_of(endpoint.kind),
+            self.state.config.machine_kinds.role_of(endpoint.kind),
             endpoint.zone,
             endpoint.cell,
             endpoint.state,
--- a/kelpcroft/log.py
+++ b/kelpcroft/log.py
@@ -92,13 +92,13 @@
 class EventLog:
     """Writes events to a stream."""
 
-    def __init__(self, router: str, stream: IO[str] | None = None, form: str = "") -> None:
+    def __init__(self, router: str, stream: IO[str] | None = None, log_format: str = "") -> None:
         """Creates the log.
 
         Args:
             router: The router's name.
             stream: The stream to write to; None = standard error.
-            form: "text" or "json"; "" = plain text on a terminal, else JSON.
+            log_format: "text" or "json"; "" = plain text on a terminal, else JSON.
         """
         stream = stream or sys.stderr
         self.stream = stream
@@ -106,7 +106,7 @@
         self.limiter = RateLimiter()
         self.logger = logging.Logger("kelpcroft", logging.INFO)
         handler = logging.StreamHandler(stream)
-        formatter = LogFormatter(router, form == "text" if form else stream.isatty())
+        formatter = LogFormatter(router, log_format == "text" if log_format else stream.isatty())
         formatter.converter = time.gmtime
         handler.setFormatter(formatter)
         self.logger.addHandler(handler)
--- a/kelpcroft/operator_file/explain.py
+++ b/kelpcroft/operator_file/explain.py
@@ -57,7 +57,7 @@
     """One field of a policy in words, and its position in the file."""
 
     name: str
-    words: str
+    text: str
     position: FilePosition
 
 
@@ -169,7 +169,7 @@
     where: str  # the regions of the requests, in words
     old: str  # the name of the route in the old file; "" = no route
     new: str  # the name of the route in the new file; "" = no route
-    what: tuple[str, ...]  # the fields of the policy that differ, in words
+    changes: tuple[str, ...]  # the fields of the policy that differ, in words
 
 
 class RoutedRegion(NamedTuple):
@@ -254,7 +254,7 @@
     if route is None:
         return {}
     policy = route.policy
-    texts = {row.name: row.words for row in describe_policy(policy)}
+    texts = {row.name: row.text for row in describe_policy(policy)}
     hedge_budget = policy.hedging.budget if policy.hedging else None
     for name in {policy.retry_budget, hedge_budget} - {None}:
         budget = budgets[name or ""]
--- a/kelpcroft/rollout/plan.py
+++ b/kelpcroft/rollout/plan.py
@@ -107,7 +107,7 @@
         warm_up_ns: The time in service before a changed router is compared.
         max_unknown: With more routers that do not respond, no new change begins.
         stop_criteria: The criteria of a regression.
-        rolls_back_on_harm: Whether a regression is rolled back; otherwise the rollout is held.
+        rolls_back_on_regression: Whether a regression is rolled back; otherwise the rollout is held.
         apply_command: The command that changes a router; ``{router}`` stands for its name.
         undo_command: The command that changes a router back.
         restart_command: The command that restarts a router without a change, for a control group.
@@ -131,7 +131,7 @@
     warm_up_ns: int = 20 * NS_PER_S
     max_unknown: int = 1
     stop_criteria: StopCriteria = DEFAULT_STOP_CRITERIA
-    rolls_back_on_harm: bool = True
+    rolls_back_on_regression: bool = True
     apply_command: tuple[str, ...] = ()
     undo_command: tuple[str, ...] = ()
     restart_command: tuple[str, ...] = ()
--- a/kelpcroft/rollout/plan_file.py
+++ b/kelpcroft/rollout/plan_file.py
@@ -260,7 +260,7 @@
                 f"{abbreviated(reaction)}{suggestion(reaction, REGRESSION_REACTIONS)}; "
                 f"there are {' and '.join(REGRESSION_REACTIONS)}",
             )
-        return replace(plan, rolls_back_on_harm=reaction != "hold")
+        return replace(plan, rolls_back_on_regression=reaction != "hold")
 
     def read_act(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
         """``act timeout="60s" repeat=#true { apply ...; undo ...; restart ... }``, or ``act local=#true``."""
--- a/kelpcroft/rollout/rollback.py
+++ b/kelpcroft/rollout/rollback.py
@@ -20,7 +20,7 @@
 }
 
 
-def go_back(state: RolloutState) -> None:
+def roll_back_routers(state: RolloutState) -> None:
     """Change back the routers that the limits allow, and end the rollout after the last comparison."""
     _release_control_group(state)
     for router in reversed(list(state.routers.values())):
--- a/kelpcroft/rollout/stages.py
+++ b/kelpcroft/rollout/stages.py
@@ -23,7 +23,7 @@
 MAX_NAMES_SHOWN = 5  # routers whose names a reason lists
 
 
-def go_forward(state: RolloutState) -> None:
+def advance_rollout(state: RolloutState) -> None:
     """Begin the changes of the stage, and end the stage once the evidence suffices."""
     if state.stage_index == NO_STAGE:
         if not _has_baselines(state):
--- a/kelpcroft/rollout/state.py
+++ b/kelpcroft/rollout/state.py
@@ -158,7 +158,7 @@
     def handle_regression(self, name: str, reason: str, figures: Mapping[str, object]) -> None:
         """React to a regression: roll back, or hold for the operators, as the plan says."""
         self.add_history(name, reason, **figures)
-        if self.plan.rolls_back_on_harm:
+        if self.plan.rolls_back_on_regression:
             self.start_rollback(reason)
         elif self.outcome is RolloutOutcome.RUNNING:
             self.hold(reason)
--- a/kelpcroft/rollout/state_machine.py
+++ b/kelpcroft/rollout/state_machine.py
@@ -30,8 +30,8 @@
 )
 from kelpcroft.rollout.observations import enough_routers_respond, is_unknown, record_report
 from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome
-from kelpcroft.rollout.rollback import go_back
-from kelpcroft.rollout.stages import MAX_NAMES_SHOWN, go_forward
+from kelpcroft.rollout.rollback import roll_back_routers
+from kelpcroft.rollout.stages import MAX_NAMES_SHOWN, advance_rollout
 from kelpcroft.rollout.state import NO_STAGE, RolloutState
 from kelpcroft.rollout.transitions import advance_router
 
@@ -155,9 +155,9 @@
             advance_router(self, router)
         self._hold_or_resume_for_silence()
         if self.outcome is RolloutOutcome.RUNNING:
-            go_forward(self)
+            advance_rollout(self)
         elif self.outcome is RolloutOutcome.ROLLING_BACK:
-            go_back(self)
+            roll_back_routers(self)
 
     def _hold_or_resume_for_silence(self) -> None:
         """Hold the rollout while more routers are silent than the plan allows, and resume it afterwards."""
--- a/kelpcroft/routes/table.py
+++ b/kelpcroft/routes/table.py
@@ -98,7 +98,7 @@
         hedging = self.policy.hedging
         return self.duration_ns(now, hedging.delay) if hedging and hedging.max_hedges else 0
 
-    def answer_timeout_ns(self, remaining_ns: int, elapsed_ns: int) -> int:
+    def response_timeout_ns(self, remaining_ns: int, elapsed_ns: int) -> int:
         """The time left for the complete response, from the client's remaining and elapsed time."""
         timeout = self.policy.answer_timeout
         if not timeout:
@@ -116,28 +116,28 @@
     """The limits of one request, and its route.
 
     Attributes:
-        bounds: The policy that is passed to the decision package with the request.
-        answer_timeout_ns: The time for the complete response, from the admission of the request.
+        policy: The policy that is passed to the decision package with the request.
+        response_timeout_ns: The time for the complete response, from the admission of the request.
         hedge_delay_ns: The delay after which an attempt is hedged; 0 = no hedge.
         records_latency: Whether the route needed latencies when the request was admitted.
     """
 
     __slots__ = (
-        "answer_timeout_ns",
-        "bounds",
         "hedge_budget",
         "hedge_delay_ns",
+        "policy",
         "records_latency",
+        "response_timeout_ns",
         "retry_budget",
         "route",
     )
 
     def __init__(
-        self, route: RouteState, bounds: api.RouteRetryPolicy, answer_timeout_ns: int, hedge_delay_ns: int
+        self, route: RouteState, policy: api.RouteRetryPolicy, response_timeout_ns: int, hedge_delay_ns: int
     ) -> None:
         self.route = route
-        self.bounds = bounds
-        self.answer_timeout_ns = answer_timeout_ns
+        self.policy = policy
+        self.response_timeout_ns = response_timeout_ns
         self.hedge_delay_ns = hedge_delay_ns
         # The request keeps these budgets even if a reload of the file gives its route others.
         self.retry_budget = route.retry_budget
@@ -261,7 +261,7 @@
     ) -> RequestAllowance:
         """The allowance from a route whose policy depends on time, the remaining time or randomness."""
         attempt_timeout_ns = route.attempt_timeout_ns(now)
-        answer_timeout_ns = route.answer_timeout_ns(remaining_ns, elapsed_ns)
+        response_timeout_ns = route.response_timeout_ns(remaining_ns, elapsed_ns)
         backoff = route.policy.backoff
         backoff_ns = self.draw_backoff(backoff, route.policy.max_attempts) if backoff else ()
         base = route.base_policy
@@ -275,9 +275,9 @@
             base.retry_after_ns,
             base.has_retry_budget,
             False,
-            answer_timeout_ns < remaining_ns,
+            response_timeout_ns < remaining_ns,
         )
-        return RequestAllowance(route, policy, answer_timeout_ns, route.hedge_delay_ns(now))
+        return RequestAllowance(route, policy, response_timeout_ns, route.hedge_delay_ns(now))
 
     def draw_backoff(self, backoff: Backoff, max_attempts: int | None) -> tuple[int, ...]:
         """Draw the waits before each further attempt of one request, in ns."""
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -40,7 +40,7 @@
         raw = configuration(size, number, feed, f"{host}:7000", f"{host}:7001")
         config = parse_config(raw, {})
         reading = partial(reload_steps, rules) if rules else None
-        self.loop = EventLoop(config, Clock(), rules=reading, events=EventLog(config.name, form="json"))
+        self.loop = EventLoop(config, Clock(), rules=reading, events=EventLog(config.name, log_format="json"))
         self.loop.start(first=load_at_start(rules, config.settings) if rules else None)
         self.seen: list[tuple[int, int]] = []  # up to which event it knew, and since when
 
--- a/tests/routes/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -189,7 +189,7 @@
             allowance = table.admit(now, PAGE, "0" * 16, 0, 0, False, False, 60 * S, 0)
             assert allowance
             latency_ns = int(random.lognormvariate(4, 0.5) * MS)
-            timeout_ns = allowance.bounds.attempt_timeout_ns or 60 * S
+            timeout_ns = allowance.policy.attempt_timeout_ns or 60 * S
             timed_out += n >= 2_000 and latency_ns > timeout_ns
             allowance.record_latency(now, min(latency_ns, timeout_ns))
             allowance.release()
@@ -210,7 +210,7 @@
                 0, CLASSES[class_name], "0" * 16, 0, 0, False, False, remaining_ms * MS, elapsed_ms * MS
             )
             assert allowance
-            return allowance.answer_timeout_ns // MS
+            return allowance.response_timeout_ns // MS
 
         assert [
             response_timeout_ms("page", 3000, 0),
