--- a/kelpcroft/config_reload/check.py
+++ b/kelpcroft/config_reload/check.py
@@ -60,7 +60,7 @@
         """Return the diagnostics of ``new``, in the order of the checks."""
         for key in current:
             if key not in new:
-                self._report(key, "is missing", "must be set; the file in use has this key")
+                self._report(key, "is missing", "must be set, because the file in use has this key")
         if "settings" in new:
             self._check_settings(new["settings"], current.get("settings"))
         if "feed" in new and parse_host_port(new["feed"]) is None:
@@ -91,7 +91,9 @@
         if isinstance(current, dict) and isinstance(new, dict):
             for key, value in current.items():
                 if key not in new:
-                    self._report(f"{place}.{key}", "is missing", "must be set; the file in use has this key")
+                    self._report(
+                        f"{place}.{key}", "is missing", "must be set, because the file in use has this key"
+                    )
                 else:
                     self._check_keys(new[key], value, f"{place}.{key}")
         elif isinstance(current, list) and isinstance(new, list) and is_list_of_objects(current):
@@ -106,7 +108,9 @@
                 continue
             for key in sorted(common - set(entry)):
                 self._report(
-                    f"{place}[{index}].{key}", "is missing", "must be set; every entry in use has this key"
+                    f"{place}[{index}].{key}",
+                    "is missing",
+                    "must be set, because every entry in use has this key",
                 )
 
     def _check_classes(self, classes: Any) -> None:
--- a/kelpcroft/deployment_check/check.py
+++ b/kelpcroft/deployment_check/check.py
@@ -77,12 +77,14 @@
     """Yield a diagnostic for each required value that is missing."""
     has_settings = raw.get("settings") is not None
     if not has_settings:
-        yield Diagnostic("settings", "is missing", "must be an object; the program does not start without it")
+        yield Diagnostic(
+            "settings", "is missing", "must be an object, because the program does not start without it"
+        )
     for path in REQUIRED_PATHS:
         if not has_settings and path.startswith("settings."):
             continue
         if not any(True for _ in values_at(raw, path)):
-            yield Diagnostic(path, "is missing", "must be set; the program does not start without it")
+            yield Diagnostic(path, "is missing", "must be set, because the program does not start without it")
     if isinstance(raw.get("settings"), dict):
         yield from missing_class_values(raw["settings"].get("classes"))
 
