--- a/testbed/field/__init__.py
+++ b/testbed/field/__init__.py
@@ -1,6 +1,7 @@
-"""Many real router processes with faults between them: builds, routers, relays, clients, and a checker.
+"""Many real router processes with fault injection: builds, routers, relays, clients and a contract checker.
 
-Start at ``RouterField``; may import the testbed and the standard library, and of the program nothing.
+Start at ``RouterField``. This package may import the testbed and the standard library, but nothing of the
+program.
 """
 
 from testbed.field.builds import build_program
--- a/testbed/field/agent.py
+++ b/testbed/field/agent.py
@@ -1,4 +1,7 @@
-"""What a rollout's `apply` and `undo` run: ``python -m testbed.field.agent PORT VERB ROUTER``."""
+"""Client of the field's agent, run by a rollout's `apply` and `undo`.
+
+Usage: ``python -m testbed.field.agent PORT VERB ROUTER``.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 def main(words: list[str]) -> int:
-    """0 where the field did it."""
+    """Send one command to the field's agent: exit code 0 if the field carried it out."""
     port, verb, router = words
     with socket.create_connection(("127.0.0.1", int(port)), 30) as sock:
         sock.sendall(f"{verb} {router}\n".encode())
--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -1,4 +1,4 @@
-"""Builds of the program: a copy of its packages, sound or with a deliberate defect."""
+"""Builds of the program: copies of its package, unchanged or with a deliberate defect."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from testbed.stand_ins import ROOT
 
-Change = tuple[str, str, str]  # file, what stands there, what is put in its place
+Change = tuple[str, str, str]  # file, text in the source, replacement
 
 
 def refuse(when: str) -> Change:
-    """Refuses requests."""
+    """A change that makes the router reject the requests for which the expression ``when`` is true."""
     anchor = "        reason = self.reject_reason(message, is_keyed)\n"
     return (
         "kelpcroft/core/client_requests.py",
@@ -38,7 +38,7 @@
             ),
         ),
     ),
-    "slow": (  # servers' answers are heard 200 ms late
+    "slow": (  # responses of servers are handled 200 ms late
         (
             "kelpcroft/net/server_connections.py",
             (
@@ -85,7 +85,7 @@
             "        if self.close_misbehaving_client(message):\n",
         ),
     ),
-    # One for each rule, for the watch.
+    # One defect for each rule of the contract checker.
     "answers nothing": (
         (
             "kelpcroft/core/client_requests.py",
@@ -142,7 +142,11 @@
 
 
 def build_program(folder: Path, defect: str = "sound") -> Path:
-    """A copy of the program under ``folder``; raises where a defect no longer fits the sources."""
+    """Copy the program into ``folder`` and apply a defect.
+
+    Raises:
+        ValueError: The text that the defect replaces is no longer in the source.
+    """
     for package in ("kelpcroft",):
         shutil.copytree(
             ROOT / package, folder / package, ignore=shutil.ignore_patterns("__pycache__", "*.so")
--- a/testbed/field/datagrams.py
+++ b/testbed/field/datagrams.py
@@ -1,8 +1,8 @@
-"""A link for datagrams between routers that can be broken: a UDP relay on loopback, in one thread.
+"""A UDP relay on loopback, in one thread, that injects faults into datagrams between routers.
 
-Each datagram is lost, repeated, kept for longer than the next or delayed as a seed says, by its number: the
-same datagrams in the same order meet the same fate. Answers go back the way their requests came, as each
-sender gets a socket of its own towards the target.
+Each datagram is lost, repeated, overtaken by later ones or delayed. A seeded generator decides this by the
+datagram's number, so the same datagrams in the same order are treated alike in every run. Each sender gets
+a socket of its own towards the target, and responses that arrive there are sent back to that sender.
 """
 
 from __future__ import annotations
@@ -17,25 +17,28 @@
 from random import Random
 from typing import NamedTuple
 
-MAX_SENDERS = 256  # sockets towards the target; the oldest goes for another
+MAX_SENDERS = 256  # sockets towards the target; at the limit the oldest is closed to make room
 TURN_S = 0.005
 MAX_DATAGRAM_BYTES = 65_536
 
 
 @dataclass(frozen=True)
 class DatagramFate:
-    """What happens to datagrams: shares of them, and the delay of the rest in seconds, up to twice that."""
+    """Shares of datagrams that are lost, repeated or late, and the delay of those that pass.
+
+    Every datagram that passes is delayed by ``delay_s`` to twice ``delay_s``, drawn at random.
+    """
 
     lost: float = 0.0
     repeated: float = 0.0
-    late: float = 0.0  # overtaken: delayed by ``late_s`` more
+    late: float = 0.0  # delayed by ``late_s`` more, so that later datagrams overtake it
     delay_s: float = 0.0
     late_s: float = 0.05
     silent: bool = False  # nothing passes
 
 
 class TimedDatagram(NamedTuple):
-    """A datagram on its way."""
+    """A datagram that the relay is to send."""
 
     due_s: float
     number: int  # breaks ties, so that sockets are never compared
@@ -45,9 +48,9 @@
 
 
 class DatagramRelay:
-    """Listens on a port of its own and passes on to a target. A context manager; its fate may change.
+    """Listens on a port of its own and forwards to a target. A context manager.
 
-    ``seen`` counts datagrams that came, ``passed`` those that went out.
+    ``fate`` may be changed while the relay runs. ``seen`` counts datagrams received, ``passed`` those sent.
     """
 
     def __init__(
@@ -56,7 +59,7 @@
         fate: DatagramFate = DatagramFate(),
         seed: int = 1,
     ) -> None:
-        """Listen, and start the thread."""
+        """Bind a port and start the thread."""
         self.target = target
         self.fate = fate
         self.seen = 0
@@ -106,7 +109,7 @@
                 self.passed += 1
 
     def _socket_for(self, sender: tuple[str, int]) -> socket.socket:
-        """The socket on which this sender's datagrams go to the target."""
+        """The socket on which this sender's datagrams are sent to the target."""
         if sender not in self._senders:
             if len(self._senders) >= MAX_SENDERS:
                 oldest = self._senders.pop(next(iter(self._senders)))
@@ -118,7 +121,11 @@
         return self._senders[sender]
 
     def _pass_on(self, sock: socket.socket, to: tuple[str, int], data: bytes) -> None:
-        """Let a datagram meet its fate; four draws for each, whatever becomes of it."""
+        """Lose, repeat or delay a datagram.
+
+        Each datagram takes four random draws whether it is lost or not, so that the fate of one does not
+        change the fates of later ones.
+        """
         self.seen += 1
         fate = self.fate
         is_lost = self._random.random() < fate.lost
@@ -134,7 +141,7 @@
 
 
 def open_socket() -> socket.socket:
-    """A socket on a free port of loopback that does not block."""
+    """A non-blocking UDP socket on a free port of loopback."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     sock.setblocking(False)
--- a/testbed/field/field.py
+++ b/testbed/field/field.py
@@ -1,9 +1,9 @@
-"""Routers of several zones as real processes, each with its own folder, and their stand-ins.
+"""Routers of several zones as real processes, each with its own folder, and their stand-in servers.
 
-Everything started ends with the field, also when the test that made it fails; ports come from the kernel. A
-router keeps its addresses over restarts, and in a field that upgrades its listening socket as well, which
-each of its processes inherits. The agent listens for the orders of a rollout: ``apply`` starts a router with
-the field's new build, ``undo`` with the old one.
+Everything that the field starts ends with it, also when the test fails. The kernel assigns the ports. A
+router keeps its addresses over restarts. In a field with upgrades (``inherited``) it also keeps its listening
+socket, which each of its processes inherits. The agent listens for commands of a rollout: ``apply`` starts a
+router with the field's new build, ``undo`` with the old one.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 
 RULES = 'kelpcroft version=1\ncontrol state=#true\nroute "rest" { match; }\n'
 ORIGIN = "origin"
-UNIT_NS = 20 * MS  # work of one request at a stand-in
+UNIT_NS = 20 * MS  # work that one request without a known size counts as at a stand-in
 POLL_S = 0.02
 
 
 class RouterField:
-    """Zones of routers, their stand-ins, and the agent. A context manager."""
+    """Zones of routers, their stand-in servers, and the agent. A context manager."""
 
     def __init__(
         self,
@@ -52,22 +52,22 @@
         rules: str = RULES,
         cold: bool = False,
     ) -> None:
-        """Prepare the field; its processes start when it is entered.
+        """Prepare the field; entering the context starts its processes.
 
         Args:
-            zones: How many there are: z0, z1, ...
-            each: Routers of each zone: z0-0, z0-1, ...
-            builds: Folders of the program by name; "old" is started, and "new" is what ``apply`` starts.
-            script: What stand-ins answer.
-            boxes: Caches of each zone.
-            hubs: Parents.
-            relayed: Put a relay before every stand-in.
-            weight: Of every stand-in in the list.
-            settings: Other values for keys of the routers' settings; those of tables are merged.
-            delay_s: Of the relays.
+            zones: Number of zones: z0, z1, ...
+            each: Number of routers in each zone: z0-0, z0-1, ...
+            builds: Folders of the program by build name. The field starts "old", and ``apply`` starts "new".
+            script: Decides how stand-ins respond.
+            boxes: Number of caches in each zone.
+            hubs: Number of parents.
+            relayed: Put a relay in front of every stand-in.
+            weight: Weight of every stand-in in the list.
+            settings: Values that replace keys of the routers' settings; tables are merged.
+            delay_s: Delay of the relays in ``LinkMode.DELAY``.
             inherited: Each router has a listening socket that all its processes share, as in upgrades.
             rules: The operator's file.
-            cold: All caches and parents start with the routers.
+            cold: All caches and parents start at the same time as the routers.
         """
         self.inherited = inherited
         self.node_rules = rules
@@ -82,14 +82,14 @@
             self.servers.relay([row.name for row in self.servers.rows], delay_s)
         self.is_cold = cold
         self.began_ns = 0
-        # What an order does at a router; a test may put ``reload_config`` here.
+        # Carries out a command at a router; a test may put ``reload_config`` here.
         self.order_action: Callable[[RouterNode, str], None] = self._upgrade if inherited else self._restart
-        # By step of an upgrade: called with the node, the old and the new process.
+        # Callbacks by step of an upgrade, called with the node, the old process and the new one.
         self.on_upgrade_step: dict[str, Any] = {}
         self.agent = socket.create_server(("127.0.0.1", 0))
         self.nodes: dict[str, RouterNode] = {}
-        self.orders: list[tuple[str, str]] = []  # verb and router, as they came
-        self.on_order: dict[str, Any] = {}  # by verb: called with the node before the order is carried out
+        self.orders: list[tuple[str, str]] = []  # verb and router of each command, in order of arrival
+        self.on_order: dict[str, Any] = {}  # callbacks by verb, called with the node before the command runs
 
     def __enter__(self) -> RouterField:
         if self.is_cold:
@@ -122,10 +122,10 @@
         self.folder.cleanup()
 
     def wait_ready(self, node: RouterNode) -> None:
-        """Wait until a router takes connections.
+        """Wait until a router accepts connections.
 
         Raises:
-            RuntimeError: It does not, with the end of its log.
+            RuntimeError: It does not in time; the message has the end of its log.
         """
         until = time.monotonic() + MAX_WAIT_S
         while time.monotonic() < until:
@@ -137,10 +137,10 @@
                 return
         raise RuntimeError(f"{node.name} does not serve: {node.log()[-2_000:]}")
 
-    # Orders -----------------------------------------------------------------------------------------------
+    # Commands of a rollout --------------------------------------------------------------------------------
 
     def _serve_orders(self) -> None:
-        """Carry out what the agent is told, one order at a time, until its socket is closed."""
+        """Carry out the agent's commands one at a time until its socket is closed."""
         while True:
             try:
                 sock, _ = self.agent.accept()
@@ -153,37 +153,37 @@
                 if verb in self.on_order:
                     self.on_order[verb](node)
                 self.order_action(node, verb)
-                with suppress(OSError):  # a controller that was killed does not wait for its answer
+                with suppress(OSError):  # a controller that was killed does not read the response
                     sock.sendall(b"ok\n")
 
     def _restart(self, node: RouterNode, verb: str) -> None:
-        """Put another build in the place of the one that runs."""
+        """Replace the running build with another."""
         node.change("new" if verb == "apply" else "old")
 
     def _upgrade(self, node: RouterNode, verb: str) -> None:
-        """Start another build beside the one that runs."""
+        """Start another build beside the running one, which then ends."""
         node.upgrade("new" if verb == "apply" else "old")
 
     def strike(self, step: str, *what: Any) -> None:
-        """Do what a test wants done at a step of an upgrade."""
+        """Run the test's callback for a step of an upgrade, if there is one."""
         if step in self.on_upgrade_step:
             self.on_upgrade_step[step](*what)
 
     def reload_config(self, node: RouterNode, verb: str) -> None:
-        """Write another configuration, ``changed_config`` of the old where it is applied, and send SIGHUP."""
+        """Write the changed configuration on ``apply``, else the original one, and send SIGHUP."""
         assert node.process is not None
         node.started_builds.append("new" if verb == "apply" else "old")
         node.write(self.changed_config(node.config) if verb == "apply" else node.config)
         node.process.send_signal(signal.SIGHUP)
 
     def changed_config(self, config: dict[str, Any]) -> dict[str, Any]:
-        """Make the new configuration from the old; a test puts its own here."""
+        """Make the new configuration from the old one; a test puts its own function here."""
         raise NotImplementedError
 
-    # What tests ask ---------------------------------------------------------------------------------------
+    # For tests --------------------------------------------------------------------------------------------
 
     def check_contract(self, load: ClientLoad, killed: bool = False, cut: bool = False) -> ContractChecker:
-        """Hold what passed on the wires so far against the rules; arguments as of ``ContractChecker``."""
+        """Check the traffic recorded so far; ``killed`` and ``cut`` as for ``ContractChecker``."""
         settings = next(iter(self.nodes.values())).config["settings"]
         rows = self.servers.rows
         cold = {row.server_id: self.began_ns for row in rows if row.name != ORIGIN}
@@ -205,13 +205,13 @@
         control: dict[str, tuple[str, int]] | None = None,
         what: str = 'program build="{}"',
     ) -> str:
-        """A rollout file for these routers, quick enough for a test.
+        """A rollout file for these routers, with intervals short enough for a test.
 
         Args:
-            digest: Of what is rolled out, put into ``what``.
-            more: Further lines.
-            control: Control addresses of some routers in place of their own.
-            what: The change.
+            digest: Digest of the new build or configuration, formatted into ``what``.
+            more: Further lines of the file.
+            control: Control addresses by router that replace the routers' own.
+            what: Content of the file's ``change`` node.
         """
         addresses = {name: node.control_address for name, node in self.nodes.items()}
         addresses |= {
--- a/testbed/field/load.py
+++ b/testbed/field/load.py
@@ -1,4 +1,4 @@
-"""Clients of a field's routers."""
+"""Clients that send requests to a field's routers."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
     from testbed.field.field import RouterField
     from testbed.field.node import RouterNode
 
-SIZE_KB = 20.0  # of every page
+SIZE_KB = 20.0  # size that every request declares
 PATIENCE_MS = 2_000
 ANSWER_TIMEOUT_S = 5
 CONNECT_TIMEOUT_S = 2
-OBJECTS_PER_CLIENT = 50
-NO_ROUTER_S = 0.1  # before a client that found no router looks again
-CALLS_BEFORE_RETURN = 10  # a client at another router looks for its own after so many calls
+OBJECTS_PER_CLIENT = 50  # requested in turn by each client
+NO_ROUTER_S = 0.1  # wait of a client that could connect to no router, before it tries again
+CALLS_BEFORE_RETURN = 10  # a client at another router tries its own again after so many requests
 
 
 class ClientLoad:
-    """Clients of every router, who go to another of its zone while theirs is away. A context manager.
+    """One client for each router; while that router is down it uses another of the zone. A context manager.
 
-    ``counts`` has their answers by kind. Its ``lost`` counts requests that a router had taken and never
-    answered: connections that ended with one open, but for those that crossed the close and were answered
-    when they were sent again on a new one.
+    ``counts`` counts responses by kind. Its ``lost`` counts requests that a router had accepted and never
+    answered, that is, whose connection ended or timed out first. A request that crossed the router's close
+    of the connection is not counted if it was answered when it was sent again on a new connection.
     """
 
     def __init__(self, field: RouterField, per_s: float = 25.0, orders: int = 0) -> None:
-        """Make the clients.
+        """Create the clients; entering the context starts them.
 
         Args:
-            field: Whose routers they ask.
-            per_s: Calls a second of each, if answers took no time.
-            orders: One in so many requests is one that must not run twice; 0 = none.
+            field: The field whose routers receive the requests.
+            per_s: Requests a second of each client, if responses took no time.
+            orders: One in so many requests is an order, which must not run twice; 0 = none.
         """
         self.field = field
         self.every_s = 1 / per_s
@@ -63,13 +63,14 @@
         self._stop.set()
         for thread in self._threads:
             thread.join(MAX_WAIT_S)
-        # A call that crossed a close and was answered when it was sent again was never taken.  By one thread:
-        # while one looks for its own, another's removal would move it on.
+        # A request that crossed a close and was answered when it was sent again was never accepted. Only this
+        # thread removes requests, after all clients have ended: a removal by one client's thread could shift
+        # the list while another thread searches it.
         crossed = set(map(id, self._crossed))
         self.calls = [call for call in self.calls if id(call) not in crossed]
 
     def _connect(self, node: RouterNode) -> tuple[RouterClient | None, bool]:
-        """A connection to this router, or to another of its zone; and whether it is this one's."""
+        """A connection to this router or else to another of its zone, and whether it is to this router."""
         others = [n for n in self.field.nodes.values() if n.zone == node.zone and n is not node]
         for candidate in (node, *others):
             try:
@@ -80,7 +81,7 @@
         return None, False
 
     def _drive(self, node: RouterNode, number: int) -> None:
-        """One client's thread."""
+        """Send requests until stopped; runs in one client's thread."""
         client: RouterClient | None = None
         is_own = False
         made = 0
@@ -102,7 +103,11 @@
     def _ask(
         self, node: RouterNode, client: RouterClient, is_own: bool, cls: str, item: str
     ) -> tuple[RouterClient | None, bool]:
-        """Send one request, and once more on a new connection where the first ends: the connection since."""
+        """Send one request, and again on a new connection if the first ends.
+
+        Returns:
+            The connection to use from now on, and whether it is to the client's own router.
+        """
         current: RouterClient | None = client
         for is_retry in (False, True):
             assert current is not None
@@ -125,7 +130,7 @@
         return current, is_own
 
     def _exchange(self, client: RouterClient, call: ClientCall, *, is_retry: bool) -> None:
-        """Send a call and write its answer down."""
+        """Send a request and record its response."""
         client.sock.settimeout(ANSWER_TIMEOUT_S)
         client.send_request(
             call.cls,
--- a/testbed/field/node.py
+++ b/testbed/field/node.py
@@ -1,4 +1,4 @@
-"""One router of a field, over all its processes."""
+"""One router of a field and the processes that it runs in turn."""
 
 from __future__ import annotations
 
@@ -19,24 +19,27 @@
 if TYPE_CHECKING:
     from testbed.field.field import RouterField
 
-PACE_KB_PER_S = 1_000.0
-LATENCY_OBJECTIVE_NS = 150 * MS
-DRAIN_S = 3.7  # past the longest deadline; an old process that is still there is killed
-HOSTS_PER_NETWORK = 250
+PACE_KB_PER_S = 1_000.0  # transfer rate by which a request's size becomes work
+LATENCY_OBJECTIVE_NS = 150 * MS  # of every request class
+DRAIN_S = 3.7  # longer than the longest deadline; an old process that still runs then is killed
+HOSTS_PER_NETWORK = 250  # nodes in one 127.1.x.0/24 network of loopback
 POLL_S = 0.02
 
 
 def free_address(host: str) -> tuple[str, int]:
-    """A port that is free there, now and later: nothing goes out from an address that is one node's own."""
+    """A free port of a node's own address.
+
+    It stays free, because no outgoing connection uses an address that belongs to one node.
+    """
     with socket.create_server((host, 0)) as sock:
         return host, int(sock.getsockname()[1])
 
 
 class RouterNode:
-    """One router, over all its processes; it keeps its addresses and its folder."""
+    """One router, which keeps its addresses and its folder while its processes are replaced."""
 
     def __init__(self, field: RouterField, name: str, zone: str) -> None:
-        """Write its configuration; ``start`` starts its first process."""
+        """Write the configuration; ``start`` starts the first process."""
         self.field = field
         self.name = name
         self.zone = zone
@@ -46,20 +49,20 @@
         self.host = f"127.1.{number // HOSTS_PER_NETWORK}.{number % HOSTS_PER_NETWORK + 1}"
         self.address = free_address(self.host)
         self.control_address = free_address(self.host)
-        self.listener: socket.socket | None = None  # which all its processes inherit
+        self.listener: socket.socket | None = None  # inherited by all its processes
         self.control_relay: Relay | None = None  # to the control address of the newest process
         if field.inherited:
             self.listener = socket.create_server((self.host, 0), backlog=128)
             self.address = self.listener.getsockname()[:2]
             self.control_relay = Relay(self.control_address)
-        self.started_builds: list[str] = []  # in the order in which they were started
+        self.started_builds: list[str] = []  # in the order of their starts
         self.process: subprocess.Popen[bytes] | None = None
         self.config = self._configuration()
         self.write(self.config)
         (self.folder / "rules.kdl").write_text(field.node_rules)
 
     def _configuration(self) -> dict[str, Any]:
-        """The example's configuration, in this field."""
+        """The example's configuration, adapted to this field."""
         field = self.field
         raw = json.loads((ROOT / "examples/config.json").read_text())
         return {
@@ -73,7 +76,7 @@
         }
 
     def _settings(self, example: dict[str, Any]) -> dict[str, Any]:
-        """The example's settings with this field's zones, its size, and what the field changes."""
+        """The example's settings with this field's zones, size and replaced values."""
         field = self.field
         number = field.zones.index(self.zone) * field.each + int(self.name.rpartition("-")[2])
         settings = {
@@ -97,19 +100,21 @@
         return settings
 
     def write(self, config: dict[str, Any]) -> None:
-        """Put a configuration where the next process, or this one at SIGHUP, reads it."""
+        """Write the configuration file, which the next process reads at its start or this one at SIGHUP."""
         (self.folder / "config.json").write_text(json.dumps(config))
 
     def log(self) -> str:
-        """What all its processes have logged."""
+        """The log of all its processes."""
         return (self.folder / "log").read_text()
 
     def start(self, build: str, keep: bool = False) -> None:
-        """Start a process of this build; the one before has ended, or takes clients on the same socket.
+        """Start a process of this build.
+
+        The predecessor has ended, or still accepts connections on the same socket.
 
         Args:
-            build: Its name in the field.
-            keep: With the configuration as it lies there; by default with the list as it is by now.
+            build: The build's name in the field.
+            keep: Leave the configuration file as it is; by default it is written with the present list.
         """
         self.started_builds.append(build)
         self.config["known"]["events"] = [self.field.servers.endpoint_snapshot()]
@@ -139,11 +144,11 @@
         return env
 
     def is_running(self) -> bool:
-        """Whether its newest process has not ended."""
+        """Whether its newest process is running."""
         return self.process is not None and self.process.poll() is None
 
     def serves(self) -> bool:
-        """Whether the newest process says that it takes clients, or would if it were in service."""
+        """Whether the newest process reports that it is ready, or that it is only out of service."""
         connection = http.client.HTTPConnection(*self.control_address, timeout=2)
         try:
             connection.request("GET", "/control/state")
@@ -155,10 +160,10 @@
             connection.close()
 
     def upgrade(self, build: str) -> None:
-        """Start the new process beside the old on one socket.
+        """Start a new process beside the old one on the same socket.
 
-        The old is told to end once the new one serves, and killed past the longest deadline.
-        ``field.on_upgrade_step`` may strike between any two of these.
+        Once the new process serves, the old one receives SIGTERM; it is killed if it still runs after the
+        longest deadline. The callbacks of ``field.on_upgrade_step`` run between these steps.
         """
         old = self.process
         if self.is_running() and self.started_builds[-1] == build:
@@ -179,13 +184,13 @@
         self.field.strike("gone", self, old, new)
 
     def end(self, number: int = signal.SIGTERM) -> None:
-        """Ask the process to end, and wait for it; one that does not is killed."""
+        """Send a signal to the process and wait for its end; kill it if it does not end in time."""
         if self.process and self.process.poll() is None:
             self.process.send_signal(number)
             wait_or_kill(self.process, MAX_WAIT_S)
 
     def change(self, build: str) -> None:
-        """Do what an apply or undo does: nothing where that build runs already."""
+        """Restart the router with this build; does nothing if that build is already running."""
         is_build = bool(self.started_builds) and self.started_builds[-1] == build
         if not is_build or not self.is_running():
             self.end()
@@ -193,7 +198,7 @@
 
 
 def wait_or_kill(process: subprocess.Popen[bytes], longest_s: float) -> None:
-    """Wait for a process to end; kill it where it does not."""
+    """Wait for a process to end; kill it if it does not end in time."""
     try:
         process.wait(longest_s)
     except subprocess.TimeoutExpired:
--- a/testbed/field/relay.py
+++ b/testbed/field/relay.py
@@ -1,4 +1,4 @@
-"""A link that can be broken: a TCP relay on loopback, all its connections in one thread."""
+"""A TCP relay on loopback that injects faults into a link; one thread handles all its connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-SLOW_BYTES = 64  # passed at once in LinkMode.SLOW, every SLOW_S
+SLOW_BYTES = 64  # bytes that LinkMode.SLOW forwards every SLOW_S
 SLOW_S = 0.02
 TURN_S = 0.01
 READ_BYTES = 65_536
@@ -24,28 +24,28 @@
 
 
 class LinkMode(Enum):
-    """What the link does with bytes and with new connections."""
+    """How the link treats bytes and new connections."""
 
     PASS = "pass"
-    REFUSE = "refuse"  # new connections are reset; those that stand go on
-    RESET = "reset"  # all are reset
-    SILENT = "silent"  # nothing passes, nothing ends
-    ONE_WAY = "one way"  # requests pass, answers do not
-    DELAY = "delay"  # both ways late by ``delay_s`` and up to as much more by chance
+    REFUSE = "refuse"  # new connections are reset; open connections continue
+    RESET = "reset"  # open and new connections are reset
+    SILENT = "silent"  # nothing is forwarded and no connection ends
+    ONE_WAY = "one way"  # requests are forwarded, responses are discarded
+    DELAY = "delay"  # both directions are delayed by ``delay_s`` to twice ``delay_s``, drawn at random
     SLOW = "slow"  # a few bytes at a time
-    CUT = "cut"  # the next answer is cut in the middle and its connection reset
-    GARBAGE = "garbage"  # answers are replaced
+    CUT = "cut"  # the next response is truncated in the middle and its connection is reset
+    GARBAGE = "garbage"  # responses are replaced with garbage
 
 
 class Order(Enum):
-    """What other threads want of the relay's own."""
+    """A command of another thread to the relay's thread."""
 
     DROP = "drop"
     STOP = "stop"
 
 
 class TimedBytes(NamedTuple):
-    """Bytes to be written, and when at the earliest (``time.monotonic``)."""
+    """Bytes to be written, and the earliest time for it (``time.monotonic``)."""
 
     due_s: float
     data: bytes
@@ -56,22 +56,23 @@
     """One side of one connection through the relay."""
 
     sock: socket.socket
-    is_server: bool  # what is read here goes to the client
+    is_server: bool  # bytes read at this end are forwarded to the client
     other: End | None = None
     queue: deque[TimedBytes] = field(default_factory=deque)
-    is_ending: bool = False  # the other side has said its last ...
-    has_ended: bool = False  # ... and it was passed on
+    is_ending: bool = False  # the peer of the other end has sent its end of stream ...
+    has_ended: bool = False  # ... which was forwarded to the peer of this end
 
 
 class Relay:
-    """Listens on a port of its own and passes on to a target. A context manager.
+    """Listens on a port of its own and forwards to a target. A context manager.
 
-    Its mode may change, and ``share`` says to how many of the connections, by their number, it applies.
-    ``passed`` counts connections that came. ``target`` may be set to another address for new connections.
+    The mode may change at any time. ``share`` is the share of connections to which it applies, chosen by
+    their number. ``passed`` counts accepted connections. ``target`` may be set to another address, which
+    new connections use.
     """
 
     def __init__(self, target: tuple[str, int], delay_s: float = 2.0, seed: int = 1) -> None:
-        """Listen, and start the thread; ``delay_s`` is that of ``LinkMode.DELAY``."""
+        """Listen and start the thread; ``delay_s`` is the delay of ``LinkMode.DELAY``."""
         self.target = target
         self.delay_s = delay_s
         self.mode = LinkMode.PASS
@@ -84,7 +85,7 @@
         self._selector = selectors.DefaultSelector()
         self._selector.register(self._listener, selectors.EVENT_READ, None)
         self._ends: set[End] = set()
-        self._struck: set[End] = set()  # to which the mode applies
+        self._struck: set[End] = set()  # ends to which the mode applies
         self._orders: deque[Order] = deque()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
@@ -97,17 +98,17 @@
         self._thread.join(5)
 
     def change(self, mode: LinkMode, share: float = 1.0) -> None:
-        """Set another mode from now on."""
+        """Set the mode and the share of connections to which it applies."""
         self.share = share
         self.mode = mode
         if mode is LinkMode.RESET:
             self.drop()
 
     def drop(self) -> None:
-        """Reset what stands; new connections pass."""
+        """Reset all open connections; new ones are accepted."""
         self._orders.append(Order.DROP)
 
-    # In the thread ----------------------------------------------------------------------------------------
+    # The relay's thread -----------------------------------------------------------------------------------
 
     def _run(self) -> None:
         while not self._carry_out_orders():
@@ -123,7 +124,7 @@
         self._selector.close()
 
     def _carry_out_orders(self) -> bool:
-        """Do what other threads want; whether that was to stop."""
+        """Carry out the commands of other threads: whether one of them was to stop."""
         while self._orders:
             order = self._orders.popleft()
             for end in list(self._ends):
@@ -163,7 +164,7 @@
 
     def _read(self, end: End) -> None:
         if self._applies(LinkMode.SILENT, end):
-            time.sleep(0.001)  # the socket stays readable, and the loop would spin
+            time.sleep(0.001)  # the socket stays readable, so the loop would spin without a pause
             return
         try:
             data = end.sock.recv(READ_BYTES)
@@ -182,7 +183,7 @@
         self._write(other, time.monotonic())
 
     def _pass_on(self, end: End, other: End, data: bytes) -> None:
-        """Queue what was read at one end for the other, as the mode says."""
+        """Queue data that was read at one end for the other, as the mode requires."""
         due_s = time.monotonic()
         if end.is_server and self._applies(LinkMode.ONE_WAY, end):
             return
@@ -204,7 +205,7 @@
             other.queue.append(TimedBytes(due_s, data))
 
     def _write(self, end: End, now_s: float) -> None:
-        """Write what is due at an end."""
+        """Write the data that is due at an end."""
         if end not in self._ends or self._applies(LinkMode.SILENT, end):
             return
         try:
@@ -218,7 +219,7 @@
             if end.is_ending and not end.queue:
                 self._pass_end_on(end)
         except BlockingIOError:
-            return  # what was not taken stands in the queue
+            return  # unsent data stays in the queue
         except OSError:
             self._close(end)
 
@@ -227,10 +228,10 @@
         end.sock.shutdown(socket.SHUT_WR)
         end.has_ended = True
         if end.other and end.other.has_ended:
-            self._close(end, reset=False)  # both have said their last
+            self._close(end, reset=False)  # both directions have ended
 
     def _close(self, end: End, *, reset: bool = True) -> None:
-        """Close both sides of a connection, at once."""
+        """Close both ends of a connection immediately."""
         for side in (end, end.other):
             if side is None:
                 continue
--- a/testbed/field/servers.py
+++ b/testbed/field/servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of several zones, each of which may be listed behind a relay."""
+"""Stand-in servers of several zones, each of which may be listed with a relay's address."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ServerRow(NamedTuple):
-    """One stand-in: its own name, and its id, zone and type in the list."""
+    """One stand-in: its name in the testbed, and its id, zone and type in the list."""
 
     name: str
     server_id: str
@@ -18,7 +18,7 @@
 
 
 class ZonedServers(StandInServers):
-    """Stand-ins with caches in every zone, parents and the origin."""
+    """Stand-in servers: caches in every zone, parents, the origin and the feed."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         boxes: int = 1,
         hubs: int = 1,
     ) -> None:
-        """Listen for ``boxes`` caches a zone, ``hubs`` parents, the origin and the feed."""
+        """Listen for ``boxes`` caches in each zone, ``hubs`` parents, the origin and the feed."""
         caches = []
         for zone in zones:
             for n in range(boxes):
@@ -39,10 +39,10 @@
         self.zones = zones
         self.relays: dict[str, Relay] = {}  # by stand-in's name, or "feed"
         self.weight = 1.0
-        self.lines_told: dict[str, dict[str, Any]] = {}  # of servers that have changed, as last told
+        self.lines_told: dict[str, dict[str, Any]] = {}  # latest published line of each changed server
 
     def line(self, name: str, status: str = "active", since_ms: int = 0) -> dict[str, Any]:
-        """A server's line of the list."""
+        """A server's row in the list."""
         row = next(row for row in self.rows if row.name == name)
         relay = self.relays.get(name)
         return {
@@ -56,22 +56,22 @@
         }
 
     def feed_address(self) -> str:
-        """Where routers reach the feed: its relay, if it has one."""
+        """The address at which routers reach the feed: that of its relay, if it has one."""
         relay = self.relays.get(FEED)
         return f"127.0.0.1:{relay.address[1]}" if relay else self.address_of(FEED)
 
     def endpoint_snapshot(self) -> dict[str, Any]:
-        """The list of servers as it is by now, as an event of the feed."""
+        """The present list of servers, as an event of the feed."""
         lines = [self.lines_told.get(row.name) or self.line(row.name) for row in self.rows]
         return {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": lines}}
 
     def change(self, name: str, status: str = "active", since_ms: int = 0) -> int:
-        """Let the feed tell of one server: the event's number."""
+        """Publish an event with one server's new line: the event's number."""
         line = self.lines_told[name] = self.line(name, status, since_ms)
         return self.publish(members={"index": 2, "snapshot": False, "endpoints": [line]})
 
     def relay(self, names: list[str], delay_s: float) -> None:
-        """Put a relay before each of these, before any router starts."""
+        """Put a relay in front of each of these servers; call it before any router starts."""
         for name in names:
             port = self.listeners[name].getsockname()[1]
             self.relays[name] = Relay(("127.0.0.1", port), delay_s, seed=len(self.relays))
--- a/testbed/field/watch.py
+++ b/testbed/field/watch.py
@@ -1,13 +1,16 @@
-"""Judges the five rules from what passed at clients and stand-ins; knows nothing of the router's own code.
-
-What is judged is the stand-ins' record of commands and of the feed's answers, and the clients' record of
-calls. Times are of one monotonic clock, in ns. Each violation names its rule first:
-
-    answered  one final answer to what was taken, before its client gave up
-    once      what must not run twice is sent once, a key within its window; of one request one attempt is out
-    drained   nothing new to, or filled from, a server told to be draining or gone, past the grace
-    cold      a server that has started is sent less than pushes it over, by all routers together
-    purged    no copy older than a purge, past the grace
+"""Checker of five rules over the traffic that clients and stand-ins recorded; imports nothing of the router.
+
+It reads the stand-ins' records of commands and of feed responses, and the clients' records of requests. All
+times are of one monotonic clock, in ns. Each violation begins with the name of its rule:
+
+    answered  an accepted request has exactly one final response, sent before its deadline
+    once      an unsafe request is sent again only if its attempt was proven not executed, a keyed one also
+              within its key's window; unless hedged, a request has one attempt in flight at a time
+    drained   past the grace period no request goes to, or names as fill source, a server listed as draining
+              or gone
+    cold      the work that all routers together send to a server after its start stays below the amount that
+              makes it collapse
+    purged    past the grace period no request allows a copy older than a purge of its object
 """
 
 from __future__ import annotations
@@ -20,14 +23,14 @@
 from testbed.stand_ins import MS, RequestEnd, RequestKey, ServerCommand, StandInServers
 
 S = 1_000_000_000
-SLACK_NS = 150 * MS  # what a busy machine may add between a wire and a record
-CONNECTED_NS = 2 * S  # a router that hears an event later was not there when it came to be
-PURGE_CHECKED_NS = 4 * S  # after a purge was told, requests are held against it for so long
+SLACK_NS = 150 * MS  # longest delay that a busy machine may add between the wire and a record
+CONNECTED_NS = 2 * S  # a router that receives an event later was not connected at its publication
+PURGE_CHECKED_NS = 4 * S  # interval after a purge's delivery in which requests are checked against it
 
 
 @dataclass
 class ClientCall:
-    """One call of a client: all its sends and answers."""
+    """One request of a client and its responses."""
 
     trace: str
     cls: str
@@ -35,35 +38,35 @@
     at_ns: int
     patience_ms: int
     size_kb: float = 0.0
-    answers: list[tuple[int, str]] = field(default_factory=list)  # when, and served, refused or failed
-    gave_up: bool = False  # its connection ended first, or it was told to stop
+    answers: list[tuple[int, str]] = field(default_factory=list)  # time and kind: served, refused or failed
+    gave_up: bool = False  # its connection ended before a response
 
 
 class WarmUpContract(NamedTuple):
-    """What a server bears after its start."""
+    """The load that a server bears after its start."""
 
-    cold_share: float  # of its capacity, at the start
-    warm_up_ns: int
-    collapse_multiple: float  # of its capacity, within the collapse's time
+    cold_share: float  # share of the full capacity at the start
+    warm_up_ns: int  # time until the full capacity
+    collapse_multiple: float  # multiple of the present capacity that, within the collapse time, is too much
 
 
 @dataclass(frozen=True)
 class ContractRules:
-    """What holds in this deployment, from its settings."""
+    """Parameters of the rules in this deployment, from its settings."""
 
-    effects: dict[str, tuple[str, int]]  # by class: idempotency, and its window in ns
+    effects: dict[str, tuple[str, int]]  # by class: idempotency, and the key's window in ns
     drain_grace_ns: int
     purge_grace_ns: int
     cold_cache: WarmUpContract
     cold_parent: WarmUpContract
     collapse_ns: int
-    unit_ns: int  # work of one request, where sizes are not told
+    unit_ns: int  # work of a request whose size is unknown
     pace_kb_per_s: float
     allows_hedging: bool
 
     @staticmethod
     def of(settings: dict[str, Any], unit_ns: int) -> ContractRules:
-        """Read them from the settings of a router's configuration."""
+        """Read the parameters from the settings of a router's configuration."""
         contract, family = settings["contract"], settings["family_info"]
         return ContractRules(
             effects={c["name"]: (c["idempotency"], c.get("dedup_window_ns", 0)) for c in settings["classes"]},
@@ -81,7 +84,7 @@
 
 
 class ContractChecker:
-    """All violations over one run, in ``violations``."""
+    """Checks one run; ``violations`` lists all violations."""
 
     def __init__(
         self,
@@ -94,16 +97,17 @@
         cold: dict[str, int] | None = None,
         hubs: frozenset[str] = frozenset(),
     ) -> None:
-        """Judge a run.
+        """Check a run.
 
         Args:
-            world: The stand-ins and what they wrote down.
-            asked: The clients' calls.
-            rules: What holds.
-            servers: By a stand-in's name, its id in the list and its weight.
-            killed: Routers died, so what they had taken may be unanswered.
-            cut: Links lost bytes, so what a router had given up may look as if it were out.
-            cold: Servers that started with the routers, and when: the routers knew it from the first send.
+            world: The stand-ins with their records.
+            asked: The clients' requests.
+            rules: Parameters of the rules.
+            servers: Id in the list and weight, by the stand-in's name.
+            killed: Routers were killed, so requests that they had accepted may lack a response.
+            cut: Links lost bytes, so an attempt that a router had abandoned may look as if it were in flight.
+            cold: Start times by id of servers that started with the routers. The routers have these starts in
+                their first list.
             hubs: Ids of the parents.
         """
         self.rules = rules
@@ -123,14 +127,14 @@
             self._check_cold(server_id, started_ns - SLACK_NS, started_ns)
 
     def _read(self, world: StandInServers) -> None:
-        """Copy what the stand-ins wrote down so far."""
+        """Copy the stand-ins' records so far."""
         with world.lock:
             self._commands = [c for c in world.commands if c.verb in ("PULL", "KILL")]
             self._requests = [c for c in self._commands if c.verb == "PULL"]
             self._events = {event["n"]: event for event in world.feed_events}
             times = zip(world.feed_events, world.feed_event_times_ns, strict=True)
             self._born_ns = {event["n"]: at_ns for event, at_ns in times}
-            self._told_ns: dict[int, int] = {}  # when the last router then there had heard of an event
+            self._told_ns: dict[int, int] = {}  # last delivery to a router connected at publication
             for number, at_ns in world.feed_deliveries:
                 if at_ns < self._born_ns[number] + CONNECTED_NS:
                     self._told_ns[number] = max(at_ns, self._told_ns.get(number, 0))
@@ -143,28 +147,28 @@
     def _report(self, rule: str, what: str) -> None:
         self.violations.append(f"{rule}: {what}")
 
-    # Answers and attempts ---------------------------------------------------------------------------------
+    # Responses and attempts -------------------------------------------------------------------------------
 
     def _check_answered(self, call: ClientCall) -> None:
         due_ns = call.at_ns + call.patience_ms * MS + SLACK_NS
         if len(call.answers) > 1:
-            self._report("answered", f"{call.trace} has {len(call.answers)} answers")
+            self._report("answered", f"{call.trace} has {len(call.answers)} responses")
         elif call.answers and call.answers[0][0] > due_ns:
             late_ms = (call.answers[0][0] - due_ns) / MS
-            self._report("answered", f"{call.trace} is {late_ms:.0f} ms late")
+            self._report("answered", f"the response to {call.trace} is {late_ms:.0f} ms late")
         elif not call.answers and not call.gave_up:
-            self._report("answered", f"{call.trace} has no answer")
+            self._report("answered", f"{call.trace} has no response")
         elif not call.answers and not self.routers_died:
-            self._report("answered", f"{call.trace} was taken and its connection ended")
+            self._report("answered", f"{call.trace} was accepted and its connection ended without a response")
 
     def _check_attempts(self) -> None:
-        """Sends of one request, and of one key."""
+        """Check each request's attempts in the order in which servers received them."""
         by_id: dict[str, list[ServerCommand]] = defaultdict(list)
         for command in self._commands:
             by_id[command.request_id].append(command)
         for commands in by_id.values():
             attempts = [c for c in commands if c.verb == "PULL"]
-            first = attempts[0]  # a KILL without a PULL is a fault of the record
+            first = attempts[0]  # a KILL without a PULL is an error in the record
             for before, attempt in pairwise(attempts):
                 self._check_next_attempt(commands, first, before, attempt)
 
@@ -175,7 +179,7 @@
         before: ServerCommand,
         attempt: ServerCommand,
     ) -> None:
-        """Whether a request may be sent again, by how the attempt before ended."""
+        """Check that a request was allowed to be sent again, given how its previous attempt ended."""
         request_id = attempt.request_id
         effect, window_ns = self.rules.effects.get(first.fields.get("cls", ""), ("safe", 0))
         end = self._ends.get(RequestKey(request_id, before.server, before.received_ns), RequestEnd(0, False))
@@ -186,17 +190,17 @@
         had_ended = bool(end.ended_ns) and end.ended_ns <= attempt.received_ns + SLACK_NS
         may_hedge = effect == "safe" and self.rules.allows_hedging
         if not was_cancelled and not had_ended and not self.links_were_cut and not may_hedge:
-            self._report("once", f"{request_id} has two attempts out")
+            self._report("once", f"{request_id} has two attempts in flight")
         if effect == "unsafe" and not end.proves_not_executed:
-            self._report("once", f"{request_id} was sent again, which may have run")
+            self._report("once", f"{request_id} was sent again although it may have been executed")
         is_past_window = attempt.received_ns - first.received_ns > window_ns
         if effect == "keyed" and not end.proves_not_executed and is_past_window:
-            self._report("once", f"{request_id} was sent past its key's window")
+            self._report("once", f"{request_id} was sent again past its key's window")
 
     # The feed's events ------------------------------------------------------------------------------------
 
     def _check_events(self) -> None:
-        """Drains, starts and purges, each from when the feed had told it to whoever heard it last."""
+        """Check drains, starts and purges, each from its event's last delivery to a connected router."""
         for number, event in self._events.items():
             told_ns = self._told_ns.get(number)
             if told_ns is None:
@@ -210,7 +214,7 @@
                 self._check_purged(event["purge"]["key"], told_ns, self._born_ns[number])
 
     def _sent_to(self, server_id: str) -> list[ServerCommand]:
-        """What was sent to a server, or was to be filled from it."""
+        """Requests that were sent to a server or named it as fill source."""
         return [
             c
             for c in self._requests
@@ -218,7 +222,7 @@
         ]
 
     def _back_in_service_ns(self, server_id: str, number: int) -> int:
-        """When a server was first in service again after an event; 0 = never."""
+        """Time at which a server was first listed in service again after an event; 0 = never."""
         back_ns = [
             self._born_ns[later]
             for later, event in self._events.items()
@@ -237,12 +241,12 @@
             if c.received_ns > from_ns and (not back_ns or c.received_ns < back_ns)
         ]
         if late:
-            self._report("drained", f"{server_id} was sent {len(late)} requests past the grace")
+            self._report("drained", f"{server_id} was sent {len(late)} requests past its drain's grace")
 
     def _check_cold(self, server_id: str, told_ns: int, started_ns: int) -> None:
         contract = self.rules.cold_parent if server_id in self.parents else self.rules.cold_cache
         low = contract.cold_share
-        # What was on its way when the routers heard of it is excused, as with a drain.
+        # Requests in flight when the routers received the start are excused, as with a drain.
         sends = [
             c
             for c in self._sent_to(server_id)
@@ -257,7 +261,7 @@
             )
             if sum(work) - max(work) > room:
                 sent_s, room_s = sum(work) / S, room / S
-                self._report("cold", f"{server_id} was sent {sent_s:.2f} s of work where {room_s:.2f} s fit")
+                self._report("cold", f"{server_id} was sent {sent_s:.2f} s of work, more than {room_s:.2f} s")
                 return
 
     def _work_ns(self, command: ServerCommand) -> float:
@@ -266,7 +270,7 @@
         return size_kb / pace * S if size_kb and pace else self.rules.unit_ns
 
     def _check_purged(self, item: str, told_ns: int, born_ns: int) -> None:
-        """Hold requests against a purge; an age limit of 0 on the wire allows any fresh copy."""
+        """Check an object's requests against its purge; age limit 0 on the wire allows any fresh copy."""
         from_ns = told_ns + self.rules.purge_grace_ns + SLACK_NS
         late = [
             c
@@ -276,4 +280,4 @@
             and not 0 < int(c.fields.get("agelim", 0)) * MS <= c.received_ns - born_ns
         ]
         if late:
-            self._report("purged", f"{len(late)} requests for what was purged allow an old copy")
+            self._report("purged", f"{len(late)} requests for the purged object {item} allow an older copy")
--- a/testbed/hollow/__init__.py
+++ b/testbed/hollow/__init__.py
@@ -1,1 +1,1 @@
-"""Routers without clients and servers, hundreds in a process, and the list service that they watch."""
+"""Hollow routers (no clients, no servers; hundreds in one process) and the list service that they watch."""
--- a/testbed/hollow/configuration.py
+++ b/testbed/hollow/configuration.py
@@ -1,4 +1,4 @@
-"""Configurations of a fleet of a given size, made from the example's."""
+"""Configurations of a fleet of a given size, derived from examples/config.json."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 from testbed.stand_ins import ROOT
 
-PARENTS = 9  # of the servers, in the hub zone; one more is the origin
+PARENTS = 9  # parents among the servers, in the hub zone; one more server is the origin
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """How much of everything there is."""
+    """Numbers of routers, servers and zones."""
 
     routers: int = 590
     servers: int = 150
-    zones: int = 19  # with caches and routers; the parents' and the origin's comes on top
+    zones: int = 19  # with caches and routers; the hub zone of the parents and the origin is not counted
 
     def zone_names(self) -> tuple[str, ...]:
         """Names of the zones with caches."""
         return tuple(f"z{n}" for n in range(self.zones))
 
     def zone_of(self, router: int) -> str:
-        """The zone of a router: they are spread evenly."""
+        """The zone of a router; routers are spread evenly over the zones."""
         return f"z{router % self.zones}"
 
     def routers_by_zone(self) -> list[int]:
-        """How many routers each zone has; none in the hub zone."""
+        """The number of routers in each zone; the last entry, the hub zone's, is 0."""
         return [len(range(zone, self.routers, self.zones)) for zone in range(self.zones)] + [0]
 
 
 def endpoint(name: str, zone: str, kind: str, number: int, status: str = "active") -> dict[str, Any]:
-    """A server's line of the list.  Nobody listens at its address."""
+    """A server's row in the list. Nothing listens at its address."""
     return {
         "name": name,
         "address": f"10.9.{number // 250}.{number % 250 + 1}:9000",
@@ -47,7 +47,7 @@
 
 
 def endpoints(size: FleetSize) -> list[dict[str, Any]]:
-    """The whole list: caches over the zones, parents, and the origin."""
+    """The complete list: caches spread over the zones, parents, and the origin."""
     caches = max(size.zones, size.servers - PARENTS - 1)
     lines = [endpoint(f"s-{n:04x}", f"z{n % size.zones}", "box", n) for n in range(caches)]
     lines += [endpoint(f"p-{n:04x}", "hub", "parent", caches + n) for n in range(PARENTS)]
--- a/testbed/hollow/field.py
+++ b/testbed/hollow/field.py
@@ -1,4 +1,4 @@
-"""A control plane of real processes: a list service, control replicas behind relays, and hollow routers."""
+"""A control plane of real processes: list services, control replicas behind relays, and hollow routers."""
 
 from __future__ import annotations
 
@@ -11,17 +11,24 @@
 from testbed.hollow.configuration import FleetSize
 from testbed.hollow.processes import ControlReplica, LineProcess, hollow_routers, list_service, wait_for
 
-LONGEST_S = 20.0  # who is not in step by then never will be
+LONGEST_S = 20.0  # routers that have not caught up by then count as failed
 
 
 class ControlField:
-    """Replicas r0, r1, ...: before each one a relay to its watchers, and one between it and upstream.
+    """Control replicas r0, r1, ..., each with a relay towards its watchers and one towards its upstream.
 
     A context manager.
     """
 
     def __init__(self, size: FleetSize, replicas: int = 2, services: int = 1, more: str = "") -> None:
-        """``services``: list services that know nothing of each other; replica n watches the n-th."""
+        """Prepare the field; entering the context starts its processes.
+
+        Args:
+            size: Numbers of routers, servers and zones.
+            replicas: Number of control replicas.
+            services: Number of independent list services; replica n watches number n modulo ``services``.
+            more: Further lines of the replicas' files.
+        """
         self.size, self.count, self.services, self.more = size, replicas, services, more
         self.stack = ExitStack()
 
@@ -34,7 +41,7 @@
         return self
 
     def begin(self) -> None:
-        """Start all of it."""
+        """Start all processes and relays."""
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
         self.service_list = [self.stack.enter_context(list_service(self.size)) for _ in range(self.services)]
         self.service = self.service_list[0]
@@ -63,11 +70,11 @@
         self.stack.close()
 
     def order_service(self, service: LineProcess | None = None, **order: Any) -> int:
-        """An order to the list service: the number of the last event."""
+        """Send a command to a list service, by default the first: the number of its last event."""
         return int((service or self.service).ask(**order)["n"])
 
     def is_caught_up(self, number: int, servers: int, longest_s: float = LONGEST_S) -> bool:
-        """Whether in time all routers have an event in force, and use so many servers."""
+        """Whether, in time, all routers have applied an event and use exactly ``servers`` servers."""
 
         def found() -> bool:
             report = self.routers.ask()
@@ -77,6 +84,6 @@
         return wait_for(found, longest_s, 0.1)
 
     def watchers(self) -> list[int]:
-        """How many routers watch each replica now."""
+        """The number of routers that watch each replica now."""
         at = self.routers.ask()["at"]
         return [at.count(relay.address[1]) for relay in self.watcher_relays]
--- a/testbed/hollow/load.py
+++ b/testbed/hollow/load.py
@@ -1,8 +1,8 @@
-"""Requests at a steady rate over some connections, whatever comes back.
+"""Open-loop load: requests at a steady rate over several connections, independent of the responses.
 
     python -m testbed.hollow.load --to HOST:PORT --rate 800 --seconds 5
 
-Prints how many were sent and served, and how long the served ones took.
+Prints the numbers of requests sent and served, and the latency of those served.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 import msgpack
 
 CONNECTIONS = 32
-OBJECTS = 500  # asked for in turn
-DRAIN_S = 2.0  # after the last request, for answers
+OBJECTS = 500  # distinct objects, requested in turn
+DRAIN_S = 2.0  # wait for responses after the last request
 PATIENCE_MS = 2_000
 
 
 class Connection:
-    """One connection and what is open on it."""
+    """One connection and its outstanding requests."""
 
     def __init__(self, at: tuple[str, int]) -> None:
         self.sock = socket.create_connection(at, 10)
@@ -34,7 +34,7 @@
         self.count = 0
 
     def send(self, number: int) -> None:
-        """One request."""
+        """Send one request."""
         self.count += 1
         fields = {
             "trace": secrets.token_hex(8),
@@ -48,7 +48,7 @@
 
 
 def played(at: tuple[str, int], rate: float, seconds: float) -> dict[str, Any]:
-    """The requests, and what came of them."""
+    """Send requests at a rate for some seconds: the counts and latencies."""
     selector = selectors.DefaultSelector()
     connections = [Connection(at) for _ in range(CONNECTIONS)]
     for connection in connections:
@@ -83,7 +83,7 @@
 
 
 def main() -> None:
-    """Play, and print the figures."""
+    """Run the load and print its figures as JSON."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--to", required=True)
     parser.add_argument("--rate", type=float, default=800)
--- a/testbed/hollow/processes.py
+++ b/testbed/hollow/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scale test: the list service, hollow routers, control replicas and real routers.
+"""Processes of a scale test: the list service, hollow routers, control replicas and real routers.
 
 All of them end with the test that started them.
 """
@@ -22,11 +22,11 @@
 from testbed.stand_ins import ROOT
 
 EACH_PROCESS = 100  # hollow routers in one process
-TICK_S = os.sysconf("SC_CLK_TCK")
+TICK_S = os.sysconf("SC_CLK_TCK")  # clock ticks per second in /proc/PID/stat
 
 
 class LineProcess:
-    """A process that answers each line on its standard input by a line of JSON."""
+    """A process that responds to each line on its standard input with a line of JSON."""
 
     def __init__(self, words: list[str], cwd: Path = ROOT) -> None:
         self.words = words
@@ -41,7 +41,11 @@
         self.first = self.read()
 
     def read(self) -> dict[str, Any]:
-        """The next line that it prints."""
+        """Read the next line that the process prints.
+
+        Raises:
+            RuntimeError: The process has ended.
+        """
         assert self.process.stdout
         line = self.process.stdout.readline()
         if not line:
@@ -49,25 +53,25 @@
         return json.loads(line)  # type: ignore[no-any-return]
 
     def send(self, **order: Any) -> None:
-        """One line to it."""
+        """Send one command."""
         assert self.process.stdin
         self.process.stdin.write(json.dumps(order) + "\n")
         self.process.stdin.flush()
 
     def ask(self, **order: Any) -> dict[str, Any]:
-        """One line to it and its answer."""
+        """Send one command and wait for its response."""
         self.send(**order)
         return self.read()
 
     def end(self) -> None:
-        """Kill it."""
+        """Kill the process and wait for its end."""
         self.process.kill()
         self.process.wait()
 
 
 @contextmanager
 def list_service(size: FleetSize) -> Iterator[LineProcess]:
-    """The list service of a fleet."""
+    """Start the list service of a fleet; it ends with the context."""
     service = LineProcess(
         ["-m", "testbed.hollow.service", "--servers", str(size.servers), "--zones", str(size.zones)]
     )
@@ -81,7 +85,7 @@
 def hollow_routers(
     size: FleetSize, feed: str, rules: str = "", each: int = EACH_PROCESS
 ) -> Iterator[list[LineProcess]]:
-    """All routers of a fleet, some in each process."""
+    """Start all routers of a fleet as hollow routers, up to ``each`` in one process."""
     with ExitStack() as stack:
         found = []
         for first in range(0, size.routers, each):
@@ -108,7 +112,7 @@
 
 
 def free_port() -> int:
-    """A port of loopback that is free now."""
+    """A port of loopback that is free at the moment."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return int(sock.getsockname()[1])
 
@@ -125,7 +129,16 @@
         more: str = "",
         size: FleetSize | None = None,
     ) -> None:
-        """``upstreams`` and ``peers`` as HOST:PORT; ``more``: further lines of its file."""
+        """Write the replica's file and configuration; ``start`` starts its process.
+
+        Args:
+            folder: Where its files and its log are written.
+            name: Its name.
+            upstreams: List services, each as HOST:PORT.
+            peers: Other replicas, each as HOST:PORT.
+            more: Further lines of its file.
+            size: The fleet whose settings it reads; by default the default size.
+        """
         self.name, self.port = name, free_port()
         self.file, self.config, self.log = (folder / f"{name}.{end}" for end in ("kdl", "json", "log"))
         lines = ["control-replica version=1", f'listen "{self.address}"']
@@ -139,11 +152,15 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as HOST:PORT."""
+        """Address at which it listens, as HOST:PORT."""
         return f"127.0.0.1:{self.port}"
 
     def start(self) -> None:
-        """A process, once it takes connections."""
+        """Start a process and wait until it responds.
+
+        Raises:
+            RuntimeError: It does not respond in time; the message has the end of its log.
+        """
         words = [
             "control-replica",
             str(self.file),
@@ -165,7 +182,7 @@
             raise RuntimeError(f"{self.name} does not serve: {self.log.read_text()[-2_000:]}")
 
     def state(self) -> dict[str, Any] | None:
-        """What it says of itself, or None where nobody answers."""
+        """Its state as it reports it, or None if it does not respond."""
         connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=2)
         try:
             connection.request("GET", "/control/state")
@@ -176,19 +193,19 @@
             connection.close()
 
     def signal(self, number: int) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         assert self.process
         self.process.send_signal(number)
 
     def end(self) -> None:
-        """Kill it, if it runs."""
+        """Kill the process, if one was started, and wait for its end."""
         if self.process:
             self.process.kill()
             self.process.wait()
 
 
 class RealRouter:
-    """A router as `run` starts it.  A context manager."""
+    """A router process, started as `run` starts it. A context manager."""
 
     def __init__(
         self,
@@ -201,7 +218,18 @@
         known: dict[str, Any] | None = None,
         example: bool = False,
     ) -> None:
-        """``example``: with the example's own settings, whose zones are those of the stand-in servers."""
+        """Write the configuration and start the process.
+
+        Args:
+            size: The fleet that the settings describe.
+            number: The router's number in the fleet, which determines its addresses.
+            feed: Address of the list service, as HOST:PORT.
+            program: Folder of the program.
+            folder: Where the configuration and the log are written.
+            rules: Path of the operator's file; "" = none.
+            known: The first list, in place of the one that the fleet's size gives.
+            example: Use the example's own settings, whose zones are those of the stand-in servers.
+        """
         host = f"127.3.{number // 250}.{number % 250 + 1}"
         self.listen = f"{host}:7000"
         raw = configuration(size, number, feed, self.listen, f"{host}:7001")
@@ -229,7 +257,7 @@
         self.process.wait()
 
     def answers(self) -> bool:
-        """Whether it takes connections."""
+        """Whether it accepts connections."""
         host, _, port = self.listen.rpartition(":")
         try:
             socket.create_connection((host, int(port)), 1).close()
@@ -238,22 +266,22 @@
         return True
 
     def cpu_s(self) -> float:
-        """Processor time so far."""
+        """CPU time so far, in seconds."""
         return cpu_s(self.process.pid)
 
     def memory_kb(self, most: bool = False) -> int:
-        """Resident memory now, or the most that it has had."""
+        """Resident memory in KB, at present or at its peak."""
         return memory_kb(self.process.pid, most)
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of a process so far."""
+    """CPU time of a process so far, in seconds."""
     parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(parts[11]) + int(parts[12])) / TICK_S
 
 
 def memory_kb(pid: int, most: bool = False) -> int:
-    """Resident memory of a process now, or the most that it has had."""
+    """Resident memory of a process in KB, at present or at its peak."""
     key = "VmHWM:" if most else "VmRSS:"
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith(key):
@@ -262,7 +290,7 @@
 
 
 def wait_for(found: Any, longest_s: float, every_s: float = 0.02) -> bool:
-    """Whether something comes true in time."""
+    """Poll a condition until it is true: whether that happens within ``longest_s``."""
     until = time.monotonic() + longest_s
     while time.monotonic() < until:
         if found():
@@ -273,6 +301,6 @@
 
 @contextmanager
 def folder() -> Iterator[Path]:
-    """A scratch folder."""
+    """A temporary folder, removed with the context."""
     with tempfile.TemporaryDirectory() as path:
         yield Path(path)
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -1,12 +1,12 @@
-"""Many routers in one process: their real loops, without clients and servers.
+"""Many hollow routers in one process: real event loops without clients and servers.
 
-They have real connections to the list service, and control addresses of their own.
+The routers have real connections to the list service and control addresses of their own.
 
     python -m testbed.hollow.routers --first 0 --count 100 --feed HOST:PORT
 
-with ``--rules FILE`` for an operator's file.  Prints one line when all of them have begun, and
-after each line on standard input what they did since the line before: processor time, memory, and when each
-of them had which event of the feed in force.
+``--rules FILE`` gives them an operator's file. The process prints one line once all routers have started. For
+each line on standard input it prints a report: CPU time, memory, and at which time each router applied which
+event of the feed since the previous report.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from kelpcroft.operator_file.service import load_at_start, reload_steps
 from testbed.hollow.configuration import FleetSize, configuration
 
-LOOK_S = 0.05  # loops with a wake-up that is due are looked for this often at the least
+LOOK_S = 0.05  # longest interval between two checks for due timers
 
 
 class Hollow:
-    """One router's loop, run when it has something to do."""
+    """One router's event loop, which runs when it has work."""
 
     def __init__(self, size: FleetSize, number: int, feed: str, rules: str) -> None:
         host = f"127.2.{number // 250}.{number % 250 + 1}"
@@ -42,17 +42,18 @@
         reading = partial(reload_steps, rules) if rules else None
         self.loop = EventLoop(config, Clock(), rules=reading, events=EventLog(config.name, form="json"))
         self.loop.start(first=load_at_start(rules, config.settings) if rules else None)
-        self.seen: list[tuple[int, int]] = []  # up to which event it knew, and since when
+        self.seen: list[tuple[int, int]] = []  # number of its last event, and when it applied it (Unix ns)
 
     def due(self, now_ns: int) -> bool:
-        """Whether a wake-up of its own has come."""
+        """Whether one of its timers is due."""
         heap = self.loop.timers
         return bool(heap) and heap[0][0] <= now_ns
 
     def turn(self) -> None:
-        """One turn of its loop; when it came to know more, that is written down.
+        """Run one iteration of its loop, and record the number of its last event if that has changed.
 
-        The time since its last turn was waited outside of it, and is no stall.
+        The time since the previous iteration was spent waiting outside of the loop; setting
+        ``last_select_ns`` keeps the loop from taking it for a process stall.
         """
         self.loop.last_select_ns = self.loop.clock.now()
         self.loop.run_turn()
@@ -73,7 +74,7 @@
         self.ended = False
 
     def turn(self) -> None:
-        """All routers that have something to do have one turn."""
+        """Wait for work, then run one iteration of each router that has some."""
         now = time.time_ns()
         next_ns = min((r.loop.timers[0][0] for r in self.routers if r.loop.timers), default=now)
         for key, _ in self.selector.select(min(LOOK_S, max(0, next_ns - now) / 1e9)):
@@ -87,14 +88,14 @@
                 router.turn()
 
     def order(self) -> None:
-        """A line on standard input: report, or end with the input."""
+        """Read a line from standard input and print a report; at end of input, stop."""
         if not sys.stdin.readline():
             self.ended = True
             return
         print(json.dumps(self.report()), flush=True)
 
     def report(self) -> dict[str, Any]:
-        """What the routers did since the last report."""
+        """The routers' activity since the last report."""
         times = os.times()
         pages = int(Path("/proc/self/statm").read_text().split()[1])
         seen = [router.seen for router in self.routers]
@@ -112,7 +113,7 @@
 
 
 def main() -> None:
-    """Run them until standard input ends."""
+    """Run the routers until standard input ends."""
     parser = argparse.ArgumentParser()
     for name, default in (("first", 0), ("count", 10), ("routers", 590), ("servers", 150), ("zones", 19)):
         parser.add_argument(f"--{name}", type=int, default=default)
--- a/testbed/hollow/servers.py
+++ b/testbed/hollow/servers.py
@@ -1,8 +1,8 @@
-"""Stand-in servers as a process of their own: every request is answered with a body of one size.
+"""Stand-in servers in a process of their own, which respond to every request with a body of one size.
 
     python -m testbed.hollow.servers --bytes 20000
 
-Prints their addresses by name, and ends with its standard input.
+Prints the feed's address and the first list as JSON, and ends with its standard input.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class Nothing(list[ServerCommand]):
-    """Requests are not written down: there are too many."""
+    """A list that records no requests, because there are too many."""
 
     def append(self, one: ServerCommand) -> None:
-        """Nothing."""
+        """Discard the request."""
 
 
 if __name__ == "__main__":
--- a/testbed/hollow/service.py
+++ b/testbed/hollow/service.py
@@ -1,17 +1,18 @@
-"""A list service as a process of its own, so that its work can be read as a role's figure.
+"""A list service in a process of its own, so that its CPU time and memory can be measured separately.
 
     python -m testbed.hollow.service --servers 150 --zones 19
 
-Prints ``{"port": N}``, then takes one JSON object a line on standard input and answers each by one line:
-
-    {"do": "purge", "rate": 5.1, "seconds": 10}     purges told at this rate; answered at once
-    {"do": "history", "purges": 1000, "age_s": 60}  purges of the past, numbered on, told to nobody yet
-    {"do": "status", "server": "s-0001", "status": "leaving"}
-    {"do": "restart"}                               counts from 1 again, with the list as it is
-    {"do": "mute", "on": true}                      calls are read and not answered
-    {"do": "look"}                                  up to which event somebody has asked
-    {"do": "stats"}                                 what it has done; ``born`` tells when each event came
-    {"do": "end"}
+Prints ``{"port": N}``, then reads commands from standard input, one JSON object a line, and responds to each
+with one line:
+
+    {"do": "purge", "rate": 5.1, "seconds": 10}     publish purges at this rate; responds immediately
+    {"do": "history", "purges": 1000, "age_s": 60}  append purges with times spread over the last ``age_s``
+    {"do": "status", "server": "s-0001", "status": "leaving"}  change a server's status
+    {"do": "restart"}                               number events from 1 again, with the present list
+    {"do": "mute", "on": true}                      read watch requests without responding to them
+    {"do": "look"}                                  report the highest event number in a watch request
+    {"do": "stats"}                                 report counters; ``born`` has the time of each event
+    {"do": "end"}                                   end the process
 """
 
 from __future__ import annotations
@@ -32,28 +33,28 @@
 from testbed.hollow.configuration import FleetSize, endpoints
 
 QUERY = re.compile(rb"GET /v1/events\?SUB=(\d+)&wait=(\d+)")
-READ_SIZE = 1 << 16
-EARLY_NS = 100 * 10**6  # a call with no news is answered so much before its wait is over
+READ_SIZE = 1 << 16  # bytes
+EARLY_NS = 100 * 10**6  # without new events, a watch response is sent this long before the wait ends
 SECOND = 10**9
-TURN_S = 0.02
-PURGING_TURN_S = 0.002
-STATS_EVENTS = 20_000  # of which stats tell when they came
-BODIES_KEPT = 64  # encoded answers kept for others who ask for the same
+TURN_S = 0.02  # longest wait of one loop iteration
+PURGING_TURN_S = 0.002  # the same while purges are published at a rate
+STATS_EVENTS = 20_000  # newest events whose times the stats contain
+BODIES_KEPT = 64  # encoded watch responses cached for watchers at the same position
 
 
 @dataclass
 class Watcher:
-    """One connection."""
+    """The connection of one watcher."""
 
     sock: socket.socket
     read: bytes = b""
-    waiting: list[bytes] = field(default_factory=list)  # what the socket did not take
-    after: int = -1  # of the call that is out; -1 = none
+    waiting: list[bytes] = field(default_factory=list)  # data that the socket did not accept yet
+    after: int = -1  # position in the outstanding watch request; -1 = none
     until_ns: int = 0
 
 
 class PurgeRate(NamedTuple):
-    """Purges to be told; times are Unix ns."""
+    """Rate and interval of purges to be published; times are Unix ns."""
 
     per_s: float
     from_ns: int
@@ -64,12 +65,12 @@
 
 
 class ListService:
-    """Events, and those who watch them."""
+    """The event log and its watchers."""
 
     def __init__(self, size: FleetSize, port: int = 0) -> None:
         self.lines = {line["name"]: line for line in endpoints(size)}
-        self.events: list[bytes] = []  # encoded, numbered from 2
-        self.born: list[int] = []  # Unix ns of each
+        self.events: list[bytes] = []  # encoded; the first has number 2
+        self.born: list[int] = []  # time of each event, Unix ns
         self.index = 1
         self.watchers: dict[int, Watcher] = {}
         self.bodies: dict[int, bytes] = {}
@@ -78,11 +79,11 @@
         self.bytes_in = 0
         self.bytes_out = 0
         self.accepted = 0  # connections
-        self.watches_most = 0  # connections at a time
+        self.watches_most = 0  # highest number of connections at a time
         self.purging = NO_PURGES
-        self.purged = 0  # purges in all
-        self.told = 0  # purges of the rate that is under way
-        self.reached = 0  # the highest position that a call has named
+        self.purged = 0  # purges in total
+        self.told = 0  # purges already published at the present rate
+        self.reached = 0  # highest position in a watch request
         self.selector = selectors.DefaultSelector()
         self.listener = socket.create_server(("127.0.0.1", port), backlog=1024)
         self.listener.setblocking(False)
@@ -94,7 +95,7 @@
         return len(self.events) + 1
 
     def add(self, event: dict[str, Any]) -> int:
-        """One more event: its number."""
+        """Append an event: its number."""
         number = self.last + 1
         self.events.append(json.dumps({"n": number, **event}, separators=(",", ":")).encode())
         self.born.append(time.time_ns())
@@ -102,12 +103,12 @@
         return number
 
     def purge(self, at_ms: int) -> int:
-        """One purge of an object that nothing else names."""
+        """Append a purge of an object that no other purge names: the event's number."""
         self.purged += 1
         return self.add({"purge": {"key": f"{0x7F3A << 48 | self.purged:016x}", "at": at_ms}})
 
     def body(self, after: int) -> bytes:
-        """The answer to a call for what comes after an event."""
+        """The watch response with the events after a position, and with a snapshot first if it is below 1."""
         found = self.bodies.get(after)
         if found is None:
             parts = self.events[max(0, after - 1) :] if after <= self.last else []
@@ -129,7 +130,10 @@
         return found
 
     def command(self, raw: dict[str, Any]) -> dict[str, Any]:
-        """Carry out one order from standard input: its answer; an order without a method is only answered."""
+        """Carry out one command from standard input and return its response.
+
+        A command that has no entry in ``ORDERS`` does nothing and gets the default response.
+        """
         now = time.time_ns()
         order = ORDERS.get(raw["do"])
         answer = order(self, raw, now) if order else None
@@ -138,18 +142,18 @@
         return {"n": self.last, "now_ns": now, "reached": self.reached}
 
     def _order_purges(self, raw: dict[str, Any], now: int) -> dict[str, Any]:
-        """Tell purges at a rate from now on."""
+        """Publish purges at a rate from now on."""
         self.purging = PurgeRate(float(raw["rate"]), now, now + int(raw["seconds"] * SECOND))
         return {"until_ns": self.purging.until_ns}
 
     def _order_history(self, raw: dict[str, Any], now: int) -> None:
-        """Number purges of the past on, spread over ``age_s``."""
+        """Append purges whose times are spread over the last ``age_s`` seconds."""
         for n in range(raw["purges"]):
             ago_ms = int(raw["age_s"] * 1_000 * (raw["purges"] - n) / raw["purges"])
             self.purge(now // 10**6 - ago_ms)
 
     def _order_status(self, raw: dict[str, Any], _: int) -> None:
-        """Give a server another status."""
+        """Change a server's status."""
         line = self.lines[raw["server"]] = {**self.lines[raw["server"]], "status": raw["status"]}
         if "since_ms" in raw:
             line["since_ms"] = raw["since_ms"]
@@ -157,7 +161,7 @@
         self.add({"members": {"index": self.index, "snapshot": False, "endpoints": [line]}})
 
     def _order_restart(self, _: dict[str, Any], __: int) -> None:
-        """Count from 1 again; connections end."""
+        """Number events from 1 again, and close all connections."""
         self.events = []
         self.born = []
         self.bodies = {}
@@ -165,14 +169,14 @@
             self.drop(watcher)
 
     def _order_mute(self, raw: dict[str, Any], _: int) -> None:
-        """Read calls and answer none, or answer again."""
+        """Stop or resume responding to watch requests, which are read in any case."""
         self.muted = bool(raw["on"])
 
     def _order_stats(self, _: dict[str, Any], __: int) -> dict[str, Any]:
         return self.stats()
 
     def stats(self) -> dict[str, Any]:
-        """What it has done since its start."""
+        """Counters since the start."""
         times = os.times()
         pages = int(Path("/proc/self/statm").read_text().split()[1])
         return {
@@ -193,7 +197,7 @@
     # The wire ---------------------------------------------------------------------------------------------
 
     def turn(self) -> None:
-        """Wait, read, tell what is due, answer."""
+        """One loop iteration: wait, read, publish due purges, send watch responses."""
         wait = PURGING_TURN_S if self.purging.per_s else TURN_S
         for key, events in self.selector.select(wait):
             if key.fileobj is self.listener:
@@ -206,7 +210,7 @@
         self.answer()
 
     def purge_on(self) -> None:
-        """Purges that are due by now."""
+        """Publish the purges that are due."""
         rate, from_ns, until_ns = self.purging
         if not rate:
             return
@@ -220,7 +224,7 @@
             self.told = 0
 
     def answer(self) -> None:
-        """News to those who wait, and nothing to those whose wait is over."""
+        """Send watch responses: events to watchers that are behind, an empty one where the wait is over."""
         if self.muted:
             return
         now, last = time.time_ns(), self.last
@@ -230,7 +234,7 @@
                 self.write(watcher, self.body(after))
 
     def accept(self) -> None:
-        """Take all connections that wait."""
+        """Accept all pending connections."""
         while True:
             try:
                 sock, _ = self.listener.accept()
@@ -244,13 +248,13 @@
             self.selector.register(sock, selectors.EVENT_READ, self.watchers[sock.fileno()])
 
     def drop(self, watcher: Watcher) -> None:
-        """A connection ends."""
+        """Close a watcher's connection."""
         self.selector.unregister(watcher.sock)
         self.watchers.pop(watcher.sock.fileno(), None)
         watcher.sock.close()
 
     def ready(self, watcher: Watcher, events: int) -> None:
-        """What the selector said of one connection."""
+        """Handle the selector's events of one connection."""
         if events & selectors.EVENT_WRITE:
             data, watcher.waiting = b"".join(watcher.waiting), []
             self.write(watcher, data)
@@ -274,7 +278,7 @@
             self.call(watcher, head)
 
     def call(self, watcher: Watcher, head: bytes) -> None:
-        """One call."""
+        """Take one watch request; a request that is none closes the connection."""
         found = QUERY.match(head)
         if found is None:
             self.drop(watcher)
@@ -285,7 +289,7 @@
         watcher.until_ns = time.time_ns() + max(0, int(found[2]) * 10**6 - EARLY_NS)
 
     def write(self, watcher: Watcher, data: bytes) -> None:
-        """Bytes to a watcher; what its socket does not take waits."""
+        """Send bytes to a watcher; what its socket does not accept is queued."""
         if watcher.waiting:
             watcher.waiting.append(data)
             return
@@ -316,7 +320,7 @@
 
 
 def main() -> None:
-    """Serve until standard input ends or says so."""
+    """Serve until the command "end" or the end of standard input."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--servers", type=int, default=150)
     parser.add_argument("--zones", type=int, default=19)
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -1,8 +1,8 @@
 """A list service, control replicas and routers in virtual time, with links that can be cut.
 
-The replicas' and the routers' cores are the real ones, their answers pass through the real codecs' parsing.
-A call over a link that is cut is never answered, one to a process that is down is refused, and each process
-has a clock of its own that differs from the true time.
+The replicas' and routers' cores are those of the program, and responses are parsed by its codecs. A watch
+request over a cut link gets no response, one to a process that is down is refused, and each process has a
+clock of its own that differs from the true time.
 """
 
 from __future__ import annotations
@@ -28,34 +28,34 @@
 
 MS = 10**6
 SECOND = 10**9
-START = 1_764_576_000 * SECOND
-DELAY_NS = 5 * MS  # of a message, one way
+START = 1_764_576_000 * SECOND  # start of virtual time, Unix ns
+DELAY_NS = 5 * MS  # delay of a message, one way
 SERVICE_PORT = 7_000
 
 Address = tuple[str, int]
 
 
 def address_of(number: int) -> Address:
-    """Where replica ``number`` listens; 0 is the list service."""
+    """Address at which replica ``number`` listens; number 0 is the list service."""
     return f"10.0.0.{number + 1}", SERVICE_PORT
 
 
 @dataclass
 class Call:
-    """A call that is out, as its caller knows it."""
+    """An outstanding watch request, as its sender sees it."""
 
     caller: str
     target: Address
     after: int
     mark: str | None
     wait_ns: int
-    reply: Callable[[bytes | None], None]  # None: the call has failed
+    reply: Callable[[bytes | None], None]  # called with None if the request has failed
     over: bool = False
 
 
 @dataclass
 class Service:
-    """The list service: the true state, and a log of it that may begin anew."""
+    """The list service: the true state of the servers, and an event log whose numbering may restart."""
 
     net: VirtualNetwork
     lines: dict[str, dict[str, Any]]
@@ -71,18 +71,18 @@
         return len(self.events) + 1
 
     def tell(self, **event: Any) -> None:
-        """One more event."""
+        """Publish an event."""
         self.events.append({"n": self.last + 1, **event})
         for call in self.waiting[:]:
             self.answer(call)
 
     def change(self, name: str, status: str, since_ms: int = 0) -> None:
-        """A server's new line."""
+        """Publish a server's new line."""
         self.lines[name] = {**self.lines[name], "status": status, "since_ms": since_ms}
         self.tell(members={"index": self.last, "snapshot": False, "endpoints": [self.lines[name]]})
 
     def restart(self) -> None:
-        """It counts from 1 again; purges that it told before are not told again."""
+        """Number events from 1 again; purges published before are not published again."""
         self.events = []
         self.starts += 1
         for call in self.waiting[:]:
@@ -90,7 +90,7 @@
             self.net.fail(call)
 
     def on_call(self, call: Call) -> None:
-        """Take a call: answer it at once where there is news, else let it wait."""
+        """Take a watch request: respond immediately if it is behind, else let it wait."""
         self.calls += 1
         self.waiting.append(call)
         if call.after != self.last:
@@ -99,7 +99,7 @@
             self.net.at(call.wait_ns - 100 * MS, lambda: self.answer(call))
 
     def answer(self, call: Call) -> None:
-        """Answer a call that still waits with what came after its position."""
+        """Respond to a watch request that still waits, with the events after its position."""
         if call not in self.waiting:
             return
         self.waiting.remove(call)
@@ -111,7 +111,7 @@
 
 
 class ReplicaNode:
-    """One control replica over all its processes."""
+    """One control replica and the processes that it runs in turn."""
 
     def __init__(self, net: VirtualNetwork, number: int, options: ReplicaOptions, skew_ns: int) -> None:
         self.net = net
@@ -122,8 +122,8 @@
         self.up = False
         self.starts = 0
         self.watches: dict[int, Call] = {}
-        self.watchers: dict[str, int] = {}  # by caller, while its connection stands
-        self.calls: list[int] = []  # when, in true time
+        self.watchers: dict[str, int] = {}  # by the watcher's name, while its connection is open
+        self.calls: list[int] = []  # arrival of each watch request, in true time
         self.notes: list[str] = []
         self.core = ControlReplica(options, number)
         self.start()
@@ -133,7 +133,7 @@
         return self.net.now + self.skew_ns
 
     def start(self) -> None:
-        """Start a new process, that knows nothing."""
+        """Start a new process with empty state."""
         self.up = True
         self.starts += 1
         self.core = ControlReplica(self.options, self.number * 1_000 + self.starts)
@@ -149,7 +149,7 @@
         self.watchers.clear()
 
     def tick(self, start: int) -> None:
-        """Look at what is due, as the process's own loop does."""
+        """Run due timers every 10 ms, as the process's own loop does."""
         if self.up and start == self.starts:
             due = self.core.next_timer_ns()
             if due is not None and due <= self.now():
@@ -157,7 +157,7 @@
             self.net.at(10 * MS, lambda: self.tick(start))
 
     def on_call(self, call: Call) -> None:
-        """Take a watcher's call."""
+        """Take a watch request of a watcher."""
         self.calls.append(self.net.now)
         number = self.watchers.setdefault(call.caller, self.net.made)
         self.watches[number] = call
@@ -166,7 +166,7 @@
         self.carry_out(self.core.on_watch(self.now(), watch))
 
     def carry_out(self, effect_list: list[core.Effect]) -> None:
-        """Carry out what the replica's core asks for, in its order."""
+        """Carry out the effects of the replica's core in their order."""
         start = self.starts
         for e in effect_list:
             if isinstance(e, (core.SendWatchResponse, core.RefuseWatcher)):
@@ -181,7 +181,7 @@
                 self.notes.append(e.event)
 
     def call(self, e: core.CallUpstream, start: int) -> None:
-        """Call upstream, unless the process that wanted it (number ``start``) has ended."""
+        """Send a watch request upstream, unless process number ``start`` has ended."""
         if not self.up or start != self.starts:
             return
         mark = e.position.fingerprint if e.address in self.options.peers else None
@@ -205,7 +205,7 @@
 
 
 class RouterNode:
-    """One router over all its processes."""
+    """One router and the processes that it runs in turn."""
 
     def __init__(
         self, net: VirtualNetwork, number: int, size: FleetSize, replicas: ControlReplicas, skew_ns: int
@@ -225,7 +225,7 @@
         return self.net.now + self.skew_ns
 
     def start(self) -> None:
-        """Start a new process, that knows what the service lists now."""
+        """Start a new process whose first list is the service's present one."""
         self.starts += 1
         raw = configuration(self.size, self.number, "10.9.9.9:1", "127.0.0.1:1", "127.0.0.1:2")
         raw["known"]["events"][0]["members"]["endpoints"] = list(self.net.service.lines.values())
@@ -237,11 +237,11 @@
         self.tell(inputs.OperatorFileRead(OperatorFile(control_replicas=self.replicas)))
 
     def tell(self, message: inputs.Input) -> None:
-        """Hand the reducer a message and carry out what it asks for."""
+        """Pass an input to the reducer and carry out its effects."""
         self.carry_out(self.reducer.handle(self.now(), message))
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
-        """Carry out what concerns the feed and the log; this router has no clients and no servers."""
+        """Carry out effects of the feed and the log; this router has no clients and no servers."""
         start = self.starts
         for e in effect_list:
             if isinstance(e, effects.SwitchFeed):
@@ -257,12 +257,12 @@
                 self.logged.append(e.event)
 
     def due(self, e: effects.ScheduleTimer, start: int) -> None:
-        """A timer of process number ``start`` is due."""
+        """Fire a timer, unless the process that set it (number ``start``) has ended."""
         if start == self.starts:
             self.tell(inputs.TimerFired(e.key))
 
     def poll(self, e: effects.PollFeed) -> None:
-        """Call the feed, unless a call is out."""
+        """Send a watch request to the feed, unless one is outstanding."""
         if self.out is not None:
             return
         start = self.starts
@@ -279,26 +279,26 @@
         self.net.call(self.out, e.response_timeout_ns)
 
     def serving(self) -> set[str]:
-        """Servers that it may use."""
+        """Names of the servers that it may use."""
         return set(self.reducer.state.endpoints)
 
     def purged(self) -> set[int]:
-        """Objects of which it remembers a purge."""
+        """Numbers of the objects whose purges it keeps."""
         return set(self.reducer.state.policy.freshness.object_purges)
 
 
 class VirtualNetwork:
     """The list service, replicas, routers, the links between them, and the true time.
 
-    ``cut`` holds pairs of names between which nothing passes.
+    ``cut`` holds the pairs of names whose link is cut.
     """
 
     def __init__(self, size: FleetSize, replicas: list[ReplicaOptions], skews_ns: list[int]) -> None:
         self.now = START
-        self.made = 0  # events scheduled; breaks ties between them
+        self.made = 0  # number of scheduled events; breaks ties between them
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.cut: set[frozenset[str]] = set()
-        self.connections: dict[tuple[str, Address], int] = {}  # with which process of its target each stands
+        self.connections: dict[tuple[str, Address], int] = {}  # the target's process number
         self.service = Service(self, {line["name"]: line for line in endpoints(size)})
         self.replicas = [
             ReplicaNode(self, n + 1, options, skews_ns[n % len(skews_ns)])
@@ -311,12 +311,12 @@
         ]
 
     def at(self, delay_ns: int, what: Callable[[], None]) -> None:
-        """Something happens later."""
+        """Schedule a callback after a delay."""
         self.made += 1
         heapq.heappush(self.heap, (self.now + max(0, delay_ns), self.made, what))
 
     def run(self, span_ns: int) -> None:
-        """Time passes."""
+        """Run for an interval of virtual time."""
         until = self.now + span_ns
         while self.heap and self.heap[0][0] <= until:
             self.now, _, what = heapq.heappop(self.heap)
@@ -324,18 +324,18 @@
         self.now = until
 
     def node(self, address: Address) -> Service | ReplicaNode:
-        """What listens at an address."""
+        """The process that listens at an address."""
         number = int(address[0].rpartition(".")[2]) - 1
         return self.service if number == 0 else self.replicas[number - 1]
 
     def linked(self, caller: str, target: Address) -> bool:
-        """Whether messages pass between two processes now."""
+        """Whether the link between two processes is intact now."""
         node = self.node(target)
         name = "service" if isinstance(node, Service) else node.name
         return frozenset((caller, name)) not in self.cut
 
     def call(self, call: Call, late_ns: int) -> None:
-        """A call goes out; its caller gives it up in time."""
+        """Send a watch request; it times out ``late_ns`` after the end of its wait."""
         connection = call.caller, call.target
         starts = self.connections.setdefault(connection, self.node(call.target).starts)
 
@@ -343,7 +343,7 @@
             node = self.node(call.target)
             if not self.linked(call.caller, call.target):
                 return
-            if node.up and node.starts == starts:  # a process that is another by now resets what comes
+            if node.up and node.starts == starts:  # a successor process resets the old connection
                 node.on_call(call)
             else:
                 self.connections.pop(connection, None)
@@ -353,7 +353,7 @@
         self.at(call.wait_ns + late_ns, lambda: self.given_up(call))
 
     def given_up(self, call: Call) -> None:
-        """No answer in time: the caller closes the connection."""
+        """Time out: without a response by now, the sender closes the connection."""
         node = self.node(call.target)
         if not call.over and isinstance(node, ReplicaNode):
             number = node.watchers.pop(call.caller, -1)
@@ -366,7 +366,7 @@
         self.at(DELAY_NS, lambda: self.over(call, None))
 
     def reply(self, call: Call, body: bytes) -> None:
-        """An answer on its way."""
+        """Send a response; it is lost if the link is cut when it arrives."""
 
         def arrive() -> None:
             if self.linked(call.caller, call.target):
@@ -375,7 +375,7 @@
         self.at(DELAY_NS, arrive)
 
     def over(self, call: Call, body: bytes | None) -> None:
-        """End a call once: with its answer, or None where it failed."""
+        """End a watch request once, with its response, or with None if it failed."""
         if not call.over:
             call.over = True
             call.reply(body)
