--- a/testbed/cold_start.py
+++ b/testbed/cold_start.py
@@ -1,11 +1,11 @@
 """Hundreds of routers that start in the same second, in virtual time, around the program's reducer.
 
-Every router is a ``Reducer``; what it asks for is carried out by models whose limits bite: a list service
-that answers so many calls a second, queues and crashes beyond; caches and parents that start cold and empty,
-have few places for connections, and collapse under the sum of all routers; an origin that slows when crowded
-(``cold_start_models``, ``cold_start_servers``). Faults are part of the fleet's shape: a service that is down,
-slow or restarts its numbering, caches that are down from the start, routers that die and come back. A seed
-replays a run to the byte.
+Every router is a ``Reducer``. Models with limits carry out its effects (``cold_start_models``,
+``cold_start_servers``): a list service that answers a limited number of watch requests a second, queues more
+and crashes when its queue is full; caches and parents that start cold and empty, accept few connections and
+collapse under the combined load of all routers; an origin that slows down as its queue fills. A fleet can
+include failures: a list service that is down, slow or restarts its numbering, caches that are down from the
+start, routers that are killed and restart. The same seed gives exactly the same run.
 """
 
 from __future__ import annotations
@@ -54,16 +54,16 @@
 ZONES_PER_PARENT = 10
 MIN_PARENTS = 2
 MIN_CACHE_WEIGHT = 2.0
-PARENT_HEADROOM = 1.3
-ORIGIN_HEADROOM = 2
+PARENT_HEADROOM = 1.3  # capacity of warm parents, as a multiple of the load of warm caches' misses
+ORIGIN_HEADROOM = 2  # capacity of the origin, as a multiple of its load in a warm fleet
 LATENCY_OBJECTIVE_NS = 250 * MS + 2 * PART_TRANSFER_NS
 OBJECTS = 20_000
-POPULARITY_TAIL = 0.7  # exponent of the Pareto law by which objects are drawn
-ORDERS_SHARE = 0.05  # of requests that run at the origin and must not run twice
+POPULARITY_TAIL = 0.7  # exponent of the Pareto distribution from which objects are drawn
+ORDERS_SHARE = 0.05  # share of orders among requests; they run at the origin and must not run twice
 PAGE_PATIENCE_NS = 2_400 * MS
 ORDER_PATIENCE_NS = 3_000 * MS
 PAGE_WEIGHT = 1.0
-ORDER_WEIGHT = 3.0  # what an order counts for, against a page
+ORDER_WEIGHT = 3.0  # priority weight of an order, relative to a page
 FEED_DELAY_NS = 1 * MS  # one way
 FOREVER_NS = 10_000 * S
 COLD_CONTRACT = {
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True)
 class RouterStarts:
-    """A router's process begins."""
+    """A router's process starts."""
 
 
 @dataclass(frozen=True)
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class ServiceTurn:
-    """The list service reaches a call, or its wait is over."""
+    """The list service processes a watch request, or the request's wait ends."""
 
     made_ns: int
 
@@ -102,7 +102,7 @@
 
 
 class Scheduled(NamedTuple):
-    """An event to come; ``process`` counts a router's processes, whose events end with them."""
+    """A scheduled event; ``process`` numbers a router's processes, and events of ended ones are dropped."""
 
     at_ns: int
     sequence: int  # breaks ties, so that events are never compared
@@ -112,42 +112,45 @@
 
 
 class OpenRequest(NamedTuple):
-    """A client's request that has no answer yet."""
+    """A client's request that has no response yet."""
 
     began_ns: int
     weight: float
 
 
 class RequestOutcomes:
-    """What clients asked for and got in time, by weight and tenth of a second."""
+    """Priority weight of requests sent and of those served in time, by tenth of a second."""
 
     def __init__(self) -> None:
         self.asked: Counter[int] = Counter()
-        self.in_time: Counter[int] = Counter()  # by when they were asked
+        self.in_time: Counter[int] = Counter()  # by the time of the request
         self._open: dict[tuple[int, int], OpenRequest] = {}  # by router and client
 
     def record_request(self, router: int, client: int, now_ns: int, weight: float) -> None:
-        """A request goes out."""
+        """Record that a client sends a request."""
         self._open[router, client] = OpenRequest(now_ns, weight)
 
     def record_answer(self, router: int, client: int, now_ns: int, is_served: bool) -> None:
-        """A request has its final answer."""
+        """Record a request's final response."""
         request = self._open.pop((router, client), None)
         if request and is_served and now_ns - request.began_ns <= LATENCY_OBJECTIVE_NS:
             self.in_time[tenth_of(request.began_ns)] += int(request.weight)
 
     def drop_router(self, router: int) -> None:
-        """What was open at a router is lost with it."""
+        """Discard the open requests of a router that was killed."""
         for key in [key for key in self._open if key[0] == router]:
             del self._open[key]
 
     def share_in_time(self, first_s: int, last_s: int) -> float:
-        """The share, by weight, of what was asked between two seconds that was answered in time."""
+        """The share, by priority weight, of the requests sent between two seconds that was served in time."""
         tenths = range(first_s * TENTHS_PER_S, last_s * TENTHS_PER_S)
         return sum(self.in_time[k] for k in tenths) / max(1, sum(self.asked[k] for k in tenths))
 
     def seconds_to_recover(self, seconds: int) -> int:
-        """The second from which three in a row are within 0.95 of the level at the end; else the last."""
+        """The first of three successive seconds whose share in time reaches 0.95 of the level near the end.
+
+        Without such seconds, it is ``seconds``.
+        """
         level = 0.95 * self.share_in_time(seconds - 5, seconds - 2)
         for start in range(seconds - 4):
             if all(self.share_in_time(k, k + 1) >= level for k in (start, start + 1, start + 2)):
@@ -173,20 +176,20 @@
         down_cache_every: int = 0,
         change: Callable[[Reducer], None] | None = None,
     ) -> None:
-        """Build the fleet; nothing happens before ``run``.
+        """Build the fleet; ``run`` starts its time.
 
         Args:
-            routers: How many start, all within the first second.
-            seed: Of every draw.
-            cold: Caches start with the routers, empty.
-            cold_parents: Parents do.
+            routers: Number of routers, which all start within the first second.
+            seed: Seed of all random draws.
+            cold: Caches start at the same time as the routers, cold and empty.
+            cold_parents: Parents start at the same time as the routers, cold and empty.
             rate: Requests a second of one router's clients.
-            load: Of warm caches, as a share of their capacity.
+            load: Load of warm caches, as a share of their capacity.
             service: The list service; by default one that is up.
-            believed: The number of routers that the settings say, where it is another.
-            max_connections: That a cache takes, of all routers.
-            down_cache_every: One cache in so many is listed and answers nothing; 0 = none.
-            change: Done to each router before it starts.
+            believed: Number of routers in the settings, if it differs from the true one; 0 = the true one.
+            max_connections: Connections that a cache accepts from all routers together.
+            down_cache_every: One cache in so many is listed but down; 0 = none.
+            change: Called with each router before it starts.
         """
         self.random = Random(seed)
         self.now = START
@@ -195,7 +198,7 @@
         self.rate = rate
         self.service = service or ListServiceModel()
         self.outcomes = RequestOutcomes()
-        self.first_answer_ns: dict[int, int] = {}  # by router: when it had first heard the service
+        self.first_answer_ns: dict[int, int] = {}  # by router: time of the first watch response
         self.servers = simulated_servers(
             routers, rate, load, max_connections, is_cold=cold, parents_are_cold=cold_parents
         )
@@ -217,7 +220,7 @@
                 cache.down_until_ns = START + FOREVER_NS
 
     def _make_router(self, number: int) -> Reducer:
-        """A router that knows the list as it is now."""
+        """Make a router whose first list is the present one."""
         zone = f"z{number // ROUTERS_PER_ZONE}"
         raw = copy.deepcopy(EXAMPLE)
         settings = raw["settings"]
@@ -246,10 +249,10 @@
         self.sequence += 1
         heapq.heappush(self._heap, Scheduled(at_ns, self.sequence, router, self._process[router], event))
 
-    # What happens -----------------------------------------------------------------------------------------
+    # Events -----------------------------------------------------------------------------------------------
 
     def run(self, seconds: float, faults: dict[int, Fault] | None = None) -> None:
-        """Play so many seconds; ``faults``: what is done to the fleet at a time, in ns after the start."""
+        """Run for ``seconds``; ``faults`` has the faults to inject, by time in ns after the start."""
         for after_ns, fault in (faults or {}).items():
             self._schedule(START + after_ns, 0, fault)
         end = START + int(seconds * S)
@@ -273,7 +276,7 @@
             self._deliver_from_server(router, event)
 
     def _deliver_from_server(self, router: int, message: inputs.Input) -> None:
-        """Deliver what is not of a connection that the router has closed."""
+        """Deliver an input, unless it belongs to a connection that the router has closed."""
         if isinstance(message, (inputs.ServerResponse, inputs.ServerConnected)):
             if message.connection not in self._server_by_connection[router]:
                 return
@@ -285,13 +288,13 @@
         self._carry_out(router, self.routers[router].handle(self.now, message))
 
     def start_router(self, router: int) -> list[effects.Effect]:
-        """Start a router's process; benchmarks put other options here."""
+        """Start a router's process; benchmarks override this to pass other options."""
         return self.routers[router].start(self.now)
 
     def kill(self, router: int, back_ns: int) -> None:
-        """End a router's process: its connections and its clients' requests are lost.
+        """Kill a router's process: its connections and its clients' requests are lost.
 
-        Another process of it starts ``back_ns`` later with nothing but the list it began with.
+        Its successor starts ``back_ns`` later with no state but the list in its configuration.
         """
         self._process[router] += 1
         for connection in list(self._server_by_connection[router]):
@@ -303,7 +306,7 @@
         self._schedule(self.now + back_ns, router, ClientAsks())
 
     def _ask(self, router: int) -> None:
-        """A client's request, and when the next one comes."""
+        """Send a client's request and schedule the next one."""
         gap_ns = int(self.random.expovariate(self.rate) * S)
         self._schedule(self.now + gap_ns, router, ClientAsks())
         item = int(self.random.paretovariate(POPULARITY_TAIL) * 10) % OBJECTS
@@ -318,7 +321,7 @@
     # The list service -------------------------------------------------------------------------------------
 
     def _poll(self, router: int, after_event: int, wait_ms: int) -> None:
-        """A long poll arrives at the list service."""
+        """Deliver a watch request to the list service."""
         service = self.service
         arrives_ns = self.now + FEED_DELAY_NS
         service.calls.append(arrives_ns)
@@ -329,14 +332,14 @@
             service.waiting_calls[router] = WaitingCall(arrives_ns, after_event, until_ns)
             self._schedule(service.free_at_ns, router, ServiceTurn(arrives_ns))
         else:
-            # A set of the waiting routers: its order is that of the seeded runs on record.
+            # The iteration order of this set of routers determines the seeded runs on record.
             callers = {*service.waiting_calls, router}
             service.crash(arrives_ns)
             for caller in callers:
                 self._schedule(arrives_ns + FEED_DELAY_NS, caller, inputs.WatchFailed("reset"))
 
     def _answer_call(self, router: int, made_ns: int) -> None:
-        """Answer a call whose turn has come where there is news or its wait is over; else let it wait."""
+        """Respond to a watch request if there are new events or its wait is over; else let it wait."""
         call = self.service.waiting_calls.get(router)
         if call is None or call.made_ns != made_ns:
             return
@@ -348,7 +351,7 @@
         else:
             self._schedule(call.until_ns, router, ServiceTurn(made_ns))
 
-    # What routers do --------------------------------------------------------------------------------------
+    # Effects of the routers -------------------------------------------------------------------------------
 
     def _carry_out(self, router: int, effect_list: list[effects.Effect]) -> None:
         for e in effect_list:
@@ -389,7 +392,7 @@
     # Figures ----------------------------------------------------------------------------------------------
 
     def figures(self, seconds: int) -> dict[str, float]:
-        """A run of so many seconds as a row of a table; the keys are the columns' heads."""
+        """Figures of a run of ``seconds`` seconds, as a row of a table by column head."""
         caches = list(self.servers.caches.values())
         parents = list(self.servers.parents.values())
         origin = self.servers.origin
@@ -418,7 +421,7 @@
         }
 
     def _seconds_until_all_listed(self) -> float:
-        """When the last router had heard the list service; -1 where one never did."""
+        """Seconds until every router had received a watch response; -1 if some router received none."""
         if len(self.first_answer_ns) < len(self.routers):
             return -1
         return round((max(self.first_answer_ns.values()) - START) / S, 1)
@@ -433,7 +436,7 @@
     is_cold: bool,
     parents_are_cold: bool,
 ) -> SimulatedServers:
-    """Servers that carry so many routers with ``rate`` requests a second each, once they are warm."""
+    """Servers that, once warm, carry ``routers`` routers with ``rate`` requests a second each."""
     zones = -(-routers // ROUTERS_PER_ZONE)
     cache_weight = max(
         MIN_CACHE_WEIGHT, ROUTERS_PER_ZONE * rate * PART_TRANSFER_NS / S / CACHES_PER_ZONE / load
@@ -455,7 +458,7 @@
 
 
 def client_request(client: int, item: int, *, is_order: bool) -> inputs.ClientRequest:
-    """A request for a page's part, or an order that must not run twice, on a connection of its own."""
+    """A request for a part of a page, or an order that must not run twice, on a connection of its own."""
     return inputs.ClientRequest(
         client,
         1,
--- a/testbed/cold_start_models.py
+++ b/testbed/cold_start_models.py
@@ -1,7 +1,7 @@
 """Models with limits for a cold start: the list service, a cache or parent, and the origin.
 
-Each is told the time and keeps no clock; all times are nanoseconds of virtual time, and all results are the
-same for the same calls.
+The models have no clock; callers pass the time. All times are nanoseconds of virtual time, and the same calls
+give the same results.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 MS, S = 10**6, 10**9
 START = 1_764_576_000 * S
 PART_TRANSFER_NS = 250 * MS
-COLLAPSE_DOWN_NS = 20 * S  # a server that collapsed stays away for so long
+COLLAPSE_DOWN_NS = 20 * S  # a collapsed server is down for this long
 WARM_UP_NS = 15 * S
-TO_ORIGIN_NS = 20 * MS  # there and back
-ORIGIN_QUEUE_NS = 1_500 * MS  # of work that the origin lets wait
-OBJECTS_HELD_SHARE = 0.7  # of objects that a warm cache has; a warm parent has as much of the rest
+TO_ORIGIN_NS = 20 * MS  # round trip
+ORIGIN_QUEUE_NS = 1_500 * MS  # longest queue of the origin, as time of work
+OBJECTS_HELD_SHARE = 0.7  # share of objects in a warm cache; a warm parent holds as much of the rest
 
 
 class WarmUp(NamedTuple):
-    """How a cold server behaves, as the router's settings state it."""
+    """Behavior of a cold server, as stated in the router's settings."""
 
     cold_capacity_share: float
-    collapse_multiple: float  # of its present capacity, sent within a second, topples it
+    collapse_multiple: float  # multiple of the present capacity that, sent within a second, makes it collapse
 
 
 CACHE_WARM_UP = WarmUp(0.2, 2.5)
@@ -33,7 +33,7 @@
 
 
 class WaitingCall(NamedTuple):
-    """A long poll that the list service has taken and not answered."""
+    """A watch request that the list service has accepted and not answered yet."""
 
     made_ns: int
     after_event: int
@@ -42,27 +42,30 @@
 
 @dataclass
 class ListServiceModel:
-    """The list service: ``calls_per_s`` calls a second; with over ``max_queued_calls`` queued it crashes."""
+    """The list service.
+
+    It answers ``calls_per_s`` watch requests a second and crashes with more than ``max_queued_calls`` queued.
+    """
 
     calls_per_s: float = 200.0
     max_queued_calls: int = 100
     down_ns: int = 5 * S  # after a crash
     down_until_ns: int = 0
-    renumbers_after_crash: bool = False  # its events count from 1 again
+    renumbers_after_crash: bool = False  # its events are numbered from 1 again
     free_at_ns: int = 0
     crashes: int = 0
     last_event: int = 2
-    calls: list[int] = field(default_factory=list)  # when each arrived
+    calls: list[int] = field(default_factory=list)  # arrival times
     waiting_calls: dict[int, WaitingCall] = field(default_factory=dict)  # by router
 
     def accept(self, now_ns: int) -> bool:
-        """Queue one more call; False where the service crashes under it."""
+        """Queue one more watch request; False if it makes the service crash."""
         self.free_at_ns = max(self.free_at_ns, now_ns) + int(S / self.calls_per_s)
         queued = (self.free_at_ns - now_ns) / S * self.calls_per_s
         return queued <= self.max_queued_calls
 
     def crash(self, now_ns: int) -> None:
-        """Go down; its callers' connections are the caller's to reset."""
+        """Go down; the caller of this method resets the watchers' connections."""
         self.crashes += 1
         self.down_until_ns = now_ns + self.down_ns
         self.free_at_ns = now_ns + self.down_ns
@@ -73,9 +76,9 @@
 
 @dataclass
 class ServerModel:
-    """A cache or a parent: a queue of work, its capacity by now, and the objects that it holds."""
+    """A cache or a parent: its queue of work, its present capacity and the objects that it holds."""
 
-    weight: float  # parts that it sends at once when warm
+    weight: float  # parts that it transfers concurrently when warm
     is_parent: bool
     started_ns: int  # 0 = warm
     max_connections: int = 10**9
@@ -85,13 +88,13 @@
     connections: int = 0
     connection_attempts: int = 0
     refused_connections: int = 0
-    max_cold_use: float = 0.0  # the largest share of what would topple it while cold
-    recent_sends: list[int] = field(default_factory=list)  # of the last second, while cold
+    max_cold_use: float = 0.0  # while cold: the largest load as a share of the load that makes it collapse
+    recent_sends: list[int] = field(default_factory=list)  # times of transfers in the last second, while cold
     objects: set[int] = field(default_factory=set)
     transfers_end_ns: list[int] = field(default_factory=list)
 
     def warm_fraction(self, now_ns: int) -> float:
-        """Its share of full capacity: rises linearly from the cold share over the warm-up."""
+        """Its share of the full capacity, which rises linearly from the cold share over the warm-up."""
         age_ns = now_ns - self.started_ns
         if age_ns >= WARM_UP_NS:
             return 1.0
@@ -106,7 +109,7 @@
         """Start one more transfer.
 
         Returns:
-            Nanoseconds until it is through, or None where the server collapses under it.
+            Nanoseconds until the transfer ends, or None if it makes the server collapse.
         """
         fraction = self.warm_fraction(now_ns)
         if fraction < 1 and self._collapses_at(now_ns, fraction):
@@ -116,7 +119,7 @@
         return int(self.free_at_ns - now_ns) + PART_TRANSFER_NS
 
     def _collapses_at(self, now_ns: int, fraction: float) -> bool:
-        """Count one more transfer of this second; whether they are more than the cold server bears."""
+        """Count one more transfer: whether those of the last second make the cold server collapse."""
         self.recent_sends = [at for at in self.recent_sends if at > now_ns - S] + [now_ns]
         limit_ns = self._warm_up.collapse_multiple * fraction * self.weight * S
         used = (len(self.recent_sends) - 1) * PART_TRANSFER_NS / limit_ns
@@ -131,13 +134,13 @@
         self.objects.clear()
 
     def load_report(self, now_ns: int, until_ns: int) -> dict[str, float]:
-        """What a response tells of the server; ``until_ns``: when the request at hand is through."""
+        """The load report of a response; ``until_ns`` is the end of its request's transfer."""
         self.transfers_end_ns = [at for at in self.transfers_end_ns if at > now_ns]
         self.transfers_end_ns.append(until_ns)
         return {"outstanding": float(len(self.transfers_end_ns))}
 
     def has_object(self, item: int, seed: int) -> bool:
-        """Whether it holds an object; a server that began warm holds a fixed share, drawn by ``seed``."""
+        """Whether it holds an object; a server that started warm holds a share drawn by ``seed``."""
         if item in self.objects:
             return True
         return not self.started_ns and mix64(item * 65_537 + seed) % 1000 < OBJECTS_HELD_SHARE * 1000
@@ -145,7 +148,7 @@
 
 @dataclass
 class OriginModel:
-    """The origin: so many answers a second, half as many when its queue is full; past that it refuses."""
+    """The origin: ``requests_per_s`` responses a second, half of it at a full queue, then it rejects."""
 
     requests_per_s: float
     free_at_ns: float = 0.0
@@ -153,7 +156,7 @@
     request_times: list[int] = field(default_factory=list)
 
     def answer(self, now_ns: int) -> int | None:
-        """Take one more request: nanoseconds until its answer is there, or None where it is refused."""
+        """Accept one more request: nanoseconds until its response arrives, or None if it is rejected."""
         self.request_times.append(now_ns)
         queue_share = max(0.0, self.free_at_ns - now_ns) / ORIGIN_QUEUE_NS
         if queue_share > 1:
--- a/testbed/cold_start_servers.py
+++ b/testbed/cold_start_servers.py
@@ -1,4 +1,4 @@
-"""The servers of a cold start: caches by zone, parents and the origin, and how an attempt is answered."""
+"""The servers of a cold start (caches by zone, parents and the origin) and their responses to attempts."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
     ServerModel,
 )
 
-WITHIN_ZONE_NS = 2 * MS  # there and back
-REFUSED_NS = 1 * MS  # until a refused connection is known
+WITHIN_ZONE_NS = 2 * MS  # round trip
+REFUSED_NS = 1 * MS  # until the router detects a refused connection
 ORIGIN = "store"
 HUB_ZONE = "hub"
 TENTHS_PER_S = 10
 
 
 class TimedResponse(NamedTuple):
-    """A server's response and when the router reads it."""
+    """A server's response, and the time at which the router reads it."""
 
     at_ns: int
     response: inputs.ServerResponse
 
 
 class Fill(NamedTuple):
-    """How a miss was filled: the wait for its source (None where it got nothing), and what is said of it."""
+    """How a miss was filled: the wait for its source (None if the fill failed), and the reported result."""
 
     wait_ns: int | None
     result: FillResult
 
 
 def tenth_of(now_ns: int) -> int:
-    """The tenth of a second since the start, by which counts are kept."""
+    """The number of the tenth of a second since the start, which is the key of counts."""
     return (now_ns - START) * TENTHS_PER_S // S
 
 
@@ -112,7 +112,7 @@
         return lines
 
     def connect(self, now_ns: int, name: str) -> tuple[int, str]:
-        """Take a connection: when its end is known, and why it failed ("" = it stands)."""
+        """Connect to a server: when the router learns the result, and why it failed ("" = connected)."""
         server = self.find(name)
         if server is None:
             return now_ns + TO_ORIGIN_NS, ""
@@ -124,12 +124,12 @@
         return now_ns + WITHIN_ZONE_NS, ""
 
     def disconnect(self, name: str | None) -> None:
-        """A connection ends; those of parents have no limit and are not counted."""
+        """Close a connection; parents have no limit, so only caches' connections are counted down."""
         if name in self.caches:
             self.caches[name].connections -= 1
 
     def answer(self, now_ns: int, name: str, command: effects.SendAttempt) -> TimedResponse | None:
-        """The response to an attempt, or None where the server stays silent."""
+        """The response to an attempt, or None if the server stays silent."""
         server = self.find(name)
         if server is None:
             return self._answer_at_origin(now_ns, command)
@@ -167,7 +167,7 @@
         parent = self.parents.get(command.source)
         if parent is not None:
             return self._fill_from_parent(now_ns, command, item, parent)
-        if command.source in self.caches:  # a sibling's copy
+        if command.source in self.caches:  # the source is a sibling
             sibling = self.caches[command.source]
             if sibling.has_object(item, self._object_seeds[command.source]):
                 return Fill(WITHIN_ZONE_NS, FillResult.FILLED)
@@ -184,7 +184,7 @@
         if transfer_ns is None:
             return Fill(None, FillResult.SOURCE_BROKE)
         self.parent_fills[tenth_of(now_ns)] += 1
-        # The cache passes on what it gets while it comes, so the part's own transfer is counted once.
+        # The cache forwards the part while it receives it, so the part's own transfer is counted once.
         wait_ns = transfer_ns - PART_TRANSFER_NS + WITHIN_ZONE_NS
         if parent.has_object(item, self._object_seeds[command.source]):
             return Fill(wait_ns, FillResult.FILLED)
--- a/testbed/demo.py
+++ b/testbed/demo.py
@@ -1,4 +1,4 @@
-"""What `./demo` runs: a world, a router with examples/operator.kdl, and what becomes of some requests."""
+"""The demo of `./demo`: stand-in servers, a router with examples/operator.kdl, and a few requests."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from testbed.stand_ins import ROOT, ScriptedReply, ServerCommand, StandInServers
 
 ZONE = "edge-1"
-TROUBLED = "00000000000000aa"  # every first answer for this object is an error
+TROUBLED = "00000000000000aa"  # the first response to each request for this object is an error
 
 
 def script(server: str, seen: ServerCommand) -> ScriptedReply:
-    """Caches hold pages; orders run at the origin; one object has trouble."""
+    """Caches hold pages, orders run at the origin, and requests for one object fail at first."""
     if seen.fields["item"] == TROUBLED and len(SEEN.setdefault(seen.request_id, [])) == 0:
         SEEN[seen.request_id].append(server)
         return ScriptedReply("BROKE")
@@ -28,7 +28,7 @@
 
 
 def main() -> int:
-    """0 if every request got the answer that its route promises."""
+    """Send the requests: exit code 0 if each got the response that its route requires."""
     text = (ROOT / "examples/operator.kdl").read_text()
     file, faults = load(text.encode())
     if faults:
@@ -60,7 +60,7 @@
                 f"{cls:8}{item:20}{part:>5}  {route.name if route else '-':8}{answer.kind:9}"
                 f"{' then '.join(asked):22}{answer.latency_ms:6.1f}"
             )
-            # An order that met an error may have run: it fails, and is not sent again.
+            # An order that got an error may have been executed: it fails and is not sent again.
             broken = cls == "order" and item == TROUBLED
             good &= answer.kind == ("failed" if broken else "served")
             good &= len(asked) == (2 if item == TROUBLED and not broken else 1)
--- a/testbed/demo_rollout.py
+++ b/testbed/demo_rollout.py
@@ -1,6 +1,7 @@
-"""What `./demo --rollout` runs: two rollouts over six routers under load.
+"""The demo of `./demo --rollout`: two rollouts to six routers under load.
 
-A good change whose controller dies on the way, and a bad one that is taken back.
+The first has a good change, and its controller is killed in the middle. The second has a bad change, which is
+rolled back.
 """
 
 from __future__ import annotations
@@ -21,23 +22,23 @@
 
 
 def command(*words: str) -> list[str]:
-    """The program's command with these words."""
+    """The command line that runs the program's command with these arguments."""
     return [sys.executable, "-c", f"from kelpcroft.cli import main; main({list(words)!r})"]
 
 
 def say(text: str) -> None:
-    """Print what comes next."""
+    """Print a heading for the next step."""
     print(f"\n== {text}", flush=True)
 
 
 def run(*words: str) -> int:
-    """Run the command where the reader sees it: its exit code."""
+    """Print and run a command with its output shown: its exit code."""
     print(f"$ kelpcroft {' '.join(words)}", flush=True)
     return subprocess.run(command(*words), cwd=ROOT, timeout=PATIENCE_S).returncode
 
 
 def killed_once(field: RouterField, plan: str, store: str) -> int:
-    """A controller that is killed when the second router is changed, and started again."""
+    """Start a rollout, kill its controller at the second router's change, start it again: its exit code."""
     applied = len(field.orders)
     print(f"$ kelpcroft rollout start {plan} --store {store}", flush=True)
     process = subprocess.Popen(command("rollout", "start", plan, "--store", store), cwd=ROOT)
@@ -53,7 +54,11 @@
 
 
 def main() -> int:
-    """0 if the good change is done and the bad one taken back, with no request lost."""
+    """Run both rollouts.
+
+    Returns:
+        0 if the good change was completed and the bad one rolled back, with no request lost.
+    """
     os.environ["PYTHONPATH"] = str(ROOT)
     good = True
     for defect in ("sound", "refuses"):
--- a/testbed/deployments.py
+++ b/testbed/deployments.py
@@ -1,8 +1,8 @@
-"""A day in a deployment made by chance: the reducer in virtual time, through all that may happen to it.
+"""A simulated day in a randomly generated deployment: the reducer in virtual time, with injected failures.
 
-Servers restart and drain, purges are told, answers are lost, clients retry, and the router is killed. What
-went over the wires is written down for a checker that knows the rules and nothing of the router. A seed
-replays a day to the byte: start at ``SimulatedDay``, whose constructor plays it.
+Servers restart and drain, purges are published, responses are lost, clients retry, and the router is killed.
+The traffic is recorded for a checker that has the rules and none of the router's code. The same seed gives
+exactly the same day. Start at ``SimulatedDay``, whose constructor runs the day.
 """
 
 from __future__ import annotations
@@ -39,36 +39,36 @@
 LIST_STATES = {"active": "in_service", "leaving": "terminating", "left": "terminated"}
 ORIGIN = "store"
 REQUESTS_PER_S = 25
-EVENT_COUNTS = (("drain", 2), ("restart", 3), ("purge", 6), ("kill", 1))
-AFTER_LAST_REQUEST_NS = 8 * S  # played on for what is still open
-CLIENT_SLACK_NS = 51 * MS  # a client waits so much longer than it says
-RETRY_SHARE = 0.7
-RETRY_AFTER_NS = 100 * MS
+EVENT_COUNTS = (("drain", 2), ("restart", 3), ("purge", 6), ("kill", 1))  # of each kind in a day
+AFTER_LAST_REQUEST_NS = 8 * S  # the run continues for this long for open requests
+CLIENT_SLACK_NS = 51 * MS  # a client waits this much longer than it declares
+RETRY_SHARE = 0.7  # of the clients that may retry
+RETRY_AFTER_NS = 100 * MS  # from the end of a client's wait to its retry
 REFUSED_CONNECTIONS_SHARE = 0.03
 RESTART_NS = 300 * MS  # from the router's death to its next start
-PURGES_TOLD_AT_START_NS = 6 * S  # as old as purges may be that a new router is told
-PURGE_AGE_NS = 50 * MS  # when it is told
-EVENT_NUMBER = 9  # of every list event; the numbers play no part here
+PURGES_TOLD_AT_START_NS = 6 * S  # a new router receives purges that were published at most this long ago
+PURGE_AGE_NS = 50 * MS  # age of a purge when it is published
+EVENT_NUMBER = 9  # of every event; the numbers do not matter here
 FROM_SERVERS = (inputs.ServerConnected, inputs.ServerConnectionLost, inputs.ServerResponse)
 FINAL_EFFECTS = (effects.SendResponse, effects.RejectRequest, effects.FailRequest)
 
 
 @dataclass
 class AttemptRecord:
-    """One attempt on the wire, and how it ended for the router."""
+    """One attempt on the wire, and its end on the router's side."""
 
     sent_ns: int
     command: effects.SendAttempt
     server: str
     router_life: int  # counts the router's starts
     fate: str
-    service_ns: int = 0  # time its server takes for it
-    ended_ns: int = 0  # its answer was read, it was cancelled, or its connection or the router ended
+    service_ns: int = 0  # time that its server takes for it
+    ended_ns: int = 0  # its response was read, it was cancelled, or its connection or the router ended
 
 
 @dataclass
 class RequestRecord:
-    """One request of a client and all that came of it."""
+    """One request of a client and its outcome."""
 
     arrived_ns: int
     request: inputs.ClientRequest
@@ -78,7 +78,7 @@
 
 
 class Notice(NamedTuple):
-    """What the router was told, and when: a drain, a restart or a purge."""
+    """A drain, restart or purge that was published to the router, with its time."""
 
     at_ns: int
     kind: str  # leaving, active or purge
@@ -86,7 +86,7 @@
 
 
 class Scheduled(NamedTuple):
-    """A message to the router, or a step of the day."""
+    """A scheduled input of the router, or a step of the day."""
 
     at_ns: int
     sequence: int  # breaks ties, so that events are never compared
@@ -95,10 +95,10 @@
 
 
 class SimulatedDay:
-    """One router at one deployment, its servers, its feed and its clients."""
+    """One router in one deployment, its servers, its feed and its clients."""
 
     def __init__(self, seed: int, seconds: int = 12) -> None:
-        """Play a day of so many seconds."""
+        """Run a day of ``seconds`` seconds."""
         self.random = Random(seed + 1_000_003)
         self.raw_config = generate_configuration(seed)
         self.config = parse_config(self.raw_config, {})
@@ -122,7 +122,7 @@
         self._play(START + seconds * S + AFTER_LAST_REQUEST_NS)
 
     def _schedule_day(self, seconds: int) -> None:
-        """All that comes to the router from outside."""
+        """Schedule the clients' requests, drains, restarts, purges and the router's kill."""
         steps = {
             "drain": self._drain_server,
             "restart": self._restart_server,
@@ -146,14 +146,14 @@
                 self.deliver(due.event)
 
     def schedule(self, at: int, event: inputs.Input | Callable[[], None]) -> None:
-        """Deliver a message to this life of the router at a time, or take a step of the day then."""
+        """Schedule an input, which is dropped if the router is killed first, or a step of the day."""
         self._sequence += 1
         heapq.heappush(self._heap, Scheduled(at, self._sequence, self.router_life, event))
 
-    # The router's lives -----------------------------------------------------------------------------------
+    # The router's processes -------------------------------------------------------------------------------
 
     def start_router(self) -> None:
-        """Start a router that knows its first list and nothing else, and tell it what has changed."""
+        """Start a router that has only its first list, and deliver the changes since then."""
         self.router_life += 1
         self.is_up = True
         self._server_by_connection: dict[int, str] = {}
@@ -166,7 +166,7 @@
         self.deliver(inputs.ListenersReady())
 
     def _kill_router(self) -> None:
-        """The router dies; its clients' connections end, and it starts again from nothing."""
+        """Kill the router: its clients' connections end, and it restarts later with empty state."""
         self.is_up = False
         for attempt in self._open_attempts.values():
             attempt.ended_ns = self.now
@@ -176,7 +176,7 @@
         self.schedule(self.now + RESTART_NS, self._restart_router)
 
     def _restart_router(self) -> None:
-        """A new router is told the purges of the last seconds."""
+        """Start the router and deliver the purges of the last seconds."""
         self.notices = [
             notice
             for notice in self.notices
@@ -189,10 +189,10 @@
                 self.notices.append(Notice(self.now, "purge", notice.subject))
                 self.notices.remove(notice)
 
-    # What the router is told ------------------------------------------------------------------------------
+    # The router's inputs ----------------------------------------------------------------------------------
 
     def deliver(self, message: inputs.Input) -> None:
-        """Hand the reducer a message, unless it is of a connection or an attempt that has ended."""
+        """Pass an input to the reducer, unless its connection or attempt has ended."""
         if isinstance(message, FROM_SERVERS) and message.connection not in self._server_by_connection:
             return
         if isinstance(message, inputs.ServerConnectionLost):
@@ -210,7 +210,7 @@
             self._open_attempts.pop(key).ended_ns = self.now
 
     def _tell_endpoints(self, lines: list[dict[str, Any]]) -> None:
-        """A list event with these servers' lines."""
+        """Deliver a list event with these servers' lines."""
         records = tuple(
             inputs.EndpointRecord(
                 line["name"],
@@ -230,13 +230,13 @@
         self._change_server("leaving", self.random.choice(["leaving", "left"]))
 
     def _restart_server(self) -> None:
-        """A server starts anew, cold, and its connections are reset."""
+        """Restart a server: it is cold, and its connections are reset."""
         name = self._change_server("active", "active")
         for connection in [c for c, server in self._server_by_connection.items() if name and server == name]:
             self.deliver(inputs.ServerConnectionLost(connection, "reset"))
 
     def _change_server(self, kind: str, status: str) -> str:
-        """Give some server in service another status: its name, or "" where none is in service."""
+        """Change the status of a random server in service: its name, or "" if none is in service."""
         names = [
             line["name"]
             for line in self.endpoints.values()
@@ -263,7 +263,7 @@
     # Clients ----------------------------------------------------------------------------------------------
 
     def _send_request(self, retry_key: str = "", since_ns: int = 0) -> None:
-        """A client's request; ``retry_key``: again with this key, first sent at ``since_ns``."""
+        """Send a client's request; with ``retry_key``, a retry of the keyed request of ``since_ns``."""
         if not self.is_up:
             return
         cls = self._class_of(retry_key)
@@ -282,7 +282,7 @@
         self.deliver(request)
 
     def _class_of(self, retry_key: str) -> dict[str, Any]:
-        """The class that a key names, else one by chance."""
+        """The class in an idempotency key, or a random one without a key."""
         if retry_key:
             return self.classes[retry_key.split("/")[0]]
         return self.classes[self.random.choice(sorted(self.classes))]
@@ -312,7 +312,7 @@
         )
 
     def _give_up(self, record: RequestRecord, since_ns: int) -> None:
-        """The client's patience is over; it may come again as its class allows."""
+        """End a client's wait: it cancels an open request, and may retry if the class allows it."""
         cls = self.classes[record.request.request_class]
         if not record.final_effects and not record.gone_ns:
             record.gone_ns = self.now
@@ -326,10 +326,10 @@
             retry = partial(self._send_request, record.request.idempotency_key, since_ns)
             self.schedule(self.now + RETRY_AFTER_NS, retry)
 
-    # What the router does ---------------------------------------------------------------------------------
+    # The router's effects ---------------------------------------------------------------------------------
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
-        """Carry out what the reducer asks for, in its order."""
+        """Carry out the reducer's effects in their order."""
         for e in effect_list:
             if isinstance(e, effects.ScheduleTimer):
                 self.schedule(max(e.at_ns, self.now), inputs.TimerFired(e.key))
@@ -358,7 +358,7 @@
             self.schedule(known_ns, inputs.ServerConnectionLost(e.connection, "refused", True))
 
     def _run_attempt(self, e: effects.SendAttempt) -> None:
-        """Draw what becomes of an attempt, and when."""
+        """Draw an attempt's fate and its service time."""
         fate = self._draw_fate()
         service_ns = int(self.random.lognormvariate(4, 1)) * MS + MS
         server = self._server_by_connection[e.connection]
--- a/testbed/fleet.py
+++ b/testbed/fleet.py
@@ -1,6 +1,6 @@
-"""Many instances of the decision module in virtual time, against servers that a function scripts.
+"""Many instances of the decision package in virtual time, with servers scripted by a function.
 
-What they do together can be asserted.  A seed replays a run.
+Tests use it to check the routers' combined behavior. The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -14,12 +14,15 @@
 from kelpcroft.decision.policy import RoutingPolicy
 
 MS, S = 10**6, 10**9
-# Time to the end in ns, how it ends, the note and the report.
+# Duration in ns, outcome, fill result and load report of an attempt.
 ScriptedResult = tuple[int, Outcome, FillResult, dict[str, float]]
 
 
 class PolicyFleet:
-    """Many routers in virtual time; ``reply`` says when and how an attempt ends, or is None: never."""
+    """Many routers in virtual time.
+
+    ``reply`` returns when and how an attempt ends; None means that it times out.
+    """
 
     def __init__(
         self, routers: list[RoutingPolicy], reply: Callable[[int, api.ForwardRequest], ScriptedResult | None]
@@ -32,12 +35,12 @@
         self.attempt_counts: dict[tuple[int, str], int] = {}
 
     def schedule(self, when: int, router: int, event: api.Event) -> None:
-        """An event to come to one router."""
+        """Schedule an event for one router."""
         self.made += 1
         heapq.heappush(self.heap, (when, self.made, router, event))
 
     def run(self, until: int) -> None:
-        """All that comes up to a time in ns."""
+        """Deliver all events up to a time in ns."""
         while self.heap and self.heap[0][0] <= until:
             now, _, n, event = heapq.heappop(self.heap)
             for a in self.routers[n].handle(now, event):
@@ -74,7 +77,7 @@
     def schedule_requests(
         self, start: int, end: int, each_ns: int, random: Random, objects: int = 10**6
     ) -> None:
-        """Requests to every router, one in ``each_ns`` on average, for objects drawn at random."""
+        """Schedule requests to every router for random objects, one every ``each_ns`` on average."""
         for n in range(len(self.routers)):
             now = start
             while now < end:
--- a/testbed/generated_configuration.py
+++ b/testbed/generated_configuration.py
@@ -1,7 +1,7 @@
-"""Configurations made by chance, for any number of zones, servers and classes.
+"""Randomly generated configurations with varying numbers of zones, servers and classes.
 
-The draws come in one fixed order, so a seed gives the same configuration as long as no draw is added in the
-middle. Keys are those of ``config.json``.
+The draws are made in a fixed order, so a seed gives the same configuration as long as no draw is inserted
+before another. The keys are those of ``config.json``.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def generate_configuration(seed: int) -> dict[str, Any]:
-    """A configuration: one to five hubs, one to forty caches, any idempotency, windows and features."""
+    """A configuration with 1 to 5 hub zones, 1 to 40 caches, and random classes, limits and features."""
     r = Random(seed)
     hubs = [f"h{n}" for n in range(r.randint(1, 5))]
     edges = [f"e{n}" for n in range(r.randint(1, 3))]
@@ -51,7 +51,7 @@
 
 
 def _classes(r: Random) -> tuple[list[dict[str, Any]], list[bool]]:
-    """One to four request classes, and which of them go through to the origin."""
+    """One to four request classes, and for each whether its requests go through to the origin."""
     classes, goes_through = [], []
     for _ in range(r.randint(1, 4)):
         idempotency = r.choice(["safe", "keyed", "unsafe"])
@@ -73,7 +73,7 @@
 
 
 def _endpoints(r: Random, servers: list[tuple[str, str, str]], weight_source: str) -> list[dict[str, Any]]:
-    """The list service's lines of servers, given as name, zone and type."""
+    """Lines of the list service for servers that are given as name, zone and type."""
     return [
         {
             "name": name,
--- a/testbed/rollouts.py
+++ b/testbed/rollouts.py
@@ -1,7 +1,7 @@
-"""Routers as a rollout sees them, in virtual time.
+"""The routers of a rollout in virtual time.
 
-Processes start, serve, go out of service and back, crash and fall silent, with a share of requests that is
-not answered in time. For tests and benchmarks of ``kelpcroft.rollout``; a seed replays a run.
+Processes start, serve, go out of service and return, crash and stop responding. A share of their requests is
+not answered in time. For tests and benchmarks of ``kelpcroft.rollout``; the same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 
 S = 10**9
 NEVER_NS = 1 << 80
-START = 1_000 * S
-STARTS_IN_NS = 2 * S
+START = 1_000 * S  # start of virtual time
+STARTS_IN_NS = 2 * S  # from the start of a process until it is ready
 NEW_BUILD = "beef"
 OLD_BUILD = "old"
 USUAL_MEMORY_MB = 30.0
-CLASS_RATES = {"reads": 1, "writes": 3}  # by what a router's rate is divided for each class
-DRIFT_DECAY = 0.95  # of the share of late requests that comes and goes everywhere at once
-DRIFT_STEP = 0.01
-EVERYWHERE = ""  # in place of a zone
+CLASS_RATES = {"reads": 1, "writes": 3}  # by class: divisor of a router's request rate
+DRIFT_DECAY = 0.95  # per second, of the drift: a share of late requests that varies for all routers together
+DRIFT_STEP = 0.01  # standard deviation of the drift's change in a second
+EVERYWHERE = ""  # key of all zones together
 DEFAULT_STAGES = (
     'stage "one" count=1 least="30s" most="900s"\n'
     'stage "half" share="50%" least="30s" most="900s"\n'
@@ -46,18 +46,18 @@
 DEFAULT_LIMITS = (
     'limits at-once=3 per-zone=1\nwatch every="1s" slowest="30s" ready="10s" cold="10s" unknown=1\n'
 )
-# The share of a class's requests at a router now that is late beyond the usual.
+# Returns the additional share of a class's requests at a router that is late now because of a regression.
 Harm = Callable[["SimulatedFleet", "SimulatedRouter", str], float]
 
 
 def make_plan(zones: int, each: int, stages: str = "", more: str = "") -> RolloutPlan:
-    """A plan for so many zones of so many routers; by default one router, a half, and the rest.
+    """A plan whose stages are, by default, one router, half of them, and all.
 
     Args:
-        zones: How many there are: z0, z1, ...
-        each: Routers of each: n0-0, n0-1, ...
-        stages: Lines in place of the default stages.
-        more: Lines in place of the default limits and times.
+        zones: Number of zones: z0, z1, ...
+        each: Number of routers in each zone: n0-0, n0-1, ...
+        stages: Lines that replace the default stages.
+        more: Lines that replace the default limits and times.
     """
     names = [(f"n{z}-{n}", f"z{z}") for z in range(zones) for n in range(each)]
     text = 'rollout version=1\nchange { program build="beef"; }\n'
@@ -71,7 +71,7 @@
 
 @dataclass
 class SimulatedRouter:
-    """One router over all its processes; times are those of the fleet, in ns."""
+    """One router and the processes that it runs in turn; times are those of the fleet, in ns."""
 
     name: str
     zone: str
@@ -82,29 +82,29 @@
     started: int = 0
     alive: bool = True
     silent_until_ns: int = 0
-    invariants: int = 0  # violations that it reports
+    invariants: int = 0  # invariant violations that it reports
     memory_mb: float = USUAL_MEMORY_MB
-    classes: dict[str, RequestSample] = field(default_factory=dict)  # of this process
+    classes: dict[str, RequestSample] = field(default_factory=dict)  # counts of this process
 
     def serves(self, now_ns: int) -> bool:
-        """Whether it takes clients' requests."""
+        """Whether it accepts clients' requests."""
         return self.alive and self.in_service and now_ns >= self.ready_at
 
 
 class SimulatedFleet:
-    """All routers of a plan, and the rollout that changes them, second by second."""
+    """All routers of a plan, and the rollout that changes them, in steps of one second."""
 
     def __init__(
         self, plan: RolloutPlan, seed: int, harm: Harm, rate: float = 30.0, usual: float = 0.03
     ) -> None:
-        """Build the fleet before its first second.
+        """Build the fleet; ``run`` or ``run_second`` starts its time.
 
         Args:
-            plan: Whose routers there are.
-            seed: Of all that is left to chance.
-            harm: What the change costs.
+            plan: The rollout's plan with its routers.
+            seed: Seed of all random draws.
+            harm: The regression of the change.
             rate: Reads a second at each router.
-            usual: The share of requests that is late anyway.
+            usual: The share of requests that is late without the change.
         """
         self.plan = plan
         self.random = Random(seed)
@@ -115,7 +115,7 @@
         self.routers = {target.name: SimulatedRouter(target.name, target.zone) for target in plan.routers}
         self.rollout = Rollout(plan, self.now)
         self.history: list[HistoryEntry] = []
-        self.commands: list[tuple[int, str, CommandKind]] = []  # when, to which router, what
+        self.commands: list[tuple[int, str, CommandKind]] = []  # time, router and kind
         self.max_unavailable: dict[str, int] = {}  # by zone, and EVERYWHERE
         self.changed_routers: set[str] = set()
         self.harmed_requests = 0.0
@@ -123,10 +123,10 @@
         self.new_build_never_ready = False
         self.new_build_crash_after_ns = 0  # 0 = never
         self._drift = 0.0
-        self._pending_answers: list[Event] = []  # of this second, told behind its tick
+        self._pending_answers: list[Event] = []  # reports of this second, delivered after its tick
 
     def deliver(self, event: Event) -> None:
-        """Tell the rollout of an event and carry out what it asks for."""
+        """Pass an event to the rollout and carry out its effects."""
         for effect in self.rollout.handle(self.now, event):
             if isinstance(effect, HistoryEntry):
                 self.history.append(effect)
@@ -138,7 +138,7 @@
                     self.carry_out(effect)
 
     def answer(self, router: SimulatedRouter) -> Event:
-        """What a router says of itself now."""
+        """A router's report, or that it does not respond."""
         is_starting = self.now < router.ready_at and router.started == self.now
         if not router.alive or self.now < router.silent_until_ns or is_starting:
             return NoAnswer(router.name)
@@ -155,7 +155,7 @@
         )
 
     def carry_out(self, command: RouterCommand) -> None:
-        """A command arrives at its router."""
+        """Carry out a command at its router."""
         router = self.routers[command.router]
         if command.kind is CommandKind.DRAIN:
             router.in_service = False
@@ -170,7 +170,7 @@
                 self.start(router, build)
 
     def start(self, router: SimulatedRouter, build: str) -> None:
-        """A new process of a router, with this build."""
+        """Start a new process of a router with this build."""
         never_ready = build == NEW_BUILD and self.new_build_never_ready
         router.build = build
         router.instance += 1
@@ -182,13 +182,13 @@
         router.memory_mb = USUAL_MEMORY_MB
 
     def run_second(self) -> None:
-        """One second: requests, then the rollout's turn."""
+        """Run one second: the requests first, then the rollout's tick and the routers' reports."""
         self.now += S
         self._pending_answers = []
         self._drift = DRIFT_DECAY * self._drift + self.random.gauss(0, DRIFT_STEP)
         for router in self.routers.values():
             if self._crashes_now(router):
-                self.start(router, NEW_BUILD)  # the platform starts it again
+                self.start(router, NEW_BUILD)  # the platform restarts it
             if router.serves(self.now):
                 for cls in CLASS_RATES:
                     self._play_requests(router, cls)
@@ -206,7 +206,7 @@
         )
 
     def _play_requests(self, router: SimulatedRouter, cls: str) -> None:
-        """A class's requests of this second at a router, and how many of them were late."""
+        """Draw the number of a class's requests at a router in this second, and how many are late."""
         rate = self.rate / CLASS_RATES[cls]
         asked = max(0, round(self.random.gauss(rate, math.sqrt(rate))))
         harm = self.harm(self, router, cls)
@@ -230,11 +230,11 @@
     def run(
         self, seconds: int = 4_000, operator_commands: dict[int, OperatorCommand] | None = None
     ) -> RolloutOutcome:
-        """Play until the rollout is over, or held with no command to come.
+        """Run until the rollout has ended, or is held with no operator command to come.
 
         Args:
-            seconds: The longest.
-            operator_commands: What people say, by second of this run.
+            seconds: Longest duration.
+            operator_commands: Commands of operators by second of this run.
         """
         commands = operator_commands or {}
         for second in range(seconds):
--- a/testbed/router_process.py
+++ b/testbed/router_process.py
@@ -1,4 +1,4 @@
-"""A router as a process of its own against stand-ins, and a client of it."""
+"""A router in a process of its own, connected to stand-in servers, and a client of it."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from testbed.stand_ins import MAX_WAIT_S, MS, PROGRAM_DIR, ROOT, StandInServers
 
 READ_BYTES = 1 << 16
-RETRY_S = 0.01
+RETRY_S = 0.01  # interval of polling
 
 
 @dataclass
 class ClientResponse:
-    """A final answer as a client sees it."""
+    """A final response, as the client receives it."""
 
     kind: str  # served, refused or failed
     body: bytes
@@ -36,7 +36,7 @@
 
 @dataclass
 class RouterClient:
-    """One connection to a router, for one thread at a time."""
+    """One connection to a router, to be used by one thread at a time."""
 
     sock: socket.socket
     unpacker: Any = field(default_factory=lambda: msgpack.Unpacker(raw=False))
@@ -58,14 +58,14 @@
         """Send a request.
 
         Args:
-            cls: Its class.
-            patience_ms: How long the client waits.
+            cls: The request's class.
+            patience_ms: How long the client waits, in ms.
             object: The object's id, 16 hexadecimal digits.
-            part: The number of its part.
-            group: The number of its group.
-            retry: Whether the client says that it has asked before.
-            body: What is to be written.
-            trace: The trace id; by default one by chance.
+            part: The number of the object's part.
+            group: The number of the object's group.
+            retry: Whether the request is marked as the client's retry.
+            body: The data to be written.
+            trace: The trace id; drawn at random if empty.
             more: Further fields, such as nonce and size.
 
         Returns:
@@ -87,7 +87,7 @@
         return trace
 
     def responses(self, count: int) -> Iterator[ClientResponse]:
-        """Yield so many answers as they come.
+        """Yield ``count`` responses as they arrive.
 
         Raises:
             ConnectionError: The router has closed the connection.
@@ -109,13 +109,13 @@
             self.unpacker.feed(data)
 
     def request(self, cls: str, **more: Any) -> ClientResponse:
-        """Send one request and wait for its answer; arguments as of ``send_request``."""
+        """Send one request and wait for its response; arguments as for ``send_request``."""
         self.send_request(cls, **more)
         return next(self.responses(1))
 
 
 class RouterProcess:
-    """A router process against stand-ins. A context manager."""
+    """A router process connected to stand-in servers. A context manager."""
 
     def __init__(
         self,
@@ -130,11 +130,11 @@
 
         Args:
             world: Its servers and its feed.
-            rules: The operator's file; None for none.
-            program: Where the program lies.
+            rules: Content of the operator's file; None = no file.
+            program: Folder of the program.
             release: Start it as `run` does, without assertions.
-            settings: Other values for keys of the example's settings.
-            mgmt: Give it a control address, at ``self.control_address``.
+            settings: Values that replace keys of the example's settings.
+            mgmt: Give it a control address, which is ``self.control_address``.
         """
         self._directory = tempfile.TemporaryDirectory()
         folder = Path(self._directory.name)
@@ -160,7 +160,7 @@
             )
 
     def _configuration(self, world: StandInServers, settings: dict[str, Any]) -> dict[str, Any]:
-        """The example's configuration, with these stand-ins in it."""
+        """The example's configuration with the stand-ins' addresses."""
         example = json.loads((ROOT / "examples/config.json").read_bytes())
         return {
             **example,
@@ -179,14 +179,14 @@
         self._directory.cleanup()
 
     def log_events(self) -> list[dict[str, Any]]:
-        """The events that it has logged."""
+        """The log events that the router has written."""
         return [json.loads(line) for line in self.log_path.read_text().splitlines() if line.startswith("{")]
 
     def reload_rules(self, rules: str) -> dict[str, Any]:
-        """Give it another operator's file and SIGHUP: what the log says of it.
+        """Replace the operator's file and send SIGHUP: the log event about it.
 
         Raises:
-            TimeoutError: The log says nothing.
+            TimeoutError: No such event was logged in time.
         """
         before = len(self.rules_events())
         self.rules_path.write_text(rules)
@@ -197,17 +197,17 @@
             if len(events) > before:
                 return events[-1]
             time.sleep(RETRY_S)
-        raise TimeoutError("the operator's file was not read")
+        raise TimeoutError(f"no log event about the operator's file after SIGHUP within {MAX_WAIT_S:g} s")
 
     def rules_events(self) -> list[dict[str, Any]]:
-        """What it has logged of the operator's file."""
+        """Its log events about the operator's file."""
         return [line for line in self.log_events() if line["event"].startswith("rules.")]
 
     def client(self) -> RouterClient:
-        """A connection, once it takes some.
+        """Connect a client, once the router accepts connections.
 
         Raises:
-            RuntimeError: It has ended, or takes none.
+            RuntimeError: The process has ended or does not accept connections in time.
         """
         until = time.monotonic() + MAX_WAIT_S
         while self.process.poll() is None and time.monotonic() < until:
--- a/testbed/stand_ins.py
+++ b/testbed/stand_ins.py
@@ -1,8 +1,8 @@
-"""Stand-ins on loopback: caches, a parent, the origin and the feed in one thread.
+"""Stand-in servers on loopback: caches, a parent, the origin and the feed in one thread.
 
-Servers do what a script says: a function of the server's name and the command that it got, which returns a
-``ScriptedReply``. Whatever arrives is written down with its time, so that a test can hold it against what was
-declared. Ports come from the kernel. Times are of the monotonic clock, in ns.
+A script decides how servers respond: a function of the server's name and the received command that returns a
+``ScriptedReply``. Everything received is recorded with its time, so that tests can check it. The kernel
+assigns the ports. Times are of the monotonic clock, in ns.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from typing import Any, NamedTuple
 
 ROOT = Path(__file__).parent.parent
-PROGRAM_DIR = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: what `run` starts
+PROGRAM_DIR = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: the program that `run` starts
 MS = 1_000_000
-MAX_WAIT_S = 20.0  # whoever waits so long has failed
-TURN_S = 0.02  # the thread looks for polls that are due so often
+MAX_WAIT_S = 20.0  # a test or process that waits longer than this has failed
+TURN_S = 0.02  # longest interval between two checks for watch responses that are due
 READ_BYTES = 1 << 16
-CRASH_DOWN_S = 3.0
-EARLY_MS = 100  # a poll is answered so much before its wait is over, ...
-MIN_WAIT_MS = 10  # ... but not before this
+CRASH_DOWN_S = 3.0  # the feed stays down for this long after too many watch requests
+EARLY_MS = 100  # without new events, a watch response is sent this long before the wait ends ...
+MIN_WAIT_MS = 10  # ... but not earlier than this after the request
 SERVERS = {
     "cache1": ("s-c1", "edge-1", "box"),
     "cache2": ("s-c2", "edge-1", "box"),
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class ServerCommand:
-    """One command that a server got."""
+    """One command that a server received."""
 
     server: str
     verb: str  # PULL or KILL
@@ -56,31 +56,31 @@
 
 @dataclass(frozen=True)
 class ScriptedReply:
-    """What a server does with a request: answers after a time, says nothing, or breaks the connection."""
+    """How a server treats a request: it responds after a delay, stays silent, or breaks the connection."""
 
-    fate: str = "DONE"  # one of ANSWERS; "silent"; "reset"; "cut": half an answer
+    fate: str = "DONE"  # one of ANSWERS, "silent", "reset", or "cut" (half a response)
     delay_ms: float = 0.0
-    cache_status: str = "mem"  # as the answer's field ``tell`` says it
+    cache_status: str = "mem"  # value of the response's field ``tell``
     body: bytes = b""
 
 
 class Delivery(NamedTuple):
-    """An event of the feed went out to somebody."""
+    """One event of the feed was sent to one watcher."""
 
     event_number: int
     at_ns: int
 
 
 class FeedCall(NamedTuple):
-    """A call of the feed arrived."""
+    """A watch request that arrived at the feed."""
 
     at_ns: int
-    after_event: int  # -1 = turned away
-    port: int  # of the caller
+    after_event: int  # position of the watcher; -1 = its connection was reset while the feed was down
+    port: int  # source port of the watcher's connection; 0 if it was reset
 
 
 class WaitingPoll(NamedTuple):
-    """A call that waits for news."""
+    """A watch request that waits for new events."""
 
     after_event: int
     until_ns: int
@@ -102,7 +102,7 @@
 
 
 class TimedWrite(NamedTuple):
-    """Bytes to be written, or ``RESET_MARK`` in their place."""
+    """Bytes to be written, or ``RESET_MARK`` for a reset of the connection."""
 
     due_ns: int
     sequence: int  # breaks ties, so that sockets are never compared
@@ -115,14 +115,15 @@
 
 
 def answer_at_once(server: str, seen: ServerCommand) -> ScriptedReply:  # noqa: ARG001 - a ServerScript
-    """Answer everything at once with the server's name."""
+    """Respond to every request immediately, with the server's name."""
     return ScriptedReply(body=f"by {server}".encode())
 
 
 class StandInServers:
-    """The servers and the feed. A context manager; its thread runs while it is entered.
+    """The servers and the feed. A context manager, whose thread runs while the context is active.
 
-    ``lock`` guards what the thread writes and tests read: commands, feed events, and how requests ended.
+    ``lock`` guards the data that the thread writes and tests read: commands, feed events and the ends of
+    requests.
     """
 
     def __init__(
@@ -135,19 +136,19 @@
         self.settled_requests: dict[RequestKey, RequestEnd] = {}
         self._unanswered_requests: dict[socket.socket, set[RequestKey]] = {}
         self.feed_events: list[dict[str, Any]] = []  # numbered from 2
-        self.feed_event_times_ns: list[int] = []  # when each came to be
+        self.feed_event_times_ns: list[int] = []  # time of each event's publication
         self.feed_deliveries: list[Delivery] = []
         self.feed_calls: list[FeedCall] = []
-        self.max_feed_calls_per_s = 0  # with more the feed crashes; 0 = any
-        self.feed_down_until_ns = 0  # it resets whoever comes
+        self.max_feed_calls_per_s = 0  # more watch requests in a second crash the feed; 0 = no limit
+        self.feed_down_until_ns = 0  # until then the feed resets every new connection
         self.feed_crashes = 0
-        self.events_before_restart = 0  # events that it had when it last began to count anew
+        self.events_before_restart = 0  # number of events before its last restart
         self.lock = threading.Lock()
         self.listeners = {name: socket.create_server(("127.0.0.1", 0)) for name in (*servers, FEED)}
         self._heap: list[TimedWrite] = []
         self._sequence = 0
-        self._buffers: dict[socket.socket, bytes] = {}  # what was read and not taken, by connection
-        self._ports: dict[socket.socket, int] = {}  # from which each connection comes
+        self._buffers: dict[socket.socket, bytes] = {}  # bytes read and not parsed yet
+        self._ports: dict[socket.socket, int] = {}  # peer's port of each connection
         self._polls: dict[socket.socket, WaitingPoll] = {}
         self._stop = threading.Event()
         self._selector = selectors.DefaultSelector()
@@ -174,22 +175,22 @@
         return f"127.0.0.1:{self.listeners[name].getsockname()[1]}"
 
     def publish(self, **event: Any) -> int:
-        """Add an event of the feed, for all who poll from now on: its number."""
+        """Add an event to the feed, which waiting and later watch requests receive: its number."""
         with self.lock:
             self.feed_events.append({"n": len(self.feed_events) + 2, **event})
             self.feed_event_times_ns.append(time.monotonic_ns())
             return len(self.feed_events) + 1
 
     def refuse_connections(self, name: str) -> None:
-        """Let a server refuse connections from now on; to be called before the thread has started."""
+        """Make a server refuse connections from now on; to be called before the thread has started."""
         self._selector.unregister(self.listeners[name])
         port = self.listeners[name].getsockname()[1]
         self.listeners[name].close()
         self.listeners[name] = placeholder = socket.socket()
-        placeholder.bind(("127.0.0.1", port))  # bound and not listening: nobody else gets the port
+        placeholder.bind(("127.0.0.1", port))  # bound but not listening, so no other process gets the port
 
     def requests(self, request_id: str | None = None, server: str | None = None) -> list[ServerCommand]:
-        """Requests that came, of one id or at one server if so wanted."""
+        """The received requests, optionally only those of one id or at one server."""
         with self.lock:
             return [
                 command
@@ -215,7 +216,7 @@
         return {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": endpoints}}
 
     def crash_feed(self, down_s: float) -> None:
-        """Take the feed down for a while; it counts from 1 when it is back."""
+        """Take the feed down for a while; afterwards it numbers its events from 1 again."""
         self.feed_crashes += 1
         self.events_before_restart = len(self.feed_events)
         self.feed_down_until_ns = time.monotonic_ns() + int(down_s * 1e9)
@@ -257,7 +258,7 @@
             self._drop(sock, reset=True)
 
     def _drop(self, sock: socket.socket, *, reset: bool = False) -> None:
-        """End a connection; what it has not answered has ended without one."""
+        """Close a connection; its unanswered requests end without a response."""
         if sock not in self._buffers:
             return
         del self._buffers[sock]
@@ -302,7 +303,7 @@
     # The feed ---------------------------------------------------------------------------------------------
 
     def _take_poll(self, sock: socket.socket, _: str) -> bool:
-        """Take one call of the feed out of what was read; False where there is none."""
+        """Parse one watch request from the bytes read so far; False if they hold no complete one."""
         head, found, rest = self._buffers[sock].partition(b"\r\n\r\n")
         if not found:
             return False
@@ -315,7 +316,7 @@
         return True
 
     def _record_call(self, after_event: int, port: int) -> None:
-        """Write a call down; too many in a second crash the feed."""
+        """Record a watch request; too many in a second crash the feed."""
         now = time.monotonic_ns()
         self.feed_calls.append(FeedCall(now, after_event, port))
         most = self.max_feed_calls_per_s
@@ -328,7 +329,7 @@
             self.crash_feed(CRASH_DOWN_S)
 
     def _answer_polls(self) -> None:
-        """Tell those who poll what is new to them, or nothing once they have waited long enough."""
+        """Send due watch responses: new events, or none at the end of the wait."""
         now = time.monotonic_ns()
         with self.lock:
             last = len(self.feed_events) - self.events_before_restart + 1
@@ -340,7 +341,7 @@
                     self._write_later(0, sock, head + body.encode())
 
     def _events_after(self, after_event: int, last: int, now_ns: int) -> list[dict[str, Any]]:
-        """Events behind one, numbered as the feed counts by now; the whole list first to who knows none."""
+        """Events after a position in the feed's present numbering; below position 1, after a snapshot."""
         news = []
         if after_event <= last:
             news = self.feed_events[self.events_before_restart + max(0, after_event - 1) :]
@@ -351,7 +352,7 @@
     # Servers ----------------------------------------------------------------------------------------------
 
     def _take_command(self, sock: socket.socket, name: str) -> bool:
-        """Take one command out of what was read and answer it; False where none is whole."""
+        """Parse one command from the bytes read so far and respond to it; False if none is complete."""
         words, rest = split_resp_array(self._buffers[sock])
         if words is None:
             return False
@@ -365,7 +366,7 @@
         return True
 
     def _answer(self, sock: socket.socket, command: ServerCommand) -> None:
-        """Do with a request what the script says."""
+        """Treat a request as the script decides."""
         reply = self.script(command.server, command)
         after_ns = int(reply.delay_ms * MS)
         key = RequestKey(command.request_id, command.server, command.received_ns)
@@ -384,7 +385,7 @@
 
 
 def encode_answer(request_id: str, reply: ScriptedReply) -> bytes:
-    """An answer as a RESP array: id, word, fields and body."""
+    """A response as a RESP array: id, status word, fields and body."""
     word = "DONE" if reply.fate == CUT else reply.fate
     fields = f"sum=4be0c1927d55a6f3,t0={time.time_ns() // MS},tell={reply.cache_status}".encode()
     body = reply.body if reply.fate in ("DONE", "BROKE") else b""
@@ -393,12 +394,12 @@
 
 
 def query_value(head: bytes, key: bytes, end: bytes, default: bytes) -> bytes:
-    """A value of a request line's query, up to ``end``."""
+    """The value after ``key`` in a request line's query, up to ``end``."""
     return head.split(key, 1)[1].split(end, 1)[0] if key in head else default
 
 
 def split_resp_array(data: bytes) -> tuple[list[bytes] | None, bytes]:
-    """One RESP array and what follows it; None while it is not whole."""
+    """One RESP array and the bytes after it; None while the array is incomplete."""
     head, found, rest = data.partition(b"\r\n")
     if not found:
         return None, data
--- a/testbed/virtual.py
+++ b/testbed/virtual.py
@@ -1,7 +1,7 @@
-"""One router's reducer in virtual time, against servers that do as chance says.
+"""One router's reducer in virtual time, with servers whose responses are drawn at random.
 
-Start at ``VirtualRouter``: schedule requests, ``run``, then read ``records``. A seed replays a run to the
-byte.
+Start at ``VirtualRouter``: schedule requests, ``run``, then read ``records``. The same seed gives exactly the
+same run.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     "past": Outcome.MOOT,
 }
 FATES_NOT_EXECUTED = ("lack", "wait", "past")
-REFUSE = "refuse"  # a fate of connections, the others are of attempts
+REFUSE = "refuse"  # fate of a connection; all others are fates of attempts
 RESET = "reset"
 FROM_SERVERS = (inputs.ServerResponse, inputs.ServerConnectionLost, inputs.ServerConnected)
 FINAL_EFFECTS = (effects.SendResponse, effects.RejectRequest, effects.FailRequest)
@@ -50,17 +50,17 @@
 
 @dataclass
 class RequestRecord:
-    """All that happened to one request."""
+    """One request with its attempts and its outcome."""
 
     request: inputs.ClientRequest
     arrives_ns: int
     attempts: list[AttemptRecord] = field(default_factory=list)
     final_effects: list[tuple[int, effects.Effect]] = field(default_factory=list)  # with their times
-    client_retry: RequestRecord | None = None  # the client's own, where a subclass has one
+    client_retry: RequestRecord | None = None  # the client's own retry, if a subclass sends one
 
 
 class Scheduled(NamedTuple):
-    """A message to come, or a word of a subclass's own."""
+    """A scheduled input of the reducer, or a string for ``custom_event``."""
 
     at_ns: int
     sequence: int  # breaks ties, so that messages are never compared
@@ -68,7 +68,7 @@
 
 
 def listed_endpoints() -> list[dict[str, Any]]:
-    """The stand-ins as lines of the list service."""
+    """The stand-in servers as lines of the list service."""
     return [
         {
             "name": name,
@@ -83,7 +83,7 @@
 
 
 class VirtualRouter:
-    """One router at the deployment of examples/config.json, and its servers."""
+    """One router in the deployment of examples/config.json, and its servers."""
 
     def __init__(
         self,
@@ -96,11 +96,11 @@
         """Start the router.
 
         Args:
-            rules: The operator's file; None for none.
-            seed: Of all that is left to chance.
-            fates: Weights of what becomes of an attempt; "refuse" is the share of connections refused.
-            slow_ns: The longest that a server takes.
-            settings: Other values for keys of the settings.
+            rules: Content of the operator's file; None = no file.
+            seed: Seed of all random draws.
+            fates: Weights of the fates of an attempt; "refuse" is the share of connections refused.
+            slow_ns: Longest service time of a server.
+            settings: Values that replace keys of the settings.
         """
         self.random = Random(seed)
         self.fates = fates
@@ -122,22 +122,22 @@
             self.apply_rules(rules)
 
     def apply_rules(self, text: str) -> None:
-        """Give the router an operator's file, which must be sound for this deployment."""
+        """Give the router an operator's file, which must be valid for this deployment."""
         file, faults = load(text.encode())
         faults = faults or check(file, self.config.settings)
         assert not faults, [fault.format_for("") for fault in faults]
         self.deliver(inputs.OperatorFileRead(file))
 
     def schedule(self, when: int, message: inputs.Input | str) -> None:
-        """Deliver a message at a time; a word goes to ``custom_event`` instead."""
+        """Deliver an input at a time; a string is passed to ``custom_event`` instead."""
         self.sequence += 1
         heapq.heappush(self.heap, Scheduled(when, self.sequence, message))
 
     def custom_event(self, server: str) -> None:
-        """What a subclass asked to be told of with ``schedule``."""
+        """Handle a string that a subclass has scheduled."""
 
     def deliver(self, message: inputs.Input) -> None:
-        """Hand the reducer a message now and carry out what it asks for."""
+        """Pass an input to the reducer now and carry out its effects."""
         self.carry_out(self.reducer.handle(self.now, message))
 
     def schedule_request(
@@ -145,7 +145,7 @@
         when: int,
         cls: str,
         patience_ms: int,
-        object: int = 7,  # noqa: A002 - the word of the request's field
+        object: int = 7,  # noqa: A002 - name of the request's field
         part: int = 0,
         group: int = 17,
     ) -> RequestRecord:
@@ -173,7 +173,7 @@
         return record
 
     def run(self, until: int = FOREVER) -> None:
-        """Play until nothing is open, or up to a time after the start."""
+        """Run until no request is open or to come, or up to a time after the start."""
         while self.heap and self.heap[0].at_ns <= START + until:
             due = heapq.heappop(self.heap)
             self.now = due.at_ns
@@ -198,7 +198,7 @@
         )
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
-        """Carry out what the reducer asks for, in its order."""
+        """Carry out the reducer's effects in their order."""
         for e in effect_list:
             if isinstance(e, effects.ScheduleTimer):
                 self.schedule(e.at_ns, inputs.TimerFired(e.key))
@@ -227,7 +227,7 @@
             self.schedule(known_ns, inputs.ServerConnected(e.connection))
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
-        """Draw an attempt's fate and its time; benchmarks put other servers here."""
+        """Draw an attempt's fate and its service time; benchmarks override this with other servers."""
         names = [fate for fate in self.fates if fate != REFUSE]
         fate = self.random.choices(names, [self.fates[name] for name in names])[0]
         record = AttemptRecord(self.now, self.address_by_link[e.connection], fate)
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -1,4 +1,8 @@
-"""The field itself: its links break as they are told to, and its watch sees each broken rule and no other."""
+"""The field of real processes: relays inject each fault, and the contract checker finds each broken rule.
+
+A checker that missed a violation, or reported one that a sound router did not commit, would make the field's
+other tests worthless.
+"""
 
 from __future__ import annotations
 
@@ -26,13 +30,13 @@
 
 
 def orders_break(server: str, seen: ServerCommand) -> ScriptedReply:
-    """Every order breaks off after it may have run; all else is answered."""
+    """Every order fails after it may have been executed; all other requests are served."""
     return ScriptedReply("BROKE" if seen.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
 
 
 class Links(unittest.TestCase):
     def setUp(self) -> None:
-        """A server that sends back what it gets."""
+        """Start a server that sends back what it receives, and a relay in front of it."""
         self.server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(self.server.close)
         threading.Thread(target=self.echo, daemon=True).start()
@@ -56,7 +60,7 @@
                 pass
 
     def connect(self) -> socket.socket:
-        """A connection, or a socket without one where it was reset at once."""
+        """A connection through the relay, or an unconnected socket if it was reset immediately."""
         sock = socket.socket()
         with contextlib.suppress(ConnectionResetError):
             sock.connect(self.relay.address)
@@ -65,7 +69,7 @@
         return sock
 
     def said(self, sock: socket.socket, text: bytes = b"hello") -> bytes:
-        """What comes back, up to as much as was sent; what has come by the end or the time-out."""
+        """Send bytes: the bytes that return, up to as many, until the connection ends or times out."""
         got = b""
         try:
             sock.sendall(text)
@@ -126,7 +130,7 @@
 
 class Builds(unittest.TestCase):
     def test_each_defect_fits_the_sources(self) -> None:
-        """Also those of the long tests: an anchor that is not there is said at once."""
+        """A defect whose text is no longer in the sources fails here, and not only in a long test."""
         with tempfile.TemporaryDirectory() as name:
             for number, defect in enumerate(DEFECTS):
                 with self.subTest(defect=defect):
@@ -134,7 +138,7 @@
 
 
 class Judged(unittest.TestCase):
-    """Real routers, and what a feed may tell in a few seconds."""
+    """Real routers under load, with a purge, a drain and a server's start within a few seconds."""
 
     def day(self, defect: str, faults: bool = False) -> tuple[ContractChecker, ClientLoad]:
         with tempfile.TemporaryDirectory() as name:
@@ -157,7 +161,7 @@
                 return field.check_contract(load, killed=killed, cut=faults), load
 
     def break_links(self, field: RouterField) -> None:
-        """All modes in turn at a hub, the store and a cache; a router that stops, and one that dies."""
+        """All link modes in turn at a parent, the origin and a cache; one router is stopped, one killed."""
         nodes = list(field.nodes.values())
         for mode in LinkMode:
             for name in ("parent", "cache-z0-2", "origin"):
