--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,4 @@
-"""Measurements, each repeated by one command, each a ratio within one run.  Figures are in docs/design."""
+"""Benchmarks. One command repeats each of them, and each result is a ratio within one run.
+
+The figures are in docs/design.
+"""
--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Scale tests: what each role spends by routers, purges, events behind, requests and bytes."""
+"""Scale tests: resource use of each role by number of routers, purges, missed events, requests and bytes."""
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,12 +1,13 @@
 """Scale tests of all roles, written to docs/capacity/*.json.
 
-    python -m benchmarks.capacity                      all sweeps; some ten minutes
-    python -m benchmarks.capacity --quick      small ones of each, some 70 s; nothing is written
-    python -m benchmarks.capacity --only feed,replicas  some of them
-    python -m benchmarks.capacity --before DIR       `behind` on a compiled earlier program as well
-    python -m benchmarks.capacity --page                docs/CAPACITY.md anew from what is written there
+    python -m benchmarks.capacity                      all sweeps; about ten minutes
+    python -m benchmarks.capacity --quick               a small run of each, about 70 s; writes no files
+    python -m benchmarks.capacity --only routers,bytes  selected sweeps
+    python -m benchmarks.capacity --before DIR          also `behind` with an earlier compiled program
+    python -m benchmarks.capacity --page                rewrite docs/CAPACITY.md from these files
 
-A row has the median, the least and the most of its rounds.  Nothing else may run on the machine meanwhile.
+A row has the median, the minimum and the maximum of its rounds. Nothing else may run on the machine at the
+same time.
 """
 
 from __future__ import annotations
@@ -28,21 +29,21 @@
 
 FOLDER = ROOT / "docs/capacity"
 COMPILED = ROOT / ".compiled/now"
-RATE = 5.1  # purges a second at the size to come
-SECONDS = 5.0  # of each run
+RATE = 5.1  # purges a second at the expected fleet size
+SECONDS = 5.0  # interval of each run
 AGES = {
     306: 60,
     3_060: 600,
     18_360: 3_600,
     100_000: 19_600,
     440_640: 86_400,
-}  # events behind, and over how long
+}  # by number of missed events: the interval of their times, in s
 
 Run = Callable[[], dict[str, Any]]
 
 
 def flat(found: dict[str, Any], before: str = "") -> dict[str, float]:
-    """A run's figures under one name each."""
+    """A run's figures in one flat table; nested names are joined with dots."""
     rows: dict[str, float] = {}
     for key, value in found.items():
         if isinstance(value, dict):
@@ -53,7 +54,7 @@
 
 
 def rounds(runs: int, run: Run) -> dict[str, dict[str, float]]:
-    """Each figure over several rounds."""
+    """Median, minimum and maximum of each figure over several rounds."""
     found = [flat(run()) for _ in range(runs)]
     return {
         key: {
@@ -66,7 +67,7 @@
 
 
 def slope(points: list[tuple[float, float]]) -> dict[str, float]:
-    """The straight line of least squares through some points, and how far they lie from it."""
+    """The least-squares line through some points, and the largest residual."""
     n = len(points)
     mean_x, mean_y = sum(x for x, _ in points) / n, sum(y for _, y in points) / n
     spread = sum((x - mean_x) ** 2 for x, _ in points)
@@ -77,7 +78,7 @@
 
 
 def sweeps(quick: bool, before: Path | None) -> dict[str, tuple[str, dict[float, Run]]]:
-    """Every sweep: by what, and the run at each value."""
+    """Every sweep by name: the quantity that varies, and the run for each of its values."""
     s, short = (2.0, 1.0) if quick else (SECONDS, 3.0)
 
     def at(*values: float) -> tuple[float, ...]:
@@ -197,13 +198,13 @@
 
 
 def commit() -> str:
-    """The commit that is measured, with a sign where the tree is another."""
+    """The measured commit, marked if the working tree differs from it."""
     words = ["git", "describe", "--always", "--dirty", "--abbrev=7", "--exclude=*"]
     return subprocess.run(words, cwd=ROOT, capture_output=True, text=True).stdout.strip()
 
 
 def measured(name: str, by: str, runs: dict[float, Run], count: int) -> dict[str, Any]:
-    """One sweep."""
+    """Run one sweep: the content of its file."""
     rows: list[dict[str, Any]] = []
     for x, run in runs.items():
         began = time.monotonic()
@@ -228,7 +229,7 @@
 
 
 def main() -> None:
-    """The sweeps that were asked for."""
+    """Run the selected sweeps."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/capacity/feed.py
+++ b/benchmarks/capacity/feed.py
@@ -1,4 +1,4 @@
-"""What the feed costs: by routers, purges a second, servers, and events that a router is behind."""
+"""Cost of the feed by routers, purges a second, servers, and events that a router has missed."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from testbed.hollow.configuration import FleetSize
 from testbed.hollow.processes import LineProcess, RealRouter, folder, hollow_routers, list_service, wait_for
 
-SETTLE_S = 3.0  # after the start of all routers, before anything is counted
+SETTLE_S = 3.0  # wait after the start of all routers, before anything is counted
 ONE = FleetSize(routers=1)
 
 
 def quantile(found: list[float], share: float) -> float:
-    """The value that so large a share is at or under."""
+    """The value that a share of all values does not exceed."""
     ordered = sorted(found)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
 def in_force(born: dict[int, int], seen: list[list[list[int]]]) -> list[list[float]]:
-    """For each event, how long each router took to have it in force, in ms."""
+    """For each event, the time that each router took to apply it, in ms."""
     found: list[list[float]] = [[] for _ in born]
     numbers = sorted(born)
     for router in seen:
@@ -35,7 +35,7 @@
 
 
 def counted(size: FleetSize, before: dict[str, Any], after: dict[str, Any], took: float) -> dict[str, Any]:
-    """The list service's figures between two looks."""
+    """The list service's figures between two readings of its stats."""
     calls = (after["calls"] - before["calls"]) / took
     return {
         "seconds": round(took, 2),
@@ -51,7 +51,7 @@
 
 
 def spread(size: FleetSize, rate: float, seconds: float, rules: str = "", feed: str = "") -> dict[str, Any]:
-    """How long purges take until every router has them in force."""
+    """Measure how long purges take until every router has applied them."""
     with list_service(size) as service:
         at = feed or f"127.0.0.1:{service.first['port']}"
         with hollow_routers(size, at, rules) as fleet:
@@ -61,7 +61,7 @@
 def watched(
     service: LineProcess, fleet: list[LineProcess], size: FleetSize, rate: float, seconds: float
 ) -> dict[str, Any]:
-    """Purges at a rate, with what they cost and how long they take to be in force."""
+    """Publish purges at a rate, and measure their cost and the time until routers apply them."""
     time.sleep(SETTLE_S)
     for process in fleet:
         process.ask()
@@ -99,7 +99,7 @@
 
 
 def real(size: FleetSize, rate: float, seconds: float, program: Path) -> dict[str, Any]:
-    """Routers as `run` starts them under a rate of purges: the same counts and costs as of hollow ones."""
+    """Measure real routers, started as `run` starts them, with purges: figures as of hollow ones."""
     with ExitStack() as stack:
         service, scratch = stack.enter_context(list_service(size)), stack.enter_context(folder())
         at = f"127.0.0.1:{service.first['port']}"
@@ -125,7 +125,7 @@
 def behind(
     events: int, age_s: float, program: Path, longest_s: float, rules: str = "", size: FleetSize = ONE
 ) -> dict[str, Any]:
-    """One router as `run` starts it, so many events behind: how it gets back into step."""
+    """Measure how a router, started as `run` starts it, catches up with ``events`` missed events."""
     with list_service(size) as service, folder() as scratch:
         feed = f"127.0.0.1:{service.first['port']}"
         with RealRouter(size, 0, feed, program, scratch, rules) as router:
@@ -136,7 +136,7 @@
             before = service.ask(do="stats")
             began = time.monotonic()
             service.ask(do="mute", on=False)
-            # In step once it calls for what comes after the last event.
+            # It has caught up once a watch request names the last event.
             done = wait_for(lambda: service.ask(do="look")["reached"] >= last, longest_s)
             took, after = time.monotonic() - began, service.ask(do="stats")
             return {
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md: its tables from docs/capacity/*.json, its words from docs/capacity/page.md."""
+"""Generator of docs/CAPACITY.md: text from docs/capacity/page.md, figures from docs/capacity/*.json."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 def whole() -> str:
-    """The page."""
+    """The complete page."""
     return MARK.sub(lambda found: filled(found[1].strip()), (FOLDER / "page.md").read_text())
 
 
 def filled(text: str) -> str:
-    """What a mark of the page stands for.
+    """The text that replaces a placeholder of the page.
 
-    ``table SWEEP FIGURE[*FACTOR][:DIGITS][=HEAD] ...`` is a table, ``value SWEEP X FIGURE...`` a figure, and
-    ``slope SWEEP FIGURE`` a slope with its intercept and residual.
+    ``table SWEEP FIGURE[*FACTOR][:DIGITS][=HEAD] ...`` is a table, ``value SWEEP X FIGURE...`` a figure,
+    ``slope SWEEP FIGURE`` a slope with its intercept and residual, and ``commit SWEEP`` the measured commit.
     """
     what, name, *words = text.split()
     path = FOLDER / f"{name}.json"
@@ -47,7 +47,7 @@
 
 
 def read(word: str) -> tuple[str, float, int]:
-    """A figure's name, what it is multiplied by, and its digits behind the point."""
+    """A figure's name, its factor and its number of decimal digits."""
     word, _, _ = word.partition("=")
     word, _, digits = word.partition(":")
     key, _, factor = word.partition("*")
@@ -55,7 +55,7 @@
 
 
 def shown(figures: dict[str, dict[str, float]], word: str) -> str:
-    """A figure's median, with the least and the most where they differ."""
+    """A figure's median, with its minimum and maximum if these differ."""
     key, factor, digits = read(word)
     if key not in figures:
         return "not measured"
@@ -66,13 +66,13 @@
 
 
 def head(word: str) -> str:
-    """A column's head: what stands behind ``=``, else the figure's name."""
+    """A column's head: the text after ``=``, or the figure's name."""
     word, _, label = word.partition("=")
     return label.replace("_", " ") or read(word)[0]
 
 
 def table(told: dict[str, Any], words: list[str]) -> str:
-    """Rows by the sweep's quantity."""
+    """A table with one row for each value of the sweep's quantity."""
     heads = [told["by"], *map(head, words)]
     lines = ["| " + " | ".join(heads) + " |", "| " + " | ".join("---" for _ in heads) + " |"]
     for row in told["rows"]:
--- a/benchmarks/capacity/replicas.py
+++ b/benchmarks/capacity/replicas.py
@@ -1,4 +1,4 @@
-"""The same fleet with control replicas between it and the list service."""
+"""Cost of a fleet with control replicas between the routers and the list service."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     wait_for,
 )
 
-MOVED_S = 4.0  # after a replica's death its routers are at others by then
+MOVED_S = 4.0  # within this time the routers of a killed replica have moved to others
 
 
 def spread(size: FleetSize, rate: float, seconds: float, count: int = 4, dead: int = 0) -> dict[str, Any]:
-    """Purges at a rate, told through ``count`` replicas of which ``dead`` are killed before."""
+    """Measure purges at a rate through ``count`` replicas, of which ``dead`` are killed beforehand."""
     with ExitStack() as stack:
         service = stack.enter_context(list_service(size))
         scratch = stack.enter_context(folder())
@@ -69,7 +69,7 @@
 
 
 def figures(replica: ControlReplica) -> dict[str, float]:
-    """What a replica has done and spent so far."""
+    """A replica's counters, CPU time and memory so far."""
     state = replica.state()
     assert state
     assert replica.process
@@ -81,7 +81,7 @@
 
 
 def behind(events: int, age_s: float, program: Path, longest_s: float) -> dict[str, Any]:
-    """One router as `run` starts it at a replica, stopped while so many events are told, and woken."""
+    """Measure how a router that follows a replica catches up after it was stopped for ``events`` events."""
     size = FleetSize(routers=1)
     with ExitStack() as stack:
         service = stack.enter_context(list_service(size))
@@ -92,12 +92,12 @@
         rules = scratch / "rules.kdl"
         rules.write_text(f'kelpcroft version=1\nreplicas "{replica.address}"\n')
         router = stack.enter_context(RealRouter(size, 0, "127.0.0.1:1", program, scratch, str(rules)))
-        time.sleep(5.0)  # past the first states
+        time.sleep(5.0)  # until the router has received its first state
         router.process.send_signal(signal.SIGSTOP)
         usual_kb, cpu = router.memory_kb(), router.cpu_s()
         last = service.ask(do="history", purges=events, age_s=age_s)["n"]
         assert wait_for(lambda: (replica.state() or {}).get("last") == last, 60)
-        time.sleep(1.5)  # what waits for the stopped router has been answered
+        time.sleep(1.5)  # until the stopped router's outstanding watch request has its response
         before = figures(replica)
         router.process.send_signal(signal.SIGCONT)
         began = time.monotonic()
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -1,4 +1,4 @@
-"""What a request costs one router as `run` starts it: by requests a second and by bytes of the answer."""
+"""Cost of a request at one router, started as `run` starts it, by request rate and by response size."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def served(rate: float, size_bytes: int, seconds: float, program: Path) -> dict[str, Any]:
-    """One router under so many requests a second, each answered with so many bytes."""
+    """Measure one router at ``rate`` requests a second, with responses of ``size_bytes`` bytes."""
     servers = LineProcess(["-m", "testbed.hollow.servers", "--bytes", str(size_bytes)])
     try:
         with folder() as scratch:
@@ -43,7 +43,7 @@
 
 
 def load(router: RealRouter, rate: float, seconds: float) -> dict[str, Any]:
-    """Requests from a process of their own."""
+    """Send requests from a separate process: its figures."""
     words = [
         sys.executable,
         "-m",
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -1,16 +1,20 @@
-"""Hundreds of routers that start in the same second, in virtual time around the program's very core.
-
-    python -m benchmarks.cold_start                           # 50, 200 and 1,000 routers, all ways of calling
-    python -m benchmarks.cold_start --routers 5000 --rate 1   # one size
-    python -m benchmarks.cold_start --ways none budget --boxes # boxes and hubs cold as well
-
-The world is ``testbed/cold_start.py``: a list service that answers 200 calls a second and falls over for 5 s
-when over 100 wait; boxes and hubs, warm or cold and empty; a store that slows when crowded.  ``--service``:
-up; dead for the first 10 s; slow (40 calls a second); or falling over for good reason and counting from 1
-again.  Ways of calling the list service: none (no budget, today's default), the budget of ``start
-list-calls=50`` (or a quarter of the routers, where that is more: a fleet at rest calls so often), and two
-textbook ways, a second with fixed jitter and exponential back-off with full jitter and no budget.  All is of
-one seed and the same every time.
+"""Cost of a cold start: hundreds of routers that start in the same second, in virtual time.
+
+    python -m benchmarks.cold_start                             # 50, 200 and 1,000 routers, all schedules
+    python -m benchmarks.cold_start --routers 5000 --rate 1     # one size
+    python -m benchmarks.cold_start --ways none budget --boxes  # caches and parents cold as well
+
+The simulation is ``testbed/cold_start.py`` around the program's reducer: a list service that answers 200
+watch requests a second and crashes for 5 s with over 100 queued; caches and parents ("boxes" and "hubs" in
+the table), warm or cold and empty; an origin ("store") that slows down as its queue fills.
+
+``--service`` selects the list service: up; dead for the first 10 s; slow (40 watch requests a second); or one
+that answers 100 a second, crashes with over 40 queued and then numbers its events from 1 again.
+
+``--ways`` selects how routers schedule their watch requests: none (no budget, the default); the budget of
+``start list-calls=50`` (or a quarter of the routers a second, if that is more, since a fleet at rest sends as
+many); and two textbook schedules without a budget, a second with fixed jitter and exponential backoff with
+full jitter. All runs have the same seed, so results are the same every time.
 """
 
 from __future__ import annotations
@@ -28,11 +32,11 @@
 
 CALLS_PER_S = 50.0
 SEED_STEP = 7_919  # a prime, so that routers' schedules differ
-LONGEST_RUN_S = 600  # after a longer one the table ends
+LONGEST_RUN_S = 600  # after a run longer than this the table ends
 
 
 class Fixed(DiscoverySchedule):
-    """A second, half more or less."""
+    """Retries after a second plus or minus up to half a second."""
 
     def retry_delay_ns(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
         """The wait after a failure, in ns."""
@@ -40,7 +44,7 @@
 
 
 class Exponential(DiscoverySchedule):
-    """Back-off with full jitter, up to 30 s."""
+    """Exponential backoff with full jitter, up to 30 s."""
 
     def retry_delay_ns(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
         """The wait after a failure, in ns."""
@@ -64,12 +68,12 @@
 
 
 class Played(ColdStartFleet):
-    """A fleet whose routers begin as the operator's file says, or call in a textbook way."""
+    """A fleet whose routers start with a budget of the operator's file, or with a textbook schedule."""
 
     way = "none"
 
     def start_router(self, n: int) -> list[Any]:
-        """Start with the way's budget, and put its schedule in place of the program's."""
+        """Start with the selected budget, and replace the program's schedule if another is selected."""
         kind, calls = WAYS[self.way]
         router: Reducer = self.routers[n]
         effects = router.start(self.now, StartupOptions(calls and max(calls, self.believed / 4)))
@@ -81,7 +85,7 @@
 
 
 def played(routers: int, way: str, service: str, seconds: int, rate: float, boxes: bool) -> dict[str, Any]:
-    """One run's figures."""
+    """Run one simulation: its figures."""
     fleet = Played(routers, service=SERVICES[service](), rate=rate, cold=boxes, cold_parents=boxes)
     fleet.way = way
     fleet.run(seconds)
@@ -89,7 +93,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Run all combinations and print the table."""
     parser = argparse.ArgumentParser(description="What a cold start costs.")
     parser.add_argument("--routers", type=int, nargs="*", default=[50, 200, 1_000])
     parser.add_argument("--ways", nargs="*", choices=list(WAYS), default=list(WAYS))
--- a/benchmarks/cold_start_field.py
+++ b/benchmarks/cold_start_field.py
@@ -1,12 +1,13 @@
-"""Real router processes that all start at once, beside a list service that is dead at first.
+"""Cost of a cold start of real router processes that start together while the list service is down.
 
     python -m benchmarks.cold_start_field [--processes 10 50 200] [--dead 5] [--seconds 20]
 
-Each size is played without a budget for calls of the list service and with ``start list-calls=50``, against
-the same stand-ins (testbed/field), with clients at every router.  Printed: calls of the list service in all,
-in the worst second and in the worst second after its return; the time until every router had heard it; the
-share of requests served of those asked in the first 5 and 10 s; memory and CPU of a router, CPU from exec to
-ready apart. The 200 want some 6 GB and take a minute each way.
+Each size runs without a budget for requests to the list service and with ``start list-calls=50``, with the
+same stand-ins (testbed/field) and with clients at every router. The table has: watch requests at the list
+service in total, in the worst second, and in the worst second after its return; the time until every router
+had a response from it; the share served of the requests sent in the first 5 and 10 s; memory and CPU of a
+router, with the CPU from exec to ready in a column of its own. 200 routers need about 6 GB and take a minute
+for each of the two runs.
 """
 
 from __future__ import annotations
@@ -27,24 +28,24 @@
 
 
 def cpu(pid: int) -> float:
-    """Seconds of CPU that a process has used."""
+    """CPU time of a process so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 def memory(pid: int) -> float:
-    """MB that it holds."""
+    """Resident memory of a process, in MB."""
     status = Path(f"/proc/{pid}/status").read_text().split()
     return int(status[status.index("VmRSS:") + 1]) / 1024
 
 
 def worst(calls: list[int]) -> int:
-    """The most calls of one second."""
+    """The highest number of watch requests in one second."""
     return max(Counter(at // S for at in calls).values(), default=0)
 
 
 def played(count: int, way: str, dead_s: float, seconds: float) -> dict[str, float]:
-    """One run's figures."""
+    """Run one field: its figures."""
     field = RouterField(max(1, count // 4), min(4, count), {"old": ROOT}, rules=WAYS[way])
     world = field.servers
     world.feed_down_until_ns = time.monotonic_ns() + int(dead_s * S)
@@ -53,7 +54,7 @@
         pids = [n.process.pid for n in field.nodes.values() if n.process]
         began, ready, start_cpu = field.began_ns, time.monotonic_ns(), sum(map(cpu, pids))
         back = max(world.feed_down_until_ns, ready)
-        world.feed_down_until_ns = back  # dead until all have started, and for as long again as was said
+        world.feed_down_until_ns = back  # the outage lasts at least until all are ready
         heard = 0
         with ClientLoad(field, per_s=2.0) as load:
             while time.monotonic_ns() < began + seconds * S or not heard:
@@ -88,7 +89,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Run all combinations and print the table."""
     parser = argparse.ArgumentParser(description="What a cold start of real processes costs.")
     parser.add_argument("--processes", type=int, nargs="*", default=[10, 50, 200])
     parser.add_argument("--dead", type=float, default=5.0, help="seconds that the list service is dead for")
--- a/benchmarks/cold_start_plot.py
+++ b/benchmarks/cold_start_plot.py
@@ -1,12 +1,10 @@
-"""Pictures of a cold start, tenth by tenth of a second.
-
-As ever, and with all that `start` in the operator's file has.
+"""Plots of a cold start by tenth of a second, with the defaults and with all `start` options.
 
     pip install -r requirements-lab.txt
     python -m benchmarks.cold_start_plot OUT.png [--routers 200] [--seconds 30]
 
-The world of ``testbed/cold_start.py``: all routers start in the same second, boxes and hubs are cold and
-empty, and the list service bears 200 calls a second.
+The simulation is ``testbed/cold_start.py``: all routers start in the same second, caches and parents are cold
+and empty, and the list service answers 200 watch requests a second.
 """
 
 from __future__ import annotations
@@ -26,12 +24,12 @@
 
 
 class Played(ColdStartFleet):
-    """A fleet whose routers begin as a file says."""
+    """A fleet whose routers start with given options."""
 
     begun_with = StartupOptions()
 
     def start_router(self, n: int) -> list[effects.Effect]:
-        """Start with the file's options."""
+        """Start with ``begun_with``."""
         return self.routers[n].start(self.now, self.begun_with)
 
 
@@ -41,7 +39,10 @@
 
 
 def series(fleet: ColdStartFleet, seconds: int) -> dict[str, list[float]]:
-    """By tenth of a second: calls and fetches a second, the share of the worth in time over a second."""
+    """By tenth of a second: requests at the list service, at the origin and for fills, and the share in time.
+
+    The first three are rates a second. The share is by priority weight, over the last second.
+    """
     calls, store, n = tenths(fleet.service.calls), tenths(fleet.servers.origin.request_times), seconds * 10
     worth = []
     for k in range(n):
@@ -58,7 +59,7 @@
 
 
 def main() -> None:
-    """Draw them."""
+    """Run the simulations and write the plots."""
     parser = argparse.ArgumentParser(description="Pictures of a cold start.")
     parser.add_argument("out")
     parser.add_argument("--routers", type=int, default=200)
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -1,17 +1,18 @@
-"""The control address and the drain, on loopback against the stand-ins.
+"""Latency of the control address and of a drain, on loopback with stand-in servers.
 
     python -m benchmarks.daily [CLIENTS]
 
-1. Answers of `GET /control/ready`: milliseconds (median, 99th percentile, most) of 200 calls while the router
-   is idle, while CLIENTS connections (16) keep it busy with requests, and while besides 32 callers each hold
-   half a call open; the ratios to idle, and the router's resident memory with and without the half calls.
-2. A drain under that load: each client sends a request as soon as the last is answered, on one kept
-   connection, and stops once the router closes it, as the front would send it elsewhere.  Milliseconds from
-   the call to the last close, requests served, refused, and lost (sent, never answered, and not crossing the
-   close within 50 ms).
-
-The program is the one that `run` starts where KELPCROFT_FROM=.compiled/now, else the sources, in a release
-build.
+1. Latency of `GET /control/ready` in ms (median, 99th percentile, maximum) over 200 control requests: with
+   the router idle, with CLIENTS connections (16) that keep it busy with requests, and additionally with 32
+   control clients that each hold an incomplete control request open. Also the ratios to idle, and the
+   router's resident memory with and without the incomplete requests.
+2. A drain under that load. Each client sends a request as soon as the last one is answered, on one persistent
+   connection, and stops once the router closes it, because the front would then send it to another router.
+   Printed are the milliseconds from the control request to the last close, and the requests served, refused
+   and lost (sent, never answered, and not within 50 ms before the close).
+
+The program is the one that `run` starts if KELPCROFT_FROM=.compiled/now, else the sources, without
+assertions.
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 from testbed.stand_ins import StandInServers
 
 CALLS = 200
-HALF = 32
+HALF = 32  # incomplete control requests that are held open
 READY = b"GET /control/ready HTTP/1.1\r\nHost: bench\r\n\r\n"
 OUT = b"PUT /control/out-of-service HTTP/1.1\r\nHost: bench\r\n\r\n"
-CROSS_S = 0.050  # a request sent so shortly before a close is sent again by the client
+CROSS_S = 0.050  # a request sent less than this before a close has crossed it, and the client sends it again
 
 
 def call(address: tuple[str, int], text: bytes) -> tuple[float, bytes]:
-    """One call on the control address: milliseconds to the whole answer, and its first line."""
+    """Send one control request: milliseconds until the complete response, and its first line."""
     began = time.monotonic()
     with socket.create_connection(address, 5) as sock:
         sock.sendall(text)
@@ -47,7 +48,7 @@
 
 
 def rss_mb(pid: int) -> float:
-    """Resident memory of a process."""
+    """Resident memory of a process, in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
@@ -55,7 +56,10 @@
 
 
 class Load:
-    """Clients on kept connections, each with one request out at a time, until stopped or closed on."""
+    """Clients on persistent connections with one outstanding request each.
+
+    A client runs until it is stopped or the router closes its connection.
+    """
 
     def __init__(self, router: RouterProcess, count: int) -> None:
         self.router, self.stop = router, threading.Event()
@@ -67,7 +71,7 @@
             thread.start()
 
     def run(self, n: int) -> None:
-        """Ask until stopped or closed on; the thread of client ``n``."""
+        """Send requests until stopped or the connection is closed; runs in the thread of client ``n``."""
         sock = socket.create_connection(self.router.address, 5)
         unpacker, number = msgpack.Unpacker(raw=False), 0
         while not self.stop.is_set():
@@ -116,7 +120,7 @@
 
 
 def figures(times: list[float]) -> tuple[float, float, float]:
-    """Median, 99th percentile and most."""
+    """Median, 99th percentile and maximum."""
     ordered = sorted(times)
     return statistics.median(ordered), ordered[int(0.99 * (len(ordered) - 1))], ordered[-1]
 
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,11 +1,11 @@
-"""What the size of the fleet costs: a request, a list event and a tick, and memory, by caches and parents.
+"""CPU time of a request, a list event and a tick, and memory, by number of caches and parents.
 
     python tools/compile.py && python -m benchmarks.fleet_cost
 
-Runs the compiled copy where there is one, or that in KELPCROFT_FROM, whose figures can then be set
-beside these. All caches stand in the router's own zone, which is the dearest case. Sizes take turns in
-rounds; ratios are to 20+3 in the same round, medians are printed. Memory is that of a process of its
-own.
+Runs the compiled copy if there is one, or the copy in KELPCROFT_FROM, whose figures can then be compared
+with these. All caches are in the router's own zone, which is the most expensive case. The sizes alternate in
+rounds; the printed values are medians, and ratios are to 20+3 in the same round. Memory is measured in a
+separate process.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def line(name: str, n: int, kind: str, zone: str, state: str = "active") -> dict[str, Any]:
-    """One line of the feed's list."""
+    """One server's line in the feed's list."""
     return {
         "name": name,
         "address": f"10.1.{n // 250}.{n % 250 + 1}:9090",
@@ -44,7 +44,7 @@
 
 
 class Fleet(One):
-    """A router without sockets, and a fleet of a size, of which all answers are fills."""
+    """A router without sockets and a fleet of servers whose responses are all fills from a parent."""
 
     def __init__(self, caches: int, parents: int) -> None:
         raw = json.loads((ROOT / "examples/config.json").read_bytes())
@@ -65,7 +65,7 @@
         self.events = 1
 
     def change(self) -> None:
-        """A list event that names one cache, from its JSON."""
+        """Handle a list event that changes one cache, including the parsing of its JSON object."""
         self.events += 1
         self.now += MS
         state = "leaving" if self.events % 2 else "active"
@@ -74,13 +74,13 @@
         self.router.handle(self.now, parse_watch_response({"n": self.events, "events": events}))
 
     def tick(self) -> None:
-        """The housekeeping wake-up."""
+        """Handle the housekeeping timer."""
         self.now += MS
         self.router.handle(self.now, inputs.TimerFired(TimerKey(TimerKind.HOUSEKEEPING, 0, 0)))
 
 
 def cost(work: Callable[[], object], count: int) -> float:
-    """CPU of one, in ns."""
+    """CPU time of one execution, in ns."""
     began = time.process_time_ns()
     for _ in range(count):
         work()
@@ -88,7 +88,7 @@
 
 
 def memory(caches: int, parents: int) -> None:
-    """What a process holds after some hundred requests, in KB."""
+    """Print the process's resident memory after 300 requests, in KB."""
     one = Fleet(caches, parents)
     for _ in range(300):
         one.request()
@@ -97,7 +97,7 @@
 
 
 def main() -> None:
-    """The table."""
+    """Measure all sizes and print the table."""
     if "--memory" in sys.argv:
         memory(*(int(a) for a in sys.argv[1:] if a.isdigit()))
         return
--- a/benchmarks/late_answers.py
+++ b/benchmarks/late_answers.py
@@ -1,8 +1,8 @@
-"""2% of answers are late by 1 s.  What do second copies do to the slowest requests, and what do they cost?
+"""Effect of hedging on the slowest requests, and its cost, when 2% of responses are late by 1 s.
 
     python -m benchmarks.late_answers [SEEDS]
 
-In virtual time, at a load that the servers carry easily.
+In virtual time, at a load well below the servers' capacity.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 class Late(VirtualRouter):
-    """Answers take 20 to 60 ms, some a second more."""
+    """A router whose servers respond in 20 to 60 ms, and now and then a second later."""
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
-        """Answer it, now and then late."""
+        """Schedule the response, now and then late."""
         self.records[e.attempt_id].attempts.append(
             AttemptRecord(self.now, self.address_by_link[e.connection], "done")
         )
@@ -44,7 +44,7 @@
 
 
 def play(text: str, seed: int) -> tuple[float, float, float]:
-    """p50 and p99 in ms, and sends for each request."""
+    """Run one variant: p50 and p99 in ms, and attempts for each request."""
     world = Late(HEAD + text, seed, {"done": 1})
     stories = [
         world.schedule_request(n * GAP_NS, "page", 2_500, world.random.randint(0, 400))
@@ -62,7 +62,7 @@
 
 
 def main() -> None:
-    """The table."""
+    """Run all variants and print the table."""
     seeds = range(1, 1 + int(sys.argv[1] if len(sys.argv) > 1 else 3))
     base = 0.0
     print(
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -1,10 +1,9 @@
-"""What routes cost a request: the work between the sockets with no file, 10 routes and 10,000 routes.
+"""CPU time of a request, without the sockets, with no operator's file, 10 routes and 10,000 routes.
 
     python tools/compile.py && python -m benchmarks.request_cost
 
-Runs the compiled copy where there is one, or that in KELPCROFT_FROM. Variants take turns in short
-rounds; a round's ratio is to the one without a file in the same round, and the median of the ratios is
-printed.
+Runs the compiled copy if there is one, or the copy in KELPCROFT_FROM. The variants alternate in short rounds.
+A round's ratio is to the variant without a file in the same round; the median of the ratios is printed.
 """
 
 from __future__ import annotations
@@ -36,7 +35,7 @@
 
 
 def rules(count: int) -> str:
-    """A file of so many routes, of which the requests below take the last ones."""
+    """An operator's file with ``count`` routes, of which the benchmark's requests match the last."""
     rows = "".join(f'route "r{n}" {{ match object="{n:04x}"; }}\n' for n in range(count - 2))
     return (
         "kelpcroft version=1\ndefaults { attempts most=3; }\n"
@@ -64,7 +63,7 @@
         self.links: dict[int, ServerCodec] = {}
 
     def request(self) -> int:
-        """One page, from its bytes to the bytes of its answer; their number."""
+        """Handle one page request from its bytes to the bytes of its response: the number of bytes sent."""
         self.calls += 1
         self.now += 3 * MS
         n = self.calls
@@ -76,7 +75,7 @@
         )
 
     def effects(self, effect_list: list[effects.Effect]) -> int:
-        """Carry them out; the number of bytes that went out."""
+        """Carry out effects: the number of bytes sent."""
         size = 0
         for e in effect_list:
             if isinstance(e, effects.SendAttempt):
@@ -100,7 +99,7 @@
 
 
 def main() -> None:
-    """The table."""
+    """Measure all variants and print the table."""
     variants = {"no file": One(None), "10 routes": One(rules(10)), "10,000 routes": One(rules(10_000))}
     costs: dict[str, list[float]] = {name: [] for name in variants}
     for one in variants.values():
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -1,12 +1,13 @@
-"""A retry storm: servers fail half of all answers for 20 s at 0.8 of their capacity.  What do budgets do?
+"""Effect of budgets in a retry storm: at 0.8 of their capacity, servers fail half of all responses for 20 s.
 
     python -m benchmarks.retry_storm [SEEDS]
 
-In virtual time, with caches that serve so many requests at once and queue the rest.  Clients ask once more
-when they are refused.  Per variant: sends for each request and the share answered in time, during the trouble
-and in the 20 s after it; the mean over the seeds, and the ratio to no budget.  The module's own
-gates shed load as soon as answers come late and hide what a budget does: in the second table the classes have
-an aim so far off that they hardly act.
+In virtual time, with caches that serve a limited number of requests concurrently and queue the rest. Clients
+retry once when they are rejected. For each variant, the table has the attempts for each request and the share
+answered in time before, during and in the 20 s after the failure, as means over the seeds, and the ratio to
+no budget. The admission control of the decision package sheds load as soon as responses are late, which hides
+the effect of a budget. In the second table the classes' latency objective is therefore so long that admission
+control rarely acts.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
     VirtualRouter,
 )
 
-SLOTS, SERVICE_MS = 8, (10, 30)  # of a cache; 20 ms on average
+SLOTS, SERVICE_MS = 8, (10, 30)  # concurrency and service time of a cache; 20 ms on average
 RATE = 0.8 * 2 * SLOTS / 0.020  # requests a second at two caches
 TROUBLE = (5 * S, 25 * S)
 END = 46 * S
@@ -46,7 +47,7 @@
 
 
 class Storm(VirtualRouter):
-    """Servers with slots and queues, which fail half of their answers for a while."""
+    """A router whose servers have slots and queues, and fail half of their responses for a while."""
 
     def __init__(self, rules: str | None, seed: int, aim_ns: int) -> None:
         classes = [{**c, "aim_ns": aim_ns} for c in EXAMPLE["settings"]["classes"]]
@@ -57,7 +58,7 @@
         self.again: set[str] = set()
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
-        """Serve it, or queue it where all slots are taken."""
+        """Serve an attempt, or queue it if all slots are in use."""
         server = self.address_by_link[e.connection]
         self.records[e.attempt_id].attempts.append(AttemptRecord(self.now, server, ""))
         self.killed.discard((e.connection, e.attempt_id))
@@ -67,7 +68,7 @@
             self.queue.setdefault(server, deque()).append(e)
 
     def serve(self, server: str, e: effects.SendAttempt) -> None:
-        """Take a slot and schedule the answer and the slot's release."""
+        """Occupy a slot and schedule the response and the slot's release."""
         self.busy[server] = self.busy.get(server, 0) + 1
         failing = TROUBLE[0] <= self.now - START < TROUBLE[1]
         fate = "broke" if failing and self.random.random() < 0.5 else "done"
@@ -82,7 +83,7 @@
         self.schedule(done, server)
 
     def custom_event(self, server: str) -> None:
-        """Release a slot to the next attempt that is still wanted."""
+        """Release a slot to the next queued attempt that was not cancelled."""
         self.busy[server] -= 1
         waiting = self.queue.get(server, deque())
         while waiting:
@@ -92,7 +93,7 @@
                 return
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
-        """Besides, note cancelled attempts and let refused clients ask once more."""
+        """Also record cancelled attempts, and let clients retry once after a rejection or failure."""
         super().carry_out(effect_list)
         for e in effect_list:
             if isinstance(e, effects.CancelAttempt):
@@ -109,7 +110,7 @@
 
 
 def play(rules: str | None, seed: int, aim_ns: int) -> dict[str, tuple[float, float]]:
-    """Sends for each request and the share in time, by part of the run."""
+    """Run one variant: attempts for each request and the share answered in time, by period of the run."""
     world = Storm(rules, seed, aim_ns)
     arrivals, at = [], 0.0
     while at < END:
@@ -125,7 +126,7 @@
 
 
 def in_time(story: RequestRecord, aim_ns: int) -> bool:
-    """Whether the client had its answer within the aim, by its own retry if need be."""
+    """Whether the client got a response within the latency objective, possibly to its own retry."""
     for one in (story, story.client_retry):
         if one and one.final_effects and isinstance(one.final_effects[0][1], effects.SendResponse):
             return one.final_effects[0][0] - story.arrives_ns <= aim_ns
@@ -133,7 +134,7 @@
 
 
 def main() -> None:
-    """The table."""
+    """Run all variants and print the tables."""
     seeds = range(1, 1 + int(sys.argv[1] if len(sys.argv) > 1 else 3))
     print(f"{RATE:.0f} requests a second, seeds {seeds.start} to {seeds.stop - 1}")
     print("sends for each request, share in time (its ratio to no budget)")
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,10 +1,10 @@
-"""What a bad change costs all at once, one by one, or in judged stages; and what a rollout takes.
+"""Cost of a bad change that is made at all routers at once, one by one, or in judged stages.
 
     python -m benchmarks.rollout [--seeds 3] [--large]
 
-In virtual time (testbed/rollouts.py), with the very state machine and judgement of the program.  Harm is the
-number of requests that the change cost, and of routers that it touched.  `--large` adds the duration and the
-work of a controller at 10, 100 and 1,000 routers.
+In virtual time (testbed/rollouts.py), with the state machine and the judge of the program. Harm is the number
+of requests that failed because of the change, and the number of changed routers. `--large` adds the duration
+of a rollout and the controller's CPU time at 10, 100 and 1,000 routers.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def defect(share: float, cls: str = "", zone: str = "") -> Defect:
-    """So much more harm at the new build, in one class or zone if so wanted."""
+    """A regression of the new build by a share of requests, optionally in one class or zone only."""
     return lambda _, p, found: (
         share if p.build == "beef" and cls in ("", found) and zone in ("", p.zone) else 0.0
     )
@@ -37,7 +37,7 @@
 
 
 def at_once(world: SimulatedFleet) -> tuple[float, int, int]:
-    """Every router changed in the first second; people see it after ten minutes and take it back."""
+    """Change every router in the first second; operators notice after ten minutes and roll back."""
     for p in world.routers.values():
         world.start(p, "beef")
     for n in range(SECONDS):
@@ -49,7 +49,7 @@
 
 
 def one_by_one(world: SimulatedFleet) -> tuple[float, int, int]:
-    """One router every half minute without judgement; the same people."""
+    """Change one router every 30 s without a judge; operators roll back after ten minutes as well."""
     names = list(world.routers)
     for n in range(SECONDS):
         if n % 30 == 0 and n // 30 < len(names) and n < 600:
@@ -63,14 +63,14 @@
 
 
 def quiet(world: SimulatedFleet) -> None:
-    """A second of requests in which no rollout acts."""
+    """Run one second of requests in which the rollout does nothing."""
     rollout, world.rollout.outcome = world.rollout, RolloutOutcome.DONE
     world.run_second()
     world.rollout = rollout
 
 
 def staged(world: SimulatedFleet) -> tuple[float, int, int]:
-    """In stages, judged; a held one is taken back by people after ten minutes."""
+    """Run the judged rollout; if it is held, operators roll back after ten minutes."""
     outcome = world.run(SECONDS)
     seconds = (world.now - 1_000 * S) // S
     if outcome is RolloutOutcome.HELD:
@@ -80,7 +80,7 @@
 
 
 def main(words: list[str]) -> int:
-    """Print the tables."""
+    """Run all cases and print the tables."""
     seeds = int(words[words.index("--seeds") + 1]) if "--seeds" in words else 3
     print(f"12 routers in 3 zones, {seeds} seeds; requests harmed, routers touched, seconds\n")
     print(f"{'defect':24}{'all at once':>22}{'one by one':>22}{'staged':>22}{'staged/at once':>16}")
--- a/benchmarks/rollout_field.py
+++ b/benchmarks/rollout_field.py
@@ -1,11 +1,11 @@
-"""What a defective build costs on real processes: staged and judged, against all routers at once.
+"""Cost of a defective build on real processes, in a staged rollout and at all routers at once.
 
     python -m benchmarks.rollout_field [DEFECT ...]
 
-Six routers in two zones under load (testbed/field); builds with a defect (testbed/field/builds.py).  ``at
-once``: all are changed in the same instant and taken back after so many seconds as the staged rollout
-took.  Harm is the number of requests that were not served within 150 ms, less what the sound build has at the
-same load; printed with the routers touched and the ratio of the two ways.
+Six routers in two zones under load (testbed/field) run builds with a defect (testbed/field/builds.py). ``at
+once`` changes all routers together and reverts them after as many seconds as the staged rollout took. Harm is
+the number of requests that were not served within 150 ms; the row of the sound build has the number at the
+same load without a defect. Also printed: the number of changed routers, and the ratio of the two harms.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 
 def harmed(load: ClientLoad) -> int:
-    """Requests that were not served in time."""
+    """The number of requests that were not served in time."""
     return sum(
         not any(kind == "served" and at - a.at_ns <= AIM_NS for at, kind in a.answers) for a in load.calls
     )
 
 
 def staged(defect: str, folder: Path) -> tuple[int, int, float, str]:
-    """Requests harmed, routers touched, seconds, and how it ended."""
+    """Run a staged rollout: requests harmed, routers changed, seconds, and how it ended."""
     builds = {"old": ROOT, "new": build_program(folder / "new", defect)}
     with RouterField(2, 3, builds) as field:
         plan = field.rollout_plan(program_digest(builds["new"] / "kelpcroft"))
@@ -51,7 +51,7 @@
                 stderr=subprocess.DEVNULL,
             )
             while process.poll() is None and time.monotonic() - began < LONGEST_S:
-                for node in field.nodes.values():  # a supervisor: what died is started again as it was
+                for node in field.nodes.values():  # as a supervisor does: restart ended ones
                     if node.process and node.process.poll() is not None and defect == "crashes":
                         node.start(node.started_builds.pop())
                 time.sleep(0.1)
@@ -63,7 +63,7 @@
 
 
 def at_once(defect: str, folder: Path, seconds: float) -> int:
-    """Requests harmed where every router has it for so long."""
+    """Run every router with the defect for ``seconds``: requests harmed."""
     with (
         RouterField(2, 3, {"old": ROOT, "new": build_program(folder / "again", defect)}) as field,
         ClientLoad(field, PER_S, orders=5) as load,
@@ -84,7 +84,7 @@
 
 
 def main(words: list[str]) -> int:
-    """Print the table."""
+    """Run all defects and print the table."""
     print(f"| {'defect':20} | staged | touched | seconds | ended | at once | staged to at once |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for defect in words or DEFECTS:
--- a/benchmarks/rollout_judge.py
+++ b/benchmarks/rollout_judge.py
@@ -1,10 +1,10 @@
-"""How often the judgement of a rollout is wrong, over simulated rollouts, against the rates it states.
+"""Error rates of the rollout judge over simulated rollouts, compared with the stated rates.
 
     python -m benchmarks.rollout_judge [--runs 10000] [--seconds 600]
 
-Each run has one new and eleven old routers in one zone at some tens of requests a second, a minute of figures
-from before, requests that come at random, and a share of them that is not answered in time and wanders for
-both sides together (a lost hub, a slow store).  The new side has so much more harm than the old one, or none.
+Each run has one new and eleven old routers in one zone with some tens of requests a second, which arrive at
+random, and a baseline of one minute. The share of requests that are not answered in time drifts for both
+sides together, as with a lost parent or a slow origin. The new side has a given regression, or none.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def poisson(random: Random, mean: float) -> int:
-    """A count, by the normal law where that is near enough."""
+    """A Poisson-distributed count; above a mean of 50, the normal approximation."""
     if mean > 50:
         return max(0, round(random.gauss(mean, math.sqrt(mean))))
     count, product, limit = 0, random.random(), math.exp(-mean)
@@ -31,7 +31,7 @@
 
 
 def sample(random: Random, rate: float, harm: float) -> RequestSample:
-    """One second of one side."""
+    """One second of requests of one side."""
     asked = poisson(random, rate)
     bad = min(asked, poisson(random, asked * harm)) if asked else 0
     return RequestSample(asked, 2.0 * asked, 2.0 * (asked - bad))
@@ -40,7 +40,10 @@
 def rollout(
     random: Random, rate: float, usual: float, harm: float, own: float, seconds: int
 ) -> tuple[Verdict, int]:
-    """The verdict and after how many seconds; ``own``: what the new router's place always had more."""
+    """Run one rollout: the verdict, and the second at which it was reached.
+
+    ``own`` is the share by which the new router was worse already before the change.
+    """
     judge, wander = RegressionJudge(StopCriteria()), 0.0
     for _ in range(60):
         judge.add_baseline(True, {PLACE: sample(random, rate, usual + own)})
@@ -58,7 +61,7 @@
     return Verdict.UNDECIDED, seconds
 
 
-ROWS = (  # harm of the new, usual harm, its place's own, requests a second
+ROWS = (  # regression, usual late share, late share of the new router's own, requests a second
     (0.0, 0.02, 0.0, 30.0),
     (0.0, 0.10, 0.05, 30.0),
     (0.0, 0.05, 0.0, 10.0),
@@ -71,7 +74,7 @@
 
 
 def row(kind: tuple[float, float, float, float], runs: int, seconds: int) -> tuple[str, bool]:
-    """One line of the table, and whether a rate is above what is stated."""
+    """One line of the table, and whether its error rate exceeds the stated rate."""
     harm, usual, own, rate = kind
     rates = StopCriteria()
     random, found, took, slices, began = Random(7), dict.fromkeys(Verdict, 0), [], 0, perf_counter()
@@ -95,7 +98,7 @@
 
 
 def main(words: list[str]) -> int:
-    """Print the table; 1 where a rate is above what is stated."""
+    """Print the table: exit code 1 if an error rate exceeds the stated rate."""
     runs = int(words[words.index("--runs") + 1]) if "--runs" in words else 10_000
     seconds = int(words[words.index("--seconds") + 1]) if "--seconds" in words else 600
     rates = StopCriteria()
@@ -105,7 +108,7 @@
     )
     print("  harm  usual   own  req/s    worse     fine     open  median s  us/slice")
     bad = 0
-    with ProcessPoolExecutor() as pool:  # a row has its own seed: the same on any number of cores
+    with ProcessPoolExecutor() as pool:  # each row seeds its own generator: the same on any number of cores
         for line, wrong in pool.map(row, ROWS, [runs] * len(ROWS), [seconds] * len(ROWS)):
             print(line, flush=True)
             bad += wrong
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,9 +1,9 @@
-"""Resident memory and start time of what `run` starts, against an earlier commit.
+"""Resident memory and start time of the program that `run` starts, compared with an earlier commit.
 
     python -m benchmarks.start [COMMIT]
 
-Builds both in scratch folders as deploy/balancer.toml does (about two minutes), starts them in turns, without
-and with the operator's file, and prints medians and the ratio to the earlier commit.
+Builds both in temporary folders as deploy/balancer.toml does (about two minutes), starts them alternately,
+without and with the operator's file, and prints medians and the ratio to the earlier commit.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def built(commit: str, folder: Path) -> Path:
-    """A commit's compiled copy."""
+    """Build a commit: the folder of its compiled copy."""
     archive = subprocess.run(["git", "archive", commit], cwd=ROOT, check=True, capture_output=True).stdout
     folder.mkdir()
     subprocess.run(["tar", "x"], cwd=folder, input=archive, check=True)
@@ -33,7 +33,7 @@
 
 
 def started(program: Path, rules: str | None) -> tuple[float, float]:
-    """Milliseconds until it takes connections, and MB once it has served 200 requests."""
+    """Start a router: milliseconds until it accepts connections, and MB after 200 served requests."""
     with StandInServers() as world:
         began = time.monotonic()
         with RouterProcess(world, rules, program, release=True) as router:
@@ -46,7 +46,7 @@
 
 
 def main() -> None:
-    """The table."""
+    """Measure both programs and print the table."""
     commit = sys.argv[1] if len(sys.argv) > 1 else BEFORE
     rules = (ROOT / "examples/operator.kdl").read_text()
     with tempfile.TemporaryDirectory() as scratch:
