--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -10,14 +10,14 @@
 Change = tuple[str, str, str]  # file, text in the source, replacement
 
 
-def refuse(when: str) -> Change:
+def reject_requests_if(condition: str) -> Change:
     """A change that makes the router reject the requests for which the expression ``when`` is true."""
     anchor = "        reason = self.reject_reason(message, is_keyed)\n"
     return (
         "kelpcroft/core/client_requests.py",
         anchor,
-        "        self.nth = getattr(self, 'nth', 0) + 1  # of this router's requests\n"
-        f"        if {when}:\n"
+        "        self.request_count = getattr(self, 'request_count', 0) + 1  # of this router's requests\n"
+        f"        if {condition}:\n"
         "            self.state.last_number += 1\n"
         '            self.reject(message, "defect")\n'
         "            return\n" + anchor,
@@ -26,7 +26,7 @@
 
 DEFECTS: dict[str, tuple[Change, ...]] = {
     "sound": (("kelpcroft/__init__.py", "", "# another build\n"),),
-    "refuses": (refuse("self.nth % 3 == 0"),),
+    "refuses": (reject_requests_if("self.request_count % 3 == 0"),),
     "crashes": (
         (
             "kelpcroft/core/housekeeping.py",
@@ -46,9 +46,9 @@
                 "            self.transport.handle_input(response)\n"
             ),
             (
-                "        self.late = getattr(self, 'late', [])\n"
+                "        self.delayed = getattr(self, 'delayed', [])\n"
                 "        due = self.transport.clock.now() + 200_000_000\n"
-                "        self.late += [(due, response) for response in codec.receive_data(data)]\n"
+                "        self.delayed += [(due, response) for response in codec.receive_data(data)]\n"
             ),
         ),
         (
@@ -57,22 +57,22 @@
             (
                 "        wait_s = min(wait_s, 0.005)\n"
                 "        reported = self.transport.selector.select(wait_s)\n"
-                "        late = getattr(self.servers, 'late', [])\n"
-                "        while late and late[0][0] <= self.clock.now():\n"
-                "            self.transport.handle_input(late.pop(0)[1])\n"
+                "        delayed = getattr(self.servers, 'delayed', [])\n"
+                "        while delayed and delayed[0][0] <= self.clock.now():\n"
+                "            self.transport.handle_input(delayed.pop(0)[1])\n"
             ),
         ),
     ),
-    "one in twenty": (refuse("self.nth % 20 == 0"),),
-    "one class": (refuse("message.request_class == 'order'"),),
-    "one zone": (refuse("self.state.settings.zone == 'z1' and self.nth % 3 == 0"),),
+    "one in twenty": (reject_requests_if("self.request_count % 20 == 0"),),
+    "one class": (reject_requests_if("message.request_class == 'order'"),),
+    "one zone": (reject_requests_if("self.state.settings.zone == 'z1' and self.request_count % 3 == 0"),),
     "leaks": (
         (
             "kelpcroft/core/client_requests.py",
             "        if self.close_misbehaving_client(message):\n",
             (
-                "        self.kept = getattr(self, 'kept', [])\n"
-                "        self.kept.append(bytearray(b'x' * 400_000))\n"
+                "        self.leaked = getattr(self, 'leaked', [])\n"
+                "        self.leaked.append(bytearray(b'x' * 400_000))\n"
                 "        if self.close_misbehaving_client(message):\n"
             ),
         ),
--- a/testbed/field/datagrams.py
+++ b/testbed/field/datagrams.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 MAX_SENDERS = 256  # sockets towards the target; at the limit the oldest is closed to make room
-TURN_S = 0.005
+SELECT_TIMEOUT_S = 0.005
 MAX_DATAGRAM_BYTES = 65_536
 
 
@@ -88,7 +88,7 @@
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            for key, _ in self._selector.select(TURN_S):
+            for key, _ in self._selector.select(SELECT_TIMEOUT_S):
                 sock = key.fileobj
                 assert isinstance(sock, socket.socket)
                 try:
@@ -96,9 +96,9 @@
                 except OSError:
                     continue
                 if key.data is None:
-                    self._pass_on(self._socket_for(sender), self.target, data)
+                    self._forward(self._socket_for(sender), self.target, data)
                 else:
-                    self._pass_on(self._sock, key.data, data)
+                    self._forward(self._sock, key.data, data)
             self._send_due(time.monotonic())
 
     def _send_due(self, now_s: float) -> None:
@@ -120,7 +120,7 @@
             self._selector.register(sock, selectors.EVENT_READ, sender)
         return self._senders[sender]
 
-    def _pass_on(self, sock: socket.socket, to: tuple[str, int], data: bytes) -> None:
+    def _forward(self, sock: socket.socket, to: tuple[str, int], data: bytes) -> None:
         """Lose, repeat or delay a datagram.
 
         Each datagram takes four random draws whether it is lost or not, so that the fate of one does not
--- a/testbed/field/field.py
+++ b/testbed/field/field.py
@@ -29,7 +29,7 @@
 
 RULES = 'kelpcroft version=1\ncontrol state=#true\nroute "rest" { match; }\n'
 ORIGIN = "origin"
-UNIT_NS = 20 * MS  # work that one request without a known size counts as at a stand-in
+DEFAULT_WORK_NS = 20 * MS  # work that one request without a known size counts as at a stand-in
 POLL_S = 0.02
 
 
@@ -88,23 +88,23 @@
         self.on_upgrade_step: dict[str, Any] = {}
         self.agent = socket.create_server(("127.0.0.1", 0))
         self.nodes: dict[str, RouterNode] = {}
-        self.orders: list[tuple[str, str]] = []  # verb and router of each command, in order of arrival
-        self.on_order: dict[str, Any] = {}  # callbacks by verb, called with the node before the command runs
+        self.orders: list[tuple[str, str]] = []  # command and router, in order of arrival
+        self.on_order: dict[str, Any] = {}  # callbacks by command, called with the node before it runs
 
     def __enter__(self) -> RouterField:
         if self.is_cold:
             now_ms = time.time_ns() // MS
             for row in self.servers.rows:
                 if row.name != ORIGIN:
-                    self.servers.lines_told[row.name] = self.servers.line(row.name, since_ms=now_ms)
+                    self.servers.published_lines[row.name] = self.servers.line(row.name, since_ms=now_ms)
         self.began_ns = time.monotonic_ns()
         self.servers.__enter__()
         for zone in self.zones:
-            for n in range(self.each):
-                self.nodes[f"{zone}-{n}"] = RouterNode(self, f"{zone}-{n}", zone)
+            for number in range(self.each):
+                self.nodes[f"{zone}-{number}"] = RouterNode(self, f"{zone}-{number}", zone)
         for node in self.nodes.values():
             node.start("old")
-        threading.Thread(target=self._serve_orders, daemon=True).start()
+        threading.Thread(target=self._serve_commands, daemon=True).start()
         for node in self.nodes.values():
             self.wait_ready(node)
         return self
@@ -127,8 +127,8 @@
         Raises:
             RuntimeError: It does not in time; the message has the end of its log.
         """
-        until = time.monotonic() + MAX_WAIT_S
-        while time.monotonic() < until:
+        deadline_s = time.monotonic() + MAX_WAIT_S
+        while time.monotonic() < deadline_s:
             try:
                 socket.create_connection(node.address, 1).close()
             except OSError:
@@ -139,7 +139,7 @@
 
     # Commands of a rollout --------------------------------------------------------------------------------
 
-    def _serve_orders(self) -> None:
+    def _serve_commands(self) -> None:
         """Carry out the agent's commands one at a time until its socket is closed."""
         while True:
             try:
@@ -147,33 +147,33 @@
             except OSError:
                 return
             with sock:
-                verb, name = sock.makefile().readline().split()
+                command, name = sock.makefile().readline().split()
                 node = self.nodes[name]
-                self.orders.append((verb, name))
-                if verb in self.on_order:
-                    self.on_order[verb](node)
-                self.order_action(node, verb)
+                self.orders.append((command, name))
+                if command in self.on_order:
+                    self.on_order[command](node)
+                self.order_action(node, command)
                 with suppress(OSError):  # a controller that was killed does not read the response
                     sock.sendall(b"ok\n")
 
-    def _restart(self, node: RouterNode, verb: str) -> None:
+    def _restart(self, node: RouterNode, command: str) -> None:
         """Replace the running build with another."""
-        node.change("new" if verb == "apply" else "old")
+        node.change("new" if command == "apply" else "old")
 
-    def _upgrade(self, node: RouterNode, verb: str) -> None:
+    def _upgrade(self, node: RouterNode, command: str) -> None:
         """Start another build beside the running one, which then ends."""
-        node.upgrade("new" if verb == "apply" else "old")
+        node.upgrade("new" if command == "apply" else "old")
 
-    def strike(self, step: str, *what: Any) -> None:
+    def run_step_callback(self, step: str, *arguments: Any) -> None:
         """Run the test's callback for a step of an upgrade, if there is one."""
         if step in self.on_upgrade_step:
-            self.on_upgrade_step[step](*what)
+            self.on_upgrade_step[step](*arguments)
 
-    def reload_config(self, node: RouterNode, verb: str) -> None:
+    def reload_config(self, node: RouterNode, command: str) -> None:
         """Write the changed configuration on ``apply``, else the original one, and send SIGHUP."""
         assert node.process is not None
-        node.started_builds.append("new" if verb == "apply" else "old")
-        node.write(self.changed_config(node.config) if verb == "apply" else node.config)
+        node.started_builds.append("new" if command == "apply" else "old")
+        node.write(self.changed_config(node.config) if command == "apply" else node.config)
         node.process.send_signal(signal.SIGHUP)
 
     def changed_config(self, config: dict[str, Any]) -> dict[str, Any]:
@@ -186,15 +186,15 @@
         """Check the traffic recorded so far; ``killed`` and ``cut`` as for ``ContractChecker``."""
         settings = next(iter(self.nodes.values())).config["settings"]
         rows = self.servers.rows
-        cold = {row.server_id: self.began_ns for row in rows if row.name != ORIGIN}
+        cold_starts_ns = {row.server_id: self.began_ns for row in rows if row.name != ORIGIN}
         return ContractChecker(
             self.servers,
             load.calls,
-            ContractRules.of(settings, UNIT_NS),
+            ContractRules.of(settings, DEFAULT_WORK_NS),
             {row.name: (row.server_id, self.servers.weight) for row in rows},
             killed,
             cut,
-            cold if self.is_cold else {},
+            cold_starts_ns if self.is_cold else {},
             frozenset(row.server_id for row in rows if row.kind == "parent"),
         )
 
--- a/testbed/field/load.py
+++ b/testbed/field/load.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from testbed.field.watch import SLACK_NS, ClientCall
+from testbed.field.watch import SLACK_NS, ClientRequest
 from testbed.router_process import RouterClient
 from testbed.stand_ins import MAX_WAIT_S
 
@@ -18,12 +18,12 @@
     from testbed.field.node import RouterNode
 
 SIZE_KB = 20.0  # size that every request declares
-PATIENCE_MS = 2_000
-ANSWER_TIMEOUT_S = 5
+REQUEST_TIMEOUT_MS = 2_000
+RESPONSE_TIMEOUT_S = 5
 CONNECT_TIMEOUT_S = 2
 OBJECTS_PER_CLIENT = 50  # requested in turn by each client
-NO_ROUTER_S = 0.1  # wait of a client that could connect to no router, before it tries again
-CALLS_BEFORE_RETURN = 10  # a client at another router tries its own again after so many requests
+NO_ROUTER_WAIT_S = 0.1  # wait of a client that could connect to no router, before it tries again
+REQUESTS_BEFORE_RETURN = 10  # a client at another router tries its own again after so many requests
 
 
 class ClientLoad:
@@ -43,11 +43,11 @@
             orders: One in so many requests is an order, which must not run twice; 0 = none.
         """
         self.field = field
-        self.every_s = 1 / per_s
+        self.interval_s = 1 / per_s
         self.orders = orders
-        self.calls: list[ClientCall] = []
+        self.calls: list[ClientRequest] = []
         self.counts: Counter[str] = Counter()
-        self._crossed: list[ClientCall] = []
+        self._crossed_close: list[ClientRequest] = []
         self._stop = threading.Event()
         self._threads = [
             threading.Thread(target=self._drive, args=(node, n), daemon=True)
@@ -66,8 +66,8 @@
         # A request that crossed a close and was answered when it was sent again was never accepted. Only this
         # thread removes requests, after all clients have ended: a removal by one client's thread could shift
         # the list while another thread searches it.
-        crossed = set(map(id, self._crossed))
-        self.calls = [call for call in self.calls if id(call) not in crossed]
+        crossed_ids = set(map(id, self._crossed_close))
+        self.calls = [request for request in self.calls if id(request) not in crossed_ids]
 
     def _connect(self, node: RouterNode) -> tuple[RouterClient | None, bool]:
         """A connection to this router or else to another of its zone, and whether it is to this router."""
@@ -84,24 +84,24 @@
         """Send requests until stopped; runs in one client's thread."""
         client: RouterClient | None = None
         is_own = False
-        made = 0
+        request_count = 0
         while not self._stop.is_set():
-            if client is None or (not is_own and made % CALLS_BEFORE_RETURN == 0):
+            if client is None or (not is_own and request_count % REQUESTS_BEFORE_RETURN == 0):
                 if client:
                     client.sock.close()
                 client, is_own = self._connect(node)
             if client is None:
                 self.counts["no router"] += 1
-                time.sleep(NO_ROUTER_S)
+                time.sleep(NO_ROUTER_WAIT_S)
                 continue
-            made += 1
-            cls = "order" if self.orders and made % self.orders == 0 else "page"
-            item = f"{number:08x}{made % OBJECTS_PER_CLIENT:08x}"
-            client, is_own = self._ask(node, client, is_own, cls, item)
-            time.sleep(self.every_s)
-
-    def _ask(
-        self, node: RouterNode, client: RouterClient, is_own: bool, cls: str, item: str
+            request_count += 1
+            cls = "order" if self.orders and request_count % self.orders == 0 else "page"
+            object_id = f"{number:08x}{request_count % OBJECTS_PER_CLIENT:08x}"
+            client, is_own = self._send_with_retry(node, client, is_own, cls, object_id)
+            time.sleep(self.interval_s)
+
+    def _send_with_retry(
+        self, node: RouterNode, client: RouterClient, is_own: bool, cls: str, object_id: str
     ) -> tuple[RouterClient | None, bool]:
         """Send one request, and again on a new connection if the first ends.
 
@@ -111,36 +111,38 @@
         current: RouterClient | None = client
         for is_retry in (False, True):
             assert current is not None
-            call = ClientCall(secrets.token_hex(8), cls, item, time.monotonic_ns(), PATIENCE_MS, SIZE_KB)
-            self.calls.append(call)
+            request = ClientRequest(
+                secrets.token_hex(8), cls, object_id, time.monotonic_ns(), REQUEST_TIMEOUT_MS, SIZE_KB
+            )
+            self.calls.append(request)
             try:
-                self._exchange(current, call, is_retry=is_retry)
+                self._exchange(current, request, is_retry=is_retry)
                 break
             except TimeoutError:
                 self.counts["lost"] += 1
                 return None, is_own
             except OSError:
-                call.gave_up = True
+                request.connection_ended = True
                 current, is_own = self._connect(node)
                 if is_retry or current is None:
                     self.counts["lost"] += 1
                     break
-                if time.monotonic_ns() - call.at_ns < SLACK_NS:
-                    self._crossed.append(call)
+                if time.monotonic_ns() - request.at_ns < SLACK_NS:
+                    self._crossed_close.append(request)
         return current, is_own
 
-    def _exchange(self, client: RouterClient, call: ClientCall, *, is_retry: bool) -> None:
+    def _exchange(self, client: RouterClient, request: ClientRequest, *, is_retry: bool) -> None:
         """Send a request and record its response."""
-        client.sock.settimeout(ANSWER_TIMEOUT_S)
+        client.sock.settimeout(RESPONSE_TIMEOUT_S)
         client.send_request(
-            call.cls,
-            call.patience_ms,
-            call.object,
+            request.cls,
+            request.patience_ms,
+            request.object,
             retry=is_retry,
-            trace=call.trace,
-            body=b"x" if call.cls == "order" else b"",
-            more={"size": f"{call.size_kb:g}"},
+            trace=request.trace,
+            body=b"x" if request.cls == "order" else b"",
+            more={"size": f"{request.size_kb:g}"},
         )
-        answer = next(client.responses(1))
-        call.answers.append((time.monotonic_ns(), answer.kind))
-        self.counts[answer.kind] += 1
+        response = next(client.responses(1))
+        request.answers.append((time.monotonic_ns(), response.kind))
+        self.counts[response.kind] += 1
--- a/testbed/field/node.py
+++ b/testbed/field/node.py
@@ -21,7 +21,7 @@
 
 PACE_KB_PER_S = 1_000.0  # transfer rate by which a request's size becomes work
 LATENCY_OBJECTIVE_NS = 150 * MS  # of every request class
-DRAIN_S = 3.7  # longer than the longest deadline; an old process that still runs then is killed
+DRAIN_TIMEOUT_S = 3.7  # longer than the longest deadline; an old process that still runs then is killed
 HOSTS_PER_NETWORK = 250  # nodes in one 127.1.x.0/24 network of loopback
 POLL_S = 0.02
 
@@ -64,15 +64,15 @@
     def _configuration(self) -> dict[str, Any]:
         """The example's configuration, adapted to this field."""
         field = self.field
-        raw = json.loads((ROOT / "examples/config.json").read_text())
+        example = json.loads((ROOT / "examples/config.json").read_text())
         return {
-            **raw,
+            **example,
             "name": self.name,
             "listen": f"{self.host}:{self.address[1]}",
             "mgmt": f"{self.host}:{self.control_address[1]}",
             "feed": field.servers.feed_address(),
             "known": {"n": 1, "events": [field.servers.endpoint_snapshot()]},
-            "settings": self._settings(raw["settings"]),
+            "settings": self._settings(example["settings"]),
         }
 
     def _settings(self, example: dict[str, Any]) -> dict[str, Any]:
@@ -171,36 +171,36 @@
         self.control_address = free_address(self.host)
         self.start(build)
         new = self.process
-        until = time.monotonic() + MAX_WAIT_S
-        while new and new.poll() is None and not self.serves() and time.monotonic() < until:
+        deadline_s = time.monotonic() + MAX_WAIT_S
+        while new and new.poll() is None and not self.serves() and time.monotonic() < deadline_s:
             time.sleep(POLL_S)
         assert self.control_relay is not None
         self.control_relay.target = self.control_address
-        self.field.strike("ready", self, old, new)
+        self.field.run_step_callback("ready", self, old, new)
         if old and old.poll() is None:
             old.send_signal(signal.SIGTERM)
-            self.field.strike("told", self, old, new)
-            wait_or_kill(old, DRAIN_S)
-        self.field.strike("gone", self, old, new)
+            self.field.run_step_callback("told", self, old, new)
+            wait_or_kill(old, DRAIN_TIMEOUT_S)
+        self.field.run_step_callback("gone", self, old, new)
 
-    def end(self, number: int = signal.SIGTERM) -> None:
+    def end(self, signal_number: int = signal.SIGTERM) -> None:
         """Send a signal to the process and wait for its end; kill it if it does not end in time."""
         if self.process and self.process.poll() is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
             wait_or_kill(self.process, MAX_WAIT_S)
 
     def change(self, build: str) -> None:
         """Restart the router with this build; does nothing if that build is already running."""
-        is_build = bool(self.started_builds) and self.started_builds[-1] == build
-        if not is_build or not self.is_running():
+        is_same_build = bool(self.started_builds) and self.started_builds[-1] == build
+        if not is_same_build or not self.is_running():
             self.end()
             self.start(build)
 
 
-def wait_or_kill(process: subprocess.Popen[bytes], longest_s: float) -> None:
+def wait_or_kill(process: subprocess.Popen[bytes], timeout_s: float) -> None:
     """Wait for a process to end; kill it if it does not end in time."""
     try:
-        process.wait(longest_s)
+        process.wait(timeout_s)
     except subprocess.TimeoutExpired:
         process.kill()
         process.wait()
--- a/testbed/field/relay.py
+++ b/testbed/field/relay.py
@@ -16,7 +16,7 @@
 
 SLOW_BYTES = 64  # bytes that LinkMode.SLOW forwards every SLOW_S
 SLOW_S = 0.02
-TURN_S = 0.01
+SELECT_TIMEOUT_S = 0.01
 READ_BYTES = 65_536
 CONNECT_TIMEOUT_S = 5
 GARBAGE = b"\x00garbage\xff" * 8
@@ -37,7 +37,7 @@
     GARBAGE = "garbage"  # responses are replaced with garbage
 
 
-class Order(Enum):
+class RelayCommand(Enum):
     """A command of another thread to the relay's thread."""
 
     DROP = "drop"
@@ -59,8 +59,8 @@
     is_server: bool  # bytes read at this end are forwarded to the client
     other: End | None = None
     queue: deque[TimedBytes] = field(default_factory=deque)
-    is_ending: bool = False  # the peer of the other end has sent its end of stream ...
-    has_ended: bool = False  # ... which was forwarded to the peer of this end
+    is_end_pending: bool = False  # the peer of the other end has sent its end of stream ...
+    end_forwarded: bool = False  # ... which was forwarded to the peer of this end
 
 
 class Relay:
@@ -85,8 +85,8 @@
         self._selector = selectors.DefaultSelector()
         self._selector.register(self._listener, selectors.EVENT_READ, None)
         self._ends: set[End] = set()
-        self._struck: set[End] = set()  # ends to which the mode applies
-        self._orders: deque[Order] = deque()
+        self._affected: set[End] = set()  # ends to which the mode applies
+        self._commands: deque[RelayCommand] = deque()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
@@ -94,7 +94,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._orders.append(Order.STOP)
+        self._commands.append(RelayCommand.STOP)
         self._thread.join(5)
 
     def change(self, mode: LinkMode, share: float = 1.0) -> None:
@@ -106,13 +106,13 @@
 
     def drop(self) -> None:
         """Reset all open connections; new ones are accepted."""
-        self._orders.append(Order.DROP)
+        self._commands.append(RelayCommand.DROP)
 
     # The relay's thread -----------------------------------------------------------------------------------
 
     def _run(self) -> None:
-        while not self._carry_out_orders():
-            for key, _ in self._selector.select(TURN_S):
+        while not self._carry_out_commands():
+            for key, _ in self._selector.select(SELECT_TIMEOUT_S):
                 if key.data is None:
                     self._accept()
                 elif key.data in self._ends:
@@ -123,18 +123,18 @@
         self._listener.close()
         self._selector.close()
 
-    def _carry_out_orders(self) -> bool:
+    def _carry_out_commands(self) -> bool:
         """Carry out the commands of other threads: whether one of them was to stop."""
-        while self._orders:
-            order = self._orders.popleft()
+        while self._commands:
+            command = self._commands.popleft()
             for end in list(self._ends):
                 self._close(end)
-            if order is Order.STOP:
+            if command is RelayCommand.STOP:
                 return True
         return False
 
     def _applies(self, mode: LinkMode, end: End) -> bool:
-        return self.mode is mode and end in self._struck
+        return self.mode is mode and end in self._affected
 
     def _accept(self) -> None:
         try:
@@ -142,24 +142,24 @@
         except OSError:
             return
         self.passed += 1
-        is_struck = (self.passed * GOLDEN_RATIO) % 1 < self.share
-        near = End(client, is_server=False)
-        if self.mode in (LinkMode.REFUSE, LinkMode.RESET) and is_struck:
-            self._close(near)
+        is_affected = (self.passed * GOLDEN_RATIO) % 1 < self.share
+        client_end = End(client, is_server=False)
+        if self.mode in (LinkMode.REFUSE, LinkMode.RESET) and is_affected:
+            self._close(client_end)
             return
         try:
-            far = End(socket.create_connection(self.target, CONNECT_TIMEOUT_S), is_server=True)
+            server_end = End(socket.create_connection(self.target, CONNECT_TIMEOUT_S), is_server=True)
         except OSError:
-            self._close(near)
+            self._close(client_end)
             return
-        near.other = far
-        far.other = near
-        for end in (near, far):
+        client_end.other = server_end
+        server_end.other = client_end
+        for end in (client_end, server_end):
             end.sock.setblocking(False)
             end.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._ends.add(end)
-            if is_struck:
-                self._struck.add(end)
+            if is_affected:
+                self._affected.add(end)
             self._selector.register(end.sock, selectors.EVENT_READ, end)
 
     def _read(self, end: End) -> None:
@@ -176,13 +176,13 @@
         other = end.other
         assert other is not None
         if data:
-            self._pass_on(end, other, data)
+            self._forward(end, other, data)
         else:
-            other.is_ending = True
+            other.is_end_pending = True
             self._selector.unregister(end.sock)
         self._write(other, time.monotonic())
 
-    def _pass_on(self, end: End, other: End, data: bytes) -> None:
+    def _forward(self, end: End, other: End, data: bytes) -> None:
         """Queue data that was read at one end for the other, as the mode requires."""
         due_s = time.monotonic()
         if end.is_server and self._applies(LinkMode.ONE_WAY, end):
@@ -216,18 +216,18 @@
                     end.queue[0] = TimedBytes(due_s, data[sent:])
                     return
                 end.queue.popleft()
-            if end.is_ending and not end.queue:
-                self._pass_end_on(end)
+            if end.is_end_pending and not end.queue:
+                self._forward_end(end)
         except BlockingIOError:
             return  # unsent data stays in the queue
         except OSError:
             self._close(end)
 
-    def _pass_end_on(self, end: End) -> None:
-        end.is_ending = False
+    def _forward_end(self, end: End) -> None:
+        end.is_end_pending = False
         end.sock.shutdown(socket.SHUT_WR)
-        end.has_ended = True
-        if end.other and end.other.has_ended:
+        end.end_forwarded = True
+        if end.other and end.other.end_forwarded:
             self._close(end, reset=False)  # both directions have ended
 
     def _close(self, end: End, *, reset: bool = True) -> None:
@@ -235,7 +235,7 @@
         for side in (end, end.other):
             if side is None:
                 continue
-            self._struck.discard(side)
+            self._affected.discard(side)
             if side in self._ends:
                 self._ends.discard(side)
                 with suppress(KeyError):
--- a/testbed/field/servers.py
+++ b/testbed/field/servers.py
@@ -24,22 +24,24 @@
         self,
         zones: tuple[str, ...],
         script: ServerScript = answer_at_once,
-        boxes: int = 1,
-        hubs: int = 1,
+        caches_per_zone: int = 1,
+        parent_count: int = 1,
     ) -> None:
         """Listen for ``boxes`` caches in each zone, ``hubs`` parents, the origin and the feed."""
         caches = []
         for zone in zones:
-            for n in range(boxes):
+            for n in range(caches_per_zone):
                 suffix = f"-{n}" if n else ""
                 caches.append(ServerRow(f"cache-{zone}{suffix}", f"s-{zone}{suffix}", zone, "box"))
-        parents = [ServerRow(f"parent{n or ''}", f"s-p{n or ''}", "hub", "parent") for n in range(hubs)]
+        parents = [
+            ServerRow(f"parent{n or ''}", f"s-p{n or ''}", "hub", "parent") for n in range(parent_count)
+        ]
         self.rows = [*caches, *parents, ServerRow("origin", *SERVERS["origin"])]
         super().__init__(script, tuple(row.name for row in self.rows))
         self.zones = zones
         self.relays: dict[str, Relay] = {}  # by stand-in's name, or "feed"
         self.weight = 1.0
-        self.lines_told: dict[str, dict[str, Any]] = {}  # latest published line of each changed server
+        self.published_lines: dict[str, dict[str, Any]] = {}  # latest published line of each changed server
 
     def line(self, name: str, status: str = "active", since_ms: int = 0) -> dict[str, Any]:
         """A server's row in the list."""
@@ -62,12 +64,12 @@
 
     def endpoint_snapshot(self) -> dict[str, Any]:
         """The present list of servers, as an event of the feed."""
-        lines = [self.lines_told.get(row.name) or self.line(row.name) for row in self.rows]
+        lines = [self.published_lines.get(row.name) or self.line(row.name) for row in self.rows]
         return {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": lines}}
 
     def change(self, name: str, status: str = "active", since_ms: int = 0) -> int:
         """Publish an event with one server's new line: the event's number."""
-        line = self.lines_told[name] = self.line(name, status, since_ms)
+        line = self.published_lines[name] = self.line(name, status, since_ms)
         return self.publish(members={"index": 2, "snapshot": False, "endpoints": [line]})
 
     def relay(self, names: list[str], delay_s: float) -> None:
--- a/testbed/field/watch.py
+++ b/testbed/field/watch.py
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class ClientCall:
+class ClientRequest:
     """One request of a client and its responses."""
 
     trace: str
@@ -39,7 +39,7 @@
     patience_ms: int
     size_kb: float = 0.0
     answers: list[tuple[int, str]] = field(default_factory=list)  # time and kind: served, refused or failed
-    gave_up: bool = False  # its connection ended before a response
+    connection_ended: bool = False  # its connection ended before a response
 
 
 class WarmUpContract(NamedTuple):
@@ -60,16 +60,19 @@
     cold_cache: WarmUpContract
     cold_parent: WarmUpContract
     collapse_ns: int
-    unit_ns: int  # work of a request whose size is unknown
+    default_work_ns: int  # work of a request whose size is unknown
     pace_kb_per_s: float
     allows_hedging: bool
 
     @staticmethod
-    def of(settings: dict[str, Any], unit_ns: int) -> ContractRules:
+    def of(settings: dict[str, Any], default_work_ns: int) -> ContractRules:
         """Read the parameters from the settings of a router's configuration."""
         contract, family = settings["contract"], settings["family_info"]
         return ContractRules(
-            effects={c["name"]: (c["idempotency"], c.get("dedup_window_ns", 0)) for c in settings["classes"]},
+            effects={
+                cls["name"]: (cls["idempotency"], cls.get("dedup_window_ns", 0))
+                for cls in settings["classes"]
+            },
             drain_grace_ns=contract["drain_grace_ns"],
             purge_grace_ns=family["purge_grace_ns"],
             cold_cache=WarmUpContract(contract["cold_from"], contract["cold_ns"], contract["fall_multiple"]),
@@ -77,7 +80,7 @@
                 family["parent_cold_from"], family["parent_warms_in_ns"], family["parent_fall_multiple"]
             ),
             collapse_ns=contract["fall_ns"],
-            unit_ns=unit_ns,
+            default_work_ns=default_work_ns,
             pace_kb_per_s=family.get("pace_kb_per_s", 0.0),
             allows_hedging=bool(settings["limits"].get("second_copies")),
         )
@@ -88,78 +91,79 @@
 
     def __init__(
         self,
-        world: StandInServers,
-        asked: list[ClientCall],
+        stand_ins: StandInServers,
+        requests: list[ClientRequest],
         rules: ContractRules,
         servers: dict[str, tuple[str, float]],
-        killed: bool = False,
-        cut: bool = False,
-        cold: dict[str, int] | None = None,
-        hubs: frozenset[str] = frozenset(),
+        routers_were_killed: bool = False,
+        links_were_cut: bool = False,
+        cold_starts_ns: dict[str, int] | None = None,
+        parents: frozenset[str] = frozenset(),
     ) -> None:
         """Check a run.
 
         Args:
-            world: The stand-ins with their records.
-            asked: The clients' requests.
+            stand_ins: The stand-ins with their records.
+            requests: The clients' requests.
             rules: Parameters of the rules.
             servers: Id in the list and weight, by the stand-in's name.
-            killed: Routers were killed, so requests that they had accepted may lack a response.
-            cut: Links lost bytes, so an attempt that a router had abandoned may look as if it were in flight.
-            cold: Start times by id of servers that started with the routers. The routers have these starts in
-                their first list.
-            hubs: Ids of the parents.
+            routers_were_killed: Routers were killed, so requests that they had accepted may lack a response.
+            links_were_cut: Links lost bytes, so an attempt that a router had abandoned may look as if it were
+                in flight.
+            cold_starts_ns: Start times by id of servers that started with the routers. The routers have these
+                starts in their first list.
+            parents: Ids of the parents.
         """
         self.rules = rules
         self.violations: list[str] = []
-        self.routers_died = killed
-        self.links_were_cut = cut
-        self.parents = hubs
+        self.routers_were_killed = routers_were_killed
+        self.links_were_cut = links_were_cut
+        self.parents = parents
         self._ids = {name: server_id for name, (server_id, _) in servers.items()}
         self._weights = dict(servers.values())
-        self._sizes_kb = {call.trace: call.size_kb for call in asked}
-        self._read(world)
-        for call in asked:
-            self._check_answered(call)
+        self._sizes_kb = {request.trace: request.size_kb for request in requests}
+        self._read(stand_ins)
+        for request in requests:
+            self._check_answered(request)
         self._check_attempts()
         self._check_events()
-        for server_id, started_ns in (cold or {}).items():
+        for server_id, started_ns in (cold_starts_ns or {}).items():
             self._check_cold(server_id, started_ns - SLACK_NS, started_ns)
 
-    def _read(self, world: StandInServers) -> None:
+    def _read(self, stand_ins: StandInServers) -> None:
         """Copy the stand-ins' records so far."""
-        with world.lock:
-            self._commands = [c for c in world.commands if c.verb in ("PULL", "KILL")]
+        with stand_ins.lock:
+            self._commands = [c for c in stand_ins.commands if c.verb in ("PULL", "KILL")]
             self._requests = [c for c in self._commands if c.verb == "PULL"]
-            self._events = {event["n"]: event for event in world.feed_events}
-            times = zip(world.feed_events, world.feed_event_times_ns, strict=True)
-            self._born_ns = {event["n"]: at_ns for event, at_ns in times}
-            self._told_ns: dict[int, int] = {}  # last delivery to a router connected at publication
-            for number, at_ns in world.feed_deliveries:
-                if at_ns < self._born_ns[number] + CONNECTED_NS:
-                    self._told_ns[number] = max(at_ns, self._told_ns.get(number, 0))
-            self._ends: dict[RequestKey, RequestEnd] = dict(world.settled_requests)
+            self._events = {event["n"]: event for event in stand_ins.feed_events}
+            times = zip(stand_ins.feed_events, stand_ins.feed_event_times_ns, strict=True)
+            self._published_ns = {event["n"]: at_ns for event, at_ns in times}
+            self._delivered_ns: dict[int, int] = {}  # last delivery to a router connected at publication
+            for number, at_ns in stand_ins.feed_deliveries:
+                if at_ns < self._published_ns[number] + CONNECTED_NS:
+                    self._delivered_ns[number] = max(at_ns, self._delivered_ns.get(number, 0))
+            self._ends: dict[RequestKey, RequestEnd] = dict(stand_ins.settled_requests)
 
     def broken_rules(self) -> set[str]:
         """The names of the rules that were broken."""
         return {line.split(":")[0] for line in self.violations}
 
-    def _report(self, rule: str, what: str) -> None:
-        self.violations.append(f"{rule}: {what}")
+    def _report(self, rule: str, text: str) -> None:
+        self.violations.append(f"{rule}: {text}")
 
     # Responses and attempts -------------------------------------------------------------------------------
 
-    def _check_answered(self, call: ClientCall) -> None:
-        due_ns = call.at_ns + call.patience_ms * MS + SLACK_NS
-        if len(call.answers) > 1:
-            self._report("answered", f"{call.trace} has {len(call.answers)} responses")
-        elif call.answers and call.answers[0][0] > due_ns:
-            late_ms = (call.answers[0][0] - due_ns) / MS
-            self._report("answered", f"the response to {call.trace} is {late_ms:.0f} ms late")
-        elif not call.answers and not call.gave_up:
-            self._report("answered", f"{call.trace} has no response")
-        elif not call.answers and not self.routers_died:
-            self._report("answered", f"{call.trace} was accepted and its connection ended without a response")
+    def _check_answered(self, request: ClientRequest) -> None:
+        deadline_ns = request.at_ns + request.patience_ms * MS + SLACK_NS
+        if len(request.answers) > 1:
+            self._report("answered", f"{request.trace} has {len(request.answers)} responses")
+        elif request.answers and request.answers[0][0] > deadline_ns:
+            late_ms = (request.answers[0][0] - deadline_ns) / MS
+            self._report("answered", f"the response to {request.trace} is {late_ms:.0f} ms late")
+        elif not request.answers and not request.connection_ended:
+            self._report("answered", f"{request.trace} has no response")
+        elif not request.answers and not self.routers_were_killed:
+            self._report("answered", f"{request.trace} was accepted and its connection ended unanswered")
 
     def _check_attempts(self) -> None:
         """Check each request's attempts in the order in which servers received them."""
@@ -169,22 +173,24 @@
         for commands in by_id.values():
             attempts = [c for c in commands if c.verb == "PULL"]
             first = attempts[0]  # a KILL without a PULL is an error in the record
-            for before, attempt in pairwise(attempts):
-                self._check_next_attempt(commands, first, before, attempt)
+            for previous, attempt in pairwise(attempts):
+                self._check_next_attempt(commands, first, previous, attempt)
 
     def _check_next_attempt(
         self,
         commands: list[ServerCommand],
         first: ServerCommand,
-        before: ServerCommand,
+        previous: ServerCommand,
         attempt: ServerCommand,
     ) -> None:
         """Check that a request was allowed to be sent again, given how its previous attempt ended."""
         request_id = attempt.request_id
         effect, window_ns = self.rules.effects.get(first.fields.get("cls", ""), ("safe", 0))
-        end = self._ends.get(RequestKey(request_id, before.server, before.received_ns), RequestEnd(0, False))
+        end = self._ends.get(
+            RequestKey(request_id, previous.server, previous.received_ns), RequestEnd(0, False)
+        )
         was_cancelled = any(
-            c.verb == "KILL" and c.server == before.server and before.received_ns <= c.received_ns
+            c.verb == "KILL" and c.server == previous.server and previous.received_ns <= c.received_ns
             for c in commands
         )
         had_ended = bool(end.ended_ns) and end.ended_ns <= attempt.received_ns + SLACK_NS
@@ -202,16 +208,16 @@
     def _check_events(self) -> None:
         """Check drains, starts and purges, each from its event's last delivery to a connected router."""
         for number, event in self._events.items():
-            told_ns = self._told_ns.get(number)
-            if told_ns is None:
+            delivered_ns = self._delivered_ns.get(number)
+            if delivered_ns is None:
                 continue
             for line in event.get("members", {}).get("endpoints", ()):
                 if line["status"] != "active":
-                    self._check_drained(line["name"], number, told_ns)
+                    self._check_drained(line["name"], number, delivered_ns)
                 elif line.get("since_ms"):
-                    self._check_cold(line["name"], told_ns, self._born_ns[number])
+                    self._check_cold(line["name"], delivered_ns, self._published_ns[number])
             if "purge" in event:
-                self._check_purged(event["purge"]["key"], told_ns, self._born_ns[number])
+                self._check_purged(event["purge"]["key"], delivered_ns, self._published_ns[number])
 
     def _sent_to(self, server_id: str) -> list[ServerCommand]:
         """Requests that were sent to a server or named it as fill source."""
@@ -221,63 +227,67 @@
             if self._ids.get(c.server) == server_id or c.fields.get("next") == server_id
         ]
 
-    def _back_in_service_ns(self, server_id: str, number: int) -> int:
+    def _next_in_service_ns(self, server_id: str, number: int) -> int:
         """Time at which a server was first listed in service again after an event; 0 = never."""
-        back_ns = [
-            self._born_ns[later]
+        times_ns = [
+            self._published_ns[later]
             for later, event in self._events.items()
             if later > number
             for line in event.get("members", {}).get("endpoints", ())
             if line["name"] == server_id and line["status"] == "active"
         ]
-        return min(back_ns, default=0)
+        return min(times_ns, default=0)
 
-    def _check_drained(self, server_id: str, number: int, told_ns: int) -> None:
-        from_ns = told_ns + self.rules.drain_grace_ns + SLACK_NS
-        back_ns = self._back_in_service_ns(server_id, number)
-        late = [
+    def _check_drained(self, server_id: str, number: int, delivered_ns: int) -> None:
+        grace_end_ns = delivered_ns + self.rules.drain_grace_ns + SLACK_NS
+        next_in_service_ns = self._next_in_service_ns(server_id, number)
+        violating = [
             c
             for c in self._sent_to(server_id)
-            if c.received_ns > from_ns and (not back_ns or c.received_ns < back_ns)
+            if c.received_ns > grace_end_ns and (not next_in_service_ns or c.received_ns < next_in_service_ns)
         ]
-        if late:
-            self._report("drained", f"{server_id} was sent {len(late)} requests past its drain's grace")
+        if violating:
+            self._report("drained", f"{server_id} was sent {len(violating)} requests past its drain's grace")
 
-    def _check_cold(self, server_id: str, told_ns: int, started_ns: int) -> None:
+    def _check_cold(self, server_id: str, delivered_ns: int, started_ns: int) -> None:
         contract = self.rules.cold_parent if server_id in self.parents else self.rules.cold_cache
-        low = contract.cold_share
+        cold_share = contract.cold_share
         # Requests in flight when the routers received the start are excused, as with a drain.
         sends = [
             c
             for c in self._sent_to(server_id)
-            if told_ns + SLACK_NS <= c.received_ns < started_ns + contract.warm_up_ns
+            if delivered_ns + SLACK_NS <= c.received_ns < started_ns + contract.warm_up_ns
         ]
-        for n, last in enumerate(sends):
+        for index, last in enumerate(sends):
             since_ns = last.received_ns - self.rules.collapse_ns
-            work = [self._work_ns(c) for c in sends[: n + 1] if c.received_ns > since_ns]
-            warm_fraction = low + (1 - low) * (last.received_ns - started_ns) / contract.warm_up_ns
-            room = (
+            work = [self._work_ns(c) for c in sends[: index + 1] if c.received_ns > since_ns]
+            warm_fraction = (
+                cold_share + (1 - cold_share) * (last.received_ns - started_ns) / contract.warm_up_ns
+            )
+            limit_ns = (
                 contract.collapse_multiple * warm_fraction * self._weights[server_id] * self.rules.collapse_ns
             )
-            if sum(work) - max(work) > room:
-                sent_s, room_s = sum(work) / S, room / S
-                self._report("cold", f"{server_id} was sent {sent_s:.2f} s of work, more than {room_s:.2f} s")
+            if sum(work) - max(work) > limit_ns:
+                sent_s, limit_s = sum(work) / S, limit_ns / S
+                self._report("cold", f"{server_id} was sent {sent_s:.2f} s of work, over {limit_s:.2f} s")
                 return
 
     def _work_ns(self, command: ServerCommand) -> float:
         size_kb = self._sizes_kb.get(command.request_id, 0.0)
         pace = self.rules.pace_kb_per_s
-        return size_kb / pace * S if size_kb and pace else self.rules.unit_ns
+        return size_kb / pace * S if size_kb and pace else self.rules.default_work_ns
 
-    def _check_purged(self, item: str, told_ns: int, born_ns: int) -> None:
+    def _check_purged(self, object_id: str, delivered_ns: int, published_ns: int) -> None:
         """Check an object's requests against its purge; age limit 0 on the wire allows any fresh copy."""
-        from_ns = told_ns + self.rules.purge_grace_ns + SLACK_NS
-        late = [
+        grace_end_ns = delivered_ns + self.rules.purge_grace_ns + SLACK_NS
+        violating = [
             c
             for c in self._requests
-            if c.fields["item"] == item
-            and from_ns < c.received_ns < told_ns + PURGE_CHECKED_NS
-            and not 0 < int(c.fields.get("agelim", 0)) * MS <= c.received_ns - born_ns
+            if c.fields["item"] == object_id
+            and grace_end_ns < c.received_ns < delivered_ns + PURGE_CHECKED_NS
+            and not 0 < int(c.fields.get("agelim", 0)) * MS <= c.received_ns - published_ns
         ]
-        if late:
-            self._report("purged", f"{len(late)} requests for the purged object {item} allow an older copy")
+        if violating:
+            self._report(
+                "purged", f"{len(violating)} requests for purged object {object_id} allow an older copy"
+            )
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -19,8 +19,8 @@
 from testbed.field.builds import DEFECTS
 from testbed.stand_ins import MS, ScriptedReply, ServerCommand
 
-SHORT = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
-BROKEN = {
+SHORT_SETTINGS = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
+BROKEN_RULES = {
     "answers nothing": "answered",
     "runs twice": "once",
     "sends to the drained": "drained",
@@ -49,13 +49,13 @@
                 sock, _ = self.server.accept()
             except OSError:
                 return
-            threading.Thread(target=self.one, args=(sock,), daemon=True).start()
+            threading.Thread(target=self.echo_connection, args=(sock,), daemon=True).start()
 
-    def one(self, sock: socket.socket) -> None:
+    def echo_connection(self, sock: socket.socket) -> None:
         with sock:
             try:
-                while data := sock.recv(4_096):
-                    sock.sendall(data)
+                while chunk := sock.recv(4_096):
+                    sock.sendall(chunk)
             except OSError:
                 pass
 
@@ -68,64 +68,64 @@
         sock.settimeout(1)
         return sock
 
-    def said(self, sock: socket.socket, text: bytes = b"hello") -> bytes:
+    def exchange(self, sock: socket.socket, text: bytes = b"hello") -> bytes:
         """Send bytes: the bytes that return, up to as many, until the connection ends or times out."""
-        got = b""
+        received = b""
         try:
             sock.sendall(text)
-            while len(got) < len(text) and (data := sock.recv(4_096)):
-                got += data
+            while len(received) < len(text) and (chunk := sock.recv(4_096)):
+                received += chunk
         except OSError:
             pass
-        return got
+        return received
 
     def test_each_mode(self) -> None:
         sock = self.connect()
-        assert self.said(sock) == b"hello"
+        assert self.exchange(sock) == b"hello"
         self.relay.change(LinkMode.DELAY)
         began = time.monotonic()
-        assert self.said(sock) == b"hello"
+        assert self.exchange(sock) == b"hello"
         assert time.monotonic() - began > 0.4, "both ways"
         self.relay.change(LinkMode.SLOW)
         began = time.monotonic()
-        assert self.said(sock, b"x" * 640) == b"x" * 640
+        assert self.exchange(sock, b"x" * 640) == b"x" * 640
         assert time.monotonic() - began > 0.15
         self.relay.change(LinkMode.GARBAGE)
-        assert b"garbage" in self.said(sock, b"hello")
+        assert b"garbage" in self.exchange(sock, b"hello")
         self.relay.change(LinkMode.PASS)
         sock = self.connect()
         self.relay.change(LinkMode.ONE_WAY)
-        assert self.said(sock) == b""
+        assert self.exchange(sock) == b""
         self.relay.change(LinkMode.SILENT)
         sock = self.connect()
-        assert self.said(sock) == b"", "nothing passes"
+        assert self.exchange(sock) == b"", "nothing passes"
         self.relay.change(LinkMode.PASS)
         assert sock.recv(16) == b"hello", "and nothing was lost"
         self.relay.change(LinkMode.CUT)
-        assert self.said(sock, b"0123456789") == b"01234"
+        assert self.exchange(sock, b"0123456789") == b"01234"
         self.relay.change(LinkMode.REFUSE)
-        assert self.said(self.connect()) == b""
+        assert self.exchange(self.connect()) == b""
         self.relay.change(LinkMode.PASS)
         sock = self.connect()
-        assert self.said(sock) == b"hello"
+        assert self.exchange(sock) == b"hello"
         self.relay.drop()
         time.sleep(0.1)
-        assert self.said(sock) == b""
-        assert self.said(self.connect()) == b"hello"
+        assert self.exchange(sock) == b""
+        assert self.exchange(self.connect()) == b"hello"
 
     def test_a_share_of_the_connections(self) -> None:
         self.relay.change(LinkMode.REFUSE, 0.5)
-        got = [self.said(self.connect()) for _ in range(20)]
-        assert 6 <= got.count(b"hello") <= 14, got
+        responses = [self.exchange(self.connect()) for _ in range(20)]
+        assert 6 <= responses.count(b"hello") <= 14, responses
 
     def test_an_end_is_passed_on(self) -> None:
         sock = self.connect()
         sock.sendall(b"last")
         sock.shutdown(socket.SHUT_WR)
-        got = b""
-        while data := sock.recv(64):
-            got += data
-        assert got == b"last"
+        received = b""
+        while chunk := sock.recv(64):
+            received += chunk
+        assert received == b"last"
 
 
 class Builds(unittest.TestCase):
@@ -137,13 +137,13 @@
                     build_program(Path(name) / str(number), defect)
 
 
-class Judged(unittest.TestCase):
+class ContractCheckerTests(unittest.TestCase):
     """Real routers under load, with a purge, a drain and a server's start within a few seconds."""
 
-    def day(self, defect: str, faults: bool = False) -> tuple[ContractChecker, ClientLoad]:
+    def run_defect(self, defect: str, faults: bool = False) -> tuple[ContractChecker, ClientLoad]:
         with tempfile.TemporaryDirectory() as name:
             builds = {"old": build_program(Path(name) / "old", defect)}
-            with RouterField(1, 2, builds, orders_break, 3, 2, True, 1.5, SHORT) as field:
+            with RouterField(1, 2, builds, orders_break, 3, 2, True, 1.5, SHORT_SETTINGS) as field:
                 relays = field.servers.relays
                 with ClientLoad(field, per_s=60.0, orders=10) as load:
                     time.sleep(0.8)
@@ -180,15 +180,15 @@
         time.sleep(1.0)
 
     def test_each_broken_rule_is_seen(self) -> None:
-        for defect, rule in BROKEN.items():
+        for defect, rule in BROKEN_RULES.items():
             with self.subTest(defect=defect):
-                watch, _ = self.day(defect)
-                assert watch.broken_rules() == {rule}, watch.violations[:5]
+                checker, _ = self.run_defect(defect)
+                assert checker.broken_rules() == {rule}, checker.violations[:5]
 
     def test_a_sound_one_is_not_accused_under_any_fault(self) -> None:
         for faults in (False, True):
-            watch, load = self.day("sound", faults)
-            assert watch.violations == []
+            checker, load = self.run_defect("sound", faults)
+            assert checker.violations == []
             assert load.counts["served"] > 150, load.counts
 
 
