--- a/benchmarks/capacity/feed.py
+++ b/benchmarks/capacity/feed.py
@@ -9,7 +9,14 @@
 from typing import Any
 
 from testbed.hollow.configuration import FleetSize
-from testbed.hollow.processes import LineProcess, RealRouter, folder, hollow_routers, list_service, wait_for
+from testbed.hollow.processes import (
+    LineProcess,
+    RealRouter,
+    hollow_routers,
+    list_service,
+    temporary_folder,
+    wait_for,
+)
 
 SETTLE_S = 3.0  # wait after the start of all routers, before anything is counted
 ONE = FleetSize(routers=1)
@@ -53,7 +60,7 @@
 def spread(size: FleetSize, rate: float, seconds: float, rules: str = "", feed: str = "") -> dict[str, Any]:
     """Measure how long purges take until every router has applied them."""
     with list_service(size) as service:
-        at = feed or f"127.0.0.1:{service.first['port']}"
+        at = feed or f"127.0.0.1:{service.first_line['port']}"
         with hollow_routers(size, at, rules) as fleet:
             return watched(service, fleet, size, rate, seconds)
 
@@ -101,8 +108,8 @@
 def real(size: FleetSize, rate: float, seconds: float, program: Path) -> dict[str, Any]:
     """Measure real routers, started as `run` starts them, with purges: figures as of hollow ones."""
     with ExitStack() as stack:
-        service, scratch = stack.enter_context(list_service(size)), stack.enter_context(folder())
-        at = f"127.0.0.1:{service.first['port']}"
+        service, scratch = stack.enter_context(list_service(size)), stack.enter_context(temporary_folder())
+        at = f"127.0.0.1:{service.first_line['port']}"
         routers = [
             stack.enter_context(RealRouter(size, n, at, program, scratch)) for n in range(size.routers)
         ]
@@ -126,8 +133,8 @@
     events: int, age_s: float, program: Path, longest_s: float, rules: str = "", size: FleetSize = ONE
 ) -> dict[str, Any]:
     """Measure how a router, started as `run` starts it, catches up with ``events`` missed events."""
-    with list_service(size) as service, folder() as scratch:
-        feed = f"127.0.0.1:{service.first['port']}"
+    with list_service(size) as service, temporary_folder() as scratch:
+        feed = f"127.0.0.1:{service.first_line['port']}"
         with RealRouter(size, 0, feed, program, scratch, rules) as router:
             assert wait_for(lambda: service.ask(do="stats")["calls"] >= 3, 30), router.log.read_text()
             service.ask(do="mute", on=True)
@@ -146,7 +153,7 @@
                 "calls": after["calls"] - before["calls"],
                 "bytes": after["bytes_out"] - before["bytes_out"],
                 "usual_memory_kb": usual_kb,
-                "memory_kb_most": router.memory_kb(most=True),
+                "memory_kb_most": router.memory_kb(peak=True),
                 "cpu_s": round(router.cpu_s() - cpu, 2),
                 "log_lines": sum("feed." in line for line in router.log.read_text().splitlines()),
             }
--- a/benchmarks/capacity/replicas.py
+++ b/benchmarks/capacity/replicas.py
@@ -14,10 +14,10 @@
     ControlReplica,
     RealRouter,
     cpu_s,
-    folder,
     hollow_routers,
     list_service,
     memory_kb,
+    temporary_folder,
     wait_for,
 )
 
@@ -28,9 +28,9 @@
     """Measure purges at a rate through ``count`` replicas, of which ``dead`` are killed beforehand."""
     with ExitStack() as stack:
         service = stack.enter_context(list_service(size))
-        scratch = stack.enter_context(folder())
+        scratch = stack.enter_context(temporary_folder())
         replicas = [
-            ControlReplica(scratch, f"r{n}", [f"127.0.0.1:{service.first['port']}"], size=size)
+            ControlReplica(scratch, f"r{n}", [f"127.0.0.1:{service.first_line['port']}"], size=size)
             for n in range(count)
         ]
         for replica in replicas:
@@ -85,8 +85,8 @@
     size = FleetSize(routers=1)
     with ExitStack() as stack:
         service = stack.enter_context(list_service(size))
-        scratch = stack.enter_context(folder())
-        replica = ControlReplica(scratch, "r0", [f"127.0.0.1:{service.first['port']}"], size=size)
+        scratch = stack.enter_context(temporary_folder())
+        replica = ControlReplica(scratch, "r0", [f"127.0.0.1:{service.first_line['port']}"], size=size)
         stack.callback(replica.end)
         replica.start()
         rules = scratch / "rules.kdl"
@@ -110,6 +110,6 @@
             "calls": after["answers"] - before["answers"],
             "bytes": after["bytes_out"] - before["bytes_out"],
             "usual_memory_kb": usual_kb,
-            "memory_kb_most": router.memory_kb(most=True),
+            "memory_kb_most": router.memory_kb(peak=True),
             "cpu_s": round(router.cpu_s() - cpu, 2),
         }
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from testbed.hollow.configuration import FleetSize
-from testbed.hollow.processes import LineProcess, RealRouter, folder, wait_for
+from testbed.hollow.processes import LineProcess, RealRouter, temporary_folder, wait_for
 from testbed.stand_ins import ROOT
 
 ONE = FleetSize(routers=1, servers=12, zones=1)
@@ -19,12 +19,12 @@
     """Measure one router at ``rate`` requests a second, with responses of ``size_bytes`` bytes."""
     servers = LineProcess(["-m", "testbed.hollow.servers", "--bytes", str(size_bytes)])
     try:
-        with folder() as scratch:
-            known = {"n": 1, "events": [servers.first["members"]]}
+        with temporary_folder() as scratch:
+            known = {"n": 1, "events": [servers.first_line["members"]]}
             with RealRouter(
-                ONE, 0, servers.first["feed"], program, scratch, known=known, example=True
+                ONE, 0, servers.first_line["feed"], program, scratch, known=known, use_example_settings=True
             ) as router:
-                assert wait_for(router.answers, 20), router.log.read_text()
+                assert wait_for(router.accepts_connections, 20), router.log.read_text()
                 load(router, 50, 1)
                 before = router.cpu_s()
                 told = load(router, rate, seconds)
@@ -36,7 +36,7 @@
                     "cpu_share": cpu / seconds,
                     "cpu_us_per_request": 1e6 * cpu / max(1, told["sent"]),
                     "served_share": told["served"] / max(1, told["sent"]),
-                    "memory_kb": router.memory_kb(most=True),
+                    "memory_kb": router.memory_kb(peak=True),
                 }
     finally:
         servers.end()
--- a/testbed/hollow/configuration.py
+++ b/testbed/hollow/configuration.py
@@ -58,7 +58,7 @@
     """One router's configuration."""
     raw: dict[str, Any] = json.loads((ROOT / "examples/config.json").read_text())
     zones = [*size.zone_names(), "hub"]
-    family = {
+    family_info = {
         **raw["settings"]["family_info"],
         "hub_of": [size.zones] * len(zones),
         "instances_by_zone": size.routers_by_zone(),
@@ -67,12 +67,12 @@
         **raw["settings"],
         "az": size.zone_of(router),
         "dcs": zones,
-        "family_info": family,
+        "family_info": family_info,
         "instances": size.routers,
         "self_index": router,
         "weight_source": "nominal",
     }
-    first = {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": endpoints(size)}}
+    first_event = {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": endpoints(size)}}
     return {
         **raw,
         "name": f"r{router}",
@@ -80,6 +80,6 @@
         "mgmt": mgmt,
         "feed": feed,
         "seed": f"{router:016x}",
-        "known": {"n": 1, "events": [first]},
+        "known": {"n": 1, "events": [first_event]},
         "settings": settings,
     }
--- a/testbed/hollow/field.py
+++ b/testbed/hollow/field.py
@@ -11,7 +11,7 @@
 from testbed.hollow.configuration import FleetSize
 from testbed.hollow.processes import ControlReplica, LineProcess, hollow_routers, list_service, wait_for
 
-LONGEST_S = 20.0  # routers that have not caught up by then count as failed
+CATCH_UP_TIMEOUT_S = 20.0  # routers that have not caught up by then count as failed
 
 
 class ControlField:
@@ -34,13 +34,13 @@
 
     def __enter__(self) -> ControlField:
         try:
-            self.begin()
+            self.start()
         except BaseException:
             self.stack.close()
             raise
         return self
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start all processes and relays."""
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
         self.service_list = [self.stack.enter_context(list_service(self.size)) for _ in range(self.services)]
@@ -49,7 +49,7 @@
         self.upstream_relays: list[Relay] = []
         self.watcher_relays: list[Relay] = []
         for n in range(self.count):
-            port = self.service_list[n % self.services].first["port"]
+            port = self.service_list[n % self.services].first_line["port"]
             upstream = self.stack.enter_context(Relay(("127.0.0.1", port), delay_s=0.15))
             replica = ControlReplica(
                 self.folder, f"r{n}", [f"127.0.0.1:{upstream.address[1]}"], more=self.more, size=self.size
@@ -73,17 +73,17 @@
         """Send a command to a list service, by default the first: the number of its last event."""
         return int((service or self.service).ask(**order)["n"])
 
-    def is_caught_up(self, number: int, servers: int, longest_s: float = LONGEST_S) -> bool:
+    def is_caught_up(self, number: int, servers: int, timeout_s: float = CATCH_UP_TIMEOUT_S) -> bool:
         """Whether, in time, all routers have applied an event and use exactly ``servers`` servers."""
 
-        def found() -> bool:
+        def has_caught_up() -> bool:
             report = self.routers.ask()
-            known = [router[-1][0] if router else 0 for router in report["seen"]]
-            return min(known) >= number and set(report["in_service"]) == {servers}
+            last_events = [router[-1][0] if router else 0 for router in report["seen"]]
+            return min(last_events) >= number and set(report["in_service"]) == {servers}
 
-        return wait_for(found, longest_s, 0.1)
+        return wait_for(has_caught_up, timeout_s, 0.1)
 
     def watchers(self) -> list[int]:
         """The number of routers that watch each replica now."""
-        at = self.routers.ask()["at"]
-        return [at.count(relay.address[1]) for relay in self.watcher_relays]
+        feed_ports = self.routers.ask()["at"]
+        return [feed_ports.count(relay.address[1]) for relay in self.watcher_relays]
--- a/testbed/hollow/load.py
+++ b/testbed/hollow/load.py
@@ -19,43 +19,43 @@
 
 CONNECTIONS = 32
 OBJECTS = 500  # distinct objects, requested in turn
-DRAIN_S = 2.0  # wait for responses after the last request
-PATIENCE_MS = 2_000
+DRAIN_TIMEOUT_S = 2.0  # wait for responses after the last request
+REQUEST_TIMEOUT_MS = 2_000
 
 
 class Connection:
     """One connection and its outstanding requests."""
 
-    def __init__(self, at: tuple[str, int]) -> None:
-        self.sock = socket.create_connection(at, 10)
+    def __init__(self, address: tuple[str, int]) -> None:
+        self.sock = socket.create_connection(address, 10)
         self.sock.setblocking(False)
         self.unpacker = msgpack.Unpacker(raw=False, max_buffer_size=1 << 24)
         self.sent: dict[int, float] = {}
-        self.count = 0
+        self.request_count = 0
 
     def send(self, number: int) -> None:
         """Send one request."""
-        self.count += 1
+        self.request_count += 1
         fields = {
             "trace": secrets.token_hex(8),
-            "patience": str(PATIENCE_MS),
+            "patience": str(REQUEST_TIMEOUT_MS),
             "entity": f"{number % OBJECTS:016x}",
             "block": "0",
             "family": "1",
         }
-        self.sent[self.count] = time.monotonic()
-        self.sock.send(msgpack.packb([0, self.count, "page", [fields, b""]]))
+        self.sent[self.request_count] = time.monotonic()
+        self.sock.send(msgpack.packb([0, self.request_count, "page", [fields, b""]]))
 
 
-def played(at: tuple[str, int], rate: float, seconds: float) -> dict[str, Any]:
+def run_load(address: tuple[str, int], rate: float, seconds: float) -> dict[str, Any]:
     """Send requests at a rate for some seconds: the counts and latencies."""
     selector = selectors.DefaultSelector()
-    connections = [Connection(at) for _ in range(CONNECTIONS)]
+    connections = [Connection(address) for _ in range(CONNECTIONS)]
     for connection in connections:
         selector.register(connection.sock, selectors.EVENT_READ, connection)
-    began, sent, took, refused = time.monotonic(), 0, list[float](), 0
-    while time.monotonic() < began + seconds + DRAIN_S:
-        due = int(min(seconds, time.monotonic() - began) * rate)
+    started_s, sent, latencies_s, refused = time.monotonic(), 0, list[float](), 0
+    while time.monotonic() < started_s + seconds + DRAIN_TIMEOUT_S:
+        due = int(min(seconds, time.monotonic() - started_s) * rate)
         while sent < due:
             connections[sent % CONNECTIONS].send(sent)
             sent += 1
@@ -65,20 +65,20 @@
                 connection.unpacker.feed(connection.sock.recv(1 << 18))
             except BlockingIOError:
                 continue
-            for _, call, error, _ in connection.unpacker:
-                at_s = connection.sent.pop(call)
+            for _, number, error, _ in connection.unpacker:
+                sent_s = connection.sent.pop(number)
                 refused += error is not None
                 if error is None:
-                    took.append(time.monotonic() - at_s)
+                    latencies_s.append(time.monotonic() - sent_s)
         if sent >= rate * seconds and not any(c.sent for c in connections):
             break
-    took.sort()
+    latencies_s.sort()
     return {
         "sent": sent,
-        "served": len(took),
+        "served": len(latencies_s),
         "refused": refused,
-        "median_ms": took[len(took) // 2] * 1e3 if took else 0.0,
-        "p99_ms": took[int(0.99 * len(took))] * 1e3 if took else 0.0,
+        "median_ms": latencies_s[len(latencies_s) // 2] * 1e3 if latencies_s else 0.0,
+        "p99_ms": latencies_s[int(0.99 * len(latencies_s))] * 1e3 if latencies_s else 0.0,
     }
 
 
@@ -90,7 +90,7 @@
     parser.add_argument("--seconds", type=float, default=5)
     options = parser.parse_args()
     host, _, port = options.to.rpartition(":")
-    print(json.dumps(played((host, int(port)), options.rate, options.seconds)))
+    print(json.dumps(run_load((host, int(port)), options.rate, options.seconds)))
 
 
 if __name__ == "__main__":
--- a/testbed/hollow/processes.py
+++ b/testbed/hollow/processes.py
@@ -21,24 +21,24 @@
 from testbed.hollow.configuration import FleetSize, configuration
 from testbed.stand_ins import ROOT
 
-EACH_PROCESS = 100  # hollow routers in one process
-TICK_S = os.sysconf("SC_CLK_TCK")  # clock ticks per second in /proc/PID/stat
+ROUTERS_PER_PROCESS = 100  # hollow routers in one process
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # clock ticks per second in /proc/PID/stat
 
 
 class LineProcess:
     """A process that responds to each line on its standard input with a line of JSON."""
 
-    def __init__(self, words: list[str], cwd: Path = ROOT) -> None:
-        self.words = words
+    def __init__(self, arguments: list[str], cwd: Path = ROOT) -> None:
+        self.arguments = arguments
         self.process = subprocess.Popen(
-            [sys.executable, *words],
+            [sys.executable, *arguments],
             cwd=cwd,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
             text=True,
         )
-        self.first = self.read()
+        self.first_line = self.read()
 
     def read(self) -> dict[str, Any]:
         """Read the next line that the process prints.
@@ -49,18 +49,18 @@
         assert self.process.stdout
         line = self.process.stdout.readline()
         if not line:
-            raise RuntimeError(f"{self.words} has ended")
+            raise RuntimeError(f"{self.arguments} has ended")
         return json.loads(line)  # type: ignore[no-any-return]
 
-    def send(self, **order: Any) -> None:
+    def send(self, **command: Any) -> None:
         """Send one command."""
         assert self.process.stdin
-        self.process.stdin.write(json.dumps(order) + "\n")
+        self.process.stdin.write(json.dumps(command) + "\n")
         self.process.stdin.flush()
 
-    def ask(self, **order: Any) -> dict[str, Any]:
+    def ask(self, **command: Any) -> dict[str, Any]:
         """Send one command and wait for its response."""
-        self.send(**order)
+        self.send(**command)
         return self.read()
 
     def end(self) -> None:
@@ -83,20 +83,20 @@
 
 @contextmanager
 def hollow_routers(
-    size: FleetSize, feed: str, rules: str = "", each: int = EACH_PROCESS
+    size: FleetSize, feed: str, rules: str = "", per_process: int = ROUTERS_PER_PROCESS
 ) -> Iterator[list[LineProcess]]:
     """Start all routers of a fleet as hollow routers, up to ``each`` in one process."""
     with ExitStack() as stack:
-        found = []
-        for first in range(0, size.routers, each):
-            words = [
+        processes = []
+        for first in range(0, size.routers, per_process):
+            arguments = [
                 "-O",
                 "-m",
                 "testbed.hollow.routers",
                 "--first",
                 str(first),
                 "--count",
-                str(min(each, size.routers - first)),
+                str(min(per_process, size.routers - first)),
                 "--routers",
                 str(size.routers),
                 "--servers",
@@ -106,9 +106,9 @@
                 "--feed",
                 feed,
             ]
-            found.append(LineProcess([*words, *(["--rules", rules] if rules else [])]))
-            stack.callback(found[-1].end)
-        yield found
+            processes.append(LineProcess([*arguments, *(["--rules", rules] if rules else [])]))
+            stack.callback(processes[-1].end)
+        yield processes
 
 
 def free_port() -> int:
@@ -140,11 +140,11 @@
             size: The fleet whose settings it reads; by default the default size.
         """
         self.name, self.port = name, free_port()
-        self.file, self.config, self.log = (folder / f"{name}.{end}" for end in ("kdl", "json", "log"))
+        self.file, self.config, self.log = (folder / f"{name}.{suffix}" for suffix in ("kdl", "json", "log"))
         lines = ["control-replica version=1", f'listen "{self.address}"']
-        for node, found in (("list-service", upstreams), ("peer", peers or [])):
-            if found:
-                lines.append(f"{node} " + " ".join(f'"{x}"' for x in found))
+        for node_name, addresses in (("list-service", upstreams), ("peer", peers or [])):
+            if addresses:
+                lines.append(f"{node_name} " + " ".join(f'"{x}"' for x in addresses))
         self.file.write_text("\n".join([*lines, more]) + "\n")
         raw = configuration(size or FleetSize(), 0, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2")
         self.config.write_text(json.dumps(raw))
@@ -161,7 +161,7 @@
         Raises:
             RuntimeError: It does not respond in time; the message has the end of its log.
         """
-        words = [
+        arguments = [
             "control-replica",
             str(self.file),
             "--config",
@@ -173,7 +173,7 @@
         ]
         with self.log.open("a") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-c", f"from kelpcroft.cli import main; main({words!r})"],
+                [sys.executable, "-O", "-c", f"from kelpcroft.cli import main; main({arguments!r})"],
                 cwd=ROOT,
                 stdout=log,
                 stderr=log,
@@ -216,7 +216,7 @@
         folder: Path,
         rules: str = "",
         known: dict[str, Any] | None = None,
-        example: bool = False,
+        use_example_settings: bool = False,
     ) -> None:
         """Write the configuration and start the process.
 
@@ -228,17 +228,17 @@
             folder: Where the configuration and the log are written.
             rules: Path of the operator's file; "" = none.
             known: The first list, in place of the one that the fleet's size gives.
-            example: Use the example's own settings, whose zones are those of the stand-in servers.
+            use_example_settings: Use the example's own settings, whose zones are those of the stand-ins.
         """
         host = f"127.3.{number // 250}.{number % 250 + 1}"
         self.listen = f"{host}:7000"
-        raw = configuration(size, number, feed, self.listen, f"{host}:7001")
-        if example:
-            raw["settings"] = json.loads((ROOT / "examples/config.json").read_text())["settings"]
+        config = configuration(size, number, feed, self.listen, f"{host}:7001")
+        if use_example_settings:
+            config["settings"] = json.loads((ROOT / "examples/config.json").read_text())["settings"]
         if known is not None:
-            raw["known"] = known
+            config["known"] = known
         path = folder / f"r{number}.json"
-        path.write_text(json.dumps(raw))
+        path.write_text(json.dumps(config))
         env = {**os.environ, "ROUTER_CONFIG": str(path), "ROUTER_LOG": "json"}
         env.pop("ROUTER_RULES", None)
         if rules:
@@ -256,7 +256,7 @@
         self.process.kill()
         self.process.wait()
 
-    def answers(self) -> bool:
+    def accepts_connections(self) -> bool:
         """Whether it accepts connections."""
         host, _, port = self.listen.rpartition(":")
         try:
@@ -269,38 +269,38 @@
         """CPU time so far, in seconds."""
         return cpu_s(self.process.pid)
 
-    def memory_kb(self, most: bool = False) -> int:
+    def memory_kb(self, peak: bool = False) -> int:
         """Resident memory in KB, at present or at its peak."""
-        return memory_kb(self.process.pid, most)
+        return memory_kb(self.process.pid, peak)
 
 
 def cpu_s(pid: int) -> float:
     """CPU time of a process so far, in seconds."""
-    parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(parts[11]) + int(parts[12])) / TICK_S
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def memory_kb(pid: int, most: bool = False) -> int:
+def memory_kb(pid: int, peak: bool = False) -> int:
     """Resident memory of a process in KB, at present or at its peak."""
-    key = "VmHWM:" if most else "VmRSS:"
+    key = "VmHWM:" if peak else "VmRSS:"
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith(key):
             return int(line.split()[1])
     return 0
 
 
-def wait_for(found: Any, longest_s: float, every_s: float = 0.02) -> bool:
+def wait_for(condition: Any, timeout_s: float, interval_s: float = 0.02) -> bool:
     """Poll a condition until it is true: whether that happens within ``longest_s``."""
-    until = time.monotonic() + longest_s
-    while time.monotonic() < until:
-        if found():
+    deadline_s = time.monotonic() + timeout_s
+    while time.monotonic() < deadline_s:
+        if condition():
             return True
-        time.sleep(every_s)
+        time.sleep(interval_s)
     return False
 
 
 @contextmanager
-def folder() -> Iterator[Path]:
+def temporary_folder() -> Iterator[Path]:
     """A temporary folder, removed with the context."""
     with tempfile.TemporaryDirectory() as path:
         yield Path(path)
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -29,27 +29,29 @@
 from kelpcroft.operator_file.service import load_at_start, reload_steps
 from testbed.hollow.configuration import FleetSize, configuration
 
-LOOK_S = 0.05  # longest interval between two checks for due timers
+TIMER_CHECK_S = 0.05  # longest interval between two checks for due timers
 
 
-class Hollow:
+class HollowRouter:
     """One router's event loop, which runs when it has work."""
 
     def __init__(self, size: FleetSize, number: int, feed: str, rules: str) -> None:
         host = f"127.2.{number // 250}.{number % 250 + 1}"
         raw = configuration(size, number, feed, f"{host}:7000", f"{host}:7001")
         config = parse_config(raw, {})
-        reading = partial(reload_steps, rules) if rules else None
-        self.loop = EventLoop(config, Clock(), rules=reading, events=EventLog(config.name, form="json"))
+        reload = partial(reload_steps, rules) if rules else None
+        self.loop = EventLoop(config, Clock(), rules=reload, events=EventLog(config.name, form="json"))
         self.loop.start(first=load_at_start(rules, config.settings) if rules else None)
-        self.seen: list[tuple[int, int]] = []  # number of its last event, and when it applied it (Unix ns)
+        self.applied_events: list[
+            tuple[int, int]
+        ] = []  # number of its last event, and when it applied it (Unix ns)
 
-    def due(self, now_ns: int) -> bool:
+    def has_due_timer(self, now_ns: int) -> bool:
         """Whether one of its timers is due."""
         heap = self.loop.timers
         return bool(heap) and heap[0][0] <= now_ns
 
-    def turn(self) -> None:
+    def run_iteration(self) -> None:
         """Run one iteration of its loop, and record the number of its last event if that has changed.
 
         The time since the previous iteration was spent waiting outside of the loop; setting
@@ -57,37 +59,40 @@
         """
         self.loop.last_select_ns = self.loop.clock.now()
         self.loop.run_turn()
-        known = self.loop.reducer.endpoint_list.last_event
-        if not self.seen or self.seen[-1][0] != known:
-            self.seen.append((known, time.time_ns()))
+        last_event = self.loop.reducer.endpoint_list.last_event
+        if not self.applied_events or self.applied_events[-1][0] != last_event:
+            self.applied_events.append((last_event, time.time_ns()))
 
 
 class Fleet:
     """The routers of this process."""
 
     def __init__(self, size: FleetSize, first: int, count: int, feed: str, rules: str) -> None:
-        self.routers = [Hollow(size, number, feed, rules) for number in range(first, first + count)]
+        self.routers = [HollowRouter(size, number, feed, rules) for number in range(first, first + count)]
         self.selector = selectors.DefaultSelector()
         for router in self.routers:
             self.selector.register(router.loop.selector.fileno(), selectors.EVENT_READ, router)
         self.selector.register(sys.stdin, selectors.EVENT_READ, None)
         self.ended = False
 
-    def turn(self) -> None:
+    def run_iteration(self) -> None:
         """Wait for work, then run one iteration of each router that has some."""
         now = time.time_ns()
-        next_ns = min((r.loop.timers[0][0] for r in self.routers if r.loop.timers), default=now)
-        for key, _ in self.selector.select(min(LOOK_S, max(0, next_ns - now) / 1e9)):
+        next_ns = min(
+            (hollow_router.loop.timers[0][0] for hollow_router in self.routers if hollow_router.loop.timers),
+            default=now,
+        )
+        for key, _ in self.selector.select(min(TIMER_CHECK_S, max(0, next_ns - now) / 1e9)):
             if key.data is None:
-                self.order()
+                self.handle_line()
             else:
-                key.data.turn()
+                key.data.run_iteration()
         now = time.time_ns()
         for router in self.routers:
-            if router.due(now):
-                router.turn()
+            if router.has_due_timer(now):
+                router.run_iteration()
 
-    def order(self) -> None:
+    def handle_line(self) -> None:
         """Read a line from standard input and print a report; at end of input, stop."""
         if not sys.stdin.readline():
             self.ended = True
@@ -98,9 +103,9 @@
         """The routers' activity since the last report."""
         times = os.times()
         pages = int(Path("/proc/self/statm").read_text().split()[1])
-        seen = [router.seen for router in self.routers]
+        seen = [router.applied_events for router in self.routers]
         for router in self.routers:
-            router.seen = router.seen[-1:]
+            router.applied_events = router.applied_events[-1:]
 
         return {
             "cpu_s": times.user + times.system,
@@ -125,7 +130,7 @@
     gc.freeze()
     print(json.dumps({"routers": len(fleet.routers)}), flush=True)
     while not fleet.ended:
-        fleet.turn()
+        fleet.run_iteration()
 
 
 if __name__ == "__main__":
--- a/testbed/hollow/servers.py
+++ b/testbed/hollow/servers.py
@@ -23,18 +23,19 @@
     def script(_: str, __: ServerCommand) -> ScriptedReply:
         return ScriptedReply(body=body)
 
-    with StandInServers(script) as world:
-        world.commands = Nothing()
+    with StandInServers(script) as stand_ins:
+        stand_ins.commands = DiscardingList()
         print(
-            json.dumps({"feed": world.address_of("feed"), "members": world.endpoint_snapshot()}), flush=True
+            json.dumps({"feed": stand_ins.address_of("feed"), "members": stand_ins.endpoint_snapshot()}),
+            flush=True,
         )
         sys.stdin.read()
 
 
-class Nothing(list[ServerCommand]):
+class DiscardingList(list[ServerCommand]):
     """A list that records no requests, because there are too many."""
 
-    def append(self, one: ServerCommand) -> None:
+    def append(self, command: ServerCommand) -> None:
         """Discard the request."""
 
 
--- a/testbed/hollow/service.py
+++ b/testbed/hollow/service.py
@@ -36,10 +36,10 @@
 READ_SIZE = 1 << 16  # bytes
 EARLY_NS = 100 * 10**6  # without new events, a watch response is sent this long before the wait ends
 SECOND = 10**9
-TURN_S = 0.02  # longest wait of one loop iteration
-PURGING_TURN_S = 0.002  # the same while purges are published at a rate
+SELECT_TIMEOUT_S = 0.02  # longest wait of one loop iteration
+PURGING_SELECT_TIMEOUT_S = 0.002  # the same while purges are published at a rate
 STATS_EVENTS = 20_000  # newest events whose times the stats contain
-BODIES_KEPT = 64  # encoded watch responses cached for watchers at the same position
+MAX_CACHED_BODIES = 64  # encoded watch responses cached for watchers at the same position
 
 
 @dataclass
@@ -47,9 +47,9 @@
     """The connection of one watcher."""
 
     sock: socket.socket
-    read: bytes = b""
-    waiting: list[bytes] = field(default_factory=list)  # data that the socket did not accept yet
-    after: int = -1  # position in the outstanding watch request; -1 = none
+    received: bytes = b""
+    unsent: list[bytes] = field(default_factory=list)  # data that the socket did not accept yet
+    position: int = -1  # position in the outstanding watch request; -1 = none
     until_ns: int = 0
 
 
@@ -70,50 +70,50 @@
     def __init__(self, size: FleetSize, port: int = 0) -> None:
         self.lines = {line["name"]: line for line in endpoints(size)}
         self.events: list[bytes] = []  # encoded; the first has number 2
-        self.born: list[int] = []  # time of each event, Unix ns
+        self.event_times_ns: list[int] = []  # time of each event, Unix ns
         self.index = 1
         self.watchers: dict[int, Watcher] = {}
         self.bodies: dict[int, bytes] = {}
         self.muted = False
-        self.calls = 0
+        self.watch_requests = 0
         self.bytes_in = 0
         self.bytes_out = 0
         self.accepted = 0  # connections
-        self.watches_most = 0  # highest number of connections at a time
+        self.max_watches = 0  # highest number of connections at a time
         self.purging = NO_PURGES
         self.purged = 0  # purges in total
-        self.told = 0  # purges already published at the present rate
-        self.reached = 0  # highest position in a watch request
+        self.purges_at_rate = 0  # purges already published at the present rate
+        self.highest_position = 0  # highest position in a watch request
         self.selector = selectors.DefaultSelector()
         self.listener = socket.create_server(("127.0.0.1", port), backlog=1024)
         self.listener.setblocking(False)
         self.selector.register(self.listener, selectors.EVENT_READ, None)
 
     @property
-    def last(self) -> int:
+    def last_event(self) -> int:
         """The number of the last event."""
         return len(self.events) + 1
 
-    def add(self, event: dict[str, Any]) -> int:
+    def append_event(self, event: dict[str, Any]) -> int:
         """Append an event: its number."""
-        number = self.last + 1
+        number = self.last_event + 1
         self.events.append(json.dumps({"n": number, **event}, separators=(",", ":")).encode())
-        self.born.append(time.time_ns())
+        self.event_times_ns.append(time.time_ns())
         self.bodies.clear()
         return number
 
     def purge(self, at_ms: int) -> int:
         """Append a purge of an object that no other purge names: the event's number."""
         self.purged += 1
-        return self.add({"purge": {"key": f"{0x7F3A << 48 | self.purged:016x}", "at": at_ms}})
+        return self.append_event({"purge": {"key": f"{0x7F3A << 48 | self.purged:016x}", "at": at_ms}})
 
-    def body(self, after: int) -> bytes:
+    def watch_response(self, position: int) -> bytes:
         """The watch response with the events after a position, and with a snapshot first if it is below 1."""
-        found = self.bodies.get(after)
-        if found is None:
-            parts = self.events[max(0, after - 1) :] if after <= self.last else []
-            if after < 1:
-                whole = {
+        response = self.bodies.get(position)
+        if response is None:
+            events = self.events[max(0, position - 1) :] if position <= self.last_event else []
+            if position < 1:
+                snapshot = {
                     "n": 1,
                     "members": {
                         "index": self.index,
@@ -121,58 +121,58 @@
                         "endpoints": list(self.lines.values()),
                     },
                 }
-                parts = [json.dumps(whole, separators=(",", ":")).encode(), *parts]
-            text = b'{"n":%d,"events":[%s]}' % (self.last, b",".join(parts))
-            found = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
-            if len(self.bodies) >= BODIES_KEPT:
+                events = [json.dumps(snapshot, separators=(",", ":")).encode(), *events]
+            payload = b'{"n":%d,"events":[%s]}' % (self.last_event, b",".join(events))
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(payload), payload)
+            if len(self.bodies) >= MAX_CACHED_BODIES:
                 self.bodies.clear()
-            self.bodies[after] = found
-        return found
+            self.bodies[position] = response
+        return response
 
     def command(self, raw: dict[str, Any]) -> dict[str, Any]:
         """Carry out one command from standard input and return its response.
 
-        A command that has no entry in ``ORDERS`` does nothing and gets the default response.
+        A command that has no entry in ``COMMANDS`` does nothing and gets the default response.
         """
-        now = time.time_ns()
-        order = ORDERS.get(raw["do"])
-        answer = order(self, raw, now) if order else None
-        if answer is not None:
-            return answer
-        return {"n": self.last, "now_ns": now, "reached": self.reached}
-
-    def _order_purges(self, raw: dict[str, Any], now: int) -> dict[str, Any]:
+        now_ns = time.time_ns()
+        handler = COMMANDS.get(raw["do"])
+        response = handler(self, raw, now_ns) if handler else None
+        if response is not None:
+            return response
+        return {"n": self.last_event, "now_ns": now_ns, "reached": self.highest_position}
+
+    def _publish_purges(self, raw: dict[str, Any], now_ns: int) -> dict[str, Any]:
         """Publish purges at a rate from now on."""
-        self.purging = PurgeRate(float(raw["rate"]), now, now + int(raw["seconds"] * SECOND))
+        self.purging = PurgeRate(float(raw["rate"]), now_ns, now_ns + int(raw["seconds"] * SECOND))
         return {"until_ns": self.purging.until_ns}
 
-    def _order_history(self, raw: dict[str, Any], now: int) -> None:
+    def _append_history(self, raw: dict[str, Any], now_ns: int) -> None:
         """Append purges whose times are spread over the last ``age_s`` seconds."""
         for n in range(raw["purges"]):
             ago_ms = int(raw["age_s"] * 1_000 * (raw["purges"] - n) / raw["purges"])
-            self.purge(now // 10**6 - ago_ms)
+            self.purge(now_ns // 10**6 - ago_ms)
 
-    def _order_status(self, raw: dict[str, Any], _: int) -> None:
+    def _change_status(self, raw: dict[str, Any], _: int) -> None:
         """Change a server's status."""
         line = self.lines[raw["server"]] = {**self.lines[raw["server"]], "status": raw["status"]}
         if "since_ms" in raw:
             line["since_ms"] = raw["since_ms"]
         self.index += 1
-        self.add({"members": {"index": self.index, "snapshot": False, "endpoints": [line]}})
+        self.append_event({"members": {"index": self.index, "snapshot": False, "endpoints": [line]}})
 
-    def _order_restart(self, _: dict[str, Any], __: int) -> None:
+    def _restart(self, _: dict[str, Any], __: int) -> None:
         """Number events from 1 again, and close all connections."""
         self.events = []
-        self.born = []
+        self.event_times_ns = []
         self.bodies = {}
         for watcher in list(self.watchers.values()):
             self.drop(watcher)
 
-    def _order_mute(self, raw: dict[str, Any], _: int) -> None:
+    def _mute(self, raw: dict[str, Any], _: int) -> None:
         """Stop or resume responding to watch requests, which are read in any case."""
         self.muted = bool(raw["on"])
 
-    def _order_stats(self, _: dict[str, Any], __: int) -> dict[str, Any]:
+    def _report_stats(self, _: dict[str, Any], __: int) -> dict[str, Any]:
         return self.stats()
 
     def stats(self) -> dict[str, Any]:
@@ -180,58 +180,58 @@
         times = os.times()
         pages = int(Path("/proc/self/statm").read_text().split()[1])
         return {
-            "n": self.last,
-            "calls": self.calls,
+            "n": self.last_event,
+            "calls": self.watch_requests,
             "bytes_in": self.bytes_in,
             "bytes_out": self.bytes_out,
             "accepted": self.accepted,
-            "reached": self.reached,
+            "reached": self.highest_position,
             "watches": len(self.watchers),
             "cpu_s": times.user + times.system,
-            "watches_most": self.watches_most,
+            "watches_most": self.max_watches,
             "memory_kb": pages * os.sysconf("SC_PAGE_SIZE") // 1024,
-            "born": self.born[-STATS_EVENTS:],
+            "born": self.event_times_ns[-STATS_EVENTS:],
             "now_ns": time.time_ns(),
         }
 
     # The wire ---------------------------------------------------------------------------------------------
 
-    def turn(self) -> None:
+    def run_iteration(self) -> None:
         """One loop iteration: wait, read, publish due purges, send watch responses."""
-        wait = PURGING_TURN_S if self.purging.per_s else TURN_S
-        for key, events in self.selector.select(wait):
+        timeout_s = PURGING_SELECT_TIMEOUT_S if self.purging.per_s else SELECT_TIMEOUT_S
+        for key, events in self.selector.select(timeout_s):
             if key.fileobj is self.listener:
                 self.accept()
             elif isinstance(key.data, Watcher):
-                self.ready(key.data, events)
+                self.handle_ready(key.data, events)
             else:
                 key.data()
-        self.purge_on()
-        self.answer()
+        self.publish_due_purges()
+        self.send_watch_responses()
 
-    def purge_on(self) -> None:
+    def publish_due_purges(self) -> None:
         """Publish the purges that are due."""
         rate, from_ns, until_ns = self.purging
         if not rate:
             return
-        now = time.time_ns()
-        due = int(rate * (min(now, until_ns) - from_ns) / SECOND)
-        for _ in range(due - self.told):
-            self.purge(now // 10**6)
-        self.told = due
-        if now >= until_ns:
+        now_ns = time.time_ns()
+        due = int(rate * (min(now_ns, until_ns) - from_ns) / SECOND)
+        for _ in range(due - self.purges_at_rate):
+            self.purge(now_ns // 10**6)
+        self.purges_at_rate = due
+        if now_ns >= until_ns:
             self.purging = NO_PURGES
-            self.told = 0
+            self.purges_at_rate = 0
 
-    def answer(self) -> None:
+    def send_watch_responses(self) -> None:
         """Send watch responses: events to watchers that are behind, an empty one where the wait is over."""
         if self.muted:
             return
-        now, last = time.time_ns(), self.last
+        now_ns, last_event = time.time_ns(), self.last_event
         for watcher in list(self.watchers.values()):
-            if watcher.after >= 0 and (watcher.after != last or now >= watcher.until_ns):
-                after, watcher.after = watcher.after, -1
-                self.write(watcher, self.body(after))
+            if watcher.position >= 0 and (watcher.position != last_event or now_ns >= watcher.until_ns):
+                position, watcher.position = watcher.position, -1
+                self.write(watcher, self.watch_response(position))
 
     def accept(self) -> None:
         """Accept all pending connections."""
@@ -244,7 +244,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.accepted += 1
             self.watchers[sock.fileno()] = Watcher(sock)
-            self.watches_most = max(self.watches_most, len(self.watchers))
+            self.max_watches = max(self.max_watches, len(self.watchers))
             self.selector.register(sock, selectors.EVENT_READ, self.watchers[sock.fileno()])
 
     def drop(self, watcher: Watcher) -> None:
@@ -253,10 +253,10 @@
         self.watchers.pop(watcher.sock.fileno(), None)
         watcher.sock.close()
 
-    def ready(self, watcher: Watcher, events: int) -> None:
+    def handle_ready(self, watcher: Watcher, events: int) -> None:
         """Handle the selector's events of one connection."""
         if events & selectors.EVENT_WRITE:
-            data, watcher.waiting = b"".join(watcher.waiting), []
+            data, watcher.unsent = b"".join(watcher.unsent), []
             self.write(watcher, data)
             if watcher.sock.fileno() < 0:
                 return
@@ -272,26 +272,26 @@
             self.drop(watcher)
             return
         self.bytes_in += len(data)
-        watcher.read += data
-        while b"\r\n\r\n" in watcher.read:
-            head, _, watcher.read = watcher.read.partition(b"\r\n\r\n")
-            self.call(watcher, head)
+        watcher.received += data
+        while b"\r\n\r\n" in watcher.received:
+            head, _, watcher.received = watcher.received.partition(b"\r\n\r\n")
+            self.take_watch_request(watcher, head)
 
-    def call(self, watcher: Watcher, head: bytes) -> None:
+    def take_watch_request(self, watcher: Watcher, head: bytes) -> None:
         """Take one watch request; a request that is none closes the connection."""
-        found = QUERY.match(head)
-        if found is None:
+        match = QUERY.match(head)
+        if match is None:
             self.drop(watcher)
             return
-        self.calls += 1
-        watcher.after = int(found[1])
-        self.reached = max(self.reached, watcher.after)
-        watcher.until_ns = time.time_ns() + max(0, int(found[2]) * 10**6 - EARLY_NS)
+        self.watch_requests += 1
+        watcher.position = int(match[1])
+        self.highest_position = max(self.highest_position, watcher.position)
+        watcher.until_ns = time.time_ns() + max(0, int(match[2]) * 10**6 - EARLY_NS)
 
     def write(self, watcher: Watcher, data: bytes) -> None:
         """Send bytes to a watcher; what its socket does not accept is queued."""
-        if watcher.waiting:
-            watcher.waiting.append(data)
+        if watcher.unsent:
+            watcher.unsent.append(data)
             return
         try:
             sent = watcher.sock.send(data)
@@ -302,20 +302,20 @@
             return
         self.bytes_out += sent
         if sent < len(data):
-            watcher.waiting.append(data[sent:])
+            watcher.unsent.append(data[sent:])
         self.selector.modify(
-            watcher.sock, selectors.EVENT_READ | (selectors.EVENT_WRITE if watcher.waiting else 0), watcher
+            watcher.sock, selectors.EVENT_READ | (selectors.EVENT_WRITE if watcher.unsent else 0), watcher
         )
 
 
-Order = Callable[[ListService, dict[str, Any], int], dict[str, Any] | None]
-ORDERS: dict[str, Order] = {
-    "purge": ListService._order_purges,
-    "history": ListService._order_history,
-    "status": ListService._order_status,
-    "restart": ListService._order_restart,
-    "mute": ListService._order_mute,
-    "stats": ListService._order_stats,
+CommandHandler = Callable[[ListService, dict[str, Any], int], dict[str, Any] | None]
+COMMANDS: dict[str, CommandHandler] = {
+    "purge": ListService._publish_purges,
+    "history": ListService._append_history,
+    "status": ListService._change_status,
+    "restart": ListService._restart,
+    "mute": ListService._mute,
+    "stats": ListService._report_stats,
 }
 
 
@@ -329,7 +329,7 @@
     service = ListService(FleetSize(servers=options.servers, zones=options.zones), options.port)
     ended: list[bool] = []
 
-    def order() -> None:
+    def handle_line() -> None:
         line = sys.stdin.readline()
         raw = json.loads(line) if line.strip() else {"do": "end"}
         if raw["do"] == "end":
@@ -337,10 +337,10 @@
             return
         print(json.dumps(service.command(raw)), flush=True)
 
-    service.selector.register(sys.stdin, selectors.EVENT_READ, order)
+    service.selector.register(sys.stdin, selectors.EVENT_READ, handle_line)
     print(json.dumps({"port": service.listener.getsockname()[1]}), flush=True)
     while not ended:
-        service.turn()
+        service.run_iteration()
 
 
 if __name__ == "__main__":
