--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -28,7 +28,7 @@
 
 MS = 10**6
 SECOND = 10**9
-START = 1_764_576_000 * SECOND  # start of virtual time, Unix ns
+START_NS = 1_764_576_000 * SECOND  # start of virtual time, Unix ns
 DELAY_NS = 5 * MS  # delay of a message, one way
 SERVICE_PORT = 7_000
 
@@ -41,16 +41,16 @@
 
 
 @dataclass
-class Call:
+class PendingWatch:
     """An outstanding watch request, as its sender sees it."""
 
-    caller: str
+    sender: str
     target: Address
-    after: int
-    mark: str | None
+    position: int
+    fingerprint: str | None
     wait_ns: int
-    reply: Callable[[bytes | None], None]  # called with None if the request has failed
-    over: bool = False
+    on_response: Callable[[bytes | None], None]  # called with None if the request has failed
+    is_over: bool = False
 
 
 @dataclass
@@ -62,7 +62,7 @@
     up: bool = True
     starts: int = 1
     events: list[dict[str, Any]] = field(default_factory=list)
-    waiting: list[Call] = field(default_factory=list)
+    waiting: list[PendingWatch] = field(default_factory=list)
     calls: int = 0
 
     @property
@@ -73,8 +73,8 @@
     def tell(self, **event: Any) -> None:
         """Publish an event."""
         self.events.append({"n": self.last + 1, **event})
-        for call in self.waiting[:]:
-            self.answer(call)
+        for watch in self.waiting[:]:
+            self.respond(watch)
 
     def change(self, name: str, status: str, since_ms: int = 0) -> None:
         """Publish a server's new line."""
@@ -85,29 +85,29 @@
         """Number events from 1 again; purges published before are not published again."""
         self.events = []
         self.starts += 1
-        for call in self.waiting[:]:
-            self.waiting.remove(call)
-            self.net.fail(call)
+        for watch in self.waiting[:]:
+            self.waiting.remove(watch)
+            self.net.fail(watch)
 
-    def on_call(self, call: Call) -> None:
+    def on_call(self, watch: PendingWatch) -> None:
         """Take a watch request: respond immediately if it is behind, else let it wait."""
         self.calls += 1
-        self.waiting.append(call)
-        if call.after != self.last:
-            self.answer(call)
+        self.waiting.append(watch)
+        if watch.position != self.last:
+            self.respond(watch)
         else:
-            self.net.at(call.wait_ns - 100 * MS, lambda: self.answer(call))
+            self.net.schedule(watch.wait_ns - 100 * MS, lambda: self.respond(watch))
 
-    def answer(self, call: Call) -> None:
+    def respond(self, watch: PendingWatch) -> None:
         """Respond to a watch request that still waits, with the events after its position."""
-        if call not in self.waiting:
+        if watch not in self.waiting:
             return
-        self.waiting.remove(call)
-        found = self.events[max(0, call.after - 1) :] if call.after <= self.last else []
-        if call.after < 1:
-            whole = {"index": 1, "snapshot": True, "endpoints": list(self.lines.values())}
-            found = [{"n": 1, "members": whole}, *found]
-        self.net.reply(call, orjson.dumps({"n": self.last, "events": found}))
+        self.waiting.remove(watch)
+        events = self.events[max(0, watch.position - 1) :] if watch.position <= self.last else []
+        if watch.position < 1:
+            snapshot = {"index": 1, "snapshot": True, "endpoints": list(self.lines.values())}
+            events = [{"n": 1, "members": snapshot}, *events]
+        self.net.reply(watch, orjson.dumps({"n": self.last, "events": events}))
 
 
 class ReplicaNode:
@@ -121,10 +121,10 @@
         self.name = f"replica-{number}"
         self.up = False
         self.starts = 0
-        self.watches: dict[int, Call] = {}
+        self.watches: dict[int, PendingWatch] = {}
         self.watchers: dict[str, int] = {}  # by the watcher's name, while its connection is open
         self.calls: list[int] = []  # arrival of each watch request, in true time
-        self.notes: list[str] = []
+        self.log_events: list[str] = []
         self.core = ControlReplica(options, number)
         self.start()
 
@@ -143,51 +143,51 @@
     def kill(self) -> None:
         """The process ends: its connections are reset."""
         self.up = False
-        for call in self.watches.values():
-            self.net.fail(call)
+        for pending in self.watches.values():
+            self.net.fail(pending)
         self.watches.clear()
         self.watchers.clear()
 
-    def tick(self, start: int) -> None:
+    def tick(self, process: int) -> None:
         """Run due timers every 10 ms, as the process's own loop does."""
-        if self.up and start == self.starts:
+        if self.up and process == self.starts:
             due = self.core.next_timer_ns()
             if due is not None and due <= self.now():
                 self.carry_out(self.core.on_timer(self.now()))
-            self.net.at(10 * MS, lambda: self.tick(start))
+            self.net.schedule(10 * MS, lambda: self.tick(process))
 
-    def on_call(self, call: Call) -> None:
+    def on_call(self, pending: PendingWatch) -> None:
         """Take a watch request of a watcher."""
         self.calls.append(self.net.now)
-        number = self.watchers.setdefault(call.caller, self.net.made)
-        self.watches[number] = call
-        position = LogPosition(call.after, call.mark or "")
-        watch = core.WatchRequest(number, position, call.mark is not None, call.wait_ns)
+        number = self.watchers.setdefault(pending.sender, self.net.event_count)
+        self.watches[number] = pending
+        position = LogPosition(pending.position, pending.fingerprint or "")
+        watch = core.WatchRequest(number, position, pending.fingerprint is not None, pending.wait_ns)
         self.carry_out(self.core.on_watch(self.now(), watch))
 
     def carry_out(self, effect_list: list[core.Effect]) -> None:
         """Carry out the effects of the replica's core in their order."""
-        start = self.starts
+        process = self.starts
         for e in effect_list:
             if isinstance(e, (core.SendWatchResponse, core.RefuseWatcher)):
-                call = self.watches.pop(e.watcher_id, None)
-                if call and isinstance(e, core.SendWatchResponse):
-                    self.net.reply(call, e.body)
-                elif call:
-                    self.net.fail(call)
+                pending = self.watches.pop(e.watcher_id, None)
+                if pending and isinstance(e, core.SendWatchResponse):
+                    self.net.reply(pending, e.body)
+                elif pending:
+                    self.net.fail(pending)
             elif isinstance(e, core.CallUpstream):
-                self.net.at(e.delay_ns, lambda e=e: self.call(e, start))  # type: ignore[misc]
+                self.net.schedule(e.delay_ns, lambda e=e: self.call(e, process))  # type: ignore[misc]
             else:
-                self.notes.append(e.event)
+                self.log_events.append(e.event)
 
-    def call(self, e: core.CallUpstream, start: int) -> None:
-        """Send a watch request upstream, unless process number ``start`` has ended."""
-        if not self.up or start != self.starts:
+    def call(self, e: core.CallUpstream, process: int) -> None:
+        """Send a watch request upstream, unless process number ``process`` has ended."""
+        if not self.up or process != self.starts:
             return
-        mark = e.position.fingerprint if e.address in self.options.peers else None
+        fingerprint = e.position.fingerprint if e.address in self.options.peers else None
 
         def reply(body: bytes | None) -> None:
-            if not self.up or start != self.starts:
+            if not self.up or process != self.starts:
                 return
             if body is None:
                 self.carry_out(self.core.on_upstream_failed(self.now(), "lost"))
@@ -199,7 +199,7 @@
                 )
 
         self.net.call(
-            Call(self.name, e.address, e.position.event_number, mark, e.wait_ns, reply),
+            PendingWatch(self.name, e.address, e.position.event_number, fingerprint, e.wait_ns, reply),
             core.UPSTREAM_TIMEOUT_MARGIN_NS,
         )
 
@@ -230,9 +230,9 @@
         raw = configuration(self.size, self.number, "10.9.9.9:1", "127.0.0.1:1", "127.0.0.1:2")
         raw["known"]["events"][0]["members"]["endpoints"] = list(self.net.service.lines.values())
         self.reducer = Reducer(parse_config(raw, {}))
-        self.at: Address = ("", 0)
-        self.out: Call | None = None
-        self.logged: list[str] = []
+        self.feed_address: Address = ("", 0)
+        self.outstanding_watch: PendingWatch | None = None
+        self.log_events: list[str] = []
         self.carry_out(self.reducer.start(self.now(), None, 0, self.replicas))
         self.tell(inputs.OperatorFileRead(OperatorFile(control_replicas=self.replicas)))
 
@@ -242,41 +242,43 @@
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
         """Carry out effects of the feed and the log; this router has no clients and no servers."""
-        start = self.starts
+        process = self.starts
         for e in effect_list:
             if isinstance(e, effects.SwitchFeed):
-                self.at = e.address
-                if self.out is not None:
-                    self.out.over = True
-                    self.out = None
+                self.feed_address = e.address
+                if self.outstanding_watch is not None:
+                    self.outstanding_watch.is_over = True
+                    self.outstanding_watch = None
             elif isinstance(e, effects.PollFeed):
                 self.poll(e)
             elif isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.POLL_FEED:
-                self.net.at(e.at_ns - self.now(), lambda e=e: self.due(e, start))  # type: ignore[misc]
+                self.net.schedule(e.at_ns - self.now(), lambda e=e: self.on_timer(e, process))  # type: ignore[misc]
             elif isinstance(e, effects.LogEvent):
-                self.logged.append(e.event)
+                self.log_events.append(e.event)
 
-    def due(self, e: effects.ScheduleTimer, start: int) -> None:
-        """Fire a timer, unless the process that set it (number ``start``) has ended."""
-        if start == self.starts:
+    def on_timer(self, e: effects.ScheduleTimer, process: int) -> None:
+        """Fire a timer, unless the process that set it (number ``process``) has ended."""
+        if process == self.starts:
             self.tell(inputs.TimerFired(e.key))
 
     def poll(self, e: effects.PollFeed) -> None:
         """Send a watch request to the feed, unless one is outstanding."""
-        if self.out is not None:
+        if self.outstanding_watch is not None:
             return
-        start = self.starts
+        process = self.starts
         self.calls += 1
 
         def reply(body: bytes | None) -> None:
-            self.out = None
-            if start == self.starts:
+            self.outstanding_watch = None
+            if process == self.starts:
                 self.tell(
                     inputs.WatchFailed("lost") if body is None else parse_watch_response(orjson.loads(body))
                 )
 
-        self.out = Call(self.name, self.at, e.after_event, e.log_fingerprint, e.wait_ms * MS, reply)
-        self.net.call(self.out, e.response_timeout_ns)
+        self.outstanding_watch = PendingWatch(
+            self.name, self.feed_address, e.after_event, e.log_fingerprint, e.wait_ms * MS, reply
+        )
+        self.net.call(self.outstanding_watch, e.response_timeout_ns)
 
     def serving(self) -> set[str]:
         """Names of the servers that it may use."""
@@ -294,8 +296,8 @@
     """
 
     def __init__(self, size: FleetSize, replicas: list[ReplicaOptions], skews_ns: list[int]) -> None:
-        self.now = START
-        self.made = 0  # number of scheduled events; breaks ties between them
+        self.now = START_NS
+        self.event_count = 0  # number of scheduled events; breaks ties between them
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.cut: set[frozenset[str]] = set()
         self.connections: dict[tuple[str, Address], int] = {}  # the target's process number
@@ -310,72 +312,72 @@
             RouterNode(self, n, size, named, -skews_ns[n % len(skews_ns)]) for n in range(size.routers)
         ]
 
-    def at(self, delay_ns: int, what: Callable[[], None]) -> None:
+    def schedule(self, delay_ns: int, callback: Callable[[], None]) -> None:
         """Schedule a callback after a delay."""
-        self.made += 1
-        heapq.heappush(self.heap, (self.now + max(0, delay_ns), self.made, what))
+        self.event_count += 1
+        heapq.heappush(self.heap, (self.now + max(0, delay_ns), self.event_count, callback))
 
-    def run(self, span_ns: int) -> None:
+    def run(self, interval_ns: int) -> None:
         """Run for an interval of virtual time."""
-        until = self.now + span_ns
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.heap)
-            what()
-        self.now = until
+        end_ns = self.now + interval_ns
+        while self.heap and self.heap[0][0] <= end_ns:
+            self.now, _, callback = heapq.heappop(self.heap)
+            callback()
+        self.now = end_ns
 
     def node(self, address: Address) -> Service | ReplicaNode:
         """The process that listens at an address."""
         number = int(address[0].rpartition(".")[2]) - 1
         return self.service if number == 0 else self.replicas[number - 1]
 
-    def linked(self, caller: str, target: Address) -> bool:
+    def is_linked(self, sender: str, target: Address) -> bool:
         """Whether the link between two processes is intact now."""
         node = self.node(target)
         name = "service" if isinstance(node, Service) else node.name
-        return frozenset((caller, name)) not in self.cut
+        return frozenset((sender, name)) not in self.cut
 
-    def call(self, call: Call, late_ns: int) -> None:
-        """Send a watch request; it times out ``late_ns`` after the end of its wait."""
-        connection = call.caller, call.target
-        starts = self.connections.setdefault(connection, self.node(call.target).starts)
+    def call(self, watch: PendingWatch, grace_ns: int) -> None:
+        """Send a watch request; it times out ``grace_ns`` after the end of its wait."""
+        connection = watch.sender, watch.target
+        process = self.connections.setdefault(connection, self.node(watch.target).starts)
 
         def arrive() -> None:
-            node = self.node(call.target)
-            if not self.linked(call.caller, call.target):
+            node = self.node(watch.target)
+            if not self.is_linked(watch.sender, watch.target):
                 return
-            if node.up and node.starts == starts:  # a successor process resets the old connection
-                node.on_call(call)
+            if node.up and node.starts == process:  # a successor process resets the old connection
+                node.on_call(watch)
             else:
                 self.connections.pop(connection, None)
-                self.fail(call)
+                self.fail(watch)
 
-        self.at(DELAY_NS, arrive)
-        self.at(call.wait_ns + late_ns, lambda: self.given_up(call))
+        self.schedule(DELAY_NS, arrive)
+        self.schedule(watch.wait_ns + grace_ns, lambda: self.time_out(watch))
 
-    def given_up(self, call: Call) -> None:
+    def time_out(self, watch: PendingWatch) -> None:
         """Time out: without a response by now, the sender closes the connection."""
-        node = self.node(call.target)
-        if not call.over and isinstance(node, ReplicaNode):
-            number = node.watchers.pop(call.caller, -1)
+        node = self.node(watch.target)
+        if not watch.is_over and isinstance(node, ReplicaNode):
+            number = node.watchers.pop(watch.sender, -1)
             node.watches.pop(number, None)
             node.core.on_watcher_disconnected(number)
-        self.over(call, None)
+        self.finish(watch, None)
 
-    def fail(self, call: Call) -> None:
+    def fail(self, watch: PendingWatch) -> None:
         """The connection is reset."""
-        self.at(DELAY_NS, lambda: self.over(call, None))
+        self.schedule(DELAY_NS, lambda: self.finish(watch, None))
 
-    def reply(self, call: Call, body: bytes) -> None:
+    def reply(self, watch: PendingWatch, body: bytes) -> None:
         """Send a response; it is lost if the link is cut when it arrives."""
 
         def arrive() -> None:
-            if self.linked(call.caller, call.target):
-                self.over(call, body)
+            if self.is_linked(watch.sender, watch.target):
+                self.finish(watch, body)
 
-        self.at(DELAY_NS, arrive)
+        self.schedule(DELAY_NS, arrive)
 
-    def over(self, call: Call, body: bytes | None) -> None:
+    def finish(self, watch: PendingWatch, body: bytes | None) -> None:
         """End a watch request once, with its response, or with None if it failed."""
-        if not call.over:
-            call.over = True
-            call.reply(body)
+        if not watch.is_over:
+            watch.is_over = True
+            watch.on_response(body)
