--- a/benchmarks/late_answers.py
+++ b/benchmarks/late_answers.py
@@ -32,7 +32,7 @@
     def run_attempt(self, e: effects.SendAttempt) -> None:
         """Schedule the response, now and then late."""
         self.records[e.attempt_id].attempts.append(
-            AttemptRecord(self.now, self.address_by_link[e.connection], "done")
+            AttemptRecord(self.now, self.address_by_connection[e.connection], "done")
         )
         took = self.random.randint(20, 60) * MS + (LATE_NS if self.random.random() < LATE else 0)
         self.schedule(
@@ -46,18 +46,18 @@
 def play(text: str, seed: int) -> tuple[float, float, float]:
     """Run one variant: p50 and p99 in ms, and attempts for each request."""
     world = Late(HEAD + text, seed, {"done": 1})
-    stories = [
+    records = [
         world.schedule_request(n * GAP_NS, "page", 2_500, world.random.randint(0, 400))
         for n in range(REQUESTS)
     ]
     world.run()
     times = sorted(
         (s.final_effects[0][0] - s.arrives_ns) / MS
-        for s in stories
+        for s in records
         if isinstance(s.final_effects[0][1], effects.SendResponse)
     )
     assert len(times) > 0.995 * REQUESTS, f"{REQUESTS - len(times)} were not served"
-    sends = sum(len(s.attempts) for s in stories) / REQUESTS
+    sends = sum(len(s.attempts) for s in records) / REQUESTS
     return times[len(times) // 2], times[len(times) * 99 // 100], sends
 
 
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -59,7 +59,7 @@
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
         """Serve an attempt, or queue it if all slots are in use."""
-        server = self.address_by_link[e.connection]
+        server = self.address_by_connection[e.connection]
         self.records[e.attempt_id].attempts.append(AttemptRecord(self.now, server, ""))
         self.killed.discard((e.connection, e.attempt_id))
         if self.busy.get(server, 0) < SLOTS:
@@ -88,7 +88,7 @@
         waiting = self.queue.get(server, deque())
         while waiting:
             e = waiting.popleft()
-            if (e.connection, e.attempt_id) not in self.killed and e.connection in self.address_by_link:
+            if (e.connection, e.attempt_id) not in self.killed and e.connection in self.address_by_connection:
                 self.serve(server, e)
                 return
 
@@ -99,7 +99,7 @@
             if isinstance(e, effects.CancelAttempt):
                 self.killed.add((e.connection, e.attempt_id))
             elif isinstance(e, (effects.RejectRequest, effects.FailRequest)):
-                story = self.records_by_call[e.client, e.request_number]
+                story = self.records_by_number[e.client, e.request_number]
                 left = story.arrives_ns + 2_500 * MS - self.now
                 if story.request.trace_id not in self.again and left > 100 * MS:
                     more = self.schedule_request(
--- a/testbed/cold_start.py
+++ b/testbed/cold_start.py
@@ -35,7 +35,7 @@
     OriginModel,
     S,
     ServerModel,
-    WaitingCall,
+    WaitingWatch,
 )
 from testbed.cold_start_servers import (
     HUB_ZONE,
@@ -60,8 +60,8 @@
 OBJECTS = 20_000
 POPULARITY_TAIL = 0.7  # exponent of the Pareto distribution from which objects are drawn
 ORDERS_SHARE = 0.05  # share of orders among requests; they run at the origin and must not run twice
-PAGE_PATIENCE_NS = 2_400 * MS
-ORDER_PATIENCE_NS = 3_000 * MS
+PAGE_TIMEOUT_NS = 2_400 * MS
+ORDER_TIMEOUT_NS = 3_000 * MS
 PAGE_WEIGHT = 1.0
 ORDER_WEIGHT = 3.0  # priority weight of an order, relative to a page
 FEED_DELAY_NS = 1 * MS  # one way
@@ -86,19 +86,19 @@
 
 
 @dataclass(frozen=True)
-class ClientAsks:
+class ClientSends:
     """A client of a router sends its next request."""
 
 
 @dataclass(frozen=True)
-class ServiceTurn:
+class ServiceReady:
     """The list service processes a watch request, or the request's wait ends."""
 
-    made_ns: int
+    received_ns: int
 
 
 Fault = Callable[["ColdStartFleet"], None]
-FleetEvent = RouterStarts | ClientAsks | ServiceTurn | inputs.Input | Fault
+FleetEvent = RouterStarts | ClientSends | ServiceReady | inputs.Input | Fault
 
 
 class Scheduled(NamedTuple):
@@ -212,7 +212,7 @@
         for router in range(routers):
             start_ns = START + self.random.randrange(S)
             self._schedule(start_ns, router, RouterStarts())
-            self._schedule(start_ns + self.random.randrange(S), router, ClientAsks())
+            self._schedule(start_ns + self.random.randrange(S), router, ClientSends())
 
     def _take_down_caches(self, every: int) -> None:
         for n, cache in enumerate(self.servers.caches.values()):
@@ -255,8 +255,8 @@
         """Run for ``seconds``; ``faults`` has the faults to inject, by time in ns after the start."""
         for after_ns, fault in (faults or {}).items():
             self._schedule(START + after_ns, 0, fault)
-        end = START + int(seconds * S)
-        while self._heap and self._heap[0].at_ns < end:
+        end_ns = START + int(seconds * S)
+        while self._heap and self._heap[0].at_ns < end_ns:
             due = heapq.heappop(self._heap)
             self.now = due.at_ns
             if callable(due.event):
@@ -264,14 +264,14 @@
             elif due.process == self._process[due.router]:
                 self._dispatch(due.router, due.event)
 
-    def _dispatch(self, router: int, event: RouterStarts | ClientAsks | ServiceTurn | inputs.Input) -> None:
+    def _dispatch(self, router: int, event: RouterStarts | ClientSends | ServiceReady | inputs.Input) -> None:
         if isinstance(event, RouterStarts):
             self._carry_out(router, self.start_router(router))
             self._deliver(router, inputs.ListenersReady())
-        elif isinstance(event, ClientAsks):
-            self._ask(router)
-        elif isinstance(event, ServiceTurn):
-            self._answer_call(router, event.made_ns)
+        elif isinstance(event, ClientSends):
+            self._send_client_request(router)
+        elif isinstance(event, ServiceReady):
+            self._answer_watch_request(router, event.received_ns)
         else:
             self._deliver_from_server(router, event)
 
@@ -291,36 +291,36 @@
         """Start a router's process; benchmarks override this to pass other options."""
         return self.routers[router].start(self.now)
 
-    def kill(self, router: int, back_ns: int) -> None:
+    def kill(self, router: int, restart_after_ns: int) -> None:
         """Kill a router's process: its connections and its clients' requests are lost.
 
-        Its successor starts ``back_ns`` later with no state but the list in its configuration.
+        Its successor starts ``restart_after_ns`` later with no state but the list in its configuration.
         """
         self._process[router] += 1
         for connection in list(self._server_by_connection[router]):
             self._disconnect(router, connection)
-        self.service.waiting_calls.pop(router, None)
+        self.service.waiting_watches.pop(router, None)
         self.outcomes.drop_router(router)
         self.routers[router] = self._make_router(router)
-        self._schedule(self.now + back_ns, router, RouterStarts())
-        self._schedule(self.now + back_ns, router, ClientAsks())
+        self._schedule(self.now + restart_after_ns, router, RouterStarts())
+        self._schedule(self.now + restart_after_ns, router, ClientSends())
 
-    def _ask(self, router: int) -> None:
+    def _send_client_request(self, router: int) -> None:
         """Send a client's request and schedule the next one."""
         gap_ns = int(self.random.expovariate(self.rate) * S)
-        self._schedule(self.now + gap_ns, router, ClientAsks())
-        item = int(self.random.paretovariate(POPULARITY_TAIL) * 10) % OBJECTS
+        self._schedule(self.now + gap_ns, router, ClientSends())
+        object_number = int(self.random.paretovariate(POPULARITY_TAIL) * 10) % OBJECTS
         is_order = self.random.random() < ORDERS_SHARE
         weight = ORDER_WEIGHT if is_order else PAGE_WEIGHT
         self.outcomes.asked[tenth_of(self.now)] += int(weight)
         self.sequence += 1
         client = self.sequence
         self.outcomes.record_request(router, client, self.now, weight)
-        self._deliver(router, client_request(client, item, is_order=is_order))
+        self._deliver(router, client_request(client, object_number, is_order=is_order))
 
     # The list service -------------------------------------------------------------------------------------
 
-    def _poll(self, router: int, after_event: int, wait_ms: int) -> None:
+    def _receive_watch_request(self, router: int, after_event: int, wait_ms: int) -> None:
         """Deliver a watch request to the list service."""
         service = self.service
         arrives_ns = self.now + FEED_DELAY_NS
@@ -329,27 +329,27 @@
             self._schedule(arrives_ns + FEED_DELAY_NS, router, inputs.WatchFailed("refused"))
         elif service.accept(arrives_ns):
             until_ns = arrives_ns + wait_ms * MS
-            service.waiting_calls[router] = WaitingCall(arrives_ns, after_event, until_ns)
-            self._schedule(service.free_at_ns, router, ServiceTurn(arrives_ns))
+            service.waiting_watches[router] = WaitingWatch(arrives_ns, after_event, until_ns)
+            self._schedule(service.free_at_ns, router, ServiceReady(arrives_ns))
         else:
             # The iteration order of this set of routers determines the seeded runs on record.
-            callers = {*service.waiting_calls, router}
+            watchers = {*service.waiting_watches, router}
             service.crash(arrives_ns)
-            for caller in callers:
-                self._schedule(arrives_ns + FEED_DELAY_NS, caller, inputs.WatchFailed("reset"))
+            for watcher in watchers:
+                self._schedule(arrives_ns + FEED_DELAY_NS, watcher, inputs.WatchFailed("reset"))
 
-    def _answer_call(self, router: int, made_ns: int) -> None:
+    def _answer_watch_request(self, router: int, received_ns: int) -> None:
         """Respond to a watch request if there are new events or its wait is over; else let it wait."""
-        call = self.service.waiting_calls.get(router)
-        if call is None or call.made_ns != made_ns:
+        watch = self.service.waiting_watches.get(router)
+        if watch is None or watch.received_ns != received_ns:
             return
-        if call.after_event != self.service.last_event or self.now >= call.until_ns:
-            del self.service.waiting_calls[router]
+        if watch.after_event != self.service.last_event or self.now >= watch.until_ns:
+            del self.service.waiting_watches[router]
             self.first_answer_ns.setdefault(router, self.now)
             response = inputs.WatchResponse(self.service.last_event, ())
             self._schedule(self.now + FEED_DELAY_NS, router, response)
         else:
-            self._schedule(call.until_ns, router, ServiceTurn(made_ns))
+            self._schedule(watch.until_ns, router, ServiceReady(received_ns))
 
     # Effects of the routers -------------------------------------------------------------------------------
 
@@ -358,7 +358,7 @@
             if isinstance(e, effects.ScheduleTimer):
                 self._schedule(max(e.at_ns, self.now), router, inputs.TimerFired(e.key))
             elif isinstance(e, effects.PollFeed):
-                self._poll(router, e.after_event, e.wait_ms)
+                self._receive_watch_request(router, e.after_event, e.wait_ms)
             elif isinstance(e, effects.OpenServerConnection):
                 self._connect(router, e)
             elif isinstance(e, effects.CloseServerConnection):
@@ -374,11 +374,11 @@
     def _connect(self, router: int, e: effects.OpenServerConnection) -> None:
         name = e.address.rpartition(":")[0]
         self._server_by_connection[router][e.connection] = name
-        known_ns, failure = self.servers.connect(self.now, name)
+        result_ns, failure = self.servers.connect(self.now, name)
         if failure:
-            self._schedule(known_ns, router, inputs.ServerConnectionLost(e.connection, failure, True))
+            self._schedule(result_ns, router, inputs.ServerConnectionLost(e.connection, failure, True))
         else:
-            self._schedule(known_ns, router, inputs.ServerConnected(e.connection))
+            self._schedule(result_ns, router, inputs.ServerConnected(e.connection))
 
     def _disconnect(self, router: int, connection: int) -> None:
         self.servers.disconnect(self._server_by_connection[router].pop(connection, None))
@@ -457,17 +457,17 @@
     return SimulatedServers(caches, parents, OriginModel(origin_per_s))
 
 
-def client_request(client: int, item: int, *, is_order: bool) -> inputs.ClientRequest:
+def client_request(client: int, object_number: int, *, is_order: bool) -> inputs.ClientRequest:
     """A request for a part of a page, or an order that must not run twice, on a connection of its own."""
     return inputs.ClientRequest(
         client,
         1,
         "order" if is_order else "page",
         f"{client:016x}",
-        ORDER_PATIENCE_NS if is_order else PAGE_PATIENCE_NS,
-        f"{item:016x}",
+        ORDER_TIMEOUT_NS if is_order else PAGE_TIMEOUT_NS,
+        f"{object_number:016x}",
         "0",
-        item,
+        object_number,
         0,
         0,
         False,
--- a/testbed/cold_start_models.py
+++ b/testbed/cold_start_models.py
@@ -32,10 +32,10 @@
 PARENT_WARM_UP = WarmUp(0.1, 2.0)
 
 
-class WaitingCall(NamedTuple):
+class WaitingWatch(NamedTuple):
     """A watch request that the list service has accepted and not answered yet."""
 
-    made_ns: int
+    received_ns: int
     after_event: int
     until_ns: int
 
@@ -56,7 +56,7 @@
     crashes: int = 0
     last_event: int = 2
     calls: list[int] = field(default_factory=list)  # arrival times
-    waiting_calls: dict[int, WaitingCall] = field(default_factory=dict)  # by router
+    waiting_watches: dict[int, WaitingWatch] = field(default_factory=dict)  # by router
 
     def accept(self, now_ns: int) -> bool:
         """Queue one more watch request; False if it makes the service crash."""
@@ -71,7 +71,7 @@
         self.free_at_ns = now_ns + self.down_ns
         if self.renumbers_after_crash:
             self.last_event = 1
-        self.waiting_calls.clear()
+        self.waiting_watches.clear()
 
 
 @dataclass
--- a/testbed/demo.py
+++ b/testbed/demo.py
@@ -11,20 +11,23 @@
 from testbed.stand_ins import ROOT, ScriptedReply, ServerCommand, StandInServers
 
 ZONE = "edge-1"
-TROUBLED = "00000000000000aa"  # the first response to each request for this object is an error
+FAILING_OBJECT = "00000000000000aa"  # the first response to each request for this object is an error
 
 
-def script(server: str, seen: ServerCommand) -> ScriptedReply:
+def script(server: str, command: ServerCommand) -> ScriptedReply:
     """Caches hold pages, orders run at the origin, and requests for one object fail at first."""
-    if seen.fields["item"] == TROUBLED and len(SEEN.setdefault(seen.request_id, [])) == 0:
-        SEEN[seen.request_id].append(server)
+    if (
+        command.fields["item"] == FAILING_OBJECT
+        and len(ATTEMPTED_SERVERS.setdefault(command.request_id, [])) == 0
+    ):
+        ATTEMPTED_SERVERS[command.request_id].append(server)
         return ScriptedReply("BROKE")
     return ScriptedReply(
         "DONE", 3, "mem" if server.startswith("cache") else "origin", f"by {server}".encode()
     )
 
 
-SEEN: dict[str, list[str]] = {}
+ATTEMPTED_SERVERS: dict[str, list[str]] = {}
 
 
 def main() -> int:
@@ -35,37 +38,37 @@
         print(faults[0].format_for("examples/operator.kdl"), file=sys.stderr)
         return 1
     classes = {c.name: c for c in read_settings(str(ROOT / "examples/config.json")).classes}
-    good = True
-    with StandInServers(script) as world, RouterProcess(world, text) as router:
+    is_as_expected = True
+    with StandInServers(script) as stand_ins, RouterProcess(stand_ins, text) as router:
         print(f"a router on {router.address[0]}:{router.address[1]}, two caches, a parent and the origin\n")
         client = router.client()
         print(f"{'class':8}{'object':20}{'part':>5}  {'route':8}{'answer':9}{'asked':22}{'ms':>6}")
-        for cls, item, part in (
+        for cls, object_id, part in (
             ("page", "7f3a9c21e0b4d655", 0),
             ("page", "7f3a9c21e0b4d655", 9),
-            ("page", TROUBLED, 1),
-            ("page", TROUBLED, 12),
+            ("page", FAILING_OBJECT, 1),
+            ("page", FAILING_OBJECT, 12),
             ("order", "00000000000000bb", 0),
-            ("order", TROUBLED, 0),
+            ("order", FAILING_OBJECT, 0),
         ):
             route = find_route(
-                file, ZONE, RequestAttributes(classes[cls], item, part, 17, write=cls == "order")
+                file, ZONE, RequestAttributes(classes[cls], object_id, part, 17, write=cls == "order")
             )
             trace = client.send_request(
-                cls, object=item, part=part, body=b"one dish" if cls == "order" else b""
+                cls, object=object_id, part=part, body=b"one dish" if cls == "order" else b""
             )
-            answer = next(client.responses(1))
-            asked = [s.server for s in world.requests(trace)]
+            response = next(client.responses(1))
+            attempted = [s.server for s in stand_ins.requests(trace)]
             print(
-                f"{cls:8}{item:20}{part:>5}  {route.name if route else '-':8}{answer.kind:9}"
-                f"{' then '.join(asked):22}{answer.latency_ms:6.1f}"
+                f"{cls:8}{object_id:20}{part:>5}  {route.name if route else '-':8}{response.kind:9}"
+                f"{' then '.join(attempted):22}{response.latency_ms:6.1f}"
             )
             # An order that got an error may have been executed: it fails and is not sent again.
-            broken = cls == "order" and item == TROUBLED
-            good &= answer.kind == ("failed" if broken else "served")
-            good &= len(asked) == (2 if item == TROUBLED and not broken else 1)
-    print("\neach as its route says" if good else "\nNOT as the routes say")
-    return 0 if good else 1
+            must_fail = cls == "order" and object_id == FAILING_OBJECT
+            is_as_expected &= response.kind == ("failed" if must_fail else "served")
+            is_as_expected &= len(attempted) == (2 if object_id == FAILING_OBJECT and not must_fail else 1)
+    print("\neach as its route says" if is_as_expected else "\nNOT as the routes say")
+    return 0 if is_as_expected else 1
 
 
 if __name__ == "__main__":
--- a/testbed/demo_rollout.py
+++ b/testbed/demo_rollout.py
@@ -18,36 +18,36 @@
 from testbed.field import ClientLoad, RouterField, build_program
 from testbed.stand_ins import ROOT
 
-PATIENCE_S = 180.0
+TIMEOUT_S = 180.0
 
 
-def command(*words: str) -> list[str]:
+def command(*arguments: str) -> list[str]:
     """The command line that runs the program's command with these arguments."""
-    return [sys.executable, "-c", f"from kelpcroft.cli import main; main({list(words)!r})"]
+    return [sys.executable, "-c", f"from kelpcroft.cli import main; main({list(arguments)!r})"]
 
 
-def say(text: str) -> None:
+def print_heading(text: str) -> None:
     """Print a heading for the next step."""
     print(f"\n== {text}", flush=True)
 
 
-def run(*words: str) -> int:
+def run(*arguments: str) -> int:
     """Print and run a command with its output shown: its exit code."""
-    print(f"$ kelpcroft {' '.join(words)}", flush=True)
-    return subprocess.run(command(*words), cwd=ROOT, timeout=PATIENCE_S).returncode
+    print(f"$ kelpcroft {' '.join(arguments)}", flush=True)
+    return subprocess.run(command(*arguments), cwd=ROOT, timeout=TIMEOUT_S).returncode
 
 
-def killed_once(field: RouterField, plan: str, store: str) -> int:
+def run_with_killed_controller(field: RouterField, plan: str, store: str) -> int:
     """Start a rollout, kill its controller at the second router's change, start it again: its exit code."""
-    applied = len(field.orders)
+    orders_before = len(field.orders)
     print(f"$ kelpcroft rollout start {plan} --store {store}", flush=True)
     process = subprocess.Popen(command("rollout", "start", plan, "--store", store), cwd=ROOT)
-    until = time.monotonic() + PATIENCE_S
-    while len(field.orders) < applied + 2 and process.poll() is None and time.monotonic() < until:
+    deadline_s = time.monotonic() + TIMEOUT_S
+    while len(field.orders) < orders_before + 2 and process.poll() is None and time.monotonic() < deadline_s:
         time.sleep(0.05)
     process.send_signal(signal.SIGKILL)
     process.wait()
-    say("the controller was killed; its lease lasts for 15 s, then another goes on")
+    print_heading("the controller was killed; its lease lasts for 15 s, then another goes on")
     run("rollout", "status", "--store", store)
     time.sleep(16)
     return run("rollout", "start", plan, "--store", store)
@@ -60,7 +60,7 @@
         0 if the good change was completed and the bad one rolled back, with no request lost.
     """
     os.environ["PYTHONPATH"] = str(ROOT)
-    good = True
+    is_as_expected = True
     for defect in ("sound", "refuses"):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
@@ -70,18 +70,18 @@
                 Path(plan).write_text(field.rollout_plan(program_digest(new / "kelpcroft")))
                 with ClientLoad(field) as load:
                     if defect == "sound":
-                        say("a good change")
+                        print_heading("a good change")
                         run("rollout", "plan", plan)
-                        good &= killed_once(field, plan, store) == 0
+                        is_as_expected &= run_with_killed_controller(field, plan, store) == 0
                     else:
-                        say("a bad one: the new build refuses one request in three")
-                        good &= run("rollout", "start", plan, "--store", store) == 1
+                        print_heading("a bad one: the new build refuses one request in three")
+                        is_as_expected &= run("rollout", "start", plan, "--store", store) == 1
                         run("rollout", "history", "--store", store)
-                touched = [n for n, node in field.nodes.items() if "new" in node.started_builds]
-                print(f"routers touched: {len(touched)}; requests: {dict(load.counts)}", flush=True)
-                good &= load.counts["lost"] == 0 and len(touched) == (6 if defect == "sound" else 1)
-    print("\nas it should be" if good else "\nNOT as it should be")
-    return 0 if good else 1
+                changed = [n for n, node in field.nodes.items() if "new" in node.started_builds]
+                print(f"routers touched: {len(changed)}; requests: {dict(load.counts)}", flush=True)
+                is_as_expected &= load.counts["lost"] == 0 and len(changed) == (6 if defect == "sound" else 1)
+    print("\nas it should be" if is_as_expected else "\nNOT as it should be")
+    return 0 if is_as_expected else 1
 
 
 if __name__ == "__main__":
--- a/testbed/deployments.py
+++ b/testbed/deployments.py
@@ -46,7 +46,7 @@
 RETRY_AFTER_NS = 100 * MS  # from the end of a client's wait to its retry
 REFUSED_CONNECTIONS_SHARE = 0.03
 RESTART_NS = 300 * MS  # from the router's death to its next start
-PURGES_TOLD_AT_START_NS = 6 * S  # a new router receives purges that were published at most this long ago
+REDELIVERED_PURGES_NS = 6 * S  # a new router receives purges that were published at most this long ago
 PURGE_AGE_NS = 50 * MS  # age of a purge when it is published
 EVENT_NUMBER = 9  # of every event; the numbers do not matter here
 FROM_SERVERS = (inputs.ServerConnected, inputs.ServerConnectionLost, inputs.ServerResponse)
@@ -162,7 +162,7 @@
         self.carry_out(self.reducer.start(self.now))
         changed = [e for e in self.endpoints.values() if e["status"] != "active" or e.get("since_ms")]
         if changed:
-            self._tell_endpoints(changed)
+            self._deliver_endpoints(changed)
         self.deliver(inputs.ListenersReady())
 
     def _kill_router(self) -> None:
@@ -180,7 +180,7 @@
         self.notices = [
             notice
             for notice in self.notices
-            if notice.kind != "purge" or self.now - notice.at_ns < PURGES_TOLD_AT_START_NS
+            if notice.kind != "purge" or self.now - notice.at_ns < REDELIVERED_PURGES_NS
         ]
         self.start_router()
         for notice in list(self.notices):
@@ -209,7 +209,7 @@
         for key in [key for key in self._open_attempts if key[0] == connection]:
             self._open_attempts.pop(key).ended_ns = self.now
 
-    def _tell_endpoints(self, lines: list[dict[str, Any]]) -> None:
+    def _deliver_endpoints(self, lines: list[dict[str, Any]]) -> None:
         """Deliver a list event with these servers' lines."""
         records = tuple(
             inputs.EndpointRecord(
@@ -250,15 +250,15 @@
             line["since_ms"] = self.now // MS
         self.notices.append(Notice(self.now, kind, line["name"]))
         if self.is_up:
-            self._tell_endpoints([line])
+            self._deliver_endpoints([line])
         return str(line["name"])
 
     def _purge(self) -> None:
-        item, group = self.random.choice([(7, 0), (8, 0), (None, 3)])
+        object_number, group = self.random.choice([(7, 0), (8, 0), (None, 3)])
         purged_ns = self.now - PURGE_AGE_NS
-        self.notices.append(Notice(self.now, "purge", (item, group, purged_ns)))
+        self.notices.append(Notice(self.now, "purge", (object_number, group, purged_ns)))
         if self.is_up:
-            self.deliver(inputs.WatchResponse(EVENT_NUMBER, (inputs.Purge(item, group, purged_ns),)))
+            self.deliver(inputs.WatchResponse(EVENT_NUMBER, (inputs.Purge(object_number, group, purged_ns),)))
 
     # Clients ----------------------------------------------------------------------------------------------
 
@@ -269,16 +269,16 @@
         cls = self._class_of(retry_key)
         is_keyed = cls["idempotency"] == "keyed"
         key = retry_key or (f"{cls['name']}/{self._sequence}" if is_keyed else "")
-        left_ns = cls["give_up_ns"] - (self.now - since_ns if retry_key else 0)
-        patience_ms = int(left_ns * self.random.uniform(0.5, 1.0)) // MS
-        if patience_ms < 1:
+        remaining_ns = cls["give_up_ns"] - (self.now - since_ns if retry_key else 0)
+        wait_ms = int(remaining_ns * self.random.uniform(0.5, 1.0)) // MS
+        if wait_ms < 1:
             return
-        request = self._make_request(cls, key, patience_ms, is_retry=bool(retry_key))
+        request = self._make_request(cls, key, wait_ms, is_retry=bool(retry_key))
         record = RequestRecord(self.now, request, self.router_life)
         self.requests[request.client, 1] = record
         self.requests_by_trace[request.trace_id] = record
-        gives_up_ns = self.now + patience_ms * MS + CLIENT_SLACK_NS
-        self.schedule(gives_up_ns, partial(self._give_up, record, since_ns or self.now))
+        wait_ends_ns = self.now + wait_ms * MS + CLIENT_SLACK_NS
+        self.schedule(wait_ends_ns, partial(self._end_wait, record, since_ns or self.now))
         self.deliver(request)
 
     def _class_of(self, retry_key: str) -> dict[str, Any]:
@@ -288,22 +288,22 @@
         return self.classes[self.random.choice(sorted(self.classes))]
 
     def _make_request(
-        self, cls: dict[str, Any], key: str, patience_ms: int, *, is_retry: bool
+        self, cls: dict[str, Any], key: str, wait_ms: int, *, is_retry: bool
     ) -> inputs.ClientRequest:
         self._sequence += 1
         client = self._sequence
-        item = self.random.choice([7, 8, 9, self.random.randrange(10**6)])
+        object_number = self.random.choice([7, 8, 9, self.random.randrange(10**6)])
         return inputs.ClientRequest(
             client,
             1,
             cls["name"],
             f"{client:016x}",
-            patience_ms * MS,
-            f"{item:016x}",
+            wait_ms * MS,
+            f"{object_number:016x}",
             "0",
-            item,
+            object_number,
             0,
-            item % 4,
+            object_number % 4,
             is_retry,
             "",
             b"x" if cls["idempotency"] != "safe" else b"",
@@ -311,7 +311,7 @@
             size_kb=self.random.choice([0.0, 1.0, 200.0, 5_000.0]),
         )
 
-    def _give_up(self, record: RequestRecord, since_ns: int) -> None:
+    def _end_wait(self, record: RequestRecord, since_ns: int) -> None:
         """End a client's wait: it cancels an open request, and may retry if the class allows it."""
         cls = self.classes[record.request.request_class]
         if not record.final_effects and not record.gone_ns:
@@ -351,11 +351,11 @@
         name = next(name for name, line in self.endpoints.items() if line["address"] == e.address)
         self._server_by_connection[e.connection] = name
         is_up = self.random.random() > REFUSED_CONNECTIONS_SHARE
-        known_ns = self.now + self.random.randint(1, 30) * MS
+        result_ns = self.now + self.random.randint(1, 30) * MS
         if is_up:
-            self.schedule(known_ns, inputs.ServerConnected(e.connection))
+            self.schedule(result_ns, inputs.ServerConnected(e.connection))
         else:
-            self.schedule(known_ns, inputs.ServerConnectionLost(e.connection, "refused", True))
+            self.schedule(result_ns, inputs.ServerConnectionLost(e.connection, "refused", True))
 
     def _run_attempt(self, e: effects.SendAttempt) -> None:
         """Draw an attempt's fate and its service time."""
--- a/testbed/field/builds.py
+++ b/testbed/field/builds.py
@@ -11,7 +11,7 @@
 
 
 def reject_requests_if(condition: str) -> Change:
-    """A change that makes the router reject the requests for which the expression ``when`` is true."""
+    """A change that makes the router reject the requests for which the expression ``condition`` is true."""
     anchor = "        reason = self.reject_reason(message, is_keyed)\n"
     return (
         "kelpcroft/core/client_requests.py",
--- a/testbed/fleet.py
+++ b/testbed/fleet.py
@@ -29,60 +29,60 @@
     ) -> None:
         self.routers, self.reply = routers, reply
         self.heap: list[tuple[int, int, int, api.Event]] = []
-        self.made = 0
+        self.event_count = 0
         self.attempts: list[tuple[int, api.ForwardRequest]] = []
         self.unserved: list[tuple[int, api.Action]] = []
         self.attempt_counts: dict[tuple[int, str], int] = {}
 
-    def schedule(self, when: int, router: int, event: api.Event) -> None:
+    def schedule(self, at_ns: int, router: int, event: api.Event) -> None:
         """Schedule an event for one router."""
-        self.made += 1
-        heapq.heappush(self.heap, (when, self.made, router, event))
+        self.event_count += 1
+        heapq.heappush(self.heap, (at_ns, self.event_count, router, event))
 
-    def run(self, until: int) -> None:
+    def run(self, until_ns: int) -> None:
         """Deliver all events up to a time in ns."""
-        while self.heap and self.heap[0][0] <= until:
-            now, _, n, event = heapq.heappop(self.heap)
-            for a in self.routers[n].handle(now, event):
-                if isinstance(a, api.SetTimer):
-                    self.schedule(a.at_ns, n, api.TimerExpired(a.label))
-                elif isinstance(a, api.ForwardRequest):
-                    self.attempts.append((now, a))
-                    number = self.attempt_counts.get((n, a.id), 0)
-                    self.attempt_counts[n, a.id] = number + 1
-                    took, outcome, note, report = self.reply(now, a) or (
-                        a.timeout_ns,
+        while self.heap and self.heap[0][0] <= until_ns:
+            now, _, router, event = heapq.heappop(self.heap)
+            for action in self.routers[router].handle(now, event):
+                if isinstance(action, api.SetTimer):
+                    self.schedule(action.at_ns, router, api.TimerExpired(action.label))
+                elif isinstance(action, api.ForwardRequest):
+                    self.attempts.append((now, action))
+                    attempt_number = self.attempt_counts.get((router, action.id), 0)
+                    self.attempt_counts[router, action.id] = attempt_number + 1
+                    duration_ns, outcome, fill_result, report = self.reply(now, action) or (
+                        action.timeout_ns,
                         Outcome.TIMEOUT,
                         FillResult.NONE,
                         {},
                     )
                     self.schedule(
-                        now + took,
-                        n,
+                        now + duration_ns,
+                        router,
                         api.AttemptEnded(
-                            a.id,
-                            number,
-                            a.server,
+                            action.id,
+                            attempt_number,
+                            action.server,
                             outcome,
-                            took,
+                            duration_ns,
                             outcome is Outcome.OK,
-                            note,
+                            fill_result,
                             50 * MS,
                             report,
                         ),
                     )
-                elif isinstance(a, (api.Reject, api.Fail)):
-                    self.unserved.append((now, a))
+                elif isinstance(action, (api.Reject, api.Fail)):
+                    self.unserved.append((now, action))
 
     def schedule_requests(
-        self, start: int, end: int, each_ns: int, random: Random, objects: int = 10**6
+        self, start: int, end: int, interval_ns: int, random: Random, objects: int = 10**6
     ) -> None:
-        """Schedule requests to every router for random objects, one every ``each_ns`` on average."""
+        """Schedule requests to every router for random objects, one every ``interval_ns`` on average."""
         for n in range(len(self.routers)):
             now = start
             while now < end:
-                now += int(random.expovariate(1) * each_ns)
-                self.made += 1
+                now += int(random.expovariate(1) * interval_ns)
+                self.event_count += 1
                 self.schedule(
-                    now, n, api.Request(f"{n}-{self.made}", "safe", 3 * S, random.randrange(objects))
+                    now, n, api.Request(f"{n}-{self.event_count}", "safe", 3 * S, random.randrange(objects))
                 )
--- a/testbed/hollow/processes.py
+++ b/testbed/hollow/processes.py
@@ -85,7 +85,7 @@
 def hollow_routers(
     size: FleetSize, feed: str, rules: str = "", per_process: int = ROUTERS_PER_PROCESS
 ) -> Iterator[list[LineProcess]]:
-    """Start all routers of a fleet as hollow routers, up to ``each`` in one process."""
+    """Start all routers of a fleet as hollow routers, up to ``per_process`` in one process."""
     with ExitStack() as stack:
         processes = []
         for first in range(0, size.routers, per_process):
@@ -290,7 +290,7 @@
 
 
 def wait_for(condition: Any, timeout_s: float, interval_s: float = 0.02) -> bool:
-    """Poll a condition until it is true: whether that happens within ``longest_s``."""
+    """Poll a condition until it is true: whether that happens within ``timeout_s``."""
     deadline_s = time.monotonic() + timeout_s
     while time.monotonic() < deadline_s:
         if condition():
--- a/testbed/rollouts.py
+++ b/testbed/rollouts.py
@@ -50,16 +50,16 @@
 Harm = Callable[["SimulatedFleet", "SimulatedRouter", str], float]
 
 
-def make_plan(zones: int, each: int, stages: str = "", more: str = "") -> RolloutPlan:
+def make_plan(zones: int, routers_per_zone: int, stages: str = "", more: str = "") -> RolloutPlan:
     """A plan whose stages are, by default, one router, half of them, and all.
 
     Args:
         zones: Number of zones: z0, z1, ...
-        each: Number of routers in each zone: n0-0, n0-1, ...
+        routers_per_zone: Number of routers in each zone: n0-0, n0-1, ...
         stages: Lines that replace the default stages.
         more: Lines that replace the default limits and times.
     """
-    names = [(f"n{z}-{n}", f"z{z}") for z in range(zones) for n in range(each)]
+    names = [(f"n{z}-{n}", f"z{z}") for z in range(zones) for n in range(routers_per_zone)]
     text = 'rollout version=1\nchange { program build="beef"; }\n'
     text += "".join(f'router "{name}" zone="{zone}"\n' for name, zone in names)
     text += stages or DEFAULT_STAGES
@@ -95,7 +95,7 @@
     """All routers of a plan, and the rollout that changes them, in steps of one second."""
 
     def __init__(
-        self, plan: RolloutPlan, seed: int, harm: Harm, rate: float = 30.0, usual: float = 0.03
+        self, plan: RolloutPlan, seed: int, harm: Harm, rate: float = 30.0, usual_late_share: float = 0.03
     ) -> None:
         """Build the fleet; ``run`` or ``run_second`` starts its time.
 
@@ -104,13 +104,13 @@
             seed: Seed of all random draws.
             harm: The regression of the change.
             rate: Reads a second at each router.
-            usual: The share of requests that is late without the change.
+            usual_late_share: The share of requests that is late without the change.
         """
         self.plan = plan
         self.random = Random(seed)
         self.harm = harm
         self.rate = rate
-        self.usual_late_share = usual
+        self.usual_late_share = usual_late_share
         self.now = START
         self.routers = {target.name: SimulatedRouter(target.name, target.zone) for target in plan.routers}
         self.rollout = Rollout(plan, self.now)
@@ -123,7 +123,7 @@
         self.new_build_never_ready = False
         self.new_build_crash_after_ns = 0  # 0 = never
         self._drift = 0.0
-        self._pending_answers: list[Event] = []  # reports of this second, delivered after its tick
+        self._pending_reports: list[Event] = []  # reports of this second, delivered after its tick
 
     def deliver(self, event: Event) -> None:
         """Pass an event to the rollout and carry out its effects."""
@@ -131,7 +131,7 @@
             if isinstance(effect, HistoryEntry):
                 self.history.append(effect)
             elif effect.kind is CommandKind.POLL:
-                self._pending_answers.append(self.answer(self.routers[effect.router]))
+                self._pending_reports.append(self.answer(self.routers[effect.router]))
             else:
                 self.commands.append((self.now, effect.router, effect.kind))
                 if self.random.random() >= self.lost_command_share:
@@ -184,16 +184,16 @@
     def run_second(self) -> None:
         """Run one second: the requests first, then the rollout's tick and the routers' reports."""
         self.now += S
-        self._pending_answers = []
+        self._pending_reports = []
         self._drift = DRIFT_DECAY * self._drift + self.random.gauss(0, DRIFT_STEP)
         for router in self.routers.values():
             if self._crashes_now(router):
                 self.start(router, NEW_BUILD)  # the platform restarts it
             if router.serves(self.now):
                 for cls in CLASS_RATES:
-                    self._play_requests(router, cls)
+                    self._draw_requests(router, cls)
         self.deliver(Tick())
-        for event in self._pending_answers:
+        for event in self._pending_reports:
             self.deliver(event)
         self._count_unavailable()
 
@@ -205,17 +205,17 @@
             and self.now - router.started >= self.new_build_crash_after_ns
         )
 
-    def _play_requests(self, router: SimulatedRouter, cls: str) -> None:
+    def _draw_requests(self, router: SimulatedRouter, cls: str) -> None:
         """Draw the number of a class's requests at a router in this second, and how many are late."""
         rate = self.rate / CLASS_RATES[cls]
-        asked = max(0, round(self.random.gauss(rate, math.sqrt(rate))))
+        sent = max(0, round(self.random.gauss(rate, math.sqrt(rate))))
         harm = self.harm(self, router, cls)
         late_share = min(1.0, max(0.0, self.usual_late_share + self._drift + harm))
-        deviation = math.sqrt(asked * late_share * (1 - late_share))
-        late = min(asked, max(0, round(self.random.gauss(asked * late_share, deviation))))
+        deviation = math.sqrt(sent * late_share * (1 - late_share))
+        late = min(sent, max(0, round(self.random.gauss(sent * late_share, deviation))))
         if router.build == NEW_BUILD:
-            self.harmed_requests += asked * harm
-        sample = RequestSample(asked, float(asked), float(asked - late))
+            self.harmed_requests += sent * harm
+        sample = RequestSample(sent, float(sent), float(sent - late))
         router.classes[cls] = router.classes.get(cls, RequestSample()) + sample
 
     def _count_unavailable(self) -> None:
--- a/testbed/router_process.py
+++ b/testbed/router_process.py
@@ -40,7 +40,7 @@
 
     sock: socket.socket
     unpacker: Any = field(default_factory=lambda: msgpack.Unpacker(raw=False))
-    calls: int = 0
+    request_count: int = 0
     sent_ns: dict[int, int] = field(default_factory=dict)
 
     def send_request(
@@ -71,7 +71,7 @@
         Returns:
             The trace id.
         """
-        self.calls += 1
+        self.request_count += 1
         trace = trace or secrets.token_hex(8)
         fields = {
             "trace": trace,
@@ -82,8 +82,8 @@
             **({"redo": "1"} if retry else {}),
             **(more or {}),
         }
-        self.sent_ns[self.calls] = time.monotonic_ns()
-        self.sock.sendall(msgpack.packb([0, self.calls, cls, [fields, body]]))
+        self.sent_ns[self.request_count] = time.monotonic_ns()
+        self.sock.sendall(msgpack.packb([0, self.request_count, cls, [fields, body]]))
         return trace
 
     def responses(self, count: int) -> Iterator[ClientResponse]:
@@ -93,8 +93,8 @@
             ConnectionError: The router has closed the connection.
         """
         while count:
-            for _, call, error, result in self.unpacker:
-                latency_ms = (time.monotonic_ns() - self.sent_ns.pop(call)) / MS
+            for _, number, error, result in self.unpacker:
+                latency_ms = (time.monotonic_ns() - self.sent_ns.pop(number)) / MS
                 if error is None:
                     yield ClientResponse("served", bytes(result[0]), result[1], latency_ms)
                 else:
@@ -119,7 +119,7 @@
 
     def __init__(
         self,
-        world: StandInServers,
+        servers: StandInServers,
         rules: str | None = None,
         program: Path = PROGRAM_DIR,
         release: bool = False,
@@ -129,7 +129,7 @@
         """Start the process.
 
         Args:
-            world: Its servers and its feed.
+            servers: Its servers and its feed.
             rules: Content of the operator's file; None = no file.
             program: Folder of the program.
             release: Start it as `run` does, without assertions.
@@ -141,10 +141,13 @@
         self.rules_path = folder / "rules.kdl"
         self.config_path = folder / "config.json"
         self.log_path = folder / "log"
-        with socket.create_server(("127.0.0.1", 0)) as free, socket.create_server(("127.0.0.1", 0)) as other:
-            self.address = free.getsockname()[:2]
-            self.control_address = other.getsockname()[:2]
-        config = self._configuration(world, settings or {})
+        with (
+            socket.create_server(("127.0.0.1", 0)) as client_listener,
+            socket.create_server(("127.0.0.1", 0)) as control_listener,
+        ):
+            self.address = client_listener.getsockname()[:2]
+            self.control_address = control_listener.getsockname()[:2]
+        config = self._configuration(servers, settings or {})
         if mgmt:
             config["mgmt"] = f"127.0.0.1:{self.control_address[1]}"
         self.config_path.write_text(json.dumps(config))
@@ -159,14 +162,14 @@
                 [sys.executable, *options, "-m", "kelpcroft"], cwd=program, env=env, stderr=log, stdout=log
             )
 
-    def _configuration(self, world: StandInServers, settings: dict[str, Any]) -> dict[str, Any]:
+    def _configuration(self, servers: StandInServers, settings: dict[str, Any]) -> dict[str, Any]:
         """The example's configuration with the stand-ins' addresses."""
         example = json.loads((ROOT / "examples/config.json").read_bytes())
         return {
             **example,
             "listen": f"127.0.0.1:{self.address[1]}",
-            "feed": world.address_of("feed"),
-            "known": {"n": 1, "events": [world.endpoint_snapshot()]},
+            "feed": servers.address_of("feed"),
+            "known": {"n": 1, "events": [servers.endpoint_snapshot()]},
             "settings": {**example["settings"], **settings},
         }
 
@@ -191,8 +194,8 @@
         before = len(self.rules_events())
         self.rules_path.write_text(rules)
         self.process.send_signal(signal.SIGHUP)
-        until = time.monotonic() + MAX_WAIT_S
-        while time.monotonic() < until:
+        deadline_s = time.monotonic() + MAX_WAIT_S
+        while time.monotonic() < deadline_s:
             events = self.rules_events()
             if len(events) > before:
                 return events[-1]
@@ -209,8 +212,8 @@
         Raises:
             RuntimeError: The process has ended or does not accept connections in time.
         """
-        until = time.monotonic() + MAX_WAIT_S
-        while self.process.poll() is None and time.monotonic() < until:
+        deadline_s = time.monotonic() + MAX_WAIT_S
+        while self.process.poll() is None and time.monotonic() < deadline_s:
             try:
                 return RouterClient(socket.create_connection(self.address, MAX_WAIT_S))
             except ConnectionRefusedError:
--- a/testbed/stand_ins.py
+++ b/testbed/stand_ins.py
@@ -24,7 +24,7 @@
 PROGRAM_DIR = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: the program that `run` starts
 MS = 1_000_000
 MAX_WAIT_S = 20.0  # a test or process that waits longer than this has failed
-TURN_S = 0.02  # longest interval between two checks for watch responses that are due
+SELECT_TIMEOUT_S = 0.02  # longest interval between two checks for watch responses that are due
 READ_BYTES = 1 << 16
 CRASH_DOWN_S = 3.0  # the feed stays down for this long after too many watch requests
 EARLY_MS = 100  # without new events, a watch response is sent this long before the wait ends ...
@@ -36,7 +36,7 @@
     "origin": ("s-o", "hub", "origin"),
 }
 FEED = "feed"
-ANSWERS = ("DONE", "LACK", "WAIT", "BROKE", "PAST")
+RESPONSE_WORDS = ("DONE", "LACK", "WAIT", "BROKE", "PAST")
 PROVE_NOT_EXECUTED = ("LACK", "WAIT", "PAST")
 RESET = "reset"
 SILENT = "silent"
@@ -71,7 +71,7 @@
     at_ns: int
 
 
-class FeedCall(NamedTuple):
+class FeedRequest(NamedTuple):
     """A watch request that arrived at the feed."""
 
     at_ns: int
@@ -79,7 +79,7 @@
     port: int  # source port of the watcher's connection; 0 if it was reset
 
 
-class WaitingPoll(NamedTuple):
+class WaitingWatch(NamedTuple):
     """A watch request that waits for new events."""
 
     after_event: int
@@ -114,7 +114,7 @@
 ServerScript = Callable[[str, ServerCommand], ScriptedReply]
 
 
-def answer_at_once(server: str, seen: ServerCommand) -> ScriptedReply:  # noqa: ARG001 - a ServerScript
+def answer_at_once(server: str, command: ServerCommand) -> ScriptedReply:  # noqa: ARG001 - a ServerScript
     """Respond to every request immediately, with the server's name."""
     return ScriptedReply(body=f"by {server}".encode())
 
@@ -138,7 +138,7 @@
         self.feed_events: list[dict[str, Any]] = []  # numbered from 2
         self.feed_event_times_ns: list[int] = []  # time of each event's publication
         self.feed_deliveries: list[Delivery] = []
-        self.feed_calls: list[FeedCall] = []
+        self.feed_calls: list[FeedRequest] = []
         self.max_feed_calls_per_s = 0  # more watch requests in a second crash the feed; 0 = no limit
         self.feed_down_until_ns = 0  # until then the feed resets every new connection
         self.feed_crashes = 0
@@ -149,7 +149,7 @@
         self._sequence = 0
         self._buffers: dict[socket.socket, bytes] = {}  # bytes read and not parsed yet
         self._ports: dict[socket.socket, int] = {}  # peer's port of each connection
-        self._polls: dict[socket.socket, WaitingPoll] = {}
+        self._waiting_watches: dict[socket.socket, WaitingWatch] = {}
         self._stop = threading.Event()
         self._selector = selectors.DefaultSelector()
         for name, listener in self.listeners.items():
@@ -220,7 +220,7 @@
         self.feed_crashes += 1
         self.events_before_restart = len(self.feed_events)
         self.feed_down_until_ns = time.monotonic_ns() + int(down_s * 1e9)
-        for sock in list(self._polls):
+        for sock in list(self._waiting_watches):
             self._drop(sock, reset=True)
 
     # The thread -------------------------------------------------------------------------------------------
@@ -234,15 +234,15 @@
                     self._accept(sock, key.data)
                 else:
                     self._read(sock, key.data)
-            self._answer_polls()
+            self._send_watch_responses()
             while self._heap and self._heap[0].due_ns <= time.monotonic_ns():
                 due = heapq.heappop(self._heap)
                 self._write(due.sock, due.data)
 
     def _wait_s(self) -> float:
         if not self._heap:
-            return TURN_S
-        return max(0.0, min(TURN_S, (self._heap[0].due_ns - time.monotonic_ns()) / 1e9))
+            return SELECT_TIMEOUT_S
+        return max(0.0, min(SELECT_TIMEOUT_S, (self._heap[0].due_ns - time.monotonic_ns()) / 1e9))
 
     def _accept(self, listener: socket.socket, name: str) -> None:
         try:
@@ -254,7 +254,7 @@
         self._buffers[sock] = b""
         self._selector.register(sock, selectors.EVENT_READ, name)
         if name == FEED and time.monotonic_ns() < self.feed_down_until_ns:
-            self.feed_calls.append(FeedCall(time.monotonic_ns(), -1, 0))
+            self.feed_calls.append(FeedRequest(time.monotonic_ns(), -1, 0))
             self._drop(sock, reset=True)
 
     def _drop(self, sock: socket.socket, *, reset: bool = False) -> None:
@@ -262,7 +262,7 @@
         if sock not in self._buffers:
             return
         del self._buffers[sock]
-        self._polls.pop(sock, None)
+        self._waiting_watches.pop(sock, None)
         self._ports.pop(sock, None)
         with self.lock:
             for key in self._unanswered_requests.pop(sock, ()):
@@ -296,81 +296,85 @@
             self._drop(sock)
             return
         self._buffers[sock] += data
-        take = self._take_poll if name == FEED else self._take_command
-        while sock in self._buffers and take(sock, name):
+        take_next = self._take_watch_request if name == FEED else self._take_command
+        while sock in self._buffers and take_next(sock, name):
             pass
 
     # The feed ---------------------------------------------------------------------------------------------
 
-    def _take_poll(self, sock: socket.socket, _: str) -> bool:
+    def _take_watch_request(self, sock: socket.socket, _: str) -> bool:
         """Parse one watch request from the bytes read so far; False if they hold no complete one."""
-        head, found, rest = self._buffers[sock].partition(b"\r\n\r\n")
-        if not found:
+        head, separator, rest = self._buffers[sock].partition(b"\r\n\r\n")
+        if not separator:
             return False
         self._buffers[sock] = rest
         after_event = int(query_value(head, b"SUB=", b"&", b"1"))
         wait_ms = int(query_value(head, b"wait=", b" ", b"900"))
         until_ns = time.monotonic_ns() + max(MIN_WAIT_MS, wait_ms - EARLY_MS) * MS
-        self._polls[sock] = WaitingPoll(after_event, until_ns)
-        self._record_call(after_event, self._ports.get(sock, 0))
+        self._waiting_watches[sock] = WaitingWatch(after_event, until_ns)
+        self._record_watch_request(after_event, self._ports.get(sock, 0))
         return True
 
-    def _record_call(self, after_event: int, port: int) -> None:
+    def _record_watch_request(self, after_event: int, port: int) -> None:
         """Record a watch request; too many in a second crash the feed."""
-        now = time.monotonic_ns()
-        self.feed_calls.append(FeedCall(now, after_event, port))
-        most = self.max_feed_calls_per_s
+        now_ns = time.monotonic_ns()
+        self.feed_calls.append(FeedRequest(now_ns, after_event, port))
+        max_requests = self.max_feed_calls_per_s
         recent = [
-            call
-            for call in self.feed_calls[-4 * most :]
-            if call.after_event >= 0 and call.at_ns > now - 1_000 * MS
+            request
+            for request in self.feed_calls[-4 * max_requests :]
+            if request.after_event >= 0 and request.at_ns > now_ns - 1_000 * MS
         ]
-        if most and len(recent) > most:
+        if max_requests and len(recent) > max_requests:
             self.crash_feed(CRASH_DOWN_S)
 
-    def _answer_polls(self) -> None:
+    def _send_watch_responses(self) -> None:
         """Send due watch responses: new events, or none at the end of the wait."""
-        now = time.monotonic_ns()
+        now_ns = time.monotonic_ns()
         with self.lock:
-            last = len(self.feed_events) - self.events_before_restart + 1
-            for sock, poll in list(self._polls.items()):
-                if poll.after_event != last or poll.until_ns <= now:
-                    del self._polls[sock]
-                    body = json.dumps({"n": last, "events": self._events_after(poll.after_event, last, now)})
+            last_event = len(self.feed_events) - self.events_before_restart + 1
+            for sock, watch in list(self._waiting_watches.items()):
+                if watch.after_event != last_event or watch.until_ns <= now_ns:
+                    del self._waiting_watches[sock]
+                    body = json.dumps(
+                        {"n": last_event, "events": self._events_after(watch.after_event, last_event, now_ns)}
+                    )
                     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body.encode())
                     self._write_later(0, sock, head + body.encode())
 
-    def _events_after(self, after_event: int, last: int, now_ns: int) -> list[dict[str, Any]]:
+    def _events_after(self, after_event: int, last_event: int, now_ns: int) -> list[dict[str, Any]]:
         """Events after a position in the feed's present numbering; below position 1, after a snapshot."""
-        news = []
-        if after_event <= last:
-            news = self.feed_events[self.events_before_restart + max(0, after_event - 1) :]
-        self.feed_deliveries += [Delivery(event["n"], now_ns) for event in news]
-        renumbered = [{**event, "n": event["n"] - self.events_before_restart} for event in news]
+        new_events = []
+        if after_event <= last_event:
+            new_events = self.feed_events[self.events_before_restart + max(0, after_event - 1) :]
+        self.feed_deliveries += [Delivery(event["n"], now_ns) for event in new_events]
+        renumbered = [{**event, "n": event["n"] - self.events_before_restart} for event in new_events]
         return [self.endpoint_snapshot(), *renumbered] if after_event < 1 else renumbered
 
     # Servers ----------------------------------------------------------------------------------------------
 
     def _take_command(self, sock: socket.socket, name: str) -> bool:
         """Parse one command from the bytes read so far and respond to it; False if none is complete."""
-        words, rest = split_resp_array(self._buffers[sock])
-        if words is None:
+        elements, rest = split_resp_array(self._buffers[sock])
+        if elements is None:
             return False
         self._buffers[sock] = rest
-        fields = dict(pair.split("=", 1) for pair in words[2].decode().split(",")) if len(words) > 2 else {}
-        command = ServerCommand(name, words[0].decode(), words[1].decode(), fields, time.monotonic_ns())
+        fields = (
+            dict(pair.split("=", 1) for pair in elements[2].decode().split(",")) if len(elements) > 2 else {}
+        )
+        command = ServerCommand(name, elements[0].decode(), elements[1].decode(), fields, time.monotonic_ns())
         with self.lock:
             self.commands.append(command)
         if command.verb == "PULL":
-            self._answer(sock, command)
+            self._respond(sock, command)
         return True
 
-    def _answer(self, sock: socket.socket, command: ServerCommand) -> None:
+    def _respond(self, sock: socket.socket, command: ServerCommand) -> None:
         """Treat a request as the script decides."""
         reply = self.script(command.server, command)
         after_ns = int(reply.delay_ms * MS)
         key = RequestKey(command.request_id, command.server, command.received_ns)
-        if reply.fate in ANSWERS:
+        if reply.fate in RESPONSE_WORDS:
             with self.lock:
                 self.settled_requests[key] = RequestEnd(
                     command.received_ns + after_ns, reply.fate in PROVE_NOT_EXECUTED
@@ -380,17 +384,17 @@
         if reply.fate == RESET:
             self._write_later(after_ns, sock, RESET_MARK)
         elif reply.fate != SILENT:
-            data = encode_answer(command.request_id, reply)
+            data = encode_response(command.request_id, reply)
             self._write_later(after_ns, sock, data[: len(data) // 2] if reply.fate == CUT else data)
 
 
-def encode_answer(request_id: str, reply: ScriptedReply) -> bytes:
+def encode_response(request_id: str, reply: ScriptedReply) -> bytes:
     """A response as a RESP array: id, status word, fields and body."""
-    word = "DONE" if reply.fate == CUT else reply.fate
+    status = "DONE" if reply.fate == CUT else reply.fate
     fields = f"sum=4be0c1927d55a6f3,t0={time.time_ns() // MS},tell={reply.cache_status}".encode()
     body = reply.body if reply.fate in ("DONE", "BROKE") else b""
-    parts = (request_id.encode(), word.encode(), fields if word == "DONE" else b"-", body)
-    return b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
+    elements = (request_id.encode(), status.encode(), fields if status == "DONE" else b"-", body)
+    return b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(element), element) for element in elements)
 
 
 def query_value(head: bytes, key: bytes, end: bytes, default: bytes) -> bytes:
@@ -400,14 +404,14 @@
 
 def split_resp_array(data: bytes) -> tuple[list[bytes] | None, bytes]:
     """One RESP array and the bytes after it; None while the array is incomplete."""
-    head, found, rest = data.partition(b"\r\n")
-    if not found:
+    head, separator, rest = data.partition(b"\r\n")
+    if not separator:
         return None, data
-    words = []
+    elements = []
     for _ in range(int(head[1:])):
-        size, found, rest = rest.partition(b"\r\n")
-        if not found or len(rest) < int(size[1:]) + 2:
+        size, separator, rest = rest.partition(b"\r\n")
+        if not separator or len(rest) < int(size[1:]) + 2:
             return None, data
-        words.append(rest[: int(size[1:])])
+        elements.append(rest[: int(size[1:])])
         rest = rest[int(size[1:]) + 2 :]
-    return words, rest
+    return elements, rest
--- a/testbed/virtual.py
+++ b/testbed/virtual.py
@@ -113,8 +113,8 @@
         self.sequence = 0
         self.now = START
         self.records: dict[str, RequestRecord] = {}  # by trace id
-        self.records_by_call: dict[tuple[int, int], RequestRecord] = {}  # by client and request number
-        self.address_by_link: dict[int, str] = {}  # of the connections that stand
+        self.records_by_number: dict[tuple[int, int], RequestRecord] = {}  # by client and request number
+        self.address_by_connection: dict[int, str] = {}  # of the connections that stand
         self.log: list[effects.LogEvent] = []
         self.carry_out(self.reducer.start(self.now))
         self.deliver(inputs.ListenersReady())
@@ -128,10 +128,10 @@
         assert not faults, [fault.format_for("") for fault in faults]
         self.deliver(inputs.OperatorFileRead(file))
 
-    def schedule(self, when: int, message: inputs.Input | str) -> None:
+    def schedule(self, at_ns: int, message: inputs.Input | str) -> None:
         """Deliver an input at a time; a string is passed to ``custom_event`` instead."""
         self.sequence += 1
-        heapq.heappush(self.heap, Scheduled(when, self.sequence, message))
+        heapq.heappush(self.heap, Scheduled(at_ns, self.sequence, message))
 
     def custom_event(self, server: str) -> None:
         """Handle a string that a subclass has scheduled."""
@@ -142,14 +142,14 @@
 
     def schedule_request(
         self,
-        when: int,
+        after_ns: int,
         cls: str,
         patience_ms: int,
         object: int = 7,  # noqa: A002 - name of the request's field
         part: int = 0,
         group: int = 17,
     ) -> RequestRecord:
-        """Schedule a client's request, ``when`` ns after the start."""
+        """Schedule a client's request, ``after_ns`` ns after the start."""
         number = len(self.records) + 1
         request = inputs.ClientRequest(
             number,
@@ -166,15 +166,15 @@
             "",
             b"order" if cls == "order" else b"",
         )
-        record = RequestRecord(request, START + when)
+        record = RequestRecord(request, START + after_ns)
         self.records[request.trace_id] = record
-        self.records_by_call[number, 1] = record
-        self.schedule(START + when, request)
+        self.records_by_number[number, 1] = record
+        self.schedule(START + after_ns, request)
         return record
 
-    def run(self, until: int = FOREVER) -> None:
+    def run(self, until_ns: int = FOREVER) -> None:
         """Run until no request is open or to come, or up to a time after the start."""
-        while self.heap and self.heap[0].at_ns <= START + until:
+        while self.heap and self.heap[0].at_ns <= START + until_ns:
             due = heapq.heappop(self.heap)
             self.now = due.at_ns
             if isinstance(due.message, str):
@@ -183,13 +183,13 @@
             if self._is_of_closed_connection(due.message):
                 continue
             if isinstance(due.message, inputs.ServerConnectionLost):
-                del self.address_by_link[due.message.connection]
+                del self.address_by_connection[due.message.connection]
             self.deliver(due.message)
             if self._is_done():
                 return
 
     def _is_of_closed_connection(self, message: inputs.Input) -> bool:
-        return isinstance(message, FROM_SERVERS) and message.connection not in self.address_by_link
+        return isinstance(message, FROM_SERVERS) and message.connection not in self.address_by_connection
 
     def _is_done(self) -> bool:
         """Whether no request is open or to come."""
@@ -205,32 +205,32 @@
             elif isinstance(e, effects.OpenServerConnection):
                 self._connect(e)
             elif isinstance(e, effects.CloseServerConnection):
-                self.address_by_link.pop(e.connection, None)
+                self.address_by_connection.pop(e.connection, None)
             elif isinstance(e, effects.SendAttempt):
                 self.run_attempt(e)
             elif isinstance(e, effects.CancelAttempt):
                 for attempt in self.records[e.attempt_id].attempts:
                     attempt.cancelled_ns = attempt.cancelled_ns or self.now
             elif isinstance(e, FINAL_EFFECTS):
-                record = self.records_by_call[e.client, e.request_number]
+                record = self.records_by_number[e.client, e.request_number]
                 record.final_effects.append((self.now, e))
             elif isinstance(e, effects.LogEvent):
                 self.log.append(e)
 
     def _connect(self, e: effects.OpenServerConnection) -> None:
-        self.address_by_link[e.connection] = e.address
+        self.address_by_connection[e.connection] = e.address
         is_refused = self.random.random() < self.fates.get(REFUSE, 0)
-        known_ns = self.now + self.random.randint(1, 3) * MS
+        result_ns = self.now + self.random.randint(1, 3) * MS
         if is_refused:
-            self.schedule(known_ns, inputs.ServerConnectionLost(e.connection, "refused", True))
+            self.schedule(result_ns, inputs.ServerConnectionLost(e.connection, "refused", True))
         else:
-            self.schedule(known_ns, inputs.ServerConnected(e.connection))
+            self.schedule(result_ns, inputs.ServerConnected(e.connection))
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
         """Draw an attempt's fate and its service time; benchmarks override this with other servers."""
-        names = [fate for fate in self.fates if fate != REFUSE]
-        fate = self.random.choices(names, [self.fates[name] for name in names])[0]
-        record = AttemptRecord(self.now, self.address_by_link[e.connection], fate)
+        fates = [fate for fate in self.fates if fate != REFUSE]
+        fate = self.random.choices(fates, [self.fates[name] for name in fates])[0]
+        record = AttemptRecord(self.now, self.address_by_connection[e.connection], fate)
         self.records[e.attempt_id].attempts.append(record)
         ends_ns = self.now + self.random.randint(1, self.max_service_ns // MS) * MS
         if fate == RESET:
