--- a/testbed/hollow/processes.py
+++ b/testbed/hollow/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scale test: the list service, hollow routers, control replicas and real routers.
+"""Processes of a scale test: the list service, hollow routers, control replicas and real routers.
 
 All of them end with the test that started them.
 """
@@ -21,53 +21,57 @@
 from testbed.hollow.configuration import FleetSize, configuration
 from testbed.stand_ins import ROOT
 
-EACH_PROCESS = 100  # hollow routers in one process
-TICK_S = os.sysconf("SC_CLK_TCK")
+ROUTERS_PER_PROCESS = 100  # hollow routers in one process
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # clock ticks per second in /proc/PID/stat
 
 
 class LineProcess:
-    """A process that answers each line on its standard input by a line of JSON."""
+    """A process that responds to each line on its standard input with a line of JSON."""
 
-    def __init__(self, words: list[str], cwd: Path = ROOT) -> None:
-        self.words = words
+    def __init__(self, arguments: list[str], cwd: Path = ROOT) -> None:
+        self.arguments = arguments
         self.process = subprocess.Popen(
-            [sys.executable, *words],
+            [sys.executable, *arguments],
             cwd=cwd,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
             text=True,
         )
-        self.first = self.read()
+        self.first_line = self.read()
 
     def read(self) -> dict[str, Any]:
-        """The next line that it prints."""
+        """Read the next line that the process prints.
+
+        Raises:
+            RuntimeError: The process has ended.
+        """
         assert self.process.stdout
         line = self.process.stdout.readline()
         if not line:
-            raise RuntimeError(f"{self.words} has ended")
+            raise RuntimeError(f"{self.arguments} has ended")
         return json.loads(line)  # type: ignore[no-any-return]
 
-    def send(self, **order: Any) -> None:
-        """One line to it."""
+    def send(self, **command: Any) -> None:
+        """Send one command."""
         assert self.process.stdin
-        self.process.stdin.write(json.dumps(order) + "\n")
+        self.process.stdin.write(json.dumps(command) + "\n")
         self.process.stdin.flush()
 
-    def ask(self, **order: Any) -> dict[str, Any]:
-        """One line to it and its answer."""
-        self.send(**order)
+    def ask(self, **command: Any) -> dict[str, Any]:
+        """Send one command and wait for its response."""
+        self.send(**command)
         return self.read()
 
     def end(self) -> None:
-        """Kill it."""
+        """Kill the process and wait for its end."""
         self.process.kill()
         self.process.wait()
 
 
 @contextmanager
 def list_service(size: FleetSize) -> Iterator[LineProcess]:
-    """The list service of a fleet."""
+    """Start the list service of a fleet; it ends with the context."""
     service = LineProcess(
         ["-m", "testbed.hollow.service", "--servers", str(size.servers), "--zones", str(size.zones)]
     )
@@ -79,20 +83,20 @@
 
 @contextmanager
 def hollow_routers(
-    size: FleetSize, feed: str, rules: str = "", each: int = EACH_PROCESS
+    size: FleetSize, feed: str, rules: str = "", per_process: int = ROUTERS_PER_PROCESS
 ) -> Iterator[list[LineProcess]]:
-    """All routers of a fleet, some in each process."""
+    """Start all routers of a fleet as hollow routers, up to ``per_process`` in one process."""
     with ExitStack() as stack:
-        found = []
-        for first in range(0, size.routers, each):
-            words = [
+        processes = []
+        for first in range(0, size.routers, per_process):
+            arguments = [
                 "-O",
                 "-m",
                 "testbed.hollow.routers",
                 "--first",
                 str(first),
                 "--count",
-                str(min(each, size.routers - first)),
+                str(min(per_process, size.routers - first)),
                 "--routers",
                 str(size.routers),
                 "--servers",
@@ -102,13 +106,13 @@
                 "--feed",
                 feed,
             ]
-            found.append(LineProcess([*words, *(["--rules", rules] if rules else [])]))
-            stack.callback(found[-1].end)
-        yield found
+            processes.append(LineProcess([*arguments, *(["--rules", rules] if rules else [])]))
+            stack.callback(processes[-1].end)
+        yield processes
 
 
 def free_port() -> int:
-    """A port of loopback that is free now."""
+    """A port of loopback that is free at the moment."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return int(sock.getsockname()[1])
 
@@ -125,13 +129,22 @@
         more: str = "",
         size: FleetSize | None = None,
     ) -> None:
-        """``upstreams`` and ``peers`` as HOST:PORT; ``more``: further lines of its file."""
+        """Write the replica's file and configuration; ``start`` starts its process.
+
+        Args:
+            folder: Where its files and its log are written.
+            name: Its name.
+            upstreams: List services, each as HOST:PORT.
+            peers: Other replicas, each as HOST:PORT.
+            more: Further lines of its file.
+            size: The fleet whose settings it reads; by default the default size.
+        """
         self.name, self.port = name, free_port()
-        self.file, self.config, self.log = (folder / f"{name}.{end}" for end in ("kdl", "json", "log"))
+        self.file, self.config, self.log = (folder / f"{name}.{suffix}" for suffix in ("kdl", "json", "log"))
         lines = ["control-replica version=1", f'listen "{self.address}"']
-        for node, found in (("list-service", upstreams), ("peer", peers or [])):
-            if found:
-                lines.append(f"{node} " + " ".join(f'"{x}"' for x in found))
+        for node_name, addresses in (("list-service", upstreams), ("peer", peers or [])):
+            if addresses:
+                lines.append(f"{node_name} " + " ".join(f'"{x}"' for x in addresses))
         self.file.write_text("\n".join([*lines, more]) + "\n")
         raw = configuration(size or FleetSize(), 0, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2")
         self.config.write_text(json.dumps(raw))
@@ -139,12 +152,16 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as HOST:PORT."""
+        """Address at which it listens, as HOST:PORT."""
         return f"127.0.0.1:{self.port}"
 
     def start(self) -> None:
-        """A process, once it takes connections."""
-        words = [
+        """Start a process and wait until it responds.
+
+        Raises:
+            RuntimeError: It does not respond in time; the message has the end of its log.
+        """
+        arguments = [
             "control-replica",
             str(self.file),
             "--config",
@@ -156,7 +173,7 @@
         ]
         with self.log.open("a") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-c", f"from kelpcroft.cli import main; main({words!r})"],
+                [sys.executable, "-O", "-c", f"from kelpcroft.cli import main; main({arguments!r})"],
                 cwd=ROOT,
                 stdout=log,
                 stderr=log,
@@ -165,7 +182,7 @@
             raise RuntimeError(f"{self.name} does not serve: {self.log.read_text()[-2_000:]}")
 
     def state(self) -> dict[str, Any] | None:
-        """What it says of itself, or None where nobody answers."""
+        """Its state as it reports it, or None if it does not respond."""
         connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=2)
         try:
             connection.request("GET", "/control/state")
@@ -176,19 +193,19 @@
             connection.close()
 
     def signal(self, number: int) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         assert self.process
         self.process.send_signal(number)
 
     def end(self) -> None:
-        """Kill it, if it runs."""
+        """Kill the process, if one was started, and wait for its end."""
         if self.process:
             self.process.kill()
             self.process.wait()
 
 
 class RealRouter:
-    """A router as `run` starts it.  A context manager."""
+    """A router process, started as `run` starts it. A context manager."""
 
     def __init__(
         self,
@@ -199,18 +216,29 @@
         folder: Path,
         rules: str = "",
         known: dict[str, Any] | None = None,
-        example: bool = False,
+        use_example_settings: bool = False,
     ) -> None:
-        """``example``: with the example's own settings, whose zones are those of the stand-in servers."""
+        """Write the configuration and start the process.
+
+        Args:
+            size: The fleet that the settings describe.
+            number: The router's number in the fleet, which determines its addresses.
+            feed: Address of the list service, as HOST:PORT.
+            program: Folder of the program.
+            folder: Where the configuration and the log are written.
+            rules: Path of the operator's file; "" = none.
+            known: The first list, in place of the one that the fleet's size gives.
+            use_example_settings: Use the example's own settings, whose zones are those of the stand-ins.
+        """
         host = f"127.3.{number // 250}.{number % 250 + 1}"
         self.listen = f"{host}:7000"
-        raw = configuration(size, number, feed, self.listen, f"{host}:7001")
-        if example:
-            raw["settings"] = json.loads((ROOT / "examples/config.json").read_text())["settings"]
+        config = configuration(size, number, feed, self.listen, f"{host}:7001")
+        if use_example_settings:
+            config["settings"] = json.loads((ROOT / "examples/config.json").read_text())["settings"]
         if known is not None:
-            raw["known"] = known
+            config["known"] = known
         path = folder / f"r{number}.json"
-        path.write_text(json.dumps(raw))
+        path.write_text(json.dumps(config))
         env = {**os.environ, "ROUTER_CONFIG": str(path), "ROUTER_LOG": "json"}
         env.pop("ROUTER_RULES", None)
         if rules:
@@ -228,8 +256,8 @@
         self.process.kill()
         self.process.wait()
 
-    def answers(self) -> bool:
-        """Whether it takes connections."""
+    def accepts_connections(self) -> bool:
+        """Whether it accepts connections."""
         host, _, port = self.listen.rpartition(":")
         try:
             socket.create_connection((host, int(port)), 1).close()
@@ -238,41 +266,41 @@
         return True
 
     def cpu_s(self) -> float:
-        """Processor time so far."""
+        """CPU time so far, in seconds."""
         return cpu_s(self.process.pid)
 
-    def memory_kb(self, most: bool = False) -> int:
-        """Resident memory now, or the most that it has had."""
-        return memory_kb(self.process.pid, most)
+    def memory_kb(self, peak: bool = False) -> int:
+        """Resident memory in KB, at present or at its peak."""
+        return memory_kb(self.process.pid, peak)
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of a process so far."""
-    parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(parts[11]) + int(parts[12])) / TICK_S
+    """CPU time of a process so far, in seconds."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def memory_kb(pid: int, most: bool = False) -> int:
-    """Resident memory of a process now, or the most that it has had."""
-    key = "VmHWM:" if most else "VmRSS:"
+def memory_kb(pid: int, peak: bool = False) -> int:
+    """Resident memory of a process in KB, at present or at its peak."""
+    key = "VmHWM:" if peak else "VmRSS:"
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith(key):
             return int(line.split()[1])
     return 0
 
 
-def wait_for(found: Any, longest_s: float, every_s: float = 0.02) -> bool:
-    """Whether something comes true in time."""
-    until = time.monotonic() + longest_s
-    while time.monotonic() < until:
-        if found():
+def wait_for(condition: Any, timeout_s: float, interval_s: float = 0.02) -> bool:
+    """Poll a condition until it is true: whether that happens within ``timeout_s``."""
+    deadline_s = time.monotonic() + timeout_s
+    while time.monotonic() < deadline_s:
+        if condition():
             return True
-        time.sleep(every_s)
+        time.sleep(interval_s)
     return False
 
 
 @contextmanager
-def folder() -> Iterator[Path]:
-    """A scratch folder."""
+def temporary_folder() -> Iterator[Path]:
+    """A temporary folder, removed with the context."""
     with tempfile.TemporaryDirectory() as path:
         yield Path(path)
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -1,12 +1,12 @@
-"""Many routers in one process: their real loops, without clients and servers.
+"""Many hollow routers in one process: real event loops without clients and servers.
 
-They have real connections to the list service, and control addresses of their own.
+The routers have real connections to the list service and control addresses of their own.
 
     python -m testbed.hollow.routers --first 0 --count 100 --feed HOST:PORT
 
-with ``--rules FILE`` for an operator's file.  Prints one line when all of them have begun, and
-after each line on standard input what they did since the line before: processor time, memory, and when each
-of them had which event of the feed in force.
+``--rules FILE`` gives them an operator's file. The process prints one line once all routers have started. For
+each line on standard input it prints a report: CPU time, memory, and at which time each router applied which
+event of the feed since the previous report.
 """
 
 from __future__ import annotations
@@ -29,77 +29,83 @@
 from kelpcroft.operator_file.service import load_at_start, reload_steps
 from testbed.hollow.configuration import FleetSize, configuration
 
-LOOK_S = 0.05  # loops with a wake-up that is due are looked for this often at the least
+TIMER_CHECK_S = 0.05  # longest interval between two checks for due timers
 
 
-class Hollow:
-    """One router's loop, run when it has something to do."""
+class HollowRouter:
+    """One router's event loop, which runs when it has work."""
 
     def __init__(self, size: FleetSize, number: int, feed: str, rules: str) -> None:
         host = f"127.2.{number // 250}.{number % 250 + 1}"
         raw = configuration(size, number, feed, f"{host}:7000", f"{host}:7001")
         config = parse_config(raw, {})
-        reading = partial(reload_steps, rules) if rules else None
-        self.loop = EventLoop(config, Clock(), rules=reading, events=EventLog(config.name, log_format="json"))
+        reload = partial(reload_steps, rules) if rules else None
+        self.loop = EventLoop(config, Clock(), rules=reload, events=EventLog(config.name, log_format="json"))
         self.loop.start(first=load_at_start(rules, config.settings) if rules else None)
-        self.seen: list[tuple[int, int]] = []  # up to which event it knew, and since when
+        self.applied_events: list[
+            tuple[int, int]
+        ] = []  # number of its last event, and when it applied it (Unix ns)
 
-    def due(self, now_ns: int) -> bool:
-        """Whether a wake-up of its own has come."""
+    def has_due_timer(self, now_ns: int) -> bool:
+        """Whether one of its timers is due."""
         heap = self.loop.timers
         return bool(heap) and heap[0][0] <= now_ns
 
-    def turn(self) -> None:
-        """One turn of its loop; when it came to know more, that is written down.
+    def run_iteration(self) -> None:
+        """Run one iteration of its loop, and record the number of its last event if that has changed.
 
-        The time since its last turn was waited outside of it, and is no stall.
+        The time since the previous iteration was spent waiting outside of the loop; setting
+        ``last_select_ns`` keeps the loop from taking it for a process stall.
         """
         self.loop.last_select_ns = self.loop.clock.now()
         self.loop.run_iteration()
-        known = self.loop.reducer.endpoint_list.last_event
-        if not self.seen or self.seen[-1][0] != known:
-            self.seen.append((known, time.time_ns()))
+        last_event = self.loop.reducer.endpoint_list.last_event
+        if not self.applied_events or self.applied_events[-1][0] != last_event:
+            self.applied_events.append((last_event, time.time_ns()))
 
 
 class Fleet:
     """The routers of this process."""
 
     def __init__(self, size: FleetSize, first: int, count: int, feed: str, rules: str) -> None:
-        self.routers = [Hollow(size, number, feed, rules) for number in range(first, first + count)]
+        self.routers = [HollowRouter(size, number, feed, rules) for number in range(first, first + count)]
         self.selector = selectors.DefaultSelector()
         for router in self.routers:
             self.selector.register(router.loop.selector.fileno(), selectors.EVENT_READ, router)
         self.selector.register(sys.stdin, selectors.EVENT_READ, None)
         self.ended = False
 
-    def turn(self) -> None:
-        """All routers that have something to do have one turn."""
+    def run_iteration(self) -> None:
+        """Wait for work, then run one iteration of each router that has some."""
         now = time.time_ns()
-        next_ns = min((r.loop.timers[0][0] for r in self.routers if r.loop.timers), default=now)
-        for key, _ in self.selector.select(min(LOOK_S, max(0, next_ns - now) / 1e9)):
+        next_ns = min(
+            (hollow_router.loop.timers[0][0] for hollow_router in self.routers if hollow_router.loop.timers),
+            default=now,
+        )
+        for key, _ in self.selector.select(min(TIMER_CHECK_S, max(0, next_ns - now) / 1e9)):
             if key.data is None:
-                self.order()
+                self.handle_line()
             else:
-                key.data.turn()
+                key.data.run_iteration()
         now = time.time_ns()
         for router in self.routers:
-            if router.due(now):
-                router.turn()
+            if router.has_due_timer(now):
+                router.run_iteration()
 
-    def order(self) -> None:
-        """A line on standard input: report, or end with the input."""
+    def handle_line(self) -> None:
+        """Read a line from standard input and print a report; at end of input, stop."""
         if not sys.stdin.readline():
             self.ended = True
             return
         print(json.dumps(self.report()), flush=True)
 
     def report(self) -> dict[str, Any]:
-        """What the routers did since the last report."""
+        """The routers' activity since the last report."""
         times = os.times()
         pages = int(Path("/proc/self/statm").read_text().split()[1])
-        seen = [router.seen for router in self.routers]
+        seen = [router.applied_events for router in self.routers]
         for router in self.routers:
-            router.seen = router.seen[-1:]
+            router.applied_events = router.applied_events[-1:]
 
         return {
             "cpu_s": times.user + times.system,
@@ -112,7 +118,7 @@
 
 
 def main() -> None:
-    """Run them until standard input ends."""
+    """Run the routers until standard input ends."""
     parser = argparse.ArgumentParser()
     for name, default in (("first", 0), ("count", 10), ("routers", 590), ("servers", 150), ("zones", 19)):
         parser.add_argument(f"--{name}", type=int, default=default)
@@ -124,7 +130,7 @@
     gc.freeze()
     print(json.dumps({"routers": len(fleet.routers)}), flush=True)
     while not fleet.ended:
-        fleet.turn()
+        fleet.run_iteration()
 
 
 if __name__ == "__main__":
--- a/testbed/hollow/servers.py
+++ b/testbed/hollow/servers.py
@@ -1,8 +1,8 @@
-"""Stand-in servers as a process of their own: every request is answered with a body of one size.
+"""Stand-in servers in a process of their own, which respond to every request with a body of one size.
 
     python -m testbed.hollow.servers --bytes 20000
 
-Prints their addresses by name, and ends with its standard input.
+Prints the feed's address and the first list as JSON, and ends with its standard input.
 """
 
 from __future__ import annotations
@@ -23,19 +23,20 @@
     def script(_: str, __: ServerCommand) -> ScriptedReply:
         return ScriptedReply(body=body)
 
-    with StandInServers(script) as world:
-        world.commands = Nothing()
+    with StandInServers(script) as stand_ins:
+        stand_ins.commands = DiscardingList()
         print(
-            json.dumps({"feed": world.address_of("feed"), "members": world.endpoint_snapshot()}), flush=True
+            json.dumps({"feed": stand_ins.address_of("feed"), "members": stand_ins.endpoint_snapshot()}),
+            flush=True,
         )
         sys.stdin.read()
 
 
-class Nothing(list[ServerCommand]):
-    """Requests are not written down: there are too many."""
+class DiscardingList(list[ServerCommand]):
+    """A list that records no requests, because there are too many."""
 
-    def append(self, one: ServerCommand) -> None:
-        """Nothing."""
+    def append(self, command: ServerCommand) -> None:
+        """Discard the request."""
 
 
 if __name__ == "__main__":
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -1,8 +1,8 @@
 """A list service, control replicas and routers in virtual time, with links that can be cut.
 
-The replicas' and the routers' cores are the real ones, their answers pass through the real codecs' parsing.
-A call over a link that is cut is never answered, one to a process that is down is refused, and each process
-has a clock of its own that differs from the true time.
+The replicas' and routers' cores are those of the program, and responses are parsed by its codecs. A watch
+request over a cut link gets no response, one to a process that is down is refused, and each process has a
+clock of its own that differs from the true time.
 """
 
 from __future__ import annotations
@@ -28,41 +28,41 @@
 
 MS = 10**6
 SECOND = 10**9
-START = 1_764_576_000 * SECOND
-DELAY_NS = 5 * MS  # of a message, one way
+START_NS = 1_764_576_000 * SECOND  # start of virtual time, Unix ns
+DELAY_NS = 5 * MS  # delay of a message, one way
 SERVICE_PORT = 7_000
 
 Address = tuple[str, int]
 
 
 def address_of(number: int) -> Address:
-    """Where replica ``number`` listens; 0 is the list service."""
+    """Address at which replica ``number`` listens; number 0 is the list service."""
     return f"10.0.0.{number + 1}", SERVICE_PORT
 
 
 @dataclass
-class Call:
-    """A call that is out, as its caller knows it."""
+class PendingWatch:
+    """An outstanding watch request, as its sender sees it."""
 
-    caller: str
+    sender: str
     target: Address
-    after: int
-    mark: str | None
+    position: int
+    fingerprint: str | None
     wait_ns: int
-    reply: Callable[[bytes | None], None]  # None: the call has failed
-    over: bool = False
+    on_response: Callable[[bytes | None], None]  # called with None if the request has failed
+    is_over: bool = False
 
 
 @dataclass
 class Service:
-    """The list service: the true state, and a log of it that may begin anew."""
+    """The list service: the true state of the servers, and an event log whose numbering may restart."""
 
     net: VirtualNetwork
     lines: dict[str, dict[str, Any]]
     up: bool = True
     starts: int = 1
     events: list[dict[str, Any]] = field(default_factory=list)
-    waiting: list[Call] = field(default_factory=list)
+    waiting: list[PendingWatch] = field(default_factory=list)
     calls: int = 0
 
     @property
@@ -71,47 +71,47 @@
         return len(self.events) + 1
 
     def tell(self, **event: Any) -> None:
-        """One more event."""
+        """Publish an event."""
         self.events.append({"n": self.last + 1, **event})
-        for call in self.waiting[:]:
-            self.answer(call)
+        for watch in self.waiting[:]:
+            self.respond(watch)
 
     def change(self, name: str, status: str, since_ms: int = 0) -> None:
-        """A server's new line."""
+        """Publish a server's new line."""
         self.lines[name] = {**self.lines[name], "status": status, "since_ms": since_ms}
         self.tell(members={"index": self.last, "snapshot": False, "endpoints": [self.lines[name]]})
 
     def restart(self) -> None:
-        """It counts from 1 again; purges that it told before are not told again."""
+        """Number events from 1 again; purges published before are not published again."""
         self.events = []
         self.starts += 1
-        for call in self.waiting[:]:
-            self.waiting.remove(call)
-            self.net.fail(call)
+        for watch in self.waiting[:]:
+            self.waiting.remove(watch)
+            self.net.fail(watch)
 
-    def on_call(self, call: Call) -> None:
-        """Take a call: answer it at once where there is news, else let it wait."""
+    def on_call(self, watch: PendingWatch) -> None:
+        """Take a watch request: respond immediately if it is behind, else let it wait."""
         self.calls += 1
-        self.waiting.append(call)
-        if call.after != self.last:
-            self.answer(call)
+        self.waiting.append(watch)
+        if watch.position != self.last:
+            self.respond(watch)
         else:
-            self.net.at(call.wait_ns - 100 * MS, lambda: self.answer(call))
+            self.net.schedule(watch.wait_ns - 100 * MS, lambda: self.respond(watch))
 
-    def answer(self, call: Call) -> None:
-        """Answer a call that still waits with what came after its position."""
-        if call not in self.waiting:
+    def respond(self, watch: PendingWatch) -> None:
+        """Respond to a watch request that still waits, with the events after its position."""
+        if watch not in self.waiting:
             return
-        self.waiting.remove(call)
-        found = self.events[max(0, call.after - 1) :] if call.after <= self.last else []
-        if call.after < 1:
-            whole = {"index": 1, "snapshot": True, "endpoints": list(self.lines.values())}
-            found = [{"n": 1, "members": whole}, *found]
-        self.net.reply(call, orjson.dumps({"n": self.last, "events": found}))
+        self.waiting.remove(watch)
+        events = self.events[max(0, watch.position - 1) :] if watch.position <= self.last else []
+        if watch.position < 1:
+            snapshot = {"index": 1, "snapshot": True, "endpoints": list(self.lines.values())}
+            events = [{"n": 1, "members": snapshot}, *events]
+        self.net.reply(watch, orjson.dumps({"n": self.last, "events": events}))
 
 
 class ReplicaNode:
-    """One control replica over all its processes."""
+    """One control replica and the processes that it runs in turn."""
 
     def __init__(self, net: VirtualNetwork, number: int, options: ReplicaOptions, skew_ns: int) -> None:
         self.net = net
@@ -121,10 +121,10 @@
         self.name = f"replica-{number}"
         self.up = False
         self.starts = 0
-        self.watches: dict[int, Call] = {}
-        self.watchers: dict[str, int] = {}  # by caller, while its connection stands
-        self.calls: list[int] = []  # when, in true time
-        self.notes: list[str] = []
+        self.watches: dict[int, PendingWatch] = {}
+        self.watchers: dict[str, int] = {}  # by the watcher's name, while its connection is open
+        self.calls: list[int] = []  # arrival of each watch request, in true time
+        self.log_events: list[str] = []
         self.core = ControlReplica(options, number)
         self.start()
 
@@ -133,7 +133,7 @@
         return self.net.now + self.skew_ns
 
     def start(self) -> None:
-        """Start a new process, that knows nothing."""
+        """Start a new process with empty state."""
         self.up = True
         self.starts += 1
         self.core = ControlReplica(self.options, self.number * 1_000 + self.starts)
@@ -143,51 +143,51 @@
     def kill(self) -> None:
         """The process ends: its connections are reset."""
         self.up = False
-        for call in self.watches.values():
-            self.net.fail(call)
+        for pending in self.watches.values():
+            self.net.fail(pending)
         self.watches.clear()
         self.watchers.clear()
 
-    def tick(self, start: int) -> None:
-        """Look at what is due, as the process's own loop does."""
-        if self.up and start == self.starts:
+    def tick(self, process: int) -> None:
+        """Run due timers every 10 ms, as the process's own loop does."""
+        if self.up and process == self.starts:
             due = self.core.next_timer_ns()
             if due is not None and due <= self.now():
                 self.carry_out(self.core.on_timer(self.now()))
-            self.net.at(10 * MS, lambda: self.tick(start))
+            self.net.schedule(10 * MS, lambda: self.tick(process))
 
-    def on_call(self, call: Call) -> None:
-        """Take a watcher's call."""
+    def on_call(self, pending: PendingWatch) -> None:
+        """Take a watch request of a watcher."""
         self.calls.append(self.net.now)
-        number = self.watchers.setdefault(call.caller, self.net.made)
-        self.watches[number] = call
-        position = LogPosition(call.after, call.mark or "")
-        watch = core.WatchRequest(number, position, call.mark is not None, call.wait_ns)
+        number = self.watchers.setdefault(pending.sender, self.net.event_count)
+        self.watches[number] = pending
+        position = LogPosition(pending.position, pending.fingerprint or "")
+        watch = core.WatchRequest(number, position, pending.fingerprint is not None, pending.wait_ns)
         self.carry_out(self.core.on_watch(self.now(), watch))
 
     def carry_out(self, effect_list: list[core.Effect]) -> None:
-        """Carry out what the replica's core asks for, in its order."""
-        start = self.starts
+        """Carry out the effects of the replica's core in their order."""
+        process = self.starts
         for e in effect_list:
             if isinstance(e, (core.SendWatchResponse, core.RejectWatcher)):
-                call = self.watches.pop(e.watcher_id, None)
-                if call and isinstance(e, core.SendWatchResponse):
-                    self.net.reply(call, e.body)
-                elif call:
-                    self.net.fail(call)
+                pending = self.watches.pop(e.watcher_id, None)
+                if pending and isinstance(e, core.SendWatchResponse):
+                    self.net.reply(pending, e.body)
+                elif pending:
+                    self.net.fail(pending)
             elif isinstance(e, core.SendUpstreamRequest):
-                self.net.at(e.delay_ns, lambda e=e: self.call(e, start))  # type: ignore[misc]
+                self.net.schedule(e.delay_ns, lambda e=e: self.call(e, process))  # type: ignore[misc]
             else:
-                self.notes.append(e.event)
+                self.log_events.append(e.event)
 
-    def call(self, e: core.SendUpstreamRequest, start: int) -> None:
-        """Call upstream, unless the process that wanted it (number ``start``) has ended."""
-        if not self.up or start != self.starts:
+    def call(self, e: core.SendUpstreamRequest, process: int) -> None:
+        """Send a watch request upstream, unless process number ``process`` has ended."""
+        if not self.up or process != self.starts:
             return
-        mark = e.position.fingerprint if e.address in self.options.peers else None
+        fingerprint = e.position.fingerprint if e.address in self.options.peers else None
 
         def reply(body: bytes | None) -> None:
-            if not self.up or start != self.starts:
+            if not self.up or process != self.starts:
                 return
             if body is None:
                 self.carry_out(self.core.on_upstream_failed(self.now(), "lost"))
@@ -199,13 +199,13 @@
                 )
 
         self.net.call(
-            Call(self.name, e.address, e.position.event_number, mark, e.wait_ns, reply),
+            PendingWatch(self.name, e.address, e.position.event_number, fingerprint, e.wait_ns, reply),
             core.UPSTREAM_TIMEOUT_MARGIN_NS,
         )
 
 
 class RouterNode:
-    """One router over all its processes."""
+    """One router and the processes that it runs in turn."""
 
     def __init__(
         self, net: VirtualNetwork, number: int, size: FleetSize, replicas: ControlReplicas, skew_ns: int
@@ -225,80 +225,82 @@
         return self.net.now + self.skew_ns
 
     def start(self) -> None:
-        """Start a new process, that knows what the service lists now."""
+        """Start a new process whose first list is the service's present one."""
         self.starts += 1
         raw = configuration(self.size, self.number, "10.9.9.9:1", "127.0.0.1:1", "127.0.0.1:2")
         raw["known"]["events"][0]["members"]["endpoints"] = list(self.net.service.lines.values())
         self.reducer = Reducer(parse_config(raw, {}))
-        self.at: Address = ("", 0)
-        self.out: Call | None = None
-        self.logged: list[str] = []
+        self.feed_address: Address = ("", 0)
+        self.outstanding_watch: PendingWatch | None = None
+        self.log_events: list[str] = []
         self.carry_out(self.reducer.start(self.now(), None, 0, self.replicas))
         self.tell(inputs.OperatorFileRead(OperatorFile(control_replicas=self.replicas)))
 
     def tell(self, message: inputs.Input) -> None:
-        """Hand the reducer a message and carry out what it asks for."""
+        """Pass an input to the reducer and carry out its effects."""
         self.carry_out(self.reducer.handle(self.now(), message))
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
-        """Carry out what concerns the feed and the log; this router has no clients and no servers."""
-        start = self.starts
+        """Carry out effects of the feed and the log; this router has no clients and no servers."""
+        process = self.starts
         for e in effect_list:
             if isinstance(e, effects.SwitchFeed):
-                self.at = e.address
-                if self.out is not None:
-                    self.out.over = True
-                    self.out = None
+                self.feed_address = e.address
+                if self.outstanding_watch is not None:
+                    self.outstanding_watch.is_over = True
+                    self.outstanding_watch = None
             elif isinstance(e, effects.SendWatchRequest):
                 self.poll(e)
             elif isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.POLL_FEED:
-                self.net.at(e.at_ns - self.now(), lambda e=e: self.due(e, start))  # type: ignore[misc]
+                self.net.schedule(e.at_ns - self.now(), lambda e=e: self.on_timer(e, process))  # type: ignore[misc]
             elif isinstance(e, effects.LogEvent):
-                self.logged.append(e.event)
+                self.log_events.append(e.event)
 
-    def due(self, e: effects.ScheduleTimer, start: int) -> None:
-        """A timer of process number ``start`` is due."""
-        if start == self.starts:
+    def on_timer(self, e: effects.ScheduleTimer, process: int) -> None:
+        """Fire a timer, unless the process that set it (number ``process``) has ended."""
+        if process == self.starts:
             self.tell(inputs.TimerFired(e.key))
 
     def poll(self, e: effects.SendWatchRequest) -> None:
-        """Call the feed, unless a call is out."""
-        if self.out is not None:
+        """Send a watch request to the feed, unless one is outstanding."""
+        if self.outstanding_watch is not None:
             return
-        start = self.starts
+        process = self.starts
         self.calls += 1
 
         def reply(body: bytes | None) -> None:
-            self.out = None
-            if start == self.starts:
+            self.outstanding_watch = None
+            if process == self.starts:
                 self.tell(
                     inputs.WatchFailed("lost") if body is None else parse_watch_response(orjson.loads(body))
                 )
 
-        self.out = Call(self.name, self.at, e.after_event, e.log_fingerprint, e.wait_ms * MS, reply)
-        self.net.call(self.out, e.response_timeout_ns)
+        self.outstanding_watch = PendingWatch(
+            self.name, self.feed_address, e.after_event, e.log_fingerprint, e.wait_ms * MS, reply
+        )
+        self.net.call(self.outstanding_watch, e.response_timeout_ns)
 
     def serving(self) -> set[str]:
-        """Servers that it may use."""
+        """Names of the servers that it may use."""
         return set(self.reducer.state.endpoints)
 
     def purged(self) -> set[int]:
-        """Objects of which it remembers a purge."""
+        """Numbers of the objects whose purges it keeps."""
         return set(self.reducer.state.policy.freshness.object_purges)
 
 
 class VirtualNetwork:
     """The list service, replicas, routers, the links between them, and the true time.
 
-    ``cut`` holds pairs of names between which nothing passes.
+    ``cut`` holds the pairs of names whose link is cut.
     """
 
     def __init__(self, size: FleetSize, replicas: list[ReplicaOptions], skews_ns: list[int]) -> None:
-        self.now = START
-        self.made = 0  # events scheduled; breaks ties between them
+        self.now = START_NS
+        self.event_count = 0  # number of scheduled events; breaks ties between them
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.cut: set[frozenset[str]] = set()
-        self.connections: dict[tuple[str, Address], int] = {}  # with which process of its target each stands
+        self.connections: dict[tuple[str, Address], int] = {}  # the target's process number
         self.service = Service(self, {line["name"]: line for line in endpoints(size)})
         self.replicas = [
             ReplicaNode(self, n + 1, options, skews_ns[n % len(skews_ns)])
@@ -310,72 +312,72 @@
             RouterNode(self, n, size, named, -skews_ns[n % len(skews_ns)]) for n in range(size.routers)
         ]
 
-    def at(self, delay_ns: int, what: Callable[[], None]) -> None:
-        """Something happens later."""
-        self.made += 1
-        heapq.heappush(self.heap, (self.now + max(0, delay_ns), self.made, what))
+    def schedule(self, delay_ns: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a delay."""
+        self.event_count += 1
+        heapq.heappush(self.heap, (self.now + max(0, delay_ns), self.event_count, callback))
 
-    def run(self, span_ns: int) -> None:
-        """Time passes."""
-        until = self.now + span_ns
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.heap)
-            what()
-        self.now = until
+    def run(self, interval_ns: int) -> None:
+        """Run for an interval of virtual time."""
+        end_ns = self.now + interval_ns
+        while self.heap and self.heap[0][0] <= end_ns:
+            self.now, _, callback = heapq.heappop(self.heap)
+            callback()
+        self.now = end_ns
 
     def node(self, address: Address) -> Service | ReplicaNode:
-        """What listens at an address."""
+        """The process that listens at an address."""
         number = int(address[0].rpartition(".")[2]) - 1
         return self.service if number == 0 else self.replicas[number - 1]
 
-    def linked(self, caller: str, target: Address) -> bool:
-        """Whether messages pass between two processes now."""
+    def is_linked(self, sender: str, target: Address) -> bool:
+        """Whether the link between two processes is intact now."""
         node = self.node(target)
         name = "service" if isinstance(node, Service) else node.name
-        return frozenset((caller, name)) not in self.cut
+        return frozenset((sender, name)) not in self.cut
 
-    def call(self, call: Call, late_ns: int) -> None:
-        """A call goes out; its caller gives it up in time."""
-        connection = call.caller, call.target
-        starts = self.connections.setdefault(connection, self.node(call.target).starts)
+    def call(self, watch: PendingWatch, grace_ns: int) -> None:
+        """Send a watch request; it times out ``grace_ns`` after the end of its wait."""
+        connection = watch.sender, watch.target
+        process = self.connections.setdefault(connection, self.node(watch.target).starts)
 
         def arrive() -> None:
-            node = self.node(call.target)
-            if not self.linked(call.caller, call.target):
+            node = self.node(watch.target)
+            if not self.is_linked(watch.sender, watch.target):
                 return
-            if node.up and node.starts == starts:  # a process that is another by now resets what comes
-                node.on_call(call)
+            if node.up and node.starts == process:  # a successor process resets the old connection
+                node.on_call(watch)
             else:
                 self.connections.pop(connection, None)
-                self.fail(call)
+                self.fail(watch)
 
-        self.at(DELAY_NS, arrive)
-        self.at(call.wait_ns + late_ns, lambda: self.given_up(call))
+        self.schedule(DELAY_NS, arrive)
+        self.schedule(watch.wait_ns + grace_ns, lambda: self.time_out(watch))
 
-    def given_up(self, call: Call) -> None:
-        """No answer in time: the caller closes the connection."""
-        node = self.node(call.target)
-        if not call.over and isinstance(node, ReplicaNode):
-            number = node.watchers.pop(call.caller, -1)
+    def time_out(self, watch: PendingWatch) -> None:
+        """Time out: without a response by now, the sender closes the connection."""
+        node = self.node(watch.target)
+        if not watch.is_over and isinstance(node, ReplicaNode):
+            number = node.watchers.pop(watch.sender, -1)
             node.watches.pop(number, None)
             node.core.on_watcher_disconnected(number)
-        self.over(call, None)
+        self.finish(watch, None)
 
-    def fail(self, call: Call) -> None:
+    def fail(self, watch: PendingWatch) -> None:
         """The connection is reset."""
-        self.at(DELAY_NS, lambda: self.over(call, None))
+        self.schedule(DELAY_NS, lambda: self.finish(watch, None))
 
-    def reply(self, call: Call, body: bytes) -> None:
-        """An answer on its way."""
+    def reply(self, watch: PendingWatch, body: bytes) -> None:
+        """Send a response; it is lost if the link is cut when it arrives."""
 
         def arrive() -> None:
-            if self.linked(call.caller, call.target):
-                self.over(call, body)
+            if self.is_linked(watch.sender, watch.target):
+                self.finish(watch, body)
 
-        self.at(DELAY_NS, arrive)
+        self.schedule(DELAY_NS, arrive)
 
-    def over(self, call: Call, body: bytes | None) -> None:
-        """End a call once: with its answer, or None where it failed."""
-        if not call.over:
-            call.over = True
-            call.reply(body)
+    def finish(self, watch: PendingWatch, body: bytes | None) -> None:
+        """End a watch request once, with its response, or with None if it failed."""
+        if not watch.is_over:
+            watch.is_over = True
+            watch.on_response(body)
--- a/testbed/stand_ins.py
+++ b/testbed/stand_ins.py
@@ -1,8 +1,8 @@
-"""Stand-ins on loopback: caches, a parent, the origin and the feed in one thread.
+"""Stand-in servers on loopback: caches, a parent, the origin and the feed in one thread.
 
-Servers do what a script says: a function of the server's name and the command that it got, which returns a
-``ScriptedReply``. Whatever arrives is written down with its time, so that a test can hold it against what was
-declared. Ports come from the kernel. Times are of the monotonic clock, in ns.
+A script decides how servers respond: a function of the server's name and the received command that returns a
+``ScriptedReply``. Everything received is recorded with its time, so that tests can check it. The kernel
+assigns the ports. Times are of the monotonic clock, in ns.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from typing import Any, NamedTuple
 
 ROOT = Path(__file__).parent.parent
-PROGRAM_DIR = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: what `run` starts
+PROGRAM_DIR = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: the program that `run` starts
 MS = 1_000_000
-MAX_WAIT_S = 20.0  # whoever waits so long has failed
-TURN_S = 0.02  # the thread looks for polls that are due so often
+MAX_WAIT_S = 20.0  # a test or process that waits longer than this has failed
+SELECT_TIMEOUT_S = 0.02  # longest interval between two checks for watch responses that are due
 READ_BYTES = 1 << 16
-CRASH_DOWN_S = 3.0
-EARLY_MS = 100  # a poll is answered so much before its wait is over, ...
-MIN_WAIT_MS = 10  # ... but not before this
+CRASH_DOWN_S = 3.0  # the feed stays down for this long after too many watch requests
+EARLY_MS = 100  # without new events, a watch response is sent this long before the wait ends ...
+MIN_WAIT_MS = 10  # ... but not earlier than this after the request
 SERVERS = {
     "cache1": ("s-c1", "edge-1", "box"),
     "cache2": ("s-c2", "edge-1", "box"),
@@ -36,7 +36,7 @@
     "origin": ("s-o", "hub", "origin"),
 }
 FEED = "feed"
-ANSWERS = ("DONE", "LACK", "WAIT", "BROKE", "PAST")
+RESPONSE_WORDS = ("DONE", "LACK", "WAIT", "BROKE", "PAST")
 PROVE_NOT_EXECUTED = ("LACK", "WAIT", "PAST")
 RESET = "reset"
 SILENT = "silent"
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class ServerCommand:
-    """One command that a server got."""
+    """One command that a server received."""
 
     server: str
     verb: str  # PULL or KILL
@@ -56,31 +56,31 @@
 
 @dataclass(frozen=True)
 class ScriptedReply:
-    """What a server does with a request: answers after a time, says nothing, or breaks the connection."""
+    """How a server treats a request: it responds after a delay, stays silent, or breaks the connection."""
 
-    fate: str = "DONE"  # one of ANSWERS; "silent"; "reset"; "cut": half an answer
+    fate: str = "DONE"  # one of ANSWERS, "silent", "reset", or "cut" (half a response)
     delay_ms: float = 0.0
-    cache_status: str = "mem"  # as the answer's field ``tell`` says it
+    cache_status: str = "mem"  # value of the response's field ``tell``
     body: bytes = b""
 
 
 class Delivery(NamedTuple):
-    """An event of the feed went out to somebody."""
+    """One event of the feed was sent to one watcher."""
 
     event_number: int
     at_ns: int
 
 
-class FeedCall(NamedTuple):
-    """A call of the feed arrived."""
+class FeedRequest(NamedTuple):
+    """A watch request that arrived at the feed."""
 
     at_ns: int
-    after_event: int  # -1 = turned away
-    port: int  # of the caller
+    after_event: int  # position of the watcher; -1 = its connection was reset while the feed was down
+    port: int  # source port of the watcher's connection; 0 if it was reset
 
 
-class WaitingPoll(NamedTuple):
-    """A call that waits for news."""
+class WaitingWatch(NamedTuple):
+    """A watch request that waits for new events."""
 
     after_event: int
     until_ns: int
@@ -102,7 +102,7 @@
 
 
 class TimedWrite(NamedTuple):
-    """Bytes to be written, or ``RESET_MARK`` in their place."""
+    """Bytes to be written, or ``RESET_MARK`` for a reset of the connection."""
 
     due_ns: int
     sequence: int  # breaks ties, so that sockets are never compared
@@ -114,15 +114,16 @@
 ServerScript = Callable[[str, ServerCommand], ScriptedReply]
 
 
-def answer_at_once(server: str, seen: ServerCommand) -> ScriptedReply:  # noqa: ARG001 - a ServerScript
-    """Answer everything at once with the server's name."""
+def answer_at_once(server: str, command: ServerCommand) -> ScriptedReply:  # noqa: ARG001 - a ServerScript
+    """Respond to every request immediately, with the server's name."""
     return ScriptedReply(body=f"by {server}".encode())
 
 
 class StandInServers:
-    """The servers and the feed. A context manager; its thread runs while it is entered.
+    """The servers and the feed. A context manager, whose thread runs while the context is active.
 
-    ``lock`` guards what the thread writes and tests read: commands, feed events, and how requests ended.
+    ``lock`` guards the data that the thread writes and tests read: commands, feed events and the ends of
+    requests.
     """
 
     def __init__(
@@ -135,20 +136,20 @@
         self.settled_requests: dict[RequestKey, RequestEnd] = {}
         self._unanswered_requests: dict[socket.socket, set[RequestKey]] = {}
         self.feed_events: list[dict[str, Any]] = []  # numbered from 2
-        self.feed_event_times_ns: list[int] = []  # when each came to be
+        self.feed_event_times_ns: list[int] = []  # time of each event's publication
         self.feed_deliveries: list[Delivery] = []
-        self.feed_calls: list[FeedCall] = []
-        self.max_feed_calls_per_s = 0  # with more the feed crashes; 0 = any
-        self.feed_down_until_ns = 0  # it resets whoever comes
+        self.feed_calls: list[FeedRequest] = []
+        self.max_feed_calls_per_s = 0  # more watch requests in a second crash the feed; 0 = no limit
+        self.feed_down_until_ns = 0  # until then the feed resets every new connection
         self.feed_crashes = 0
-        self.events_before_restart = 0  # events that it had when it last began to count anew
+        self.events_before_restart = 0  # number of events before its last restart
         self.lock = threading.Lock()
         self.listeners = {name: socket.create_server(("127.0.0.1", 0)) for name in (*servers, FEED)}
         self._heap: list[TimedWrite] = []
         self._sequence = 0
-        self._buffers: dict[socket.socket, bytes] = {}  # what was read and not taken, by connection
-        self._ports: dict[socket.socket, int] = {}  # from which each connection comes
-        self._polls: dict[socket.socket, WaitingPoll] = {}
+        self._buffers: dict[socket.socket, bytes] = {}  # bytes read and not parsed yet
+        self._ports: dict[socket.socket, int] = {}  # peer's port of each connection
+        self._waiting_watches: dict[socket.socket, WaitingWatch] = {}
         self._stop = threading.Event()
         self._selector = selectors.DefaultSelector()
         for name, listener in self.listeners.items():
@@ -174,22 +175,22 @@
         return f"127.0.0.1:{self.listeners[name].getsockname()[1]}"
 
     def publish(self, **event: Any) -> int:
-        """Add an event of the feed, for all who poll from now on: its number."""
+        """Add an event to the feed, which waiting and later watch requests receive: its number."""
         with self.lock:
             self.feed_events.append({"n": len(self.feed_events) + 2, **event})
             self.feed_event_times_ns.append(time.monotonic_ns())
             return len(self.feed_events) + 1
 
     def refuse_connections(self, name: str) -> None:
-        """Let a server refuse connections from now on; to be called before the thread has started."""
+        """Make a server refuse connections from now on; to be called before the thread has started."""
         self._selector.unregister(self.listeners[name])
         port = self.listeners[name].getsockname()[1]
         self.listeners[name].close()
         self.listeners[name] = placeholder = socket.socket()
-        placeholder.bind(("127.0.0.1", port))  # bound and not listening: nobody else gets the port
+        placeholder.bind(("127.0.0.1", port))  # bound but not listening, so no other process gets the port
 
     def requests(self, request_id: str | None = None, server: str | None = None) -> list[ServerCommand]:
-        """Requests that came, of one id or at one server if so wanted."""
+        """The received requests, optionally only those of one id or at one server."""
         with self.lock:
             return [
                 command
@@ -215,11 +216,11 @@
         return {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": endpoints}}
 
     def crash_feed(self, down_s: float) -> None:
-        """Take the feed down for a while; it counts from 1 when it is back."""
+        """Take the feed down for a while; afterwards it numbers its events from 1 again."""
         self.feed_crashes += 1
         self.events_before_restart = len(self.feed_events)
         self.feed_down_until_ns = time.monotonic_ns() + int(down_s * 1e9)
-        for sock in list(self._polls):
+        for sock in list(self._waiting_watches):
             self._drop(sock, reset=True)
 
     # The thread -------------------------------------------------------------------------------------------
@@ -233,15 +234,15 @@
                     self._accept(sock, key.data)
                 else:
                     self._read(sock, key.data)
-            self._answer_polls()
+            self._send_watch_responses()
             while self._heap and self._heap[0].due_ns <= time.monotonic_ns():
                 due = heapq.heappop(self._heap)
                 self._write(due.sock, due.data)
 
     def _wait_s(self) -> float:
         if not self._heap:
-            return TURN_S
-        return max(0.0, min(TURN_S, (self._heap[0].due_ns - time.monotonic_ns()) / 1e9))
+            return SELECT_TIMEOUT_S
+        return max(0.0, min(SELECT_TIMEOUT_S, (self._heap[0].due_ns - time.monotonic_ns()) / 1e9))
 
     def _accept(self, listener: socket.socket, name: str) -> None:
         try:
@@ -253,15 +254,15 @@
         self._buffers[sock] = b""
         self._selector.register(sock, selectors.EVENT_READ, name)
         if name == FEED and time.monotonic_ns() < self.feed_down_until_ns:
-            self.feed_calls.append(FeedCall(time.monotonic_ns(), -1, 0))
+            self.feed_calls.append(FeedRequest(time.monotonic_ns(), -1, 0))
             self._drop(sock, reset=True)
 
     def _drop(self, sock: socket.socket, *, reset: bool = False) -> None:
-        """End a connection; what it has not answered has ended without one."""
+        """Close a connection; its unanswered requests end without a response."""
         if sock not in self._buffers:
             return
         del self._buffers[sock]
-        self._polls.pop(sock, None)
+        self._waiting_watches.pop(sock, None)
         self._ports.pop(sock, None)
         with self.lock:
             for key in self._unanswered_requests.pop(sock, ()):
@@ -295,81 +296,85 @@
             self._drop(sock)
             return
         self._buffers[sock] += data
-        take = self._take_poll if name == FEED else self._take_command
-        while sock in self._buffers and take(sock, name):
+        take_next = self._take_watch_request if name == FEED else self._take_command
+        while sock in self._buffers and take_next(sock, name):
             pass
 
     # The feed ---------------------------------------------------------------------------------------------
 
-    def _take_poll(self, sock: socket.socket, _: str) -> bool:
-        """Take one call of the feed out of what was read; False where there is none."""
-        head, found, rest = self._buffers[sock].partition(b"\r\n\r\n")
-        if not found:
+    def _take_watch_request(self, sock: socket.socket, _: str) -> bool:
+        """Parse one watch request from the bytes read so far; False if they hold no complete one."""
+        head, separator, rest = self._buffers[sock].partition(b"\r\n\r\n")
+        if not separator:
             return False
         self._buffers[sock] = rest
         after_event = int(query_value(head, b"SUB=", b"&", b"1"))
         wait_ms = int(query_value(head, b"wait=", b" ", b"900"))
         until_ns = time.monotonic_ns() + max(MIN_WAIT_MS, wait_ms - EARLY_MS) * MS
-        self._polls[sock] = WaitingPoll(after_event, until_ns)
-        self._record_call(after_event, self._ports.get(sock, 0))
+        self._waiting_watches[sock] = WaitingWatch(after_event, until_ns)
+        self._record_watch_request(after_event, self._ports.get(sock, 0))
         return True
 
-    def _record_call(self, after_event: int, port: int) -> None:
-        """Write a call down; too many in a second crash the feed."""
-        now = time.monotonic_ns()
-        self.feed_calls.append(FeedCall(now, after_event, port))
-        most = self.max_feed_calls_per_s
+    def _record_watch_request(self, after_event: int, port: int) -> None:
+        """Record a watch request; too many in a second crash the feed."""
+        now_ns = time.monotonic_ns()
+        self.feed_calls.append(FeedRequest(now_ns, after_event, port))
+        max_requests = self.max_feed_calls_per_s
         recent = [
-            call
-            for call in self.feed_calls[-4 * most :]
-            if call.after_event >= 0 and call.at_ns > now - 1_000 * MS
+            request
+            for request in self.feed_calls[-4 * max_requests :]
+            if request.after_event >= 0 and request.at_ns > now_ns - 1_000 * MS
         ]
-        if most and len(recent) > most:
+        if max_requests and len(recent) > max_requests:
             self.crash_feed(CRASH_DOWN_S)
 
-    def _answer_polls(self) -> None:
-        """Tell those who poll what is new to them, or nothing once they have waited long enough."""
-        now = time.monotonic_ns()
+    def _send_watch_responses(self) -> None:
+        """Send due watch responses: new events, or none at the end of the wait."""
+        now_ns = time.monotonic_ns()
         with self.lock:
-            last = len(self.feed_events) - self.events_before_restart + 1
-            for sock, poll in list(self._polls.items()):
-                if poll.after_event != last or poll.until_ns <= now:
-                    del self._polls[sock]
-                    body = json.dumps({"n": last, "events": self._events_after(poll.after_event, last, now)})
+            last_event = len(self.feed_events) - self.events_before_restart + 1
+            for sock, watch in list(self._waiting_watches.items()):
+                if watch.after_event != last_event or watch.until_ns <= now_ns:
+                    del self._waiting_watches[sock]
+                    body = json.dumps(
+                        {"n": last_event, "events": self._events_after(watch.after_event, last_event, now_ns)}
+                    )
                     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body.encode())
                     self._write_later(0, sock, head + body.encode())
 
-    def _events_after(self, after_event: int, last: int, now_ns: int) -> list[dict[str, Any]]:
-        """Events behind one, numbered as the feed counts by now; the whole list first to who knows none."""
-        news = []
-        if after_event <= last:
-            news = self.feed_events[self.events_before_restart + max(0, after_event - 1) :]
-        self.feed_deliveries += [Delivery(event["n"], now_ns) for event in news]
-        renumbered = [{**event, "n": event["n"] - self.events_before_restart} for event in news]
+    def _events_after(self, after_event: int, last_event: int, now_ns: int) -> list[dict[str, Any]]:
+        """Events after a position in the feed's present numbering; below position 1, after a snapshot."""
+        new_events = []
+        if after_event <= last_event:
+            new_events = self.feed_events[self.events_before_restart + max(0, after_event - 1) :]
+        self.feed_deliveries += [Delivery(event["n"], now_ns) for event in new_events]
+        renumbered = [{**event, "n": event["n"] - self.events_before_restart} for event in new_events]
         return [self.endpoint_snapshot(), *renumbered] if after_event < 1 else renumbered
 
     # Servers ----------------------------------------------------------------------------------------------
 
     def _take_command(self, sock: socket.socket, name: str) -> bool:
-        """Take one command out of what was read and answer it; False where none is whole."""
-        words, rest = split_resp_array(self._buffers[sock])
-        if words is None:
+        """Parse one command from the bytes read so far and respond to it; False if none is complete."""
+        elements, rest = split_resp_array(self._buffers[sock])
+        if elements is None:
             return False
         self._buffers[sock] = rest
-        fields = dict(pair.split("=", 1) for pair in words[2].decode().split(",")) if len(words) > 2 else {}
-        command = ServerCommand(name, words[0].decode(), words[1].decode(), fields, time.monotonic_ns())
+        fields = (
+            dict(pair.split("=", 1) for pair in elements[2].decode().split(",")) if len(elements) > 2 else {}
+        )
+        command = ServerCommand(name, elements[0].decode(), elements[1].decode(), fields, time.monotonic_ns())
         with self.lock:
             self.commands.append(command)
         if command.verb == "PULL":
-            self._answer(sock, command)
+            self._respond(sock, command)
         return True
 
-    def _answer(self, sock: socket.socket, command: ServerCommand) -> None:
-        """Do with a request what the script says."""
+    def _respond(self, sock: socket.socket, command: ServerCommand) -> None:
+        """Treat a request as the script decides."""
         reply = self.script(command.server, command)
         after_ns = int(reply.delay_ms * MS)
         key = RequestKey(command.request_id, command.server, command.received_ns)
-        if reply.fate in ANSWERS:
+        if reply.fate in RESPONSE_WORDS:
             with self.lock:
                 self.settled_requests[key] = RequestEnd(
                     command.received_ns + after_ns, reply.fate in PROVE_NOT_EXECUTED
@@ -379,34 +384,34 @@
         if reply.fate == RESET:
             self._write_later(after_ns, sock, RESET_MARK)
         elif reply.fate != SILENT:
-            data = encode_answer(command.request_id, reply)
+            data = encode_response(command.request_id, reply)
             self._write_later(after_ns, sock, data[: len(data) // 2] if reply.fate == CUT else data)
 
 
-def encode_answer(request_id: str, reply: ScriptedReply) -> bytes:
-    """An answer as a RESP array: id, word, fields and body."""
-    word = "DONE" if reply.fate == CUT else reply.fate
+def encode_response(request_id: str, reply: ScriptedReply) -> bytes:
+    """A response as a RESP array: id, status word, fields and body."""
+    status = "DONE" if reply.fate == CUT else reply.fate
     fields = f"sum=4be0c1927d55a6f3,t0={time.time_ns() // MS},tell={reply.cache_status}".encode()
     body = reply.body if reply.fate in ("DONE", "BROKE") else b""
-    parts = (request_id.encode(), word.encode(), fields if word == "DONE" else b"-", body)
-    return b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
+    elements = (request_id.encode(), status.encode(), fields if status == "DONE" else b"-", body)
+    return b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(element), element) for element in elements)
 
 
 def query_value(head: bytes, key: bytes, end: bytes, default: bytes) -> bytes:
-    """A value of a request line's query, up to ``end``."""
+    """The value after ``key`` in a request line's query, up to ``end``."""
     return head.split(key, 1)[1].split(end, 1)[0] if key in head else default
 
 
 def split_resp_array(data: bytes) -> tuple[list[bytes] | None, bytes]:
-    """One RESP array and what follows it; None while it is not whole."""
-    head, found, rest = data.partition(b"\r\n")
-    if not found:
+    """One RESP array and the bytes after it; None while the array is incomplete."""
+    head, separator, rest = data.partition(b"\r\n")
+    if not separator:
         return None, data
-    words = []
+    elements = []
     for _ in range(int(head[1:])):
-        size, found, rest = rest.partition(b"\r\n")
-        if not found or len(rest) < int(size[1:]) + 2:
+        size, separator, rest = rest.partition(b"\r\n")
+        if not separator or len(rest) < int(size[1:]) + 2:
             return None, data
-        words.append(rest[: int(size[1:])])
+        elements.append(rest[: int(size[1:])])
         rest = rest[int(size[1:]) + 2 :]
-    return words, rest
+    return elements, rest
