--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -16,7 +16,7 @@
 from kelpcroft.config import ConfigError, limit_to_system_descriptors, parse_config
 from kelpcroft.core.descriptors import MIN_DESCRIPTORS, allocate_descriptors
 from tests.support.exchange_player import EXAMPLE, ROOT, WAIT_S
-from tests.support.loop_turns import MS, SECOND, Turns, call, done
+from tests.support.loop_turns import MS, SECOND, LoopHarness, client_request, server_response
 
 
 class Shares(unittest.TestCase):
@@ -64,59 +64,59 @@
         """``dial`` created a new socket in the handler of the error that reports missing descriptors.  The
         error was raised again and ended the process with all its open requests.
         """
-        t = Turns(self)
-        t.until(t.taken("feed").read, "a watch request is sent")
+        t = LoopHarness(self)
+        t.run_until(t.accept_from_router("feed").read, "a watch request is sent")
         idle, active = t.client(), t.client()
-        t.turn(SECOND)
-        active.send(call(1))
+        t.iterate(SECOND)
+        active.send(client_request(1))
         with t.no_descriptors():
-            t.until(lambda: idle.read() or idle.ended, "the idle client is closed")
-        cache = t.taken("cache1")
-        t.until(cache.pulls, "the attempt arrives")
-        cache.send(done(*cache.pulls()))
-        t.until(active.answers, "the request is served")
-        assert active.answers() == [[1, 1, None, [b"by", {}]]]
+            t.run_until(lambda: idle.read() or idle.ended, "the idle client is closed")
+        cache = t.accept_from_router("cache1")
+        t.run_until(cache.attempt_ids, "the attempt arrives")
+        cache.send(server_response(*cache.attempt_ids()))
+        t.run_until(active.responses, "the request is served")
+        assert active.responses() == [[1, 1, None, [b"by", {}]]]
 
     def test_a_dial_that_cannot_be_made_ends_in_an_answer(self) -> None:
-        t = Turns(self)
-        t.until(t.taken("feed").read, "a watch request is sent")
+        t = LoopHarness(self)
+        t.run_until(t.accept_from_router("feed").read, "a watch request is sent")
         client = t.client()
-        client.send(call(1))
+        client.send(client_request(1))
         with t.no_descriptors():
-            t.until(client.answers, "the request ends immediately")
-        assert client.answers()[0][2][0] == "Shed"
-        client.send(call(2))
-        t.until(t.taken("cache1").pulls, "later requests are sent to a server")
+            t.run_until(client.responses, "the request ends immediately")
+        assert client.responses()[0][2][0] == "Shed"
+        client.send(client_request(2))
+        t.run_until(t.accept_from_router("cache1").attempt_ids, "later requests are sent to a server")
 
     def test_the_feed_is_polled_again_once_a_descriptor_is_free(self) -> None:
         """``poll`` created a new socket in the error handler, as ``dial`` did, and ended the process."""
-        t = Turns(self, feed=False)
-        t.until(
+        t = LoopHarness(self, feed=False)
+        t.run_until(
             lambda: t.loop.feed.connection is None and not t.loop.transport.failed_opens,
             "the connect has failed",
         )
         with t.no_descriptors():
             for _ in range(5):
-                t.turn(500 * MS, turns=3)  # each attempt to send a watch request finds no descriptor
+                t.iterate(500 * MS, iterations=3)  # each attempt to send a watch request finds no descriptor
         assert t.loop.feed.connection is None
         host, port = t.loop.feed_address
         t.listeners["feed"] = listener = socket.create_server((host, port))
         self.addCleanup(listener.close)
         listener.setblocking(False)
-        t.turn(500 * MS)
-        t.until(t.taken("feed").read, "a watch request is sent")
+        t.iterate(500 * MS)
+        t.run_until(t.accept_from_router("feed").read, "a watch request is sent")
 
     def test_a_listener_that_cannot_accept_is_left_alone_for_a_while(self) -> None:
         """The listener was ready in every iteration: the loop spun and logged a line each time."""
-        t = Turns(self)
+        t = LoopHarness(self)
         clients = [t.client()]
-        clients[0].send(call(1))  # no client is idle, so none is closed
-        t.until(lambda: t.loop.reducer.state.requests_by_client, "the request is admitted")
+        clients[0].send(client_request(1))  # no client is idle, so none is closed
+        t.run_until(lambda: t.loop.reducer.state.requests_by_client, "the request is admitted")
         pending = socket.create_connection(t.address, WAIT_S)
         self.addCleanup(pending.close)
         with t.no_descriptors():
-            t.until(lambda: not t.loop.acceptor.listener.is_listening, "the listener is paused")
-            t.turn(turns=20)
+            t.run_until(lambda: not t.loop.acceptor.listener.is_listening, "the listener is paused")
+            t.iterate(iterations=20)
             assert len([log for log in t.logged if log.event == "accept.failed"]) == 1
-        t.turn(200 * MS)
-        t.until(lambda: len(t.loop.clients.open) == 2, "accepting is resumed")
+        t.iterate(200 * MS)
+        t.run_until(lambda: len(t.loop.clients.open) == 2, "accepting is resumed")
--- a/tests/core/test_gone.py
+++ b/tests/core/test_gone.py
@@ -9,7 +9,7 @@
 from kelpcroft.net.event_loop import CLIENT_REQUESTS_TURN_NS, LONG_TURN_FLUSH_INTERVAL_NS
 from kelpcroft.net.server_connections import ServerConnection
 from kelpcroft.net.transport import Connection as RouterConnection
-from tests.support.loop_turns import MS, SECOND, Peer, Turns, call, done
+from tests.support.loop_turns import MS, SECOND, LoopHarness, Peer, client_request, server_response
 
 
 def cancel(number: int) -> bytes:
@@ -17,20 +17,20 @@
 
 
 class Gone(unittest.TestCase):
-    def client_with_attempt(self, t: Turns) -> tuple[Peer, Peer]:
+    def client_with_attempt(self, t: LoopHarness) -> tuple[Peer, Peer]:
         """A client whose attempt is in flight, and the cache that received it."""
         client = t.client()
-        client.send(call(1))
-        cache = t.taken("cache1")
-        t.until(cache.pulls, "the attempt arrives")
+        client.send(client_request(1))
+        cache = t.accept_from_router("cache1")
+        t.run_until(cache.attempt_ids, "the attempt arrives")
         return client, cache
 
-    def assert_no_further_attempt(self, t: Turns, cache: Peer) -> None:
+    def assert_no_further_attempt(self, t: LoopHarness, cache: Peer) -> None:
         """Asserts that no attempt was sent to any server after the first one."""
-        t.turn(SECOND)
-        assert len(cache.pulls()) == 1
+        t.iterate(SECOND)
+        assert len(cache.attempt_ids()) == 1
         for name in ("cache1", "parent", "origin"):
-            t.none(name)
+            t.assert_no_connect(name)
 
     def test_no_further_attempt_behind_a_close_in_the_same_turn(self) -> None:
         """An attempt was sent for a disconnected client: servers' sockets were read before clients' sockets,
@@ -38,21 +38,21 @@
         """
         for data in (b"", cancel(1)):
             with self.subTest(data=data):
-                t = Turns(self)
+                t = LoopHarness(self)
                 client, cache = self.client_with_attempt(t)
                 client.send(data) if data else client.close()
-                cache.send(done(cache.pulls()[0], b"", b"LACK", b"-"))
+                cache.send(server_response(cache.attempt_ids()[0], b"", b"LACK", b"-"))
                 self.assert_no_further_attempt(t, cache)
 
     def test_no_further_attempt_behind_a_close_in_a_long_turn(self) -> None:
         """The client closes its connection while responses of other servers are being read."""
-        t = Turns(self, only=("cache1", "cache2", "parent", "origin"))
+        t = LoopHarness(self, listed=("cache1", "cache2", "parent", "origin"))
         client, other = t.client(), t.client()
         for number in range(1, 9):
-            (client if number == 1 else other).send(call(number, entity=f"{number:016x}"))
-        caches = [t.taken("cache1"), t.taken("cache2")]
-        t.until(lambda: sum(len(c.pulls()) for c in caches) == 8, "all attempts are in flight")
-        (cache_of_client,) = [c for c in caches if f"{1:016x}" in c.pulls()]
+            (client if number == 1 else other).send(client_request(number, entity=f"{number:016x}"))
+        caches = [t.accept_from_router("cache1"), t.accept_from_router("cache2")]
+        t.run_until(lambda: sum(len(c.attempt_ids()) for c in caches) == 8, "all attempts are in flight")
+        (cache_of_client,) = [c for c in caches if f"{1:016x}" in c.attempt_ids()]
         handle_ready, peers_read = t.loop.handle_ready, []
 
         def close_client_while_reading(peer: RouterConnection, events: int) -> None:
@@ -70,35 +70,37 @@
         ]
         (other_server,) = [s for s in t.loop.servers.open.values() if s is not client_server]
         for cache in caches:
-            for id in cache.pulls():
-                cache.send(done(id, b"", b"LACK", b"-") if id == f"{1:016x}" else done(id))
+            for id in cache.attempt_ids():
+                cache.send(
+                    server_response(id, b"", b"LACK", b"-") if id == f"{1:016x}" else server_response(id)
+                )
         select = t.selector.select
 
         def client_server_last(timeout: float | None = None) -> list:  # type: ignore[type-arg]
             return sorted(select(timeout), key=lambda ready: ready[0].data is client_server)
 
         t.selector.select = client_server_last  # type: ignore[method-assign]
-        t.until(lambda: len(other.answers()) == 7, "the other requests have their responses")
+        t.run_until(lambda: len(other.responses()) == 7, "the other requests have their responses")
         assert peers_read[0] is other_server
-        t.turn(SECOND)
-        assert sum(len(c.pulls()) for c in caches) == 8
+        t.iterate(SECOND)
+        assert sum(len(c.attempt_ids()) for c in caches) == 8
         for name in ("cache1", "cache2", "parent", "origin"):
-            t.none(name)
+            t.assert_no_connect(name)
 
     def test_a_request_with_its_close_unread_is_not_sent_on(self) -> None:
         """A router short of CPU read a request half a second late, and sent its attempt before it read the
         close that followed the request.
         """
-        t = Turns(self)
+        t = LoopHarness(self)
         client = t.client()
         t.selector.hidden.add(t.socket_of(client))
-        client.send(call(1))
+        client.send(client_request(1))
         client.close()
-        t.turn(500 * MS)
+        t.iterate(500 * MS)
         t.selector.hidden.clear()
-        t.turn(500 * MS)
+        t.iterate(500 * MS)
         for name in ("cache1", "parent", "origin"):
-            t.none(name)
+            t.assert_no_connect(name)
 
     def test_an_attempt_that_waits_for_its_connection_is_not_sent(self) -> None:
         """With ``may_cancel`` off, an attempt that waited for its connection was sent when the connection was
@@ -106,14 +108,14 @@
         """
         for may_cancel in (False, True):
             with self.subTest(may_cancel=may_cancel):
-                t = Turns(self, allowed={"may_cancel": may_cancel})
+                t = LoopHarness(self, settings_limits={"may_cancel": may_cancel})
                 client = t.client()
                 set_interest = t.loop.transport.set_interest
 
                 def hide(
                     peer: RouterConnection,
                     events: int,
-                    t: Turns = t,  # type: ignore[no-untyped-def]
+                    t: LoopHarness = t,  # type: ignore[no-untyped-def]
                     set_interest=set_interest,
                 ) -> None:
                     if isinstance(peer, ServerConnection):
@@ -121,39 +123,41 @@
                     set_interest(peer, events)
 
                 t.loop.transport.set_interest = hide  # type: ignore[method-assign]
-                client.send(call(1))
-                cache = t.taken("cache1")
+                client.send(client_request(1))
+                cache = t.accept_from_router("cache1")
                 client.send(cancel(1))
-                t.until(lambda t=t: not t.loop.reducer.state.requests, "the request has ended")
+                t.run_until(lambda t=t: not t.loop.reducer.state.requests, "the request has ended")
                 t.selector.hidden.clear()
-                t.until(
+                t.run_until(
                     lambda t=t: all(s.is_connected for s in t.loop.servers.open.values()),
                     "the connection is established",
                 )
-                t.turn(turns=3)
+                t.iterate(iterations=3)
                 assert cache.read() == b""
                 assert t.loop.reducer.state.attempts == {}
 
     def test_a_request_that_is_read_and_not_taken_can_be_cancelled(self) -> None:
-        t = Turns(self)
+        t = LoopHarness(self)
         client, cache = self.client_with_attempt(t)
         t.tick_ns = 2 * CLIENT_REQUESTS_TURN_NS  # each clock reading uses up the iteration's time
-        client.send(call(2))
-        t.until(lambda: t.loop.clients.with_pending, "the request is read")
+        client.send(client_request(2))
+        t.run_until(lambda: t.loop.clients.with_pending, "the request is read")
         client.send(cancel(2))
-        t.until(lambda: not any(c.pending_messages for c in t.loop.clients.open.values()), "it is cancelled")
+        t.run_until(
+            lambda: not any(c.pending_messages for c in t.loop.clients.open.values()), "it is cancelled"
+        )
         t.tick_ns = 0
-        t.turn(200 * MS)
-        assert (len(cache.pulls()), t.loop.reducer.state.counters["taken"]) == (1, 1)
-        client.send(call(3))
-        t.until(lambda: t.loop.reducer.state.counters["taken"] == 2, "later requests are admitted")
+        t.iterate(200 * MS)
+        assert (len(cache.attempt_ids()), t.loop.reducer.state.counters["taken"]) == (1, 1)
+        client.send(client_request(3))
+        t.run_until(lambda: t.loop.reducer.state.counters["taken"] == 2, "later requests are admitted")
 
     def test_time_between_reading_and_taking_counts(self) -> None:
         """A request's remaining time counts from when the client sent it, wherever the request waits."""
-        t = Turns(self)
+        t = LoopHarness(self)
         client, _cache = self.client_with_attempt(t)
         (connection,) = t.loop.clients.open.values()
-        client.send(call(2, patience=900))
+        client.send(client_request(2, remaining_ms=900))
         t.loop.read_disconnects([(connection, 1)], t.now)
         assert len(connection.pending_messages) == 1
         t.now += 200 * MS
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -17,7 +17,7 @@
     is_overdue,
     watch_timeouts,
 )
-from tests.support.loop_turns import MS, SECOND, Peer, Turns
+from tests.support.loop_turns import MS, SECOND, LoopHarness, Peer
 
 
 def watch_response(last: int, *events: object) -> bytes:
@@ -67,16 +67,16 @@
 
 
 class Watched(unittest.TestCase):
-    def outstanding_watch(self, t: Turns) -> Peer:
+    def outstanding_watch(self, t: LoopHarness) -> Peer:
         """Returns the feed connection of the outstanding watch request; earlier ones were abandoned."""
-        feed = t.taken("feed")
-        t.until(feed.read, "the watch request arrives")
+        feed = t.accept_from_router("feed")
+        t.run_until(feed.read, "the watch request arrives")
         while feed.ended:
-            feed = t.taken("feed")
-            t.until(feed.read, "the watch request arrives")
+            feed = t.accept_from_router("feed")
+            t.run_until(feed.read, "the watch request arrives")
         return feed
 
-    def drain_event(self, t: Turns) -> dict[str, object]:
+    def drain_event(self, t: LoopHarness) -> dict[str, object]:
         (event,) = t.raw["known"]["events"]
         (line,) = [e for e in event["members"]["endpoints"] if e["name"] == "s-c1"]
         return {
@@ -93,50 +93,50 @@
         for poll_limit_ms, timeout_ms in ((0, 1_400), (400, 400)):
             with self.subTest(ask_within_ms=poll_limit_ms):
                 contract = {"ask_within_ns": poll_limit_ms * MS, "drain_grace_ns": 500 * MS}
-                t = Turns(self, settings={"contract": contract})
+                t = LoopHarness(self, settings={"contract": contract})
                 self.outstanding_watch(t)
                 for _ in range(3):
-                    t.turn(timeout_ms * MS + MAX_RETRY_DELAY_NS + 100 * MS)
+                    t.iterate(timeout_ms * MS + MAX_RETRY_DELAY_NS + 100 * MS)
                     feed = self.outstanding_watch(t)
                 feed.send(watch_response(2, self.drain_event(t)))
-                t.until(lambda t=t: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
+                t.run_until(lambda t=t: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
 
     def test_silent_in_the_middle_of_an_answer(self) -> None:
-        t = Turns(self)
+        t = LoopHarness(self)
         feed = self.outstanding_watch(t)
         response = watch_response(2, self.drain_event(t))
         feed.send(response[:60])
-        t.turn(300 * MS)
-        t.none("feed")
-        t.turn(300 * MS)
+        t.iterate(300 * MS)
+        t.assert_no_connect("feed")
+        t.iterate(300 * MS)
         next_watch = self.outstanding_watch(t)
         next_watch.send(response)
-        t.until(lambda: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
+        t.run_until(lambda: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
 
     def test_a_slow_service_is_heard_to_the_end(self) -> None:
         """A list that takes longer than the silence timeout to arrive must be received completely.
 
         Guards against a router that abandons and repeats the request each time, and never receives the list.
         """
-        t = Turns(self)
+        t = LoopHarness(self)
         feed = self.outstanding_watch(t)
-        t.turn(SECOND)
+        t.iterate(SECOND)
         response = watch_response(2, self.drain_event(t))
         for offset in range(0, len(response), 20):
             feed.send(response[offset : offset + 20])
-            t.turn(200 * MS)
+            t.iterate(200 * MS)
         assert len(response) // 20 * 200 > 1400
         assert "s-c1" not in t.loop.reducer.state.endpoints
-        t.none("feed")
+        t.assert_no_connect("feed")
 
     def test_two_answers_to_one_call(self) -> None:
         """A second response to one request crosses the next request.
 
         The watch continues, and a silence after it is detected.
         """
-        t = Turns(self)
+        t = LoopHarness(self)
         feed = self.outstanding_watch(t)
         feed.send(watch_response(2) + watch_response(2, self.drain_event(t)))
-        t.until(lambda: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
-        t.turn(1_600 * MS)
+        t.run_until(lambda: "s-c1" not in t.loop.reducer.state.endpoints, "the drain is known")
+        t.iterate(1_600 * MS)
         self.outstanding_watch(t)
--- a/tests/program/test_signals.py
+++ b/tests/program/test_signals.py
@@ -8,7 +8,7 @@
 import unittest
 
 from kelpcroft.core import inputs
-from tests.support.loop_turns import MS, Peer, Turns, call, done
+from tests.support.loop_turns import MS, LoopHarness, Peer, client_request, server_response
 
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
 STEPS = 8  # at least the iterations from a client's first byte to its response
@@ -23,20 +23,20 @@
             signals: The signals.
             is_valid_file: The reloaded file is valid: it equals the one in use.
         """
-        t = Turns(self)
+        t = LoopHarness(self)
         if is_valid_file:
             t.loop.signals.read_config = lambda: inputs.ConfigFileRead(
                 "config.json", json.dumps(t.raw).encode()
             )
         client = Peer(socket.create_connection(t.address))
         self.addCleanup(client.close)
-        client.send(call(1))
+        client.send(client_request(1))
         caches: list[Peer] = []
         answered: set[tuple[int, str]] = set()
         for step in range(3 * STEPS):
             if step == at:
                 t.loop.signals.handle(bytes(signals))
-            t.turn()
+            t.iterate()
             for name in ("cache1", "parent", "origin"):
                 try:
                     caches.append(Peer(t.listeners[name].accept()[0]))
@@ -44,13 +44,17 @@
                 except BlockingIOError:
                     pass
             for n, cache in enumerate(caches):
-                for attempt_id in cache.pulls():
+                for attempt_id in cache.attempt_ids():
                     if (n, attempt_id) not in answered:
-                        cache.send(done(attempt_id) if answered else done(attempt_id, b"", b"LACK", b"-"))
+                        cache.send(
+                            server_response(attempt_id)
+                            if answered
+                            else server_response(attempt_id, b"", b"LACK", b"-")
+                        )
                         answered.add((n, attempt_id))
-        assert client.answers() == [[1, 1, None, [b"by", {}]]]
+        assert client.responses() == [[1, 1, None, [b"by", {}]]]
         assert len(answered) == 2, "one attempt that failed and one that succeeded"
-        t.turn(1_000 * MS)
+        t.iterate(1_000 * MS)
         assert t.loop.is_stopping == (TERM in signals)
         if t.loop.is_stopping:
             t.tick_ns = 10 * MS
@@ -58,7 +62,7 @@
             client.read()
             assert client.ended
             assert not client.reset
-        assert len(client.answers()) == 1
+        assert len(client.responses()) == 1
 
     def test_at_every_step(self) -> None:
         for at in range(STEPS):
--- a/tests/support/loop_turns.py
+++ b/tests/support/loop_turns.py
@@ -1,8 +1,8 @@
 """Harness that runs the event loop on real loopback sockets, one iteration at a time, with a test clock.
 
 Peers are plain sockets of the test, so bytes, closes, signals and deadlines occur in the order of the test's
-lines.  Nothing here sleeps, and no result depends on the speed of the machine: ``until`` runs iterations at
-one instant of the test clock until a condition holds.
+lines.  Nothing here sleeps, and no result depends on the speed of the machine: ``run_until`` runs iterations
+at one instant of the test clock until a condition holds.
 """
 
 from __future__ import annotations
@@ -75,79 +75,86 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
-    def answers(self) -> list[Any]:
+    def responses(self) -> list[Any]:
         """Returns the MessagePack messages received."""
         unpacker = msgpack.Unpacker(raw=False)
         unpacker.feed(self.read())
         return list(unpacker)
 
-    def pulls(self) -> list[str]:
+    def attempt_ids(self) -> list[str]:
         """Returns the ids of the attempts received, in their order."""
         words = self.read().split(b"\r\n")
         return [words[n + 2].decode() for n, word in enumerate(words) if word == b"PULL"]
 
 
-def done(id: str, body: bytes = b"by", word: bytes = b"DONE", fields: bytes = b"tell=mem") -> bytes:
+def server_response(
+    id: str, body: bytes = b"by", word: bytes = b"DONE", fields: bytes = b"tell=mem"
+) -> bytes:
     """Returns a server's response."""
     parts = (id.encode(), word, fields, body)
     return b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
-def call(
-    number: int, trace: str = "", cls: str = "page", patience: int = 2_000, body: bytes = b"", **more: str
+def client_request(
+    number: int,
+    trace: str = "",
+    class_name: str = "page",
+    remaining_ms: int = 2_000,
+    body: bytes = b"",
+    **extra_fields: str,
 ) -> bytes:
     """Returns a client's request; its trace id is its number by default."""
     fields = {
         "trace": trace or f"{number:016x}",
-        "patience": str(patience),
+        "patience": str(remaining_ms),
         "entity": OBJECT,
         "block": "0",
         "family": "17",
-        **more,
+        **extra_fields,
     }
-    return bytes(msgpack.packb([0, number, cls, [fields, body]]))
+    return bytes(msgpack.packb([0, number, class_name, [fields, body]]))
 
 
-class Turns:
+class LoopHarness:
     """One router in the test process, with its servers' listening sockets."""
 
     def __init__(
         self,
         case: unittest.TestCase,
-        only: tuple[str, ...] = ("cache1", "parent", "origin"),
+        listed: tuple[str, ...] = ("cache1", "parent", "origin"),
         feed: bool = True,
-        orders: dict[str, Any] | None = None,
-        allowed: dict[str, Any] | None = None,
+        order_class: dict[str, Any] | None = None,
+        settings_limits: dict[str, Any] | None = None,
         settings: dict[str, Any] | None = None,
-        **more: Any,
+        **config_changes: Any,
     ) -> None:
         """Starts the router.
 
         Args:
             case: The test case, which closes the sockets at its end.
-            only: Names of the servers in the endpoint list.
+            listed: Names of the servers in the endpoint list.
             feed: Whether the list service listens.
-            orders: Changed settings of the class of orders.
-            allowed: Changed ``settings.limits``.
+            order_class: Changed settings of the order class.
+            settings_limits: Changed ``settings.limits``.
             settings: Other changed settings.
-            more: Other changed keys of the configuration.
+            config_changes: Other changed keys of the configuration.
         """
         self.now, self.tick_ns = NOW, 0  # the time, and its increase at each reading of the clock
-        self.listeners = {n: socket.create_server(("127.0.0.1", 0)) for n in (*only, "feed")}
+        self.listeners = {n: socket.create_server(("127.0.0.1", 0)) for n in (*listed, "feed")}
         for sock in self.listeners.values():
             sock.setblocking(False)
             case.addCleanup(sock.close)
         endpoints = [
             {
                 "name": SERVERS[n][0],
-                "address": self.at(n),
+                "address": self.address_of(n),
                 "zone": SERVERS[n][1],
                 "type": SERVERS[n][2],
                 "status": "active",
             }
-            for n in only
+            for n in listed
         ]
-        feed_address = self.at("feed")
+        feed_address = self.address_of("feed")
         if not feed:
             self.listeners.pop("feed").close()
         raw = copy.deepcopy(
@@ -158,12 +165,12 @@
                     "n": 1,
                     "events": [{"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": endpoints}}],
                 },
-                **more,
+                **config_changes,
             }
         )
         raw["settings"].update(settings or {})
-        raw["settings"]["limits"].update(allowed or {})
-        raw["settings"]["classes"][1].update(orders or {})
+        raw["settings"]["limits"].update(settings_limits or {})
+        raw["settings"]["classes"][1].update(order_class or {})
         self.raw = raw
         self.logged: list[effects.LogEvent] = []
         self.loop = EventLoop(parse_config(raw, {}), Clock(self.clock))
@@ -174,17 +181,17 @@
         listener.setblocking(False)
         self.address = listener.getsockname()
         self.loop.start(listener=listener)
-        case.addCleanup(self.end)
+        case.addCleanup(self.close_sockets)
         self.case = case
 
     def clock(self) -> int:
         self.now += self.tick_ns
         return self.now
 
-    def at(self, name: str) -> str:
+    def address_of(self, name: str) -> str:
         return f"127.0.0.1:{self.listeners[name].getsockname()[1]}"
 
-    def end(self) -> None:
+    def close_sockets(self) -> None:
         loop = self.loop
         for peer in [
             *loop.clients.open.values(),
@@ -198,22 +205,22 @@
                 sock.close()
         loop.selector.close()
 
-    def turn(self, after_ns: int = 0, turns: int = 1) -> None:
+    def iterate(self, after_ns: int = 0, iterations: int = 1) -> None:
         """Runs iterations.
 
         Args:
             after_ns: Time that passes first, in steps short enough not to count as a process stall, with
                 one iteration per step.
-            turns: Number of iterations at the final instant, including that of the last step.
+            iterations: Number of iterations at the final instant, including that of the last step.
         """
         end = self.now + after_ns
         while self.now < end:
             self.now = min(end, self.now + STEP_NS)
             self.loop.run_turn()
-        for _ in range(turns - bool(after_ns)):
+        for _ in range(iterations - bool(after_ns)):
             self.loop.run_turn()
 
-    def until(self, condition: Callable[[], Any], description: str = "") -> None:
+    def run_until(self, condition: Callable[[], Any], description: str = "") -> None:
         """Runs iterations at this instant until a condition holds, so that bytes in flight arrive."""
         end = time.monotonic() + WAIT_S
         while not condition():
@@ -225,7 +232,7 @@
         peer = Peer(socket.create_connection(self.address, WAIT_S))
         self.case.addCleanup(peer.sock.close)
         local_address = peer.sock.getsockname()
-        self.until(
+        self.run_until(
             lambda: any(
                 client.sock.fileno() >= 0 and client.sock.getpeername() == local_address
                 for client in self.loop.clients.open.values()
@@ -247,14 +254,14 @@
     def served_client(self, number: int = 1) -> tuple[Peer, Peer]:
         """Returns a client that has received a response, and the cache's end of the server connection."""
         client = self.client()
-        client.send(call(number))
-        cache = self.taken("cache1")
-        self.until(cache.pulls, "the attempt arrives")
-        cache.send(done(cache.pulls()[-1]))
-        self.until(client.answers, "the response arrives")
+        client.send(client_request(number))
+        cache = self.accept_from_router("cache1")
+        self.run_until(cache.attempt_ids, "the attempt arrives")
+        cache.send(server_response(cache.attempt_ids()[-1]))
+        self.run_until(client.responses, "the response arrives")
         return client, cache
 
-    def taken(self, name: str) -> Peer:
+    def accept_from_router(self, name: str) -> Peer:
         """Returns the server's end of the router's next connection to it."""
         accepted: list[socket.socket] = []
 
@@ -265,13 +272,13 @@
                 return False
             return True
 
-        self.until(has_accepted, f"the router connects to {name}")
+        self.run_until(has_accepted, f"the router connects to {name}")
         self.case.addCleanup(accepted[0].close)
         return Peer(accepted[0])
 
-    def none(self, name: str, turns: int = 5) -> None:
+    def assert_no_connect(self, name: str, iterations: int = 5) -> None:
         """Checks that the router does not connect to a server."""
-        for _ in range(turns):
+        for _ in range(iterations):
             self.loop.run_turn()
             with pytest.raises(BlockingIOError):
                 self.listeners[name].accept()
