--- a/tests/config_reload/test_retune.py
+++ b/tests/config_reload/test_retune.py
@@ -236,26 +236,32 @@
 
 class Module(unittest.TestCase):
     def test_a_request_under_way_keeps_its_class_and_its_fewer_attempts(self) -> None:
-        p = kit.policy(max_attempts=2)
-        (first,) = kit.fetches(kit.ask(p, S, "r1"))
+        p = kit.make_policy(max_attempts=2)
+        (first,) = kit.forwarded_attempts(kit.send_request(p, S, "r1"))
         fresh = api.RequestClass("fresh", latency_objective_ns=200 * MS, deadline_ns=S)
         grown = kit.settings(max_attempts=6, classes=(fresh, kit.UNSAFE))
         p.handle(S + MS, api.SettingsChanged(grown))
         assert "safe" in p.latency_model.latency_ratio  # the request is open: its class's latency data stays
-        (second,) = kit.fetches(kit.end(p, S + 2 * MS, first, Outcome.ERROR))
-        assert kit.fetches(kit.end(p, S + 3 * MS, second, Outcome.ERROR, attempt=1)) == []
+        (second,) = kit.forwarded_attempts(kit.end_attempt(p, S + 2 * MS, first, Outcome.ERROR))
+        assert kit.forwarded_attempts(kit.end_attempt(p, S + 3 * MS, second, Outcome.ERROR, attempt=1)) == []
         p.handle(S + 4 * MS, api.SettingsChanged(grown))
         assert "safe" not in p.latency_model.latency_ratio  # the request ended: the data is dropped
-        (one,) = kit.fetches(kit.ask(p, S + 5 * MS, "r2", cls="fresh", time_remaining_ns=S))
+        (one,) = kit.forwarded_attempts(
+            kit.send_request(p, S + 5 * MS, "r2", class_name="fresh", time_remaining_ns=S)
+        )
         p.handle(S + 6 * MS, api.SettingsChanged(kit.settings(max_attempts=1, classes=(fresh,))))
-        assert kit.fetches(kit.end(p, S + 7 * MS, one, Outcome.ERROR)) == []  # the lower limit applies to it
+        assert (
+            kit.forwarded_attempts(kit.end_attempt(p, S + 7 * MS, one, Outcome.ERROR)) == []
+        )  # the lower limit applies to it
 
     def test_without_a_retune_the_same_request_tries_on(self) -> None:
         """Control for the test above: with a limit of six attempts throughout, a third attempt is made."""
-        p = kit.policy(max_attempts=6)
-        (first,) = kit.fetches(kit.ask(p, S, "r1"))
-        (second,) = kit.fetches(kit.end(p, S + 2 * MS, first, Outcome.ERROR))
-        assert len(kit.fetches(kit.end(p, S + 3 * MS, second, Outcome.ERROR, attempt=1))) == 1
+        p = kit.make_policy(max_attempts=6)
+        (first,) = kit.forwarded_attempts(kit.send_request(p, S, "r1"))
+        (second,) = kit.forwarded_attempts(kit.end_attempt(p, S + 2 * MS, first, Outcome.ERROR))
+        assert (
+            len(kit.forwarded_attempts(kit.end_attempt(p, S + 3 * MS, second, Outcome.ERROR, attempt=1))) == 1
+        )
 
 
 class Program(unittest.TestCase):
--- a/tests/decision/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -16,44 +16,59 @@
 from kelpcroft.decision.policy import TICK_TIMER, RoutingPolicy
 from kelpcroft.decision.requests import InFlightRequest
 from kelpcroft.decision.statistics import LinearDecay
-from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy, servers
+from tests.support.policy_fixtures import (
+    MS,
+    S,
+    end_attempt,
+    forwarded_attempts,
+    make_policy,
+    send_request,
+    servers,
+)
 
 CACHE_CAPACITY = 20.0  # parallel transfers at full rate that the four caches of ``servers`` have capacity for
 
 
 def burst(p: RoutingPolicy, now: int, count: int, kb: float, name: str = "b") -> list[bool]:
     """Send ``count`` requests of one size at the same time; return for each whether it was forwarded."""
-    return [bool(fetches(ask(p, now, f"{name}{n}", n + 1000 * len(name), size_kb=kb))) for n in range(count)]
+    return [
+        bool(forwarded_attempts(send_request(p, now, f"{name}{n}", n + 1000 * len(name), size_kb=kb)))
+        for n in range(count)
+    ]
 
 
 class CapacityLimits(unittest.TestCase):
     def test_weights_limit_admission_before_any_response_is_late(self) -> None:
-        p = policy()
+        p = make_policy()
         sent = burst(p, S, 200, 400.0)
         assert all(sent[: int(CACHE_CAPACITY)]), "requests within capacity are admitted"
         assert sum(sent) < 5 * CACHE_CAPACITY, "most of a burst of ten times the capacity was admitted"
 
     def test_small_requests_are_admitted_when_large_ones_are_not(self) -> None:
-        p = policy()
+        p = make_policy()
         burst(p, S, 60, 400.0)
         small, large = burst(p, S, 20, 10.0, "small"), burst(p, S, 20, 2_000.0, "large")
         assert sum(small) > 15
         assert sum(large) == 0
 
     def test_all_are_admitted_again_after_the_attempts_in_flight_end(self) -> None:
-        p = policy()
-        forwards = [f for n in range(200) for f in fetches(ask(p, S, f"r{n}", n, size_kb=400.0))]
+        p = make_policy()
+        forwards = [
+            f for n in range(200) for f in forwarded_attempts(send_request(p, S, f"r{n}", n, size_kb=400.0))
+        ]
         for f in forwards:
-            end(p, S + 900 * MS, f, Outcome.OK, elapsed_ns=900 * MS, fill_result=FillResult.HIT)
+            end_attempt(p, S + 900 * MS, f, Outcome.OK, elapsed_ns=900 * MS, fill_result=FillResult.HIT)
         assert all(burst(p, S + 950 * MS, int(CACHE_CAPACITY) // 2, 400.0, "after"))
 
     def test_attempts_at_an_ejected_cache_do_not_count_as_load(self) -> None:
         """Attempts at a silent cache stayed in flight until timeout; the zone rejected 2 of 5 requests."""
-        p = policy()
-        forwards = [f for n in range(60) for f in fetches(ask(p, S, f"r{n}", n, size_kb=400.0))]
+        p = make_policy()
+        forwards = [
+            f for n in range(60) for f in forwarded_attempts(send_request(p, S, f"r{n}", n, size_kb=400.0))
+        ]
         for f in forwards:
             if f.server != "c0":
-                end(p, S + 400 * MS, f, Outcome.OK, elapsed_ns=400 * MS, fill_result=FillResult.HIT)
+                end_attempt(p, S + 400 * MS, f, Outcome.OK, elapsed_ns=400 * MS, fill_result=FillResult.HIT)
         assert p.endpoints["c0"].requests_in_flight > 8
         p.ejection.record_failure(p.endpoints["c0"], 3, True)
         assert all(burst(p, S + 500 * MS, 10, 400.0, "after"))
@@ -66,33 +81,43 @@
         """
         for direct, link, straight in ((True, 0.4, True), (True, 3.0, False), (False, 0.4, False)):
             with self.subTest(allows_cache_bypass=direct, link=link):
-                p = policy(allows_cache_bypass=direct)
+                p = make_policy(allows_cache_bypass=direct)
                 burst(p, S, 60, 400.0)
                 for _ in range(50):
                     p.admission.fills.link_load.record(S, link)
-                later = [f for n in range(20) for f in fetches(ask(p, S, f"l{n}", 5_000 + n, size_kb=400.0))]
+                later = [
+                    f
+                    for n in range(20)
+                    for f in forwarded_attempts(send_request(p, S, f"l{n}", 5_000 + n, size_kb=400.0))
+                ]
                 assert any(f.server.startswith("p") for f in later) == straight
                 assert not any(f.server == "o" for f in later)
 
     def test_requests_beyond_the_caches_capacity_never_go_to_the_origin(self) -> None:
         """While hubs were empty or down, the fleet's excess load went to the origin, beyond its capacity."""
-        p = policy(allows_cache_bypass=True)
+        p = make_policy(allows_cache_bypass=True)
         burst(p, S, 60, 400.0)
         for name in ("p0", "p1"):
             p.ejection.record_failure(p.endpoints[name], 3, True)
-        later = [f for n in range(20) for f in fetches(ask(p, S, f"l{n}", 5_000 + n, size_kb=400.0))]
+        later = [
+            f
+            for n in range(20)
+            for f in forwarded_attempts(send_request(p, S, f"l{n}", 5_000 + n, size_kb=400.0))
+        ]
         assert not any(f.server == "o" for f in later)
 
     def test_a_burst_that_is_cancelled_immediately_does_not_count_as_load(self) -> None:
         """Hundreds of requests that a client sent and cancelled counted as offered work of four seconds."""
         rejected = {}
         for is_cancelled in (True, False):
-            p = policy()
+            p = make_policy()
             for n in range(400):
-                for f in fetches(ask(p, S, f"b{n}", n, size_kb=400.0)):
+                for f in forwarded_attempts(send_request(p, S, f"b{n}", n, size_kb=400.0)):
                     if is_cancelled:
                         p.handle(S + MS, api.ClientDisconnected(f.id))
-                    end(p, S + 2 * MS, f, Outcome.CANCELLED if is_cancelled else Outcome.OK, elapsed_ns=MS)
+                    end_attempt(
+                        p, S + 2 * MS, f, Outcome.CANCELLED if is_cancelled else Outcome.OK, elapsed_ns=MS
+                    )
                 if is_cancelled and f"b{n}" in p.requests_in_flight:
                     p.handle(S + MS, api.ClientDisconnected(f"b{n}"))
             rejected[is_cancelled] = sum(not sent for sent in burst(p, S + 50 * MS, 10, 600.0, "after"))
@@ -100,7 +125,7 @@
         assert rejected[False] > 0, "completed work counts as load"
 
     def test_routers_share_the_capacity(self) -> None:
-        alone, one_of_four = policy(), policy(zone_instances=4)
+        alone, one_of_four = make_policy(), make_policy(zone_instances=4)
         assert sum(burst(alone, S, 100, 400.0)) > 2 * sum(burst(one_of_four, S, 100, 400.0))
 
 
@@ -116,19 +141,22 @@
         Args:
             has_later_hits: Whether hits that were requested later have already been served.
         """
-        p = policy()
+        p = make_policy()
         for n in range(60):
-            ask(p, S, f"w{n}", n, size_kb=300.0)
+            send_request(p, S, f"w{n}", n, size_kb=300.0)
         for n in range(40 if has_later_hits else 0):
-            for f in fetches(ask(p, S + 500 * MS, f"h{n}", 1_000 + n, size_kb=10.0)):
-                end(p, S + 510 * MS, f, Outcome.OK, fill_result=FillResult.HIT)
+            for f in forwarded_attempts(send_request(p, S + 500 * MS, f"h{n}", 1_000 + n, size_kb=10.0)):
+                end_attempt(p, S + 510 * MS, f, Outcome.OK, fill_result=FillResult.HIT)
         p.handle(S + 550 * MS, api.TimerExpired(TICK_TIMER))
         return p
 
     def test_attempts_that_wait_for_their_source_use_no_cache_capacity(self) -> None:
         for has_later_hits in (True, False):
             p = self.waiting_requests(has_later_hits)
-            hits = [bool(fetches(ask(p, S + 600 * MS, f"n{n}", 2_000 + n, size_kb=600.0))) for n in range(10)]
+            hits = [
+                bool(forwarded_attempts(send_request(p, S + 600 * MS, f"n{n}", 2_000 + n, size_kb=600.0)))
+                for n in range(10)
+            ]
             assert all(hits) == has_later_hits, "without later hits the caches may be full"
 
     def test_a_late_fill_is_not_recorded_as_a_late_hit(self) -> None:
@@ -152,13 +180,13 @@
         The budget is 0.6 * 2 * 0.2 * 5 = 1.2.
         """
         lines = [replace(s, started_ns=100 * S) if s.role is api.Role.CACHE else s for s in servers()]
-        return policy(lines, **more)
+        return make_policy(lines, **more)
 
     def test_known_sizes_count(self) -> None:
         p = self.cold()
         for n in range(60):
             kb = 20.0 if n % 3 else 1_500.0
-            for f in fetches(ask(p, 100 * S + n * MS, f"r{n}", n, size_kb=kb)):
+            for f in forwarded_attempts(send_request(p, 100 * S + n * MS, f"r{n}", n, size_kb=kb)):
                 request = p.requests_in_flight[f.id]
                 if f.server in ("c0", "c1", "c2", "c3"):
                     sent = p.endpoints[f.server].work_sent.total
@@ -172,7 +200,9 @@
             (now, f.server)
             for now in range(100, 118)
             for n in range(20)
-            for f in fetches(ask(p, now * S + n * 50 * MS, f"{now}/{n}", 20 * now + n, size_kb=2_500.0))
+            for f in forwarded_attempts(
+                send_request(p, now * S + n * 50 * MS, f"{now}/{n}", 20 * now + n, size_kb=2_500.0)
+            )
             if f.server.startswith("c")
             and p.endpoints[f.server].warm_fraction(p.state.now_ns, p.settings.rules) < 0.3
         ]
@@ -180,7 +210,7 @@
         assert len(sent) == len(set(sent)), "two large requests in one second"
 
     def test_a_restart_resets_the_measured_capacity(self) -> None:
-        p = policy()
+        p = make_policy()
         endpoint = p.endpoints["c0"]
         endpoint.work_completed.add(100 * S, 200.0 * S)
         assert endpoint.spare_capacity(100 * S) > 10
@@ -195,13 +225,13 @@
 class RankBySize(unittest.TestCase):
     def retention_rank_of(self, item: int, kb: float) -> int:
         """Return the retention rank of an object of this size at its third request."""
-        p = policy()
+        p = make_policy()
         for n in range(40):
-            (f,) = fetches(ask(p, S + n * MS, f"w{n}", 1_000 + n, size_kb=400.0))
-            end(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.FILLED)
+            (f,) = forwarded_attempts(send_request(p, S + n * MS, f"w{n}", 1_000 + n, size_kb=400.0))
+            end_attempt(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.FILLED)
         for n in range(3):
-            (f,) = fetches(ask(p, 2 * S + n * MS, f"r{n}", item, size_kb=kb))
-            end(p, 2 * S + n * MS, f, Outcome.OK, fill_result=FillResult.FILLED)
+            (f,) = forwarded_attempts(send_request(p, 2 * S + n * MS, f"r{n}", item, size_kb=kb))
+            end_attempt(p, 2 * S + n * MS, f, Outcome.OK, fill_result=FillResult.FILLED)
         return f.retention_rank
 
     def test_small_objects_are_kept_longer_than_large_ones(self) -> None:
@@ -214,7 +244,9 @@
         """Complete 30 fills, each after a wait of ``wait_ms`` for its fill source."""
         for n in range(30):
             now = start + n * 20 * MS
-            (f,) = fetches(ask(p, now, f"w{start}-{n}", 5_000 + n + start // S * 100, size_kb=100.0))
+            (f,) = forwarded_attempts(
+                send_request(p, now, f"w{start}-{n}", 5_000 + n + start // S * 100, size_kb=100.0)
+            )
             p.handle(
                 now + MS,
                 api.AttemptEnded(
@@ -231,17 +263,20 @@
 
     def hit_only_count(self, p: RoutingPolicy, now: int) -> int:
         """Return how many of 20 requests for large objects without known copies are sent without a fill."""
-        found = [fetches(ask(p, now, f"l{now}-{n}", 90_000 + n, size_kb=900.0)) for n in range(20)]
+        found = [
+            forwarded_attempts(send_request(p, now, f"l{now}-{n}", 90_000 + n, size_kb=900.0))
+            for n in range(20)
+        ]
         return sum(bool(f) and f[0].fill_source == f[0].server for f in found)
 
     def test_a_long_queue_at_the_source_keeps_large_fills_out(self) -> None:
         for wait_ms, due in ((20, False), (580, True)):
-            p = policy()
+            p = make_policy()
             self.fills(p, S, wait_ms)
             assert (self.hit_only_count(p, 2 * S) >= 15) == due, f"sources wait {wait_ms} ms"
 
     def test_large_fills_are_admitted_again_without_a_new_measurement(self) -> None:
-        p = policy()
+        p = make_policy()
         self.fills(p, S, 5_000)
         assert self.hit_only_count(p, 2 * S) == 20
         assert self.hit_only_count(p, 8 * S) == 0, "without fills, nothing measures the shorter queue"
@@ -262,7 +297,7 @@
         """A cache that restarted empty was idle while it waited for fills, and got four times its objects."""
         moved = {}
         for weights in ("rough", "off"):
-            p = policy(weight_source=weights)
+            p = make_policy(weight_source=weights)
             homes = [p.caches.ranked_caches(self.completed_request(p, n))[0].server.name for n in range(400)]
             for name, busy in (("c0", 0.05), ("c1", 0.5), ("c2", 0.5), ("c3", 0.5)):
                 p.feedback.record_load_report(p.endpoints[name], {"utilization": busy})
@@ -272,9 +307,11 @@
         assert moved["off"] > 60, "without weights, load reports are the only measure of capacity"
 
     def completed_request(self, p: RoutingPolicy, item: int) -> InFlightRequest:
-        (f,) = fetches(ask(p, S, f"h{len(p.requests_in_flight)}-{item}", item, size_kb=1.0))
+        (f,) = forwarded_attempts(
+            send_request(p, S, f"h{len(p.requests_in_flight)}-{item}", item, size_kb=1.0)
+        )
         request = p.requests_in_flight[f.id]
-        end(p, S, f, Outcome.OK, fill_result=FillResult.HIT, elapsed_ns=MS)
+        end_attempt(p, S, f, Outcome.OK, fill_result=FillResult.HIT, elapsed_ns=MS)
         return request
 
 
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -11,18 +11,28 @@
 from kelpcroft.decision.admission import MAX_COST_THRESHOLD, MIN_COST_THRESHOLD, AdmissionController
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.simulator_adapter import SimulatorHost
-from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy, settings
+from tests.support.policy_fixtures import (
+    MS,
+    S,
+    end_attempt,
+    forwarded_attempts,
+    make_policy,
+    send_request,
+    settings,
+)
 
 
 def test_large_objects_are_not_cut_short() -> None:
     """With timeouts derived from the usual time of a class, large objects of unknown size timed out and were
     sent again.
     """
-    p = policy()
+    p = make_policy()
     for n in range(50):
-        (f,) = fetches(ask(p, S + n * 100 * MS, f"r{n}", n))
-        end(p, S + n * 100 * MS + 20 * MS, f, Outcome.OK, elapsed_ns=20 * MS, fill_result=FillResult.HIT)
-    (f,) = fetches(ask(p, 10 * S, "large", 99))
+        (f,) = forwarded_attempts(send_request(p, S + n * 100 * MS, f"r{n}", n))
+        end_attempt(
+            p, S + n * 100 * MS + 20 * MS, f, Outcome.OK, elapsed_ns=20 * MS, fill_result=FillResult.HIT
+        )
+    (f,) = forwarded_attempts(send_request(p, 10 * S, "large", 99))
     assert f.timeout_ns == 3 * S
 
 
@@ -89,46 +99,54 @@
 
 def test_fill_beyond_capacity_is_sent_for_a_hit_before_rejection() -> None:
     """Rejection of expected fills also rejected requests for objects that the cache held."""
-    p = policy()
+    p = make_policy()
     p.admission.fills.cost_threshold = 1e-9
-    (f,) = fetches(ask(p, S, "r", 5, size_kb=100.0))
+    (f,) = forwarded_attempts(send_request(p, S, "r", 5, size_kb=100.0))
     assert f.fill_source == f.server
-    assert api.Reject("r") in end(p, S + MS, f, Outcome.MISS)
+    assert api.Reject("r") in end_attempt(p, S + MS, f, Outcome.MISS)
 
 
 def test_failing_origin_receives_only_trial_requests_through_parents() -> None:
-    p = policy()
+    p = make_policy()
     for n in range(3):
-        (f, *_) = fetches(ask(p, S + n * MS, f"r{n}", n))
-        end(p, S + n * MS, f, Outcome.FULL, fill_result=FillResult.ORIGIN_FAILED)
-    later = [f for n in range(10, 20) for f in fetches(ask(p, S + n * MS, f"q{n}", n))]
+        (f, *_) = forwarded_attempts(send_request(p, S + n * MS, f"r{n}", n))
+        end_attempt(p, S + n * MS, f, Outcome.FULL, fill_result=FillResult.ORIGIN_FAILED)
+    later = [f for n in range(10, 20) for f in forwarded_attempts(send_request(p, S + n * MS, f"q{n}", n))]
     assert any(f.cached_only for f in later)
     assert all(f.cached_only for f in later if f.fill_source != f.server)
-    trials = [f for n in range(10) for f in fetches(ask(p, 3 * S + n * MS, f"t{n}", 50 + n))]
+    trials = [
+        f for n in range(10) for f in forwarded_attempts(send_request(p, 3 * S + n * MS, f"t{n}", 50 + n))
+    ]
     assert sum(not f.cached_only for f in trials if f.fill_source != f.server) == 1
 
 
 def test_silent_cache_is_ejected_and_then_receives_only_trials() -> None:
-    p = policy(weight_source="off")
+    p = make_policy(weight_source="off")
     names = [f"r{n}" for n in range(40)]
-    sent = {n: fetches(ask(p, S, n, i, time_remaining_ns=60 * S))[0] for i, n in enumerate(names)}
+    sent = {
+        n: forwarded_attempts(send_request(p, S, n, i, time_remaining_ns=60 * S))[0]
+        for i, n in enumerate(names)
+    }
     silent = sent["r0"].server
     for f in sent.values():
         if f.server != silent:
-            end(p, S + 100 * MS, f, Outcome.OK, fill_result=FillResult.HIT)
+            end_attempt(p, S + 100 * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     actions = p.handle(10 * S, api.TimerExpired(0))
     assert p.endpoints[silent].is_ejected
     assert not any(isinstance(a, api.Cancel) for a in actions)  # cancelling cut off large objects midway
     trials = [
-        f for n in range(100) for f in fetches(ask(p, 12 * S + n * MS, f"q{n}", n)) if f.server == silent
+        f
+        for n in range(100)
+        for f in forwarded_attempts(send_request(p, 12 * S + n * MS, f"q{n}", n))
+        if f.server == silent
     ]
     assert len(trials) == 1
-    end(p, 12 * S + 200 * MS, trials[0], Outcome.OK, fill_result=FillResult.HIT)
+    end_attempt(p, 12 * S + 200 * MS, trials[0], Outcome.OK, fill_result=FillResult.HIT)
     assert not p.endpoints[silent].is_ejected
 
 
 def test_restarted_server_is_cold_before_the_list_shows_it() -> None:
-    p = policy()
+    p = make_policy()
     endpoint = p.endpoints["c0"]
     p.ejection.record_failure(endpoint, 2, True)
     p.ejection.record_failure(endpoint, 2, True)
@@ -138,29 +156,29 @@
 
 
 def test_sibling_that_holds_the_object_is_the_first_fill_source() -> None:
-    p = policy()
-    (f,) = fetches(ask(p, S, "r", 1))
-    end(p, S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
+    p = make_policy()
+    (f,) = forwarded_attempts(send_request(p, S, "r", 1))
+    end_attempt(p, S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
     p.handle(S, api.ServerList("update", (api.Server(f.server, api.Role.CACHE, "a", weight=1e-6),)))
-    (g,) = fetches(ask(p, 2 * S, "s", 1))
+    (g,) = forwarded_attempts(send_request(p, 2 * S, "s", 1))
     assert g.server != f.server
     assert g.fill_source == f.server
     assert g.cached_only
-    (h,) = fetches(ask(p, 30 * S, "t", 1))
+    (h,) = forwarded_attempts(send_request(p, 30 * S, "t", 1))
     assert h.fill_source.startswith("p")
 
 
 def test_memory_is_bounded() -> None:
-    p = policy()
+    p = make_policy()
     for n in range(21_000):
-        for f in fetches(ask(p, S + n * MS, f"r{n}", n)):
-            end(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.HIT)
+        for f in forwarded_attempts(send_request(p, S + n * MS, f"r{n}", n)):
+            end_attempt(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert len(p.state.histories) <= 20_000
     assert not p.requests_in_flight
 
 
 def test_failed_subscription_is_repeated_later() -> None:
-    p = policy(discovery="ask")
+    p = make_policy(discovery="ask")
     (timer,) = p.handle(S, api.ServerList("unavailable"))
     assert isinstance(timer, api.SetTimer)
     assert timer.at_ns > S
@@ -195,10 +213,10 @@
 
 def test_recent_sends_are_summed_incrementally() -> None:
     """With one cold cache, each request added up all work sent to its warm peers: 91 us became 324 us."""
-    p = policy(weight_source="off")
+    p = make_policy(weight_source="off")
     for n in range(200):
-        (f,) = fetches(ask(p, S + n * 20 * MS, f"r{n}", n))
-        end(p, S + n * 20 * MS + MS, f, Outcome.OK, elapsed_ns=MS, fill_result=FillResult.HIT)
+        (f,) = forwarded_attempts(send_request(p, S + n * 20 * MS, f"r{n}", n))
+        end_attempt(p, S + n * 20 * MS + MS, f, Outcome.OK, elapsed_ns=MS, fill_result=FillResult.HIT)
     now = 6 * S
     for endpoint in p.endpoints.values():
         expected = sum(w for t, w in endpoint.work_sent.samples if t > now - S // 2)
--- a/tests/decision/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -14,14 +14,22 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.decision.outlier_state import MAX_TRIAL_INTERVAL_NS
 from kelpcroft.decision.policy import RoutingPolicy
-from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy, servers
+from tests.support.policy_fixtures import (
+    MS,
+    S,
+    end_attempt,
+    forwarded_attempts,
+    make_policy,
+    send_request,
+    servers,
+)
 
 ROUTERS = 60
 
 
 def fleet(lines: list[api.Server], apart: int = 1) -> list[RoutingPolicy]:
     return [
-        policy(lines, instances=ROUTERS, zone_instances=ROUTERS, router_index=n * apart)
+        make_policy(lines, instances=ROUTERS, zone_instances=ROUTERS, router_index=n * apart)
         for n in range(ROUTERS)
     ]
 
@@ -38,7 +46,7 @@
     for n, p in enumerate(fleet(lines, apart)):
         for step in range(40):
             now = start + step * 250 * MS
-            for f in fetches(ask(p, now, f"r{step}", n * 1000 + step, size_kb=300.0)):
+            for f in forwarded_attempts(send_request(p, now, f"r{step}", n * 1000 + step, size_kb=300.0)):
                 sent[step] += f.fill_source == "p0"
     assert sum(sent.values()) > 0
     for step in range(37):
@@ -55,42 +63,42 @@
         p.state.now_ns = now
         p.ejection.record_failure(p.endpoints["p0"], 3, True)
         for step in range(4):
-            forwards = fetches(
-                ask(p, now + 2 * S + step * 250 * MS, f"r{step}", n * 1000 + step, size_kb=300.0)
+            forwards = forwarded_attempts(
+                send_request(p, now + 2 * S + step * 250 * MS, f"r{step}", n * 1000 + step, size_kb=300.0)
             )
             trials += sum(f.fill_source == "p0" for f in forwards)
     assert trials * 0.3 <= 2.0 * 0.07 * 20
 
 
 def test_one_refused_connection_is_enough() -> None:
-    p = policy()
-    (f,) = fetches(ask(p, S, "r", 1))
-    (g,) = fetches(end(p, S + MS, f, Outcome.CONNECT_FAILED))
+    p = make_policy()
+    (f,) = forwarded_attempts(send_request(p, S, "r", 1))
+    (g,) = forwarded_attempts(end_attempt(p, S + MS, f, Outcome.CONNECT_FAILED))
     assert p.endpoints[f.server].is_ejected
     assert g.server != f.server
 
 
 def test_lost_connections_do_not_eject_a_server() -> None:
     """Each unreadable response ejected its cache, which then counted as cold, and the others got its load."""
-    p = policy()
-    (f,) = fetches(ask(p, S, "r", 1))
-    (g,) = fetches(end(p, S + MS, f, Outcome.RESET))
-    (h,) = fetches(end(p, S + 2 * MS, g, Outcome.RESET, 1))
-    (i,) = fetches(end(p, S + 3 * MS, h, Outcome.RESET, 2))
+    p = make_policy()
+    (f,) = forwarded_attempts(send_request(p, S, "r", 1))
+    (g,) = forwarded_attempts(end_attempt(p, S + MS, f, Outcome.RESET))
+    (h,) = forwarded_attempts(end_attempt(p, S + 2 * MS, g, Outcome.RESET, 1))
+    (i,) = forwarded_attempts(end_attempt(p, S + 3 * MS, h, Outcome.RESET, 2))
     assert g.server == h.server == f.server != i.server
     assert not p.endpoints[f.server].is_ejected
 
 
 def test_unreachable_source_is_ejected_immediately() -> None:
-    p = policy()
-    (f,) = fetches(ask(p, S, "r", 1))
-    end(p, S + MS, f, Outcome.FULL, fill_result=FillResult.SOURCE_BROKE)
+    p = make_policy()
+    (f,) = forwarded_attempts(send_request(p, S, "r", 1))
+    end_attempt(p, S + MS, f, Outcome.FULL, fill_result=FillResult.SOURCE_BROKE)
     assert p.endpoints[f.fill_source].is_ejected
     assert not p.endpoints[f.server].is_ejected
 
 
 def test_trials_grow_rarer_up_to_a_limit() -> None:
-    p = policy()
+    p = make_policy()
     outlier_state = p.endpoints["c0"].outlier_state
     p.ejection.record_failure(p.endpoints["c0"], 3, False)
     waits = []
@@ -106,7 +114,7 @@
 
 
 def test_list_corrects_a_guessed_start() -> None:
-    p = policy()
+    p = make_policy()
     p.state.now_ns = 50 * S
     p.ejection.record_failure(p.endpoints["c0"], 3, True)
     p.ejection.record_success(p.endpoints["c0"])
@@ -124,16 +132,16 @@
     rejected = 0
     for n in range(rate * seconds):
         now = start + n * S // rate
-        for a in ask(p, now, f"q{start}-{n}", n % 40, size_kb=300.0):
+        for a in send_request(p, now, f"q{start}-{n}", n % 40, size_kb=300.0):
             rejected += isinstance(a, api.Reject)
             if isinstance(a, api.ForwardRequest):
-                end(p, now, a, Outcome.OK, elapsed_ns=300 * MS, fill_result=FillResult.HIT)
+                end_attempt(p, now, a, Outcome.OK, elapsed_ns=300 * MS, fill_result=FillResult.HIT)
     return rejected
 
 
 def test_requests_are_rejected_as_soon_as_caches_drain() -> None:
     """Responses are late only seconds after three of four caches drain; the weights show it immediately."""
-    p = policy()
+    p = make_policy()
     assert rejections(p, 10 * S, 40, 10) == 0  # 12 s of transfers per second with capacity for 20
     p.handle(20 * S, api.ServerList("update", tuple(replace(x, state="terminating") for x in servers()[1:4])))
     assert 0.3 < rejections(p, 20 * S, 40, 5) / 200 < 0.8  # 12 s of transfers per second with capacity for 5
@@ -142,7 +150,7 @@
 
 
 def test_without_weights_nothing_is_rejected_in_advance() -> None:
-    assert rejections(policy(weight_source="off"), 10 * S, 400, 2) == 0
+    assert rejections(make_policy(weight_source="off"), 10 * S, 400, 2) == 0
 
 
 def test_capacity_limit_admits_the_lowest_price() -> None:
@@ -170,12 +178,12 @@
     """One of two caches was full because a hot object was hashed to it, while the other was half idle."""
     shares = []
     for slowness in (1.0, 8.0):
-        p = policy()
+        p = make_policy()
         p.endpoints["c0"].slowdown.add(slowness)
         shares.append(Counter[str]())
         for n in range(400):
-            (f,) = fetches(ask(p, S, f"r{n}", n))
-            end(p, S, f, Outcome.OK, fill_result=FillResult.HIT)
+            (f,) = forwarded_attempts(send_request(p, S, f"r{n}", n))
+            end_attempt(p, S, f, Outcome.OK, fill_result=FillResult.HIT)
             shares[-1][f.server] += 1
     before, after = shares
     assert 0 < after["c0"] < 0.6 * before["c0"]
@@ -185,14 +193,16 @@
 def test_parents_share_by_weight_when_equally_quick() -> None:
     """All zones filled from the parent with the fastest link, and the other parents were idle."""
     lines = [replace(x, weight={"p0": 40.0, "p1": 20.0}.get(x.name, x.weight)) for x in servers()]
-    p = policy(lines)
-    sent = Counter(f.fill_source for n in range(600) for f in fetches(ask(p, S, f"r{n}", n)))
+    p = make_policy(lines)
+    sent = Counter(
+        f.fill_source for n in range(600) for f in forwarded_attempts(send_request(p, S, f"r{n}", n))
+    )
     assert 1.4 < sent["p0"] / sent["p1"] < 2.8
 
 
 def test_crowded_link_counts_although_the_first_byte_is_quick() -> None:
-    p = policy()
-    (f,) = fetches(ask(p, S, "r", 1, size_kb=100.0))
+    p = make_policy()
+    (f,) = forwarded_attempts(send_request(p, S, "r", 1, size_kb=100.0))
     p.handle(2 * S, api.AttemptEnded("r", 0, f.server, Outcome.OK, S, True, FillResult.FILLED, 20 * MS))
     assert round(math.exp(p.endpoints[f.fill_source].log_first_byte_ns.mean)) == 900 * MS
 
@@ -206,9 +216,9 @@
         return 1.0
 
     far = [api.Server(f"y{n}", api.Role.CACHE, "b", 100 + n, weight=5) for n in range(others)]
-    p = policy([*servers(), *far])
+    p = make_policy([*servers(), *far])
     monkeypatch.setattr(Endpoint, "warm_fraction", counted)
-    fetches(ask(p, S, "r", 1))
+    forwarded_attempts(send_request(p, S, "r", 1))
     p.handle(2 * S, api.TimerExpired(0))
     assert seen["a"] > 0
     assert seen["b"] == 0
@@ -217,21 +227,21 @@
 
 def test_replaced_servers_are_removed() -> None:
     """Replacements have new names, so a long-running router kept a record of every server ever listed."""
-    p = policy()
+    p = make_policy()
     for n in range(300):
         old, new = (api.Server(f"n{k}", api.Role.CACHE, "a", 0, weight=5) for k in (n, n + 1))
         gone = replace(old, state="terminated")
         p.handle(S + n * S, api.ServerList("update", (gone, new)))
-        for f in fetches(ask(p, S + n * S, f"r{n}", n)):
-            end(p, S + n * S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
+        for f in forwarded_attempts(send_request(p, S + n * S, f"r{n}", n)):
+            end_attempt(p, S + n * S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert len(p.endpoints) <= len(servers()) + 2
     assert all(len(n.work_sent.samples) <= 300 for n in p.endpoints.values())
 
 
 def test_a_long_run_of_hits_keeps_the_fill_share_above_zero() -> None:
     """The share of expected fills that actually are fills must stay above 0, as it is a divisor."""
-    p = policy(siblings="off")
+    p = make_policy(siblings="off")
     for n in range(20_000):
-        for f in fetches(ask(p, S + n * MS, f"r{n}", n, size_kb=1.0)):
-            end(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.HIT)
+        for f in forwarded_attempts(send_request(p, S + n * MS, f"r{n}", n, size_kb=1.0)):
+            end_attempt(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert p.admission.actual_fill_share > 0
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -17,7 +17,7 @@
 from kelpcroft.net.feed_codec import FeedError, parse_watch_response
 from testbed.fleet import PolicyFleet, ScriptedResult
 from testbed.virtual import EXAMPLE, VirtualRouter
-from tests.support.policy_fixtures import MS, S, ask, fetches, policy, servers
+from tests.support.policy_fixtures import MS, S, forwarded_attempts, make_policy, send_request, servers
 
 
 def end_with_report(
@@ -40,9 +40,9 @@
 
 def warm_policy(**changes: object) -> RoutingPolicy:
     """Return a policy that has handled a few requests of usual size, all of them hits."""
-    p = policy(weight_source="off", max_transfer_kb_per_s=0.0, allows_cache_bypass=True, **changes)
+    p = make_policy(weight_source="off", max_transfer_kb_per_s=0.0, allows_cache_bypass=True, **changes)
     for n in range(20):
-        (f,) = fetches(ask(p, S + n * 50 * MS, f"w{n}", 1000 + n))
+        (f,) = forwarded_attempts(send_request(p, S + n * 50 * MS, f"w{n}", 1000 + n))
         end_with_report(p, S + n * 50 * MS + 100 * MS, f, FillResult.HIT, 0.5)
     return p
 
@@ -71,7 +71,7 @@
                 return None
             return int(random.lognormvariate(0, 0.8) * 250 * MS), Outcome.OK, FillResult.FILLED, {}
 
-        fleet = PolicyFleet([policy(**NO_WEIGHTS, router_index=n) for n in range(40)], reply)
+        fleet = PolicyFleet([make_policy(**NO_WEIGHTS, router_index=n) for n in range(40)], reply)
         fleet.schedule_requests(2 * S, 18 * S, 250 * MS, random)
         fleet.run(22 * S)
 
@@ -99,7 +99,7 @@
             )
 
         lines = [x for x in EQUAL_SERVERS if x.name != "p1"]
-        fleet = PolicyFleet([policy(lines, **NO_WEIGHTS, router_index=n) for n in range(40)], reply)
+        fleet = PolicyFleet([make_policy(lines, **NO_WEIGHTS, router_index=n) for n in range(40)], reply)
         for n in range(40):  # writes are executed at the origin, so its time is known
             for k in range(5):
                 fleet.schedule(
@@ -119,9 +119,9 @@
     """
 
     def test_failed_fills_count_as_late_ones(self) -> None:
-        p = policy(EQUAL_SERVERS, **NO_WEIGHTS)
+        p = make_policy(EQUAL_SERVERS, **NO_WEIGHTS)
         for n in range(60):
-            (f,) = fetches(ask(p, S + n * 100 * MS, f"r{n}", n))
+            (f,) = forwarded_attempts(send_request(p, S + n * 100 * MS, f"r{n}", n))
             broke = f.fill_source == "p0" and n % 2 == 0
             p.handle(
                 S + n * 100 * MS + 30 * MS,
@@ -137,9 +137,17 @@
                 ),
             )
         assert not p.endpoints["p0"].is_ejected
-        now = {f.fill_source for n in range(40) for f in fetches(ask(p, 7 * S, f"now{n}", 1000 + n))}
+        now = {
+            f.fill_source
+            for n in range(40)
+            for f in forwarded_attempts(send_request(p, 7 * S, f"now{n}", 1000 + n))
+        }
         assert now == {"p1"}
-        later = [f.fill_source for n in range(40) for f in fetches(ask(p, 40 * S, f"later{n}", 2000 + n))]
+        later = [
+            f.fill_source
+            for n in range(40)
+            for f in forwarded_attempts(send_request(p, 40 * S, f"later{n}", 2000 + n))
+        ]
         assert later.count("p0") > 5, "it must be tried again, as it may have been repaired"
 
 
@@ -163,7 +171,8 @@
             return 250 * MS, Outcome.OK, FillResult.HIT, {"utilization": utilization, "x0": 0.7, "x1": 0.3}
 
         fleet = PolicyFleet(
-            [policy(EQUAL_SERVERS, **NO_WEIGHTS, zone_instances=8, router_index=n) for n in range(8)], reply
+            [make_policy(EQUAL_SERVERS, **NO_WEIGHTS, zone_instances=8, router_index=n) for n in range(8)],
+            reply,
         )
         fleet.schedule_requests(2 * S, 20 * S, 100 * MS, random, 300)
         fleet.run(24 * S)
@@ -172,7 +181,7 @@
         homes: dict[int, set[str]] = {}
         for n, router in enumerate(fleet.routers):
             for item in range(100):
-                (f,) = fetches(ask(router, 25 * S, f"home{n}-{item}", item))
+                (f,) = forwarded_attempts(send_request(router, 25 * S, f"home{n}-{item}", item))
                 homes.setdefault(item, set()).add(f.server)
         objects_with_one_home = sum(len(found) == 1 for found in homes.values())
         assert objects_with_one_home > 50, "the routers use the same reports, so most objects have one home"
@@ -210,7 +219,7 @@
         ]
         fleet = PolicyFleet(
             [
-                policy(
+                make_policy(
                     lines,
                     **NO_WEIGHTS,
                     **COLD,
@@ -250,13 +259,13 @@
     def test_a_cold_cache_that_reports_little_load_gets_more(self) -> None:
         def admits(utilization: float) -> bool:
             """Return whether a cold cache with 4.5 s of work completed and 1.5 s sent may get one more."""
-            p = policy(
+            p = make_policy(
                 [replace(x, started_ns=100 * S) for x in EQUAL_SERVERS],
                 **NO_WEIGHTS,
                 **COLD,
                 zone_instances=8,
             )
-            (f,) = fetches(ask(p, 100 * S, "r", 1))
+            (f,) = forwarded_attempts(send_request(p, 100 * S, "r", 1))
             endpoint = p.endpoints[f.server]
             endpoint.work_completed.add(100 * S, 4.5 * S)
             endpoint.work_sent.add(100 * S, 1.5 * S)
@@ -280,9 +289,11 @@
 
     def test_no_fill_over_a_link_that_is_reported_as_overloaded(self) -> None:
         p = warm_policy()
-        (f,) = fetches(ask(p, 3 * S, "last", 1))
+        (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
-        hit_only_requests = [fetches(ask(p, 3 * S + (n + 3) * 50 * MS, f"n{n}", n)) for n in range(2, 22)]
+        hit_only_requests = [
+            forwarded_attempts(send_request(p, 3 * S + (n + 3) * 50 * MS, f"n{n}", n)) for n in range(2, 22)
+        ]
         assert [f.fill_source == f.server for (f,) in hit_only_requests] == [True] * 20, "sent for a hit only"
         ended = [
             end_with_report(p, 4500 * MS, f, FillResult.NONE, 12.0, Outcome.MISS)
@@ -292,9 +303,9 @@
 
     def test_objects_with_a_known_copy_are_still_requested(self) -> None:
         p = warm_policy()
-        (f,) = fetches(ask(p, 3 * S, "last", 1))
+        (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
-        (f,) = fetches(ask(p, 3 * S + 200 * MS, "again", 1000))
+        (f,) = forwarded_attempts(send_request(p, 3 * S + 200 * MS, "again", 1000))
         assert f.fill_source != f.server, "an object with a known copy is not subject to the limit on fills"
 
     def test_reports_that_make_no_sense_change_nothing(self) -> None:
@@ -307,7 +318,7 @@
             {"utilization": -1.0, "x1": -9.0},
         )
         for n, report in enumerate(({"utilization": 0.5, "x1": 0.4}, *odd)):
-            (f,) = fetches(ask(p, 3 * S + n * 100 * MS, f"odd{n}", 1000))
+            (f,) = forwarded_attempts(send_request(p, 3 * S + n * 100 * MS, f"odd{n}", 1000))
             p.handle(
                 3 * S + n * 100 * MS + MS,
                 api.AttemptEnded(f.id, 0, f.server, Outcome.OK, MS, True, FillResult.HIT, 0, report),
@@ -318,26 +329,26 @@
 
     def test_fills_go_on_once_the_link_is_free(self) -> None:
         p = warm_policy()
-        (f,) = fetches(ask(p, 3 * S, "last", 1))
+        (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
-        (f,) = fetches(ask(p, 3 * S + 200 * MS, "look", 2))
+        (f,) = forwarded_attempts(send_request(p, 3 * S + 200 * MS, "look", 2))
         end_with_report(p, 3 * S + 210 * MS, f, FillResult.NONE, 0.8, Outcome.MISS)
-        (f,) = fetches(ask(p, 3 * S + 300 * MS, "fill", 3))
+        (f,) = forwarded_attempts(send_request(p, 3 * S + 300 * MS, "fill", 3))
         assert f.fill_source != f.server
 
     def test_an_old_report_decays(self) -> None:
         p = warm_policy()
-        (f,) = fetches(ask(p, 3 * S, "last", 1))
+        (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
-        (f,) = fetches(ask(p, 7 * S, "soon", 2))
+        (f,) = forwarded_attempts(send_request(p, 7 * S, "soon", 2))
         assert f.fill_source == f.server
-        (f,) = fetches(ask(p, 16 * S, "later", 3))
+        (f,) = forwarded_attempts(send_request(p, 16 * S, "later", 3))
         assert f.fill_source != f.server
 
     def test_hit_only_requests_avoid_cold_caches(self) -> None:
         """Requests for a hit only missed at cold caches, and used up the budgets of the cold caches."""
         p = warm_policy()
-        (f,) = fetches(ask(p, 3 * S, "last", 1))
+        (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         p.handle(
             3 * S + 110 * MS,
@@ -345,17 +356,21 @@
                 "update", tuple(replace(x, started_ns=3 * S) for x in servers() if x.name in ("c0", "c1"))
             ),
         )
-        servers_used = {f.server for n in range(40) for f in fetches(ask(p, 3200 * MS, f"l{n}", 2 + n))}
+        servers_used = {
+            f.server
+            for n in range(40)
+            for f in forwarded_attempts(send_request(p, 3200 * MS, f"l{n}", 2 + n))
+        }
         assert servers_used == {"c2", "c3"}
 
     def test_no_bypass_over_an_overloaded_link(self) -> None:
         """Without a usable cache, requests were sent directly to parents, over the same link."""
         p = warm_policy()
-        (f,) = fetches(ask(p, 3 * S, "last", 1))
+        (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         gone = tuple(x for x in servers() if x.role is not api.Role.CACHE)
         p.handle(3 * S + 150 * MS, api.ServerList("replace", gone))
-        (a,) = [x for x in ask(p, 3 * S + 200 * MS, "none", 2) if not isinstance(x, api.SetTimer)]
+        (a,) = [x for x in send_request(p, 3 * S + 200 * MS, "none", 2) if not isinstance(x, api.SetTimer)]
         assert isinstance(a, api.Reject)
 
 
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -22,79 +22,79 @@
     SAFE,
     UNSAFE,
     S,
-    ask,
-    end,
-    fetches,
-    policy,
+    end_attempt,
+    forwarded_attempts,
+    make_policy,
+    send_request,
     servers,
     settings,
 )
 
 
 def test_time_out_at_the_deadline_still_gets_fail() -> None:
-    p = policy()
-    (f,) = fetches(ask(p, S, "r", time_remaining_ns=S))
-    actions = end(p, 2 * S, f, Outcome.TIMEOUT, elapsed_ns=S)
+    p = make_policy()
+    (f,) = forwarded_attempts(send_request(p, S, "r", time_remaining_ns=S))
+    actions = end_attempt(p, 2 * S, f, Outcome.TIMEOUT, elapsed_ns=S)
     assert api.Fail("r") in actions
-    assert not fetches(actions)
+    assert not forwarded_attempts(actions)
 
 
 @pytest.mark.parametrize("lines", [[], [replace(s, state="terminating") for s in servers()]])
 def test_no_usable_server_gives_one_rejection(lines: list[api.Server]) -> None:
-    actions = ask(policy(lines), S, "r")
+    actions = send_request(make_policy(lines), S, "r")
     assert [a for a in actions if isinstance(a, (api.Reject, api.Fail))] == [api.Reject("r")]
 
 
 def test_unknown_ids_are_ignored() -> None:
-    p = policy()
+    p = make_policy()
     assert p.handle(S, api.ClientDisconnected("never")) == []
     assert p.handle(S, api.AttemptEnded("never", 0, "c0", Outcome.OK, 1, True)) == []
 
 
 def test_unsafe_is_never_sent_twice_once_it_may_have_run() -> None:
-    p = policy()
-    (f,) = fetches(ask(p, S, "r", cls="unsafe"))
-    actions = end(p, S + MS, f, Outcome.RESET)
+    p = make_policy()
+    (f,) = forwarded_attempts(send_request(p, S, "r", class_name="unsafe"))
+    actions = end_attempt(p, S + MS, f, Outcome.RESET)
     assert actions
-    assert not fetches(actions)
+    assert not forwarded_attempts(actions)
     assert not any(isinstance(a, api.Reject) for a in actions)
 
 
 def test_unsafe_is_sent_again_when_it_cannot_have_run() -> None:
-    p = policy()
-    (f,) = fetches(ask(p, S, "r", cls="unsafe"))
-    assert fetches(end(p, S + MS, f, Outcome.CONNECT_FAILED))
+    p = make_policy()
+    (f,) = forwarded_attempts(send_request(p, S, "r", class_name="unsafe"))
+    assert forwarded_attempts(end_attempt(p, S + MS, f, Outcome.CONNECT_FAILED))
 
 
 def test_two_attempts_are_out_only_where_that_is_allowed() -> None:
     for allowed in (False, True):
-        p = policy(may_hedge=allowed)
-        ask(p, S, "safe")
-        ask(p, S, "keyed", cls="keyed")
+        p = make_policy(may_hedge=allowed)
+        send_request(p, S, "safe")
+        send_request(p, S, "keyed", class_name="keyed")
         assert p.idempotency.may_send(p.requests_in_flight["safe"], p.endpoints["c0"]) is allowed
         assert not p.idempotency.may_send(p.requests_in_flight["keyed"], p.endpoints["c0"])
 
 
 @pytest.mark.parametrize("group", ["zone", "cell"])
 def test_keyed_stays_in_its_group(group: str) -> None:
-    p = policy(classes=(SAFE, replace(KEYED, dedup_scope=group)))
-    (f,) = fetches(ask(p, S, "r", cls="keyed"))
-    again = fetches(end(p, S + MS, f, Outcome.RESET))
+    p = make_policy(classes=(SAFE, replace(KEYED, dedup_scope=group)))
+    (f,) = forwarded_attempts(send_request(p, S, "r", class_name="keyed"))
+    again = forwarded_attempts(end_attempt(p, S + MS, f, Outcome.RESET))
     cell = {s.name: s.cell for s in servers()}
     assert again
     assert all(cell[a.server] == cell[f.server] or group == "zone" for a in again)
-    actions = end(p, S + 2 * MS, again[0], Outcome.RESET, 1)
+    actions = end_attempt(p, S + 2 * MS, again[0], Outcome.RESET, 1)
     assert not any(isinstance(a, api.Reject) for a in actions)
 
 
 def test_keyed_window_counts_from_the_first_send() -> None:
-    p = policy(classes=(SAFE, replace(KEYED, dedup_window_ns=100 * MS)))
-    (f,) = fetches(ask(p, S, "r", cls="keyed"))
-    assert not fetches(end(p, S + 99 * MS, f, Outcome.RESET))
+    p = make_policy(classes=(SAFE, replace(KEYED, dedup_window_ns=100 * MS)))
+    (f,) = forwarded_attempts(send_request(p, S, "r", class_name="keyed"))
+    assert not forwarded_attempts(end_attempt(p, S + 99 * MS, f, Outcome.RESET))
 
 
 def test_drain_stops_cache_and_source_at_once() -> None:
-    p = policy()
+    p = make_policy()
     p.handle(
         S,
         api.ServerList(
@@ -103,14 +103,16 @@
     )
     p.handle(S, api.ServerList("update", (replace(servers()[1], state="terminated"),)))
     for n in range(200):
-        for f in fetches(ask(p, S + n * MS, f"r{n}", n)):
+        for f in forwarded_attempts(send_request(p, S + n * MS, f"r{n}", n)):
             assert not {f.server, f.fill_source} & {"c0", "c1", "p0"}
 
 
 def test_server_missing_from_a_full_list_is_gone() -> None:
-    p = policy()
+    p = make_policy()
     p.handle(S, api.ServerList("replace", tuple(servers()[1:])))
-    assert all(f.server != "c0" for n in range(50) for f in fetches(ask(p, S, f"r{n}", n)))
+    assert all(
+        f.server != "c0" for n in range(50) for f in forwarded_attempts(send_request(p, S, f"r{n}", n))
+    )
 
 
 @pytest.mark.parametrize(("place", "budget"), [(0, 2.0 * 0.2 * 5), (5, 2.0 * 0.07 * 20)])
@@ -118,32 +120,32 @@
     """A burst must not overload a cache or a parent that has just started."""
     start = 100 * S
     cold = replace(servers()[place], started_ns=start)
-    p = policy([cold, *(s for s in servers() if s.role is not cold.role or s.name == "c1")])
+    p = make_policy([cold, *(s for s in servers() if s.role is not cold.role or s.name == "c1")])
     sent = 0
     for n in range(400):
-        forwards = fetches(ask(p, start + n * MS, f"r{n}", n, size_kb=300.0))
+        forwards = forwarded_attempts(send_request(p, start + n * MS, f"r{n}", n, size_kb=300.0))
         sent += sum(cold.name in (f.server, f.fill_source) for f in forwards)
     assert 0 < sent * 0.3 <= budget
 
 
 def test_purge_age_limit_is_younger_than_the_purge_and_never_zero() -> None:
-    p = policy()
+    p = make_policy()
     p.handle(10 * S, api.Purged(7, 3, 200 * MS))
     p.handle(10 * S, api.Purged(None, 4, 0))
     for n, (item, group, purge) in enumerate([(7, 3, 9_800 * MS), (8, 4, 10 * S), (7, 3, 9_800 * MS)]):
         now = 10 * S + n * 900 * MS
-        (f,) = fetches(ask(p, now, f"r{n}", item, purge_group=group))
+        (f,) = forwarded_attempts(send_request(p, now, f"r{n}", item, purge_group=group))
         assert f.max_age_ns > 0
         assert f.max_age_ns < now - purge or now - purge < 2 * MS
-    (f,) = fetches(ask(p, 11 * S, "other", 9, purge_group=5))
+    (f,) = forwarded_attempts(send_request(p, 11 * S, "other", 9, purge_group=5))
     assert f.max_age_ns == 0
 
 
 def test_purge_limit_outlives_the_servers_own_sweep() -> None:
     """A copy that left the origin just before the purge was stored after the sweep, and was served later."""
-    p = policy()
+    p = make_policy()
     p.handle(10 * S, api.Purged(7, 3, 200 * MS))
-    (f,) = fetches(ask(p, 17 * S, "r", 7, purge_group=3))
+    (f,) = forwarded_attempts(send_request(p, 17 * S, "r", 7, purge_group=3))
     assert 0 < f.max_age_ns < 7_200 * MS
 
 
--- a/tests/decision/test_untold_failures.py
+++ b/tests/decision/test_untold_failures.py
@@ -6,7 +6,7 @@
 
 from kelpcroft.decision.interface import FillResult, Outcome, Role
 from kelpcroft.decision.outlier_state import EJECTION_FAILURE_SCORE
-from tests.support.policy_fixtures import MS, S, ask, end, fetches, policy
+from tests.support.policy_fixtures import MS, S, end_attempt, forwarded_attempts, make_policy, send_request
 
 
 class UnreportedFillFailures(unittest.TestCase):
@@ -14,9 +14,9 @@
         self, notes: str, elapsed_ns: int, fill_result: FillResult = FillResult.NONE
     ) -> tuple[bool, bool]:
         """Reject one fill after ``elapsed_ns``; return whether its source and its cache are ejected then."""
-        p = policy(notes=notes, connect_timeout_ns=400 * MS)
-        (f,) = fetches(ask(p, S, "r", 1))
-        end(p, S + elapsed_ns, f, Outcome.FULL, elapsed_ns=elapsed_ns, fill_result=fill_result)
+        p = make_policy(notes=notes, connect_timeout_ns=400 * MS)
+        (f,) = forwarded_attempts(send_request(p, S, "r", 1))
+        end_attempt(p, S + elapsed_ns, f, Outcome.FULL, elapsed_ns=elapsed_ns, fill_result=fill_result)
         return p.endpoints[f.fill_source].is_ejected, p.endpoints[f.server].is_ejected
 
     def test_a_source_not_reached_within_the_connect_timeout_is_ejected(self) -> None:
@@ -33,9 +33,9 @@
         assert self.reject_fill("all", 50 * MS, FillResult.SOURCE_BROKE) == (True, False)
 
     def test_a_restored_parent_is_cold(self) -> None:
-        p = policy(notes="hit", connect_timeout_ns=400 * MS)
-        (f,) = fetches(ask(p, S, "r", 1))
-        end(p, 2 * S, f, Outcome.FULL, elapsed_ns=831 * MS)
+        p = make_policy(notes="hit", connect_timeout_ns=400 * MS)
+        (f,) = forwarded_attempts(send_request(p, S, "r", 1))
+        end_attempt(p, 2 * S, f, Outcome.FULL, elapsed_ns=831 * MS)
         source = p.endpoints[f.fill_source]
         assert source.server.role == Role.PARENT
         p.ejection.record_success(source)
@@ -45,15 +45,15 @@
         )
 
     def test_no_source_is_ejected_if_the_connect_timeout_is_unknown(self) -> None:
-        p = policy(notes="hit")
-        (f,) = fetches(ask(p, S, "r", 1))
-        end(p, 2 * S, f, Outcome.FULL, elapsed_ns=831 * MS)
+        p = make_policy(notes="hit")
+        (f,) = forwarded_attempts(send_request(p, S, "r", 1))
+        end_attempt(p, 2 * S, f, Outcome.FULL, elapsed_ns=831 * MS)
         assert not p.endpoints[f.fill_source].is_ejected
 
     def test_a_rejected_fill_counts_as_a_slow_one(self) -> None:
-        p = policy(notes="hit", connect_timeout_ns=400 * MS)
-        (f,) = fetches(ask(p, S, "r", 1))
-        end(p, S + 10 * MS, f, Outcome.FULL, elapsed_ns=10 * MS)
+        p = make_policy(notes="hit", connect_timeout_ns=400 * MS)
+        (f,) = forwarded_attempts(send_request(p, S, "r", 1))
+        end_attempt(p, S + 10 * MS, f, Outcome.FULL, elapsed_ns=10 * MS)
         assert p.endpoints[f.fill_source].log_first_byte_ns.sample_count == 1
 
     def test_an_origin_that_rejects_all_requests_is_ejected(self) -> None:
@@ -61,18 +61,18 @@
         For five seconds it processed requests whose clients no longer waited, and accepted no order
         request.
         """
-        p = policy(notes="hit", connect_timeout_ns=400 * MS)
+        p = make_policy(notes="hit", connect_timeout_ns=400 * MS)
         (origin,) = p.state.directory.origins
         count = 0
         for n in range(20):
-            actions = ask(p, S + n * MS, f"r{n}", n, cls="unsafe")
-            for f in fetches(actions):
+            actions = send_request(p, S + n * MS, f"r{n}", n, class_name="unsafe")
+            for f in forwarded_attempts(actions):
                 if f.fill_source == origin.server.name:
                     count += 1
-                    end(p, S + n * MS, f, Outcome.FULL, elapsed_ns=MS)
+                    end_attempt(p, S + n * MS, f, Outcome.FULL, elapsed_ns=MS)
             if origin.is_ejected:
                 break
         assert origin.is_ejected
         assert count == EJECTION_FAILURE_SCORE
-        (g,) = fetches(ask(p, S + 30 * MS, "fill", 99))
+        (g,) = forwarded_attempts(send_request(p, S + 30 * MS, "fill", 99))
         assert g.cached_only, "parents send only copies that they hold"
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -25,7 +25,16 @@
 from testbed.router_process import RouterClient
 from testbed.stand_ins import MAX_WAIT_S, PROGRAM_DIR, SERVERS, StandInServers
 from tests.support.exchange_player import EXAMPLE
-from tests.support.policy_fixtures import MS, RULES, S, ask, fetches, policy, servers, settings
+from tests.support.policy_fixtures import (
+    MS,
+    RULES,
+    S,
+    forwarded_attempts,
+    make_policy,
+    send_request,
+    servers,
+    settings,
+)
 from tests.support.reducer_fixtures import NOW, only, router
 
 COLD = 100 * S
@@ -78,7 +87,7 @@
     for n in range(4 * S // every_ns):
         now = COLD + n * every_ns
         p = policies[n % 2]
-        for f in fetches(ask(p, now, f"r{n}", n, size_kb=kb)):
+        for f in forwarded_attempts(send_request(p, now, f"r{n}", n, size_kb=kb)):
             if f.server == "c0":
                 sent.append((now, kb / 1000 * S))
                 p.handle(now + MS, api.AttemptEnded(f.id, 0, f.server, api.Outcome.OK, MS, True))
@@ -99,7 +108,7 @@
         records += [s for s in servers() if s.role is not api.Role.CACHE]
         policies = []
         for share in shares:
-            p = policy(records)
+            p = make_policy(records)
             p.handle(COLD, api.RouterShare(share))
             policies.append(p)
         return policies
--- a/tests/support/policy_fixtures.py
+++ b/tests/support/policy_fixtures.py
@@ -74,7 +74,7 @@
     ]
 
 
-def policy(listed_servers: list[api.Server] | None = None, **changes: Any) -> RoutingPolicy:
+def make_policy(listed_servers: list[api.Server] | None = None, **changes: Any) -> RoutingPolicy:
     routing_policy = RoutingPolicy(settings(**changes))
     routing_policy.start(S)
     routing_policy.handle(
@@ -83,17 +83,22 @@
     return routing_policy
 
 
-def ask(
-    p: RoutingPolicy, now: int, name: str, item: int = 1, cls: str = "safe", **more: Any
+def send_request(
+    p: RoutingPolicy, now: int, name: str, object_id: int = 1, class_name: str = "safe", **request_fields: Any
 ) -> list[api.Action]:
-    return p.handle(now, api.Request(name, cls, more.pop("time_remaining_ns", 3 * S), item, **more))
+    return p.handle(
+        now,
+        api.Request(
+            name, class_name, request_fields.pop("time_remaining_ns", 3 * S), object_id, **request_fields
+        ),
+    )
 
 
-def fetches(actions: list[api.Action]) -> list[api.ForwardRequest]:
+def forwarded_attempts(actions: list[api.Action]) -> list[api.ForwardRequest]:
     return [a for a in actions if isinstance(a, api.ForwardRequest)]
 
 
-def end(
+def end_attempt(
     p: RoutingPolicy,
     now: int,
     f: api.ForwardRequest,
