--- a/tests/config_reload/test_retune.py
+++ b/tests/config_reload/test_retune.py
@@ -29,7 +29,7 @@
 from tests.support import policy_fixtures as kit
 from tests.support.exchange_player import EXAMPLE
 from tests.support.policy_fixtures import S
-from tests.support.reducer_fixtures import NOW, call, only, router
+from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, router
 
 
 def variant(change: Any) -> dict[str, Any]:
@@ -49,7 +49,9 @@
 
 def logged(effect_list: list[effects.Effect], event: str) -> list[effects.LogEvent]:
     return [
-        e for e in only(effects.LogEvent, effect_list) if isinstance(e, effects.LogEvent) and e.event == event
+        e
+        for e in effects_of_type(effects.LogEvent, effect_list)
+        if isinstance(e, effects.LogEvent) and e.event == event
     ]
 
 
@@ -198,8 +200,8 @@
         (line,) = logged(effect_list, "config.refused")
         assert "settings.classes[0].give_up_ns: -5 is not usable" in line.text
         assert "config.json" in line.text
-        assert only(effects.SwitchFeed, effect_list) == []
-        assert only(effects.ScheduleTimer, effect_list) == []
+        assert effects_of_type(effects.SwitchFeed, effect_list) == []
+        assert effects_of_type(effects.ScheduleTimer, effect_list) == []
         assert r.state.settings == r.state.config.settings
         for data in (b"", b'{"name": "n1", "settings"'):
             assert len(logged(reload(r, NOW, data), "config.refused")) == 1
@@ -219,18 +221,25 @@
         (line,) = logged(effect_list, "config.read")
         assert "came: fresh" in line.text
         assert f"went: {first}" in line.text
-        (timer,) = only(effects.ScheduleTimer, effect_list)
+        (timer,) = effects_of_type(effects.ScheduleTimer, effect_list)
         assert isinstance(timer, effects.ScheduleTimer)
         assert timer.at_ns == NOW + TRANSITION_NS
-        assert only(effects.OpenServerConnection, r.handle(NOW + MS, call(1, cls="fresh")))
+        assert effects_of_type(
+            effects.OpenServerConnection, r.handle(NOW + MS, client_request(1, class_name="fresh"))
+        )
         assert (
-            only(effects.OpenServerConnection, r.handle(NOW + MS, call(2, item="0b", cls=first)))
+            effects_of_type(
+                effects.OpenServerConnection,
+                r.handle(NOW + MS, client_request(2, object_id="0b", class_name=first)),
+            )
             or r.state.requests
         )  # still accepted during the transition
         assert r.state.policy.settings.limits.max_attempts == 1
         settled = r.handle(NOW + TRANSITION_NS, inputs.TimerFired(timer.key))
         assert len(logged(settled, "config.settled")) == 1
-        assert r.handle(NOW + TRANSITION_NS + MS, call(3, cls=first)) == [effects.FailRequest(1, 3)]
+        assert r.handle(NOW + TRANSITION_NS + MS, client_request(3, class_name=first)) == [
+            effects.FailRequest(1, 3)
+        ]
         assert r.state.classes["fresh"].idempotency == api.Idempotency.UNSAFE
 
 
--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -26,7 +26,7 @@
 from kelpcroft.net.server_codec import ServerCodec
 from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS, ServerConnection
 from tests.support.exchange_player import EXAMPLE
-from tests.support.reducer_fixtures import GOOD, NOW, TRACE, call, only, router
+from tests.support.reducer_fixtures import GOOD_RESPONSE, NOW, TRACE, client_request, effects_of_type, router
 
 
 class Parts(unittest.TestCase):
@@ -61,12 +61,16 @@
             with self.subTest(message=str(message)[:200]), pytest.raises(ClientProtocolError):
                 ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(msgpack.packb(message)))
         r = router()
-        assert len(only(effects.OpenServerConnection, r.handle(NOW, call(1)))) == 1
-        for request in (call(1, client=2), call(2, cls="none"), call(3, patience=90_000)):
+        assert len(effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))) == 1
+        for request in (
+            client_request(1, client=2),
+            client_request(2, class_name="none"),
+            client_request(3, remaining_ms=90_000),
+        ):
             assert r.handle(NOW, request) == [effects.FailRequest(request.client, request.request_number)]
         for number in range(4, 4 + 31):
-            assert only(effects.CloseClient, r.handle(NOW, call(number))) == []
-        assert len(only(effects.CloseClient, r.handle(NOW, call(99)))) == 1
+            assert effects_of_type(effects.CloseClient, r.handle(NOW, client_request(number))) == []
+        assert len(effects_of_type(effects.CloseClient, r.handle(NOW, client_request(99)))) == 1
 
     def test_a_message_has_a_maximum_size(self) -> None:
         """Nested lists grew in memory as they were received, far beyond the size of their bytes.  Also,
@@ -105,7 +109,7 @@
         loop.clients.open[3].partial_since_ns = NOW - MS
         loop.sweep(NOW)
         assert list(loop.clients.open) == [3, 4]
-        loop.reducer.handle(NOW, call(1, client=3))
+        loop.reducer.handle(NOW, client_request(1, client=3))
         assert not loop.acceptor.evict_idle_client(), "one has an open request, the other was just active"
         loop.reducer.handle(NOW, inputs.CancelRequest(3, 1))
         assert loop.acceptor.evict_idle_client()
@@ -135,17 +139,17 @@
         after the purge was received.
         """
         r = router()
-        (_opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (_opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW),)))
-        (attempt,) = only(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
+        (attempt,) = effects_of_type(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
         assert attempt.max_age_ms > 0
 
     def test_a_given_up_id_is_kept_off_its_connection(self) -> None:
         """A response that crossed its KILL on the wire would be matched to the next attempt with that id."""
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW, inputs.ServerConnected(opening.connection))
-        (cancellation,) = only(effects.CancelAttempt, r.handle(NOW, inputs.CancelRequest(1, 1)))
+        (cancellation,) = effects_of_type(effects.CancelAttempt, r.handle(NOW, inputs.CancelRequest(1, 1)))
         assert (
             r.state.connections.find(
                 r.state.connections.by_number[opening.connection].server, cancellation.attempt_id
@@ -162,12 +166,19 @@
         must not be executed twice was.
         """
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW, inputs.ServerConnected(opening.connection))
         miss = inputs.ServerResponse(
-            opening.connection, call(1).trace_id, Outcome.MISS, FillResult.SOURCE_LACKS, 0, {}, False, b""
+            opening.connection,
+            client_request(1).trace_id,
+            Outcome.MISS,
+            FillResult.SOURCE_LACKS,
+            0,
+            {},
+            False,
+            b"",
         )
-        (next_opening,) = only(effects.OpenServerConnection, r.handle(NOW, miss))
+        (next_opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, miss))
         assert next_opening.connection != opening.connection
         assert r.handle(NOW, miss) == []
         assert len(r.state.attempts) == 1
@@ -175,18 +186,23 @@
     def test_reset_of_a_new_connection_is_no_evidence(self) -> None:
         """The reset counted as a refused connection: the server was ejected, and later treated as cold."""
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
-        (reopening,) = only(
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
+        (reopening,) = effects_of_type(
             effects.OpenServerConnection,
             r.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNRESET")),
         )
         assert reopening.address == opening.address
         assert (
-            len(only(effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(reopening.connection)))) == 1
+            len(
+                effects_of_type(
+                    effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(reopening.connection))
+                )
+            )
+            == 1
         )
         assert not any(n.is_ejected for n in r.state.policy.endpoints.values())
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNREFUSED", True))
         assert any(n.is_ejected for n in r.state.policy.endpoints.values())
 
@@ -195,7 +211,9 @@
         all attempts for its server.
         """
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1, patience=4_900)))
+        (opening,) = effects_of_type(
+            effects.OpenServerConnection, r.handle(NOW, client_request(1, remaining_ms=4_900))
+        )
         (silence_timer,) = [
             e
             for e in r.handle(NOW, inputs.ServerConnected(opening.connection))
@@ -203,25 +221,28 @@
         ]
         assert silence_timer.key == (messages.TimerKind.CONNECTION_SILENCE, opening.connection, 0)
         for number in (2, 3):
-            r.handle(NOW + MS, call(number, patience=4_900))
+            r.handle(NOW + MS, client_request(number, remaining_ms=4_900))
         later = silence_timer.at_ns + SECOND
         response = inputs.ServerResponse(
-            opening.connection, call(2).trace_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"two"
+            opening.connection, client_request(2).trace_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"two"
         )
         r.handle(NOW + 2 * MS, response)
         assert (
-            only(effects.CloseServerConnection, r.handle(later, inputs.TimerFired(silence_timer.key))) == []
+            effects_of_type(
+                effects.CloseServerConnection, r.handle(later, inputs.TimerFired(silence_timer.key))
+            )
+            == []
         ), "a single attempt may be slow"
-        r.handle(later, call(4))
+        r.handle(later, client_request(4))
         effect_list = r.handle(later + SECOND, inputs.TimerFired(silence_timer.key))
-        assert only(effects.CloseServerConnection, effect_list) == [
+        assert effects_of_type(effects.CloseServerConnection, effect_list) == [
             effects.CloseServerConnection(opening.connection)
         ]
-        (reopening,) = only(effects.OpenServerConnection, effect_list)
+        (reopening,) = effects_of_type(effects.OpenServerConnection, effect_list)
         assert reopening.address == opening.address, "repeatable attempts are sent to the same server"
         assert (
             len(
-                only(
+                effects_of_type(
                     effects.SendAttempt,
                     r.handle(later + SECOND, inputs.ServerConnected(reopening.connection)),
                 )
@@ -240,7 +261,9 @@
             r.state.settings = replace(
                 r.state.settings, limits=replace(r.state.settings.limits, may_probe=True)
             )
-            (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1, patience=4_900)))
+            (opening,) = effects_of_type(
+                effects.OpenServerConnection, r.handle(NOW, client_request(1, remaining_ms=4_900))
+            )
             (silence_timer,) = [
                 e
                 for e in r.handle(NOW, inputs.ServerConnected(opening.connection))
@@ -248,10 +271,10 @@
             ]
             assert silence_timer.at_ns == NOW + r.attempts.response_times.silence_timeout_ns() // 2
             for number in (2, 3, 4):
-                r.handle(NOW + MS, call(number, patience=4_900))
+                r.handle(NOW + MS, client_request(number, remaining_ms=4_900))
             effect_list = r.handle(silence_timer.at_ns, inputs.TimerFired(silence_timer.key))
-            (check,) = only(effects.SendHealthCheck, effect_list)
-            assert (check.connection, only(effects.CloseServerConnection, effect_list)) == (
+            (check,) = effects_of_type(effects.SendHealthCheck, effect_list)
+            assert (check.connection, effects_of_type(effects.CloseServerConnection, effect_list)) == (
                 opening.connection,
                 [],
             )
@@ -262,12 +285,14 @@
                 r.handle(silence_timer.at_ns + MS, check_response)
             due = NOW + r.attempts.response_times.silence_timeout_ns()
             effect_list = r.handle(due, inputs.TimerFired(silence_timer.key))
-            assert bool(only(effects.CloseServerConnection, effect_list)) == (not answers)
+            assert bool(effects_of_type(effects.CloseServerConnection, effect_list)) == (not answers)
             assert len(r.state.attempts) == 4, "the attempts are still in flight, or wait to be sent again"
             if answers:  # another check follows after the same silence
                 due = silence_timer.at_ns + MS + r.attempts.response_times.silence_timeout_ns()
-                (check,) = only(effects.SendHealthCheck, r.handle(due, inputs.TimerFired(silence_timer.key)))
-                assert only(
+                (check,) = effects_of_type(
+                    effects.SendHealthCheck, r.handle(due, inputs.TimerFired(silence_timer.key))
+                )
+                assert effects_of_type(
                     effects.CloseServerConnection,
                     r.handle(due + 200 * MS, inputs.TimerFired(silence_timer.key)),
                 )
@@ -298,7 +323,7 @@
         """The connection stayed open, and all attempts on it waited until their clients had cancelled."""
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: NOW))
         self.addCleanup(loop.selector.close)
-        for number, data in ((1, GOOD), (2, GOOD[:9])):
+        for number, data in ((1, GOOD_RESPONSE), (2, GOOD_RESPONSE[:9])):
             server = ServerConnection(
                 loop.servers, number, socket.socket(), NOW - PARTIAL_RESPONSE_TIMEOUT_NS - MS
             )
@@ -313,10 +338,10 @@
         would have allowed any fresh copy.
         """
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW, inputs.ServerConnected(opening.connection))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW + MS),)))
-        (attempt,) = only(effects.SendAttempt, r.handle(NOW + MS, call(2)))
+        (attempt,) = effects_of_type(effects.SendAttempt, r.handle(NOW + MS, client_request(2)))
         assert attempt.max_age_ms == 1
 
     def test_answers_in_any_pieces(self) -> None:
@@ -350,7 +375,7 @@
         ):
             with self.subTest(invalid=invalid[:40]):
                 codec = ServerCodec(1)
-                responses = codec.receive_data(memoryview(GOOD + invalid))
+                responses = codec.receive_data(memoryview(GOOD_RESPONSE + invalid))
                 # A complete response before the bad bytes is used if those begin like a response.
                 assert [response.attempt_id for response in responses] == (
                     ["g"] if invalid.startswith(b"*") else []
@@ -362,7 +387,9 @@
         that it took end as a body does.
         """
         codec = ServerCodec(1)
-        assert codec.receive_data(memoryview(GOOD.replace(b"$2\r\n", b"$6\r\n") + GOOD)) == []
+        assert (
+            codec.receive_data(memoryview(GOOD_RESPONSE.replace(b"$2\r\n", b"$6\r\n") + GOOD_RESPONSE)) == []
+        )
         assert codec.error != ""
 
     def test_backlog_keeps_bytes_and_gives_buffers_back(self) -> None:
--- a/tests/deployment_check/test_places.py
+++ b/tests/deployment_check/test_places.py
@@ -16,7 +16,7 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from testbed import cold_start
 from testbed.cold_start import ColdStartFleet
-from tests.support.reducer_fixtures import NOW, call, only, router
+from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, router
 
 
 class Refused(unittest.TestCase):
@@ -31,21 +31,21 @@
         """
         reducer = router()
         now = NOW + 10 * SECOND
-        (first,) = only(effects.OpenServerConnection, reducer.handle(now, call(1)))
+        (first,) = effects_of_type(effects.OpenServerConnection, reducer.handle(now, client_request(1)))
         assert isinstance(first, effects.OpenServerConnection)
         reducer.handle(now, inputs.ServerConnected(first.connection))
         for n in range(2, ATTEMPTS_BEFORE_NEW_CONNECTION + 1):
-            reducer.handle(now, call(n))
+            reducer.handle(now, client_request(n))
         reducer.handle(
             now + MS,
             inputs.ServerResponse(
                 first.connection, f"{1:016x}", Outcome.OK, FillResult.HIT, 0, {}, False, b"x"
             ),
         )
-        reducer.handle(now + 2 * MS, call(ATTEMPTS_BEFORE_NEW_CONNECTION + 1))
-        (second,) = only(
+        reducer.handle(now + 2 * MS, client_request(ATTEMPTS_BEFORE_NEW_CONNECTION + 1))
+        (second,) = effects_of_type(
             effects.OpenServerConnection,
-            reducer.handle(now + 3 * MS, call(ATTEMPTS_BEFORE_NEW_CONNECTION + 2)),
+            reducer.handle(now + 3 * MS, client_request(ATTEMPTS_BEFORE_NEW_CONNECTION + 2)),
         )
         assert isinstance(second, effects.OpenServerConnection)
         reducer.state.connections.by_number[first.connection].last_response_ns = (
@@ -60,7 +60,7 @@
     def test_a_waiting_request_takes_the_open_connection_after_a_refusal(self) -> None:
         """Once the server was ejected, its copies forgotten and clients rejected for at least a second."""
         reducer, first, effect_list = self.refuse_second_connection(0)
-        (attempt,) = only(effects.SendAttempt, effect_list)
+        (attempt,) = effects_of_type(effects.SendAttempt, effect_list)
         assert isinstance(attempt, effects.SendAttempt)
         assert (attempt.connection, attempt.attempt_id) == (
             first.connection,
@@ -68,15 +68,15 @@
         )
         assert reducer.state.counters["no place"] == 1
         assert not any(n.is_ejected for n in reducer.state.policy.endpoints.values())
-        effect_list = reducer.handle(NOW + 10 * SECOND + 5 * MS, call(40))
+        effect_list = reducer.handle(NOW + 10 * SECOND + 5 * MS, client_request(40))
         assert (
-            len(only(effects.OpenServerConnection, effect_list)),
-            len(only(effects.SendAttempt, effect_list)),
+            len(effects_of_type(effects.OpenServerConnection, effect_list)),
+            len(effects_of_type(effects.SendAttempt, effect_list)),
         ) == (0, 1), "no connection is opened yet"
         later = NOW + 10 * SECOND + 4 * MS + 2 * REFUSAL_BACKOFF_NS
-        assert len(only(effects.OpenServerConnection, reducer.handle(later, call(41)))) == 1, (
-            "one is opened after the backoff"
-        )
+        assert (
+            len(effects_of_type(effects.OpenServerConnection, reducer.handle(later, client_request(41)))) == 1
+        ), "one is opened after the backoff"
 
     def test_a_refusing_server_without_a_recent_response_is_ejected(self) -> None:
         reducer, _, _effect_list = self.refuse_second_connection(2 * SECOND)
--- a/tests/net/test_size.py
+++ b/tests/net/test_size.py
@@ -18,7 +18,7 @@
 from kelpcroft.net.event_loop import EventLoop
 from kelpcroft.net.server_connections import ServerConnection
 from tests.support.exchange_player import EXAMPLE
-from tests.support.reducer_fixtures import GOOD, NOW, TRACE, router
+from tests.support.reducer_fixtures import GOOD_RESPONSE, NOW, TRACE, router
 
 
 def pair(case: unittest.TestCase, size: int = 0) -> tuple[socket.socket, socket.socket]:
@@ -66,7 +66,7 @@
             pass
         router_end, peer_end = pair(self)
         server = loop.servers.open[1] = ServerConnection(loop.servers, 1, router_end, NOW)
-        peer_end.sendall(GOOD)
+        peer_end.sendall(GOOD_RESPONSE)
         loop.servers.read(server)
         assert 1 in loop.servers.open
         assert server.codec.error == ""
--- a/tests/program/test_control.py
+++ b/tests/program/test_control.py
@@ -14,7 +14,7 @@
 )
 from kelpcroft.core.state import MS, SECOND
 from kelpcroft.net.control_codec import MAX_BODY_BYTES, MAX_HEAD_BYTES, ControlCodec
-from tests.support.reducer_fixtures import NOW, call, only, router
+from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, router
 
 READY = b"GET /control/ready HTTP/1.1\r\nHost: r\r\n\r\n"
 
@@ -125,24 +125,24 @@
             effects.ControlResponse(7, True, {"ready": True, "service": "in"})
         ]
         effect_list = r.handle(NOW, inputs.ControlRequest(8, inputs.ControlVerb.OUT_OF_SERVICE))
-        assert only(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
-        assert only(effects.ControlResponse, effect_list) == [
+        assert effects_of_type(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
+        assert effects_of_type(effects.ControlResponse, effect_list) == [
             effects.ControlResponse(8, True, {"ready": False, "service": "out", "why": "out of service"})
         ]
-        assert only(
+        assert effects_of_type(
             effects.ControlResponse, r.handle(NOW, inputs.ControlRequest(9, inputs.ControlVerb.READY))
         )[0] == effects.ControlResponse(9, False, {"ready": False, "service": "out", "why": "out of service"})
         assert r.handle(NOW, inputs.HealthRequest(1, 1)) == [effects.SendHealth(1, 1, False)]
         # Requests on open connections are served during the grace period, then rejected immediately.
-        assert only(effects.OpenServerConnection, r.handle(NOW + MS, call(2))) != []
+        assert effects_of_type(effects.OpenServerConnection, r.handle(NOW + MS, client_request(2))) != []
         late = NOW + DRAIN_GRACE_NS
-        assert r.handle(late, call(3)) == [effects.RejectRequest(1, 3, 0)]
+        assert r.handle(late, client_request(3)) == [effects.RejectRequest(1, 3, 0)]
         effect_list = r.handle(late + SECOND, inputs.ControlRequest(10, inputs.ControlVerb.IN_SERVICE))
-        assert only(effects.DrainClients, effect_list) == [effects.DrainClients(False)]
+        assert effects_of_type(effects.DrainClients, effect_list) == [effects.DrainClients(False)]
         assert r.handle(late + SECOND, inputs.HealthRequest(1, 4)) == [effects.SendHealth(1, 4, True)]
-        assert only(effects.RejectRequest, r.handle(late + SECOND, call(5))) == []
+        assert effects_of_type(effects.RejectRequest, r.handle(late + SECOND, client_request(5))) == []
         assert (
-            only(
+            effects_of_type(
                 effects.Exit, r.handle(late + 9 * SECOND, inputs.ControlRequest(11, inputs.ControlVerb.READY))
             )
             == []
--- a/tests/program/test_handover.py
+++ b/tests/program/test_handover.py
@@ -13,7 +13,7 @@
 from kelpcroft.core.state import SECOND
 from kelpcroft.net.predecessor_files import write_handover
 from kelpcroft.store.handover import MAX_AGE_NS, MAX_FILE_BYTES, HandoverRecord, decode, encode, file_path
-from tests.support.reducer_fixtures import NOW, only, router
+from tests.support.reducer_fixtures import NOW, effects_of_type, router
 
 
 class File(unittest.TestCase):
@@ -88,14 +88,16 @@
 class Reducer(unittest.TestCase):
     def test_a_drain_is_recorded_and_applied_by_the_successor(self) -> None:
         r = router()
-        assert only(
+        assert effects_of_type(
             effects.PersistServiceState,
             r.handle(NOW, inputs.ControlRequest(1, inputs.ControlVerb.OUT_OF_SERVICE)),
         ) == [effects.PersistServiceState(False, NOW)]
         resumed = r.handle(NOW + SECOND, inputs.ControlRequest(2, inputs.ControlVerb.IN_SERVICE))
-        assert only(effects.PersistServiceState, resumed) == [effects.PersistServiceState(True, NOW + SECOND)]
+        assert effects_of_type(effects.PersistServiceState, resumed) == [
+            effects.PersistServiceState(True, NOW + SECOND)
+        ]
         assert (
-            only(
+            effects_of_type(
                 effects.PersistServiceState,
                 r.handle(NOW + SECOND, inputs.ControlRequest(3, inputs.ControlVerb.IN_SERVICE)),
             )
@@ -103,8 +105,8 @@
         )  # no change
         successor = router()
         effect_list = successor.handle(NOW, inputs.PredecessorState(False, NOW - SECOND))
-        assert only(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
-        (reply,) = only(
+        assert effects_of_type(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
+        (reply,) = effects_of_type(
             effects.ControlResponse, successor.handle(NOW, inputs.ControlRequest(4, inputs.ControlVerb.READY))
         )
         assert isinstance(reply, effects.ControlResponse)
@@ -112,7 +114,7 @@
         assert successor.handle(NOW, inputs.PredecessorState(True, NOW)) == []
         assert (
             len(
-                only(
+                effects_of_type(
                     effects.LogEvent,
                     router().handle(NOW, inputs.PredecessorState(None, reason="x: is not JSON")),
                 )
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -35,7 +35,7 @@
     servers,
     settings,
 )
-from tests.support.reducer_fixtures import NOW, only, router
+from tests.support.reducer_fixtures import NOW, effects_of_type, router
 
 COLD = 100 * S
 
@@ -143,7 +143,7 @@
         r = router()
         r.service_state.shares_listener = r.restart_overlap.is_shared = True
         effect_list = r.start(NOW)
-        assert only(effects.ReadPredecessorState, effect_list)
+        assert effects_of_type(effects.ReadPredecessorState, effect_list)
         r.handle(NOW + S, inputs.PredecessorEnded(NOW - S))
         r.handle(NOW + 4 * S, inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)))
         assert r.state.policy.router_share == 0.5, "an earlier process ended, not the one that still runs"
@@ -153,14 +153,14 @@
             inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)),
         )
         assert r.state.policy.router_share == 1.0
-        assert only(effects.ReadPredecessorState, effect_list) == []
+        assert effects_of_type(effects.ReadPredecessorState, effect_list) == []
 
     def test_its_own_end_is_left_behind(self) -> None:
         r = router()
         r.service_state.shares_listener = True
         r.handle(NOW + S, inputs.ShutdownRequested())
         effect_list = r.handle(NOW + 3 * S, inputs.TimerFired((TimerKind.SHUTDOWN, 2, 0)))
-        (persisted,) = only(effects.PersistServiceState, effect_list)
+        (persisted,) = effects_of_type(effects.PersistServiceState, effect_list)
         assert isinstance(persisted, effects.PersistServiceState)
         assert (persisted.is_in_service, persisted.ended_at_ns, persisted.shutdown_began_ns) == (
             True,
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -32,7 +32,7 @@
 from kelpcroft.startup.fleet_size import FleetSizeEstimator
 from kelpcroft.startup.origin_concurrency import OriginConcurrencyLimit
 from testbed.cold_start import START, ColdStartFleet, ListServiceModel
-from tests.support.reducer_fixtures import NOW, only, router
+from tests.support.reducer_fixtures import NOW, effects_of_type, router
 
 S = SECOND
 EVENTS = st.lists(st.sampled_from(["fail", "retry", "answer", "news", "empty"]), max_size=60)
@@ -237,19 +237,21 @@
 
 
 def polls(effect_list: list[effects.Effect]) -> list[effects.PollFeed]:
-    return [e for e in only(effects.PollFeed, effect_list) if isinstance(e, effects.PollFeed)]
+    return [e for e in effects_of_type(effects.PollFeed, effect_list) if isinstance(e, effects.PollFeed)]
 
 
 def feed_wakes(effect_list: list[effects.Effect]) -> list[effects.ScheduleTimer]:
     return [
         e
-        for e in only(effects.ScheduleTimer, effect_list)
+        for e in effects_of_type(effects.ScheduleTimer, effect_list)
         if isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.POLL_FEED
     ]
 
 
 def events(effect_list: list[effects.Effect]) -> list[str]:
-    return [e.event for e in only(effects.LogEvent, effect_list) if isinstance(e, effects.LogEvent)]
+    return [
+        e.event for e in effects_of_type(effects.LogEvent, effect_list) if isinstance(e, effects.LogEvent)
+    ]
 
 
 class InTheReducer(unittest.TestCase):
@@ -486,7 +488,9 @@
         r.handle(NOW + S, inputs.TimerFired((messages.TimerKind.RESTART_OVERLAP, 0, 0)))
         assert not r.state.policy.origin_fills_allowed
         call = inputs.ClientRequest(1, 1, "order", "t1", 2 * S, "a", "0", 10, 0, 0, False, "", b"x")
-        assert only(effects.OpenServerConnection, r.handle(NOW + S, call)) or r.state.attempts, "it is sent"
+        assert effects_of_type(effects.OpenServerConnection, r.handle(NOW + S, call)) or r.state.attempts, (
+            "it is sent"
+        )
         r.handle(NOW + 2 * S, inputs.OperatorFileRead(OperatorFile()))
         assert r.state.policy.origin_fills_allowed
 
--- a/tests/support/reducer_fixtures.py
+++ b/tests/support/reducer_fixtures.py
@@ -11,18 +11,30 @@
 TRACE = "00000000000000ab"
 
 
-GOOD = b"*4\r\n$1\r\ng\r\n$4\r\nDONE\r\n$1\r\n-\r\n$2\r\nby\r\n"
+GOOD_RESPONSE = b"*4\r\n$1\r\ng\r\n$4\r\nDONE\r\n$1\r\n-\r\n$2\r\nby\r\n"
 
 
 NOW = 1_764_576_000 * 1_000 * MS
 
 
-def call(
-    number: int, item: str = "0a", patience: int = 2_000, client: int = 1, cls: str = "page"
+def client_request(
+    number: int, object_id: str = "0a", remaining_ms: int = 2_000, client: int = 1, class_name: str = "page"
 ) -> inputs.ClientRequest:
     trace = f"{number:016x}"
     return inputs.ClientRequest(
-        client, number, cls, trace, patience * MS, item, "0", int(item, 16), 0, 17, False, "", b""
+        client,
+        number,
+        class_name,
+        trace,
+        remaining_ms * MS,
+        object_id,
+        "0",
+        int(object_id, 16),
+        0,
+        17,
+        False,
+        "",
+        b"",
     )
 
 
@@ -33,5 +45,5 @@
     return reducer
 
 
-def only(kind: type, effect_list: list[effects.Effect]) -> list[effects.Effect]:
-    return [e for e in effect_list if isinstance(e, kind)]
+def effects_of_type(effect_type: type, effect_list: list[effects.Effect]) -> list[effects.Effect]:
+    return [e for e in effect_list if isinstance(e, effect_type)]
