--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -1,4 +1,4 @@
-"""Closing of clients' connections: input that arrives during a close is neither lost nor half handled."""
+"""Closing of clients' connections: input that arrives during a close is neither lost nor partly handled."""
 
 from __future__ import annotations
 
--- a/tests/program/test_routes_loopback.py
+++ b/tests/program/test_routes_loopback.py
@@ -268,7 +268,9 @@
         assert (event["event"], event["faults"]) == ("rules.refused", 2)
         assert "rules.kdl:3:" in event["first"]
         assert "bad-duration" in event["first"]
-        assert client.request("page", patience_ms=LONG).fields == {"pause": "10"}, "nothing has changed"
+        assert client.request("page", patience_ms=LONG).fields == {"pause": "10"}, (
+            "the rejected file changes nothing"
+        )
         assert (
             router.reload_rules(HEAD + 'route "rest" { match; attempts most=1; pause "20ms"; }')["routes"]
             == 2
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -135,8 +135,8 @@
         """Kill the controller at a place; its successor must finish the run, with each router changed once.
 
         Args:
-            kind: "before" or "behind" (after) the commit of a step, or at an "order" to a router.
-            number: The number of the step or order.
+            kind: "before" or "behind" (after) the commit of a step, or at a command to a router ("order").
+            number: The number of the step or command.
 
         Returns:
             Whether the run was long enough for the controller to die at this place.
--- a/tests/rollout/test_rollout_faults.py
+++ b/tests/rollout/test_rollout_faults.py
@@ -26,7 +26,7 @@
 
 
 class FaultTestCase(RolloutTestCase):
-    """Common parts of the tests in this module."""
+    """A check that the tests of this module share."""
 
     def run_defective_change(
         self,
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -1,4 +1,4 @@
-"""Two processes of one router beside a cold server: their sum stays below the load that overloads it."""
+"""Two processes of one router and a cold server: together they send less than the load that overloads it."""
 
 from __future__ import annotations
 
@@ -182,7 +182,7 @@
 
 
 class Processes(unittest.TestCase):
-    """An upgrade beside a cold cache, on a listening socket that both processes inherit."""
+    """An upgrade while a cache is cold, on a listening socket that both processes inherit."""
 
     def start(self, folder: Path, listener: socket.socket, config: Path) -> subprocess.Popen[bytes]:
         with (folder / "log").open("a") as log:
--- a/tests/startup/test_cold_start.py
+++ b/tests/startup/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Twenty-four router processes that start at once, while the list service and servers fail.
+"""Twenty-four router processes that start at the same time, while the list service and servers fail.
 
 Failures are injected on events.  The checks use the requests that reached the stand-ins.  Some tests run only
 with ``pytest -m long``.
@@ -65,7 +65,7 @@
         """The list service is dead for 6 s, and later crashes and restarts its numbers at 1.
 
         All routers together send a bounded number of requests while it is dead, and spread requests
-        afterwards.  An event of the meantime reaches every router.
+        afterwards.  An event published during the outage reaches every router.
         """
         field = self.field(rules=BUDGET)
         stand_ins = field.servers
@@ -76,21 +76,23 @@
             began_ns, back_ns = field.began_ns, stand_ins.feed_down_until_ns
             assert wait_until(lambda: informed(stand_ins, last) >= ROUTERS), informed(stand_ins, last)
             informed_ns = time.monotonic_ns()
-            assert informed_ns - back_ns < (1.5 * CYCLE_S + 6) * S, "all have the list"
+            assert informed_ns - back_ns < (1.5 * CYCLE_S + 6) * S, (
+                "every router has received the event in time"
+            )
             requests_while_dead = watch_requests(stand_ins, began_ns, back_ns)
             assert requests_while_dead < ROUTERS + 1.5 * MAX_REQUESTS_PER_S * (back_ns - began_ns) / S, (
                 "while it was dead"
             )
-            assert requests_while_dead > ROUTERS // 2, "they continued to send requests"
+            assert requests_while_dead > ROUTERS // 2, "routers continued to send requests"
             assert stand_ins.feed_crashes == 0, "more than 40 requests in a second crash it"
             stand_ins.crash_feed(2.0)
             back_ns = stand_ins.feed_down_until_ns
-            # Routers that are not back yet receive a drain late: this is the cost of the budget.
+            # Routers that have not reconnected yet receive a drain late: this is the cost of the budget.
             assert wait_until(
                 lambda: len({p for at, _, p in stand_ins.feed_calls if p and at > back_ns}) >= ROUTERS
             )
             assert any(after == 0 for at, after, _ in stand_ins.feed_calls if at > back_ns), (
-                "numbers went back"
+                "a router requested the complete list, because the event numbers are lower"
             )
             last = stand_ins.change("cache-z1", "leaving") - stand_ins.events_before_restart
             since_ns = time.monotonic_ns()
@@ -146,7 +148,7 @@
                     field.wait_ready(node)
             killed_ns = time.monotonic_ns()
             assert wait_until(lambda: informed(field.servers, 1, killed_ns) >= ROUTERS), (
-                "all wait for new events"
+                "every router has sent its next watch request"
             )
             stopped = [node.process for node in nodes[1::6] if node.process]
             for process in stopped:
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -45,7 +45,7 @@
 def request_times(
     schedules: list[DiscoverySchedule], seconds: int, serves: Callable[[int], bool]
 ) -> list[int]:
-    """Returns the times of all watch requests of a fleet that starts at once.
+    """Returns the times of all watch requests of a fleet whose routers all start at the same time.
 
     ``serves(at)`` returns whether the service responds; a request with a response waits as long as it may.
     """
@@ -96,7 +96,7 @@
             assert len(times) / 10 <= expected, count
 
     def test_after_an_outage_they_come_back_out_of_step(self) -> None:
-        """After 10 s of outage all routers return within a bounded time, and never all at once."""
+        """After 10 s of outage all routers return within a bounded time, and never all at the same time."""
         for count in (24, 120, 200, 500):
             schedules = fleet(count)
             times = request_times(schedules, 40, lambda at: at > 10 * S)
@@ -195,7 +195,7 @@
         assert self.usable(record("a", "terminated"), record("x", address=address)) == [
             "a terminated",
             "x in_service",
-        ], "it has taken the address of a server that leaves"
+        ], "its address is that of a server that is terminated"
         assert self.usable(record("x", address=address), record("b"), is_full_list=True) == [
             "x in_service",
             "b in_service",
@@ -298,7 +298,7 @@
                     if wakes
                     else r.handle(now, inputs.WatchResponse(r.endpoint_list.last_event, ()))
                 )
-            assert requests < max_requests_made, "in ten seconds"
+            assert requests < max_requests_made, "requests in ten seconds"
 
     def test_an_empty_whole_list_changes_nothing_and_is_said_once(self) -> None:
         r = self.reducer()
@@ -509,7 +509,9 @@
                 fleet.outcomes.share_in_time(0, 12),
                 fleet.servers.origin.refused,
             )
-            assert not any(count > 1 for count in fleet.servers.order_runs.values()), "an order ran twice"
+            assert not any(count > 1 for count in fleet.servers.order_runs.values()), (
+                "an order was executed twice"
+            )
         assert share_in_time[True] > 1.5 * share_in_time[False], share_in_time
         assert rejected[False] > 50
         assert rejected[True] == 0
--- a/tests/support/exchange_player.py
+++ b/tests/support/exchange_player.py
@@ -163,7 +163,7 @@
             sock.close()
 
     def connection(self, name: str) -> socket.socket:
-        """The connection of a peer: accepted if the peer listens, else made to the program."""
+        """Returns the connection of a peer: accepted if the peer listens, else made to the program."""
         if name not in self.connections:
             base = name.split("-")[0]
             if base in self.listeners:
--- a/tests/support/reducer_fixtures.py
+++ b/tests/support/reducer_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures: a reducer of the example deployment, and client requests for it."""
+"""Fixtures: a reducer of the example deployment, client requests for it, and a selection of its effects."""
 
 from __future__ import annotations
 
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -71,7 +71,7 @@
 
 
 def fields(*values: object) -> bytes:
-    """Field values of an effect that has no codec."""
+    """Encodes the field values of an effect that has no codec."""
     return json.dumps(values, separators=(",", ":")).encode()
 
 
@@ -85,7 +85,7 @@
         self.feed_codec = FEED
 
     def add(self, now: int, word: str, peer: int, payload: bytes) -> None:
-        """Adds a record: its time, word, connection (0 = none) and bytes."""
+        """Adds a record: its time, its word, the number of its connection (0 = none) and its bytes."""
         self.hash.update(f"{now} {word} {peer} {len(payload)}\n".encode() + payload + b"\n")
         self.count += 1
         self.words.add(word)
@@ -324,7 +324,7 @@
 
 
 class Conversation:
-    """The simulator's side of the adapter's protocol: one instance with random servers and clients."""
+    """The simulator's side of the adapter's protocol: one router with random servers and clients."""
 
     def __init__(self, seed: int) -> None:
         self.random, self.digest, self.now = Random(seed), Digest(), S
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -1,4 +1,4 @@
-"""The field itself: its links break as they are told to, and its watch sees each broken rule and no other."""
+"""Link modes, defective builds and the contract checker, which reports each violated rule and no other."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 def orders_break(server: str, seen: ServerCommand) -> ScriptedReply:
-    """Every order breaks off after it may have run; all else is answered."""
+    """Ends every order with an error after which it may have run, and serves all other requests."""
     return ScriptedReply("BROKE" if seen.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
 
 
 class Links(unittest.TestCase):
     def setUp(self) -> None:
-        """A server that sends back what it gets."""
+        """Starts an echo server, and a relay in front of it."""
         self.server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(self.server.close)
         threading.Thread(target=self.echo, daemon=True).start()
@@ -56,7 +56,7 @@
                 pass
 
     def connect(self) -> socket.socket:
-        """A connection, or a socket without one where it was reset at once."""
+        """Returns a connection to the relay, or an unconnected socket if the connect was reset."""
         sock = socket.socket()
         with contextlib.suppress(ConnectionResetError):
             sock.connect(self.relay.address)
@@ -65,7 +65,7 @@
         return sock
 
     def said(self, sock: socket.socket, text: bytes = b"hello") -> bytes:
-        """What comes back, up to as much as was sent; what has come by the end or the time-out."""
+        """Sends bytes; returns what the server echoed before the end of the connection or the timeout."""
         got = b""
         try:
             sock.sendall(text)
@@ -81,7 +81,7 @@
         self.relay.change(LinkMode.DELAY)
         began = time.monotonic()
         assert self.said(sock) == b"hello"
-        assert time.monotonic() - began > 0.4, "both ways"
+        assert time.monotonic() - began > 0.4, "the delay applies in both directions"
         self.relay.change(LinkMode.SLOW)
         began = time.monotonic()
         assert self.said(sock, b"x" * 640) == b"x" * 640
@@ -96,7 +96,7 @@
         sock = self.connect()
         assert self.said(sock) == b"", "nothing passes"
         self.relay.change(LinkMode.PASS)
-        assert sock.recv(16) == b"hello", "and nothing was lost"
+        assert sock.recv(16) == b"hello", "the bytes held by the silent relay are delivered"
         self.relay.change(LinkMode.CUT)
         assert self.said(sock, b"0123456789") == b"01234"
         self.relay.change(LinkMode.REFUSE)
@@ -126,7 +126,7 @@
 
 class Builds(unittest.TestCase):
     def test_each_defect_fits_the_sources(self) -> None:
-        """Also those of the long tests: an anchor that is not there is said at once."""
+        """The text that each defect replaces is in the sources, also for defects that only long tests use."""
         with tempfile.TemporaryDirectory() as name:
             for number, defect in enumerate(DEFECTS):
                 with self.subTest(defect=defect):
@@ -134,7 +134,7 @@
 
 
 class Judged(unittest.TestCase):
-    """Real routers, and what a feed may tell in a few seconds."""
+    """Real routers for a few seconds, with a purge, a drain and a restarted cache in the feed."""
 
     def day(self, defect: str, faults: bool = False) -> tuple[ContractChecker, ClientLoad]:
         with tempfile.TemporaryDirectory() as name:
@@ -157,7 +157,7 @@
                 return field.check_contract(load, killed=killed, cut=faults), load
 
     def break_links(self, field: RouterField) -> None:
-        """All modes in turn at a hub, the store and a cache; a router that stops, and one that dies."""
+        """Applies each mode to a parent, a cache and the origin; suspends one router and kills another."""
         nodes = list(field.nodes.values())
         for mode in LinkMode:
             for name in ("parent", "cache-z0-2", "origin"):
