--- a/tests/control_log/test_control_field.py
+++ b/tests/control_log/test_control_field.py
@@ -21,10 +21,12 @@
 
 SIZE = FleetSize(routers=12, servers=40, zones=3)
 LEASE = 'lease "2s"'
-CALLS_MOST = 6  # watch requests of one router in a second: one per batch interval of 400 ms, and moves
+MAX_WATCH_REQUESTS_PER_S = (
+    6  # watch requests of one router in a second: one per batch interval of 400 ms, and moves
+)
 
 
-class Faults(unittest.TestCase):
+class Failures(unittest.TestCase):
     def field(self, replicas: int = 2, services: int = 1) -> ControlField:
         field = ControlField(SIZE, replicas, services, LEASE)
         field.__enter__()
@@ -33,51 +35,51 @@
         assert field.is_caught_up(1, SIZE.servers), "at the start"
         return field
 
-    def news(self, field: ControlField) -> int:
+    def publish_purge_and_drain(self, field: ControlField) -> int:
         """Publishes a purge and a drain; returns the event number of the drain."""
         field.order_service(do="history", purges=1, age_s=0)
         self.drained += 1
         return field.order_service(do="status", server=f"s-{self.drained:04x}", status="leaving")
 
-    def assert_in_step(self, field: ControlField, what: str) -> None:
-        number = self.news(field)
-        assert field.is_caught_up(number, SIZE.servers - self.drained), what
+    def assert_caught_up(self, field: ControlField, description: str) -> None:
+        number = self.publish_purge_and_drain(field)
+        assert field.is_caught_up(number, SIZE.servers - self.drained), description
 
-    def assert_calls_bounded(self, field: ControlField, over_s: float = 3.0) -> None:
+    def assert_request_rate_bounded(self, field: ControlField, duration_s: float = 3.0) -> None:
         """Checks that for some seconds each replica receives at most the requests allowed to its watchers."""
 
-        def heard() -> list[int]:
+        def received_requests() -> list[int]:
             states = [replica.state() for replica in field.replicas]
             return [state["answers"] + state["refusals"] if state else 0 for state in states]
 
-        before, began = heard(), time.monotonic()
-        time.sleep(over_s)
-        after, took = heard(), time.monotonic() - began
-        for one, other in zip(before, after, strict=True):
-            assert (other - one) / took <= CALLS_MOST * SIZE.routers
+        before, started_s = received_requests(), time.monotonic()
+        time.sleep(duration_s)
+        after, elapsed_s = received_requests(), time.monotonic() - started_s
+        for count_before, count_after in zip(before, after, strict=True):
+            assert (count_after - count_before) / elapsed_s <= MAX_WATCH_REQUESTS_PER_S * SIZE.routers
 
     def test_a_replica_killed_and_started_again(self) -> None:
         field = self.field()
         field.replicas[0].end()
-        self.assert_in_step(field, "one of two is dead")
+        self.assert_caught_up(field, "one of two is dead")
         assert field.watchers()[0] == 0, "a dead replica has no watchers"
-        self.assert_calls_bounded(field)
+        self.assert_request_rate_bounded(field)
         field.replicas[0].start()
         field.replicas[1].end()
-        self.assert_in_step(field, "the second is dead, the first has restarted")
+        self.assert_caught_up(field, "the second is dead, the first has restarted")
 
-    def test_a_replica_stopped_and_woken(self) -> None:
+    def test_a_replica_suspended_and_continued(self) -> None:
         """A replica is suspended, so that its watch connections stay open and silent, and then continues.
 
         It has nothing new then, and its responses say so.
         """
         field = self.field()
         field.replicas[0].signal(signal.SIGSTOP)
-        self.assert_in_step(field, "one of two is suspended")
+        self.assert_caught_up(field, "one of two is suspended")
         time.sleep(3.0)
         field.replicas[0].signal(signal.SIGCONT)
-        self.assert_in_step(field, "it has continued")
-        self.assert_calls_bounded(field)
+        self.assert_caught_up(field, "it has continued")
+        self.assert_request_rate_bounded(field)
 
     def test_a_replica_cut_from_upstream(self) -> None:
         """A replica that is disconnected from upstream continues to respond.
@@ -86,7 +88,7 @@
         """
         field = self.field()
         field.upstream_relays[0].change(LinkMode.SILENT)
-        self.assert_in_step(field, "one of two is disconnected from upstream")
+        self.assert_caught_up(field, "one of two is disconnected from upstream")
         assert wait_for(lambda: (field.replicas[0].state() or {}).get("stale"), 10), (
             "it reports that it is stale"
         )
@@ -94,9 +96,9 @@
         field.upstream_relays[0].change(LinkMode.PASS)
         field.upstream_relays[0].drop()
         assert wait_for(lambda: not (field.replicas[0].state() or {}).get("stale", True), 10)
-        self.assert_in_step(field, "it is connected again")
+        self.assert_caught_up(field, "it is connected again")
 
-    def test_links_to_watchers_that_lie(self) -> None:
+    def test_links_to_watchers_that_fail(self) -> None:
         """A link to a replica is silent, delayed or one-way, sends garbage, or cuts responses off.
 
         Routers leave the replica behind such a link.
@@ -105,20 +107,20 @@
         for mode in (LinkMode.SILENT, LinkMode.GARBAGE, LinkMode.CUT, LinkMode.DELAY, LinkMode.ONE_WAY):
             with self.subTest(mode=mode.value):
                 field.watcher_relays[0].change(mode)
-                self.assert_in_step(field, mode.value)
-                self.assert_calls_bounded(field, 1.0)
+                self.assert_caught_up(field, mode.value)
+                self.assert_request_rate_bounded(field, 1.0)
                 field.watcher_relays[0].change(LinkMode.PASS)
                 field.watcher_relays[0].drop()
-                self.assert_in_step(field, f"after {mode.value}")
+                self.assert_caught_up(field, f"after {mode.value}")
 
-    def test_a_list_service_that_counts_from_one_again(self) -> None:
+    def test_a_list_service_that_numbers_from_one_again(self) -> None:
         field = self.field()
-        self.assert_in_step(field, "before")
-        self.assert_in_step(field, "before")
+        self.assert_caught_up(field, "before")
+        self.assert_caught_up(field, "before")
         field.order_service(do="restart")
-        self.assert_in_step(field, "numbers are lower than before the restart")
-        self.assert_in_step(field, "numbers are higher than before the restart")
-        self.assert_calls_bounded(field)
+        self.assert_caught_up(field, "numbers are lower than before the restart")
+        self.assert_caught_up(field, "numbers are higher than before the restart")
+        self.assert_request_rate_bounded(field)
 
     def test_half_of_the_routers_on_a_replica_that_lags(self) -> None:
         """One replica's upstream link has a round trip of 0.3 to 0.6 s.
@@ -129,39 +131,39 @@
         field = self.field()
         field.upstream_relays[0].change(LinkMode.DELAY)
         for _ in range(3):
-            self.assert_in_step(field, "one replica lags")
+            self.assert_caught_up(field, "one replica lags")
         field.watcher_relays[1].drop()  # the routers of the fast replica try the other one
-        self.assert_in_step(field, "some routers have moved to the replica that lags")
-        self.assert_calls_bounded(field)
+        self.assert_caught_up(field, "some routers have moved to the replica that lags")
+        self.assert_request_rate_bounded(field)
 
     def test_two_replicas_that_disagree(self) -> None:
         """Two replicas watch different list services, and each has a drain that the other does not have."""
         field = self.field(services=2)
-        one, other = field.service_list
-        field.order_service(one, do="status", server="s-0001", status="leaving")
-        field.order_service(other, do="status", server="s-0002", status="leaving")
+        first_service, second_service = field.service_list
+        field.order_service(first_service, do="status", server="s-0001", status="leaving")
+        field.order_service(second_service, do="status", server="s-0002", status="leaving")
         assert wait_for(lambda: set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, 10)
         field.replicas[0].end()
-        number = field.order_service(other, do="status", server="s-0003", status="leaving")
+        number = field.order_service(second_service, do="status", server="s-0003", status="leaving")
         assert field.is_caught_up(number, SIZE.servers - 2), (
             "all routers have the state of the second replica"
         )
 
-    def test_upstream_dead_for_the_whole_time(self) -> None:
+    def test_an_upstream_that_stays_dead(self) -> None:
         """Upstream is dead: routers keep their endpoint list, and the request rate stays bounded."""
         field = self.field()
-        self.assert_in_step(field, "before")
+        self.assert_caught_up(field, "before")
         field.service.end()
         time.sleep(4.0)  # longer than the lease
         assert all((replica.state() or {}).get("stale") for replica in field.replicas)
-        self.assert_calls_bounded(field)
+        self.assert_request_rate_bounded(field)
         assert set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, (
             "routers keep their endpoint list"
         )
 
 
 class Counts(unittest.TestCase):
-    def test_calls_bytes_and_state_of_a_small_fleet(self) -> None:
+    def test_requests_bytes_and_state_of_a_small_fleet(self) -> None:
         """30 purges at 10 a second: the load of the list service depends on replicas and purges only.
 
         The load of a replica depends on its routers and the batch interval only.  The test checks counts, no
@@ -171,23 +173,29 @@
         with ControlField(SIZE, 2) as field:
             assert field.is_caught_up(1, SIZE.servers)
             before = field.service.ask(do="stats")
-            states = [replica.state() or {} for replica in field.replicas]
+            states_before = [replica.state() or {} for replica in field.replicas]
             field.service.ask(do="purge", rate=rate, seconds=purges / rate)
             assert field.is_caught_up(purges + 1, SIZE.servers)
             after = field.service.ask(do="stats")
-            now = [replica.state() or {} for replica in field.replicas]
-            took_s = (after["now_ns"] - before["now_ns"]) / 1e9
+            states_after = [replica.state() or {} for replica in field.replicas]
+            elapsed_s = (after["now_ns"] - before["now_ns"]) / 1e9
             assert after["n"] == purges + 1
-            calls = after["calls"] - before["calls"]
-            assert calls <= 2 * (purges + 2 * took_s + 2)
-            assert after["bytes_out"] - before["bytes_out"] <= calls * 60 + 2 * purges * 100
-            answers = sum(b["answers"] - a["answers"] for a, b in zip(states, now, strict=True))
-            assert answers <= SIZE.routers * (2.5 * took_s + 2)
-            sent = sum(b["bytes_out"] - a["bytes_out"] for a, b in zip(states, now, strict=True))
-            snapshots = sum(b["snapshots"] - a["snapshots"] for a, b in zip(states, now, strict=True))
-            assert sent <= answers * 90 + SIZE.routers * purges * 100 + snapshots * 12000
-            assert {s["purges"] for s in now} == {purges}
-            assert {s["servers"] for s in now} == {SIZE.servers}
+            watch_requests = after["calls"] - before["calls"]
+            assert watch_requests <= 2 * (purges + 2 * elapsed_s + 2)
+            assert after["bytes_out"] - before["bytes_out"] <= watch_requests * 60 + 2 * purges * 100
+            responses = sum(
+                b["answers"] - a["answers"] for a, b in zip(states_before, states_after, strict=True)
+            )
+            assert responses <= SIZE.routers * (2.5 * elapsed_s + 2)
+            bytes_sent = sum(
+                b["bytes_out"] - a["bytes_out"] for a, b in zip(states_before, states_after, strict=True)
+            )
+            snapshots = sum(
+                b["snapshots"] - a["snapshots"] for a, b in zip(states_before, states_after, strict=True)
+            )
+            assert bytes_sent <= responses * 90 + SIZE.routers * purges * 100 + snapshots * 12000
+            assert {s["purges"] for s in states_after} == {purges}
+            assert {s["servers"] for s in states_after} == {SIZE.servers}
 
 
 class UnderLoad(unittest.TestCase):
@@ -211,18 +219,18 @@
         self.addCleanup(field.__exit__)
         with ClientLoad(field) as load:
             assert wait_for(lambda: load.counts["served"] > 200, 30), load.counts
-            watched: list[int] = []
+            watch_counts: list[int] = []
 
             def all_watch() -> bool:
-                watched[:] = [(replica.state() or {"watches": 0})["watches"] for replica in replicas]
-                return sum(watched) == 4
+                watch_counts[:] = [(replica.state() or {"watches": 0})["watches"] for replica in replicas]
+                return sum(watch_counts) == 4
 
             assert wait_for(all_watch, 20), "all routers watch replicas"
-            dead = watched.index(max(watched))
-            replicas[dead].end()
+            dead_replica = watch_counts.index(max(watch_counts))
+            replicas[dead_replica].end()
             number = field.servers.change("cache-z0", "leaving")
-            other = replicas[1 - dead]
-            assert wait_for(lambda: (other.state() or {}).get("last", 0) >= number, 20)
+            other_replica = replicas[1 - dead_replica]
+            assert wait_for(lambda: (other_replica.state() or {}).get("last", 0) >= number, 20)
             served = load.counts["served"]
             assert wait_for(lambda: load.counts["served"] > served + 200, 30), load.counts
         assert load.counts["lost"] == 0, load.counts
--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -31,7 +31,7 @@
                 "the platform promises that clients hold at most a third"
             )
 
-    def test_the_system_may_give_fewer(self) -> None:
+    def test_a_lower_system_limit_applies(self) -> None:
         """The configured number was used unchecked: under a lower system limit a connect to a server found no
         descriptor and ended the process.
         """
@@ -43,7 +43,7 @@
             limit_to_system_descriptors(config, MIN_DESCRIPTORS - 1)
         assert "the system gives this process 63 descriptors; 64" in str(caught.value)
 
-    def test_a_process_under_a_low_limit_says_so(self) -> None:
+    def test_a_process_under_a_low_limit_reports_it(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             path.write_bytes(orjson.dumps({**EXAMPLE, "listen": "127.0.0.1:9"}))
@@ -59,7 +59,7 @@
         assert "limits.sockets" in run.stderr
 
 
-class NoneLeft(unittest.TestCase):
+class Exhaustion(unittest.TestCase):
     def test_a_connect_closes_an_idle_client(self) -> None:
         """``dial`` created a new socket in the handler of the error that reports missing descriptors.  The
         error was raised again and ended the process with all its open requests.
@@ -77,7 +77,7 @@
         t.run_until(active.responses, "the request is served")
         assert active.responses() == [[1, 1, None, [b"by", {}]]]
 
-    def test_a_dial_that_cannot_be_made_ends_in_an_answer(self) -> None:
+    def test_a_connect_without_descriptors_ends_in_a_rejection(self) -> None:
         t = LoopHarness(self)
         t.run_until(t.accept_from_router("feed").read, "a watch request is sent")
         client = t.client()
@@ -106,7 +106,7 @@
         t.iterate(500 * MS)
         t.run_until(t.accept_from_router("feed").read, "a watch request is sent")
 
-    def test_a_listener_that_cannot_accept_is_left_alone_for_a_while(self) -> None:
+    def test_a_listener_that_cannot_accept_is_paused(self) -> None:
         """The listener was ready in every iteration: the loop spun and logged a line each time."""
         t = LoopHarness(self)
         clients = [t.client()]
--- a/tests/core/test_gone.py
+++ b/tests/core/test_gone.py
@@ -16,7 +16,7 @@
     return bytes(msgpack.packb([2, "cancel", [number]]))
 
 
-class Gone(unittest.TestCase):
+class DisconnectedClients(unittest.TestCase):
     def client_with_attempt(self, t: LoopHarness) -> tuple[Peer, Peer]:
         """A client whose attempt is in flight, and the cache that received it."""
         client = t.client()
@@ -32,7 +32,7 @@
         for name in ("cache1", "parent", "origin"):
             t.assert_no_connect(name)
 
-    def test_no_further_attempt_behind_a_close_in_the_same_turn(self) -> None:
+    def test_no_further_attempt_after_a_close_in_the_same_iteration(self) -> None:
         """An attempt was sent for a disconnected client: servers' sockets were read before clients' sockets,
         so a server's miss led to the next attempt before the client's close was read.
         """
@@ -44,7 +44,7 @@
                 cache.send(server_response(cache.attempt_ids()[0], b"", b"LACK", b"-"))
                 self.assert_no_further_attempt(t, cache)
 
-    def test_no_further_attempt_behind_a_close_in_a_long_turn(self) -> None:
+    def test_no_further_attempt_after_a_close_in_a_long_iteration(self) -> None:
         """The client closes its connection while responses of other servers are being read."""
         t = LoopHarness(self, listed=("cache1", "cache2", "parent", "origin"))
         client, other = t.client(), t.client()
@@ -87,7 +87,7 @@
         for name in ("cache1", "cache2", "parent", "origin"):
             t.assert_no_connect(name)
 
-    def test_a_request_with_its_close_unread_is_not_sent_on(self) -> None:
+    def test_a_request_with_its_close_unread_is_not_forwarded(self) -> None:
         """A router short of CPU read a request half a second late, and sent its attempt before it read the
         close that followed the request.
         """
@@ -136,7 +136,7 @@
                 assert cache.read() == b""
                 assert t.loop.reducer.state.attempts == {}
 
-    def test_a_request_that_is_read_and_not_taken_can_be_cancelled(self) -> None:
+    def test_a_request_that_is_read_and_not_admitted_can_be_cancelled(self) -> None:
         t = LoopHarness(self)
         client, cache = self.client_with_attempt(t)
         t.tick_ns = 2 * CLIENT_REQUESTS_TURN_NS  # each clock reading uses up the iteration's time
@@ -152,7 +152,7 @@
         client.send(client_request(3))
         t.run_until(lambda: t.loop.reducer.state.counters["taken"] == 2, "later requests are admitted")
 
-    def test_time_between_reading_and_taking_counts(self) -> None:
+    def test_time_between_reading_and_admission_counts(self) -> None:
         """A request's remaining time counts from when the client sent it, wherever the request waits."""
         t = LoopHarness(self)
         client, _cache = self.client_with_attempt(t)
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -123,7 +123,7 @@
                             place if group == "cell" else place[0]
                         ), (group, seed)
 
-    def test_past_the_window_it_is_refused_or_fails_without_a_send(self) -> None:
+    def test_a_retry_past_the_window_is_rejected_or_fails_without_a_send(self) -> None:
         for group, expected in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
             v = keyed_router(group, {"silent": 1.0}, window=S)
             first, late = schedule_order(v, 0, "k"), schedule_order(v, 2 * S, "k")
@@ -132,7 +132,7 @@
             assert v.records[late.trace_id].attempts == []
             assert isinstance(v.records[late.trace_id].final_effects[0][1], expected)
 
-    def test_what_certainly_did_not_run_binds_nothing(self) -> None:
+    def test_a_send_that_did_not_run_does_not_limit_retries(self) -> None:
         v = keyed_router("zone", {"wait": 1.0}, window=S)
         schedule_order(v, 0, "k")
         late = schedule_order(v, 2 * S, "k")
@@ -157,7 +157,7 @@
                         assert isinstance(v.records[request.trace_id].final_effects[0][1], expected)
                 (self.assertEqual if retry else self.assertGreaterEqual)(sends, expected_sends, group)
 
-    def test_two_of_one_key_are_never_out_together(self) -> None:
+    def test_two_requests_of_one_key_are_never_in_flight_together(self) -> None:
         for group, expected in (("all", effects.RejectRequest), ("zone", effects.FailRequest)):
             v = keyed_router(group, {"silent": 1.0})
             first, second = schedule_order(v, 0, "k"), schedule_order(v, 100 * MS, "k")
@@ -166,7 +166,7 @@
             assert v.records[second.trace_id].attempts == []
             assert isinstance(v.records[second.trace_id].final_effects[0][1], expected)
 
-    def test_tables_are_empty_after_a_storm(self) -> None:
+    def test_tables_are_empty_after_many_requests(self) -> None:
         v, random = keyed_router("all", {"silent": 0.3, "done": 0.5, "broke": 0.2}), Random(4)
         for _ in range(300):
             schedule_order(v, random.randrange(20 * S), str(random.randrange(60)))
@@ -187,7 +187,7 @@
     def final_response_types(self, v: VirtualRouter, request: inputs.ClientRequest) -> list[type]:
         return [type(f) for _, f in v.records[request.trace_id].final_effects]
 
-    def test_a_class_that_becomes_keyed_takes_clients_with_and_without_a_key(self) -> None:
+    def test_a_class_that_becomes_keyed_admits_requests_with_and_without_a_key(self) -> None:
         """Requests of clients that did not send a key yet failed immediately after the reload."""
         v = keyed_router("all", {"done": 1.0})
         self.schedule_reload(v, 0, idempotency="safe", dedup_window_ns=0)
@@ -204,7 +204,7 @@
             [effects.SendResponse],
         ]
 
-    def test_within_the_passage_it_runs_once_and_its_retry_after_it_is_bound(self) -> None:
+    def test_a_request_in_the_transition_runs_once_and_its_later_retry_is_limited(self) -> None:
         v = keyed_router("zone", {"silent": 1.0}, window=S)
         self.schedule_reload(v, 0, idempotency="safe", dedup_window_ns=0)
         self.schedule_reload(v, 10 * S, idempotency="keyed", dedup_window_ns=S)
@@ -215,7 +215,7 @@
             "a rejection would let the client execute it through another router"
         )
 
-    def test_a_window_that_shrinks_binds_at_once(self) -> None:
+    def test_a_shorter_window_applies_immediately(self) -> None:
         for window, sends in ((5 * S, 1), (S, 0)):
             v = keyed_router("all", {"silent": 1.0}, window=5 * S)
             first = schedule_order(v, 0, "k")
@@ -224,7 +224,7 @@
             v.run(20 * S)
             assert [len(v.records[c.trace_id].attempts) for c in (first, retry)] == [1, sends], window
 
-    def test_a_class_that_goes_and_comes_back_remembers_its_keys(self) -> None:
+    def test_a_class_that_is_removed_and_added_again_keeps_its_keys(self) -> None:
         v = keyed_router("all", {"silent": 1.0}, window=S)
         schedule_order(v, 0, "k")
         raw = copy.deepcopy(v.config.raw)
@@ -241,6 +241,6 @@
 
 class OnTheWire(unittest.TestCase):
     def test_retry_of_a_key(self) -> None:
-        Player(self, ONE_CACHE, orders={**KEYED_CLASS, "dedup_window_ns": S, "group": "zone"}).play(
+        Player(self, ONE_CACHE, order_class={**KEYED_CLASS, "dedup_window_ns": S, "group": "zone"}).play(
             "nonce_retry.txt"
         )
--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -29,15 +29,15 @@
 from tests.support.reducer_fixtures import GOOD_RESPONSE, NOW, TRACE, client_request, effects_of_type, router
 
 
-class Parts(unittest.TestCase):
-    def test_patience_counts_from_the_send(self) -> None:
+class Components(unittest.TestCase):
+    def test_remaining_time_counts_from_the_send(self) -> None:
         """Requests that had waited unread in a busy router were served after their clients' deadlines."""
         data = msgpack.packb([0, 1, "page", [{"trace": TRACE, "patience": "900", "entity": TRACE}, b""]])
         (request,) = ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(data), 400 * MS)
         assert isinstance(request, inputs.ClientRequest)
         assert request.remaining_time_ns == 500 * MS
 
-    def test_bad_requests_are_not_sent_on(self) -> None:
+    def test_bad_requests_are_not_forwarded(self) -> None:
         """Servers answer bad requests with an error or a close, which counted against the servers and against
         other clients' requests.
         """
@@ -89,7 +89,7 @@
                 memoryview(b"".join([*requests, msgpack.packb([2, "cancel", [1]])]))
             )
 
-    def test_silent_and_idle_clients_make_room(self) -> None:
+    def test_silent_and_idle_clients_are_closed(self) -> None:
         """Clients that sent one request and stayed connected used up all places: no other client was accepted
         until they disconnected.
         """
@@ -144,7 +144,7 @@
         (attempt,) = effects_of_type(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
         assert attempt.max_age_ms > 0
 
-    def test_a_given_up_id_is_kept_off_its_connection(self) -> None:
+    def test_a_cancelled_id_is_kept_off_its_connection(self) -> None:
         """A response that crossed its KILL on the wire would be matched to the next attempt with that id."""
         r = router()
         (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
@@ -161,7 +161,7 @@
         )
         assert r.handle(NOW, late) == []
 
-    def test_an_answered_id_is_kept_off_its_connection(self) -> None:
+    def test_a_completed_id_is_kept_off_its_connection(self) -> None:
         """A duplicate of a miss ended the next attempt while its server still executed it, so a request that
         must not be executed twice was.
         """
@@ -183,7 +183,7 @@
         assert r.handle(NOW, miss) == []
         assert len(r.state.attempts) == 1
 
-    def test_reset_of_a_new_connection_is_no_evidence(self) -> None:
+    def test_reset_of_a_new_connection_does_not_eject_its_server(self) -> None:
         """The reset counted as a refused connection: the server was ejected, and later treated as cold."""
         r = router()
         (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
@@ -206,7 +206,7 @@
         r.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNREFUSED", True))
         assert any(n.is_ejected for n in r.state.policy.endpoints.values())
 
-    def test_a_quiet_connection_is_given_up(self) -> None:
+    def test_a_silent_connection_is_closed(self) -> None:
         """Responses never arrived on a connection that stayed open; as the fullest connection it was given
         all attempts for its server.
         """
@@ -250,13 +250,13 @@
             == 3
         )
 
-    def test_a_connection_behind_slow_fills_is_asked_before_it_is_given_up(self) -> None:
+    def test_a_connection_with_slow_fills_is_health_checked_before_it_is_closed(self) -> None:
         """While the origin was slow, attempts that waited for it gathered on a few connections.  Each
         connection was closed after half a second and all its attempts were sent again, to every cache of the
         zone, for twelve seconds: 352 of 3,533 attempts in one router, with half of all requests served in
         time.
         """
-        for answers in (True, False):
+        for responds in (True, False):
             r = router()
             r.state.settings = replace(
                 r.state.settings, limits=replace(r.state.settings.limits, may_probe=True)
@@ -273,23 +273,30 @@
             for number in (2, 3, 4):
                 r.handle(NOW + MS, client_request(number, remaining_ms=4_900))
             effect_list = r.handle(silence_timer.at_ns, inputs.TimerFired(silence_timer.key))
-            (check,) = effects_of_type(effects.SendHealthCheck, effect_list)
-            assert (check.connection, effects_of_type(effects.CloseServerConnection, effect_list)) == (
+            (health_check,) = effects_of_type(effects.SendHealthCheck, effect_list)
+            assert (health_check.connection, effects_of_type(effects.CloseServerConnection, effect_list)) == (
                 opening.connection,
                 [],
             )
-            if answers:
+            if responds:
                 check_response = inputs.ServerResponse(
-                    opening.connection, check.attempt_id, Outcome.OK, FillResult.NONE, 0, {}, False, b""
+                    opening.connection,
+                    health_check.attempt_id,
+                    Outcome.OK,
+                    FillResult.NONE,
+                    0,
+                    {},
+                    False,
+                    b"",
                 )
                 r.handle(silence_timer.at_ns + MS, check_response)
             due = NOW + r.attempts.response_times.silence_timeout_ns()
             effect_list = r.handle(due, inputs.TimerFired(silence_timer.key))
-            assert bool(effects_of_type(effects.CloseServerConnection, effect_list)) == (not answers)
+            assert bool(effects_of_type(effects.CloseServerConnection, effect_list)) == (not responds)
             assert len(r.state.attempts) == 4, "the attempts are still in flight, or wait to be sent again"
-            if answers:  # another check follows after the same silence
+            if responds:  # another check follows after the same silence
                 due = silence_timer.at_ns + MS + r.attempts.response_times.silence_timeout_ns()
-                (check,) = effects_of_type(
+                (health_check,) = effects_of_type(
                     effects.SendHealthCheck, r.handle(due, inputs.TimerFired(silence_timer.key))
                 )
                 assert effects_of_type(
@@ -297,7 +304,7 @@
                     r.handle(due + 200 * MS, inputs.TimerFired(silence_timer.key)),
                 )
 
-    def test_few_share_a_connection_and_an_order_shares_none(self) -> None:
+    def test_few_attempts_share_a_connection_and_an_order_shares_none(self) -> None:
         """One response that could not be decoded failed 28 requests, among them orders, which cannot be
         retried.
         """
@@ -344,7 +351,7 @@
         (attempt,) = effects_of_type(effects.SendAttempt, r.handle(NOW + MS, client_request(2)))
         assert attempt.max_age_ms == 1
 
-    def test_answers_in_any_pieces(self) -> None:
+    def test_responses_in_any_chunks(self) -> None:
         """Code compiled by mypyc took the codec's body as absent forever.  Every split of the bytes must
         decode to the same responses.
         """
@@ -382,7 +389,7 @@
                 )
                 assert codec.error != ""
 
-    def test_a_body_said_to_be_longer_is_not_passed_on(self) -> None:
+    def test_a_body_with_too_large_a_length_is_not_forwarded(self) -> None:
         """A body with too large a length took four bytes from the start of the next response, and the bytes
         that it took end as a body does.
         """
@@ -392,23 +399,23 @@
         )
         assert codec.error != ""
 
-    def test_backlog_keeps_bytes_and_gives_buffers_back(self) -> None:
+    def test_a_write_buffer_keeps_bytes_and_releases_buffers(self) -> None:
         pool = BufferPool(64)
         sender, receiver = socket.socketpair()
         self.addCleanup(sender.close)
         self.addCleanup(receiver.close)
         sender.setblocking(False)
-        backlog, sent = WriteBuffer(pool), [bytes([n]) * 300_000 for n in range(8)]
+        write_buffer, sent = WriteBuffer(pool), [bytes([n]) * 300_000 for n in range(8)]
         for chunk in sent:
-            backlog.add([chunk])
-            assert backlog.write(sender)
+            write_buffer.add([chunk])
+            assert write_buffer.write(sender)
         assert pool.in_use > 0
         received = b""
         while len(received) < 8 * 300_000:
             received += receiver.recv(1 << 20)
-            assert backlog.write(sender)
+            assert write_buffer.write(sender)
         assert received == b"".join(sent)
-        assert (pool.in_use, backlog.stored_bytes()) == (0, 0)
+        assert (pool.in_use, write_buffer.stored_bytes()) == (0, 0)
 
 
 if __name__ == "__main__":
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -28,7 +28,7 @@
         cache.send(server_response(cache.attempt_ids()[1]))
         t.run_until(lambda: len(client.responses()) == 2, "the response arrives")
 
-    def test_a_request_that_crosses_the_close_is_not_sent_on(self) -> None:
+    def test_a_request_that_crosses_the_close_is_not_forwarded(self) -> None:
         """A request that arrives after the router has shut down its side is discarded without a reset.
 
         The client sends it again on a new connection.  A reset would also discard the responses that the
@@ -104,7 +104,7 @@
         assert not client.reset
         assert body in client.received
 
-    def test_one_line_names_a_bad_client(self) -> None:
+    def test_a_malformed_client_is_logged_once(self) -> None:
         t = LoopHarness(self)
         client = t.client()
         client.send(b"\xc1")
@@ -114,11 +114,11 @@
         assert "malformed" in losses[0].text
 
 
-class Ending(unittest.TestCase):
+class Shutdown(unittest.TestCase):
     def begin_shutdown(self, t: LoopHarness) -> None:
         t.loop.signals.handle(bytes([signal.SIGTERM]))
 
-    def test_a_request_that_waits_unread_puts_the_end_off(self) -> None:
+    def test_a_request_that_waits_unread_delays_the_exit(self) -> None:
         """A router short of CPU exited with unread requests in its sockets, as it counted read ones only."""
         t = LoopHarness(self)
         client, cache = t.served_client()
@@ -155,7 +155,7 @@
         numbers = [entry[1] for entry in t.loop.timers]
         assert len(set(numbers)) == len(numbers)
 
-    def test_the_end_is_not_put_off_for_ever(self) -> None:
+    def test_the_exit_is_not_delayed_forever(self) -> None:
         t = LoopHarness(self)
         client = t.client()
         self.begin_shutdown(t)
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -88,7 +88,7 @@
         assert [json.loads(event or b"") for event in found] == events
         assert json.loads(splitter.end()) == {**raw, "events": []}
 
-    def test_what_is_too_long_is_left_out_or_refused(self) -> None:
+    def test_a_long_event_is_skipped_and_a_long_envelope_is_an_error(self) -> None:
         long_event = {"n": 2, "filler": [["x" * 1_000]] * (MAX_EVENT_BYTES // 1_000 + 10)}
         splitter, found = EventSplitter(), list[bytes | None]()
         max_pending = 0
@@ -133,7 +133,7 @@
         )
         assert len(codec.body) < MAX_UNSPLIT_RESPONSE_BYTES + 1
 
-    def test_events_that_cannot_be_used_are_named_and_the_rest_is_taken(self) -> None:
+    def test_unusable_events_are_reported_and_the_others_are_kept(self) -> None:
         filler = [purge(n) for n in range(2, 5_000)]
         unusable = [{"n": 5_000, "purge": {}}, [1], {"n": 5_001, "members": {"endpoints": [{}]}}]
         responses = decode(
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -67,7 +67,7 @@
         self.assert_nothing_left(t)
         assert len([log for log in t.logged if log.event == "client.lost"]) <= 1
 
-    def test_an_answer_that_never_ends(self) -> None:
+    def test_a_response_that_never_ends(self) -> None:
         """A server announces a quarter of a megabyte and then stops sending.
 
         The router closes the connection, serves other requests, and retries the request if it may run again.
@@ -85,7 +85,7 @@
         t.run_until(lambda: len(other.responses()) == 2, "the response arrives")
         self.assert_nothing_left(t)
 
-    def test_a_second_answer_some_milliseconds_later(self) -> None:
+    def test_a_second_response_some_milliseconds_later(self) -> None:
         t = LoopHarness(self)
         client, cache = t.served_client()
         cache.send(server_response(cache.attempt_ids()[0], b"other"))
@@ -94,7 +94,7 @@
         assert len(client.responses()) == 2
         self.assert_nothing_left(t)
 
-    def test_a_client_that_breaks_off_in_the_middle(self) -> None:
+    def test_a_client_that_resets_within_a_request(self) -> None:
         t = LoopHarness(self)
         other, cache = t.served_client()
         partial_sender = t.client()
--- a/tests/net/test_link_ends.py
+++ b/tests/net/test_link_ends.py
@@ -8,7 +8,7 @@
 from tests.support.loop_turns import MS, SECOND, LoopHarness, Peer, client_request, server_response
 
 
-class Ends(unittest.TestCase):
+class ConnectionEnds(unittest.TestCase):
     def send_order(self, t: LoopHarness, client: Peer, number: int, body: bytes = b"dish") -> None:
         client.send(client_request(number, class_name="order", body=body))
 
@@ -32,7 +32,7 @@
         assert client.responses()[-1] == [1, count, None, [b"taken", {}]]
         assert len(cache.attempt_ids()) == 1
 
-    def test_an_end_in_the_turn_in_which_the_connection_is_chosen(self) -> None:
+    def test_an_end_in_the_iteration_that_selects_the_connection(self) -> None:
         """An order was written to a connection that its server had closed without the router noticing.
 
         An order must not run twice; as the router could not exclude that it had run, the request failed.
@@ -149,7 +149,7 @@
         self.send_order(t, client, 2)
         t.run_until(lambda: len(cache.attempt_ids()) == 2, "the connection is used again")
 
-    def test_an_answer_and_its_deadline_in_one_turn(self) -> None:
+    def test_a_response_and_its_timeout_in_one_iteration(self) -> None:
         """A response that has arrived is forwarded; the timeout due in the same iteration has no effect."""
         t = LoopHarness(self)
         client = t.client()
@@ -164,7 +164,7 @@
         t.iterate(500 * MS)
         assert client.responses() == [[1, 1, None, [b"by", {}]]]
 
-    def test_a_connection_given_up_in_the_turn_in_which_it_stands(self) -> None:
+    def test_a_connect_that_times_out_in_the_iteration_that_completes_it(self) -> None:
         """A connection is established just after its connect timeout: no attempt is sent on it."""
         t = LoopHarness(self)
         client = t.client()
@@ -177,7 +177,7 @@
         assert len(cache.attempt_ids()) <= 1
         assert len(t.loop.servers.open) == len(t.loop.reducer.state.connections.by_number)
 
-    def test_a_keep_response_must_name_the_copy_of_the_client(self) -> None:
+    def test_a_keep_response_must_name_the_copy_that_the_client_named(self) -> None:
         """A KEEP response was forwarded although it did not name the copy that the client had named."""
         for cached, named in (
             (None, "4be0c1927d55a6f3"),
--- a/tests/net/test_listeners.py
+++ b/tests/net/test_listeners.py
@@ -19,7 +19,7 @@
 
 
 class Adopt(unittest.TestCase):
-    def test_a_listening_socket_is_served_on(self) -> None:
+    def test_a_listening_socket_is_adopted(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             sock = adopt_listener(os.dup(listener.fileno()))
             self.addCleanup(sock.close)
@@ -29,7 +29,7 @@
             accepted, _ = sock.accept()
             accepted.close()
 
-    def test_what_is_not_a_listening_tcp_socket_is_refused_and_left_open(self) -> None:
+    def test_another_descriptor_is_rejected_and_left_open(self) -> None:
         read, write = os.pipe()
         self.addCleanup(os.close, read)
         self.addCleanup(os.close, write)
@@ -71,7 +71,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             path.write_bytes(orjson.dumps(EXAMPLE))
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "kelpcroft"],
                 cwd=ROOT,
                 capture_output=True,
@@ -80,10 +80,10 @@
                 pass_fds=(idle.fileno(),),
                 env={**os.environ, "ROUTER_CONFIG": str(path), "ROUTER_FD": str(idle.fileno())},
             )
-        assert done.returncode == 2, done.stderr
-        assert done.stderr.count("\n") == 1, done.stderr
-        assert "ROUTER_FD: descriptor" in done.stderr
-        assert "does not listen" in done.stderr
+        assert completed.returncode == 2, completed.stderr
+        assert completed.stderr.count("\n") == 1, completed.stderr
+        assert "ROUTER_FD: descriptor" in completed.stderr
+        assert "does not listen" in completed.stderr
 
 
 if __name__ == "__main__":
--- a/tests/program/test_control.py
+++ b/tests/program/test_control.py
@@ -25,7 +25,7 @@
 
 
 class Codec(unittest.TestCase):
-    def test_calls_in_any_pieces(self) -> None:
+    def test_requests_in_any_chunks(self) -> None:
         for size in (1, 2, 7, len(READY)):
             codec, results = ControlCodec(), []
             for start in range(0, len(READY), size):
@@ -41,7 +41,7 @@
         ):
             assert ControlCodec().receive_data(text) is verb
 
-    def test_an_invalid_request_is_answered_and_nothing_more_is_read(self) -> None:
+    def test_an_invalid_request_gets_an_error_and_nothing_more_is_read(self) -> None:
         cases = [
             (b"GET /control HTTP/1.1\r\n\r\n", 404),
             (b"GET /control/out-of-service HTTP/1.1\r\n\r\n", 405),
@@ -72,7 +72,7 @@
         assert isinstance(allowed, bytes)
         assert b"Allow: GET, HEAD\r\n" in allowed
 
-    def test_a_head_is_counted_before_it_is_kept(self) -> None:
+    def test_a_request_head_has_a_maximum_size(self) -> None:
         """An endless request head is rejected at the size limit, so that it cannot exhaust the memory."""
         codec = ControlCodec()
         response = codec.receive_data(b"GET /control/ready HTTP/1.1\r\n")
@@ -83,7 +83,7 @@
         assert status(response) == 431
         assert codec.head_bytes <= MAX_HEAD_BYTES
 
-    def test_half_a_call_is_partial(self) -> None:
+    def test_half_a_request_is_partial(self) -> None:
         codec = ControlCodec()
         assert codec.receive_data(b"GET /control/re") is None
         assert codec.has_partial_message()
--- a/tests/program/test_exchanges.py
+++ b/tests/program/test_exchanges.py
@@ -29,7 +29,7 @@
         """The idempotency key of keyed classes was neither read nor forwarded: servers, which drop repeats by
         key, executed each attempt as a new request.
         """
-        Player(self, ONE_CACHE, orders=KEYED_CLASS).play("nonce.txt")
+        Player(self, ONE_CACHE, order_class=KEYED_CLASS).play("nonce.txt")
 
     def test_size(self) -> None:
         """A reported size was discarded.  An invalid size is treated as not reported."""
--- a/tests/program/test_handover.py
+++ b/tests/program/test_handover.py
@@ -17,7 +17,7 @@
 
 
 class File(unittest.TestCase):
-    def test_what_is_written_is_read(self) -> None:
+    def test_a_written_record_is_read_back(self) -> None:
         data = encode("n3", 4711, NOW, False, NOW - SECOND)
         assert decode(data, "n3", NOW + SECOND) == (HandoverRecord(False, NOW - SECOND, NOW, 4711), "")
         assert file_path("/run/x/", "n3") == "/run/x/kelpcroft-n3.json"
@@ -63,7 +63,7 @@
             assert record is not None
             assert (record.in_service, record.pid) == (True, os.getpid()), "its own state is the later one"
 
-    def test_what_is_not_taken(self) -> None:
+    def test_unusable_records_are_rejected(self) -> None:
         good = orjson.loads(encode("n3", 4711, NOW, True, NOW))
         cases = [
             (b"x" * (MAX_FILE_BYTES + 1), "is over"),
--- a/tests/program/test_routes_loopback.py
+++ b/tests/program/test_routes_loopback.py
@@ -13,8 +13,8 @@
 from testbed.stand_ins import MS, ScriptedReply, ServerCommand, StandInServers, answer_at_once
 
 HEAD = 'kelpcroft version=1\nroute "orders" { match class="order"; timeout "1.5s"; attempts most=1; }\n'
-ONE = ("cache1", "parent", "origin")
-LONG = 10_000  # client timeout in ms, which no test here reaches
+ONE_CACHE = ("cache1", "parent", "origin")
+LONG_TIMEOUT_MS = 10_000  # client timeout in ms, which no test here reaches
 SETTINGS = {
     "classes": [
         {
@@ -22,7 +22,7 @@
             "idempotency": "safe",
             "aim_ns": 250 * MS,
             "aim_stretch": 2.0,
-            "give_up_ns": LONG * MS,
+            "give_up_ns": LONG_TIMEOUT_MS * MS,
             "credit": 1.0,
             "late_value": 0.2,
         },
@@ -30,7 +30,7 @@
             "name": "order",
             "idempotency": "unsafe",
             "aim_ns": 700 * MS,
-            "give_up_ns": LONG * MS,
+            "give_up_ns": LONG_TIMEOUT_MS * MS,
             "credit": 3.0,
         },
     ]
@@ -60,10 +60,10 @@
         stand_ins = StandInServers(script, servers)
         router = self.start(stand_ins, rules)
         return stand_ins, router.client().request(
-            class_name, patience_ms=LONG, body=b"dish" if class_name == "order" else b""
+            class_name, patience_ms=LONG_TIMEOUT_MS, body=b"dish" if class_name == "order" else b""
         )
 
-    def test_errors_are_tried_again_as_often_as_declared(self) -> None:
+    def test_errors_are_retried_as_often_as_declared(self) -> None:
         for maximum in (1, 2):
             with self.subTest(most=maximum):
                 stand_ins, response = self.request_once(
@@ -72,13 +72,13 @@
                 assert (response.kind, response.fields) == ("refused", {"pause": "120"})
                 assert len(stand_ins.requests()) == maximum
 
-    def test_an_outcome_that_is_not_named_is_not_tried_again(self) -> None:
+    def test_an_outcome_that_is_not_named_is_not_retried(self) -> None:
         stand_ins, response = self.request_once(
             always("BROKE"), 'route "rest" { match; attempts most=3 on="timeout,reset"; }'
         )
         assert (response.kind, len(stand_ins.requests())) == ("refused", 1)
 
-    def test_resets_and_cut_answers_count_as_attempts(self) -> None:
+    def test_resets_and_cut_responses_count_as_attempts(self) -> None:
         for reply in ("reset", "cut"):
             with self.subTest(word=reply):
                 stand_ins, response = self.request_once(
@@ -97,12 +97,12 @@
     def test_a_refused_connection_is_a_move(self) -> None:
         for maximum, kind in ((0, "refused"), (4, "served")):
             with self.subTest(most=maximum):
-                stand_ins = StandInServers(answer_at_once, ONE)
+                stand_ins = StandInServers(answer_at_once, ONE_CACHE)
                 stand_ins.refuse_connections("cache1")
                 router = self.start(
                     stand_ins, f'route "rest" {{ match; attempts most=1; moves most={maximum}; }}'
                 )
-                assert router.client().request("page", patience_ms=LONG).kind == kind
+                assert router.client().request("page", patience_ms=LONG_TIMEOUT_MS).kind == kind
 
     def test_a_silent_server_costs_an_attempt_timeout(self) -> None:
         stand_ins, response = self.request_once(
@@ -111,7 +111,7 @@
         first, second = stand_ins.requests()
         assert second.received_ns - first.received_ns >= 145 * MS
         assert response.kind == "refused"
-        assert 300 <= response.latency_ms < LONG / 2, response
+        assert 300 <= response.latency_ms < LONG_TIMEOUT_MS / 2, response
         assert int(first.fields["limit"]) <= 150, "the server receives the attempt timeout"
 
     def test_a_late_response_is_ignored(self) -> None:
@@ -121,9 +121,9 @@
         )
         router = self.start(stand_ins, 'route "rest" { match; attempt timeout="100ms"; attempts most=1; }')
         client = router.client()
-        late = client.request("page", patience_ms=LONG, part=1)
+        late = client.request("page", patience_ms=LONG_TIMEOUT_MS, part=1)
         assert late.kind == "refused"
-        kinds = [client.request("page", patience_ms=LONG, part=n).kind for n in range(2, 60)]
+        kinds = [client.request("page", patience_ms=LONG_TIMEOUT_MS, part=n).kind for n in range(2, 60)]
         assert set(kinds) == {"served"}
         with stand_ins.lock:
             assert [command.verb for command in stand_ins.commands if command.fields.get("chunk") == "1"] == [
@@ -138,7 +138,7 @@
                     always("silent"), f'route "rest" {{ match; timeout "{timeout}"; pause "90ms"; }}'
                 )
                 assert (response.kind, response.fields) == ("refused", {"pause": "90"})
-                assert 395 <= response.latency_ms < LONG / 2, response
+                assert 395 <= response.latency_ms < LONG_TIMEOUT_MS / 2, response
 
     def test_a_backoff_separates_attempts(self) -> None:
         stand_ins, _response = self.request_once(
@@ -157,14 +157,14 @@
 
         stand_ins = StandInServers(script)
         router = self.start(stand_ins, 'route "rest" { match; copies most=1 after="200ms"; }')
-        response = router.client().request("page", patience_ms=LONG)
+        response = router.client().request("page", patience_ms=LONG_TIMEOUT_MS)
         first, second = stand_ins.requests()
         assert (response.kind, response.body.decode()) == ("served", second.server)
         assert first.server != second.server
         assert second.received_ns - first.received_ns >= 195 * MS
         assert response.latency_ms >= 195
 
-    def test_a_copy_after_a_quantile_waits_for_its_least(self) -> None:
+    def test_a_hedge_after_a_quantile_waits_for_its_minimum(self) -> None:
         """Responses take 5 ms; a request without a response is hedged, but not before 'least'."""
 
         def script(server: str, command: ServerCommand) -> ScriptedReply:
@@ -179,39 +179,41 @@
         router = self.start(stand_ins, 'route "rest" { match; copies most=1 after="p95" least="120ms"; }')
         client = router.client()
         for part in range(60):
-            assert client.request("page", patience_ms=LONG, part=part).kind == "served"
-        request_id = client.send_request("page", patience_ms=LONG, part=99)
+            assert client.request("page", patience_ms=LONG_TIMEOUT_MS, part=part).kind == "served"
+        request_id = client.send_request("page", patience_ms=LONG_TIMEOUT_MS, part=99)
         (response,) = client.responses(1)
         first, second = stand_ins.requests(request_id)
         assert response.kind == "served"
         assert second.received_ns - first.received_ns >= 115 * MS
 
-    def test_a_budget_denies_at_once(self) -> None:
+    def test_an_exhausted_budget_rejects_immediately(self) -> None:
         stand_ins = StandInServers(always("BROKE"))
         router = self.start(
             stand_ins,
             'budget "b" ratio=0.0 burst=2\nroute "rest" { match; attempts most=2 budget="b"; pause "80ms"; }',
         )
         client = router.client()
-        responses = [client.request("page", patience_ms=LONG, object=f"{n:016x}") for n in range(5)]
+        responses = [
+            client.request("page", patience_ms=LONG_TIMEOUT_MS, object=f"{n:016x}") for n in range(5)
+        ]
         assert len(stand_ins.requests()) == 5 + 2, "the budget has two tokens for retries"
         assert {(a.kind, a.fields["pause"]) for a in responses} == {("refused", "80")}
 
-    def test_a_limit_refuses_what_is_over_it(self) -> None:
+    def test_a_limit_rejects_requests_over_it(self) -> None:
         stand_ins = StandInServers(always("DONE", 400))
         router = self.start(stand_ins, 'route "rest" { match; limit open=3; pause "70ms"; }')
         client = router.client()
         for part in range(8):
-            client.send_request("page", patience_ms=LONG, part=part)
+            client.send_request("page", patience_ms=LONG_TIMEOUT_MS, part=part)
         kinds = [a.kind for a in client.responses(8)]
         assert sorted(kinds) == ["refused"] * 5 + ["served"] * 3
         assert kinds[:5] == ["refused"] * 5, "rejected immediately: before the first is served"
         assert len(stand_ins.requests()) == 3
-        assert client.request("page", patience_ms=LONG).kind == "served", (
+        assert client.request("page", patience_ms=LONG_TIMEOUT_MS).kind == "served", (
             "the open requests have been released"
         )
 
-    def test_each_request_is_treated_as_its_route_says(self) -> None:
+    def test_each_request_follows_its_own_route(self) -> None:
         stand_ins = StandInServers(always("BROKE"))
         router = self.start(
             stand_ins,
@@ -226,7 +228,9 @@
             ({"object": "0" * 16}, "33"),
             ({"group": 3}, "33"),
         ):
-            assert client.request("page", patience_ms=LONG, **fields).fields["pause"] == pause, fields
+            assert client.request("page", patience_ms=LONG_TIMEOUT_MS, **fields).fields["pause"] == pause, (
+                fields
+            )
 
     def test_an_order_reaches_a_server_at_most_once(self) -> None:
         """With every kind of failure, and a reload of the file while the order is in flight."""
@@ -261,21 +265,21 @@
         stand_ins = StandInServers(always("BROKE"))
         router = self.start(stand_ins, 'route "rest" { match; attempts most=1; pause "10ms"; }')
         client = router.client()
-        assert client.request("page", patience_ms=LONG).fields == {"pause": "10"}
+        assert client.request("page", patience_ms=LONG_TIMEOUT_MS).fields == {"pause": "10"}
         event = router.reload_rules(
             HEAD + 'route "rest" { match; attempts most=1; pause "20"; limit open=0; }'
         )
         assert (event["event"], event["faults"]) == ("rules.refused", 2)
         assert "rules.kdl:3:" in event["first"]
         assert "bad-duration" in event["first"]
-        assert client.request("page", patience_ms=LONG).fields == {"pause": "10"}, (
+        assert client.request("page", patience_ms=LONG_TIMEOUT_MS).fields == {"pause": "10"}, (
             "the rejected file changes nothing"
         )
         assert (
             router.reload_rules(HEAD + 'route "rest" { match; attempts most=1; pause "20ms"; }')["routes"]
             == 2
         )
-        assert client.request("page", patience_ms=LONG).fields == {"pause": "20"}
+        assert client.request("page", patience_ms=LONG_TIMEOUT_MS).fields == {"pause": "20"}
 
     def test_a_router_does_not_start_with_a_faulty_file(self) -> None:
         with (
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -40,8 +40,8 @@
 COLD = 100 * S
 
 
-class Pure(unittest.TestCase):
-    def test_alone_it_waits_for_one_span(self) -> None:
+class Overlap(unittest.TestCase):
+    def test_without_a_shared_listener_half_the_share_lasts_one_interval(self) -> None:
         overlap = RestartOverlap(settings(), is_shared=False)
         assert overlap.start(COLD) == 0.5
         overlap.on_serving(COLD + MS)
@@ -51,7 +51,7 @@
             overlap.budget_share(COLD + RULES.overload_collapse_ns),
         ) == (0.5, 1.0)
 
-    def test_beside_another_until_it_has_ended_or_must_have(self) -> None:
+    def test_beside_a_predecessor_until_it_has_ended_or_must_have(self) -> None:
         overlap = RestartOverlap(settings(), is_shared=True)
         overlap.start(COLD)
         overlap.on_serving(COLD + 5 * S)
@@ -70,7 +70,7 @@
         overlap.on_predecessor_ended(COLD + S, COLD + 600 * S)
         assert overlap.budget_share(COLD + 2 * S) == 1.0
 
-    def test_where_nothing_is_ever_cold_it_has_all(self) -> None:
+    def test_the_share_is_full_if_no_server_is_ever_cold(self) -> None:
         overlap = RestartOverlap(
             settings(cold_capacity_share=1.0, parent_cold_capacity_share=1.0), is_shared=False
         )
@@ -102,7 +102,7 @@
     return max_ratio
 
 
-class Together(unittest.TestCase):
+class TwoProcesses(unittest.TestCase):
     def two_policies(self, *shares: float) -> list[RoutingPolicy]:
         records = [replace(s, started_ns=COLD) for s in servers() if s.name == "c0"]
         records += [s for s in servers() if s.role is not api.Role.CACHE]
@@ -113,7 +113,7 @@
             policies.append(p)
         return policies
 
-    def test_the_sum_stays_under_what_pushes_it_over(self) -> None:
+    def test_the_sum_stays_below_the_overload(self) -> None:
         """Alone in its zone, a router's two processes together stay below the overload of the cache.
 
         Guards against each process spending 0.6 of its router's share, which is 1.2 together.
@@ -125,21 +125,21 @@
                 )
                 assert max_overload(self.two_policies(1.0, 0.5), kb, 3 * MS) <= 1.0
 
-    def test_the_new_one_sends_some(self) -> None:
-        old, new = self.two_policies(1.0, 0.5)
-        max_overload([old, new], 100.0, 3 * MS)
-        assert new.endpoints["c0"].work_sent.total > 0
+    def test_the_successor_sends_requests(self) -> None:
+        predecessor, successor = self.two_policies(1.0, 0.5)
+        max_overload([predecessor, successor], 100.0, 3 * MS)
+        assert successor.endpoints["c0"].work_sent.total > 0
 
 
-class InTheReducer(unittest.TestCase):
-    def test_the_module_hears_of_its_part_and_of_the_whole(self) -> None:
+class OverlapInTheReducer(unittest.TestCase):
+    def test_the_decision_package_receives_half_and_then_the_full_share(self) -> None:
         r = router()
         assert r.state.policy.router_share == 0.5
         span = r.state.settings.rules.overload_collapse_ns
         r.handle(NOW + span, inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)))
         assert r.state.policy.router_share == 1.0
 
-    def test_a_shared_one_looks_for_the_end_of_the_other(self) -> None:
+    def test_with_a_shared_listener_it_polls_for_the_end_of_the_predecessor(self) -> None:
         r = router()
         r.service_state.shares_listener = r.restart_overlap.is_shared = True
         effect_list = r.start(NOW)
@@ -155,7 +155,7 @@
         assert r.state.policy.router_share == 1.0
         assert effects_of_type(effects.ReadPredecessorState, effect_list) == []
 
-    def test_its_own_end_is_left_behind(self) -> None:
+    def test_its_own_end_is_persisted(self) -> None:
         r = router()
         r.service_state.shares_listener = True
         r.handle(NOW + S, inputs.ShutdownRequested())
@@ -169,7 +169,7 @@
         )
 
 
-class Cold(StandInServers):
+class ColdStandIns(StandInServers):
     """Stand-ins whose list has weights, and in which one cache has just started."""
 
     def endpoint_snapshot(self) -> dict[str, object]:
@@ -181,7 +181,7 @@
         return found
 
 
-class Processes(unittest.TestCase):
+class UpgradeOfProcesses(unittest.TestCase):
     """An upgrade while a cache is cold, on a listening socket that both processes inherit."""
 
     def start(self, folder: Path, listener: socket.socket, config: Path) -> subprocess.Popen[bytes]:
@@ -203,7 +203,7 @@
     def test_an_upgrade_beside_a_cold_cache(self) -> None:
         with (
             tempfile.TemporaryDirectory() as name,
-            Cold(servers=("cache1", "parent", "origin")) as stand_ins,
+            ColdStandIns(servers=("cache1", "parent", "origin")) as stand_ins,
             socket.create_server(("127.0.0.1", 0), backlog=64) as listener,
         ):
             folder, stop = Path(name), threading.Event()
@@ -234,7 +234,7 @@
             config.write_bytes(orjson.dumps(raw))
             served = [0]
 
-            def drive(number: int) -> None:
+            def send_requests(number: int) -> None:
                 client, sent = None, 0
                 while not stop.is_set():
                     try:
@@ -253,20 +253,20 @@
                         client = None
                     time.sleep(0.01)
 
-            old = self.start(folder, listener, config)
-            processes = [old]
-            threads = [threading.Thread(target=drive, args=(n,), daemon=True) for n in range(12)]
+            predecessor = self.start(folder, listener, config)
+            processes = [predecessor]
+            threads = [threading.Thread(target=send_requests, args=(n,), daemon=True) for n in range(12)]
             try:
                 for thread in threads:
                     thread.start()
-                until = time.monotonic() + MAX_WAIT_S
-                while not served[0] and time.monotonic() < until:
+                deadline_s = time.monotonic() + MAX_WAIT_S
+                while not served[0] and time.monotonic() < deadline_s:
                     time.sleep(0.02)
                 processes.append(self.start(folder, listener, config))
                 received_before = len(stand_ins.requests(server="cache1"))
                 time.sleep(3)
-                old.send_signal(signal.SIGTERM)
-                assert old.wait(MAX_WAIT_S) == 0
+                predecessor.send_signal(signal.SIGTERM)
+                assert predecessor.wait(MAX_WAIT_S) == 0
                 time.sleep(2.5)
             finally:
                 stop.set()
--- a/tests/startup/test_cold_start.py
+++ b/tests/startup/test_cold_start.py
@@ -46,7 +46,7 @@
     return sum(from_ns <= at < to_ns for at, _, _ in list(stand_ins.feed_calls))
 
 
-def informed(stand_ins: StandInServers, last: int, since_ns: int = 0) -> int:
+def informed_routers(stand_ins: StandInServers, last: int, since_ns: int = 0) -> int:
     """Returns how many routers have received an event.
 
     These are the connections that have requested the events after that one since then.
@@ -61,7 +61,7 @@
         return field
 
     @pytest.mark.long  # after the crash the requests of a second come near the service's limit
-    def test_a_list_service_that_is_dead_and_one_that_falls_over_and_counts_anew(self) -> None:
+    def test_a_list_service_that_is_dead_and_later_crashes_and_renumbers(self) -> None:
         """The list service is dead for 6 s, and later crashes and restarts its numbers at 1.
 
         All routers together send a bounded number of requests while it is dead, and spread requests
@@ -74,7 +74,9 @@
         with ClientLoad(field, per_s=4.0) as load:
             last = stand_ins.change("cache-z0", "leaving")
             began_ns, back_ns = field.began_ns, stand_ins.feed_down_until_ns
-            assert wait_until(lambda: informed(stand_ins, last) >= ROUTERS), informed(stand_ins, last)
+            assert wait_until(lambda: informed_routers(stand_ins, last) >= ROUTERS), informed_routers(
+                stand_ins, last
+            )
             informed_ns = time.monotonic_ns()
             assert informed_ns - back_ns < (1.5 * CYCLE_S + 6) * S, (
                 "every router has received the event in time"
@@ -96,12 +98,12 @@
             )
             last = stand_ins.change("cache-z1", "leaving") - stand_ins.events_before_restart
             since_ns = time.monotonic_ns()
-            assert wait_until(lambda: informed(stand_ins, last, since_ns) >= ROUTERS)
+            assert wait_until(lambda: informed_routers(stand_ins, last, since_ns) >= ROUTERS)
             assert stand_ins.feed_crashes == 1
         assert (field.check_contract(load).violations, load.counts["lost"]) == ([], 0), load.counts
         assert load.counts["served"] > 100, load.counts
 
-    def test_without_a_budget_a_dead_one_hears_far_more(self) -> None:
+    def test_without_a_budget_a_dead_service_receives_far_more_requests(self) -> None:
         """Without a budget, each router sends a dead list service a request every 0.4 s."""
         field = self.field()
         field.servers.feed_down_until_ns = time.monotonic_ns() + 6 * S
@@ -110,7 +112,7 @@
         assert wait_until(lambda: time.monotonic_ns() > began_ns + 2 * S)
         assert watch_requests(field.servers, began_ns, began_ns + 2 * S) > 2 * 1.5 * MAX_REQUESTS_PER_S * 2
 
-    def test_cold_boxes_half_of_them_dead_a_hub_lost_and_a_zone_silent(self) -> None:
+    def test_cold_caches_half_of_them_dead_a_parent_lost_and_a_zone_silent(self) -> None:
         """No cache is overloaded, no order runs twice, and every request has its response in time."""
         field = self.field(
             boxes=2, hubs=2, relayed=True, cold=True, rules=BUDGET, settings=FAST_WARM_UP, weight=2.0
@@ -130,7 +132,7 @@
         assert load.counts["lost"] == 0, load.counts
         assert load.counts["served"] > 100, load.counts
 
-    def test_a_third_killed_twice_and_some_that_wake_into_an_old_world(self) -> None:
+    def test_a_third_killed_twice_and_some_suspended_during_a_drain(self) -> None:
         """Routers are killed just after they begin to serve, and others are suspended while a cache drains.
 
         The killed ones are started and killed once more.  The suspended ones must not send waiting requests
@@ -147,25 +149,25 @@
                 for node in nodes[::3]:
                     field.wait_ready(node)
             killed_ns = time.monotonic_ns()
-            assert wait_until(lambda: informed(field.servers, 1, killed_ns) >= ROUTERS), (
+            assert wait_until(lambda: informed_routers(field.servers, 1, killed_ns) >= ROUTERS), (
                 "every router has sent its next watch request"
             )
-            stopped = [node.process for node in nodes[1::6] if node.process]
-            for process in stopped:
+            suspended = [node.process for node in nodes[1::6] if node.process]
+            for process in suspended:
                 process.send_signal(signal.SIGSTOP)
             last = field.servers.change("cache-z1", "leaving")
             since_ns = time.monotonic_ns()
-            others = ROUTERS - len(stopped)
-            assert wait_until(lambda: informed(field.servers, last, since_ns) >= others)
-            for process in stopped:
+            others = ROUTERS - len(suspended)
+            assert wait_until(lambda: informed_routers(field.servers, last, since_ns) >= others)
+            for process in suspended:
                 process.send_signal(signal.SIGCONT)
-            assert wait_until(lambda: informed(field.servers, last, since_ns) >= ROUTERS)
+            assert wait_until(lambda: informed_routers(field.servers, last, since_ns) >= ROUTERS)
             assert wait_until(lambda: time.monotonic_ns() > field.began_ns + 9 * S)
         assert field.check_contract(load, killed=True).violations == []
         assert load.counts["served"] > 100, load.counts
 
     @pytest.mark.long  # on a busy machine the feed may take longer than its timeout
-    def test_one_that_stood_still_asks_before_it_sends(self) -> None:
+    def test_a_suspended_router_polls_the_feed_before_it_sends(self) -> None:
         """A suspended router must not send waiting requests to a cache that drained in the meantime.
 
         Its watch request gets a response without events while it is suspended.  Then a cache drains, and the
@@ -179,19 +181,19 @@
         assert node.process is not None
         with ClientLoad(field, per_s=60.0) as load:
             for n in range(6):
-                assert wait_until(lambda: informed(stand_ins, len(stand_ins.feed_events) + 1) >= 2)
+                assert wait_until(lambda: informed_routers(stand_ins, len(stand_ins.feed_events) + 1) >= 2)
                 node.process.send_signal(signal.SIGSTOP)
                 # After two requests of the other router, this one's request has a response without events.
-                stopped = time.monotonic_ns()
+                suspended_ns = time.monotonic_ns()
                 assert wait_until(
-                    lambda at=stopped: sum(x > at for x, _, _ in list(stand_ins.feed_calls)) >= 2
+                    lambda at=suspended_ns: sum(x > at for x, _, _ in list(stand_ins.feed_calls)) >= 2
                 )
                 name = ("cache-z0", "cache-z0-1")[n % 2]
-                last, told = stand_ins.change(name, "leaving"), time.monotonic_ns()
-                assert wait_until(lambda at=told, last=last: informed(stand_ins, last, at) >= 1)
-                assert wait_until(lambda at=told: time.monotonic_ns() > at + 2100 * MS), "past grace"
+                last, changed_ns = stand_ins.change(name, "leaving"), time.monotonic_ns()
+                assert wait_until(lambda at=changed_ns, last=last: informed_routers(stand_ins, last, at) >= 1)
+                assert wait_until(lambda at=changed_ns: time.monotonic_ns() > at + 2100 * MS), "past grace"
                 node.process.send_signal(signal.SIGCONT)
-                assert wait_until(lambda at=told, last=last: informed(stand_ins, last, at) >= 2)
+                assert wait_until(lambda at=changed_ns, last=last: informed_routers(stand_ins, last, at) >= 2)
                 stand_ins.change(name)
         assert [x for x in field.check_contract(load).violations if x.startswith("drained")] == []
         assert load.counts["served"] > 300, load.counts
@@ -227,7 +229,7 @@
             relay.drop()
             last = field.servers.change("cache-z0", "leaving")
             since_ns = time.monotonic_ns()
-            assert wait_until(lambda: informed(field.servers, last, since_ns) >= ROUTERS)
+            assert wait_until(lambda: informed_routers(field.servers, last, since_ns) >= ROUTERS)
         assert load.counts["lost"] == 0, load.counts
         assert load.counts["served"] > 300, load.counts
 
--- a/tests/support/exchange_player.py
+++ b/tests/support/exchange_player.py
@@ -80,7 +80,7 @@
         case: unittest.TestCase,
         listed: tuple[str, ...] = tuple(SERVERS),
         inherit: bool = False,
-        orders: dict[str, Any] | None = None,
+        order_class: dict[str, Any] | None = None,
     ) -> None:
         """Starts the program.
 
@@ -88,7 +88,7 @@
             case: The test, which cleans up after the run.
             listed: Names of the servers in the endpoint list.
             inherit: The client listening socket is created here, and inherited as ROUTER_FD.
-            orders: Settings of the order class that differ from the example.
+            order_class: Settings of the order class that differ from the example.
         """
         self.case = case
         self.listeners: dict[str, socket.socket] = {}
@@ -116,7 +116,7 @@
             "known": {"n": 1, "events": [{"n": 1, "members": endpoint_list}]},
         }
         settings = copy.deepcopy(EXAMPLE["settings"])
-        settings["classes"][1].update(orders or {})
+        settings["classes"][1].update(order_class or {})
         self.config["settings"] = settings
         self.folder = tempfile.TemporaryDirectory()
         case.addCleanup(self.folder.cleanup)
