--- a/tests/control_log/test_control_field.py
+++ b/tests/control_log/test_control_field.py
@@ -21,9 +21,8 @@
 
 SIZE = FleetSize(routers=12, servers=40, zones=3)
 LEASE = 'lease "2s"'
-MAX_WATCH_REQUESTS_PER_S = (
-    6  # watch requests of one router in a second: one per batch interval of 400 ms, and moves
-)
+# Watch requests of one router in a second: one per batch interval of 400 ms, and moves to another replica.
+MAX_WATCH_REQUESTS_PER_S = 6
 
 
 class Failures(unittest.TestCase):
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -225,11 +225,11 @@
 class Drivers(unittest.TestCase):
     """The drivers with real processes."""
 
-    def plan(self, act: str, folder: Path, control: int, more_nodes: str = "") -> RolloutPlan:
+    def plan(self, act_node: str, folder: Path, control: int, more_nodes: str = "") -> RolloutPlan:
         text = (
             'rollout version=1\nchange { program build="beef"; }\nrouter "n1" zone="edge-1" '
             f'control="127.0.0.1:{control}" config="{folder}/config.json" rules="{folder}/rules.kdl"\n'
-            f'stage "all" share="100%" least="60s" most="5m"\n{act}\n{more_nodes}'
+            f'stage "all" share="100%" least="60s" most="5m"\n{act_node}\n{more_nodes}'
         )
         plan, diagnostics = load_plan(text.encode())
         assert diagnostics == []
@@ -405,7 +405,7 @@
         fleet.run()
         return fleet
 
-    def test_a_cold_start_as_such_is_no_harm_and_a_worse_one_is(self) -> None:
+    def test_a_cold_start_is_no_regression_and_a_worse_one_is(self) -> None:
         def cold(fleet: SimulatedFleet, p: Any, cls: str) -> float:
             return 0.3 if p.instance > 1 and fleet.now - p.started < 50 * S else 0.0
 
@@ -425,7 +425,7 @@
         assert all(p.in_service for p in fleet.routers.values())
         assert max(fleet.max_unavailable.get(f"z{n}", 0) for n in range(2)) <= 2
 
-    def test_its_limits_are_checked(self) -> None:
+    def test_the_limits_of_control_groups_are_checked(self) -> None:
         good = f'rollout version=1\nchange {{ program build="beef"; }}\n{self.STAGES}{self.LIMITS}' + "".join(
             f'router "n{n}" zone="z"\n' for n in range(3)
         )
@@ -439,7 +439,7 @@
             with self.subTest(code=code):
                 assert code in [f.code for f in load_plan(good.replace(old, new).encode())[1]]
 
-    def test_a_leak_is_seen_and_a_larger_process_is_none(self) -> None:
+    def test_a_leak_is_detected_and_a_larger_process_is_no_leak(self) -> None:
         for growth, expected in ((0.5, RolloutOutcome.ROLLED_BACK), (0.0, RolloutOutcome.DONE)):
             fleet = SimulatedFleet(make_plan(2, 3), 1, lambda *_: 0.0)
             for _ in range(3_000):
@@ -458,7 +458,7 @@
             if growth:
                 assert len(fleet.changed_routers) == 1
 
-    def test_it_goes_on_after_a_restart_in_the_middle_of_a_control_group(self) -> None:
+    def test_a_restart_within_a_control_group_continues_the_rollout(self) -> None:
         fleet = SimulatedFleet(make_plan(2, 4, self.STAGES, self.LIMITS), 1, lambda *_: 0.0)
         for n in range(3_000):
             if n % 11 == 10:
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -50,13 +50,13 @@
 
 
 class Plans(unittest.TestCase):
-    def test_a_good_one(self) -> None:
+    def test_a_valid_plan(self) -> None:
         plan, diagnostics = load_plan(VALID_PLAN.encode())
         assert diagnostics == []
         assert [[t.name for t in s] for s in plan.routers_by_stage()] == [["a1"], ["b1"], ["a2", "b2"]]
         assert plan.longest_ns() > 600 * S
 
-    def test_each_fault_by_its_code(self) -> None:
+    def test_each_error_by_its_code(self) -> None:
         for old, new, expected_code in (
             (VERSION_NODE, "", "no-version"),
             ("version=1", "version=7", "unknown-version"),
@@ -84,7 +84,7 @@
             with self.subTest(new=new):
                 assert expected_code in codes(VALID_PLAN.replace(old, new, 1))
 
-    def test_a_stage_that_takes_a_whole_zone_is_refused(self) -> None:
+    def test_a_stage_that_takes_a_complete_zone_is_an_error(self) -> None:
         assert "whole-zone" in codes(VALID_PLAN.replace('stage "two" count=2 least="30s" most="5m"\n', ""))
         alone = VALID_PLAN.replace('; router "b2" zone="b"', "").replace("count=2", 'share="50%"')
         assert codes(alone) == [], "b1 is the only router of its zone, so none could be left"
@@ -96,7 +96,7 @@
 
 
 class JudgeTests(unittest.TestCase):
-    def test_harm_of_one_class_in_one_zone_is_found(self) -> None:
+    def test_a_regression_of_one_class_in_one_zone_is_detected(self) -> None:
         judge = RegressionJudge(StopCriteria())
         for _ in range(300):
             new = {
@@ -108,7 +108,7 @@
         assert judge.verdict(frozenset(new)) == (Verdict.REGRESSION, ZoneClass("a", "y"))
         assert judge.tests[ZoneClass("b", "x")].verdict is Verdict.NO_REGRESSION
 
-    def test_what_strikes_both_sides_or_was_there_before_is_no_harm(self) -> None:
+    def test_failures_of_both_sides_or_from_before_are_no_regression(self) -> None:
         judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
         judge.add_baseline(True, {place: RequestSample(3_000, 3_000.0, 2_400.0)})
         judge.add_baseline(False, {place: RequestSample(9_000, 9_000.0, 8_550.0)})
@@ -167,18 +167,18 @@
     return 0.0
 
 
-def harmful(share: float, cls: str = "", zone: str = "") -> object:
-    def harm(fleet: SimulatedFleet, p: SimulatedRouter, found: str) -> float:
+def with_regression(share: float, cls: str = "", zone: str = "") -> object:
+    def late_share(fleet: SimulatedFleet, p: SimulatedRouter, found: str) -> float:
         return share if p.build == "beef" and cls in ("", found) and zone in ("", p.zone) else 0.0
 
-    return harm
+    return late_share
 
 
 class SimulatedRollouts(unittest.TestCase):
     """Rollouts to twelve simulated routers in three zones."""
 
-    def make_fleet(self, harm: object, seed: int = 1) -> SimulatedFleet:
-        return SimulatedFleet(make_plan(3, 4), seed, harm)  # type: ignore[arg-type]
+    def make_fleet(self, late_share: object, seed: int = 1) -> SimulatedFleet:
+        return SimulatedFleet(make_plan(3, 4), seed, late_share)  # type: ignore[arg-type]
 
     def test_a_sound_change_is_done_within_the_limits(self) -> None:
         for seed in range(4):
@@ -191,28 +191,28 @@
             assert fleet.max_unavailable[""] <= 3
             assert max(fleet.max_unavailable[f"z{n}"] for n in range(3)) <= 1
 
-    def test_a_failure_of_a_whole_zone_stops_nothing(self) -> None:
-        def hub_lost(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
+    def test_a_failure_of_a_complete_zone_does_not_stop_the_rollout(self) -> None:
+        def parent_lost(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
             return 0.4 if p.zone == "z0" and 60 <= fleet.now / S - 1_000 < 120 else 0.0
 
-        fleet = self.make_fleet(hub_lost)
+        fleet = self.make_fleet(parent_lost)
         assert fleet.run() == RolloutOutcome.DONE, fleet.rollout.reason
 
-    def test_harm_stops_in_the_first_stage_where_it_can_be_seen(self) -> None:
-        for harm, max_changed in (
-            (harmful(0.3), 1),
-            (harmful(0.08), 1),
-            (harmful(0.3, cls="writes"), 1),
-            (harmful(0.3, zone="z2"), 6),
+    def test_a_regression_stops_the_first_stage_that_can_show_it(self) -> None:
+        for late_share, max_changed in (
+            (with_regression(0.3), 1),
+            (with_regression(0.08), 1),
+            (with_regression(0.3, cls="writes"), 1),
+            (with_regression(0.3, zone="z2"), 6),
         ):
-            fleet = self.make_fleet(harm)
+            fleet = self.make_fleet(late_share)
             assert fleet.run() == RolloutOutcome.ROLLED_BACK, fleet.rollout.reason
             assert len(fleet.changed_routers) <= max_changed
             assert {p.build for p in fleet.routers.values()} == {"old"}
             assert "the harm is gone" in fleet.history[-1].text
             assert all(p.in_service for p in fleet.routers.values())
 
-    def test_signs_that_need_no_statistics(self) -> None:
+    def test_crashes_and_routers_never_ready_stop_the_rollout(self) -> None:
         def crash(defective_fleet: SimulatedFleet) -> None:
             defective_fleet.new_build_crash_after_ns = 5 * S
 
@@ -239,7 +239,7 @@
                     break
             assert expected_entry in [n.name for n in fleet.history]
 
-    def test_harm_that_stays_is_not_the_changes(self) -> None:
+    def test_a_regression_that_outlasts_the_rollback_is_not_the_changes(self) -> None:
         def broken_place(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
             began = next((at for at, _, act in fleet.commands if act is CommandKind.APPLY), 0)
             return 0.3 if p.name == "n0-0" and began and fleet.now > began else 0.0
@@ -248,7 +248,7 @@
         assert fleet.run() == RolloutOutcome.ROLLED_BACK
         assert "not the change's" in fleet.history[-1].text
 
-    def test_no_evidence_holds_and_says_what_is_missing(self) -> None:
+    def test_missing_evidence_holds_the_rollout_and_is_named(self) -> None:
         fleet = SimulatedFleet(make_plan(3, 4), 1, sound, rate=0.3)
         assert fleet.run() == RolloutOutcome.HELD
         assert "not enough evidence of class" in fleet.rollout.reason
@@ -277,7 +277,7 @@
             assert "not enough evidence" in fleet.rollout.reason
             assert len(fleet.changed_routers) == 1
 
-    def test_another_process_goes_on_at_any_instant(self) -> None:
+    def test_a_successor_continues_at_any_instant(self) -> None:
         """A takeover after any step, with the commands of that step lost, changes each router exactly once.
 
         The time without a controller counted as silence of the routers, and held the rollout immediately.
@@ -298,7 +298,7 @@
             assert fleet.rollout.outcome == RolloutOutcome.DONE, (takeover_interval, fleet.rollout.reason)
             assert {p.instance for p in fleet.routers.values()} == {2}, "each router is changed once"
 
-    def test_a_snapshot_that_cannot_be_used_says_why(self) -> None:
+    def test_an_unusable_snapshot_is_an_error(self) -> None:
         fleet = SimulatedFleet(make_plan(2, 3), 1, sound)
         good = to_snapshot(fleet.rollout)
         for change in ({"v": 9}, {"routers": {}}, {"outcome": "lost"}, {"bets": [[1]]}, {"stage": "x"}):
@@ -319,7 +319,7 @@
                 restored(fleet.plan, raw)
             assert (raised.value.key, str(raised.value)) == (key, text)
 
-    def test_silent_routers_hold_it_and_are_never_good(self) -> None:
+    def test_silent_routers_hold_the_rollout(self) -> None:
         fleet = self.make_fleet(sound)
         for n, p in enumerate(fleet.routers.values()):
             p.silent_until_ns = (1_050 + 100) * S if n < 5 else 0
@@ -330,7 +330,7 @@
         fleet.run(200, {150: OperatorCommand.RESUME})
         assert fleet.run() == RolloutOutcome.DONE, fleet.rollout.reason
 
-    def test_a_hold_for_silence_ends_once_the_routers_answer(self) -> None:
+    def test_a_hold_for_silence_ends_once_the_routers_respond(self) -> None:
         """A hold for silence ends without a command; a hold that an operator commanded meanwhile stays."""
         for is_commanded in (False, True):
             with self.subTest(is_commanded=is_commanded):
@@ -353,7 +353,7 @@
                 expected = RolloutOutcome.HELD if is_commanded else RolloutOutcome.DONE
                 assert fleet.run(4000, {10000: OperatorCommand.HOLD}) == expected, fleet.rollout.reason
 
-    def test_a_pause_of_the_controller_is_no_silence_of_the_routers(self) -> None:
+    def test_a_stall_of_the_controller_is_no_silence_of_the_routers(self) -> None:
         """A process stall of the controller must neither hold the rollout nor roll a router back.
 
         The stall lasts 20 s, which is longer than a step of a change may take, and happens at various steps.
@@ -512,7 +512,7 @@
         assert preview["worst_share_out"] == {"edge-1": 0.333, "edge-2": 0.333}
         assert preview["shortest_s"] < preview["longest_s"]
 
-    def test_faults_and_wrong_use(self) -> None:
+    def test_errors_and_wrong_use(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "bad.kdl"
             path.write_text(VALID_PLAN.replace("per-zone=1", "per-zone=2"))
--- a/tests/rollout/test_rollout_faults.py
+++ b/tests/rollout/test_rollout_faults.py
@@ -25,7 +25,7 @@
 from tests.support.rollout_field import Controller, RolloutTestCase
 
 
-class FaultTestCase(RolloutTestCase):
+class FailureTestCase(RolloutTestCase):
     """A check that the tests of this module share."""
 
     def run_defective_change(
@@ -63,9 +63,9 @@
         return load
 
 
-class Faults(FaultTestCase):
+class Failures(FailureTestCase):
     @pytest.mark.long
-    def test_a_sound_change_under_faults_of_all_kinds(self) -> None:
+    def test_a_sound_change_under_failures_of_all_kinds(self) -> None:
         """Network failures during a sound change must not stop it, lose a request or violate the contract.
 
         Twelve routers in three zones; dropped connections, a slow cache, a resetting cache and a silent
@@ -102,7 +102,7 @@
         assert load.counts["served"] > 2000, load.counts
 
     @pytest.mark.long
-    def test_a_settings_file_that_harms_and_one_that_is_broken(self) -> None:
+    def test_a_settings_file_with_a_regression_and_a_truncated_one(self) -> None:
         """New settings by SIGHUP: valid ones that cause a regression, and a truncated file that is rejected.
 
         The valid ones reduce the deadline of pages to 20 ms.
@@ -185,7 +185,7 @@
         assert {n.started_builds[-1] for n in field.nodes.values()} == {"old" if exit_code else "new"}
         return field, load
 
-    def test_a_controller_that_is_stopped_and_woken_holds_nothing(self) -> None:
+    def test_a_stall_of_the_controller_does_not_hold_the_rollout(self) -> None:
         """A process stall of the controller must not count as silence of the routers.
 
         At each change the controller is suspended for longer than a router may be silent, but shorter than
@@ -258,7 +258,7 @@
         assert [x for x in violations if not x.startswith("answered")] == []
 
     @pytest.mark.long
-    def test_a_router_killed_in_the_middle_of_sighup(self) -> None:
+    def test_a_router_killed_during_its_reload(self) -> None:
         """The platform restarts the killed router with the changed file, and the rollout is done."""
         field, _ = self.field("sound", 1, 3)
 
@@ -350,7 +350,7 @@
 
 
 @pytest.mark.long
-class Long(FaultTestCase):
+class Long(FailureTestCase):
     """Tests that take minutes."""
 
     def test_defective_builds(self) -> None:
@@ -436,7 +436,7 @@
             b.change(LinkMode.PASS)
             assert self.wait_for_exit(process, controller) == 0, controller.output()
 
-    def test_a_controller_that_is_stopped_for_thirty_seconds(self) -> None:
+    def test_a_controller_that_is_suspended_for_thirty_seconds(self) -> None:
         """A successor takes over when the lease has expired; the first controller must not act any more."""
         field, digest = self.field("sound", 1, 3)
         controller = self.controller(field.rollout_plan(digest))
--- a/tests/rollout/test_rollout_field.py
+++ b/tests/rollout/test_rollout_field.py
@@ -46,7 +46,7 @@
         names = Counter(row["name"] for row in controller.history())
         assert (names["begun"], names["stage-good"], names["done"], names["resumed"]) == (6, 3, 1, 2)
 
-    def test_a_build_that_refuses_is_taken_back_after_one_router(self) -> None:
+    def test_a_build_that_rejects_is_rolled_back_after_one_router(self) -> None:
         field, digest = self.field("refuses")
         controller = self.controller(field.rollout_plan(digest))
         with ClientLoad(field) as load:
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -35,7 +35,7 @@
 from tests.support.reducer_fixtures import NOW, effects_of_type, router
 
 S = SECOND
-EVENTS = st.lists(st.sampled_from(["fail", "retry", "answer", "news", "empty"]), max_size=60)
+STEP_SEQUENCES = st.lists(st.sampled_from(["fail", "retry", "answer", "news", "empty"]), max_size=60)
 
 
 def fleet(count: int, requests_per_s: float = 50.0) -> list[DiscoverySchedule]:
@@ -67,8 +67,8 @@
     return max(Counter(at // span for at in times).values())
 
 
-class Calls(unittest.TestCase):
-    def test_a_dead_service_hears_a_bounded_number_however_large_the_fleet(self) -> None:
+class WatchRequests(unittest.TestCase):
+    def test_a_dead_service_receives_a_bounded_number_of_requests(self) -> None:
         """A dead list service receives a bounded number of requests whatever the fleet's size.
 
         Guards against a fixed retry delay: at 400 ms each, 200 routers sent it 500 requests a second.
@@ -81,7 +81,7 @@
             # The first requests are sent within 5 s whatever the fleet's size.
             assert max_requests(times) < max(130, 1.4 * count / 5), count
 
-    def test_without_a_budget_it_calls_as_ever(self) -> None:
+    def test_without_a_budget_requests_are_sent_immediately(self) -> None:
         """Rules whose grace starts when the feed has an event require each request to be sent immediately."""
         for count in (1, 60, 200, 5_000):
             schedule = DiscoverySchedule(count, 1)
@@ -90,31 +90,31 @@
             assert delays == [0] + [min(25 << n, 400) * MS for n in range(8)]
             assert (schedule.random, schedule.max_delay_ns) == (None, 400 * MS), "``random`` is not imported"
 
-    def test_a_fleet_at_rest_of_200_calls_as_often_as_one_of_50(self) -> None:
+    def test_an_idle_fleet_of_200_sends_as_many_requests_as_one_of_50(self) -> None:
         for count, expected in ((4, 4), (50, 50), (200, 52), (1_000, 260)):
             times = [at for at in request_times(fleet(count), 20, lambda at: True) if at >= 10 * S]
             assert len(times) / 10 <= expected, count
 
-    def test_after_an_outage_they_come_back_out_of_step(self) -> None:
+    def test_after_an_outage_routers_return_at_different_times(self) -> None:
         """After 10 s of outage all routers return within a bounded time, and never all at the same time."""
         for count in (24, 120, 200, 500):
             schedules = fleet(count)
             times = request_times(schedules, 40, lambda at: at > 10 * S)
-            back = [at for at in times if 10 * S < at < 11 * S]
-            assert max_requests(back, S // 10) < 25, count
+            requests_after_outage = [at for at in times if 10 * S < at < 11 * S]
+            assert max_requests(requests_after_outage, S // 10) < 25, count
             assert all(schedule.consecutive_failures == 0 for schedule in schedules)
-            firsts = [
+            first_requests_ns = [
                 min(at for at in request_times([schedule], 40, lambda at: False) if at > 10 * S)
                 for schedule in fleet(count)
             ]
-            assert max(firsts) < 10 * S + schedules[0].max_delay_ns + 2 * MS, count
+            assert max(first_requests_ns) < 10 * S + schedules[0].max_delay_ns + 2 * MS, count
 
-    def test_retry_after_is_heeded_as_far_as_it_is_sane(self) -> None:
+    def test_retry_after_is_applied_up_to_its_maximum(self) -> None:
         schedule = DiscoverySchedule(200, 3, 50.0)
         assert schedule.record_failure(2 * S) >= 2 * S
         assert schedule.record_failure(3600 * S) <= MAX_RETRY_AFTER_NS + schedule.cycle_ns
 
-    def test_another_budget_in_service(self) -> None:
+    def test_a_budget_that_changes_in_service(self) -> None:
         schedule = DiscoverySchedule(200, 3)
         schedule.set_budget(200, 10.0)
         assert (schedule.has_budget, schedule.cycle_ns) == (True, 20 * S)
@@ -123,8 +123,10 @@
         assert (schedule.has_budget, schedule.news_wait_ms()) == (False, 1000)
 
     @settings(max_examples=150, deadline=None, derandomize=True)
-    @given(EVENTS, st.integers(1, 5_000), st.integers(0, 2**32), st.sampled_from([0.0, 1.0, 50.0, 1e6]))
-    def test_any_order_of_answers_and_failures(
+    @given(
+        STEP_SEQUENCES, st.integers(1, 5_000), st.integers(0, 2**32), st.sampled_from([0.0, 1.0, 50.0, 1e6])
+    )
+    def test_any_order_of_responses_and_failures(
         self, events: list[str], count: int, seed: int, per_s: float
     ) -> None:
         schedule = DiscoverySchedule(count, seed, per_s)
@@ -143,7 +145,7 @@
 
     @settings(max_examples=80, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32), st.integers(0, 2**32))
-    def test_no_two_seeds_are_in_step_after_three_failures(self, a: int, b: int) -> None:
+    def test_two_seeds_differ_within_three_failures(self, a: int, b: int) -> None:
         if a == b:
             return
         schedule, other = DiscoverySchedule(160, a, 50.0), DiscoverySchedule(160, b, 50.0)
@@ -157,8 +159,8 @@
     return inputs.EndpointRecord(name, address, "edge-1", "box", 0, state, 1.0, started_ns)
 
 
-class Wasted(unittest.TestCase):
-    def test_bytes_that_brought_nothing_are_waited_for(self) -> None:
+class WastedBytes(unittest.TestCase):
+    def test_wasted_bytes_delay_the_next_request(self) -> None:
         """Up to 256 KB without progress adds no delay; more adds its time at 64 KB/s, at most a minute."""
         for wasted, expected in ((0, 0), (256 << 10, 0), (1 << 20, 16 * SECOND), (1 << 30, 60 * SECOND)):
             with self.subTest(wasted=wasted):
@@ -167,7 +169,7 @@
                 assert schedule.record_failure(wasted_bytes=wasted) >= expected
 
 
-class Lists(unittest.TestCase):
+class SuspectLists(unittest.TestCase):
     def setUp(self) -> None:
         self.view = EndpointView()
         self.view.begin_response(5)
@@ -180,13 +182,13 @@
         usable, _ = self.view.select_usable(records, is_full_list, number)
         return [f"{e.name} {e.state}" for e in usable]
 
-    def test_a_whole_list_with_none_in_service_is_none(self) -> None:
+    def test_a_complete_list_with_no_server_in_service_is_ignored(self) -> None:
         for records in ([], [record("a", "terminated")]):
             usable, reasons = self.view.select_usable(records, True, 6)
             assert (usable, len(reasons)) == ([], 1)
         assert self.usable(record("a", "terminated")) == ["a terminated"], "a removal is applied immediately"
 
-    def test_an_id_at_anothers_address(self) -> None:
+    def test_a_server_at_the_address_of_another(self) -> None:
         address = record("a").address
         assert self.usable(record("x", address=address)) == []
         assert self.usable(record("x", address=address, started_ns=9)) == ["x in_service"], (
@@ -202,7 +204,7 @@
         ]
         assert self.usable(record("x", address=record("c").address)) == ["x in_service"], "c is draining"
 
-    def test_numbers_that_go_back_bring_nobody_back(self) -> None:
+    def test_lower_event_numbers_restore_no_drained_server(self) -> None:
         assert self.usable(record("c"), number=4) == [], "a later event drains it"
         assert self.usable(record("c"), number=6) == ["c in_service"]
         assert self.usable(record("c", started_ns=9), number=4) == ["c in_service"], "it has started since"
@@ -219,7 +221,7 @@
         self.view.begin_response(3)
         assert self.view.end_response(S + MIN_SNAPSHOT_INTERVAL_NS, 3)
 
-    def test_its_memory_has_an_end(self) -> None:
+    def test_its_memory_is_bounded(self) -> None:
         for n in range(5_000):
             self.view.apply([record(f"gone{n}", "terminated")], False)
         assert len(self.view.endpoints) <= 1100
@@ -236,11 +238,11 @@
 BUDGET = StartupOptions(list_calls_per_s=50.0)
 
 
-def polls(effect_list: list[effects.Effect]) -> list[effects.PollFeed]:
+def poll_effects(effect_list: list[effects.Effect]) -> list[effects.PollFeed]:
     return [e for e in effects_of_type(effects.PollFeed, effect_list) if isinstance(e, effects.PollFeed)]
 
 
-def feed_wakes(effect_list: list[effects.Effect]) -> list[effects.ScheduleTimer]:
+def poll_timers(effect_list: list[effects.Effect]) -> list[effects.ScheduleTimer]:
     return [
         e
         for e in effects_of_type(effects.ScheduleTimer, effect_list)
@@ -248,13 +250,13 @@
     ]
 
 
-def events(effect_list: list[effects.Effect]) -> list[str]:
+def logged_events(effect_list: list[effects.Effect]) -> list[str]:
     return [
         e.event for e in effects_of_type(effects.LogEvent, effect_list) if isinstance(e, effects.LogEvent)
     ]
 
 
-class InTheReducer(unittest.TestCase):
+class StartInTheReducer(unittest.TestCase):
     def reducer(self, routers: int = 0) -> Reducer:
         """Returns a reducer under the budget of a fleet of this size; without a budget where it is 0."""
         r = router()
@@ -262,7 +264,7 @@
             r.position.schedule = DiscoverySchedule(routers, 11, 50.0)
         return r
 
-    def test_a_service_that_begins_to_count_anew(self) -> None:
+    def test_a_list_service_that_renumbers_its_events(self) -> None:
         for routers in (0, 200):
             r = self.reducer(routers)
             extra = replace(record("s-x"), kind=next(iter(r.state.endpoints.values())).kind)
@@ -270,62 +272,66 @@
             assert "s-x" in r.state.endpoints
             effect_list = r.handle(NOW + 4 * S, inputs.WatchResponse(1, ()))
             assert "s-x" in r.state.endpoints, "the last good endpoint list is kept"
-            assert events(effect_list) == ["feed.renumbered"]
+            assert logged_events(effect_list) == ["feed.renumbered"]
             if routers:  # the second requests of a fleet are spread as its first ones were
-                (wake,) = feed_wakes(effect_list)
-                effect_list = r.handle(wake.at_ns, inputs.TimerFired(wake.key))
-            assert [e.after_event for e in polls(effect_list)] == [0]
+                (timer,) = poll_timers(effect_list)
+                effect_list = r.handle(timer.at_ns, inputs.TimerFired(timer.key))
+            assert [e.after_event for e in poll_effects(effect_list)] == [0]
 
-    def test_two_halves_of_a_service_that_disagree_are_asked_at_a_bounded_rate(self) -> None:
+    def test_two_halves_of_a_service_that_disagree_receive_a_bounded_rate(self) -> None:
         """One half has counted to 900, the other to 5, and each responds to every second request."""
         r, list_requests = self.reducer(), 0
         for n in range(100):
             effect_list = r.handle(NOW + (n + 1) * S // 5, inputs.WatchResponse(900 if n % 2 else 5, ()))
-            list_requests += sum(e.after_event == 0 for e in polls(effect_list))
+            list_requests += sum(e.after_event == 0 for e in poll_effects(effect_list))
         assert list_requests <= 5, "in 20 s"
         assert r.state.endpoints
 
-    def test_a_service_that_answers_nothing_at_once_is_not_asked_in_a_loop(self) -> None:
+    def test_immediate_empty_responses_cause_no_request_loop(self) -> None:
         for routers, max_requests_made in ((0, 60), (200, 10)):
             r, now, requests = self.reducer(routers), NOW + S, 0
             effect_list = r.handle(now, inputs.WatchResponse(r.endpoint_list.last_event, ()))
             while now < NOW + 11 * S:
-                requests += len(polls(effect_list))
-                wakes = feed_wakes(effect_list)
-                now = wakes[0].at_ns if wakes else now + MS
+                requests += len(poll_effects(effect_list))
+                timers = poll_timers(effect_list)
+                now = timers[0].at_ns if timers else now + MS
                 effect_list = (
-                    r.handle(now, inputs.TimerFired(wakes[0].key))
-                    if wakes
+                    r.handle(now, inputs.TimerFired(timers[0].key))
+                    if timers
                     else r.handle(now, inputs.WatchResponse(r.endpoint_list.last_event, ()))
                 )
             assert requests < max_requests_made, "requests in ten seconds"
 
-    def test_an_empty_whole_list_changes_nothing_and_is_said_once(self) -> None:
+    def test_an_empty_complete_list_changes_nothing_and_is_logged_once(self) -> None:
         r = self.reducer()
         before = dict(r.state.endpoints)
         effect_list = r.handle(NOW + 2 * S, watch_response(3, is_full_list=True))
         assert r.state.endpoints == before
-        assert events(effect_list) == ["feed.refused"]
-        assert [e.after_event for e in polls(effect_list)] == [3], "the next watch request continues after it"
+        assert logged_events(effect_list) == ["feed.refused"]
+        assert [e.after_event for e in poll_effects(effect_list)] == [3], (
+            "the next watch request continues after it"
+        )
 
-    def test_the_first_call_waits_for_its_share_and_longer_after_many_starts(self) -> None:
+    def test_the_first_request_is_delayed_and_longer_after_many_starts(self) -> None:
         r = router()
         r.state.config = replace(r.state.config, settings=replace(r.state.config.settings, instances=400))
-        (wake,) = feed_wakes(r.start(NOW, BUDGET))
-        assert 0 < wake.at_ns - NOW < 5 * S
+        (timer,) = poll_timers(r.start(NOW, BUDGET))
+        assert 0 < timer.at_ns - NOW < 5 * S
         assert r.state.endpoints, "the known endpoint list is used in the meantime"
-        (wake,) = feed_wakes(r.start(NOW, BUDGET, 4 * S))
-        assert wake.at_ns - NOW >= 4 * S
-        assert polls(r.start(NOW, None, 4 * S)), "without a budget the rules require an immediate request"
+        (timer,) = poll_timers(r.start(NOW, BUDGET, 4 * S))
+        assert timer.at_ns - NOW >= 4 * S
+        assert poll_effects(r.start(NOW, None, 4 * S)), (
+            "without a budget the rules require an immediate request"
+        )
 
-    def test_a_budget_comes_with_a_file_read_again(self) -> None:
+    def test_a_reloaded_file_changes_the_budget(self) -> None:
         r = router()
         r.handle(NOW + S, inputs.OperatorFileRead(OperatorFile(start_options=BUDGET)))
         assert r.position.schedule.has_budget
         r.handle(NOW + 2 * S, inputs.OperatorFileRead(OperatorFile()))
         assert not r.position.schedule.has_budget
 
-    def test_retry_after_comes_from_the_answer(self) -> None:
+    def test_retry_after_comes_from_the_response(self) -> None:
         codec = FeedCodec()
         with pytest.raises(FeedError):
             codec.receive_data(
@@ -333,29 +339,29 @@
             )
         assert codec.retry_after_ns == 3 * S
         r = self.reducer(200)
-        (wake,) = feed_wakes(r.handle(NOW + S, inputs.WatchFailed("503", 3 * S)))
-        assert wake.at_ns >= NOW + 4 * S
-        assert polls(self.reducer().handle(NOW + S, inputs.WatchFailed("503", 3 * S)))
+        (timer,) = poll_timers(r.handle(NOW + S, inputs.WatchFailed("503", 3 * S)))
+        assert timer.at_ns >= NOW + 4 * S
+        assert poll_effects(self.reducer().handle(NOW + S, inputs.WatchFailed("503", 3 * S)))
 
 
-class Counted(unittest.TestCase):
+class FleetSize(unittest.TestCase):
     """Routers of the zone, estimated from the reports of caches."""
 
-    def test_as_many_as_the_settings_say(self) -> None:
+    def test_an_estimate_equal_to_the_settings(self) -> None:
         estimator = FleetSizeEstimator(4)
         assert estimator.estimated_routers(NOW) == 4, "there is no report"
         for n in range(50):
             estimator.record_report(NOW + n * MS, 8.0, 2)
         assert estimator.estimated_routers(NOW + 50 * MS) == 4
 
-    def test_more_and_fewer(self) -> None:
+    def test_more_and_fewer_routers_than_configured(self) -> None:
         for reported, expected in ((16.0, 8), (2.0, 2), (1_000.0, 64)):
             estimator = FleetSizeEstimator(4)
             for n in range(50):
                 estimator.record_report(NOW + n * MS, reported, 2)
             assert estimator.estimated_routers(NOW + 50 * MS) == expected, reported
 
-    def test_what_cannot_be_right_says_nothing(self) -> None:
+    def test_impossible_reports_are_ignored(self) -> None:
         estimator = FleetSizeEstimator(4)
         for reported in (float("nan"), float("inf"), -1.0, 1e9):
             for n in range(50):
@@ -369,9 +375,7 @@
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.integers(1, 40), min_size=1, max_size=40), st.integers(1, 40))
-    def test_the_parts_never_add_up_to_more_than_a_zone_may_take(
-        self, loads: list[int], configured: int
-    ) -> None:
+    def test_the_shares_never_exceed_the_capacity_of_a_zone(self, loads: list[int], configured: int) -> None:
         """The shares of all routers stay within the zone's capacity.
 
         This holds whatever their number and however uneven their load, within 16 times the settings' number.
@@ -387,7 +391,7 @@
             shares.append(1 / estimator.estimated_routers(NOW + 30 * MS))
         assert sum(shares) <= 1.25 + 0.001, "by the settings' number the sum would be len(loads) / configured"
 
-    def test_a_deployment_without_that_report_refuses_the_count(self) -> None:
+    def test_a_deployment_without_that_report_gets_a_diagnostic(self) -> None:
         s = router().state.settings
         file, _ = load(b'kelpcroft version=1\nstart count=#true\nroute "rest" { match; }\n')
         assert [f.code for f in check(file, s)] == []
@@ -406,13 +410,13 @@
         for n in range(50):
             r.state.fleet_size.record_report(NOW + S + n * MS, 12.0 * configured.zone_instances, 2)
         effect_list = r.handle(NOW + 2 * S, inputs.TimerFired((messages.TimerKind.HOUSEKEEPING, 0, 0)))
-        assert events(effect_list) == ["start.routers"]
+        assert logged_events(effect_list) == ["start.routers"]
         assert r.state.settings.zone_instances == 6 * configured.zone_instances
         assert r.state.policy.settings.instances == 6 * configured.instances
         r.handle(NOW + 3 * S, inputs.OperatorFileRead(OperatorFile()))
         assert (r.state.fleet_size, r.state.settings.zone_instances) == (None, configured.zone_instances)
 
-    def test_a_tenth_of_the_routers_that_the_settings_say(self) -> None:
+    def test_a_tenth_of_the_configured_routers(self) -> None:
         """A tenth of the configured routers run, and all caches are cold.
 
         Guards against a share by the settings' number: each router spent a fortieth of the zone's capacity,
@@ -420,7 +424,7 @@
         """
         share_in_time = {}
         for count in (False, True):
-            fleet = Counting(24, believed=240, cold_parents=False)
+            fleet = FleetWithStartOptions(24, believed=240, cold_parents=False)
             fleet.start_options = StartupOptions(estimate_fleet_size=count)
             fleet.run(16)
             share_in_time[count] = fleet.outcomes.share_in_time(5, 14)
@@ -428,8 +432,8 @@
         assert share_in_time[True] > 1.5 * share_in_time[False], share_in_time
 
 
-class AtTheStore(unittest.TestCase):
-    def test_it_opens_with_answers_in_time_and_closes_with_late_ones(self) -> None:
+class OriginLimit(unittest.TestCase):
+    def test_the_limit_rises_with_timely_responses_and_falls_with_late_ones(self) -> None:
         origin_limit = OriginConcurrencyLimit(NOW)
         assert origin_limit.has_capacity()
         origin_limit.record_sent()
@@ -448,7 +452,7 @@
         origin_limit.record_finished(NOW + 13 * MS, NOW + 12 * MS, None)
         assert origin_limit.limit == 4.0
 
-    def test_it_is_over_once_nothing_is_late_for_long(self) -> None:
+    def test_the_limit_is_lifted_after_a_long_time_without_late_responses(self) -> None:
         origin_limit = OriginConcurrencyLimit(NOW)
         for n in range(200):
             origin_limit.record_finished(NOW + n * 100 * MS, NOW, n == 0)
@@ -462,7 +466,7 @@
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.sampled_from(["send", "good", "late", "none"]), max_size=200))
-    def test_any_order(self, steps: list[str]) -> None:
+    def test_any_order_of_sends_and_results(self, steps: list[str]) -> None:
         origin_limit, now = OriginConcurrencyLimit(NOW), NOW
         for step in steps:
             now += 10 * MS
@@ -477,7 +481,7 @@
         origin_limit.in_flight = 0
         assert origin_limit.has_capacity(), "one fetch is always allowed"
 
-    def test_in_the_reducer_the_module_hears_of_it_and_orders_are_not_held_back(self) -> None:
+    def test_the_reducer_applies_the_limit_to_fills_and_not_to_orders(self) -> None:
         r = router()
         r.handle(
             NOW + S,
@@ -487,14 +491,15 @@
         r.state.origin_limit.in_flight = 1
         r.handle(NOW + S, inputs.TimerFired((messages.TimerKind.RESTART_OVERLAP, 0, 0)))
         assert not r.state.policy.origin_fills_allowed
-        call = inputs.ClientRequest(1, 1, "order", "t1", 2 * S, "a", "0", 10, 0, 0, False, "", b"x")
-        assert effects_of_type(effects.OpenServerConnection, r.handle(NOW + S, call)) or r.state.attempts, (
-            "it is sent"
-        )
+        order_request = inputs.ClientRequest(1, 1, "order", "t1", 2 * S, "a", "0", 10, 0, 0, False, "", b"x")
+        assert (
+            effects_of_type(effects.OpenServerConnection, r.handle(NOW + S, order_request))
+            or r.state.attempts
+        ), "it is sent"
         r.handle(NOW + 2 * S, inputs.OperatorFileRead(OperatorFile()))
         assert r.state.policy.origin_fills_allowed
 
-    def test_hundreds_beside_empty_boxes_and_hubs(self) -> None:
+    def test_many_routers_with_empty_caches_and_parents(self) -> None:
         """Many routers start beside empty caches and parents.
 
         Without the limit the origin receives four times the load that it can serve, and for ten seconds few
@@ -502,7 +507,7 @@
         """
         share_in_time, rejected = {}, {}
         for is_limited in (False, True):
-            fleet = Counting(40)
+            fleet = FleetWithStartOptions(40)
             fleet.start_options = StartupOptions(limit_origin_fetches=is_limited)
             fleet.run(14)
             share_in_time[is_limited], rejected[is_limited] = (
@@ -517,15 +522,15 @@
         assert rejected[True] == 0
 
 
-class Counting(ColdStartFleet):
+class FleetWithStartOptions(ColdStartFleet):
     start_options = StartupOptions()
 
     def start_router(self, n: int) -> list[effects.Effect]:
         return self.routers[n].start(self.now, self.start_options)
 
 
-class Files(unittest.TestCase):
-    def test_the_node_of_the_operators_file(self) -> None:
+class StartNode(unittest.TestCase):
+    def test_the_start_node_of_the_operators_file(self) -> None:
         file, diagnostics = load(b"kelpcroft version=1\nstart list-calls=50\n")
         assert file is not None
         assert (diagnostics, file.start_options) == ([], BUDGET)
@@ -540,8 +545,8 @@
             assert [diagnostic.code for diagnostic in diagnostics] == [code], text
 
 
-class Again(unittest.TestCase):
-    def test_a_crash_loop_costs_the_list_service_next_to_nothing(self) -> None:
+class CrashLoop(unittest.TestCase):
+    def test_a_crash_loop_sends_the_list_service_few_requests(self) -> None:
         """A router starts every 2 s for a minute: counts the requests that are sent before the next crash."""
         data, requests = b"", 0
         for n in range(30):
@@ -554,7 +559,7 @@
             crash_loop_backoff.crash_loop_delay_ns(crash_loop_backoff.decode(data, "n3", NOW + 180 * S)) == 0
         ), "earlier starts expire"
 
-    def test_a_file_that_is_not_to_be_used_costs_nothing(self) -> None:
+    def test_an_unusable_file_causes_no_delay(self) -> None:
         good = crash_loop_backoff.encode("n3", [NOW - S], NOW)
         assert len(crash_loop_backoff.decode(good, "n3", NOW)) == 2
         for data in (
@@ -572,7 +577,7 @@
         assert crash_loop_backoff.decode(future, "n3", NOW) == [], "a start in the future is ignored"
         assert len(crash_loop_backoff.encode("n" * 200, [NOW] * 100, NOW)) < crash_loop_backoff.MAX_FILE_BYTES
 
-    def test_on_a_disk(self) -> None:
+    def test_the_record_on_disk(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             delays = [predecessor_files.crash_loop_delay_ns(directory, "n3", NOW + n * S) for n in range(6)]
             assert delays == [0, 0, S // 2, S, 2 * S, 4 * S]
@@ -583,18 +588,18 @@
         assert predecessor_files.crash_loop_delay_ns("", "n3", NOW) == 0
 
 
-class InAFleet(unittest.TestCase):
+class StartOfAFleet(unittest.TestCase):
     """Two hundred routers in virtual time, and a list service that crashes when 100 requests wait."""
 
-    def test_a_start_in_one_second_topples_it_without_a_budget_and_not_with_one(self) -> None:
-        for way, falls in (("none", True), ("budget", False)):
+    def test_a_simultaneous_start_crashes_the_service_only_without_a_budget(self) -> None:
+        for start_kind, crashes in (("none", True), ("budget", False)):
             fleet = Played(200, rate=0.2, service=ListServiceModel(), cold=False, cold_parents=False)
-            fleet.way = way
+            fleet.way = start_kind
             fleet.run(12)
-            assert (fleet.service.crashes > 0) == falls, way
-            assert (len(fleet.first_answer_ns) == 200) == (not falls), way
+            assert (fleet.service.crashes > 0) == crashes, start_kind
+            assert (len(fleet.first_answer_ns) == 200) == (not crashes), start_kind
 
-    def test_dead_for_ten_seconds_and_counting_anew(self) -> None:
+    def test_a_service_that_is_dead_for_ten_seconds_and_renumbers(self) -> None:
         fleet = Played(
             120,
             rate=0.2,
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -5,7 +5,8 @@
 enum members and modules are not part of a digest, so a rename changes no digest.  Log effects are left out,
 and so are the reasons that only the log contains (of a closed client connection).
 
-The tables ``EFFECTS``, ``TIMERS`` and ``ACTS`` name all classes of the program that a digest distinguishes.
+The tables ``EFFECTS``, ``TIMERS`` and ``COMMAND_WORDS`` name all classes of the program that a digest
+distinguishes.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
     messages.TimerKind.SHUTDOWN: "shutdown",
     messages.TimerKind.SETTINGS_TRANSITION: "settings",
 }
-ACTS = {
+COMMAND_WORDS = {
     CommandKind.POLL: "poll",
     CommandKind.DRAIN: "out-of-service",
     CommandKind.APPLY: "apply",
@@ -82,7 +83,7 @@
         self.hash = hashlib.sha256()
         self.count = 0
         self.words: set[str] = set()
-        self.feed_codec = FEED
+        self.feed_address = FEED
 
     def add(self, now: int, word: str, peer: int, payload: bytes) -> None:
         """Adds a record: its time, its word, the number of its connection (0 = none) and its bytes."""
@@ -103,16 +104,16 @@
         return self.hash.hexdigest()
 
 
-def poll(digest: Digest, e: effects.PollFeed) -> tuple[int, bytes]:
+def encode_watch_request(digest: Digest, e: effects.PollFeed) -> tuple[int, bytes]:
     """Encodes a watch request as it is sent to the feed, and its response timeout."""
-    return 0, feed.encode_poll(digest.feed_codec, e.after_event, e.wait_ms, e.log_fingerprint) + fields(
+    return 0, feed.encode_poll(digest.feed_address, e.after_event, e.wait_ms, e.log_fingerprint) + fields(
         e.response_timeout_ns
     )
 
 
-def move(digest: Digest, e: effects.SwitchFeed) -> tuple[int, bytes]:
+def encode_feed_switch(digest: Digest, e: effects.SwitchFeed) -> tuple[int, bytes]:
     """Encodes a switch of the feed's address, which later watch requests contain."""
-    digest.feed_codec = e.address
+    digest.feed_address = e.address
     return 0, fields(*e.address)
 
 
@@ -143,8 +144,8 @@
         lambda _, e: (e.connection, b"".join(server_codec.encode_health_check(e))),
     ),
     effects.CloseServerConnection: ("close-server", lambda _, e: (e.connection, b"")),
-    effects.PollFeed: ("poll", poll),
-    effects.SwitchFeed: ("move-feed", move),
+    effects.PollFeed: ("poll", encode_watch_request),
+    effects.SwitchFeed: ("move-feed", encode_feed_switch),
     effects.ScheduleTimer: ("timer", lambda _, e: (0, fields(e.at_ns, TIMERS[e.key[0]], *e.key[1:]))),
     effects.LogEvent: ("log", lambda _, e: (0, b"")),
     effects.StopAccepting: ("stop-listening", lambda _, e: (0, b"")),
@@ -182,7 +183,7 @@
         super().start_router()
         self.deliver(inputs.ProcessIdentity("0123456789abcdef", f"process-{self.router_life}"))
         self.deliver(inputs.ClientConnected(10**6))
-        calls = (
+        verbs = (
             inputs.ControlVerb.READY,
             inputs.ControlVerb.STATE,
             inputs.ControlVerb.OUT_OF_SERVICE,
@@ -191,7 +192,7 @@
             inputs.ControlVerb.IN_SERVICE,
             inputs.ControlVerb.STATE,
         )
-        for n, verb in enumerate(calls, 1):
+        for n, verb in enumerate(verbs, 1):
             self.schedule(self.now + n * 700 * MS, inputs.ControlRequest(n, verb))
             self.schedule(self.now + n * 700 * MS + MS, inputs.HealthRequest(10**6, n))
         self.schedule(self.now + 6 * S, inputs.WatchFailed("reset", 2 * S))
@@ -272,7 +273,7 @@
                 figures = orjson.dumps(dict(e.figures), option=orjson.OPT_NON_STR_KEYS)
                 self.history.add(now, "note", 0, fields(e.name, e.text) + figures)
             else:
-                self.digest.add(now, "command", 0, fields(e.router, ACTS[e.kind]))
+                self.digest.add(now, "command", 0, fields(e.router, COMMAND_WORDS[e.kind]))
         snapshot = to_snapshot(self)
         self.history.add(now, "why", 0, fields(snapshot.pop("why")))
         for key, names in (("bets", 2), ("sides", 3)):  # rows by zone and class, which have no order
@@ -283,16 +284,16 @@
 
 def recorded_rollout(seed: int) -> RecordedRollout:
     """Runs a rollout of ``testbed.rollouts``; the seed selects the injected failures."""
-    odds = {1: 0.0, 2: 0.3, 3: 0.08, 4: 0.3, 5: 0.0, 6: 0.0}[seed]
+    late_share = {1: 0.0, 2: 0.3, 3: 0.08, 4: 0.3, 5: 0.0, 6: 0.0}[seed]
 
-    def harm(_: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
-        return odds if p.build == "beef" and (seed != 4 or cls == "writes") else 0.0
+    def late_share_of(_: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
+        return late_share if p.build == "beef" and (seed != 4 or cls == "writes") else 0.0
 
-    world = SimulatedFleet(make_plan(2, 3), seed, harm)
+    world = SimulatedFleet(make_plan(2, 3), seed, late_share_of)
     world.rollout = recorded = RecordedRollout(world)
     if seed == 5:
         world.lost_command_share = 0.02
-    orders = (
+    operator_commands = (
         {40: OperatorCommand.HOLD, 60: OperatorCommand.RESUME}
         if seed == 1
         else {230: OperatorCommand.REVERT}
@@ -305,7 +306,7 @@
             world.routers[name].silent_until_ns = world.now + 12 * S
         world.run(100, {99: OperatorCommand.RESUME})
         world.new_build_crash_after_ns = 20 * S
-    outcome = world.run(2_000, orders)
+    outcome = world.run(2_000, operator_commands)
     recorded.digest.add(world.now, "outcome", 0, fields(outcome.value))
     return recorded
 
@@ -323,7 +324,7 @@
 # The decision package alone --------------------------------------------------------------------------------
 
 
-class Conversation:
+class AdapterConversation:
     """The simulator's side of the adapter's protocol: one router with random servers and clients."""
 
     def __init__(self, seed: int) -> None:
@@ -336,90 +337,106 @@
         self.options["limits"]["dial_timeout_ns"] = 400 * MS
         self.options["discovery"] = self.random.choice(["push", "ask"])
         self.classes: list[dict[str, Any]] = self.options["classes"]
-        listed = raw["known"]["events"][0]["members"]["endpoints"]
+        endpoints = raw["known"]["events"][0]["members"]["endpoints"]
         self.servers = {
             e["address"]: [e["address"], e["zone"], e["type"], e["group"], "in_service", e["weight"], None]
-            for e in listed
+            for e in endpoints
         }
         self.heap: list[tuple[int, int, list[Any]]] = []
-        self.made = self.batch = 0
-        self.tries: dict[str, int] = {}
-        self.out_now: dict[tuple[str, int], str] = {}
-        self.answered: set[str] = set()
+        self.scheduled_count = self.batch = 0
+        self.attempt_counts: dict[str, int] = {}
+        self.servers_in_flight: dict[tuple[str, int], str] = {}
+        self.finished_requests: set[str] = set()
         self.outcomes: set[int] = set()
 
-    def later(self, after: int, line: list[Any]) -> None:
-        self.made += 1
-        heapq.heappush(self.heap, (self.now + after, self.made, line))
+    def schedule(self, after: int, line: list[Any]) -> None:
+        self.scheduled_count += 1
+        heapq.heappush(self.heap, (self.now + after, self.scheduled_count, line))
 
-    def turn(self, *lines: list[Any]) -> None:
+    def send_batch(self, *lines: list[Any]) -> None:
         """Sends one batch and carries out the actions in its response."""
         self.batch += 1
         start = self.out.tell()
         self.host.run(json.dumps(x) for x in (["Turn", self.now, self.batch], *lines, ["End"]))
         self.out.seek(start)
         text = self.out.read()
-        kept = [line for line in text.splitlines(True) if not line.startswith('["WriteLog"')]
-        self.digest.add(self.now, "reply", 0, "".join(kept).encode())
+        action_lines = [line for line in text.splitlines(True) if not line.startswith('["WriteLog"')]
+        self.digest.add(self.now, "reply", 0, "".join(action_lines).encode())
         for line in text.splitlines():
             self.carry_out(json.loads(line))
 
-    def carry_out(self, a: list[Any]) -> None:
+    def carry_out(self, action: list[Any]) -> None:
         r = self.random
-        assert a[0] != "Exception", a
-        if a[0] == "Get":
-            number = self.tries.get(a[2], 0)
-            self.tries[a[2]] = number + 1
-            self.out_now[a[2], number] = a[3]
+        assert action[0] != "Exception", action
+        if action[0] == "Get":
+            number = self.attempt_counts.get(action[2], 0)
+            self.attempt_counts[action[2]] = number + 1
+            self.servers_in_flight[action[2], number] = action[3]
             outcome = r.choices(
                 [100, 101, 301, 302, 303, 304, 305, 307], [0.74, 0.05, 0.05, 0.05, 0.05, 0.03, 0.02, 0.01]
             )[0]
-            took = a[4] if outcome == 303 else min(a[4], int(r.lognormvariate(4, 1)) * MS + MS)
-            self.later(took, ["end", a[2], number, outcome, took])
-        elif a[0] == "Revoke":
-            self.later(MS, ["end", a[2], a[3], 306, MS])
-        elif a[0] in ("Refuse", "Lose"):
-            self.answered.add(a[2])
-        elif a[0] == "Schedule":
-            self.later(max(0, a[3] - self.now), ["DeadlineHit", 0, a[2]])
-        elif a[0] == "Probe":
+            elapsed_ns = (
+                action[4] if outcome == 303 else min(action[4], int(r.lognormvariate(4, 1)) * MS + MS)
+            )
+            self.schedule(elapsed_ns, ["end", action[2], number, outcome, elapsed_ns])
+        elif action[0] == "Revoke":
+            self.schedule(MS, ["end", action[2], action[3], 306, MS])
+        elif action[0] in ("Refuse", "Lose"):
+            self.finished_requests.add(action[2])
+        elif action[0] == "Schedule":
+            self.schedule(max(0, action[3] - self.now), ["DeadlineHit", 0, action[2]])
+        elif action[0] == "Probe":
             report = [r.random() for _ in self.options["report"]["fields"]]
-            self.later(5 * MS, ["ProbeResult", 0, r.choice([100, 100, 303]), a[2], 5 * MS, report])
+            self.schedule(5 * MS, ["ProbeResult", 0, r.choice([100, 100, 303]), action[2], 5 * MS, report])
 
     def event(self, line: list[Any]) -> None:
         """Sends the batch for one simulated event."""
         r = self.random
         if line[0] == "end":
-            _, id, number, outcome, took = line
-            server = self.out_now.pop((id, number), None)
+            _, id, number, outcome, elapsed_ns = line
+            server = self.servers_in_flight.pop((id, number), None)
             if server is None:
                 return
-            final = outcome == 100 or id in self.answered
+            final = outcome == 100 or id in self.finished_requests
             note = r.randrange(11) if r.random() < 0.7 else 0
             report = [r.random() for _ in self.options["report"]["fields"]]
             if final:
-                self.answered.add(id)
+                self.finished_requests.add(id)
             self.outcomes.add(outcome)
-            self.turn(["AttemptEnd", 0, id, number, server, outcome, took, final, note, took // 3, report])
+            self.send_batch(
+                [
+                    "AttemptEnd",
+                    0,
+                    id,
+                    number,
+                    server,
+                    outcome,
+                    elapsed_ns,
+                    final,
+                    note,
+                    elapsed_ns // 3,
+                    report,
+                ]
+            )
         elif line[0] == "gone":
-            if line[1] not in self.answered:
-                self.answered.add(line[1])
-                self.turn(["Abandoned", 0, line[1]])
+            if line[1] not in self.finished_requests:
+                self.finished_requests.add(line[1])
+                self.send_batch(["Abandoned", 0, line[1]])
         elif line[0] == "list":
             name = r.choice(sorted(self.servers))
             entry = self.servers[name]
             entry[4] = r.choice(["in_service", "terminating", "terminated"])
             entry[6] = self.now if entry[4] == "in_service" else entry[6]
-            self.turn(["Roster", 1, [list(entry)]], ["Sync", 0, 1, "update", 2])
+            self.send_batch(["Roster", 1, [list(entry)]], ["Sync", 0, 1, "update", 2])
         elif line[0] == "none":
-            self.turn(["Sync", 0, None, "unavailable", 2])
+            self.send_batch(["Sync", 0, None, "unavailable", 2])
         else:
-            self.turn(line)
+            self.send_batch(line)
 
     def run(self) -> Digest:
         """Runs ten seconds and returns the digest."""
         r = self.random
-        self.turn(
+        self.send_batch(
             ["Hello", 0, r.getrandbits(40), self.options],
             ["Roster", 0, [list(x) for x in self.servers.values()]],
             ["Sync", 0, 0, "restored", 1],
@@ -427,30 +444,44 @@
         for n in range(600):
             at, index = r.randrange(10 * S), r.randrange(len(self.classes))
             cls = self.classes[index]
-            patience = int(cls["give_up_ns"] * r.uniform(0.3, 1.0))
+            remaining_ns = int(cls["give_up_ns"] * r.uniform(0.3, 1.0))
             write = cls["idempotency"] != "safe"
             id, size = f"{n:036x}", r.choice([None, 1, 200.0, 5_000.0])
-            item = r.choice([7, 8, 9, r.randrange(10**6)])
+            object_number = r.choice([7, 8, 9, r.randrange(10**6)])
             retry = r.random() < 0.1
-            self.later(
-                at, ["Ingress", 0, id, patience, retry, n % 4, write, item, item % 5, size, None, cls["name"]]
+            self.schedule(
+                at,
+                [
+                    "Ingress",
+                    0,
+                    id,
+                    remaining_ns,
+                    retry,
+                    n % 4,
+                    write,
+                    object_number,
+                    object_number % 5,
+                    size,
+                    None,
+                    cls["name"],
+                ],
             )
-            self.later(at + int(patience * r.uniform(0.2, 1.5)), ["gone", id])
+            self.schedule(at + int(remaining_ns * r.uniform(0.2, 1.5)), ["gone", id])
         for _ in range(12):
-            self.later(r.randrange(10 * S), ["list"])
+            self.schedule(r.randrange(10 * S), ["list"])
             purged: int | None = r.choice([7, 8, None])
-            self.later(r.randrange(10 * S), ["Purged", 0, purged, 20 * MS, 3])
-        self.later(5 * S, ["none"])
+            self.schedule(r.randrange(10 * S), ["Purged", 0, purged, 20 * MS, 3])
+        self.schedule(5 * S, ["none"])
         while self.heap and self.heap[0][0] < 14 * S:
             self.now, _, line = heapq.heappop(self.heap)
             self.event(line)
-        self.turn(["Down", 0])
+        self.send_batch(["Down", 0])
         return self.digest
 
 
 def decision(seed: int) -> Digest:
     """Returns the digest of a conversation with the decision package through the simulator's adapter."""
-    return Conversation(seed).run()
+    return AdapterConversation(seed).run()
 
 
 KINDS: dict[str, tuple[Callable[[int], Digest], tuple[int, ...]]] = {
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -15,8 +15,8 @@
 from testbed.field.builds import DEFECTS
 from testbed.stand_ins import MS, ScriptedReply, ServerCommand
 
-SHORT = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
-BROKEN = {
+CONTRACT_SETTINGS = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
+RULE_BY_DEFECT = {
     "answers nothing": "answered",
     "runs twice": "once",
     "sends to the drained": "drained",
@@ -25,9 +25,9 @@
 }
 
 
-def orders_break(server: str, seen: ServerCommand) -> ScriptedReply:
+def fail_orders(server: str, command: ServerCommand) -> ScriptedReply:
     """Ends every order with an error after which it may have run, and serves all other requests."""
-    return ScriptedReply("BROKE" if seen.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
+    return ScriptedReply("BROKE" if command.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
 
 
 class Links(unittest.TestCase):
@@ -45,9 +45,9 @@
                 sock, _ = self.server.accept()
             except OSError:
                 return
-            threading.Thread(target=self.one, args=(sock,), daemon=True).start()
+            threading.Thread(target=self.echo_connection, args=(sock,), daemon=True).start()
 
-    def one(self, sock: socket.socket) -> None:
+    def echo_connection(self, sock: socket.socket) -> None:
         with sock:
             try:
                 while data := sock.recv(4_096):
@@ -64,68 +64,68 @@
         sock.settimeout(1)
         return sock
 
-    def said(self, sock: socket.socket, text: bytes = b"hello") -> bytes:
+    def exchange(self, sock: socket.socket, text: bytes = b"hello") -> bytes:
         """Sends bytes; returns what the server echoed before the end of the connection or the timeout."""
-        got = b""
+        received = b""
         try:
             sock.sendall(text)
-            while len(got) < len(text) and (data := sock.recv(4_096)):
-                got += data
+            while len(received) < len(text) and (data := sock.recv(4_096)):
+                received += data
         except OSError:
             pass
-        return got
+        return received
 
     def test_each_mode(self) -> None:
         sock = self.connect()
-        assert self.said(sock) == b"hello"
+        assert self.exchange(sock) == b"hello"
         self.relay.change(LinkMode.DELAY)
         began = time.monotonic()
-        assert self.said(sock) == b"hello"
+        assert self.exchange(sock) == b"hello"
         assert time.monotonic() - began > 0.4, "the delay applies in both directions"
         self.relay.change(LinkMode.SLOW)
         began = time.monotonic()
-        assert self.said(sock, b"x" * 640) == b"x" * 640
+        assert self.exchange(sock, b"x" * 640) == b"x" * 640
         assert time.monotonic() - began > 0.15
         self.relay.change(LinkMode.GARBAGE)
-        assert b"garbage" in self.said(sock, b"hello")
+        assert b"garbage" in self.exchange(sock, b"hello")
         self.relay.change(LinkMode.PASS)
         sock = self.connect()
         self.relay.change(LinkMode.ONE_WAY)
-        assert self.said(sock) == b""
+        assert self.exchange(sock) == b""
         self.relay.change(LinkMode.SILENT)
         sock = self.connect()
-        assert self.said(sock) == b"", "nothing passes"
+        assert self.exchange(sock) == b"", "nothing passes"
         self.relay.change(LinkMode.PASS)
         assert sock.recv(16) == b"hello", "the bytes held by the silent relay are delivered"
         self.relay.change(LinkMode.CUT)
-        assert self.said(sock, b"0123456789") == b"01234"
+        assert self.exchange(sock, b"0123456789") == b"01234"
         self.relay.change(LinkMode.REFUSE)
-        assert self.said(self.connect()) == b""
+        assert self.exchange(self.connect()) == b""
         self.relay.change(LinkMode.PASS)
         sock = self.connect()
-        assert self.said(sock) == b"hello"
+        assert self.exchange(sock) == b"hello"
         self.relay.drop()
         time.sleep(0.1)
-        assert self.said(sock) == b""
-        assert self.said(self.connect()) == b"hello"
+        assert self.exchange(sock) == b""
+        assert self.exchange(self.connect()) == b"hello"
 
-    def test_a_share_of_the_connections(self) -> None:
+    def test_a_mode_for_a_share_of_the_connections(self) -> None:
         self.relay.change(LinkMode.REFUSE, 0.5)
-        got = [self.said(self.connect()) for _ in range(20)]
-        assert 6 <= got.count(b"hello") <= 14, got
+        echoes = [self.exchange(self.connect()) for _ in range(20)]
+        assert 6 <= echoes.count(b"hello") <= 14, echoes
 
-    def test_an_end_is_passed_on(self) -> None:
+    def test_a_half_close_is_forwarded(self) -> None:
         sock = self.connect()
         sock.sendall(b"last")
         sock.shutdown(socket.SHUT_WR)
-        got = b""
+        received = b""
         while data := sock.recv(64):
-            got += data
-        assert got == b"last"
+            received += data
+        assert received == b"last"
 
 
 class Builds(unittest.TestCase):
-    def test_each_defect_fits_the_sources(self) -> None:
+    def test_each_defect_matches_the_sources(self) -> None:
         """The text that each defect replaces is in the sources, also for defects that only long tests use."""
         with tempfile.TemporaryDirectory() as name:
             for number, defect in enumerate(DEFECTS):
@@ -133,13 +133,13 @@
                     build_program(Path(name) / str(number), defect)
 
 
-class Judged(unittest.TestCase):
+class ContractChecks(unittest.TestCase):
     """Real routers for a few seconds, with a purge, a drain and a restarted cache in the feed."""
 
-    def day(self, defect: str, faults: bool = False) -> tuple[ContractChecker, ClientLoad]:
+    def run_field(self, defect: str, with_failures: bool = False) -> tuple[ContractChecker, ClientLoad]:
         with tempfile.TemporaryDirectory() as name:
             builds = {"old": build_program(Path(name) / "old", defect)}
-            with RouterField(1, 2, builds, orders_break, 3, 2, True, 1.5, SHORT) as field:
+            with RouterField(1, 2, builds, fail_orders, 3, 2, True, 1.5, CONTRACT_SETTINGS) as field:
                 relays = field.servers.relays
                 with ClientLoad(field, per_s=60.0, orders=10) as load:
                     time.sleep(0.8)
@@ -147,14 +147,14 @@
                     field.servers.publish(purge=purged)
                     field.servers.change("cache-z0", "leaving")
                     field.servers.change("cache-z0-1", "active", time.time_ns() // MS)
-                    if faults:
+                    if with_failures:
                         self.break_links(field)
                     else:
                         time.sleep(3.0)
-                    killed = faults
+                    killed = with_failures
                     for relay in relays.values():
                         relay.change(LinkMode.PASS)
-                return field.check_contract(load, killed=killed, cut=faults), load
+                return field.check_contract(load, killed=killed, cut=with_failures), load
 
     def break_links(self, field: RouterField) -> None:
         """Applies each mode to a parent, a cache and the origin; suspends one router and kills another."""
@@ -175,16 +175,16 @@
         nodes[1].start("old")
         time.sleep(1.0)
 
-    def test_each_broken_rule_is_seen(self) -> None:
-        for defect, rule in BROKEN.items():
+    def test_each_violated_rule_is_reported(self) -> None:
+        for defect, rule in RULE_BY_DEFECT.items():
             with self.subTest(defect=defect):
-                watch, _ = self.day(defect)
-                assert watch.broken_rules() == {rule}, watch.violations[:5]
+                checker, _ = self.run_field(defect)
+                assert checker.broken_rules() == {rule}, checker.violations[:5]
 
-    def test_a_sound_one_is_not_accused_under_any_fault(self) -> None:
-        for faults in (False, True):
-            watch, load = self.day("sound", faults)
-            assert watch.violations == []
+    def test_a_sound_build_violates_no_rule_under_any_failure(self) -> None:
+        for with_failures in (False, True):
+            checker, load = self.run_field("sound", with_failures)
+            assert checker.violations == []
             assert load.counts["served"] > 150, load.counts
 
 
