--- a/tests/program/test_routes_loopback.py
+++ b/tests/program/test_routes_loopback.py
@@ -233,7 +233,7 @@
             )
 
     def test_an_order_reaches_a_server_at_most_once(self) -> None:
-        """With every kind of failure, and a reload of the file while the order is in flight."""
+        """This holds for every kind of failure, and for a reload of the file while the order is in flight."""
         for reply in ("silent", "BROKE", "reset", "cut", "LACK", "WAIT", "PAST", "DONE"):
             with self.subTest(word=reply):
                 stand_ins = StandInServers(always(reply, 60))
--- a/tests/startup/test_cold_start.py
+++ b/tests/startup/test_cold_start.py
@@ -20,7 +20,7 @@
 
 ZONES, ROUTERS_PER_ZONE = 6, 4
 ROUTERS = ZONES * ROUTERS_PER_ZONE
-MAX_REQUESTS_PER_S = 10  # watch requests a second that the routers' file grants all of them
+MAX_REQUESTS_PER_S = 10  # watch requests per second of all routers together, from the operator's file
 BUDGET = RULES + f"start list-calls={MAX_REQUESTS_PER_S}\n"
 CYCLE_S = ROUTERS / MAX_REQUESTS_PER_S
 S = 1_000 * MS
@@ -135,7 +135,7 @@
     def test_a_third_killed_twice_and_some_suspended_during_a_drain(self) -> None:
         """Routers are killed just after they begin to serve, and others are suspended while a cache drains.
 
-        The killed ones are started and killed once more.  The suspended ones must not send waiting requests
+        The killed ones are started and killed again.  The suspended ones must not send waiting requests
         to the drained cache when they continue.
         """
         field = self.field(boxes=2, cold=True, rules=BUDGET, settings=FAST_WARM_UP)
--- a/tests/support/exchange_player.py
+++ b/tests/support/exchange_player.py
@@ -43,7 +43,7 @@
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_bytes())
 PROGRAM = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: test the compiled program
 KEYED_CLASS = {"idempotency": "keyed", "group": "all", "dedup_window_ns": 3 * 10**9}
-ONE_CACHE = ("cache1", "parent", "origin")  # with one cache in the zone, the route of a request is unique
+ONE_CACHE = ("cache1", "parent", "origin")  # one cache in the zone, so that the route of a request is unique
 WAIT_S = 20  # a test that waits this long has failed; no test result depends on a shorter time
 SERVERS = {
     "cache1": ("s-c1", "edge-1", "box"),
@@ -163,7 +163,7 @@
             sock.close()
 
     def connection(self, name: str) -> socket.socket:
-        """Returns the connection of a peer: accepted if the peer listens, else made to the program."""
+        """Returns the connection of a peer: accepted if the peer listens, otherwise opened to the program."""
         if name not in self.connections:
             base = name.split("-")[0]
             if base in self.listeners:
@@ -183,7 +183,7 @@
         raise AssertionError(f"the program has exited: {self.log.read()}")
 
     def wait_for(self, text: str) -> None:
-        """Waits until the log contains ``text`` once more than at the previous call with this text."""
+        """Waits until the log contains ``text`` one time more than at the previous call with this text."""
         count = self.log_counts.get(text, 0)
         for _ in range(WAIT_S * 100):
             self.log.seek(0)
--- a/tests/support/reducer_fixtures.py
+++ b/tests/support/reducer_fixtures.py
@@ -9,11 +9,7 @@
 from tests.support.exchange_player import EXAMPLE
 
 TRACE = "00000000000000ab"
-
-
 GOOD_RESPONSE = b"*4\r\n$1\r\ng\r\n$4\r\nDONE\r\n$1\r\n-\r\n$2\r\nby\r\n"
-
-
 NOW = 1_764_576_000 * 1_000 * MS
 
 
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -65,7 +65,7 @@
         return sock
 
     def exchange(self, sock: socket.socket, text: bytes = b"hello") -> bytes:
-        """Sends bytes; returns what the server echoed before the end of the connection or the timeout."""
+        """Sends bytes; returns the bytes echoed before the end of the connection or the timeout."""
         received = b""
         try:
             sock.sendall(text)
