--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -26,18 +26,18 @@
 from kelpcroft.net.server_codec import ServerCodec
 from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS, ServerConnection
 from tests.support.exchange_player import EXAMPLE
-from tests.support.reducer_fixtures import GOOD, NOW, TRACE, call, only, router
+from tests.support.reducer_fixtures import GOOD_RESPONSE, NOW, TRACE, client_request, effects_of_type, router
 
 
-class Parts(unittest.TestCase):
-    def test_patience_counts_from_the_send(self) -> None:
+class Components(unittest.TestCase):
+    def test_remaining_time_counts_from_the_send(self) -> None:
         """Requests that had waited unread in a busy router were served after their clients' deadlines."""
         data = msgpack.packb([0, 1, "page", [{"trace": TRACE, "patience": "900", "entity": TRACE}, b""]])
         (request,) = ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(data), 400 * MS)
         assert isinstance(request, inputs.ClientRequest)
         assert request.remaining_time_ns == 500 * MS
 
-    def test_bad_requests_are_not_sent_on(self) -> None:
+    def test_bad_requests_are_not_forwarded(self) -> None:
         """Servers answer bad requests with an error or a close, which counted against the servers and against
         other clients' requests.
         """
@@ -61,12 +61,16 @@
             with self.subTest(message=str(message)[:200]), pytest.raises(ClientProtocolError):
                 ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(msgpack.packb(message)))
         r = router()
-        assert len(only(effects.OpenServerConnection, r.handle(NOW, call(1)))) == 1
-        for request in (call(1, client=2), call(2, cls="none"), call(3, patience=90_000)):
+        assert len(effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))) == 1
+        for request in (
+            client_request(1, client=2),
+            client_request(2, class_name="none"),
+            client_request(3, remaining_ms=90_000),
+        ):
             assert r.handle(NOW, request) == [effects.FailRequest(request.client, request.request_number)]
         for number in range(4, 4 + 31):
-            assert only(effects.CloseClient, r.handle(NOW, call(number))) == []
-        assert len(only(effects.CloseClient, r.handle(NOW, call(99)))) == 1
+            assert effects_of_type(effects.CloseClient, r.handle(NOW, client_request(number))) == []
+        assert len(effects_of_type(effects.CloseClient, r.handle(NOW, client_request(99)))) == 1
 
     def test_a_message_has_a_maximum_size(self) -> None:
         """Nested lists grew in memory as they were received, far beyond the size of their bytes.  Also,
@@ -85,7 +89,7 @@
                 memoryview(b"".join([*requests, msgpack.packb([2, "cancel", [1]])]))
             )
 
-    def test_silent_and_idle_clients_make_room(self) -> None:
+    def test_silent_and_idle_clients_are_closed(self) -> None:
         """Clients that sent one request and stayed connected used up all places: no other client was accepted
         until they disconnected.
         """
@@ -105,7 +109,7 @@
         loop.clients.open[3].partial_since_ns = NOW - MS
         loop.sweep(NOW)
         assert list(loop.clients.open) == [3, 4]
-        loop.reducer.handle(NOW, call(1, client=3))
+        loop.reducer.handle(NOW, client_request(1, client=3))
         assert not loop.acceptor.evict_idle_client(), "one has an open request, the other was just active"
         loop.reducer.handle(NOW, inputs.CancelRequest(3, 1))
         assert loop.acceptor.evict_idle_client()
@@ -135,17 +139,17 @@
         after the purge was received.
         """
         r = router()
-        (_opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (_opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW),)))
-        (attempt,) = only(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
+        (attempt,) = effects_of_type(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
         assert attempt.max_age_ms > 0
 
-    def test_a_given_up_id_is_kept_off_its_connection(self) -> None:
+    def test_a_cancelled_id_is_kept_off_its_connection(self) -> None:
         """A response that crossed its KILL on the wire would be matched to the next attempt with that id."""
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW, inputs.ServerConnected(opening.connection))
-        (cancellation,) = only(effects.CancelAttempt, r.handle(NOW, inputs.CancelRequest(1, 1)))
+        (cancellation,) = effects_of_type(effects.CancelAttempt, r.handle(NOW, inputs.CancelRequest(1, 1)))
         assert (
             r.state.connections.find(
                 r.state.connections.by_number[opening.connection].server, cancellation.attempt_id
@@ -157,45 +161,59 @@
         )
         assert r.handle(NOW, late) == []
 
-    def test_an_answered_id_is_kept_off_its_connection(self) -> None:
+    def test_a_completed_id_is_kept_off_its_connection(self) -> None:
         """A duplicate of a miss ended the next attempt while its server still executed it, so a request that
         must not be executed twice was.
         """
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW, inputs.ServerConnected(opening.connection))
         miss = inputs.ServerResponse(
-            opening.connection, call(1).trace_id, Outcome.MISS, FillResult.SOURCE_LACKS, 0, {}, False, b""
+            opening.connection,
+            client_request(1).trace_id,
+            Outcome.MISS,
+            FillResult.SOURCE_LACKS,
+            0,
+            {},
+            False,
+            b"",
         )
-        (next_opening,) = only(effects.OpenServerConnection, r.handle(NOW, miss))
+        (next_opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, miss))
         assert next_opening.connection != opening.connection
         assert r.handle(NOW, miss) == []
         assert len(r.state.attempts) == 1
 
-    def test_reset_of_a_new_connection_is_no_evidence(self) -> None:
+    def test_reset_of_a_new_connection_does_not_eject_its_server(self) -> None:
         """The reset counted as a refused connection: the server was ejected, and later treated as cold."""
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
-        (reopening,) = only(
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
+        (reopening,) = effects_of_type(
             effects.OpenServerConnection,
             r.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNRESET")),
         )
         assert reopening.address == opening.address
         assert (
-            len(only(effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(reopening.connection)))) == 1
+            len(
+                effects_of_type(
+                    effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(reopening.connection))
+                )
+            )
+            == 1
         )
         assert not any(n.is_ejected for n in r.state.policy.endpoints.values())
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNREFUSED", True))
         assert any(n.is_ejected for n in r.state.policy.endpoints.values())
 
-    def test_a_quiet_connection_is_given_up(self) -> None:
+    def test_a_silent_connection_is_closed(self) -> None:
         """Responses never arrived on a connection that stayed open; as the fullest connection it was given
         all attempts for its server.
         """
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1, patience=4_900)))
+        (opening,) = effects_of_type(
+            effects.OpenServerConnection, r.handle(NOW, client_request(1, remaining_ms=4_900))
+        )
         (silence_timer,) = [
             e
             for e in r.handle(NOW, inputs.ServerConnected(opening.connection))
@@ -203,25 +221,28 @@
         ]
         assert silence_timer.key == (messages.TimerKind.CONNECTION_SILENCE, opening.connection, 0)
         for number in (2, 3):
-            r.handle(NOW + MS, call(number, patience=4_900))
+            r.handle(NOW + MS, client_request(number, remaining_ms=4_900))
         later = silence_timer.at_ns + SECOND
         response = inputs.ServerResponse(
-            opening.connection, call(2).trace_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"two"
+            opening.connection, client_request(2).trace_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"two"
         )
         r.handle(NOW + 2 * MS, response)
         assert (
-            only(effects.CloseServerConnection, r.handle(later, inputs.TimerFired(silence_timer.key))) == []
+            effects_of_type(
+                effects.CloseServerConnection, r.handle(later, inputs.TimerFired(silence_timer.key))
+            )
+            == []
         ), "a single attempt may be slow"
-        r.handle(later, call(4))
+        r.handle(later, client_request(4))
         effect_list = r.handle(later + SECOND, inputs.TimerFired(silence_timer.key))
-        assert only(effects.CloseServerConnection, effect_list) == [
+        assert effects_of_type(effects.CloseServerConnection, effect_list) == [
             effects.CloseServerConnection(opening.connection)
         ]
-        (reopening,) = only(effects.OpenServerConnection, effect_list)
+        (reopening,) = effects_of_type(effects.OpenServerConnection, effect_list)
         assert reopening.address == opening.address, "repeatable attempts are sent to the same server"
         assert (
             len(
-                only(
+                effects_of_type(
                     effects.SendAttempt,
                     r.handle(later + SECOND, inputs.ServerConnected(reopening.connection)),
                 )
@@ -229,18 +250,20 @@
             == 3
         )
 
-    def test_a_connection_behind_slow_fills_is_asked_before_it_is_given_up(self) -> None:
+    def test_a_connection_with_slow_fills_is_health_checked_before_it_is_closed(self) -> None:
         """While the origin was slow, attempts that waited for it gathered on a few connections.  Each
         connection was closed after half a second and all its attempts were sent again, to every cache of the
         zone, for twelve seconds: 352 of 3,533 attempts in one router, with half of all requests served in
         time.
         """
-        for answers in (True, False):
+        for responds in (True, False):
             r = router()
             r.state.settings = replace(
                 r.state.settings, limits=replace(r.state.settings.limits, may_probe=True)
             )
-            (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1, patience=4_900)))
+            (opening,) = effects_of_type(
+                effects.OpenServerConnection, r.handle(NOW, client_request(1, remaining_ms=4_900))
+            )
             (silence_timer,) = [
                 e
                 for e in r.handle(NOW, inputs.ServerConnected(opening.connection))
@@ -248,31 +271,40 @@
             ]
             assert silence_timer.at_ns == NOW + r.attempts.response_times.silence_timeout_ns() // 2
             for number in (2, 3, 4):
-                r.handle(NOW + MS, call(number, patience=4_900))
+                r.handle(NOW + MS, client_request(number, remaining_ms=4_900))
             effect_list = r.handle(silence_timer.at_ns, inputs.TimerFired(silence_timer.key))
-            (check,) = only(effects.SendHealthCheck, effect_list)
-            assert (check.connection, only(effects.CloseServerConnection, effect_list)) == (
+            (health_check,) = effects_of_type(effects.SendHealthCheck, effect_list)
+            assert (health_check.connection, effects_of_type(effects.CloseServerConnection, effect_list)) == (
                 opening.connection,
                 [],
             )
-            if answers:
+            if responds:
                 check_response = inputs.ServerResponse(
-                    opening.connection, check.attempt_id, Outcome.OK, FillResult.NONE, 0, {}, False, b""
+                    opening.connection,
+                    health_check.attempt_id,
+                    Outcome.OK,
+                    FillResult.NONE,
+                    0,
+                    {},
+                    False,
+                    b"",
                 )
                 r.handle(silence_timer.at_ns + MS, check_response)
             due = NOW + r.attempts.response_times.silence_timeout_ns()
             effect_list = r.handle(due, inputs.TimerFired(silence_timer.key))
-            assert bool(only(effects.CloseServerConnection, effect_list)) == (not answers)
+            assert bool(effects_of_type(effects.CloseServerConnection, effect_list)) == (not responds)
             assert len(r.state.attempts) == 4, "the attempts are still in flight, or wait to be sent again"
-            if answers:  # another check follows after the same silence
+            if responds:  # another check follows after the same silence
                 due = silence_timer.at_ns + MS + r.attempts.response_times.silence_timeout_ns()
-                (check,) = only(effects.SendHealthCheck, r.handle(due, inputs.TimerFired(silence_timer.key)))
-                assert only(
+                (health_check,) = effects_of_type(
+                    effects.SendHealthCheck, r.handle(due, inputs.TimerFired(silence_timer.key))
+                )
+                assert effects_of_type(
                     effects.CloseServerConnection,
                     r.handle(due + 200 * MS, inputs.TimerFired(silence_timer.key)),
                 )
 
-    def test_few_share_a_connection_and_an_order_shares_none(self) -> None:
+    def test_few_attempts_share_a_connection_and_an_order_shares_none(self) -> None:
         """One response that could not be decoded failed 28 requests, among them orders, which cannot be
         retried.
         """
@@ -298,7 +330,7 @@
         """The connection stayed open, and all attempts on it waited until their clients had cancelled."""
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: NOW))
         self.addCleanup(loop.selector.close)
-        for number, data in ((1, GOOD), (2, GOOD[:9])):
+        for number, data in ((1, GOOD_RESPONSE), (2, GOOD_RESPONSE[:9])):
             server = ServerConnection(
                 loop.servers, number, socket.socket(), NOW - PARTIAL_RESPONSE_TIMEOUT_NS - MS
             )
@@ -313,13 +345,13 @@
         would have allowed any fresh copy.
         """
         r = router()
-        (opening,) = only(effects.OpenServerConnection, r.handle(NOW, call(1)))
+        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
         r.handle(NOW, inputs.ServerConnected(opening.connection))
         r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW + MS),)))
-        (attempt,) = only(effects.SendAttempt, r.handle(NOW + MS, call(2)))
+        (attempt,) = effects_of_type(effects.SendAttempt, r.handle(NOW + MS, client_request(2)))
         assert attempt.max_age_ms == 1
 
-    def test_answers_in_any_pieces(self) -> None:
+    def test_responses_in_any_chunks(self) -> None:
         """Code compiled by mypyc took the codec's body as absent forever.  Every split of the bytes must
         decode to the same responses.
         """
@@ -350,38 +382,40 @@
         ):
             with self.subTest(invalid=invalid[:40]):
                 codec = ServerCodec(1)
-                responses = codec.receive_data(memoryview(GOOD + invalid))
+                responses = codec.receive_data(memoryview(GOOD_RESPONSE + invalid))
                 # A complete response before the bad bytes is used if those begin like a response.
                 assert [response.attempt_id for response in responses] == (
                     ["g"] if invalid.startswith(b"*") else []
                 )
                 assert codec.error != ""
 
-    def test_a_body_said_to_be_longer_is_not_passed_on(self) -> None:
+    def test_a_body_with_too_large_a_length_is_not_forwarded(self) -> None:
         """A body with too large a length took four bytes from the start of the next response, and the bytes
         that it took end as a body does.
         """
         codec = ServerCodec(1)
-        assert codec.receive_data(memoryview(GOOD.replace(b"$2\r\n", b"$6\r\n") + GOOD)) == []
+        assert (
+            codec.receive_data(memoryview(GOOD_RESPONSE.replace(b"$2\r\n", b"$6\r\n") + GOOD_RESPONSE)) == []
+        )
         assert codec.error != ""
 
-    def test_backlog_keeps_bytes_and_gives_buffers_back(self) -> None:
+    def test_a_write_buffer_keeps_bytes_and_releases_buffers(self) -> None:
         pool = BufferPool(64)
         sender, receiver = socket.socketpair()
         self.addCleanup(sender.close)
         self.addCleanup(receiver.close)
         sender.setblocking(False)
-        backlog, sent = WriteBuffer(pool), [bytes([n]) * 300_000 for n in range(8)]
+        write_buffer, sent = WriteBuffer(pool), [bytes([n]) * 300_000 for n in range(8)]
         for chunk in sent:
-            backlog.add([chunk])
-            assert backlog.write(sender)
+            write_buffer.add([chunk])
+            assert write_buffer.write(sender)
         assert pool.in_use > 0
         received = b""
         while len(received) < 8 * 300_000:
             received += receiver.recv(1 << 20)
-            assert backlog.write(sender)
+            assert write_buffer.write(sender)
         assert received == b"".join(sent)
-        assert (pool.in_use, backlog.stored_bytes()) == (0, 0)
+        assert (pool.in_use, write_buffer.stored_bytes()) == (0, 0)
 
 
 if __name__ == "__main__":
--- a/tests/program/test_handover.py
+++ b/tests/program/test_handover.py
@@ -13,11 +13,11 @@
 from kelpcroft.core.state import SECOND
 from kelpcroft.net.predecessor_files import write_handover
 from kelpcroft.store.handover import MAX_AGE_NS, MAX_FILE_BYTES, HandoverRecord, decode, encode, file_path
-from tests.support.reducer_fixtures import NOW, only, router
+from tests.support.reducer_fixtures import NOW, effects_of_type, router
 
 
 class File(unittest.TestCase):
-    def test_what_is_written_is_read(self) -> None:
+    def test_a_written_record_is_read_back(self) -> None:
         data = encode("n3", 4711, NOW, False, NOW - SECOND)
         assert decode(data, "n3", NOW + SECOND) == (HandoverRecord(False, NOW - SECOND, NOW, 4711), "")
         assert file_path("/run/x/", "n3") == "/run/x/kelpcroft-n3.json"
@@ -63,7 +63,7 @@
             assert record is not None
             assert (record.in_service, record.pid) == (True, os.getpid()), "its own state is the later one"
 
-    def test_what_is_not_taken(self) -> None:
+    def test_unusable_records_are_rejected(self) -> None:
         good = orjson.loads(encode("n3", 4711, NOW, True, NOW))
         cases = [
             (b"x" * (MAX_FILE_BYTES + 1), "is over"),
@@ -88,14 +88,16 @@
 class Reducer(unittest.TestCase):
     def test_a_drain_is_recorded_and_applied_by_the_successor(self) -> None:
         r = router()
-        assert only(
+        assert effects_of_type(
             effects.PersistServiceState,
             r.handle(NOW, inputs.ControlRequest(1, inputs.ControlOperation.OUT_OF_SERVICE)),
         ) == [effects.PersistServiceState(False, NOW)]
         resumed = r.handle(NOW + SECOND, inputs.ControlRequest(2, inputs.ControlOperation.IN_SERVICE))
-        assert only(effects.PersistServiceState, resumed) == [effects.PersistServiceState(True, NOW + SECOND)]
+        assert effects_of_type(effects.PersistServiceState, resumed) == [
+            effects.PersistServiceState(True, NOW + SECOND)
+        ]
         assert (
-            only(
+            effects_of_type(
                 effects.PersistServiceState,
                 r.handle(NOW + SECOND, inputs.ControlRequest(3, inputs.ControlOperation.IN_SERVICE)),
             )
@@ -103,8 +105,8 @@
         )  # no change
         successor = router()
         effect_list = successor.handle(NOW, inputs.PredecessorState(False, NOW - SECOND))
-        assert only(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
-        (reply,) = only(
+        assert effects_of_type(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
+        (reply,) = effects_of_type(
             effects.ControlResponse,
             successor.handle(NOW, inputs.ControlRequest(4, inputs.ControlOperation.READY)),
         )
@@ -113,7 +115,7 @@
         assert successor.handle(NOW, inputs.PredecessorState(True, NOW)) == []
         assert (
             len(
-                only(
+                effects_of_type(
                     effects.LogEvent,
                     router().handle(NOW, inputs.PredecessorState(None, reason="x: is not JSON")),
                 )
--- a/tests/support/exchange_player.py
+++ b/tests/support/exchange_player.py
@@ -43,7 +43,7 @@
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_bytes())
 PROGRAM = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: test the compiled program
 KEYED_CLASS = {"idempotency": "keyed", "group": "all", "dedup_window_ns": 3 * 10**9}
-ONE_CACHE = ("cache1", "parent", "origin")  # with one cache in the zone, the route of a request is unique
+ONE_CACHE = ("cache1", "parent", "origin")  # one cache in the zone, so that the route of a request is unique
 WAIT_S = 20  # a test that waits this long has failed; no test result depends on a shorter time
 SERVERS = {
     "cache1": ("s-c1", "edge-1", "box"),
@@ -80,7 +80,7 @@
         case: unittest.TestCase,
         listed: tuple[str, ...] = tuple(SERVERS),
         inherit: bool = False,
-        orders: dict[str, Any] | None = None,
+        order_class: dict[str, Any] | None = None,
     ) -> None:
         """Starts the program.
 
@@ -88,7 +88,7 @@
             case: The test, which cleans up after the run.
             listed: Names of the servers in the endpoint list.
             inherit: The client listening socket is created here, and inherited as ROUTER_FD.
-            orders: Settings of the order class that differ from the example.
+            order_class: Settings of the order class that differ from the example.
         """
         self.case = case
         self.listeners: dict[str, socket.socket] = {}
@@ -116,7 +116,7 @@
             "known": {"n": 1, "events": [{"n": 1, "members": endpoint_list}]},
         }
         settings = copy.deepcopy(EXAMPLE["settings"])
-        settings["classes"][1].update(orders or {})
+        settings["classes"][1].update(order_class or {})
         self.config["settings"] = settings
         self.folder = tempfile.TemporaryDirectory()
         case.addCleanup(self.folder.cleanup)
@@ -163,7 +163,7 @@
             sock.close()
 
     def connection(self, name: str) -> socket.socket:
-        """The connection of a peer: accepted if the peer listens, else made to the program."""
+        """Returns the connection of a peer: accepted if the peer listens, otherwise opened to the program."""
         if name not in self.connections:
             base = name.split("-")[0]
             if base in self.listeners:
@@ -183,7 +183,7 @@
         raise AssertionError(f"the program has exited: {self.log.read()}")
 
     def wait_for(self, text: str) -> None:
-        """Waits until the log contains ``text`` once more than at the previous call with this text."""
+        """Waits until the log contains ``text`` one time more than at the previous call with this text."""
         count = self.log_counts.get(text, 0)
         for _ in range(WAIT_S * 100):
             self.log.seek(0)
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -1,8 +1,4 @@
-"""The field of real processes: relays inject each fault, and the contract checker finds each broken rule.
-
-A checker that missed a violation, or reported one that a sound router did not commit, would make the field's
-other tests worthless.
-"""
+"""Link modes, defective builds and the contract checker, which reports each violated rule and no other."""
 
 from __future__ import annotations
 
@@ -19,8 +15,8 @@
 from testbed.field.builds import DEFECTS
 from testbed.stand_ins import MS, ScriptedReply, ServerCommand
 
-SHORT_SETTINGS = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
-BROKEN_RULES = {
+CONTRACT_SETTINGS = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
+RULE_BY_DEFECT = {
     "answers nothing": "answered",
     "runs twice": "once",
     "sends to the drained": "drained",
@@ -29,14 +25,14 @@
 }
 
 
-def orders_break(server: str, seen: ServerCommand) -> ScriptedReply:
-    """Every order fails after it may have been executed; all other requests are served."""
-    return ScriptedReply("BROKE" if seen.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
+def fail_orders(server: str, command: ServerCommand) -> ScriptedReply:
+    """Ends every order with an error after which it may have run, and serves all other requests."""
+    return ScriptedReply("BROKE" if command.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
 
 
 class Links(unittest.TestCase):
     def setUp(self) -> None:
-        """Start a server that sends back what it receives, and a relay in front of it."""
+        """Starts an echo server, and a relay in front of it."""
         self.server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(self.server.close)
         threading.Thread(target=self.echo, daemon=True).start()
@@ -60,7 +56,7 @@
                 pass
 
     def connect(self) -> socket.socket:
-        """A connection through the relay, or an unconnected socket if it was reset immediately."""
+        """Returns a connection to the relay, or an unconnected socket if the connect was reset."""
         sock = socket.socket()
         with contextlib.suppress(ConnectionResetError):
             sock.connect(self.relay.address)
@@ -69,12 +65,12 @@
         return sock
 
     def exchange(self, sock: socket.socket, text: bytes = b"hello") -> bytes:
-        """Send bytes: the bytes that return, up to as many, until the connection ends or times out."""
+        """Sends bytes; returns the bytes echoed before the end of the connection or the timeout."""
         received = b""
         try:
             sock.sendall(text)
-            while len(received) < len(text) and (chunk := sock.recv(4_096)):
-                received += chunk
+            while len(received) < len(text) and (data := sock.recv(4_096)):
+                received += data
         except OSError:
             pass
         return received
@@ -85,7 +81,7 @@
         self.relay.change(LinkMode.DELAY)
         began = time.monotonic()
         assert self.exchange(sock) == b"hello"
-        assert time.monotonic() - began > 0.4, "both ways"
+        assert time.monotonic() - began > 0.4, "the delay applies in both directions"
         self.relay.change(LinkMode.SLOW)
         began = time.monotonic()
         assert self.exchange(sock, b"x" * 640) == b"x" * 640
@@ -100,7 +96,7 @@
         sock = self.connect()
         assert self.exchange(sock) == b"", "nothing passes"
         self.relay.change(LinkMode.PASS)
-        assert sock.recv(16) == b"hello", "and nothing was lost"
+        assert sock.recv(16) == b"hello", "the bytes held by the silent relay are delivered"
         self.relay.change(LinkMode.CUT)
         assert self.exchange(sock, b"0123456789") == b"01234"
         self.relay.change(LinkMode.REFUSE)
@@ -113,37 +109,37 @@
         assert self.exchange(sock) == b""
         assert self.exchange(self.connect()) == b"hello"
 
-    def test_a_share_of_the_connections(self) -> None:
+    def test_a_mode_for_a_share_of_the_connections(self) -> None:
         self.relay.change(LinkMode.REFUSE, 0.5)
-        responses = [self.exchange(self.connect()) for _ in range(20)]
-        assert 6 <= responses.count(b"hello") <= 14, responses
+        echoes = [self.exchange(self.connect()) for _ in range(20)]
+        assert 6 <= echoes.count(b"hello") <= 14, echoes
 
-    def test_an_end_is_passed_on(self) -> None:
+    def test_a_half_close_is_forwarded(self) -> None:
         sock = self.connect()
         sock.sendall(b"last")
         sock.shutdown(socket.SHUT_WR)
         received = b""
-        while chunk := sock.recv(64):
-            received += chunk
+        while data := sock.recv(64):
+            received += data
         assert received == b"last"
 
 
 class Builds(unittest.TestCase):
-    def test_each_defect_fits_the_sources(self) -> None:
-        """A defect whose text is no longer in the sources fails here, and not only in a long test."""
+    def test_each_defect_matches_the_sources(self) -> None:
+        """The text that each defect replaces is in the sources, also for defects that only long tests use."""
         with tempfile.TemporaryDirectory() as name:
             for number, defect in enumerate(DEFECTS):
                 with self.subTest(defect=defect):
                     build_program(Path(name) / str(number), defect)
 
 
-class ContractCheckerTests(unittest.TestCase):
-    """Real routers under load, with a purge, a drain and a server's start within a few seconds."""
+class ContractChecks(unittest.TestCase):
+    """Real routers for a few seconds, with a purge, a drain and a restarted cache in the feed."""
 
-    def run_defect(self, defect: str, faults: bool = False) -> tuple[ContractChecker, ClientLoad]:
+    def run_field(self, defect: str, with_failures: bool = False) -> tuple[ContractChecker, ClientLoad]:
         with tempfile.TemporaryDirectory() as name:
             builds = {"old": build_program(Path(name) / "old", defect)}
-            with RouterField(1, 2, builds, orders_break, 3, 2, True, 1.5, SHORT_SETTINGS) as field:
+            with RouterField(1, 2, builds, fail_orders, 3, 2, True, 1.5, CONTRACT_SETTINGS) as field:
                 relays = field.servers.relays
                 with ClientLoad(field, per_s=60.0, orders=10) as load:
                     time.sleep(0.8)
@@ -151,17 +147,17 @@
                     field.servers.publish(purge=purged)
                     field.servers.change("cache-z0", "leaving")
                     field.servers.change("cache-z0-1", "active", time.time_ns() // MS)
-                    if faults:
+                    if with_failures:
                         self.break_links(field)
                     else:
                         time.sleep(3.0)
-                    killed = faults
+                    killed = with_failures
                     for relay in relays.values():
                         relay.change(LinkMode.PASS)
-                return field.check_contract(load, killed=killed, cut=faults), load
+                return field.check_contract(load, killed=killed, cut=with_failures), load
 
     def break_links(self, field: RouterField) -> None:
-        """All link modes in turn at a parent, the origin and a cache; one router is stopped, one killed."""
+        """Applies each mode to a parent, a cache and the origin; suspends one router and kills another."""
         nodes = list(field.nodes.values())
         for mode in LinkMode:
             for name in ("parent", "cache-z0-2", "origin"):
@@ -179,15 +175,15 @@
         nodes[1].start("old")
         time.sleep(1.0)
 
-    def test_each_broken_rule_is_seen(self) -> None:
-        for defect, rule in BROKEN_RULES.items():
+    def test_each_violated_rule_is_reported(self) -> None:
+        for defect, rule in RULE_BY_DEFECT.items():
             with self.subTest(defect=defect):
-                checker, _ = self.run_defect(defect)
+                checker, _ = self.run_field(defect)
                 assert checker.broken_rules() == {rule}, checker.violations[:5]
 
-    def test_a_sound_one_is_not_accused_under_any_fault(self) -> None:
-        for faults in (False, True):
-            checker, load = self.run_defect("sound", faults)
+    def test_a_sound_build_violates_no_rule_under_any_failure(self) -> None:
+        for with_failures in (False, True):
+            checker, load = self.run_field("sound", with_failures)
             assert checker.violations == []
             assert load.counts["served"] > 150, load.counts
 
