--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -42,27 +42,27 @@
 Run = Callable[[], dict[str, Any]]
 
 
-def flat(found: dict[str, Any], before: str = "") -> dict[str, float]:
+def flat(figures: dict[str, Any], prefix: str = "") -> dict[str, float]:
     """A run's figures in one flat table; nested names are joined with dots."""
     rows: dict[str, float] = {}
-    for key, value in found.items():
+    for key, value in figures.items():
         if isinstance(value, dict):
-            rows |= flat(value, f"{before}{key}.")
+            rows |= flat(value, f"{prefix}{key}.")
         else:
-            rows[before + key] = float(value)
+            rows[prefix + key] = float(value)
     return rows
 
 
 def rounds(runs: int, run: Run) -> dict[str, dict[str, float]]:
     """Median, minimum and maximum of each figure over several rounds."""
-    found = [flat(run()) for _ in range(runs)]
+    results = [flat(run()) for _ in range(runs)]
     return {
         key: {
-            "median": median(row[key] for row in found),
-            "least": min(row[key] for row in found),
-            "most": max(row[key] for row in found),
+            "median": median(row[key] for row in results),
+            "least": min(row[key] for row in results),
+            "most": max(row[key] for row in results),
         }
-        for key in found[0]
+        for key in results[0]
     }
 
 
@@ -71,68 +71,68 @@
     n = len(points)
     mean_x, mean_y = sum(x for x, _ in points) / n, sum(y for _, y in points) / n
     spread = sum((x - mean_x) ** 2 for x, _ in points)
-    rise = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread if spread else 0.0
-    start = mean_y - rise * mean_x
-    residual = max(abs(y - start - rise * x) for x, y in points)
-    return {"slope": rise, "intercept": start, "residual": residual}
+    gradient = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread if spread else 0.0
+    intercept = mean_y - gradient * mean_x
+    residual = max(abs(y - intercept - gradient * x) for x, y in points)
+    return {"slope": gradient, "intercept": intercept, "residual": residual}
 
 
 def sweeps(quick: bool, before: Path | None) -> dict[str, tuple[str, dict[float, Run]]]:
     """Every sweep by name: the quantity that varies, and the run for each of its values."""
-    s, short = (2.0, 1.0) if quick else (SECONDS, 3.0)
+    run_s, requests_run_s = (2.0, 1.0) if quick else (SECONDS, 3.0)
 
-    def at(*values: float) -> tuple[float, ...]:
+    def values_of(*values: float) -> tuple[float, ...]:
         return values[1:2] if quick else values
 
-    base = 20 if quick else 100
+    base_routers = 20 if quick else 100
     return {
         "routers": (
             "routers",
             {
-                n: lambda n=n: feed.spread(FleetSize(routers=int(n)), RATE, s)  # type: ignore[misc]
-                for n in at(50, 150, 300, 590)
+                n: lambda n=n: feed.measure_hollow_routers(FleetSize(routers=int(n)), RATE, run_s)  # type: ignore[misc]
+                for n in values_of(50, 150, 300, 590)
             },
         ),
         "real": (
             "routers",
             {
-                n: lambda n=n: feed.real(FleetSize(routers=int(n)), RATE, 3 * s, COMPILED)  # type: ignore[misc]
-                for n in at(8, 24, 60)
+                n: lambda n=n: feed.measure_real_routers(FleetSize(routers=int(n)), RATE, 3 * run_s, COMPILED)  # type: ignore[misc]
+                for n in values_of(8, 24, 60)
             },
         ),
         "hollow": (
             "routers",
             {
-                n: lambda n=n: feed.spread(FleetSize(routers=int(n)), RATE, s)  # type: ignore[misc]
-                for n in at(8, 24, 60)
+                n: lambda n=n: feed.measure_hollow_routers(FleetSize(routers=int(n)), RATE, run_s)  # type: ignore[misc]
+                for n in values_of(8, 24, 60)
             },
         ),
         "purges": (
             "purges_per_s",
             {
-                p: lambda p=p: feed.spread(FleetSize(routers=base), p, s)  # type: ignore[misc]
-                for p in at(0.5, 2, 5.1, 10, 20)
+                p: lambda p=p: feed.measure_hollow_routers(FleetSize(routers=base_routers), p, run_s)  # type: ignore[misc]
+                for p in values_of(0.5, 2, 5.1, 10, 20)
             },
         ),
         "servers": (
             "servers",
             {
-                n: lambda n=n: feed.spread(FleetSize(base, int(n)), RATE, s)  # type: ignore[misc]
-                for n in at(30, 80, 150)
+                n: lambda n=n: feed.measure_hollow_routers(FleetSize(base_routers, int(n)), RATE, run_s)  # type: ignore[misc]
+                for n in values_of(30, 80, 150)
             },
         ),
         "zones": (
             "zones",
             {
-                n: lambda n=n: feed.spread(FleetSize(base, 150, int(n)), RATE, s)  # type: ignore[misc]
-                for n in at(1, 6, 19)
+                n: lambda n=n: feed.measure_hollow_routers(FleetSize(base_routers, 150, int(n)), RATE, run_s)  # type: ignore[misc]
+                for n in values_of(1, 6, 19)
             },
         ),
         "behind": (
             "events",
             {
-                n: lambda n=n: feed.behind(int(n), AGES[int(n)], COMPILED, 60)  # type: ignore[misc]
-                for n in at(*AGES)
+                n: lambda n=n: feed.measure_catch_up(int(n), AGES[int(n)], COMPILED, 60)  # type: ignore[misc]
+                for n in values_of(*AGES)
             },
         ),
         **(
@@ -140,8 +140,8 @@
                 "behind_before": (
                     "events",
                     {
-                        n: lambda n=n: feed.behind(int(n), AGES[int(n)], before, 15)  # type: ignore[misc]
-                        for n in at(*AGES)
+                        n: lambda n=n: feed.measure_catch_up(int(n), AGES[int(n)], before, 15)  # type: ignore[misc]
+                        for n in values_of(*AGES)
                     },
                 )
             }
@@ -151,21 +151,25 @@
         "behind_replica": (
             "events",
             {
-                n: lambda n=n: replicas.behind(int(n), AGES[int(n)], COMPILED, 30)  # type: ignore[misc]
-                for n in at(*AGES)
+                n: lambda n=n: replicas.measure_catch_up(int(n), AGES[int(n)], COMPILED, 30)  # type: ignore[misc]
+                for n in values_of(*AGES)
             },
         ),
         "replicas": (
             "routers",
             {
-                n: lambda n=n: replicas.spread(FleetSize(routers=int(n)), RATE, s, 2 if quick else 4)  # type: ignore[misc]
-                for n in at(150, 590)
+                n: lambda n=n: replicas.measure_purges_through_replicas(
+                    FleetSize(routers=int(n)), RATE, run_s, 2 if quick else 4
+                )  # type: ignore[misc]
+                for n in values_of(150, 590)
             },
         ),
         "replicas_one_dead": (
             "routers",
             {
-                n: lambda n=n: replicas.spread(FleetSize(routers=int(n)), RATE, s, 4, 1)  # type: ignore[misc]
+                n: lambda n=n: replicas.measure_purges_through_replicas(
+                    FleetSize(routers=int(n)), RATE, run_s, 4, 1
+                )  # type: ignore[misc]
                 for n in (590,)
             }
             if not quick
@@ -174,7 +178,9 @@
         "replicas_purges": (
             "purges_per_s",
             {
-                p: lambda p=p: replicas.spread(FleetSize(routers=base), p, s, 2)  # type: ignore[misc]
+                p: lambda p=p: replicas.measure_purges_through_replicas(
+                    FleetSize(routers=base_routers), p, run_s, 2
+                )  # type: ignore[misc]
                 for p in (0.5, 5.1, 20)
             }
             if not quick
@@ -183,15 +189,15 @@
         "requests": (
             "requests_per_s",
             {
-                r: lambda r=r: requests.served(r, 1_000, short, COMPILED)  # type: ignore[misc]
-                for r in at(200, 400, 814, 1_200, 1_600, 2_400)
+                r: lambda r=r: requests.measure_requests(r, 1_000, requests_run_s, COMPILED)  # type: ignore[misc]
+                for r in values_of(200, 400, 814, 1_200, 1_600, 2_400)
             },
         ),
         "bytes": (
             "bytes",
             {
-                b: lambda b=b: requests.served(300, int(b), short, COMPILED)  # type: ignore[misc]
-                for b in at(1_000, 20_000, 60_000, 120_000, 240_000)
+                b: lambda b=b: requests.measure_requests(300, int(b), requests_run_s, COMPILED)  # type: ignore[misc]
+                for b in values_of(1_000, 20_000, 60_000, 120_000, 240_000)
             },
         ),
     }
@@ -203,28 +209,28 @@
     return subprocess.run(words, cwd=ROOT, capture_output=True, text=True).stdout.strip()
 
 
-def measured(name: str, by: str, runs: dict[float, Run], count: int) -> dict[str, Any]:
+def run_sweep(name: str, quantity: str, runs: dict[float, Run], count: int) -> dict[str, Any]:
     """Run one sweep: the content of its file."""
     rows: list[dict[str, Any]] = []
     for x, run in runs.items():
-        began = time.monotonic()
+        started_s = time.monotonic()
         rows.append({"x": x, "figures": rounds(count, run)})
-        print(f"{name} {by}={x:g}: {time.monotonic() - began:.0f} s", file=sys.stderr, flush=True)
+        print(f"{name} {quantity}={x:g}: {time.monotonic() - started_s:.0f} s", file=sys.stderr, flush=True)
     keys = rows[0]["figures"] if rows else {}
-    lines = (
+    slopes = (
         {key: slope([(row["x"], row["figures"][key]["median"]) for row in rows]) for key in keys}
         if len(rows) > 1
         else {}
     )
     return {
         "sweep": name,
-        "by": by,
+        "by": quantity,
         "commit": commit(),
         "rounds": count,
         "command": f"python -m benchmarks.capacity --only {name}",
         "machine": f"8 cores, {platform.machine()}, Python {platform.python_version()}",
         "rows": rows,
-        "slopes": lines,
+        "slopes": slopes,
     }
 
 
@@ -242,18 +248,18 @@
     if options.page:
         page.PAGE.write_text(page.whole())
         return
-    found = sweeps(options.quick, options.before)
-    wanted = options.only.split(",") if options.only else list(found)
-    for name in wanted:
-        by, runs = found[name]
+    all_sweeps = sweeps(options.quick, options.before)
+    selected = options.only.split(",") if options.only else list(all_sweeps)
+    for name in selected:
+        quantity, runs = all_sweeps[name]
         if not runs:
             continue
-        told = measured(name, by, runs, 1 if options.quick else options.rounds)
+        result = run_sweep(name, quantity, runs, 1 if options.quick else options.rounds)
         if options.quick:
-            print(json.dumps(told))
+            print(json.dumps(result))
             continue
         FOLDER.mkdir(exist_ok=True)
-        (FOLDER / f"{name}.json").write_text(json.dumps(told, indent=1) + "\n")
+        (FOLDER / f"{name}.json").write_text(json.dumps(result, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/feed.py
+++ b/benchmarks/capacity/feed.py
@@ -22,50 +22,54 @@
 ONE = FleetSize(routers=1)
 
 
-def quantile(found: list[float], share: float) -> float:
+def quantile(values: list[float], share: float) -> float:
     """The value that a share of all values does not exceed."""
-    ordered = sorted(found)
+    ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
-def in_force(born: dict[int, int], seen: list[list[list[int]]]) -> list[list[float]]:
+def delays_until_applied(born: dict[int, int], seen: list[list[list[int]]]) -> list[list[float]]:
     """For each event, the time that each router took to apply it, in ms."""
-    found: list[list[float]] = [[] for _ in born]
+    delays_ms: list[list[float]] = [[] for _ in born]
     numbers = sorted(born)
     for router in seen:
-        at = 0
-        for known, when in router:
-            while at < len(numbers) and numbers[at] <= known:
-                found[at].append((when - born[numbers[at]]) / 1e6)
-                at += 1
-    return found
+        index = 0
+        for last_event, applied_ns in router:
+            while index < len(numbers) and numbers[index] <= last_event:
+                delays_ms[index].append((applied_ns - born[numbers[index]]) / 1e6)
+                index += 1
+    return delays_ms
 
 
-def counted(size: FleetSize, before: dict[str, Any], after: dict[str, Any], took: float) -> dict[str, Any]:
+def service_figures(
+    size: FleetSize, before: dict[str, Any], after: dict[str, Any], seconds: float
+) -> dict[str, Any]:
     """The list service's figures between two readings of its stats."""
-    calls = (after["calls"] - before["calls"]) / took
+    calls = (after["calls"] - before["calls"]) / seconds
     return {
-        "seconds": round(took, 2),
+        "seconds": round(seconds, 2),
         "service_calls_per_s": calls,
         "calls_per_router_s": calls / size.routers,
-        "service_bytes_out_per_s": (after["bytes_out"] - before["bytes_out"]) / took,
-        "service_bytes_in_per_s": (after["bytes_in"] - before["bytes_in"]) / took,
-        "service_cpu_share": (after["cpu_s"] - before["cpu_s"]) / took,
+        "service_bytes_out_per_s": (after["bytes_out"] - before["bytes_out"]) / seconds,
+        "service_bytes_in_per_s": (after["bytes_in"] - before["bytes_in"]) / seconds,
+        "service_cpu_share": (after["cpu_s"] - before["cpu_s"]) / seconds,
         "service_memory_kb": after["memory_kb"],
         "watches": after["watches"],
         "accepted": after["accepted"] - before["accepted"],
     }
 
 
-def spread(size: FleetSize, rate: float, seconds: float, rules: str = "", feed: str = "") -> dict[str, Any]:
+def measure_hollow_routers(
+    size: FleetSize, rate: float, seconds: float, rules: str = "", feed: str = ""
+) -> dict[str, Any]:
     """Measure how long purges take until every router has applied them."""
     with list_service(size) as service:
-        at = feed or f"127.0.0.1:{service.first_line['port']}"
-        with hollow_routers(size, at, rules) as fleet:
-            return watched(service, fleet, size, rate, seconds)
+        feed_address = feed or f"127.0.0.1:{service.first_line['port']}"
+        with hollow_routers(size, feed_address, rules) as fleet:
+            return measure_purges(service, fleet, size, rate, seconds)
 
 
-def watched(
+def measure_purges(
     service: LineProcess, fleet: list[LineProcess], size: FleetSize, rate: float, seconds: float
 ) -> dict[str, Any]:
     """Publish purges at a rate, and measure their cost and the time until routers apply them."""
@@ -73,24 +77,29 @@
     for process in fleet:
         process.ask()
     before = service.ask(do="stats")
-    cpu = sum(process.ask()["cpu_s"] for process in fleet)
-    began = time.monotonic()
+    cpu_before_s = sum(process.ask()["cpu_s"] for process in fleet)
+    started_s = time.monotonic()
     service.ask(do="purge", rate=rate, seconds=seconds)
     time.sleep(seconds)
-    after, took = service.ask(do="stats"), time.monotonic() - began
+    after, elapsed_s = service.ask(do="stats"), time.monotonic() - started_s
     time.sleep(2.0)  # the last events reach the last routers
     reports = [process.ask() for process in fleet]
-    told = service.ask(do="stats")
-    born = dict(enumerate(told["born"], told["n"] - len(told["born"]) + 1))
+    final_stats = service.ask(do="stats")
+    born = dict(enumerate(final_stats["born"], final_stats["n"] - len(final_stats["born"]) + 1))
     born = {number: at for number, at in born.items() if number > before["n"]}
-    times = in_force(born, [router for report in reports for router in report["seen"]])
-    whole = [event for event in times if len(event) == size.routers]
-    every, last = [x for event in whole for x in event], [max(event) for event in whole]
+    times = delays_until_applied(born, [router for report in reports for router in report["seen"]])
+    applied_everywhere = [event for event in times if len(event) == size.routers]
+    every, last = (
+        [x for event in applied_everywhere for x in event],
+        [max(event) for event in applied_everywhere],
+    )
     return {
-        **counted(size, before, after, took),
+        **service_figures(size, before, after, elapsed_s),
         "events": len(born),
-        "events_everywhere": len(whole),
-        "router_cpu_share": (sum(r["cpu_s"] for r in reports) - cpu) / (took + 2.0) / size.routers,
+        "events_everywhere": len(applied_everywhere),
+        "router_cpu_share": (sum(r["cpu_s"] for r in reports) - cpu_before_s)
+        / (elapsed_s + 2.0)
+        / size.routers,
         "router_memory_kb": sum(r["memory_kb"] for r in reports) / size.routers,
         "in_force_ms": {
             "median": median(every) if every else 0,
@@ -105,32 +114,33 @@
     }
 
 
-def real(size: FleetSize, rate: float, seconds: float, program: Path) -> dict[str, Any]:
+def measure_real_routers(size: FleetSize, rate: float, seconds: float, program: Path) -> dict[str, Any]:
     """Measure real routers, started as `run` starts them, with purges: figures as of hollow ones."""
     with ExitStack() as stack:
         service, scratch = stack.enter_context(list_service(size)), stack.enter_context(temporary_folder())
-        at = f"127.0.0.1:{service.first_line['port']}"
+        feed_address = f"127.0.0.1:{service.first_line['port']}"
         routers = [
-            stack.enter_context(RealRouter(size, n, at, program, scratch)) for n in range(size.routers)
+            stack.enter_context(RealRouter(size, n, feed_address, program, scratch))
+            for n in range(size.routers)
         ]
         assert wait_for(lambda: service.ask(do="stats")["watches"] == size.routers, 60)
         time.sleep(SETTLE_S)
-        before, cpu = service.ask(do="stats"), sum(router.cpu_s() for router in routers)
-        began = time.monotonic()
+        before, cpu_before_s = service.ask(do="stats"), sum(router.cpu_s() for router in routers)
+        started_s = time.monotonic()
         service.ask(do="purge", rate=rate, seconds=seconds)
         time.sleep(seconds)
-        after, took = service.ask(do="stats"), time.monotonic() - began
-        spent = sum(router.cpu_s() for router in routers) - cpu
+        after, elapsed_s = service.ask(do="stats"), time.monotonic() - started_s
+        spent = sum(router.cpu_s() for router in routers) - cpu_before_s
         memory = sum(router.memory_kb() for router in routers) / size.routers
         return {
-            **counted(size, before, after, took),
-            "router_cpu_share": spent / took / size.routers,
+            **service_figures(size, before, after, elapsed_s),
+            "router_cpu_share": spent / elapsed_s / size.routers,
             "router_memory_kb": memory,
         }
 
 
-def behind(
-    events: int, age_s: float, program: Path, longest_s: float, rules: str = "", size: FleetSize = ONE
+def measure_catch_up(
+    events: int, age_s: float, program: Path, timeout_s: float, rules: str = "", size: FleetSize = ONE
 ) -> dict[str, Any]:
     """Measure how a router, started as `run` starts it, catches up with ``events`` missed events."""
     with list_service(size) as service, temporary_folder() as scratch:
@@ -138,22 +148,22 @@
         with RealRouter(size, 0, feed, program, scratch, rules) as router:
             assert wait_for(lambda: service.ask(do="stats")["calls"] >= 3, 30), router.log.read_text()
             service.ask(do="mute", on=True)
-            usual_kb, cpu = router.memory_kb(), router.cpu_s()
+            usual_kb, cpu_before_s = router.memory_kb(), router.cpu_s()
             last = service.ask(do="history", purges=events, age_s=age_s)["n"]
             before = service.ask(do="stats")
-            began = time.monotonic()
+            started_s = time.monotonic()
             service.ask(do="mute", on=False)
             # It has caught up once a watch request names the last event.
-            done = wait_for(lambda: service.ask(do="look")["reached"] >= last, longest_s)
-            took, after = time.monotonic() - began, service.ask(do="stats")
+            has_caught_up = wait_for(lambda: service.ask(do="look")["reached"] >= last, timeout_s)
+            elapsed_s, after = time.monotonic() - started_s, service.ask(do="stats")
             return {
                 "events": events,
-                "caught_up": done,
-                "seconds": round(took, 2),
+                "caught_up": has_caught_up,
+                "seconds": round(elapsed_s, 2),
                 "calls": after["calls"] - before["calls"],
                 "bytes": after["bytes_out"] - before["bytes_out"],
                 "usual_memory_kb": usual_kb,
                 "memory_kb_most": router.memory_kb(peak=True),
-                "cpu_s": round(router.cpu_s() - cpu, 2),
+                "cpu_s": round(router.cpu_s() - cpu_before_s, 2),
                 "log_lines": sum("feed." in line for line in router.log.read_text().splitlines()),
             }
--- a/benchmarks/capacity/replicas.py
+++ b/benchmarks/capacity/replicas.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.capacity.feed import watched
+from benchmarks.capacity.feed import measure_purges
 from testbed.hollow.configuration import FleetSize
 from testbed.hollow.processes import (
     ControlReplica,
@@ -21,10 +21,12 @@
     wait_for,
 )
 
-MOVED_S = 4.0  # within this time the routers of a killed replica have moved to others
+MOVE_S = 4.0  # within this time the routers of a killed replica have moved to others
 
 
-def spread(size: FleetSize, rate: float, seconds: float, count: int = 4, dead: int = 0) -> dict[str, Any]:
+def measure_purges_through_replicas(
+    size: FleetSize, rate: float, seconds: float, count: int = 4, dead: int = 0
+) -> dict[str, Any]:
     """Measure purges at a rate through ``count`` replicas, of which ``dead`` are killed beforehand."""
     with ExitStack() as stack:
         service = stack.enter_context(list_service(size))
@@ -40,30 +42,30 @@
         addresses = " ".join(f'"{r.address}"' for r in replicas)
         rules.write_text(f"kelpcroft version=1\nreplicas {addresses}\n")
         fleet = stack.enter_context(hollow_routers(size, "127.0.0.1:1", str(rules)))
-        time.sleep(MOVED_S)
+        time.sleep(MOVE_S)
         for replica in replicas[:dead]:
             replica.end()
-        time.sleep(MOVED_S if dead else 0)
+        time.sleep(MOVE_S if dead else 0)
         alive = replicas[dead:]
         before = [figures(replica) for replica in alive]
-        began = time.monotonic()
-        found = watched(service, fleet, size, rate, seconds)
-        took = time.monotonic() - began
+        started_s = time.monotonic()
+        purge_figures = measure_purges(service, fleet, size, rate, seconds)
+        elapsed_s = time.monotonic() - started_s
         after = [figures(replica) for replica in alive]
-        spent = [
-            {key: (b[key] - a[key]) / took for key in ("answers", "bytes_out", "cpu_s")}
+        rates = [
+            {key: (b[key] - a[key]) / elapsed_s for key in ("answers", "bytes_out", "cpu_s")}
             for a, b in zip(before, after, strict=True)
         ]
         return {
-            **found,
+            **purge_figures,
             "replicas": count,
             "dead": dead,
-            "replica_calls_per_s": max(x["answers"] for x in spent),
-            "replica_bytes_out_per_s": max(x["bytes_out"] for x in spent),
-            "replica_cpu_share": max(x["cpu_s"] for x in spent),
+            "replica_calls_per_s": max(x["answers"] for x in rates),
+            "replica_bytes_out_per_s": max(x["bytes_out"] for x in rates),
+            "replica_cpu_share": max(x["cpu_s"] for x in rates),
             "replica_memory_kb": max(x["memory_kb"] for x in after),
-            "router_calls_per_s": sum(x["answers"] for x in spent) / size.routers,
-            "router_bytes_per_s": sum(x["bytes_out"] for x in spent) / size.routers,
+            "router_calls_per_s": sum(x["answers"] for x in rates) / size.routers,
+            "router_bytes_per_s": sum(x["bytes_out"] for x in rates) / size.routers,
             "refusals": sum(x["refusals"] for x in after),
         }
 
@@ -80,7 +82,7 @@
     }
 
 
-def behind(events: int, age_s: float, program: Path, longest_s: float) -> dict[str, Any]:
+def measure_catch_up(events: int, age_s: float, program: Path, timeout_s: float) -> dict[str, Any]:
     """Measure how a router that follows a replica catches up after it was stopped for ``events`` events."""
     size = FleetSize(routers=1)
     with ExitStack() as stack:
@@ -94,22 +96,22 @@
         router = stack.enter_context(RealRouter(size, 0, "127.0.0.1:1", program, scratch, str(rules)))
         time.sleep(5.0)  # until the router has received its first state
         router.process.send_signal(signal.SIGSTOP)
-        usual_kb, cpu = router.memory_kb(), router.cpu_s()
+        usual_kb, cpu_before_s = router.memory_kb(), router.cpu_s()
         last = service.ask(do="history", purges=events, age_s=age_s)["n"]
         assert wait_for(lambda: (replica.state() or {}).get("last") == last, 60)
         time.sleep(1.5)  # until the stopped router's outstanding watch request has its response
         before = figures(replica)
         router.process.send_signal(signal.SIGCONT)
-        began = time.monotonic()
-        done = wait_for(lambda: (replica.state() or {}).get("in_step") == 1, longest_s)
-        took, after = time.monotonic() - began, figures(replica)
+        started_s = time.monotonic()
+        has_caught_up = wait_for(lambda: (replica.state() or {}).get("in_step") == 1, timeout_s)
+        elapsed_s, after = time.monotonic() - started_s, figures(replica)
         return {
             "events": events,
-            "caught_up": done,
-            "seconds": round(took, 2),
+            "caught_up": has_caught_up,
+            "seconds": round(elapsed_s, 2),
             "calls": after["answers"] - before["answers"],
             "bytes": after["bytes_out"] - before["bytes_out"],
             "usual_memory_kb": usual_kb,
             "memory_kb_most": router.memory_kb(peak=True),
-            "cpu_s": round(router.cpu_s() - cpu, 2),
+            "cpu_s": round(router.cpu_s() - cpu_before_s, 2),
         }
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -15,7 +15,7 @@
 ONE = FleetSize(routers=1, servers=12, zones=1)
 
 
-def served(rate: float, size_bytes: int, seconds: float, program: Path) -> dict[str, Any]:
+def measure_requests(rate: float, size_bytes: int, seconds: float, program: Path) -> dict[str, Any]:
     """Measure one router at ``rate`` requests a second, with responses of ``size_bytes`` bytes."""
     servers = LineProcess(["-m", "testbed.hollow.servers", "--bytes", str(size_bytes)])
     try:
@@ -25,26 +25,26 @@
                 ONE, 0, servers.first_line["feed"], program, scratch, known=known, use_example_settings=True
             ) as router:
                 assert wait_for(router.accepts_connections, 20), router.log.read_text()
-                load(router, 50, 1)
+                run_load(router, 50, 1)
                 before = router.cpu_s()
-                told = load(router, rate, seconds)
-                cpu = router.cpu_s() - before
+                load_figures = run_load(router, rate, seconds)
+                cpu_s = router.cpu_s() - before
                 return {
-                    **told,
+                    **load_figures,
                     "rate": rate,
                     "bytes": size_bytes,
-                    "cpu_share": cpu / seconds,
-                    "cpu_us_per_request": 1e6 * cpu / max(1, told["sent"]),
-                    "served_share": told["served"] / max(1, told["sent"]),
+                    "cpu_share": cpu_s / seconds,
+                    "cpu_us_per_request": 1e6 * cpu_s / max(1, load_figures["sent"]),
+                    "served_share": load_figures["served"] / max(1, load_figures["sent"]),
                     "memory_kb": router.memory_kb(peak=True),
                 }
     finally:
         servers.end()
 
 
-def load(router: RealRouter, rate: float, seconds: float) -> dict[str, Any]:
+def run_load(router: RealRouter, rate: float, seconds: float) -> dict[str, Any]:
     """Send requests from a separate process: its figures."""
-    words = [
+    command = [
         sys.executable,
         "-m",
         "testbed.hollow.load",
@@ -55,5 +55,7 @@
         "--seconds",
         str(seconds),
     ]
-    done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, timeout=60 + seconds, check=True)
-    return json.loads(done.stdout)  # type: ignore[no-any-return]
+    completed = subprocess.run(
+        command, cwd=ROOT, capture_output=True, text=True, timeout=60 + seconds, check=True
+    )
+    return json.loads(completed.stdout)  # type: ignore[no-any-return]
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -35,7 +35,7 @@
 LONGEST_RUN_S = 600  # after a run longer than this the table ends
 
 
-class Fixed(DiscoverySchedule):
+class FixedDelay(DiscoverySchedule):
     """Retries after a second plus or minus up to half a second."""
 
     def retry_delay_ns(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
@@ -43,7 +43,7 @@
         return SECOND // 2 + self.chance(SECOND)
 
 
-class Exponential(DiscoverySchedule):
+class ExponentialBackoff(DiscoverySchedule):
     """Exponential backoff with full jitter, up to 30 s."""
 
     def retry_delay_ns(self, retry_after_ns: int) -> int:  # noqa: ARG002 - an override
@@ -54,8 +54,8 @@
 WAYS: dict[str, tuple[type[DiscoverySchedule], float]] = {
     "none": (DiscoverySchedule, 0.0),
     "budget": (DiscoverySchedule, CALLS_PER_S),
-    "fixed": (Fixed, 0.0),
-    "exponential": (Exponential, 0.0),
+    "fixed": (FixedDelay, 0.0),
+    "exponential": (ExponentialBackoff, 0.0),
 }
 SERVICES: dict[str, Callable[[], ListServiceModel]] = {
     "up": ListServiceModel,
@@ -67,26 +67,30 @@
 }
 
 
-class Played(ColdStartFleet):
+class BenchmarkFleet(ColdStartFleet):
     """A fleet whose routers start with a budget of the operator's file, or with a textbook schedule."""
 
     way = "none"
 
-    def start_router(self, n: int) -> list[Any]:
+    def start_router(self, router_number: int) -> list[Any]:
         """Start with the selected budget, and replace the program's schedule if another is selected."""
-        kind, calls = WAYS[self.way]
-        router: Reducer = self.routers[n]
-        effects = router.start(self.now, StartupOptions(calls and max(calls, self.believed / 4)))
-        if kind is not DiscoverySchedule:
-            schedule = kind(self.believed, self.sequence * SEED_STEP + n)
+        schedule_type, calls_per_s = WAYS[self.way]
+        router: Reducer = self.routers[router_number]
+        effects = router.start(self.now, StartupOptions(calls_per_s and max(calls_per_s, self.believed / 4)))
+        if schedule_type is not DiscoverySchedule:
+            schedule = schedule_type(self.believed, self.sequence * SEED_STEP + router_number)
             schedule.random = Random(schedule.seed).random
             router.position.schedule = schedule
         return effects
 
 
-def played(routers: int, way: str, service: str, seconds: int, rate: float, boxes: bool) -> dict[str, Any]:
+def run_simulation(
+    routers: int, way: str, service: str, seconds: int, rate: float, is_cold: bool
+) -> dict[str, Any]:
     """Run one simulation: its figures."""
-    fleet = Played(routers, service=SERVICES[service](), rate=rate, cold=boxes, cold_parents=boxes)
+    fleet = BenchmarkFleet(
+        routers, service=SERVICES[service](), rate=rate, cold=is_cold, cold_parents=is_cold
+    )
     fleet.way = way
     fleet.run(seconds)
     return fleet.figures(seconds)
@@ -111,7 +115,7 @@
                     "routers": routers,
                     "list service": service,
                     "way": way,
-                    **played(routers, way, service, args.seconds, args.rate, args.boxes),
+                    **run_simulation(routers, way, service, args.seconds, args.rate, args.boxes),
                 }
                 if head is None:
                     head = list(row)
--- a/benchmarks/cold_start_field.py
+++ b/benchmarks/cold_start_field.py
@@ -27,46 +27,46 @@
 WAYS = {"none": RULES, "budget": RULES + "start list-calls=50\n"}
 
 
-def cpu(pid: int) -> float:
+def cpu_s(pid: int) -> float:
     """CPU time of a process so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
-def memory(pid: int) -> float:
+def memory_mb(pid: int) -> float:
     """Resident memory of a process, in MB."""
     status = Path(f"/proc/{pid}/status").read_text().split()
     return int(status[status.index("VmRSS:") + 1]) / 1024
 
 
-def worst(calls: list[int]) -> int:
+def max_per_second(calls: list[int]) -> int:
     """The highest number of watch requests in one second."""
     return max(Counter(at // S for at in calls).values(), default=0)
 
 
-def played(count: int, way: str, dead_s: float, seconds: float) -> dict[str, float]:
+def run_field(routers: int, way: str, dead_s: float, seconds: float) -> dict[str, float]:
     """Run one field: its figures."""
-    field = RouterField(max(1, count // 4), min(4, count), {"old": ROOT}, rules=WAYS[way])
-    world = field.servers
-    world.feed_down_until_ns = time.monotonic_ns() + int(dead_s * S)
+    field = RouterField(max(1, routers // 4), min(4, routers), {"old": ROOT}, rules=WAYS[way])
+    servers = field.servers
+    servers.feed_down_until_ns = time.monotonic_ns() + int(dead_s * S)
     try:
         field.__enter__()
         pids = [n.process.pid for n in field.nodes.values() if n.process]
-        began, ready, start_cpu = field.began_ns, time.monotonic_ns(), sum(map(cpu, pids))
-        back = max(world.feed_down_until_ns, ready)
-        world.feed_down_until_ns = back  # the outage lasts at least until all are ready
+        began, ready, start_cpu = field.began_ns, time.monotonic_ns(), sum(map(cpu_s, pids))
+        back = max(servers.feed_down_until_ns, ready)
+        servers.feed_down_until_ns = back  # the outage lasts at least until all are ready
         heard = 0
         with ClientLoad(field, per_s=2.0) as load:
             while time.monotonic_ns() < began + seconds * S or not heard:
-                ports = {port for at, after, port in list(world.feed_calls) if after >= 0 and at > back}
+                ports = {port for at, after, port in list(servers.feed_calls) if after >= 0 and at > back}
                 if len(ports) >= len(pids) and not heard:
                     heard = time.monotonic_ns()
                 if time.monotonic_ns() > back + 60 * S:
                     break
                 time.sleep(0.05)
-            cost, held = sum(map(cpu, pids)) - start_cpu, sum(map(memory, pids)) / len(pids)
+            cost, held = sum(map(cpu_s, pids)) - start_cpu, sum(map(memory_mb, pids)) / len(pids)
             span = (time.monotonic_ns() - ready) / S
-        calls = [at for at, _, _ in world.feed_calls]
+        calls = [at for at, _, _ in servers.feed_calls]
         shares = []
         for first in (5, 10):
             asked = [a for a in load.calls if a.at_ns < ready + first * S]
@@ -75,8 +75,8 @@
             "routers": len(pids),
             "all ready s": round((ready - began) / S, 1),
             "calls": len(calls),
-            "calls in the worst s": worst(calls),
-            "after its return": worst([at for at in calls if at >= back]),
+            "calls in the worst s": max_per_second(calls),
+            "after its return": max_per_second([at for at in calls if at >= back]),
             "all heard s": round((heard - back) / S, 1) if heard else -1.0,
             "served 5 s": round(shares[0], 3),
             "10 s": round(shares[1], 3),
@@ -98,7 +98,7 @@
     head = None
     for count in args.processes:
         for way in WAYS:
-            row = {"way": way, **played(count, way, args.dead, args.seconds)}
+            row = {"way": way, **run_field(count, way, args.dead, args.seconds)}
             if head is None:
                 head = list(row)
                 print("| " + " | ".join(head) + " |\n|" + " --- |" * len(head))
--- a/benchmarks/cold_start_plot.py
+++ b/benchmarks/cold_start_plot.py
@@ -23,14 +23,14 @@
 )
 
 
-class Played(ColdStartFleet):
+class BenchmarkFleet(ColdStartFleet):
     """A fleet whose routers start with given options."""
 
-    begun_with = StartupOptions()
+    options = StartupOptions()
 
     def start_router(self, n: int) -> list[effects.Effect]:
-        """Start with ``begun_with``."""
-        return self.routers[n].start(self.now, self.begun_with)
+        """Start with ``options``."""
+        return self.routers[n].start(self.now, self.options)
 
 
 def tenths(times: list[int]) -> Counter[int]:
@@ -45,15 +45,17 @@
     """
     calls, store, n = tenths(fleet.service.calls), tenths(fleet.servers.origin.request_times), seconds * 10
     worth = []
-    for k in range(n):
-        asked = sum(fleet.outcomes.asked[j] for j in range(max(0, k - 9), k + 1))
-        worth.append(sum(fleet.outcomes.in_time[j] for j in range(max(0, k - 9), k + 1)) / max(1, asked))
+    for tenth in range(n):
+        asked = sum(fleet.outcomes.asked[j] for j in range(max(0, tenth - 9), tenth + 1))
+        worth.append(
+            sum(fleet.outcomes.in_time[j] for j in range(max(0, tenth - 9), tenth + 1)) / max(1, asked)
+        )
     return {
-        "calls of the list service a second": [10.0 * calls[k] for k in range(n)],
+        "calls of the list service a second": [10.0 * calls[tenth] for tenth in range(n)],
         "fetches at the store, of what it can do": [
-            10 * store[k] / fleet.servers.origin.requests_per_s for k in range(n)
+            10 * store[tenth] / fleet.servers.origin.requests_per_s for tenth in range(n)
         ],
-        "fills asked of hubs a second": [10.0 * fleet.servers.parent_fills[k] for k in range(n)],
+        "fills asked of hubs a second": [10.0 * fleet.servers.parent_fills[tenth] for tenth in range(n)],
         "share of the worth in time": worth,
     }
 
@@ -73,8 +75,8 @@
 
     figure, axes = pyplot.subplots(4, 1, figsize=(8, 10), sharex=True)
     for label, begin, colour in WAYS:
-        fleet = Played(args.routers, rate=args.rate)
-        fleet.begun_with = begin
+        fleet = BenchmarkFleet(args.routers, rate=args.rate)
+        fleet.options = begin
         fleet.run(args.seconds + 2)
         found: dict[str, Any] = series(fleet, args.seconds)
         for axis, (title, values) in zip(axes, found.items(), strict=True):
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -29,22 +29,24 @@
 from testbed.router_process import RouterProcess
 from testbed.stand_ins import StandInServers
 
-CALLS = 200
-HALF = 32  # incomplete control requests that are held open
+CONTROL_REQUESTS = 200
+INCOMPLETE = 32  # incomplete control requests that are held open
 READY = b"GET /control/ready HTTP/1.1\r\nHost: bench\r\n\r\n"
-OUT = b"PUT /control/out-of-service HTTP/1.1\r\nHost: bench\r\n\r\n"
-CROSS_S = 0.050  # a request sent less than this before a close has crossed it, and the client sends it again
+OUT_OF_SERVICE = b"PUT /control/out-of-service HTTP/1.1\r\nHost: bench\r\n\r\n"
+CROSSING_S = (
+    0.050  # a request sent less than this before a close has crossed it, and the client sends it again
+)
 
 
-def call(address: tuple[str, int], text: bytes) -> tuple[float, bytes]:
+def send_control_request(address: tuple[str, int], text: bytes) -> tuple[float, bytes]:
     """Send one control request: milliseconds until the complete response, and its first line."""
     began = time.monotonic()
     with socket.create_connection(address, 5) as sock:
         sock.sendall(text)
-        got = b""
+        received = b""
         while chunk := sock.recv(4096):
-            got += chunk
-    return (time.monotonic() - began) * 1000, got.split(b"\r\n", 1)[0]
+            received += chunk
+    return (time.monotonic() - began) * 1000, received.split(b"\r\n", 1)[0]
 
 
 def rss_mb(pid: int) -> float:
@@ -98,7 +100,7 @@
             except OSError:
                 with self.lock:
                     self.closed_at.append(time.monotonic())
-                    if time.monotonic() - sent <= CROSS_S:
+                    if time.monotonic() - sent <= CROSSING_S:
                         self.crossed += 1
                     else:
                         self.lost += 1
@@ -132,26 +134,28 @@
     with StandInServers() as world, RouterProcess(world, release=True, mgmt=True) as router:
         router.client().request("page")
         pid = router.process.pid
-        rows["idle"] = figures([call(router.control_address, READY)[0] for _ in range(CALLS)])
+        rows["idle"] = figures(
+            [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
+        )
         load = Load(router, clients)
         time.sleep(0.5)
         rows[f"{clients} busy clients"] = figures(
-            [call(router.control_address, READY)[0] for _ in range(CALLS)]
+            [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
-        plain = rss_mb(pid)
-        half = [socket.create_connection(router.control_address, 5) for _ in range(HALF)]
-        for sock in half:
+        before_mb = rss_mb(pid)
+        incomplete = [socket.create_connection(router.control_address, 5) for _ in range(INCOMPLETE)]
+        for sock in incomplete:
             sock.sendall(READY[:20])
         time.sleep(0.2)
-        rows[f"and {HALF} half calls"] = figures(
-            [call(router.control_address, READY)[0] for _ in range(CALLS)]
+        rows[f"and {INCOMPLETE} half calls"] = figures(
+            [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
-        held = rss_mb(pid)
-        for sock in half:
+        loaded_mb = rss_mb(pid)
+        for sock in incomplete:
             sock.close()
         served_before = load.served
         began = time.monotonic()
-        took, line = call(router.control_address, OUT)
+        latency_ms, status = send_control_request(router.control_address, OUT_OF_SERVICE)
         for thread in load.threads:
             thread.join(10)
         last = max(load.closed_at, default=began) - began
@@ -160,9 +164,13 @@
     print(f"{'GET /control/ready':28} {'median':>8} {'p99':>8} {'most':>8} {'median/idle':>12}")
     for name, (p50, p99, most) in rows.items():
         print(f"{name:28} {p50:8.2f} {p99:8.2f} {most:8.2f} {p50 / idle:12.2f}")
-    print(f"resident memory: {plain:.1f} MB, with {HALF} half calls {held:.1f} MB (ratio {held / plain:.3f})")
     print(
-        f"drain: {line.decode()} in {took:.1f} ms; every connection closed {last * 1000:.0f} ms after it; "
+        f"resident memory: {before_mb:.1f} MB, with {INCOMPLETE} half calls {loaded_mb:.1f} MB "
+        f"(ratio {loaded_mb / before_mb:.3f})"
+    )
+    print(
+        f"drain: {status.decode()} in {latency_ms:.1f} ms; "
+        f"every connection closed {last * 1000:.0f} ms after it; "
         f"after it served {load.served - served_before}, refused {load.refused}, failed {load.failed}, "
         f"crossed {load.crossed}, lost {load.lost}"
     )
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -19,7 +19,7 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.request_cost import COPY, MS, ROOT, One
+from benchmarks.request_cost import COPY, MS, ROOT, SocketlessRouter
 from kelpcroft.core import inputs
 from kelpcroft.core.messages import TimerKey, TimerKind
 from kelpcroft.net.feed_codec import parse_watch_response
@@ -43,7 +43,7 @@
     }
 
 
-class Fleet(One):
+class Fleet(SocketlessRouter):
     """A router without sockets and a fleet of servers whose responses are all fills from a parent."""
 
     def __init__(self, caches: int, parents: int) -> None:
@@ -104,14 +104,14 @@
     fleet = {size: Fleet(*size) for size in SIZES}
     for one in fleet.values():
         assert sum(one.request() > 500 for _ in range(100)) == 100, "every request is served"
-    found: dict[tuple[tuple[int, int], str], list[float]] = {}
+    costs_ns: dict[tuple[tuple[int, int], str], list[float]] = {}
     for turn in range(ROUNDS):
         for size in SIZES[turn % len(SIZES) :] + SIZES[: turn % len(SIZES)]:
             one = fleet[size]
             for name, work in (("request", one.request), ("list event", one.change), ("tick", one.tick)):
-                found.setdefault((size, name), []).append(cost(work, BATCH))
+                costs_ns.setdefault((size, name), []).append(cost(work, BATCH))
     command = [sys.executable, "-m", "benchmarks.fleet_cost", "--memory"]
-    held = {
+    memory_kb = {
         size: int(
             subprocess.run(
                 [*command, *map(str, size)], cwd=ROOT, capture_output=True, text=True, check=True
@@ -124,9 +124,9 @@
     for size in SIZES:
         cells = []
         for name in ("request", "list event", "tick"):
-            ratio = median(a / b for a, b in zip(found[size, name], found[BASE, name], strict=True))
-            cells.append(f"{name} {median(found[size, name]) / 1000:9.1f} {ratio:8.2f}")
-        print(f"{f'{size[0]}+{size[1]}':9} {'   '.join(cells)}   memory {held[size] / 1024:6.1f} MB")
+            ratio = median(a / b for a, b in zip(costs_ns[size, name], costs_ns[BASE, name], strict=True))
+            cells.append(f"{name} {median(costs_ns[size, name]) / 1000:9.1f} {ratio:8.2f}")
+        print(f"{f'{size[0]}+{size[1]}':9} {'   '.join(cells)}   memory {memory_kb[size] / 1024:6.1f} MB")
 
 
 if __name__ == "__main__":
--- a/benchmarks/late_answers.py
+++ b/benchmarks/late_answers.py
@@ -26,7 +26,7 @@
 }
 
 
-class Late(VirtualRouter):
+class LateRouter(VirtualRouter):
     """A router whose servers respond in 20 to 60 ms, and now and then a second later."""
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
@@ -43,14 +43,14 @@
         )
 
 
-def play(text: str, seed: int) -> tuple[float, float, float]:
+def run_variant(text: str, seed: int) -> tuple[float, float, float]:
     """Run one variant: p50 and p99 in ms, and attempts for each request."""
-    world = Late(HEAD + text, seed, {"done": 1})
+    router = LateRouter(HEAD + text, seed, {"done": 1})
     records = [
-        world.schedule_request(n * GAP_NS, "page", 2_500, world.random.randint(0, 400))
+        router.schedule_request(n * GAP_NS, "page", 2_500, router.random.randint(0, 400))
         for n in range(REQUESTS)
     ]
-    world.run()
+    router.run()
     times = sorted(
         (s.final_effects[0][0] - s.arrives_ns) / MS
         for s in records
@@ -64,16 +64,16 @@
 def main() -> None:
     """Run all variants and print the table."""
     seeds = range(1, 1 + int(sys.argv[1] if len(sys.argv) > 1 else 3))
-    base = 0.0
+    baseline_p99 = 0.0
     print(
         f"{REQUESTS} requests, seeds {seeds.start} to {seeds.stop - 1}\n{'':18}{'p50 ms':>8}{'p99 ms':>9}"
         f"{'of off':>8}{'extra sends':>13}"
     )
     for name, text in VARIANTS.items():
-        runs = [play(text, seed) for seed in seeds]
+        runs = [run_variant(text, seed) for seed in seeds]
         p50, p99, sends = (mean(run[k] for run in runs) for k in range(3))
-        base = base or p99
-        print(f"{name:18}{p50:8.1f}{p99:9.1f}{p99 / base:8.2f}{100 * (sends - 1):12.1f}%")
+        baseline_p99 = baseline_p99 or p99
+        print(f"{name:18}{p50:8.1f}{p99:9.1f}{p99 / baseline_p99:8.2f}{100 * (sends - 1):12.1f}%")
 
 
 if __name__ == "__main__":
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -45,11 +45,13 @@
     )
 
 
-class One:
+class SocketlessRouter:
     """A router without sockets."""
 
-    def __init__(self, text: str | None, raw: dict[str, Any] | None = None, tell: bytes = b"mem") -> None:
-        self.now, self.tell = 1_764_576_000 * 10**9, tell
+    def __init__(
+        self, text: str | None, raw: dict[str, Any] | None = None, cache_status: bytes = b"mem"
+    ) -> None:
+        self.now, self.cache_status = 1_764_576_000 * 10**9, cache_status
         raw = raw or json.loads((ROOT / "examples/config.json").read_bytes())
         self.router = reducer.Reducer(parse_config(raw, {}))
         self.router.start(self.now)
@@ -60,7 +62,7 @@
             self.router.handle(self.now, inputs.OperatorFileRead(file))
         self.calls = 0
         self.client = ClientCodec(1, READ)
-        self.links: dict[int, ServerCodec] = {}
+        self.server_codecs: dict[int, ServerCodec] = {}
 
     def request(self) -> int:
         """Handle one page request from its bytes to the bytes of its response: the number of bytes sent."""
@@ -83,13 +85,13 @@
                 words = (
                     e.attempt_id.encode(),
                     b"DONE",
-                    b"sum=4be0c1927d55a6f3,t0=1,tell=" + self.tell,
+                    b"sum=4be0c1927d55a6f3,t0=1,tell=" + self.cache_status,
                     b"x" * 500,
                 )
                 data = b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
-                for answer in self.links.setdefault(e.connection, ServerCodec(e.connection)).receive_data(
-                    memoryview(data)
-                ):
+                for answer in self.server_codecs.setdefault(
+                    e.connection, ServerCodec(e.connection)
+                ).receive_data(memoryview(data)):
                     size += self.effects(self.router.handle(self.now + MS, answer))
             elif isinstance(e, effects.OpenServerConnection):
                 size += self.effects(self.router.handle(self.now, inputs.ServerConnected(e.connection)))
@@ -100,7 +102,11 @@
 
 def main() -> None:
     """Measure all variants and print the table."""
-    variants = {"no file": One(None), "10 routes": One(rules(10)), "10,000 routes": One(rules(10_000))}
+    variants = {
+        "no file": SocketlessRouter(None),
+        "10 routes": SocketlessRouter(rules(10)),
+        "10,000 routes": SocketlessRouter(rules(10_000)),
+    }
     costs: dict[str, list[float]] = {name: [] for name in variants}
     for one in variants.values():
         assert sum(one.request() > 500 for _ in range(BATCH)) == BATCH, "every request is served"
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -31,9 +31,9 @@
 
 SLOTS, SERVICE_MS = 8, (10, 30)  # concurrency and service time of a cache; 20 ms on average
 RATE = 0.8 * 2 * SLOTS / 0.020  # requests a second at two caches
-TROUBLE = (5 * S, 25 * S)
+FAILURE = (5 * S, 25 * S)
 END = 46 * S
-PARTS = {"before": (0, TROUBLE[0]), "during": TROUBLE, "20 s after": (TROUBLE[1], TROUBLE[1] + 20 * S)}
+PERIODS = {"before": (0, FAILURE[0]), "during": FAILURE, "20 s after": (FAILURE[1], FAILURE[1] + 20 * S)}
 ORDERS = 'kelpcroft version=1\nroute "orders" { match class="order"; attempts most=1; }\n'
 VARIANTS = {
     "no budget": 'budget "b" ratio=10 burst=1000000\nroute "rest" { match class="page"; '
@@ -46,7 +46,7 @@
 }
 
 
-class Storm(VirtualRouter):
+class StormRouter(VirtualRouter):
     """A router whose servers have slots and queues, and fail half of their responses for a while."""
 
     def __init__(self, rules: str | None, seed: int, aim_ns: int) -> None:
@@ -54,14 +54,14 @@
         super().__init__(rules, seed, {"done": 1}, settings={"classes": classes})
         self.busy: dict[str, int] = {}
         self.queue: dict[str, deque[effects.SendAttempt]] = {}
-        self.killed: set[tuple[int, str]] = set()
-        self.again: set[str] = set()
+        self.cancelled: set[tuple[int, str]] = set()
+        self.retries: set[str] = set()
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
         """Serve an attempt, or queue it if all slots are in use."""
         server = self.address_by_connection[e.connection]
         self.records[e.attempt_id].attempts.append(AttemptRecord(self.now, server, ""))
-        self.killed.discard((e.connection, e.attempt_id))
+        self.cancelled.discard((e.connection, e.attempt_id))
         if self.busy.get(server, 0) < SLOTS:
             self.serve(server, e)
         else:
@@ -70,7 +70,7 @@
     def serve(self, server: str, e: effects.SendAttempt) -> None:
         """Occupy a slot and schedule the response and the slot's release."""
         self.busy[server] = self.busy.get(server, 0) + 1
-        failing = TROUBLE[0] <= self.now - START < TROUBLE[1]
+        failing = FAILURE[0] <= self.now - START < FAILURE[1]
         fate = "broke" if failing and self.random.random() < 0.5 else "done"
         done = self.now + self.random.randint(*SERVICE_MS) * MS
         note = FillResult.HIT if fate == "done" else FillResult.NONE
@@ -88,7 +88,10 @@
         waiting = self.queue.get(server, deque())
         while waiting:
             e = waiting.popleft()
-            if (e.connection, e.attempt_id) not in self.killed and e.connection in self.address_by_connection:
+            if (
+                e.connection,
+                e.attempt_id,
+            ) not in self.cancelled and e.connection in self.address_by_connection:
                 self.serve(server, e)
                 return
 
@@ -97,39 +100,43 @@
         super().carry_out(effect_list)
         for e in effect_list:
             if isinstance(e, effects.CancelAttempt):
-                self.killed.add((e.connection, e.attempt_id))
+                self.cancelled.add((e.connection, e.attempt_id))
             elif isinstance(e, (effects.RejectRequest, effects.FailRequest)):
-                story = self.records_by_number[e.client, e.request_number]
-                left = story.arrives_ns + 2_500 * MS - self.now
-                if story.request.trace_id not in self.again and left > 100 * MS:
-                    more = self.schedule_request(
-                        self.now - START, "page", left // MS, story.request.object_number
+                record = self.records_by_number[e.client, e.request_number]
+                remaining_ns = record.arrives_ns + 2_500 * MS - self.now
+                if record.request.trace_id not in self.retries and remaining_ns > 100 * MS:
+                    retry = self.schedule_request(
+                        self.now - START, "page", remaining_ns // MS, record.request.object_number
                     )
-                    self.again.add(more.request.trace_id)
-                    story.client_retry = more
+                    self.retries.add(retry.request.trace_id)
+                    record.client_retry = retry
 
 
-def play(rules: str | None, seed: int, aim_ns: int) -> dict[str, tuple[float, float]]:
+def run_variant(rules: str | None, seed: int, aim_ns: int) -> dict[str, tuple[float, float]]:
     """Run one variant: attempts for each request and the share answered in time, by period of the run."""
-    world = Storm(rules, seed, aim_ns)
+    router = StormRouter(rules, seed, aim_ns)
     arrivals, at = [], 0.0
     while at < END:
-        at += world.random.expovariate(RATE) * S
-        arrivals.append(world.schedule_request(int(at), "page", 2_500, world.random.randint(0, 400)))
-    world.run()
+        at += router.random.expovariate(RATE) * S
+        arrivals.append(router.schedule_request(int(at), "page", 2_500, router.random.randint(0, 400)))
+    router.run()
     found = {}
-    for name, (low, high) in PARTS.items():
+    for name, (low, high) in PERIODS.items():
         here = [s for s in arrivals if low <= s.arrives_ns - START < high]
         sends = sum(len(s.attempts) + (len(s.client_retry.attempts) if s.client_retry else 0) for s in here)
         found[name] = sends / len(here), sum(in_time(s, aim_ns) for s in here) / len(here)
     return found
 
 
-def in_time(story: RequestRecord, aim_ns: int) -> bool:
+def in_time(record: RequestRecord, aim_ns: int) -> bool:
     """Whether the client got a response within the latency objective, possibly to its own retry."""
-    for one in (story, story.client_retry):
-        if one and one.final_effects and isinstance(one.final_effects[0][1], effects.SendResponse):
-            return one.final_effects[0][0] - story.arrives_ns <= aim_ns
+    for attempted in (record, record.client_retry):
+        if (
+            attempted
+            and attempted.final_effects
+            and isinstance(attempted.final_effects[0][1], effects.SendResponse)
+        ):
+            return attempted.final_effects[0][0] - record.arrives_ns <= aim_ns
     return False
 
 
@@ -139,15 +146,15 @@
     print(f"{RATE:.0f} requests a second, seeds {seeds.start} to {seeds.stop - 1}")
     print("sends for each request, share in time (its ratio to no budget)")
     for aim_ms in (250, 1_000):
-        print(f"\n{f'aim {aim_ms} ms':22}" + "".join(f"{part:>24}" for part in PARTS))
-        base: dict[str, float] = {}
+        print(f"\n{f'aim {aim_ms} ms':22}" + "".join(f"{period:>24}" for period in PERIODS))
+        baseline: dict[str, float] = {}
         for name, text in VARIANTS.items():
-            runs = [play(ORDERS + text if text else None, seed, aim_ms * MS) for seed in seeds]
+            runs = [run_variant(ORDERS + text if text else None, seed, aim_ms * MS) for seed in seeds]
             cells = []
-            for part in PARTS:
-                sends, good = (mean(run[part][k] for run in runs) for k in (0, 1))
-                base.setdefault(part, good)
-                cells.append(f"{sends:6.2f} {good:7.3f} ({good / max(base[part], 1e-9):5.2f})")
+            for period in PERIODS:
+                sends, good = (mean(run[period][k] for run in runs) for k in (0, 1))
+                baseline.setdefault(period, good)
+                cells.append(f"{sends:6.2f} {good:7.3f} ({good / max(baseline[period], 1e-9):5.2f})")
             print(f"{name:22}" + "".join(f"{cell:>24}" for cell in cells))
 
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -36,64 +36,64 @@
 )
 
 
-def at_once(world: SimulatedFleet) -> tuple[float, int, int]:
+def at_once(fleet: SimulatedFleet) -> tuple[float, int, int]:
     """Change every router in the first second; operators notice after ten minutes and roll back."""
-    for p in world.routers.values():
-        world.start(p, "beef")
+    for p in fleet.routers.values():
+        fleet.start(p, "beef")
     for n in range(SECONDS):
         if n == 600:
-            for p in world.routers.values():
-                world.start(p, "old")
-        quiet(world)
-    return world.harmed_requests, len(world.routers), SECONDS
+            for p in fleet.routers.values():
+                fleet.start(p, "old")
+        run_second_without_rollout(fleet)
+    return fleet.harmed_requests, len(fleet.routers), SECONDS
 
 
-def one_by_one(world: SimulatedFleet) -> tuple[float, int, int]:
+def one_by_one(fleet: SimulatedFleet) -> tuple[float, int, int]:
     """Change one router every 30 s without a judge; operators roll back after ten minutes as well."""
-    names = list(world.routers)
+    names = list(fleet.routers)
     for n in range(SECONDS):
         if n % 30 == 0 and n // 30 < len(names) and n < 600:
-            world.start(world.routers[names[n // 30]], "beef")
+            fleet.start(fleet.routers[names[n // 30]], "beef")
         if n == 600:
-            for p in world.routers.values():
+            for p in fleet.routers.values():
                 if p.build == "beef":
-                    world.start(p, "old")
-        quiet(world)
-    return world.harmed_requests, min(len(names), 20), SECONDS
+                    fleet.start(p, "old")
+        run_second_without_rollout(fleet)
+    return fleet.harmed_requests, min(len(names), 20), SECONDS
 
 
-def quiet(world: SimulatedFleet) -> None:
+def run_second_without_rollout(fleet: SimulatedFleet) -> None:
     """Run one second of requests in which the rollout does nothing."""
-    rollout, world.rollout.outcome = world.rollout, RolloutOutcome.DONE
-    world.run_second()
-    world.rollout = rollout
+    rollout, fleet.rollout.outcome = fleet.rollout, RolloutOutcome.DONE
+    fleet.run_second()
+    fleet.rollout = rollout
 
 
-def staged(world: SimulatedFleet) -> tuple[float, int, int]:
+def staged(fleet: SimulatedFleet) -> tuple[float, int, int]:
     """Run the judged rollout; if it is held, operators roll back after ten minutes."""
-    outcome = world.run(SECONDS)
-    seconds = (world.now - 1_000 * S) // S
+    outcome = fleet.run(SECONDS)
+    seconds = (fleet.now - 1_000 * S) // S
     if outcome is RolloutOutcome.HELD:
         for _ in range(600):
-            quiet(world)
-    return world.harmed_requests, len(world.changed_routers), seconds
+            run_second_without_rollout(fleet)
+    return fleet.harmed_requests, len(fleet.changed_routers), seconds
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     """Run all cases and print the tables."""
-    seeds = int(words[words.index("--seeds") + 1]) if "--seeds" in words else 3
+    seeds = int(arguments[arguments.index("--seeds") + 1]) if "--seeds" in arguments else 3
     print(f"12 routers in 3 zones, {seeds} seeds; requests harmed, routers touched, seconds\n")
     print(f"{'defect':24}{'all at once':>22}{'one by one':>22}{'staged':>22}{'staged/at once':>16}")
     for name, harm in DEFECTS:
         cells, costs = [], []
-        for way in (at_once, one_by_one, staged):
-            found = [way(SimulatedFleet(make_plan(3, 4), seed, harm)) for seed in range(seeds)]
-            cost, touched, took = (sum(x[n] for x in found) / seeds for n in range(3))
+        for run_case in (at_once, one_by_one, staged):
+            found = [run_case(SimulatedFleet(make_plan(3, 4), seed, harm)) for seed in range(seeds)]
+            cost, touched, seconds_taken = (sum(x[n] for x in found) / seeds for n in range(3))
             costs.append(cost)
-            cells.append(f"{cost:.0f}, {touched:.0f}, {took:.0f}")
+            cells.append(f"{cost:.0f}, {touched:.0f}, {seconds_taken:.0f}")
         ratio = f"{costs[2] / costs[0]:.3f}" if costs[0] else "-"
         print(f"{name:24}" + "".join(f"{cell:>22}" for cell in cells) + f"{ratio:>16}", flush=True)
-    if "--large" not in words:
+    if "--large" not in arguments:
         return 0
     print(f"\n{'routers':>8}{'outcome':>10}{'seconds':>9}{'controller us a router and second':>36}")
     for zones, each in ((2, 5), (10, 10), (20, 50)):
--- a/benchmarks/rollout_field.py
+++ b/benchmarks/rollout_field.py
@@ -23,10 +23,10 @@
 DEFECTS = ("sound", "refuses", "one in twenty", "slow", "one class", "crashes", "breaks an invariant")
 AIM_NS = 150 * MS
 PER_S = 50.0
-LONGEST_S = 240.0
+TIMEOUT_S = 240.0
 
 
-def harmed(load: ClientLoad) -> int:
+def count_harmed(load: ClientLoad) -> int:
     """The number of requests that were not served in time."""
     return sum(
         not any(kind == "served" and at - a.at_ns <= AIM_NS for at, kind in a.answers) for a in load.calls
@@ -41,25 +41,30 @@
         if defect == "one in twenty":
             plan = plan.replace("harm=0.15", "harm=0.05").replace('most="60s"', 'most="140s"')
         (folder / "plan.kdl").write_text(plan)
-        words = ["rollout", "start", str(folder / "plan.kdl"), "--store", str(folder / "store.db")]
+        arguments = ["rollout", "start", str(folder / "plan.kdl"), "--store", str(folder / "store.db")]
         with ClientLoad(field, PER_S, orders=5) as load:
             began = time.monotonic()
             process = subprocess.Popen(
-                [sys.executable, "-c", f"from kelpcroft.cli import main; main({words!r})"],
+                [sys.executable, "-c", f"from kelpcroft.cli import main; main({arguments!r})"],
                 cwd=ROOT,
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
             )
-            while process.poll() is None and time.monotonic() - began < LONGEST_S:
+            while process.poll() is None and time.monotonic() - began < TIMEOUT_S:
                 for node in field.nodes.values():  # as a supervisor does: restart ended ones
                     if node.process and node.process.poll() is not None and defect == "crashes":
                         node.start(node.started_builds.pop())
                 time.sleep(0.1)
             process.kill()
             process.wait()
-            took = time.monotonic() - began
+            elapsed_s = time.monotonic() - began
         touched = sum("new" in node.started_builds for node in field.nodes.values())
-        return harmed(load), touched, took, {0: "done", 1: "taken back"}.get(process.returncode, "not over")
+        return (
+            count_harmed(load),
+            touched,
+            elapsed_s,
+            {0: "done", 1: "taken back"}.get(process.returncode, "not over"),
+        )
 
 
 def at_once(defect: str, folder: Path, seconds: float) -> int:
@@ -80,20 +85,20 @@
         for node in field.nodes.values():
             node.change("old")
         time.sleep(1)
-    return harmed(load)
+    return count_harmed(load)
 
 
-def main(words: list[str]) -> int:
+def main(defects: list[str]) -> int:
     """Run all defects and print the table."""
     print(f"| {'defect':20} | staged | touched | seconds | ended | at once | staged to at once |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
-    for defect in words or DEFECTS:
+    for defect in defects or DEFECTS:
         with tempfile.TemporaryDirectory() as name:
-            harm, touched, took, ended = staged(defect, Path(name))
-            all_at_once = at_once(defect, Path(name), took)
+            harm, touched, elapsed_s, ended = staged(defect, Path(name))
+            all_at_once = at_once(defect, Path(name), elapsed_s)
         ratio = f"{harm / all_at_once:.3f}" if all_at_once else "-"
         print(
-            f"| {defect:20} | {harm} | {touched} | {took:.0f} | {ended} | {all_at_once} | {ratio} |",
+            f"| {defect:20} | {harm} | {touched} | {elapsed_s:.0f} | {ended} | {all_at_once} | {ratio} |",
             flush=True,
         )
     return 0
--- a/benchmarks/rollout_judge.py
+++ b/benchmarks/rollout_judge.py
@@ -32,28 +32,28 @@
 
 def sample(random: Random, rate: float, harm: float) -> RequestSample:
     """One second of requests of one side."""
-    asked = poisson(random, rate)
-    bad = min(asked, poisson(random, asked * harm)) if asked else 0
-    return RequestSample(asked, 2.0 * asked, 2.0 * (asked - bad))
+    sent = poisson(random, rate)
+    late = min(sent, poisson(random, sent * harm)) if sent else 0
+    return RequestSample(sent, 2.0 * sent, 2.0 * (sent - late))
 
 
 def rollout(
-    random: Random, rate: float, usual: float, harm: float, own: float, seconds: int
+    random: Random, rate: float, usual_late_share: float, harm: float, own_late_share: float, seconds: int
 ) -> tuple[Verdict, int]:
     """Run one rollout: the verdict, and the second at which it was reached.
 
     ``own`` is the share by which the new router was worse already before the change.
     """
-    judge, wander = RegressionJudge(StopCriteria()), 0.0
+    judge, drift = RegressionJudge(StopCriteria()), 0.0
     for _ in range(60):
-        judge.add_baseline(True, {PLACE: sample(random, rate, usual + own)})
-        judge.add_baseline(False, {PLACE: sample(random, 11 * rate, usual)})
+        judge.add_baseline(True, {PLACE: sample(random, rate, usual_late_share + own_late_share)})
+        judge.add_baseline(False, {PLACE: sample(random, 11 * rate, usual_late_share)})
     for second in range(seconds):
-        wander = 0.95 * wander + random.gauss(0, 0.02)
-        both = min(0.9, max(0.0, usual + wander + (0.3 if 30 <= second < 45 else 0.0)))
+        drift = 0.95 * drift + random.gauss(0, 0.02)
+        late_share = min(0.9, max(0.0, usual_late_share + drift + (0.3 if 30 <= second < 45 else 0.0)))
         judge.add_slice(
-            {PLACE: sample(random, rate, min(1.0, both + harm + own))},
-            {PLACE: sample(random, 11 * rate, both)},
+            {PLACE: sample(random, rate, min(1.0, late_share + harm + own_late_share))},
+            {PLACE: sample(random, 11 * rate, late_share)},
         )
         verdict, _ = judge.verdict(frozenset((PLACE,)))
         if verdict is not Verdict.UNDECIDED:
@@ -75,19 +75,25 @@
 
 def row(kind: tuple[float, float, float, float], runs: int, seconds: int) -> tuple[str, bool]:
     """One line of the table, and whether its error rate exceeds the stated rate."""
-    harm, usual, own, rate = kind
+    harm, usual_late_share, own_late_share, rate = kind
     rates = StopCriteria()
-    random, found, took, slices, began = Random(7), dict.fromkeys(Verdict, 0), [], 0, perf_counter()
+    random, found, verdict_seconds, slices, began = (
+        Random(7),
+        dict.fromkeys(Verdict, 0),
+        [],
+        0,
+        perf_counter(),
+    )
     for _ in range(runs):
-        verdict, after = rollout(random, rate, usual, harm, own, seconds)
+        verdict, after = rollout(random, rate, usual_late_share, harm, own_late_share, seconds)
         found[verdict] += 1
-        took.append(after)
+        verdict_seconds.append(after)
         slices += after
-    each = (perf_counter() - began) / max(1, slices) * 1e6
+    judge_us = (perf_counter() - began) / max(1, slices) * 1e6
     shares = {v: n / runs for v, n in found.items()}
     line = (
-        f"{harm:>6}{usual:>7}{own:>6}{rate:>7g}{shares[Verdict.REGRESSION]:>9.4f}{shares[Verdict.NO_REGRESSION]:>9.4f}"
-        f"{shares[Verdict.UNDECIDED]:>9.4f}{sorted(took)[runs // 2]:>10}{each:>10.1f}"
+        f"{harm:>6}{usual_late_share:>7}{own_late_share:>6}{rate:>7g}{shares[Verdict.REGRESSION]:>9.4f}{shares[Verdict.NO_REGRESSION]:>9.4f}"
+        f"{shares[Verdict.UNDECIDED]:>9.4f}{sorted(verdict_seconds)[runs // 2]:>10}{judge_us:>10.1f}"
     )
     wrong = (
         shares[Verdict.REGRESSION] / rates.false_stop
@@ -97,22 +103,22 @@
     return line, wrong > 1
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     """Print the table: exit code 1 if an error rate exceeds the stated rate."""
-    runs = int(words[words.index("--runs") + 1]) if "--runs" in words else 10_000
-    seconds = int(words[words.index("--seconds") + 1]) if "--seconds" in words else 600
+    runs = int(arguments[arguments.index("--runs") + 1]) if "--runs" in arguments else 10_000
+    seconds = int(arguments[arguments.index("--seconds") + 1]) if "--seconds" in arguments else 600
     rates = StopCriteria()
     print(
         f"{runs} rollouts a row; stated: false stops {rates.false_stop}, missed harm {rates.missed_harm} "
         f"of {rates.harm}"
     )
     print("  harm  usual   own  req/s    worse     fine     open  median s  us/slice")
-    bad = 0
+    wrong_rows = 0
     with ProcessPoolExecutor() as pool:  # each row seeds its own generator: the same on any number of cores
         for line, wrong in pool.map(row, ROWS, [runs] * len(ROWS), [seconds] * len(ROWS)):
             print(line, flush=True)
-            bad += wrong
-    return 1 if bad else 0
+            wrong_rows += wrong
+    return 1 if wrong_rows else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -23,7 +23,7 @@
 TURNS = 9
 
 
-def built(commit: str, folder: Path) -> Path:
+def build(commit: str, folder: Path) -> Path:
     """Build a commit: the folder of its compiled copy."""
     archive = subprocess.run(["git", "archive", commit], cwd=ROOT, check=True, capture_output=True).stdout
     folder.mkdir()
@@ -32,17 +32,17 @@
     return folder / ".compiled/now"
 
 
-def started(program: Path, rules: str | None) -> tuple[float, float]:
+def start_router(program: Path, rules: str | None) -> tuple[float, float]:
     """Start a router: milliseconds until it accepts connections, and MB after 200 served requests."""
     with StandInServers() as world:
         began = time.monotonic()
         with RouterProcess(world, rules, program, release=True) as router:
             client = router.client()
-            took = (time.monotonic() - began) * 1000
+            start_ms = (time.monotonic() - began) * 1000
             for part in range(200):
                 client.request("page", part=part)
             pages = int(Path(f"/proc/{router.process.pid}/statm").read_text().split()[1])
-            return took, pages * os.sysconf("SC_PAGE_SIZE") / 2**20
+            return start_ms, pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
 def main() -> None:
@@ -50,21 +50,21 @@
     commit = sys.argv[1] if len(sys.argv) > 1 else BEFORE
     rules = (ROOT / "examples/operator.kdl").read_text()
     with tempfile.TemporaryDirectory() as scratch:
-        old, new = built(commit, Path(scratch) / "old"), built("HEAD", Path(scratch) / "new")
+        old, new = build(commit, Path(scratch) / "old"), build("HEAD", Path(scratch) / "new")
         variants = {
             f"commit {commit}": (old, None),
             "HEAD, no file": (new, None),
             "HEAD, with a file": (new, rules),
         }
-        found: dict[str, list[tuple[float, float]]] = {name: [] for name in variants}
+        measurements: dict[str, list[tuple[float, float]]] = {name: [] for name in variants}
         for _ in range(TURNS):
             for name, (program, text) in variants.items():
-                found[name].append(started(program, text))
-    base = [median(x[k] for x in found[f"commit {commit}"]) for k in (0, 1)]
+                measurements[name].append(start_router(program, text))
+    base = [median(x[k] for x in measurements[f"commit {commit}"]) for k in (0, 1)]
     print(f"{'':20}{'start ms':>10}{'ratio':>7}{'MB':>8}{'more':>7}")
-    for name, runs in found.items():
-        took, size = (median(x[k] for x in runs) for k in (0, 1))
-        print(f"{name:20}{took:10.0f}{took / base[0]:7.2f}{size:8.1f}{size - base[1]:+7.1f}")
+    for name, runs in measurements.items():
+        start_ms, size = (median(x[k] for x in runs) for k in (0, 1))
+        print(f"{name:20}{start_ms:10.0f}{start_ms / base[0]:7.2f}{size:8.1f}{size - base[1]:+7.1f}")
 
 
 if __name__ == "__main__":
