--- a/kelpcroft/operator_file/check.py
+++ b/kelpcroft/operator_file/check.py
@@ -171,8 +171,8 @@
         diagnostics.add(
             file.start_position,
             "rate-under-rest",
-            f"{settings.instances} idle routers send {idle_requests_per_s:g} requests per second to the "
-            f"list service; list-calls={start.list_requests_per_s:g} is too low",
+            f"{settings.instances} idle routers send watch requests {idle_requests_per_s:g} times a second "
+            f"to the list service; list-calls={start.list_requests_per_s:g} is too low",
         )
     report_fields = settings.load_report_fields
     reports_outstanding = settings.load_report_mode != "off" and "outstanding" in report_fields
@@ -242,7 +242,7 @@
     diagnostics.add(
         route.match_position,
         "unreachable-route",
-        f"route {abbreviated(route.name)} can never match: all its requests match {names or 'no class'}"
+        f"route {abbreviated(route.name)} can never match: {names or 'nothing'} takes all of it"
         + ("; move it up" if covering_routes else ""),
     )
 
--- a/kelpcroft/operator_file/locator.py
+++ b/kelpcroft/operator_file/locator.py
@@ -137,7 +137,7 @@
         if token.is_mark("("):
             token = self.token_after_annotation(token.offset)
         if token.kind not in VALUE_KINDS:
-            raise KdlSyntaxError(token.offset, f"expected the name of a node, not {abbreviated(token.text)}")
+            raise KdlSyntaxError(token.offset, f"a node's name is due, not {abbreviated(token.text)}")
         self.node_count += 1
         if self.node_count > MAX_NODES:
             raise LimitExceededError(
@@ -155,7 +155,7 @@
     def close_children(self, token: Token, parents: list[NodeSpan]) -> None:
         """Read a closing brace, and the rest of the node whose children it closes."""
         if not parents:
-            raise KdlSyntaxError(token.offset, "this '}' has no matching '{'")
+            raise KdlSyntaxError(token.offset, "this '}' closes nothing")
         node = parents.pop()
         node.end = self.offset
         if self.read_entries(node):
@@ -264,7 +264,7 @@
             match = TOKEN.match(self.text, self.offset)
             if match is None:
                 excerpt = self.text[self.offset : self.offset + 12]
-                raise KdlSyntaxError(self.offset, f"{abbreviated(excerpt)} does not begin a KDL token")
+                raise KdlSyntaxError(self.offset, f"nothing in KDL begins with {abbreviated(excerpt)}")
             kind = match.lastgroup or ""
             offset = match.start(kind)
             self.offset = match.end()
--- a/kelpcroft/operator_file/node_reader.py
+++ b/kelpcroft/operator_file/node_reader.py
@@ -54,12 +54,12 @@
                 self.diagnostics.add(
                     child.offset,
                     "unknown-node",
-                    f"{node.name!r} has no child {abbreviated(child.name)}"
+                    f"{node.name!r} holds no {abbreviated(child.name)}"
                     f"{suggestion(child.name, known_children)}",
                 )
             elif child.name in child_names and child.name not in REPEATABLE_NODES:
                 self.diagnostics.add(
-                    child.offset, "duplicate-node", f"{child.name!r} occurs twice in this {node.name!r}"
+                    child.offset, "duplicate-node", f"{child.name!r} stands twice in this {node.name!r}"
                 )
             child_names.add(child.name)
 
@@ -78,7 +78,7 @@
     def read_argument(self, node: KdlNode, parse: Callable[[Value], Any], expected: str) -> Any:
         """Parse a node's first argument.  Returns None, and reports it, where it is missing or invalid."""
         if not node.arguments:
-            self.diagnostics.add(node.offset, "missing-value", f"{node.name!r} needs {expected}")
+            self.diagnostics.add(node.offset, "missing-value", f"{node.name!r} wants {expected}")
             return None
         argument = node.arguments[0]
         return self.read_value(node, argument.offset, argument.value, parse)
@@ -99,7 +99,7 @@
         if node_property is not None:
             return self.read_value(node, node_property.value_offset, node_property.value, parse)
         if expected:
-            self.diagnostics.add(node.offset, "missing-value", f"{node.name!r} needs {expected}")
+            self.diagnostics.add(node.offset, "missing-value", f"{node.name!r} wants {expected}")
         return None
 
     def read_name(self, node: KdlNode) -> str:
@@ -113,7 +113,7 @@
         for raw, offset in node.arguments[:MAX_ADDRESSES]:
             address = self.read_value(node, offset, raw, values.parse_address)
             if address in seen:
-                self.diagnostics.add(offset, "duplicate-name", f"{abbreviated(raw)} is listed twice")
+                self.diagnostics.add(offset, "duplicate-name", f"{abbreviated(raw)} stands there already")
             elif address is not None:
                 seen.add(address)
                 addresses.append(address)
@@ -121,7 +121,7 @@
             self.diagnostics.add(
                 node.offset,
                 "missing-value",
-                f'{node.name!r} needs addresses, as in {node.name} "10.0.0.1:7100"',
+                f'{node.name!r} wants addresses, as in {node.name} "10.0.0.1:7100"',
             )
         return tuple(addresses)
 
--- a/kelpcroft/operator_file/policy_reader.py
+++ b/kelpcroft/operator_file/policy_reader.py
@@ -64,7 +64,7 @@
     def read_timeout(self, node: KdlNode) -> list[PolicyField]:
         """Read ``timeout "2.5s"`` or ``timeout "80%"``."""
         self.check_structure(node, 1, ())
-        timeout = self.read_argument(node, parse_response_timeout, 'a time, as in timeout "2.5s"')
+        timeout = self.read_argument(node, parse_response_timeout, 'a wait, as in timeout "2.5s"')
         return [PolicyField("answer_timeout", timeout, node.offset)]
 
     def read_attempt(self, node: KdlNode) -> list[PolicyField]:
@@ -107,7 +107,7 @@
             self.diagnostics.add(
                 node.properties["first"].value_offset,
                 "least-over-most",
-                "backoff: 'first' is greater than 'most'",
+                "backoff: 'first' is over 'most'",
             )
             return []
         backoff = Backoff(initial_ns, max_ns or initial_ns, bool(full_jitter))
@@ -160,14 +160,14 @@
                     self.diagnostics.add(
                         node.properties[bound].key_offset,
                         "unknown-key",
-                        f"{bound!r} is allowed with a quantile only, and {key!r} is a duration",
+                        f"{bound!r} goes with a quantile only, and {key!r} is a duration",
                     )
             return duration
         if min_ns and max_ns and min_ns > max_ns:
             self.diagnostics.add(
                 node.properties["least"].value_offset,
                 "least-over-most",
-                f"{node.name}: 'least' is greater than 'most'",
+                f"{node.name}: 'least' is over 'most'",
             )
             return None
         return AdaptiveDuration(quantile=duration.quantile, min_ns=min_ns or 0, max_ns=max_ns or 0)
@@ -223,7 +223,7 @@
         if outcome in OUTCOMES_NOT_RUN:
             raise InvalidValue(
                 "unknown-outcome",
-                f"{abbreviated(outcome)} proves that nothing ran; 'moves' limits the sends that follow it",
+                f"{abbreviated(outcome)} proves that nothing ran; 'moves' bounds what follows it",
             )
         if outcome not in RETRYABLE_OUTCOMES:
             raise InvalidValue(
--- a/kelpcroft/operator_file/reader.py
+++ b/kelpcroft/operator_file/reader.py
@@ -60,7 +60,7 @@
                 self.diagnostics.add(
                     node.offset,
                     "no-version",
-                    f"the first node must be 'kelpcroft version={VERSION}', not {abbreviated(node.name)}",
+                    f"the first node is 'kelpcroft version={VERSION}', not {abbreviated(node.name)}",
                 )
             is_first = False
             self.read_top_level_node(node)
@@ -99,7 +99,7 @@
         if node.name in self.node_offsets:
             line = self.line_of(self.node_offsets[node.name])
             self.diagnostics.add(
-                node.offset, "duplicate-node", f"{node.name!r} already occurs at line {line}"
+                node.offset, "duplicate-node", f"{node.name!r} stands at line {line} already"
             )
             return
         self.node_offsets[node.name] = node.offset
@@ -113,7 +113,7 @@
             self.diagnostics.add(
                 node.offset,
                 "duplicate-name",
-                f"{node.name} {abbreviated(name)} is already declared at line {line}",
+                f"{node.name} {abbreviated(name)} stands at line {line} already",
             )
         self.name_offsets.setdefault((node.name, name), node.offset)
         if node.name == "budget":
@@ -139,7 +139,7 @@
             self.diagnostics.add(
                 version.value_offset,
                 "unknown-version",
-                f"version {abbreviated(version.value)} is not supported; write version {VERSION}",
+                f"version {abbreviated(version.value)} is not known here; write version {VERSION}",
             )
 
     def read_control(self, node: KdlNode) -> None:
@@ -178,7 +178,7 @@
             self.diagnostics.add(
                 node.properties["stale"].value_offset,
                 "bad-duration",
-                f"'stale' must be from {MIN_STALE_NS // values.SECOND}s, as a replica receives a response "
+                f"'stale' is from {MIN_STALE_NS // values.SECOND}s, as a replica receives a response "
                 f"from its upstream once a second, to {MAX_STALE_NS // values.SECOND}s",
             )
             stale_ns = None
@@ -233,7 +233,7 @@
             self.diagnostics.add(
                 repeated.offset,
                 "duplicate-node",
-                f"route {abbreviated(name)} has a second 'match'; write lists in one, such as class=\"a,b\"",
+                f"route {abbreviated(name)} has a 'match' already; write lists in one, such as class=\"a,b\"",
             )
         match_offset = matches[0].offset if matches else node.offset
         return Route(
@@ -260,7 +260,7 @@
                 self.diagnostics.add(
                     budget.position,
                     "unused-budget",
-                    f"budget {abbreviated(budget.name)} is not used; "
+                    f"nobody uses budget {abbreviated(budget.name)}; "
                     "name it at 'attempts' or 'copies', or remove it",
                 )
 
--- a/kelpcroft/operator_file/route_rules.py
+++ b/kelpcroft/operator_file/route_rules.py
@@ -70,14 +70,14 @@
                 "attempt_timeout",
                 "attempt-over-route",
                 f"an attempt may take {format_duration(attempt_timeout_ns)} "
-                f"and the complete response {format_duration(response_timeout_ns)}",
+                f"and the whole answer {format_duration(response_timeout_ns)}",
             )
         elif timeout and timeout.min_ns > response_timeout_ns:
             self.report(
                 "attempt_timeout",
                 "attempt-over-route",
-                f"an attempt has at least {format_duration(timeout.min_ns)}, "
-                f"the complete response {format_duration(response_timeout_ns)}",
+                f"an attempt has {format_duration(timeout.min_ns)} at the least, "
+                f"the whole answer {format_duration(response_timeout_ns)}",
             )
 
     def check_hedge_delay(self, response_timeout_ns: int, attempt_timeout_ns: int) -> None:
@@ -90,15 +90,15 @@
             self.report(
                 "hedging",
                 "copy-after-attempt",
-                f"a copy is sent after {format_duration(delay_ns)}, when the attempt has ended at its "
-                f"timeout of {format_duration(attempt_timeout_ns)}",
+                f"a copy is due after {format_duration(delay_ns)}, when the attempt has ended at its "
+                f"time-out of {format_duration(attempt_timeout_ns)}",
             )
         if response_timeout_ns and delay_ns >= response_timeout_ns:
             self.report(
                 "hedging",
                 "copy-after-attempt",
-                f"a copy is sent after {format_duration(delay_ns)}, "
-                f"not before the response timeout of {format_duration(response_timeout_ns)}",
+                f"a copy is due after {format_duration(delay_ns)}, "
+                f"past the whole wait of {format_duration(response_timeout_ns)}",
             )
 
     # In a deployment ----------------------------------------------------------------------------------------
@@ -144,7 +144,7 @@
         if not retry_after_ns:
             return
         if not limits.may_send_retry_after:
-            self.report("retry_after_ns", "pause-forbidden", "the deployment does not allow a pause")
+            self.report("retry_after_ns", "pause-forbidden", "the deployment tells clients no pause")
         elif retry_after_ns > limits.max_retry_after_ns > 0:
             self.report(
                 "retry_after_ns",
@@ -193,7 +193,7 @@
                 "answer_timeout",
                 "wait-over-class",
                 f"a wait of {format_duration(timeout.ns)}, but clients of class "
-                f"{abbreviated(request_class.name)} cancel after {format_duration(deadline_ns)}",
+                f"{abbreviated(request_class.name)} give up after {format_duration(deadline_ns)}",
             )
         elif not timeout or not timeout.ns:  # check_alone compares the other fields with a stated duration
             response_timeout_ns = timeout.resolve_ns(deadline_ns) if timeout else deadline_ns
@@ -203,8 +203,8 @@
         """Check the times of the policy against the response timeout for a class."""
         policy = self.policy
         timeout_text = (
-            f"the response timeout of class {abbreviated(request_class.name)} "
-            f"is {format_duration(response_timeout_ns)}"
+            f"the whole answer of class {abbreviated(request_class.name)} "
+            f"has {format_duration(response_timeout_ns)}"
         )
         attempt_timeout_ns = 0
         if policy.attempt_timeout:
@@ -220,7 +220,7 @@
             self.report(
                 "hedging",
                 "copy-after-attempt",
-                f"a copy is sent after {format_duration(hedging.delay.lower_bound_ns())}; {timeout_text}",
+                f"a copy is due after {format_duration(hedging.delay.lower_bound_ns())}; {timeout_text}",
             )
         backoff_ns = self.max_backoff_ns()
         if policy.backoff and backoff_ns >= response_timeout_ns:
--- a/kelpcroft/operator_file/text.py
+++ b/kelpcroft/operator_file/text.py
@@ -158,7 +158,7 @@
     properties: dict[str, KdlProperty] = {}
     for key, key_offset, value_offset in span.properties:
         if key in properties:
-            diagnostics.add(key_offset, "duplicate-key", f"{key!r} occurs twice; write it once")
+            diagnostics.add(key_offset, "duplicate-key", f"{key!r} stands here twice; write it once")
         if key not in parsed:
             diagnostics.add(
                 key_offset, "not-kdl", f"{abbreviated(key)} cannot be located; write it without escapes"
--- a/kelpcroft/operator_file/values.py
+++ b/kelpcroft/operator_file/values.py
@@ -59,7 +59,7 @@
     """Parse a string and strip whitespace at both ends; ``what`` is a key of EXAMPLES."""
     if not isinstance(value, str):
         raise InvalidValue(
-            "wrong-type", f"{kind} must be a string, such as {EXAMPLES[kind]}, not {abbreviated(value)}"
+            "wrong-type", f"{kind} is written as text, such as {EXAMPLES[kind]}, not {abbreviated(value)}"
         )
     return value.strip()
 
@@ -70,19 +70,17 @@
     match = DURATION.fullmatch(text)
     if not match:
         raise InvalidValue(
-            "bad-duration", f"{abbreviated(text)} is not a duration; write one as {EXAMPLES[kind]}"
+            "bad-duration", f"{abbreviated(text)} is no duration; write one as {EXAMPLES[kind]}"
         )
     number, unit = match[1], match[2]
     if number.lstrip("-") in ("inf", "nan"):
-        raise InvalidValue("bad-duration", f"{abbreviated(text)} is not finite; the maximum is a day")
+        raise InvalidValue("bad-duration", f"{abbreviated(text)} has no end; the maximum is a day")
     if not unit:
         raise InvalidValue(
             "bad-duration", f"{abbreviated(text)} has no unit; write {number}ms or {number}s, for example"
         )
     if unit not in UNITS_NS:
-        raise InvalidValue(
-            "bad-duration", f"{abbreviated(unit)} is not a unit; units are {', '.join(UNITS_NS)}"
-        )
+        raise InvalidValue("bad-duration", f"{abbreviated(unit)} is no unit; units are {', '.join(UNITS_NS)}")
     ns = round(float(number) * UNITS_NS[unit])
     if ns <= 0:
         raise InvalidValue("bad-duration", f"{abbreviated(text)} is not above 0")
@@ -100,7 +98,7 @@
     """Parse ``host:port`` to the address form of the socket module."""
     address = parse_host_port(parse_text(value, "an address"))
     if address is None:
-        raise InvalidValue("bad-address", f"{abbreviated(value)} is not an address; write host:port")
+        raise InvalidValue("bad-address", f"{abbreviated(value)} is no address; host:port would do")
     return address
 
 
@@ -132,7 +130,7 @@
     match = RATE.fullmatch(text)
     if not match or match[2] not in SECONDS_BY_RATE_UNIT:
         raise InvalidValue(
-            "bad-rate", f'{abbreviated(text)} is not a rate; write one per second or minute: "5/s" or "30/m"'
+            "bad-rate", f'{abbreviated(text)} is no rate; write one per second or minute: "5/s" or "30/m"'
         )
     per_s = float(match[1]) / SECONDS_BY_RATE_UNIT[match[2]]
     if not 0 <= per_s <= MAX_RATE_PER_S:
@@ -143,7 +141,7 @@
 def parse_number(value: object, minimum: float, maximum: float, code: str) -> float:
     """Parse a number between two bounds, both included; ``code`` is the rule that limits it."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise InvalidValue("wrong-type", f"expected a number, not {abbreviated(value)}")
+        raise InvalidValue("wrong-type", f"a number is due, not {abbreviated(value)}")
     if not minimum <= value <= maximum:
         raise InvalidValue(code, f"{abbreviated(value)} is not from {minimum:g} to {maximum:g}")
     return float(value)
@@ -152,7 +150,7 @@
 def parse_count(value: object, minimum: int, maximum: int) -> int:
     """Parse a whole number between two bounds, both included."""
     if isinstance(value, bool) or not isinstance(value, int):
-        raise InvalidValue("wrong-type", f"expected a whole number, not {abbreviated(value)}")
+        raise InvalidValue("wrong-type", f"a whole number is due, not {abbreviated(value)}")
     if not minimum <= value <= maximum:
         raise InvalidValue("bad-count", f"{abbreviated(value)} is not from {minimum} to {maximum}")
     return value
@@ -161,7 +159,7 @@
 def parse_flag(value: object) -> bool:
     """Parse #true or #false."""
     if not isinstance(value, bool):
-        raise InvalidValue("wrong-type", f"expected #true or #false, not {abbreviated(value)}")
+        raise InvalidValue("wrong-type", f"#true or #false is due, not {abbreviated(value)}")
     return value
 
 
@@ -173,7 +171,7 @@
     match = RANGE.fullmatch(text)
     if not match or not is_range(match):
         raise InvalidValue(
-            "bad-range", f"{abbreviated(text)} is not a range; write one as 8, 8..19, 8.. or ..19"
+            "bad-range", f"{abbreviated(text)} is no range; write one as 8, 8..19, 8.. or ..19"
         )
     low = int(match["low"]) if match["low"] else allowed[0]
     if match["high"]:
@@ -183,9 +181,7 @@
     else:
         high = low
     if low > high:
-        raise InvalidValue(
-            "bad-range", f"{abbreviated(text)} has its ends reversed; did you mean {high}..{low}?"
-        )
+        raise InvalidValue("bad-range", f"{abbreviated(text)} is upside down; did you mean {high}..{low}?")
     if low < allowed[0] or high > allowed[1]:
         raise InvalidValue("bad-range", f"{abbreviated(text)} is not within {allowed[0]}..{allowed[1]}")
     return low, high
