--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.cold_start import Played
+from benchmarks.cold_start import BenchmarkFleet
 from kelpcroft.core import effects, inputs, messages
 from kelpcroft.core.reducer import Reducer
 from kelpcroft.discovery.endpoint_view import MIN_SNAPSHOT_INTERVAL_NS, EndpointView
@@ -597,14 +597,14 @@
 
     def test_a_simultaneous_start_crashes_the_service_only_without_a_budget(self) -> None:
         for start_kind, crashes in (("none", True), ("budget", False)):
-            fleet = Played(200, rate=0.2, service=ListServiceModel(), cold=False, cold_parents=False)
+            fleet = BenchmarkFleet(200, rate=0.2, service=ListServiceModel(), cold=False, cold_parents=False)
             fleet.way = start_kind
             fleet.run(12)
             assert (fleet.service.crashes > 0) == crashes, start_kind
             assert (len(fleet.first_answer_ns) == 200) == (not crashes), start_kind
 
     def test_a_service_that_is_dead_for_ten_seconds_and_renumbers(self) -> None:
-        fleet = Played(
+        fleet = BenchmarkFleet(
             120,
             rate=0.2,
             cold=False,
