--- a/testbed/field/field.py
+++ b/testbed/field/field.py
@@ -113,6 +113,7 @@
         self.agent.close()
         for node in self.nodes.values():
             node.end(signal.SIGKILL)
+            node.release_ports()
             if node.listener and node.control_relay:
                 node.listener.close()
                 node.control_relay.__exit__()
--- a/testbed/field/node.py
+++ b/testbed/field/node.py
@@ -26,13 +26,16 @@
 POLL_S = 0.02
 
 
-def free_address(host: str) -> tuple[str, int]:
-    """A free port of a node's own address.
+def reserve_port(host: str) -> socket.socket:
+    """Reserve a free port of a node's address: bind a socket to it that does not listen.
 
-    It stays free, because no outgoing connection uses an address that belongs to one node.
+    The kernel gives the port to no other socket until this one is closed. A router's listener, which sets
+    SO_REUSEADDR as this socket does, can still bind it.
     """
-    with socket.create_server((host, 0)) as sock:
-        return host, int(sock.getsockname()[1])
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind((host, 0))
+    return sock
 
 
 class RouterNode:
@@ -47,8 +50,9 @@
         self.folder.mkdir()
         number = len(field.nodes)
         self.host = f"127.1.{number // HOSTS_PER_NETWORK}.{number % HOSTS_PER_NETWORK + 1}"
-        self.address = free_address(self.host)
-        self.control_address = free_address(self.host)
+        self.reserved_ports: list[socket.socket] = []  # bound as long as the node exists
+        self.address = self._reserve_address()
+        self.control_address = self._reserve_address()
         self.listener: socket.socket | None = None  # inherited by all its processes
         self.control_relay: Relay | None = None  # to the control address of the newest process
         if field.inherited:
@@ -61,6 +65,16 @@
         self.write(self.config)
         (self.folder / "rules.kdl").write_text(field.node_rules)
 
+    def _reserve_address(self) -> tuple[str, int]:
+        """Reserve a port of this node's address, which stays free over restarts of the router."""
+        self.reserved_ports.append(reserve_port(self.host))
+        return self.host, int(self.reserved_ports[-1].getsockname()[1])
+
+    def release_ports(self) -> None:
+        """Give the reserved ports back; to be called after the last process has ended."""
+        for sock in self.reserved_ports:
+            sock.close()
+
     def _configuration(self) -> dict[str, Any]:
         """The example's configuration, adapted to this field."""
         field = self.field
@@ -168,7 +182,7 @@
         old = self.process
         if self.is_running() and self.started_builds[-1] == build:
             return
-        self.control_address = free_address(self.host)
+        self.control_address = self._reserve_address()
         self.start(build)
         new = self.process
         deadline_s = time.monotonic() + MAX_WAIT_S
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -11,8 +11,11 @@
 import unittest
 from pathlib import Path
 
+import pytest
+
 from testbed.field import ClientLoad, ContractChecker, LinkMode, Relay, RouterField, build_program
 from testbed.field.builds import DEFECTS
+from testbed.field.node import reserve_port
 from testbed.stand_ins import MS, ScriptedReply, ServerCommand
 
 CONTRACT_SETTINGS = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
@@ -30,6 +33,19 @@
     return ScriptedReply("BROKE" if command.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
 
 
+def test_a_reserved_port_belongs_to_the_router_alone() -> None:
+    """A router cannot start if another socket was given its port after the field had chosen it."""
+    with reserve_port("127.1.0.1") as reserved, socket.socket() as other:
+        address = reserved.getsockname()
+        with pytest.raises(OSError, match="Address already in use"):
+            other.bind(address)
+        for _ in range(2):  # the router starts, ends, and starts again
+            with socket.create_server(address):
+                socket.create_connection(address, 1).close()
+        with pytest.raises(ConnectionRefusedError):
+            socket.create_connection(address, 1)
+
+
 class Links(unittest.TestCase):
     def setUp(self) -> None:
         """Starts an echo server, and a relay in front of it."""
