--- a/kelpcroft/control_log/follower.py
+++ b/kelpcroft/control_log/follower.py
@@ -6,11 +6,11 @@
 no longer has that event, it responds with a snapshot.
 
 Numbers of two logs cannot be compared: after a restart of the list service they start at 1 again.
-``as_of_ms`` decides which of two states is the later one: the time, by its own clock, at which a replica last
-had everything that the list service had.  A replica that lags or is disconnected cannot claim a recent time.
-So a state replaces the known one only if it is later by more than the clocks may differ.  A response with any
-other state contributes at most its removals and purges, which are applied whichever replica sent them; it
-reverts nothing.
+``as_of_ms`` decides which of two states is the later one: the time, by the replica's own clock, at which its
+state last included all events of the list service.  A replica that lags or is disconnected never states a
+recent time.  So a state replaces the applied one only if it is later by more than the clocks may differ.  Of
+a response with any other state, at most the removals and purges are applied, which hold whichever replica
+sent them; such a response reverts nothing.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_CLOCK_SKEW_MS = 1_000  # the clocks of two control machines differ by less than this
+MAX_CLOCK_SKEW_MS = 1_000  # assumed bound: the clocks of two control machines differ by less than this
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
     """The last event of a log that a follower has received."""
 
     event_number: int = 0  # 0: nothing has been received; the next request is a list request
-    fingerprint: str = ""  # of that event; see ``log.event_fingerprint``
+    fingerprint: str = ""  # fingerprint of that event; see ``log.event_fingerprint``
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,8 +34,8 @@
     """Metadata of a watch response: the replica's log position, and the time of its state."""
 
     last_event_number: int
-    fingerprint: str  # of the last event
-    as_of_ms: int  # Unix ms at which the responding replica's state was last known to be complete
+    fingerprint: str  # fingerprint of the last event
+    as_of_ms: int  # Unix ms at which the responding replica's state was last confirmed as complete
     is_snapshot: bool  # the response includes the complete list
 
 
@@ -43,9 +43,9 @@
     """How a follower uses a watch response."""
 
     APPLY = "take"  # apply all its events and move the position
-    APPLY_REMOVALS_ONLY = "departures"  # apply only removals and purges, until a state is known to be later
-    REQUEST_SNAPSHOT = "resync"  # it is of a later log: send this replica a list request
-    OUTDATED = "behind"  # its state is earlier than the known one: use another replica
+    APPLY_REMOVALS_ONLY = "departures"  # apply only removals and purges, until a response has a later state
+    REQUEST_SNAPSHOT = "resync"  # the response is of a later log: send this replica a list request
+    OUTDATED = "behind"  # the response's state is earlier than the applied one: use another replica
 
 
 class LogFollower:
@@ -55,8 +55,8 @@
         """Starts without a position.
 
         Args:
-            as_of_ms: A state that is known from elsewhere, such as a configuration, may be as late as this
-                (Unix ms); 0 where there is none.
+            as_of_ms: A state from another source, such as a configuration, may be as late as this (Unix ms);
+                0 where there is none.
         """
         self.position = LogPosition()
         self.as_of_ms = as_of_ms  # time of the latest state that was applied
--- a/kelpcroft/control_log/lease.py
+++ b/kelpcroft/control_log/lease.py
@@ -1,8 +1,8 @@
 """Lease of a control replica's state: whether the state is recent enough to be sent as current.  Pure.
 
-Every watch response states as of when the state is known to be complete.  Once the lease has expired, the
-replica is stale.  It then responds to all watchers immediately, with that time, so that no watcher mistakes
-outdated events for the absence of new ones.
+Every watch response states the time at which the state was last confirmed as complete.  Once the lease has
+expired, the replica is stale.  It then responds to all watchers immediately, with that time, because a
+watcher that still waited for a stale replica would conclude that there are no new events.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     """The lease of one replica's state.
 
     Attributes:
-        is_stale: As of the last ``review``; true at the start.
+        is_stale: Whether the state was stale at the last ``review``; true at the start.
     """
 
     def __init__(self, follower: LogFollower, lease_ns: int) -> None:
--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -29,8 +29,8 @@
     """More servers or purges than the limit: a snapshot would have to omit some of them.
 
     Attributes:
-        limit: How many of them are kept.
-        kind: Which kind is over the limit.
+        limit: The greatest number that is kept.
+        kind: What exceeds the limit: servers or purges.
     """
 
     def __init__(self, limit: int, kind: str) -> None:
@@ -70,7 +70,7 @@
 
 
 class ControlLog:
-    """One log, as far as it has been received."""
+    """One log, up to the last event that was received."""
 
     def __init__(self, purge_lifetime_ms: int) -> None:
         """Creates an empty log.
@@ -79,15 +79,15 @@
             purge_lifetime_ms: How long a purge stays relevant, counted from the time that it states.
         """
         self.purge_lifetime_ms = purge_lifetime_ms
-        self.servers: dict[str, JsonObject] = {}  # by name: the newest record, as it was received
-        self.purges: dict[PurgeKey, int] = {}  # when each was made, in Unix ms
+        self.servers: dict[str, JsonObject] = {}  # by name: the newest record as received
+        self.purges: dict[PurgeKey, int] = {}  # by target: when the purge was made, in Unix ms
         self.tail: deque[TailEvent] = deque()
         self.tail_bytes = 0
         self._base_number = 0  # number of the event before the tail
         self._base_fingerprint = ""
         self._incomplete_until_ms = 0  # no snapshot before this time: a purge exceeded ``MAX_PURGES``
-        self._snapshot: list[bytes] = []  # the last snapshot, for further list requests that follow soon
-        self._snapshot_number = -1  # number of the last event in it
+        self._snapshot: list[bytes] = []  # the last snapshot, kept for list requests that follow soon
+        self._snapshot_number = -1  # number of the last event in that snapshot
         self._snapshot_made_ms = 0
 
     @property
@@ -123,8 +123,8 @@
         """Applies the next event and appends it to the tail.
 
         Returns:
-            Why the event's content is unusable, or "".  An event whose content is not understood is forwarded
-            all the same, because a follower may understand more kinds of events.
+            Why the event's content is unusable, or "".  An event with unusable content is forwarded all the
+            same, because a follower may support kinds of events that this process does not.
         """
         number = event.get("n") if isinstance(event, dict) else None
         if type(number) is not int or number < 0:
@@ -165,7 +165,7 @@
             self.servers = records
         else:
             self.servers.update(records)
-        if len(self.servers) > MAX_SERVERS:  # records of servers that left are kept only up to this bound
+        if len(self.servers) > MAX_SERVERS:  # up to this bound, records of servers that left are kept
             self.servers = {name: record for name, record in self.servers.items() if not has_left(record)}
 
     def _apply_purge(self, purge: JsonObject, now_ms: int) -> None:
@@ -205,7 +205,7 @@
     def events_after(self, number: int) -> list[bytes]:
         """Returns the events after a position that the log contains, oldest first."""
         events = []
-        for event in reversed(self.tail):  # followers are close to the end: few iterations
+        for event in reversed(self.tail):  # most followers are close to the end, so there are few iterations
             if event.number <= number:
                 break
             events.append(event.encoded)
@@ -252,7 +252,7 @@
 
 
 def has_left(record: JsonObject) -> bool:
-    """Returns whether a server's record says that the server has left for good."""
+    """Returns whether a server's record states that the server has left permanently."""
     return record.get("status") == "left"
 
 
--- a/kelpcroft/control_log/messages.py
+++ b/kelpcroft/control_log/messages.py
@@ -13,7 +13,7 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-UPSTREAM_TIMEOUT_MARGIN_NS = 400 * MS  # a watch request times out this long after the end of its wait
+UPSTREAM_TIMEOUT_MARGIN_NS = 400 * MS  # a watch request times out this long after its wait has ended
 RETRY_AFTER_S = 1  # Retry-After value of the response that rejects a watcher
 
 
@@ -23,9 +23,9 @@
 
     upstreams: tuple[Address, ...]
     peers: frozenset[Address] = frozenset()  # the upstreams that are replicas; the others are list services
-    lease_ns: int = 3 * SECOND  # a state that was last complete longer ago than this is stale
+    lease_ns: int = 3 * SECOND  # a state is stale once it was last complete longer ago than this
     batch_ns: int = 400 * MS  # minimum interval between two responses to one watcher
-    max_watches: int = 1_000  # watch requests that wait at one time
+    max_watches: int = 1_000  # greatest number of watch requests that wait at the same time
     purge_lifetime_ns: int = 66 * SECOND  # how long a purge stays relevant
 
 
@@ -37,19 +37,20 @@
     """A watch response from upstream, or a chunk of one (``has_more``)."""
 
     last_event_number: int
-    events: tuple[Any, ...]  # as parsed from JSON
-    fingerprint: str = ""  # of the last event; only from a control replica
-    as_of_ms: int | None = None  # None: from a list service, which is complete when it responds
-    has_more: bool = False
+    events: tuple[Any, ...]  # the events as parsed from JSON
+    fingerprint: str = ""  # fingerprint of the last event; a list service sends none
+    # Unix ms as of which the state is complete; None from a list service, which is complete when it responds.
+    as_of_ms: int | None = None
+    has_more: bool = False  # whether further chunks of the response follow
 
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
     """A watcher's request for the events after a position."""
 
-    watcher_id: int  # of its connection
+    watcher_id: int  # identifies the watcher's connection
     position: LogPosition
-    has_fingerprint: bool  # if not, the position is its number alone
+    has_fingerprint: bool  # if false, the position is an event number alone
     wait_ns: int  # how long the watcher waits for new events
 
 
@@ -77,7 +78,8 @@
 class SendUpstreamRequest:
     """Send an upstream address a watch request for the events after a position, ``delay_ns`` from now.
 
-    ``on_new_connection``: open another connection, because data still to come on the present one is useless.
+    ``on_new_connection``: send it on another connection, because the rest of the response that is being
+    received on the present one is not used.
     """
 
     address: Address
--- a/kelpcroft/control_log/replica.py
+++ b/kelpcroft/control_log/replica.py
@@ -1,8 +1,8 @@
 """State machine of a control replica: it follows one upstream and responds to many watchers.  Pure.
 
 Upstream is the list service or another replica (``upstream``).  Watchers are routers and other replicas
-(``watchers``).  Every response states as of when its content is known to be complete.  Once the lease has
-expired, the replica is stale (``lease``).
+(``watchers``).  Every response states the time at which the state was last confirmed as complete.  Once the
+lease has expired, the replica is stale (``lease``).
 
 Times are Unix nanoseconds that never decrease; the time is an argument.
 """
@@ -29,8 +29,8 @@
 
     Attributes:
         options: Its settings.
-        log: The log as it has received it.
-        upstream: The watch on its upstream, with the position in the log and the time of its state.
+        log: The log, up to the last event that the replica received.
+        upstream: Its watch on the upstream, with the position in the log and the time of the state.
         watches: The watch requests that wait here.
         counters: Counters since its start.
     """
@@ -69,7 +69,7 @@
         return self._effects.take()
 
     def on_upstream_failed(self, now: int, reason: str) -> list[Effect]:
-        """Handles a failed watch request: the next one goes to another address; the log stays."""
+        """Handles a failed watch request: the next one is sent to another address; the log is kept."""
         self.upstream.switch_upstream(now, reason)
         self._review(now)
         return self._effects.take()
--- a/kelpcroft/control_log/subscription.py
+++ b/kelpcroft/control_log/subscription.py
@@ -1,4 +1,4 @@
-"""Long-poll subscription of a router to control replicas: its position, its replica, and its moves.  Pure."""
+"""Long-poll subscription of a router to control replicas: its position and its choice of replica.  Pure."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         Args:
             now: Unix ns.  The state that the router already has may be as late as this.
             addresses: The replicas; at least one.
-            stale_after_ns: A replica whose state was last complete longer ago than this is left.
+            stale_after_ns: The router leaves a replica whose state was last complete longer ago than this.
             seed: A different number for each router and each of its starts.
         """
         self.follower = LogFollower(now // MS)
@@ -54,7 +54,7 @@
         return self.follower.requested_position()
 
     def record_response(self, now: int, head: ResponseHead) -> ResponseOutcome:
-        """Judges a response from the current replica, and moves the position and the replica."""
+        """Judges a response from the current replica, and updates the position and the choice of replica."""
         if not head.as_of_ms:
             reason = "not a control replica, or one without a state yet"
             return ResponseOutcome(ResponseVerdict.OUTDATED, NextRequest.NEXT_REPLICA, reason)
--- a/kelpcroft/control_log/upstream.py
+++ b/kelpcroft/control_log/upstream.py
@@ -2,8 +2,8 @@
 
 One watch request is outstanding at a time, so the load on upstream does not grow with the number of watchers.
 A list service has no fingerprints, and counts from 1 again when it is restarted.  So after a lost connection
-the replica requests the last event that it has once more, and compares it with its copy.  The state of
-another replica may be earlier than this one's: ``follower`` judges how its response is used.
+the replica requests the last event of its log once more, and compares the two.  The state of another replica
+may be earlier than this one's: ``follower`` judges how its response is used.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
         self._counters = counters
         self.follower = LogFollower()
         self.selector = UpstreamSelector(options.upstreams, seed)
-        self._requested_ns = 0  # when the outstanding watch request is sent
-        self._must_verify_log = False  # whether the log may be another one, as after a lost connection
+        self._requested_ns = 0  # when the outstanding watch request was sent, or will be
+        self._must_verify_log = False  # the upstream may have another log, as after a lost connection
 
     def send_request(self, now: int, delay_ns: int = 0, on_new_connection: bool = False) -> None:
         """Sends the current address a watch request, ``delay_ns`` from now."""
@@ -60,7 +60,7 @@
         )
 
     def switch_upstream(self, now: int, reason: str) -> None:
-        """Leaves the current upstream for the next one.  The log stays."""
+        """Leaves the current upstream for the next one.  The log is kept."""
         host, port = self.selector.current_address
         if not self.selector.consecutive_failures:
             text = f"upstream {host}:{port}: {reason}"
@@ -78,7 +78,7 @@
             self._on_list_service_response(now, response, has_new_events)
 
     def _has_new_events(self, response: UpstreamResponse) -> bool:
-        """Returns whether a response has an event after the last known one, or starts another state."""
+        """Returns whether a response has an event after the last received one, or starts another state."""
         if self.follower.needs_snapshot:
             return True
         numbers = [number for number in map(event_number, response.events) if number is not None]
@@ -89,8 +89,8 @@
     def _on_list_service_response(self, now: int, response: UpstreamResponse, has_new_events: bool) -> None:
         """Handles a list service's response, or a chunk of one.
 
-        The response is complete as of its watch request.  Its numbers are lower than the known ones after a
-        restart of the list service.
+        The response is complete as of its watch request.  After a restart of the list service, its numbers
+        are lower than those received before.
         """
         if self.follower.needs_snapshot or not self.follower.position.event_number:
             self._begin_snapshot()
@@ -113,7 +113,7 @@
         self._send_next_request(now, has_new_events)
 
     def _begin_snapshot(self) -> None:
-        """Prepares for the complete list, which replaces the known one."""
+        """Prepares for the complete list, which replaces the stored one."""
         if self._log.last_event_number:
             self._log.start_new_log()
         self.follower.needs_snapshot = False
@@ -126,7 +126,7 @@
         return not response.has_more and response.last_event_number < self._log.last_event_number
 
     def _repeats_last_event(self, response: UpstreamResponse) -> bool:
-        """Returns whether a response has the last known event again, unchanged."""
+        """Returns whether a response has the last received event again, unchanged."""
         return any(
             isinstance(event, dict)
             and event.get("n") == self._log.last_event_number
@@ -197,10 +197,10 @@
             if "purge" in event:
                 self._log_unusable(self._log.apply(event, now // MS))
 
-    # Responses of either ----------------------------------------------------------------------------------
+    # Responses of both kinds of upstream ------------------------------------------------------------------
 
     def _append_new(self, now: int, events: tuple[Any, ...]) -> None:
-        """Appends the events after the last known one; skips events that are already known."""
+        """Appends the events after the last received one; skips those that were received before."""
         for event in events:
             number = event_number(event)
             if number is not None and number <= self._log.last_event_number:
@@ -215,8 +215,8 @@
     def _send_next_request(self, now: int, has_new_events: bool) -> None:
         """Sends the next watch request, to the home address where that is due.
 
-        It waits for ``batch_ns`` after an early response without new events, because it would otherwise send
-        watch requests in a tight loop.
+        After an early response without new events, the request is delayed by ``batch_ns``: otherwise the
+        replica would send watch requests in a tight loop.
         """
         self.selector.record_success(now)
         is_early = now - self._requested_ns < UPSTREAM_WAIT_NS // 2
--- a/kelpcroft/control_log/upstream_selection.py
+++ b/kelpcroft/control_log/upstream_selection.py
@@ -1,11 +1,11 @@
 """Choice of the replica that receives the next watch request, and the delay before it.  Pure.
 
 Each follower shuffles the addresses by its own seed, and its home is the first in that order.  So a fleet is
-spread evenly over the replicas, and so are the followers that leave a dead replica.  After a failure
-(silence, a rejection, a stale or an outdated state) a follower moves to the next address after a short random
-delay, so that a dead replica's followers do not arrive together.  Once all addresses have failed, it sends
-requests at intervals of about ``RETRY_PERIOD_NS``, for as long as they fail.  A follower away from its home
-returns there after a while; otherwise a replica that was restarted would stay without followers.
+spread evenly over the replicas, and so are the followers that leave an unreachable replica.  After a failure
+(no response, a rejection, a stale or an outdated state) a follower moves to the next address after a short
+random delay, so that the followers of an unreachable replica do not arrive together.  Once all addresses have
+failed, it sends requests at intervals of about ``RETRY_PERIOD_NS``, for as long as they fail.  A follower
+away from its home returns there after a while; otherwise a restarted replica would have no followers.
 
 Times are nanoseconds; the time is an argument.
 """
--- a/kelpcroft/control_log/watchers.py
+++ b/kelpcroft/control_log/watchers.py
@@ -55,7 +55,7 @@
     """The watch requests that wait at one replica.
 
     Attributes:
-        pending: By the watcher's id.
+        pending: The requests by the watcher's id.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
                 self._respond_or_wait(now, pending)
 
     def on_change(self, now: int) -> None:
-        """Responds to all watchers for which a change of the state or its lease is relevant."""
+        """Responds to all watchers that a change of the state or of its lease affects."""
         for pending in list(self.pending.values()):
             self._respond_or_wait(now, pending)
 
@@ -161,7 +161,7 @@
         watcher_id = request.watcher_id
         del self.pending[watcher_id]
         if self._lease.is_stale and not request.has_fingerprint:
-            self._reject(watcher_id, "stale")  # it cannot tell an outdated state from a current one
+            self._reject(watcher_id, "stale")  # this watcher cannot tell a stale state from a current one
             return
         try:
             body = self._response_body(now, request)
--- a/kelpcroft/discovery/endpoint_view.py
+++ b/kelpcroft/discovery/endpoint_view.py
@@ -1,13 +1,13 @@
 """Filter for list events, because the list service may be wrong.  Pure.
 
-Removals and drains are always applied: to spare a healthy server costs little, but to send to a server that
-leaves breaks a rule.  Other records are used unless they are suspect:
+Removals and drains are always applied: leaving out a healthy server costs little, but a request to a server
+that is leaving violates a rule.  Other records are used except in these cases:
 
-- a complete list without a server in service is discarded, and the last good view stays;
-- a record that gives a known server's address to another name, while that server is in service, is left out,
-  unless the record states a later start (a new server may take the address of one that has left);
-- an event whose number is not above the last received one (a repeat, or numbers that went back) brings no
-  server back that is known to drain or to be gone, unless the record states a later start.
+- a complete list without a server in service is discarded, and the last view is kept;
+- a record with the address of another server that is in service is left out, unless the record states a later
+  start (a new server may take the address of one that has left);
+- an event whose number is not above the last received one (a repeat, or numbers that went back) does not put
+  a server back in service that drains or has left, unless the record states a later start.
 
 Numbers that go back mean that the list service restarted its count, or that two halves of it disagree.  The
 router then sends a list request, at most once in ``MIN_SNAPSHOT_INTERVAL_NS``.
@@ -22,22 +22,22 @@
 MIN_SNAPSHOT_INTERVAL_NS = 5 * 10**9  # minimum interval between two list requests after numbers went back
 IN_SERVICE = "in_service"  # state of a server that may receive requests
 TERMINATED = "terminated"  # state of a server that has left for good
-MIN_KEPT_TERMINATED = 1_000  # terminated servers kept at least; more where the others outnumber this
+MIN_KEPT_TERMINATED = 1_000  # terminated servers that are kept, or as many as there are others if more
 
 
 class EndpointView:
-    """The last known record of each server, and the number of the last event.
+    """The last used record of each server, and the number of the last event.
 
     Attributes:
         last_event_number: The last event that was received.
-        endpoints: By name, the last used record; also the records of servers that are gone, for a while.
+        endpoints: By name, the last used record; those of servers that have left are kept for a while.
     """
 
     def __init__(self) -> None:
         self.last_event_number = 0
         self.endpoints: dict[str, EndpointRecord] = {}
         self._snapshot_requested_ns = -MIN_SNAPSHOT_INTERVAL_NS
-        self._numbers_went_back = False  # in the current response
+        self._numbers_went_back = False  # whether they did in the current response
 
     def begin_response(self, last_event_number: int) -> None:
         """Starts a response whose last event has this number."""
@@ -66,7 +66,7 @@
     ) -> tuple[list[EndpointRecord], list[str]]:
         """Returns the records of a list event that are usable, and why each other record is not.
 
-        A complete list with a reason and no record is discarded altogether.
+        A complete list is discarded as a whole: the result is then no record and one reason.
         """
         records = list(endpoints)
         if is_snapshot and not any(record.state == IN_SERVICE for record in records):
@@ -88,14 +88,17 @@
         return usable, reasons
 
     def _leaving_names(self, records: list[EndpointRecord], is_snapshot: bool) -> set[str]:
-        """Returns the servers that a list event takes out of service: by their record, or by its absence."""
+        """Returns the servers that a list event takes out of service, by their record or by its absence."""
         leaving_names = {record.name for record in records if record.state != IN_SERVICE}
         if is_snapshot:
             leaving_names |= set(self.endpoints) - {record.name for record in records}
         return leaving_names
 
     def _return_conflict(self, record: EndpointRecord, is_old: bool) -> str:
-        """Returns why a record cannot put a server back in service, or "": a later event removed it."""
+        """Returns why a record must not put a server back in service, or "" if it may.
+
+        It must not if a later event removed the server.
+        """
         known = self.endpoints.get(record.name)
         if not is_old or known is None or known.state == IN_SERVICE or record.started_ns > known.started_ns:
             return ""
@@ -110,7 +113,7 @@
         self._drop_terminated()
 
     def _drop_terminated(self) -> None:
-        """Drops the oldest records of servers that are gone, beyond the bound on their number."""
+        """Drops the oldest records of servers that have left, beyond the bound on their number."""
         terminated = [name for name, record in self.endpoints.items() if record.state == TERMINATED]
         kept = max(MIN_KEPT_TERMINATED, len(self.endpoints) - len(terminated))
         for name in terminated[: max(0, len(terminated) - kept)]:
@@ -118,7 +121,7 @@
 
 
 def address_conflict(record: EndpointRecord, holder: EndpointRecord | None, leaving_names: set[str]) -> str:
-    """Returns why a server in service cannot use its address, or "": another server stays there."""
+    """Returns why a server must not use its address: another server in service has it; otherwise ""."""
     if holder is None or holder.name == record.name or holder.name in leaving_names:
         return ""
     if record.started_ns > holder.started_ns:
--- a/kelpcroft/discovery/schedule.py
+++ b/kelpcroft/discovery/schedule.py
@@ -7,11 +7,11 @@
 - the first request is sent after a random delay within the fleet's cycle, ``routers / requests_per_s``, at
   most ``MAX_FIRST_REQUEST_DELAY_NS``; until then the router uses the endpoint list that it already has;
 - a first failed request is repeated after a random 0 to 1 cycle, each further one after 0.5 to 1.5 cycles
-  (jitter).  So a dead service receives ``requests_per_s`` from the whole fleet on average, whatever the
-  fleet's size and however long it is dead.  After an outage the fleet is back within 1.5 cycles and never all
-  at once.  A Retry-After is respected, up to ``MAX_RETRY_AFTER_NS``;
-- a response is followed immediately by the next request, because the graces of its events count from the time
-  at which the service has them;
+  (jitter).  So an unresponsive service receives ``requests_per_s`` from the whole fleet on average, whatever
+  the fleet's size and however long the outage lasts.  After it, all routers have returned within 1.5 cycles
+  and never all at once.  A Retry-After is respected, up to ``MAX_RETRY_AFTER_NS``;
+- a response is followed immediately by the next request, because the grace periods of events begin when the
+  service has them;
 - the wait of a request grows with the fleet's cycle (1 to 4 s); nothing else bounds the requests of a fleet
   without events;
 - a response that arrives early without new events counts as a failure; it would otherwise be requested in a
@@ -20,7 +20,7 @@
 The budget and the rules conflict: while a request is delayed, the router receives the service's events late,
 by at most ``max_delay_ns``.  Rules on drains and purges whose grace starts when the service has the event
 require that delay to be shorter than the grace.  So without a budget none of this applies: a request is sent
-immediately, a failed one again immediately, and then after 25 to 400 ms, doubling.
+immediately, a failed one is repeated immediately, and then after 25 to 400 ms, doubling.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 MAX_RETRY_AFTER_NS = 30 * SECOND  # a longer Retry-After is cut to this
 FREE_WASTED_BYTES = 256 << 10  # a response without progress up to this size adds no delay
 WASTED_BYTES_PER_S = 64 << 10  # a larger one adds the time that it would take at this rate
-MAX_WASTE_DELAY_NS = 60 * SECOND  # longest such delay, so that a recovered feed receives a request by then
+MAX_WASTE_DELAY_NS = 60 * SECOND  # longest such delay: a recovered service receives a request by then
 
 
 class DiscoverySchedule:
@@ -48,7 +48,7 @@
     Attributes:
         has_budget: Whether the operator's file sets a budget.
         cycle_ns: The time in which each router of the fleet may send one request; 0 without a budget.
-        consecutive_failures: Since the last response.
+        consecutive_failures: Failed requests since the last response.
     """
 
     def __init__(self, routers: int, seed: int, requests_per_s: float = 0.0) -> None:
@@ -70,7 +70,7 @@
         """Sets another budget from the operator's file; 0 requests a second means no budget."""
         self.has_budget = requests_per_s > 0
         if self.has_budget and self.random is None:
-            from random import Random  # not even imported where no file sets a budget
+            from random import Random  # imported only where a file sets a budget
 
             self.random = Random(self.seed).random
         self.cycle_ns = int(max(1, routers) / requests_per_s * SECOND) if self.has_budget else 0
@@ -117,7 +117,8 @@
         """Returns how long to wait after a failure, apart from the bytes that it wasted."""
         if not self.has_budget:
             return self._backoff_ns()
-        wait_ns = self.random_delay_ns(self.cycle_ns)  # a single lost connection is replaced soon
+        # After a single lost connection, the router sends its next request soon.
+        wait_ns = self.random_delay_ns(self.cycle_ns)
         if self.consecutive_failures > 1:
             wait_ns += self.cycle_ns // 2  # spreads the retries of a whole fleet over its cycle
         if retry_after_ns > 0:
--- a/kelpcroft/purge/floors.py
+++ b/kelpcroft/purge/floors.py
@@ -30,9 +30,9 @@
     object_id: int | None = None
     group: int | None = None
     tag: str | None = None
-    request_class: str | None = None  # of a pattern; None = any
-    prefix: str = ""  # of a pattern: hex digits with which the object id begins
-    parts: tuple[int, int] = (0, PARTS_END - 1)  # of a pattern: first and last
+    request_class: str | None = None  # class of a pattern; None = any class
+    prefix: str = ""  # hex digits with which the object ids of a pattern begin
+    parts: tuple[int, int] = (0, PARTS_END - 1)  # first and last part of a pattern
 
 
 class PartRuns:
@@ -89,7 +89,7 @@
         self.stamps[first:last] = [self.stamps[index] for index in kept]
 
 
-RunsByClass = dict[str | None, PartRuns]  # by class; None means any
+RunsByClass = dict[str | None, PartRuns]  # None: any class
 
 
 class PurgeFloors:
@@ -139,8 +139,8 @@
     def floor(self, request_class: str, object_id: int, part: int, group: int) -> PurgeStamp:
         """Returns the newest purge that applies to a part; NEVER if none does.
 
-        A part whose tags are not known counts as having every tag.  So dropping a record is safe; it costs a
-        fill where a copy is older than that purge.
+        A part without a record of its tags counts as having every tag.  So dropping a record is safe; it
+        costs a fill where a copy is older than the newest purge of any tag.
         """
         newest = max(self.objects.get(object_id, NEVER), self.groups.get(group, NEVER))
         newest = max(newest, self._newest_of_tags(object_id, part))
--- a/kelpcroft/purge/order.py
+++ b/kelpcroft/purge/order.py
@@ -17,7 +17,7 @@
 
 
 class PurgeStamp(NamedTuple):
-    """A position in the order; its tuples compare in that order."""
+    """A position in the order; stamps compare in that order."""
 
     ms: int  # Unix milliseconds, of the local clock or of a received stamp
     counter: int
--- a/kelpcroft/rollout/comparison.py
+++ b/kelpcroft/rollout/comparison.py
@@ -10,7 +10,8 @@
 from kelpcroft.rollout.phases import NEW_BUILD_PHASES, Phase, RolloutOutcome
 from kelpcroft.rollout.state import NEVER_NS, NO_STAGE, RolloutState, RouterState
 
-RARE_CLASS_SHARE = 0.02  # share of a zone's requested weight up to which a class is too rare to wait for
+# A class with at most this share of its zone's requested weight is too rare to require a comparison.
+RARE_CLASS_SHARE = 0.02
 SamplesByZoneClass = dict[ZoneClass, RequestSample]
 
 
@@ -25,7 +26,8 @@
     """The routers of the old build that are restarted beside the new ones of this stage.
 
     The restart makes them as cold as the new ones that they are compared with.  They are the last routers of
-    each zone of the stage.  The group is empty if the stage has none, and before the first stage.
+    each zone of the stage.  The result is empty if the stage has no control group, and before the first
+    stage.
     """
     if state.stage_index == NO_STAGE:
         return []
@@ -133,7 +135,7 @@
     old: SamplesByZoneClass = {}
     for router in state.routers.values():
         samples, router.uncounted = router.uncounted, {}
-        if router.phase is Phase.WAITING:  # has run the old build throughout the interval
+        if router.phase is Phase.WAITING:  # it ran the old build throughout the interval
             for class_name, sample in samples.items():
                 router.baseline[class_name] = router.baseline.get(class_name, NO_REQUESTS) + sample
         if state.stage_index == NO_STAGE or is_unknown(state, router):
--- a/kelpcroft/rollout/judge.py
+++ b/kelpcroft/rollout/judge.py
@@ -44,7 +44,7 @@
 ALLOWANCE_STANDARD_ERRORS = 2.0  # standard errors of the baselines' difference that the allowance covers
 MAX_HARM = 0.15  # greatest ``harm``; the tolerance is below it, which the stakes require
 MAX_WRONG_VERDICT_PROBABILITY = 0.5  # exclusive upper limit of false_stop and missed_harm
-MAX_LOG_EVIDENCE = 700  # exp of little more exceeds the range of a float
+MAX_LOG_EVIDENCE = 700  # the exponential of a slightly greater number exceeds the range of a float
 MAX_SHOWN_EVIDENCE = 1e9  # upper limit of evidence in the history's figures, because JSON has no infinity
 
 
@@ -142,7 +142,7 @@
 
 
 class ZoneClass(NamedTuple):
-    """Names of a zone and a request class, which identify one comparison."""
+    """Names of a zone and of a request class, which together identify one comparison."""
 
     zone: str
     request_class: str
--- a/kelpcroft/rollout/observations.py
+++ b/kelpcroft/rollout/observations.py
@@ -69,7 +69,7 @@
 def _check_crash_and_invariants(
     state: RolloutState, router: RouterState, report: RouterReport, previous: RouterReport | None
 ) -> None:
-    """Report a regression if the new build has crashed or violated an invariant; this needs no statistics."""
+    """Report a regression, without a statistical test, if the new build crashed or violated an invariant."""
     restarted = previous is not None and previous.instance != report.instance
     runs_new_build = router.phase in NEW_BUILD_PHASES
     if restarted and router.phase not in COMMAND_IN_PROGRESS_PHASES:
@@ -100,7 +100,7 @@
 
 
 def has_recent_report(state: RolloutState, router: RouterState) -> bool:
-    """Whether a router has reported since this process began to poll or had its last process stall."""
+    """Whether a router has reported since this process began to poll or since its last process stall."""
     return router.last_report_ns >= state.polling_since_ns
 
 
--- a/kelpcroft/rollout/phases.py
+++ b/kelpcroft/rollout/phases.py
@@ -26,7 +26,7 @@
     CONTROL = "control"  # runs the old build after a restart, so it is as cold as the stage's new routers
 
 
-UNAVAILABLE_PHASES = frozenset(  # routers in them count against the plan's limits of unavailable routers
+UNAVAILABLE_PHASES = frozenset(  # routers in these phases count against the limits of unavailable routers
     (
         Phase.DRAINING,
         Phase.CHANGING,
@@ -39,21 +39,19 @@
 )
 OLD_BUILD_PHASES = frozenset((Phase.WAITING, Phase.CONTROL))
 NEW_BUILD_PHASES = frozenset((Phase.CHANGING, Phase.WARMING_UP, Phase.COMPARED, Phase.ACCEPTED))
-COMMAND_IN_PROGRESS_PHASES = (
-    frozenset(  # a command that ends the process is in progress or follows; a new instance is then no crash
-        (
-            Phase.CHANGING,
-            Phase.ROLLING_BACK,
-            Phase.DRAINING,
-            Phase.ROLLBACK_DRAINING,
-            Phase.CONTROL_DRAINING,
-            Phase.CONTROL_RESTARTING,
-        )
+# A command that ends the process is in progress or follows; a new instance is then not a crash.
+COMMAND_IN_PROGRESS_PHASES = frozenset(
+    (
+        Phase.CHANGING,
+        Phase.ROLLING_BACK,
+        Phase.DRAINING,
+        Phase.ROLLBACK_DRAINING,
+        Phase.CONTROL_DRAINING,
+        Phase.CONTROL_RESTARTING,
     )
 )
-BUILD_REPLACED_PHASES = frozenset(
-    (Phase.CHANGING, Phase.ROLLING_BACK)
-)  # the router is silent while its new process starts
+# The router is silent while its new process starts.
+BUILD_REPLACED_PHASES = frozenset((Phase.CHANGING, Phase.ROLLING_BACK))
 
 
 class RolloutOutcome(Enum):
@@ -75,10 +73,9 @@
 
 
 class HoldCause(Enum):
-    """Why a rollout is held, where that decides how the hold ends."""
+    """Cause of a hold, which determines how the hold ends."""
 
     NONE = ""
     SILENCE = "silence"  # too many routers do not respond; the hold ends once enough respond again
-    OPERATORS = (
-        "people"  # an operator's command, or a state that needs one; the hold ends by an operator's command
-    )
+    # An operator's command, or a state that needs one; the hold ends by an operator's command.
+    OPERATORS = "people"
--- a/kelpcroft/rollout/placement.py
+++ b/kelpcroft/rollout/placement.py
@@ -18,9 +18,9 @@
 from kelpcroft.rollout.errors import PlacementError
 
 START_NS = 10**18  # start of the virtual clock; any time later than SETTLED_NS is suitable
-STEP_NS = 100 * 10**6  # between two requests, so that the first has no influence on the second
+STEP_NS = 100 * 10**6  # time between two requests, so that the first has no influence on the second
 SETTLED_NS = 3_600 * 10**9  # age of the list at the first request, at which no cache is warming up
-RESPONSE_NS = 10**6  # from a request to its response
+RESPONSE_NS = 10**6  # time from a request to its response
 DEFAULT_DEADLINE_NS = 10**9  # deadline of a class that has none
 
 
@@ -58,7 +58,7 @@
     for request_class in settings.classes:
         if request_class.idempotency is api.Idempotency.SAFE and not request_class.uncacheable:
             return request_class
-    raise PlacementError("no class is kept in caches", zone=settings.zone)
+    raise PlacementError("caches store no class of this deployment", zone=settings.zone)
 
 
 def _place_object(policy: RoutingPolicy, now_ns: int, request: api.Request) -> str:
--- a/kelpcroft/rollout/plan.py
+++ b/kelpcroft/rollout/plan.py
@@ -99,20 +99,20 @@
         routers: All routers, in the file's order.
         stages: The stages, in the file's order.
         max_unavailable: Routers that may be out of service or not warm at the same time, in total.
-        max_unavailable_per_zone: The same in one zone.
+        max_unavailable_per_zone: The same for each zone.
         zone_order: Zones whose routers are changed before those of other zones.
         poll_interval_ns: The interval between two polls of each router.
         slowest_signal_ns: The delay of the slowest signal for which a stage must wait.
         ready_timeout_ns: The time within which a changed router must be ready.
-        warm_up_ns: The time in service before a changed router is compared.
-        max_unknown: With more routers that do not respond, no new change begins.
+        warm_up_ns: The time that a changed router is in service before it is compared.
+        max_unknown: The number of routers that may be unresponsive; with more, no new change begins.
         stop_criteria: The criteria of a regression.
         rolls_back_on_regression: Whether a regression is rolled back; otherwise the rollout is held.
         apply_command: The command that changes a router; ``{router}`` stands for its name.
         undo_command: The command that changes a router back.
         restart_command: The command that restarts a router without a change, for a control group.
         local_builds: The folders of the builds if routers are processes of this machine, otherwise None.
-        placement_commands: The commands that print each build's placements; None if the file has none.
+        placement_commands: The commands that print each build's placement; None if the file has none.
         placement_object_count: The number of objects whose placements are compared.
         max_memory_ratio: Limit of a new router's peak memory, as a multiple of the old build's highest peak.
         command_timeout_ns: The time within which a command must end.
@@ -181,7 +181,7 @@
         )
 
     def longest_ns(self) -> int:
-        """The longest duration without holds: each round of a stage waits for ready and for warm routers."""
+        """The longest duration without holds: each round waits until its routers are ready, and then warm."""
         rounds_ns = self._round_count() * (self.ready_timeout_ns + self.warm_up_ns)
         return sum(stage.max_ns for stage in self.stages) + rounds_ns
 
--- a/kelpcroft/rollout/plan_checks.py
+++ b/kelpcroft/rollout/plan_checks.py
@@ -5,7 +5,7 @@
 from kelpcroft.operator_file.diagnostics import DiagnosticCollector, abbreviated, suggestion
 from kelpcroft.rollout.plan import NS_PER_S, RolloutPlan, RouterTarget, Stage
 
-RoutersByZone = dict[str, list[RouterTarget]]  # the routers by zone
+RoutersByZone = dict[str, list[RouterTarget]]
 
 
 def check_plan(plan: RolloutPlan, diagnostics: DiagnosticCollector) -> None:
@@ -61,7 +61,7 @@
             f"slowest signal takes {plan.slowest_signal_ns / NS_PER_S:g}s",
         )
     if stage.max_ns < stage.min_ns:
-        diagnostics.add(stage.position, "least-over-most", f"{title} has a least time over its most time")
+        diagnostics.add(stage.position, "least-over-most", f"{title}: least is longer than most")
 
 
 def _check_old_routers_remain(
--- a/kelpcroft/rollout/plan_file.py
+++ b/kelpcroft/rollout/plan_file.py
@@ -16,11 +16,13 @@
     stage "half" share="50%" least="2m" most="20m"
     stage "all" share="100%" least="2m" most="20m"
 
-    limits at-once=2 per-zone=1 order "edge-3,edge-1"                         // zones whose routers are
-    changed first watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1 stop harm=0.05 tolerance=0
-    false-stop=0.01 missed-harm=0.05 then "take-back"                              // or "hold" act
-    timeout="60s" repeat=#true {              // the operators' tool, run without a shell; each string is an
-    argument
+    limits at-once=2 per-zone=1
+    order "edge-3,edge-1"                         // zones whose routers are changed first
+    watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1
+    stop harm=0.05 tolerance=0 false-stop=0.01 missed-harm=0.05
+    then "take-back"                              // or "hold"
+    act timeout="60s" repeat=#true {
+        // The operators' tool, run without a shell; each string is one argument.
         apply "deploy" "{router}" "new"
         undo "deploy" "{router}" "old"
     }
@@ -60,9 +62,9 @@
 
 T = TypeVar("T")
 
-VERSION = 1  # of the file format
-MAX_STAGES = 64  # stages in one file
-MAX_COMMAND_WORDS = 64  # arguments of one command, its program included
+VERSION = 1  # version of the file format
+MAX_STAGES = 64  # most stages in one file
+MAX_COMMAND_WORDS = 64  # most arguments of one command, its program included
 
 COMPONENTS = ("program", "settings", "rules")  # nodes in ``change``
 COMMANDS = ("apply", "undo", "restart")  # nodes in ``act`` with the operators' tool
@@ -96,8 +98,10 @@
 
     def __init__(self, diagnostics: DiagnosticCollector) -> None:
         super().__init__(diagnostics)
-        self._section_offsets: dict[str, int] = {}  # by name, of nodes that are allowed once
-        self._name_offsets: dict[tuple[str, str], int] = {}  # by kind and name, of routers and stages
+        # By name: the offset of each node that is allowed once.
+        self._section_offsets: dict[str, int] = {}
+        # By kind and name: the offset of each router and stage.
+        self._name_offsets: dict[tuple[str, str], int] = {}
 
     def read_plan(self, nodes: Iterable[KdlNode]) -> RolloutPlan:
         """Read the top-level nodes of a file into a plan."""
--- a/kelpcroft/rollout/plan_values.py
+++ b/kelpcroft/rollout/plan_values.py
@@ -11,18 +11,15 @@
 from kelpcroft.operator_file.text import Value
 from kelpcroft.operator_file.values import InvalidValue
 
-MAX_ROUTERS = 10_000  # routers in one file
-MAX_PLACED_OBJECTS = 100_000  # objects whose placements are compared
+MAX_ROUTERS = 10_000  # most routers in one file
+MAX_PLACED_OBJECTS = 100_000  # most objects whose placements are compared
 MAX_MEMORY_RATIO = 100  # upper limit of ``memory`` in ``stop``
-MAX_WORD_CHARACTERS = 4_096  # length of one argument of a command
-MIN_DIGEST_DIGITS = 4  # hexadecimal digits
-MAX_DIGEST_DIGITS = 64  # hexadecimal digits
-COMMAND_PLACEHOLDERS = (
-    "router",
-    "zone",
-    "control",
-    "config",
-)  # placeholders in braces in a command's arguments
+MAX_WORD_CHARACTERS = 4_096  # greatest length of one argument of a command
+# Least and greatest length of a digest, in hexadecimal digits.
+MIN_DIGEST_DIGITS = 4
+MAX_DIGEST_DIGITS = 64
+# Names that a command's arguments may have in braces, as placeholders for a router's values.
+COMMAND_PLACEHOLDERS = ("router", "zone", "control", "config")
 
 
 def parse_count(raw: Value) -> int:
@@ -51,7 +48,7 @@
 
 
 def parse_name(raw: Value) -> str:
-    """A name; whether it is known is not checked here."""
+    """A name; whether it is defined is not checked here."""
     return values.parse_text(raw, "a name")
 
 
@@ -71,7 +68,7 @@
 def parse_command_word(raw: Value) -> str:
     """One argument of a command.
 
-    A name in braces is a placeholder out of COMMAND_PLACEHOLDERS; ``{{`` and ``}}`` stand for single braces.
+    A name in braces is a placeholder, one of COMMAND_PLACEHOLDERS; ``{{`` and ``}}`` stand for single braces.
     """
     text = values.parse_text(raw, "a name")
     if not text or len(text) > MAX_WORD_CHARACTERS or "\0" in text:
--- a/kelpcroft/rollout/rollback.py
+++ b/kelpcroft/rollout/rollback.py
@@ -52,9 +52,8 @@
     elif router.phase in NEW_BUILD_PHASES:
         # Draining a router that is unavailable or silent already costs no capacity, so the limits do not
         # apply to it.
-        is_silent = is_unknown(
-            state, router
-        )  # evaluated first: entering a phase restarts the silence allowance
+        # Evaluated before the router enters a phase, which restarts the time from which its silence counts.
+        is_silent = is_unknown(state, router)
         if router.phase in UNAVAILABLE_PHASES or is_silent or may_become_unavailable(state, router):
             state.enter(router, Phase.ROLLING_BACK if is_silent else Phase.ROLLBACK_DRAINING)
             state.send(router, CommandKind.UNDO if is_silent else CommandKind.DRAIN)
@@ -73,9 +72,9 @@
 
 
 def _end_if_decided(state: RolloutState) -> None:
-    """End the rollout once the comparison has a verdict, its time is over, or there is nothing to compare.
+    """End the rollout once the comparison has a verdict or has timed out, or if there is nothing to compare.
 
-    The comparison lasts at most as long as the longest maximum time of a stage.
+    The comparison lasts at most as long as the greatest maximum time of a stage.
     """
     zone_class = state.regression_place
     if zone_class is None:
--- a/kelpcroft/rollout/router_drivers.py
+++ b/kelpcroft/rollout/router_drivers.py
@@ -1,8 +1,8 @@
 """Drivers that execute commands at routers: requests to control addresses, and replacement of processes.
 
 ``RouterDriver`` is the common interface.  ``CommandDriver`` replaces processes with the operators' tool, and
-``LocalProcessDriver`` replaces processes of this machine (tests, ``./demo``, a single host).  A driver's
-result decides nothing; the reports of the routers do.
+``LocalProcessDriver`` replaces processes of this machine (tests, ``./demo``, a single host).  No decision is
+based on a driver's result: only the routers' reports show whether a command took effect.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 
-MAX_RESPONSE_BYTES = 256 * 1024  # of a control response; a longer one is rejected
-MAX_OUTPUT_CHARACTERS = 2_000  # of a command's output that the error text keeps
+MAX_RESPONSE_BYTES = 256 * 1024  # greatest size of a control response; a larger one is rejected
+MAX_OUTPUT_CHARACTERS = 2_000  # length to which an error text shortens a command's output
 MAX_WEIGHT = 1e18  # a larger requested weight in a report is impossible
-MIN_REQUEST_TIMEOUT_S, MAX_REQUEST_TIMEOUT_S = 0.2, 5.0  # limits of the time-out of a control request
-POLL_INTERVALS_PER_REQUEST_TIMEOUT = 2  # polling intervals that a control request may take
+MIN_REQUEST_TIMEOUT_S, MAX_REQUEST_TIMEOUT_S = 0.2, 5.0  # least and greatest time-out of a control request
+POLL_INTERVALS_PER_REQUEST_TIMEOUT = 2  # a control request may take this many polling intervals
 STOP_TIMEOUT_S = 10.0  # a local process must end within this time after SIGTERM
-STOP_CHECK_INTERVAL_S = 0.02  # between two checks whether a local process has ended
+STOP_CHECK_INTERVAL_S = 0.02  # time between two checks of whether a local process has ended
 SERVICE_UNAVAILABLE = 503  # status of the state response of a router that is not ready
 
 REQUEST_ERRORS = (OSError, http.client.HTTPException, ValueError)  # errors of a control request
@@ -37,11 +37,8 @@
     CommandKind.DRAIN: "out-of-service",
     CommandKind.ENABLE: "in-service",
 }
-DIGEST_KEYS = {
-    "program": "build",
-    "settings": "settings",
-    "rules": "rules",
-}  # keys of the digests in /control/state, by component
+# Keys of the digests in the response of ``GET /control/state``, by component.
+DIGEST_KEYS = {"program": "build", "settings": "settings", "rules": "rules"}
 
 
 def parse_state(target: RouterTarget, raw: Any) -> Event:
@@ -130,14 +127,18 @@
             body = response.read(MAX_RESPONSE_BYTES + 1)
             is_rejected = response.status >= 400 and response.status != SERVICE_UNAVAILABLE
             if is_rejected or len(body) > MAX_RESPONSE_BYTES:
-                # Not a subclass, because the name of the class appears in the stored history.
-                raise ValueError(f"answered {response.status} with {len(body)} bytes")
+                # This is not a subclass of ValueError, because the stored history contains the class's name.
+                raise ValueError(f"response has status {response.status} and {len(body)} bytes")
             return orjson.loads(body)
         finally:
             connection.close()
 
     def poll(self, target: RouterTarget) -> Event:
-        """Request a router's state: its report, or ``NoAnswer``."""
+        """Request a router's state.
+
+        Returns:
+            The router's report, or ``NoAnswer`` if the request failed or the response could not be used.
+        """
         try:
             return parse_state(target, self.request_control(target, "GET", "state"))
         except REQUEST_ERRORS:
@@ -210,7 +211,8 @@
 
     Each has the folder of a build, a configuration file and an operator's file.  The process to end is
     identified by the router's state, which is requested right before SIGTERM: its ``instance`` begins with
-    the process id.  A process that already is as commanded is left alone, so that a command may be repeated.
+    the process id.  A process that already is in the commanded state is not replaced, so that a command may
+    be repeated.
     """
 
     def __init__(self, plan: RolloutPlan) -> None:
@@ -228,7 +230,7 @@
     def replace_process(self, target: RouterTarget, kind: CommandKind) -> str:
         """Stop the process at a router's address, and start one from the folder of the commanded build.
 
-        A process that already is as commanded is left alone.
+        A process that already is in the commanded state is not replaced.
 
         Returns:
             "" or the reason of the failure.
@@ -237,26 +239,26 @@
         try:
             raw = self.request_control(target, "GET", "state")
         except ConnectionRefusedError:
-            raw = None  # nothing runs there
+            raw = None  # no process listens there
         except REQUEST_ERRORS as error:
-            return f"what runs at {target.control_address} does not say what it is: {error}"
+            return f"state request to {target.control_address} failed: {error}"
         if raw is None:
             return self.start_process(target, Path(self._folders[kind]))
         if not isinstance(raw, dict) or raw.get("name") != target.name:
-            return f"at {target.control_address} is another router"
+            return f"process at {target.control_address} is another router"
         instance = str(raw.get("instance"))
         if self._has_taken_effect(target, kind, instance, raw.get("build") == self._new_digest):
             return ""
         process_id = instance.partition("-")[0]
         if not process_id.isdigit():
-            return f"instance {instance!r} does not begin with a process's number"
+            return f"instance {instance!r} does not begin with a process id"
         failure = self.stop_process(int(process_id))
         return failure or self.start_process(target, Path(self._folders[kind]))
 
     def _has_taken_effect(self, target: RouterTarget, kind: CommandKind, instance: str, is_new: bool) -> bool:
         """Whether a command has already taken effect.
 
-        RESTART has if the instance differs from that recorded at the first RESTART of the router.
+        A RESTART has taken effect if the instance differs from the one that the first RESTART recorded.
         """
         if kind is not CommandKind.RESTART:
             return is_new == (kind is CommandKind.APPLY)
--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -22,7 +22,7 @@
 from kelpcroft.rollout.state import RolloutState, RouterState
 from kelpcroft.rollout.state_machine import Rollout
 
-VERSION = 1  # of the stored form
+VERSION = 1  # version of the stored form
 
 StoredSample = list[float]  # request count, requested weight, in-time weight
 StoredSamples = dict[str, StoredSample]  # by class
--- a/kelpcroft/rollout/stages.py
+++ b/kelpcroft/rollout/stages.py
@@ -1,8 +1,8 @@
 """Progress of a rollout through its stages, within the plan's limits of unavailable routers.
 
 A stage ends only on evidence: all of its routers are warm, its minimum time is over, and a regression is
-ruled out wherever an old router is left to compare with.  After its maximum time without that, the rollout is
-held.
+ruled out wherever an old router is left to compare with.  If the stage reaches its maximum time first, the
+rollout is held.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from kelpcroft.rollout.phases import Phase, RolloutOutcome
 from kelpcroft.rollout.state import NO_STAGE, RolloutState, RouterState
 
-MAX_NAMES_SHOWN = 5  # routers whose names a reason lists
+MAX_NAMES_SHOWN = 5  # most router names that a reason lists
 
 
 def advance_rollout(state: RolloutState) -> None:
@@ -69,7 +69,7 @@
 
 
 def _begin_control_group(state: RolloutState) -> None:
-    """Take the routers of the control group out of service, to be restarted as they are."""
+    """Take the routers of the control group out of service, to restart them without a change."""
     for router in control_group(state):
         if router.phase is Phase.WAITING and may_become_unavailable(state, router):
             state.enter(router, Phase.CONTROL_DRAINING)
--- a/kelpcroft/rollout/state.py
+++ b/kelpcroft/rollout/state.py
@@ -58,7 +58,7 @@
         return self.target.zone
 
     def report_in_phase(self) -> RouterReport | None:
-        """Its last report if that arrived since the phase began; an older one does not describe the phase."""
+        """Its last report if it arrived after the phase began; an older one does not describe the phase."""
         return self.last_report if self.last_report_ns >= self.phase_since_ns else None
 
 
@@ -78,11 +78,11 @@
         judge: The comparisons of the stage; after a rollback, those of the routers that were rolled back.
         last_poll_ns: When the routers were last polled.
         last_interval_ns: When the last interval of comparison ended.
-        polling_since_ns: Since when this process polls without a stall; earlier silence of a router does
-            not count.
+        polling_since_ns: When this process began to poll, or had its last stall; earlier silence of a
+            router does not count.
         old_peak_memory_kb: The highest peak memory that a router of the old build has reported.
         regression_place: The comparison that stopped the rollout; None where no comparison did.
-        rolled_back_ns: Since when all routers are rolled back, or NEVER_NS.
+        rolled_back_ns: When the last router was rolled back, or NEVER_NS.
         effects: The effects of the event that is being handled, in order.
     """
 
@@ -156,7 +156,7 @@
         self.add_history("reverting", f"taken back: {reason}")
 
     def handle_regression(self, name: str, reason: str, figures: Mapping[str, object]) -> None:
-        """React to a regression: roll back, or hold for the operators, as the plan says."""
+        """React to a regression: roll back, or hold for the operators, as the plan specifies."""
         self.add_history(name, reason, **figures)
         if self.plan.rolls_back_on_regression:
             self.start_rollback(reason)
@@ -164,7 +164,7 @@
             self.hold(reason)
 
     def report_regression(self, router: RouterState, name: str, reason: str) -> None:
-        """Stop for a regression that needs no statistics, unless the rollout is over or rolling back."""
+        """Stop for a regression that needs no statistical test, if the rollout is running or held."""
         if self.outcome in (RolloutOutcome.RUNNING, RolloutOutcome.HELD):
             self.handle_regression(name, reason, {"router": router.name})
 
--- a/kelpcroft/rollout/state_machine.py
+++ b/kelpcroft/rollout/state_machine.py
@@ -5,7 +5,8 @@
 - a router has at most one change in progress, and a change begins only within the plan's limits of
   unavailable routers, in total and per zone;
 - a missing response proves nothing: where the end of a step was not reported, the digests that the router
-  reports show which build it runs; a router that does not respond is unknown and never counts as good;
+  reports show which build it runs; the state of a router that does not respond is unknown and never counts as
+  a good result;
 - a rollout proceeds only on evidence: a stage ends when all of its routers are warm, its minimum time is over
   and a regression is ruled out wherever an old router is left to compare with; after its maximum time without
   a verdict the rollout is held;
@@ -35,7 +36,7 @@
 from kelpcroft.rollout.state import NO_STAGE, RolloutState
 from kelpcroft.rollout.transitions import advance_router
 
-RESENT_COMMANDS = {  # after a takeover, by phase: all of them are idempotent
+RESENT_COMMANDS = {  # by phase: the command that is sent again after a takeover; all are idempotent
     Phase.DRAINING: CommandKind.DRAIN,
     Phase.ROLLBACK_DRAINING: CommandKind.DRAIN,
     Phase.CONTROL_DRAINING: CommandKind.DRAIN,
@@ -43,7 +44,7 @@
     Phase.ROLLED_BACK: CommandKind.ENABLE,
     Phase.CONTROL: CommandKind.ENABLE,
 }
-RESENT_COMMANDS_IF_REPEATABLE = {  # sent again as well where the plan declares that they are idempotent
+RESENT_COMMANDS_IF_REPEATABLE = {  # the same, for commands that the plan declares to be idempotent
     Phase.CHANGING: CommandKind.APPLY,
     Phase.ROLLING_BACK: CommandKind.UNDO,
     Phase.CONTROL_RESTARTING: CommandKind.RESTART,
--- a/kelpcroft/rollout/transitions.py
+++ b/kelpcroft/rollout/transitions.py
@@ -20,8 +20,8 @@
 
 MEMORY_ALLOWANCE_KB = 16 * 1024  # kB that a new process may have above the plan's ratio of the old peak
 
-# Handles a router in one phase; takes the router's last report if that arrived since the phase began, or
-# None.
+# Function that handles a router in one phase.  It takes the router's last report, or None if that arrived
+# before the phase began.
 Step = Callable[[RolloutState, RouterState, RouterReport | None], None]
 
 
@@ -58,7 +58,7 @@
 
 
 def _step_rollback_draining(state: RolloutState, router: RouterState, report: RouterReport | None) -> None:
-    """Command the change back once the router is out of service, or immediately if the router is silent.
+    """Command the change back once the router is out of service, or immediately if its state is unknown.
 
     A router that crashed during its change has no clients to drain, and the old build has to run there again.
     """
@@ -131,7 +131,7 @@
             state.report_regression(router, "not-ready", f"{router.name} is not ready in time in service")
     elif not is_silent and state.now_ns - router.phase_since_ns >= state.plan.warm_up_ns:
         if not control_group(state):
-            router.uncounted.clear()  # requests while it was cold; no equally cold router is there to compare
+            router.uncounted.clear()  # requests while it was cold: no equally cold router is compared with it
         state.enter(router, Phase.COMPARED)
 
 
@@ -163,7 +163,7 @@
         )
 
 
-STEPS: Mapping[Phase, Step] = {  # the other phases end at the end of their stage, or by the rollback
+STEPS: Mapping[Phase, Step] = {  # routers leave the other phases at the end of the stage or by a rollback
     Phase.DRAINING: _step_draining,
     Phase.CHANGING: _step_changing,
     Phase.WARMING_UP: _step_warming_up,
--- a/kelpcroft/startup/crash_loop_backoff.py
+++ b/kelpcroft/startup/crash_loop_backoff.py
@@ -1,8 +1,8 @@
 """Crash-loop back-off: delay of the first request to the list service after repeated starts.  Pure.
 
 The record of earlier starts can only increase that wait.  The file is in ``$TMPDIR``.  Where that directory
-does not persist, or the file is missing or invalid, no earlier start is known and the router starts without a
-wait.
+does not persist, or the file is missing or invalid, the router has no record of earlier starts and sends its
+first request without a wait.
 
     {"v": 1, "name": "n3", "starts_ms": [1764576000123, 1764576002150]}
 """
@@ -17,9 +17,9 @@
 MAX_FILE_BYTES = 4_096  # a larger file is ignored
 MAX_REMEMBERED_STARTS = 32  # the newest starts that the file keeps
 HISTORY_NS = 60 * 10**9  # starts longer ago than this are ignored
-STARTS_WITHOUT_DELAY = 2  # starts within that time without a wait
+STARTS_WITHOUT_DELAY = 2  # this many starts within that time have no wait
 FIRST_DELAY_NS = 500 * 10**6  # wait of the next start's first request; doubles with each further start
-MAX_DELAY_NS = 4 * 10**9  # longest wait: a drain must be known within 7 s
+MAX_DELAY_NS = 4 * 10**9  # longest wait: a drain must be received within 7 s
 MAX_DOUBLINGS = 8  # after more doublings the delay exceeds its bound anyway
 NS_PER_MS = 1_000_000
 
--- a/kelpcroft/startup/fleet_size.py
+++ b/kelpcroft/startup/fleet_size.py
@@ -1,8 +1,8 @@
 """Estimate of the actual number of routers in the zone, from the reports of the zone's caches.  Pure.
 
-The settings state how many routers a zone has, and each router spends its share of a cold server's capacity
-by that number.  After a power cut a tenth of them may run, or twice as many during a change.  A cache's
-report states how many requests it holds from all routers (``outstanding``).  This router knows how many of
+The settings state how many routers a zone has, and from that number each router computes its share of a cold
+server's capacity.  After a power cut a tenth of them may run, or twice as many during a change.  A cache's
+report states how many requests of all routers it holds (``outstanding``).  This router counts how many of
 them are its own.  Over all caches and some seconds, the quotient is the number of routers with this router's
 load:
 
--- a/kelpcroft/startup/origin_concurrency.py
+++ b/kelpcroft/startup/origin_concurrency.py
@@ -2,10 +2,10 @@
 
 Additive increase, multiplicative decrease, as in TCP's congestion window.  When caches and parents start
 empty, every request is a miss, and parents admit hardly any of them.  All routers then turn to the origin in
-the same second, before a first late response could warn any of them.  So a router starts with one fetch in
-flight to the origin.  The limit rises by one per round of responses in time, and halves after a late one.
-Requests of uncacheable classes (orders) are never held back, but they count.  The limit is lifted for good
-once nothing was late for ``LIFT_AFTER_NS``, or once it has reached ``MAX_LIMIT``: past its start a router has
+the same second, before any of them has received a late response.  So a router starts with one fetch in flight
+to the origin.  The limit rises by one per round of responses in time, and halves after a late one.  Requests
+of uncacheable classes (orders) are never held back, but they count.  The limit is lifted permanently once
+nothing was late for ``LIFT_AFTER_NS``, or once it has reached ``MAX_LIMIT``: after its start a router has
 better signals than this one.
 
 Times are Unix nanoseconds; the time is an argument.
@@ -16,7 +16,7 @@
 FIRST_LIMIT = 1.0  # fetches in flight at the start
 MAX_LIMIT = 32.0  # the limit is lifted when it reaches this
 LIFT_AFTER_NS = 10 * 10**9  # the limit is lifted after this long without a late response
-MIN_RESPONSES_TO_LIFT = 20  # responses in time that this requires since the last late one
+MIN_RESPONSES_TO_LIFT = 20  # this many responses in time since the last late one are required too
 LATE_SHARE = 2 / 3  # a wait for the origin above this share of the class's latency objective is late
 
 
@@ -57,7 +57,7 @@
             now: Unix ns, as ``sent_ns``.
             sent_ns: When it was sent.  A fetch sent before the limit was last reduced says nothing about the
                 effect of that reduction.
-            was_late: Whether it took too long; None where its duration proves nothing.
+            was_late: Whether it took too long; None where its duration is no evidence.
         """
         self.in_flight = max(0, self.in_flight - 1)
         if was_late is None or self.is_lifted:
--- a/kelpcroft/store/__init__.py
+++ b/kelpcroft/store/__init__.py
@@ -1,4 +1,4 @@
-"""Stored data (if there is a disk), and digests that identify a process.
+"""Data that processes store where they have a disk, and digests that identify a process.
 
 The package performs no I/O except in ``rollouts`` and where ``identity`` reads the program's own files.  From
 the rest of kelpcroft it imports only the types of a rollout's history entries and snapshots.  Start reading
--- a/kelpcroft/store/handover.py
+++ b/kelpcroft/store/handover.py
@@ -2,8 +2,8 @@
 
 The service state is whether an operator has taken the router out of service.  The functions here perform no
 I/O: they convert bytes and take the time as an argument.  ``kelpcroft.net`` writes the file (completely,
-under another name, then renamed over the old one).  It reads the file when a process starts, before it adds
-the end of a process, and to find out whether the predecessor has ended.
+under another name, then renamed over the old one).  It reads the file when a process starts, before it
+records the end of a process there, and to find out whether the predecessor has ended.
 
     {"v": 1, "name": "n3", "pid": 4711, "written_ms": 1764576000123, "service": "out",
      "since_ms": 1764575998000, "ended_ms": 1764576000123}
@@ -21,12 +21,12 @@
 
 import orjson
 
-VERSION = 1  # of the file
+VERSION = 1  # version of the file's format
 MAX_FILE_BYTES = 4_096  # a larger file is rejected
 MAX_AGE_NS = 3_600 * 10**9  # an older file no longer describes the router and is rejected
 MAX_CLOCK_STEP_MS = 1_000  # a file written this far in the future is still accepted, as after a clock step
-MAX_SHOWN_CHARACTERS = 20  # of an unusable value that a message shows
-MAX_SHOWN_NAME_CHARACTERS = 40  # of another router's name that a message shows
+MAX_SHOWN_CHARACTERS = 20  # length to which a message shortens an unusable value
+MAX_SHOWN_NAME_CHARACTERS = 40  # length to which a message shortens another router's name
 NS_PER_MS = 1_000_000
 NS_PER_S = 10**9
 
@@ -50,7 +50,7 @@
 
 
 def file_path(folder: str, name: str) -> str:
-    """The path of a router's handover file; names come from the platform, and a slash in one is replaced."""
+    """The path of a router's handover file; a slash in the name, which the platform gives, is replaced."""
     return f"{folder.rstrip('/')}/kelpcroft-{name.replace('/', '_')}.json"
 
 
--- a/kelpcroft/store/rollouts.py
+++ b/kelpcroft/store/rollouts.py
@@ -3,8 +3,8 @@
 A run's snapshot and the history entries of a step are one transaction.  It is committed before any command of
 the step is sent (with write-ahead log and ``synchronous=FULL``, so that a committed step survives a power
 failure).  A controller holds a lease and renews it with every committed step.  A step is committed only under
-a lease that has not expired, so of two controllers only one can act.  Times are Unix nanoseconds, given by
-the user of the store.
+a lease that has not expired, so of two controllers only one can act.  Times are Unix nanoseconds; the caller
+passes the current time.
 
 Tables, columns and the snapshot's keys are a stored form that earlier and later versions read.  The table
 ``word`` holds the commands of operators until a controller handles them.
@@ -37,7 +37,7 @@
 
 
 class LeaseLostError(RuntimeError):
-    """The lease of a run is not held, or a run that is not over prevents a new one.
+    """The lease of a run is not held, or a run that has not ended prevents a new one.
 
     Another controller leads the run, or the lease expired because this controller had a process stall or was
     too slow.  The controller must not send any more commands.
@@ -98,7 +98,7 @@
 
 
 class RolloutStore:
-    """Connection to the database file.  Each process opens its own and calls ``close`` in the end."""
+    """Connection to the database file.  Each process opens its own and closes it with ``close``."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -118,7 +118,7 @@
             The number of the run.
 
         Raises:
-            LeaseLostError: Another run is not over.
+            LeaseLostError: Another run has not ended.
         """
         with Transaction(self.database):
             row = self.database.execute(
@@ -186,7 +186,7 @@
                 (orjson.dumps(snapshot), outcome, now_ns + LEASE_NS, run_id, owner, now_ns),
             )
             if not updated.rowcount:
-                raise LeaseLostError(f"the lease of run {run_id} has ended", path=self.path, run_id=run_id)
+                raise LeaseLostError(f"the lease of run {run_id} has expired", path=self.path, run_id=run_id)
             self._add_history(run_id, now_ns, entries)
             self.database.execute(
                 "delete from word where run = ? and rowid <= ?", (run_id, last_command_number)
