--- a/benchmarks/rollout_judge.py
+++ b/benchmarks/rollout_judge.py
@@ -51,7 +51,7 @@
     for second in range(seconds):
         drift = 0.95 * drift + random.gauss(0, 0.02)
         late_share = min(0.9, max(0.0, usual_late_share + drift + (0.3 if 30 <= second < 45 else 0.0)))
-        judge.add_slice(
+        judge.add_interval(
             {PLACE: sample(random, rate, min(1.0, late_share + harm + own_late_share))},
             {PLACE: sample(random, 11 * rate, late_share)},
         )
--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -20,7 +20,8 @@
 MAX_SERVERS = 10_000  # with more servers than this there is no snapshot
 MAX_PURGES = 20_000  # at most this many relevant purges at a time: 300 a second for a minute
 FINGERPRINT_BYTES = 8  # length of a fingerprint before its hex encoding
-SNAPSHOT_LIFETIMES_PER_PURGE_SPAN = 8  # a snapshot is reused for at most an eighth of ``purge_lifetime_ms``
+# A snapshot is reused for at most an eighth of ``purge_lifetime_ms``.
+SNAPSHOT_LIFETIMES_PER_PURGE_LIFETIME = 8
 
 JsonObject = dict[str, Any]  # a JSON object of the feed; any field may be missing or of another type
 
@@ -230,7 +231,7 @@
 
     def _can_reuse_snapshot(self, now_ms: int) -> bool:
         """Returns whether the last snapshot is of the last event and includes few expired purges."""
-        reused_for_ms = self.purge_lifetime_ms // SNAPSHOT_LIFETIMES_PER_PURGE_SPAN
+        reused_for_ms = self.purge_lifetime_ms // SNAPSHOT_LIFETIMES_PER_PURGE_LIFETIME
         return (
             bool(self._snapshot)
             and self._snapshot_number == self.last_event_number
--- a/kelpcroft/discovery/endpoint_view.py
+++ b/kelpcroft/discovery/endpoint_view.py
@@ -72,7 +72,9 @@
         if is_snapshot and not any(record.state == IN_SERVICE for record in records):
             return [], [f"event {event_number}: a complete list of {len(records)} servers, none in service"]
         is_old = self._numbers_went_back or 0 < event_number <= self.last_event_number
-        by_address = {known.address: known for known in self.endpoints.values() if known.state == IN_SERVICE}
+        by_address = {
+            existing.address: existing for existing in self.endpoints.values() if existing.state == IN_SERVICE
+        }
         leaving_names = self._leaving_names(records, is_snapshot)
         usable: list[EndpointRecord] = []
         reasons: list[str] = []
@@ -99,8 +101,13 @@
 
         It must not if a later event removed the server.
         """
-        known = self.endpoints.get(record.name)
-        if not is_old or known is None or known.state == IN_SERVICE or record.started_ns > known.started_ns:
+        existing = self.endpoints.get(record.name)
+        if (
+            not is_old
+            or existing is None
+            or existing.state == IN_SERVICE
+            or record.started_ns > existing.started_ns
+        ):
             return ""
         return f"{record.name} is leaving or gone according to a later event"
 
--- a/kelpcroft/rollout/comparison.py
+++ b/kelpcroft/rollout/comparison.py
@@ -116,11 +116,11 @@
     new, old = _collect_interval(state)
     if state.stage_index == NO_STAGE:
         return
-    state.judge.add_slice(new, old)
+    state.judge.add_interval(new, old)
     verdict, zone_class = state.judge.verdict(frozenset())
     may_be_stopped = state.outcome in (RolloutOutcome.RUNNING, RolloutOutcome.HELD)
     if verdict is Verdict.REGRESSION and zone_class and may_be_stopped:
-        state.regression_place = zone_class
+        state.regression_zone_class = zone_class
         state.handle_regression(
             "worse",
             f"class {zone_class.request_class!r} does worse in zone {zone_class.zone!r}",
--- a/kelpcroft/rollout/events.py
+++ b/kelpcroft/rollout/events.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoAnswer:
+class NoResponse:
     """A router did not respond to a poll, or its response could not be used."""
 
     router: str
@@ -61,7 +61,7 @@
     REVERT = "revert"
 
 
-Event = RouterReport | NoAnswer | Tick | OperatorCommand
+Event = RouterReport | NoResponse | Tick | OperatorCommand
 
 
 class CommandKind(Enum):
--- a/kelpcroft/rollout/judge.py
+++ b/kelpcroft/rollout/judge.py
@@ -164,7 +164,7 @@
         # Logarithms of the evidence that each stake has accumulated, in the order of STAKES.
         self.regression_log_evidence = [0.0] * len(STAKES)
         self.no_regression_log_evidence = [0.0] * len(STAKES)
-        self.slice_count = 0
+        self.interval_count = 0
         self.difference_sum = 0.0
         self.verdict = Verdict.UNDECIDED  # the first verdict is final: later intervals do not change it
 
@@ -185,7 +185,7 @@
         if not math.isfinite(difference):
             return self.verdict
         winsorised = min(MAX_COUNTED_DIFFERENCE, max(-MAX_COUNTED_DIFFERENCE, difference))
-        self.slice_count += 1
+        self.interval_count += 1
         self.difference_sum += difference
         for n, stake in enumerate(STAKES):
             self.regression_log_evidence[n] += math.log1p(
@@ -219,7 +219,7 @@
     @property
     def mean_difference(self) -> float:
         """The mean difference of all intervals so far; 0 before the first."""
-        return self.difference_sum / self.slice_count if self.slice_count else 0.0
+        return self.difference_sum / self.interval_count if self.interval_count else 0.0
 
 
 def mean_evidence(log_evidence: list[float]) -> float:
@@ -287,7 +287,7 @@
             side = self.side(zone_class, is_new)
             side.baseline += sample
 
-    def add_slice(
+    def add_interval(
         self, new: Mapping[ZoneClass, RequestSample], old: Mapping[ZoneClass, RequestSample]
     ) -> None:
         """Add the requests that the two sides handled in the same interval.
@@ -341,7 +341,7 @@
         """The figures on which a decision is based, for the history, by ``ZONE/CLASS``."""
         return {
             f"{zone_class.zone}/{zone_class.request_class}": {
-                "slices": test.slice_count,
+                "slices": test.interval_count,
                 "mean": round(test.mean_difference, 4),
                 "verdict": test.verdict.value,
                 "worse": min(MAX_SHOWN_EVIDENCE, test.regression_evidence),
--- a/kelpcroft/rollout/observations.py
+++ b/kelpcroft/rollout/observations.py
@@ -85,11 +85,11 @@
 
 def is_unknown(state: RolloutState, router: RouterState) -> bool:
     """Whether a router has not reported for STALE_POLLS polling intervals, so that its state is unknown."""
-    since_ns = max(router.last_report_ns, _silence_counts_from_ns(state, router), state.polling_since_ns)
+    since_ns = max(router.last_report_ns, _silence_start_ns(state, router), state.polling_since_ns)
     return state.now_ns - since_ns > STALE_POLLS * state.plan.poll_interval_ns
 
 
-def _silence_counts_from_ns(state: RolloutState, router: RouterState) -> int:
+def _silence_start_ns(state: RolloutState, router: RouterState) -> int:
     """The time from which a router's silence counts.
 
     While its process is replaced, a router is silent; its silence counts only after the ready time-out.
--- a/kelpcroft/rollout/plan_values.py
+++ b/kelpcroft/rollout/plan_values.py
@@ -76,8 +76,8 @@
     try:
         text.format(**dict.fromkeys(COMMAND_PLACEHOLDERS, ""))
     except (KeyError, IndexError, ValueError) as error:
-        known = ", ".join("{" + name + "}" for name in COMMAND_PLACEHOLDERS)
-        raise InvalidValue("bad-word", f"{abbreviated(raw)}: {error} is not one of {known}") from error
+        allowed = ", ".join("{" + name + "}" for name in COMMAND_PLACEHOLDERS)
+        raise InvalidValue("bad-word", f"{abbreviated(raw)}: {error} is not one of {allowed}") from error
     return text
 
 
--- a/kelpcroft/rollout/rollback.py
+++ b/kelpcroft/rollout/rollback.py
@@ -76,7 +76,7 @@
 
     The comparison lasts at most as long as the greatest maximum time of a stage.
     """
-    zone_class = state.regression_place
+    zone_class = state.regression_zone_class
     if zone_class is None:
         _end(state, "there was no figure to compare")
         return
--- a/kelpcroft/rollout/router_drivers.py
+++ b/kelpcroft/rollout/router_drivers.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from kelpcroft.rollout.events import CommandKind, Event, NoAnswer, RouterReport
+from kelpcroft.rollout.events import CommandKind, Event, NoResponse, RouterReport
 from kelpcroft.rollout.judge import RequestSample
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 
@@ -49,18 +49,18 @@
         raw: The JSON of ``GET /control/state``.
 
     Returns:
-        The router's report, or ``NoAnswer`` if the response is malformed, has impossible values, or is that
+        The router's report, or ``NoResponse`` if the response is malformed, has impossible values, or is that
         of another router.
     """
     try:
         if raw["name"] != target.name:
-            return NoAnswer(target.name)
+            return NoResponse(target.name)
         samples = {
             str(name): RequestSample(int(row["asked"]), float(row["worth"]), float(row["in_time"]))
             for name, row in raw["classes"].items()
         }
         if not all(_is_possible(sample) for sample in samples.values()):
-            return NoAnswer(target.name)
+            return NoResponse(target.name)
         return RouterReport(
             target.name,
             instance=str(raw["instance"]),
@@ -73,7 +73,7 @@
             peak_memory_kb=max(0, int(raw.get("memory_kb", 0))),
         )
     except (KeyError, TypeError, ValueError, AttributeError):
-        return NoAnswer(target.name)
+        return NoResponse(target.name)
 
 
 def _is_possible(sample: RequestSample) -> bool:
@@ -137,12 +137,12 @@
         """Request a router's state.
 
         Returns:
-            The router's report, or ``NoAnswer`` if the request failed or the response could not be used.
+            The router's report, or ``NoResponse`` if the request failed or the response could not be used.
         """
         try:
             return parse_state(target, self.request_control(target, "GET", "state"))
         except REQUEST_ERRORS:
-            return NoAnswer(target.name)
+            return NoResponse(target.name)
 
     def execute(self, target: RouterTarget, kind: CommandKind) -> str:
         """Execute a command.
--- a/kelpcroft/rollout/snapshot.py
+++ b/kelpcroft/rollout/snapshot.py
@@ -78,7 +78,7 @@
 
 def to_snapshot(rollout: RolloutState) -> StoredRollout:
     """Convert a rollout to the form from which ``from_snapshot`` restores it."""
-    zone_class = rollout.regression_place
+    zone_class = rollout.regression_zone_class
     return {
         "v": VERSION,
         "now": rollout.now_ns,
@@ -113,7 +113,7 @@
         zone_class.request_class,
         test.regression_log_evidence,
         test.no_regression_log_evidence,
-        test.slice_count,
+        test.interval_count,
         test.difference_sum,
         test.verdict.value,
     ]
@@ -182,7 +182,7 @@
     rollout.hold_cause = HoldCause(raw.get("hold_cause", ""))
     rollout.old_peak_memory_kb = int(raw.get("memory", 0))
     if raw["harmed"]:
-        rollout.regression_place = ZoneClass(str(raw["harmed"][0]), str(raw["harmed"][1]))
+        rollout.regression_zone_class = ZoneClass(str(raw["harmed"][0]), str(raw["harmed"][1]))
     for name, row in raw["routers"].items():
         rollout.routers[name] = _router_from_json(rollout.routers[name], row)
     rollout.judge = _judge_from_json(plan, raw)
@@ -228,11 +228,11 @@
 
 def _judge_from_json(plan: RolloutPlan, raw: Mapping[str, Any]) -> RegressionJudge:
     judge = RegressionJudge(plan.stop_criteria)
-    for zone, request_class, regression, no_regression, slice_count, difference_sum, verdict in raw["bets"]:
+    for zone, request_class, regression, no_regression, intervals, difference_sum, verdict in raw["bets"]:
         test = SequentialTest(plan.stop_criteria)
         test.regression_log_evidence = list(regression)
         test.no_regression_log_evidence = list(no_regression)
-        test.slice_count = slice_count
+        test.interval_count = intervals
         test.difference_sum = difference_sum
         test.verdict = Verdict(verdict)
         judge.tests[ZoneClass(zone, request_class)] = test
--- a/kelpcroft/rollout/state.py
+++ b/kelpcroft/rollout/state.py
@@ -81,7 +81,7 @@
         polling_since_ns: When this process began to poll, or had its last stall; earlier silence of a
             router does not count.
         old_peak_memory_kb: The highest peak memory that a router of the old build has reported.
-        regression_place: The comparison that stopped the rollout; None where no comparison did.
+        regression_zone_class: The comparison that stopped the rollout; None where no comparison did.
         rolled_back_ns: When the last router was rolled back, or NEVER_NS.
         effects: The effects of the event that is being handled, in order.
     """
@@ -101,7 +101,7 @@
         self.last_interval_ns = now_ns - plan.poll_interval_ns
         self.polling_since_ns = now_ns
         self.old_peak_memory_kb = 0
-        self.regression_place: ZoneClass | None = None
+        self.regression_zone_class: ZoneClass | None = None
         self.rolled_back_ns = NEVER_NS
         self.effects: list[Effect] = []
 
--- a/kelpcroft/rollout/state_machine.py
+++ b/kelpcroft/rollout/state_machine.py
@@ -24,7 +24,7 @@
     CommandKind,
     Effect,
     Event,
-    NoAnswer,
+    NoResponse,
     OperatorCommand,
     RouterCommand,
     RouterReport,
@@ -78,7 +78,7 @@
             self._handle_operator_command(event)
         # Reports do not trigger a step: each step examines every router, so a step for each report would
         # cost time quadratic in the number of routers.  The controller sends a Tick in every iteration.
-        if not isinstance(event, RouterReport | NoAnswer) and not self.outcome.is_final:
+        if not isinstance(event, RouterReport | NoResponse) and not self.outcome.is_final:
             self._poll_if_due()
             self._step()
         return self.effects
--- a/testbed/rollouts.py
+++ b/testbed/rollouts.py
@@ -15,7 +15,7 @@
     CommandKind,
     Event,
     HistoryEntry,
-    NoAnswer,
+    NoResponse,
     OperatorCommand,
     RouterCommand,
     RouterReport,
@@ -141,7 +141,7 @@
         """A router's report, or that it does not respond."""
         is_starting = self.now < router.ready_at and router.started == self.now
         if not router.alive or self.now < router.silent_until_ns or is_starting:
-            return NoAnswer(router.name)
+            return NoResponse(router.name)
         is_ready = self.now >= router.ready_at
         return RouterReport(
             router.name,
--- a/tests/golden/test_golden_stored_data.py
+++ b/tests/golden/test_golden_stored_data.py
@@ -185,7 +185,17 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "now_s", "stage", "stage_s", "outcome", "reason", "hold_cause", "regression_place", "after_ns"),
+    (
+        "name",
+        "now_s",
+        "stage",
+        "stage_s",
+        "outcome",
+        "reason",
+        "hold_cause",
+        "regression_zone_class",
+        "after_ns",
+    ),
     [
         ("done", 1738, 2, 1677, "done", "", "", None, -1),
         ("held", 1060, 0, 1030, "held", "ordered", "people", None, -1),
@@ -214,7 +224,7 @@
     outcome: str,
     reason: str,
     hold_cause: str,
-    regression_place: tuple[str, str] | None,
+    regression_zone_class: tuple[str, str] | None,
     after_ns: int,
 ) -> None:
     """Each field of the rollout is read."""
@@ -225,7 +235,7 @@
     assert r.outcome.value == outcome
     assert r.reason == reason
     assert r.hold_cause.value == hold_cause
-    assert r.regression_place == regression_place
+    assert r.regression_zone_class == regression_zone_class
     assert r.rolled_back_ns == after_ns
     assert r.old_peak_memory_kb == 30_720
     assert len(r.routers) == 12
@@ -289,7 +299,7 @@
     test = judge.tests["z0", "reads"]
     assert test.regression_log_evidence == [-0.2788744566068176, -1.1784762737527568, -3.2742667084917647]
     assert test.no_regression_log_evidence == [1.262360825809707, 4.932609433476921, 11.794103535871887]
-    assert test.slice_count == 152
+    assert test.interval_count == 152
     assert test.difference_sum == 0.7076121874246415
     assert test.verdict.value == "fine"
     assert judge.tests["z0", "writes"].verdict.value == "open"
@@ -301,7 +311,7 @@
     """The rollout that is being rolled back has the test that found the regression."""
     r = load_snapshot(plan, orjson.loads(golden("snapshot_reverting.json")))
     assert r.outcome.value == "reverting"
-    assert r.regression_place == ("z0", "reads")
+    assert r.regression_zone_class == ("z0", "reads")
     assert r.judge.tests["z0", "reads"].verdict.value == "worse"
 
 
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -23,7 +23,7 @@
 
 from kelpcroft.cli import main
 from kelpcroft.cli.controller import RolloutController, begin_or_continue_run
-from kelpcroft.rollout.events import CommandKind, Event, NoAnswer, RouterCommand, Tick
+from kelpcroft.rollout.events import CommandKind, Event, NoResponse, RouterCommand, Tick
 from kelpcroft.rollout.phases import RolloutOutcome
 from kelpcroft.rollout.plan import RolloutPlan, RouterTarget
 from kelpcroft.rollout.plan_file import load_plan
@@ -198,7 +198,9 @@
 
             def poll(self, target: RouterTarget) -> Event:
                 return (
-                    NoAnswer(target.name) if self.is_silent and target.zone == "z0" else super().poll(target)
+                    NoResponse(target.name)
+                    if self.is_silent and target.zone == "z0"
+                    else super().poll(target)
                 )
 
         driver = SilentZoneDriver(self.plan, self.fleet)
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -104,26 +104,28 @@
                 ZoneClass("a", "y"): RequestSample(30, 30.0, 24.0),
                 ZoneClass("b", "x"): RequestSample(30, 30.0, 29.0),
             }
-            judge.add_slice(new, {place: RequestSample(90, 90.0, 87.0) for place in new})
+            judge.add_interval(new, {zone_class: RequestSample(90, 90.0, 87.0) for zone_class in new})
         assert judge.verdict(frozenset(new)) == (Verdict.REGRESSION, ZoneClass("a", "y"))
         assert judge.tests[ZoneClass("b", "x")].verdict is Verdict.NO_REGRESSION
 
     def test_failures_of_both_sides_or_from_before_are_no_regression(self) -> None:
-        judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
-        judge.add_baseline(True, {place: RequestSample(3_000, 3_000.0, 2_400.0)})
-        judge.add_baseline(False, {place: RequestSample(9_000, 9_000.0, 8_550.0)})
+        judge, zone_class = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
+        judge.add_baseline(True, {zone_class: RequestSample(3_000, 3_000.0, 2_400.0)})
+        judge.add_baseline(False, {zone_class: RequestSample(9_000, 9_000.0, 8_550.0)})
         for n in range(400):
             both = 0.5 if 100 < n < 160 else 0.0
-            judge.add_slice(
-                {place: RequestSample(100, 100.0, 80 * (1 - both))},
-                {place: RequestSample(300, 300.0, 285 * (1 - both))},
+            judge.add_interval(
+                {zone_class: RequestSample(100, 100.0, 80 * (1 - both))},
+                {zone_class: RequestSample(300, 300.0, 285 * (1 - both))},
             )
-        assert judge.tests[place].verdict is Verdict.NO_REGRESSION
+        assert judge.tests[zone_class].verdict is Verdict.NO_REGRESSION
 
     def test_few_requests_are_no_evidence(self) -> None:
-        judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
-        judge.add_slice({place: RequestSample(3, 3.0, 0.0)}, {place: RequestSample(900, 900.0, 900.0)})
-        assert judge.verdict(frozenset((place,))) == (Verdict.UNDECIDED, place)
+        judge, zone_class = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
+        judge.add_interval(
+            {zone_class: RequestSample(3, 3.0, 0.0)}, {zone_class: RequestSample(900, 900.0, 900.0)}
+        )
+        assert judge.verdict(frozenset((zone_class,))) == (Verdict.UNDECIDED, zone_class)
         assert judge.verdict(frozenset()) == (Verdict.UNDECIDED, None), (
             "without a required comparison there is no evidence"
         )
@@ -132,7 +134,7 @@
         test = SequentialTest(StopCriteria())
         for value in (float("nan"), float("inf"), -float("inf")):
             test.add_difference(value)
-        assert (test.slice_count, test.verdict) == (0, Verdict.UNDECIDED)
+        assert (test.interval_count, test.verdict) == (0, Verdict.UNDECIDED)
         for wrong in ({"harm": 0.5}, {"tolerance": 0.2}, {"false_stop": 0.0}, {"missed_harm": 0.7}):
             with pytest.raises(ValueError):
                 StopCriteria(**wrong)
