--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -17,7 +17,7 @@
 
 MAX_TAIL_EVENTS = 8_192  # at most this many events in the tail: 27 minutes of 5 purges a second
 MAX_TAIL_BYTES = 2 << 20  # at most this many bytes of canonical JSON in the tail
-MAX_SERVERS = 10_000  # with more servers than this there is no snapshot
+MAX_SERVERS = 10_000  # with more servers than this, no snapshot is made
 MAX_PURGES = 20_000  # at most this many relevant purges at a time: 300 a second for a minute
 FINGERPRINT_BYTES = 8  # length of a fingerprint before its hex encoding
 # A snapshot is reused for at most an eighth of ``purge_lifetime_ms``.
@@ -104,7 +104,7 @@
     # Writing ----------------------------------------------------------------------------------------------
 
     def start_new_log(self) -> None:
-        """Resets the log because the follower switches to another one, whose complete list follows.
+        """Resets the log because the replica switches to another one, whose complete list follows.
 
         Purges are kept: they expire by their own times, and a purge that has been received stays in force
         whichever log is followed.
@@ -146,7 +146,7 @@
             self._base_fingerprint = dropped.fingerprint
 
     def apply(self, event: JsonObject, now_ms: int) -> str:
-        """Applies an event to the state only; the tail stays as it is.
+        """Applies an event to the state only; the tail does not change.
 
         Returns:
             Why the event is unusable, or "".
--- a/kelpcroft/control_log/subscription.py
+++ b/kelpcroft/control_log/subscription.py
@@ -25,7 +25,7 @@
 
     verdict: ResponseVerdict
     next_request: NextRequest
-    reason: str = ""  # why the router leaves the replica
+    reason: str = ""  # why the router leaves the replica; "" if it does not
 
 
 class Subscription:
--- a/kelpcroft/control_log/watchers.py
+++ b/kelpcroft/control_log/watchers.py
@@ -1,8 +1,8 @@
 """Watch requests of a control replica's watchers, held until there are new events.  Pure.
 
-A watcher receives a response when there are new events, and at the latest when its wait is over.  Between two
-responses to one watcher lie at least ``batch_ns``.  This bounds each watcher's requests whatever the rate of
-events, and delays new events by at most that time.
+A watcher receives a response when there are new events, and at the latest when its wait is over.  The
+interval between two responses to one watcher is at least ``batch_ns``.  This bounds each watcher's requests
+whatever the rate of events, and delays new events by at most that time.
 """
 
 from __future__ import annotations
--- a/kelpcroft/discovery/schedule.py
+++ b/kelpcroft/discovery/schedule.py
@@ -18,9 +18,9 @@
   tight loop.
 
 The budget and the rules conflict: while a request is delayed, the router receives the service's events late,
-by at most ``max_delay_ns``.  Rules on drains and purges whose grace starts when the service has the event
-require that delay to be shorter than the grace.  So without a budget none of this applies: a request is sent
-immediately, a failed one is repeated immediately, and then after 25 to 400 ms, doubling.
+by at most ``max_delay_ns``.  Rules on drains and purges whose grace period starts when the service has the
+event require that delay to be shorter than the grace period.  So without a budget none of this applies: a
+request is sent immediately, a failed one is repeated immediately, and then after 25 to 400 ms, doubling.
 """
 
 from __future__ import annotations
--- a/kelpcroft/purge/floors.py
+++ b/kelpcroft/purge/floors.py
@@ -1,9 +1,10 @@
 """Floors that purges set: for a request, the newest purge that applies to the requested part of an object.
 
 Every table keeps the newest stamp only.  So a purge that is applied twice, or after later ones, changes
-nothing: the floors depend on which purges were received and not on when.  Objects, groups and tags are found
-by hash.  Patterns are found by the object prefix that they name (17 lengths at most), under it by class, and
-then by bisection in runs of parts.  A purge that is wider and newer overwrites the narrower one in its runs.
+nothing: the floors depend on which purges were received and not on when.  Objects, groups and tags are looked
+up by hash.  Patterns are looked up by the object prefix that they name (17 lengths at most), then by class,
+and then by bisection in runs of parts.  A purge that is wider and newer overwrites the narrower one in its
+runs.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 
 class PartRuns:
-    """The newest purge of each part, as runs of adjacent parts with one stamp.
+    """The newest purge of each part, as runs of adjacent parts with the same stamp.
 
     Attributes:
         starts: The first part of each run.
@@ -79,7 +80,7 @@
         return index
 
     def _merge(self, first: int, last: int) -> None:
-        """Merges adjacent runs with one stamp, among the runs from ``first`` to before ``last``."""
+        """Merges adjacent runs with the same stamp, among the runs from ``first`` to before ``last``."""
         kept = [
             index
             for index in range(first, last)
--- a/kelpcroft/purge/order.py
+++ b/kelpcroft/purge/order.py
@@ -40,7 +40,7 @@
     """The clock of one router.  Its stamps only increase, whatever the wall clock does."""
 
     def __init__(self, router: int) -> None:
-        """Starts before any stamp.
+        """Creates a clock that has issued and observed no stamp.
 
         Args:
             router: A different number for each router.
--- a/kelpcroft/rollout/plan_file.py
+++ b/kelpcroft/rollout/plan_file.py
@@ -168,7 +168,7 @@
     # Nodes that are allowed once, each read into the plan -------------------------------------------------
 
     def read_version(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``rollout version=1``."""
+        """Read ``rollout version=1``."""
         self.check_structure(node, 0, ("version",))
         version = node.properties.get("version")
         if version is None:
@@ -184,7 +184,7 @@
         return plan
 
     def read_change(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``change { program build="..."; settings digest="..."; rules digest="..." }``."""
+        """Read ``change { program build="..."; settings digest="..."; rules digest="..." }``."""
         self.check_structure(node, 0, (), COMPONENTS)
         changes = []
         for child in node.children:
@@ -201,7 +201,7 @@
         return replace(plan, changes=tuple(changes))
 
     def read_limits(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``limits at-once=2 per-zone=1``."""
+        """Read ``limits at-once=2 per-zone=1``."""
         self.check_structure(node, 0, ("at-once", "per-zone"))
         at_once = self.read_property(node, "at-once", plan_values.parse_positive_count)
         per_zone = self.read_property(node, "per-zone", plan_values.parse_positive_count)
@@ -212,13 +212,13 @@
         )
 
     def read_order(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``order "edge-3,edge-1"``."""
+        """Read ``order "edge-3,edge-1"``."""
         self.check_structure(node, 1, ())
         zones = self.read_argument(node, values.parse_list, 'zones, as in order "edge-3,edge-1"')
         return replace(plan, zone_order=tuple(dict.fromkeys(zones or ())))
 
     def read_watch(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1``."""
+        """Read ``watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1``."""
         self.check_structure(node, 0, ("every", "slowest", "ready", "cold", "unknown"))
         every_ns = self.read_property(node, "every", values.parse_duration)
         slowest_ns = self.read_property(node, "slowest", values.parse_duration)
@@ -235,7 +235,7 @@
         )
 
     def read_stop(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``stop harm=0.05 tolerance=0 false-stop=0.01 missed-harm=0.05 memory=1.5``."""
+        """Read ``stop harm=0.05 tolerance=0 false-stop=0.01 missed-harm=0.05 memory=1.5``."""
         keys = ("harm", "tolerance", "false-stop", "missed-harm")
         self.check_structure(node, 0, (*keys, "memory"))
         ratio = self.read_property(node, "memory", plan_values.parse_memory_ratio)
@@ -254,7 +254,7 @@
         )
 
     def read_then(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``then "take-back"`` or ``then "hold"``."""
+        """Read ``then "take-back"`` or ``then "hold"``."""
         self.check_structure(node, 1, ())
         reaction = self.read_argument(node, plan_values.parse_name, "take-back or hold")
         if reaction is not None and reaction not in REGRESSION_REACTIONS:
@@ -267,7 +267,10 @@
         return replace(plan, rolls_back_on_regression=reaction != "hold")
 
     def read_act(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``act timeout="60s" repeat=#true { apply ...; undo ...; restart ... }``, or ``act local=#true``."""
+        """Read ``act timeout="60s" repeat=#true {apply ...; undo ...; restart ...}`` or ``act local=#true``.
+
+        The first form runs the operators' tool; the second replaces processes of this machine.
+        """
         self.check_structure(node, 0, ("timeout", "repeat", "local"), (*COMMANDS, *BUILDS))
         timeout_ns = self.read_property(node, "timeout", values.parse_duration)
         repeat = self.read_property(node, "repeat", values.parse_flag)
@@ -285,7 +288,10 @@
         )
 
     def read_placement(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``homes objects=2000 { old ...; new ... }``: the commands that print where builds place objects."""
+        """Read ``homes objects=2000 { old ...; new ... }``.
+
+        Its commands print where each build places objects.
+        """
         self.check_structure(node, 0, ("objects",), BUILDS)
         count = self.read_property(node, "objects", plan_values.parse_object_count)
         commands = self._read_commands(node, BUILDS, BUILDS, "config")
@@ -298,7 +304,7 @@
     # Nodes with a name, and child nodes -------------------------------------------------------------------
 
     def _read_router(self, node: KdlNode, name: str) -> RouterTarget:
-        """``router "n1" zone="edge-1" control="127.0.0.1:9101"``."""
+        """Read ``router "n1" zone="edge-1" control="127.0.0.1:9101"``."""
         self.check_structure(node, 1, ("zone", "control", "config", "rules"))
         zone = self.read_property(node, "zone", plan_values.parse_name, 'a zone, as in zone="edge-1"')
         control_address = self.read_property(node, "control", plan_values.parse_control_address)
@@ -314,7 +320,7 @@
         )
 
     def _read_stage(self, node: KdlNode, name: str) -> Stage:
-        """``stage "half" share="50%" least="2m" most="20m" control=1``."""
+        """Read ``stage "half" share="50%" least="2m" most="20m" control=1``."""
         self.check_structure(node, 1, ("count", "share", "least", "most", "control"))
         control_count = self.read_property(node, "control", plan_values.parse_count)
         router_count = self.read_property(node, "count", plan_values.parse_positive_count)
--- a/kelpcroft/rollout/plan_values.py
+++ b/kelpcroft/rollout/plan_values.py
@@ -82,7 +82,7 @@
 
 
 def parse_control_address(raw: Value) -> str:
-    """``host:port``."""
+    """The address of a control endpoint, ``host:port``."""
     text = values.parse_text(raw, "a name")
     if address_form(text):
         raise InvalidValue("bad-address", f"{abbreviated(raw)} is not an address; write host:port")
--- a/kelpcroft/startup/__init__.py
+++ b/kelpcroft/startup/__init__.py
@@ -1,4 +1,4 @@
-"""Startup of a process: its limits beside its predecessor and beside hundreds of routers that start with it.
+"""Startup of a process: its limits while its predecessor runs, or while hundreds of other routers start too.
 
 Pure: no I/O; times are arguments.  Imports the settings and statistics of the decision package, nothing else
 of kelpcroft.  ``kelpcroft.core`` uses all of it; start reading at ``options``, which lists the
--- a/kelpcroft/startup/fleet_size.py
+++ b/kelpcroft/startup/fleet_size.py
@@ -44,7 +44,7 @@
         self._reports = DecayingSum(TIME_CONSTANT_NS)
 
     def record_report(self, now: int, reported_requests: float, own_requests: int) -> None:
-        """Records a cache's report of requests held, and how many of this router's were there.
+        """Records a cache's report of the requests that it holds, and how many of them are this router's.
 
         An impossible report is ignored.  A report below this router's own number dates from before those
         requests arrived, and counts as that number.
@@ -55,7 +55,7 @@
             self._reports.add(now, 1.0)
 
     def estimated_routers(self, now: int) -> int:
-        """Returns the number of routers by which this router computes its share."""
+        """Returns the number of routers from which this router computes its share."""
         own_requests = self._own_requests.value_at(now)
         if own_requests <= 0 or self._reports.value_at(now) < MIN_REPORTS:
             return self._configured_routers
--- a/kelpcroft/startup/options.py
+++ b/kelpcroft/startup/options.py
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartupOptions:
-    """How this router starts beside all others that start with it: node ``start`` of the operator's file."""
+    """How this router starts while many others start too: node ``start`` of the operator's file."""
 
     # Watch requests of all routers that the list service can serve; 0 = no budget (``list-calls``).
     list_requests_per_s: float = 0.0
-    limit_origin_fetches: bool = False  # few fetches in flight to the origin at first (``store``)
-    estimate_fleet_size: bool = False  # the zone's routers are counted from the reports of caches (``count``)
+    limit_origin_fetches: bool = False  # limits fetches in flight to the origin at first (``store``)
+    estimate_fleet_size: bool = False  # estimates the zone's routers from reports of caches (``count``)
