--- a/kelpcroft/control_log/upstream_selection.py
+++ b/kelpcroft/control_log/upstream_selection.py
@@ -64,7 +64,7 @@
         return self._jittered(RETRY_PERIOD_NS)
 
     def record_success(self, now: int) -> bool:
-        """Records a good response, after which the follower may return to its home.
+        """Records a usable response, after which the follower may return to its home.
 
         Returns:
             Whether the current address has changed to the home.
--- a/kelpcroft/discovery/endpoint_view.py
+++ b/kelpcroft/discovery/endpoint_view.py
@@ -21,7 +21,7 @@
 
 MIN_SNAPSHOT_INTERVAL_NS = 5 * 10**9  # minimum interval between two list requests after numbers went back
 IN_SERVICE = "in_service"  # state of a server that may receive requests
-TERMINATED = "terminated"  # state of a server that has left for good
+TERMINATED = "terminated"  # state of a server that has left permanently
 MIN_KEPT_TERMINATED = 1_000  # terminated servers that are kept, or as many as there are others if more
 
 
--- a/kelpcroft/rollout/events.py
+++ b/kelpcroft/rollout/events.py
@@ -67,7 +67,7 @@
 class CommandKind(Enum):
     """Kind of a command to a router.
 
-    POLL, DRAIN and ENABLE are idempotent.  The plan says whether APPLY, UNDO and RESTART are.
+    POLL, DRAIN and ENABLE are idempotent.  The plan specifies whether APPLY, UNDO and RESTART are.
     """
 
     POLL = "ask"
--- a/kelpcroft/rollout/rollback.py
+++ b/kelpcroft/rollout/rollback.py
@@ -35,7 +35,7 @@
 def _release_control_group(state: RolloutState) -> None:
     """Return routers of the control group to normal service.
 
-    A router that is being restarted is left alone; it reaches CONTROL by its own transition.
+    A router that is being restarted is not changed here; it reaches CONTROL by its own transition.
     """
     for router in state.routers.values():
         if router.phase is Phase.CONTROL_DRAINING:
--- a/kelpcroft/startup/origin_concurrency.py
+++ b/kelpcroft/startup/origin_concurrency.py
@@ -55,7 +55,7 @@
 
         Args:
             now: Unix ns, as ``sent_ns``.
-            sent_ns: When it was sent.  A fetch sent before the limit was last reduced says nothing about the
+            sent_ns: When it was sent.  A fetch sent before the limit was last reduced is no evidence of the
                 effect of that reduction.
             was_late: Whether it took too long; None where its duration is no evidence.
         """
