--- a/kelpcroft/purge/floors.py
+++ b/kelpcroft/purge/floors.py
@@ -1,9 +1,10 @@
 """Floors that purges set: for a request, the newest purge that applies to the requested part of an object.
 
 Every table keeps the newest stamp only.  So a purge that is applied twice, or after later ones, changes
-nothing: the floors depend on which purges were received and not on when.  Objects, groups and tags are found
-by hash.  Patterns are found by the object prefix that they name (17 lengths at most), under it by class, and
-then by bisection in runs of parts.  A purge that is wider and newer overwrites the narrower one in its runs.
+nothing: the floors depend on which purges were received and not on when.  Objects, groups and tags are looked
+up by hash.  Patterns are looked up by the object prefix that they name (17 lengths at most), then by class,
+and then by bisection in runs of parts.  A purge that is wider and newer overwrites the narrower one in its
+runs.
 """
 
 from __future__ import annotations
@@ -30,13 +31,13 @@
     object_id: int | None = None
     group: int | None = None
     tag: str | None = None
-    request_class: str | None = None  # of a pattern; None = any
-    prefix: str = ""  # of a pattern: hex digits with which the object id begins
-    parts: tuple[int, int] = (0, PARTS_END - 1)  # of a pattern: first and last
+    request_class: str | None = None  # class of a pattern; None = any class
+    prefix: str = ""  # hex digits with which the object ids of a pattern begin
+    parts: tuple[int, int] = (0, PARTS_END - 1)  # first and last part of a pattern
 
 
 class PartRuns:
-    """The newest purge of each part, as runs of adjacent parts with one stamp.
+    """The newest purge of each part, as runs of adjacent parts with the same stamp.
 
     Attributes:
         starts: The first part of each run.
@@ -79,7 +80,7 @@
         return index
 
     def _merge(self, first: int, last: int) -> None:
-        """Merges adjacent runs with one stamp, among the runs from ``first`` to before ``last``."""
+        """Merges adjacent runs with the same stamp, among the runs from ``first`` to before ``last``."""
         kept = [
             index
             for index in range(first, last)
@@ -89,7 +90,7 @@
         self.stamps[first:last] = [self.stamps[index] for index in kept]
 
 
-RunsByClass = dict[str | None, PartRuns]  # by class; None means any
+RunsByClass = dict[str | None, PartRuns]  # None: any class
 
 
 class PurgeFloors:
@@ -139,8 +140,8 @@
     def floor(self, request_class: str, object_id: int, part: int, group: int) -> PurgeStamp:
         """Returns the newest purge that applies to a part; NEVER if none does.
 
-        A part whose tags are not known counts as having every tag.  So dropping a record is safe; it costs a
-        fill where a copy is older than that purge.
+        A part without a record of its tags counts as having every tag.  So dropping a record is safe; it
+        costs a fill where a copy is older than the newest purge of any tag.
         """
         newest = max(self.objects.get(object_id, NEVER), self.groups.get(group, NEVER))
         newest = max(newest, self._newest_of_tags(object_id, part))
--- a/kelpcroft/purge/order.py
+++ b/kelpcroft/purge/order.py
@@ -17,7 +17,7 @@
 
 
 class PurgeStamp(NamedTuple):
-    """A position in the order; its tuples compare in that order."""
+    """A position in the order; stamps compare in that order."""
 
     ms: int  # Unix milliseconds, of the local clock or of a received stamp
     counter: int
@@ -40,7 +40,7 @@
     """The clock of one router.  Its stamps only increase, whatever the wall clock does."""
 
     def __init__(self, router: int) -> None:
-        """Starts before any stamp.
+        """Creates a clock that has issued and observed no stamp.
 
         Args:
             router: A different number for each router.
--- a/kelpcroft/rollout/events.py
+++ b/kelpcroft/rollout/events.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoAnswer:
+class NoResponse:
     """A router did not respond to a poll, or its response could not be used."""
 
     router: str
@@ -61,13 +61,13 @@
     REVERT = "revert"
 
 
-Event = RouterReport | NoAnswer | Tick | OperatorCommand
+Event = RouterReport | NoResponse | Tick | OperatorCommand
 
 
 class CommandKind(Enum):
     """Kind of a command to a router.
 
-    POLL, DRAIN and ENABLE are idempotent.  The plan says whether APPLY, UNDO and RESTART are.
+    POLL, DRAIN and ENABLE are idempotent.  The plan specifies whether APPLY, UNDO and RESTART are.
     """
 
     POLL = "ask"
--- a/kelpcroft/rollout/plan_file.py
+++ b/kelpcroft/rollout/plan_file.py
@@ -16,11 +16,13 @@
     stage "half" share="50%" least="2m" most="20m"
     stage "all" share="100%" least="2m" most="20m"
 
-    limits at-once=2 per-zone=1 order "edge-3,edge-1"                         // zones whose routers are
-    changed first watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1 stop harm=0.05 tolerance=0
-    false-stop=0.01 missed-harm=0.05 then "take-back"                              // or "hold" act
-    timeout="60s" repeat=#true {              // the operators' tool, run without a shell; each string is an
-    argument
+    limits at-once=2 per-zone=1
+    order "edge-3,edge-1"                         // zones whose routers are changed first
+    watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1
+    stop harm=0.05 tolerance=0 false-stop=0.01 missed-harm=0.05
+    then "take-back"                              // or "hold"
+    act timeout="60s" repeat=#true {
+        // The operators' tool, run without a shell; each string is one argument.
         apply "deploy" "{router}" "new"
         undo "deploy" "{router}" "old"
     }
@@ -60,9 +62,9 @@
 
 T = TypeVar("T")
 
-VERSION = 1  # of the file format
-MAX_STAGES = 64  # stages in one file
-MAX_COMMAND_WORDS = 64  # arguments of one command, its program included
+VERSION = 1  # version of the file format
+MAX_STAGES = 64  # most stages in one file
+MAX_COMMAND_WORDS = 64  # most arguments of one command, its program included
 
 COMPONENTS = ("program", "settings", "rules")  # nodes in ``change``
 COMMANDS = ("apply", "undo", "restart")  # nodes in ``act`` with the operators' tool
@@ -96,8 +98,10 @@
 
     def __init__(self, diagnostics: DiagnosticCollector) -> None:
         super().__init__(diagnostics)
-        self._section_offsets: dict[str, int] = {}  # by name, of nodes that are allowed once
-        self._name_offsets: dict[tuple[str, str], int] = {}  # by kind and name, of routers and stages
+        # By name: the offset of each node that is allowed once.
+        self._section_offsets: dict[str, int] = {}
+        # By kind and name: the offset of each router and stage.
+        self._name_offsets: dict[tuple[str, str], int] = {}
 
     def read_plan(self, nodes: Iterable[KdlNode]) -> RolloutPlan:
         """Read the top-level nodes of a file into a plan."""
@@ -164,7 +168,7 @@
     # Nodes that are allowed once, each read into the plan -------------------------------------------------
 
     def read_version(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``rollout version=1``."""
+        """Read ``rollout version=1``."""
         self.check_structure(node, 0, ("version",))
         version = node.properties.get("version")
         if version is None:
@@ -180,7 +184,7 @@
         return plan
 
     def read_change(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``change { program build="..."; settings digest="..."; rules digest="..." }``."""
+        """Read ``change { program build="..."; settings digest="..."; rules digest="..." }``."""
         self.check_structure(node, 0, (), COMPONENTS)
         changes = []
         for child in node.children:
@@ -197,7 +201,7 @@
         return replace(plan, changes=tuple(changes))
 
     def read_limits(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``limits at-once=2 per-zone=1``."""
+        """Read ``limits at-once=2 per-zone=1``."""
         self.check_structure(node, 0, ("at-once", "per-zone"))
         at_once = self.read_property(node, "at-once", plan_values.parse_positive_count)
         per_zone = self.read_property(node, "per-zone", plan_values.parse_positive_count)
@@ -208,13 +212,13 @@
         )
 
     def read_order(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``order "edge-3,edge-1"``."""
+        """Read ``order "edge-3,edge-1"``."""
         self.check_structure(node, 1, ())
         zones = self.read_argument(node, values.parse_list, 'zones, as in order "edge-3,edge-1"')
         return replace(plan, zone_order=tuple(dict.fromkeys(zones or ())))
 
     def read_watch(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1``."""
+        """Read ``watch every="1s" slowest="30s" ready="20s" cold="20s" unknown=1``."""
         self.check_structure(node, 0, ("every", "slowest", "ready", "cold", "unknown"))
         every_ns = self.read_property(node, "every", values.parse_duration)
         slowest_ns = self.read_property(node, "slowest", values.parse_duration)
@@ -231,7 +235,7 @@
         )
 
     def read_stop(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``stop harm=0.05 tolerance=0 false-stop=0.01 missed-harm=0.05 memory=1.5``."""
+        """Read ``stop harm=0.05 tolerance=0 false-stop=0.01 missed-harm=0.05 memory=1.5``."""
         keys = ("harm", "tolerance", "false-stop", "missed-harm")
         self.check_structure(node, 0, (*keys, "memory"))
         ratio = self.read_property(node, "memory", plan_values.parse_memory_ratio)
@@ -250,7 +254,7 @@
         )
 
     def read_then(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``then "take-back"`` or ``then "hold"``."""
+        """Read ``then "take-back"`` or ``then "hold"``."""
         self.check_structure(node, 1, ())
         reaction = self.read_argument(node, plan_values.parse_name, "take-back or hold")
         if reaction is not None and reaction not in REGRESSION_REACTIONS:
@@ -263,7 +267,10 @@
         return replace(plan, rolls_back_on_regression=reaction != "hold")
 
     def read_act(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``act timeout="60s" repeat=#true { apply ...; undo ...; restart ... }``, or ``act local=#true``."""
+        """Read ``act timeout="60s" repeat=#true {apply ...; undo ...; restart ...}`` or ``act local=#true``.
+
+        The first form runs the operators' tool; the second replaces processes of this machine.
+        """
         self.check_structure(node, 0, ("timeout", "repeat", "local"), (*COMMANDS, *BUILDS))
         timeout_ns = self.read_property(node, "timeout", values.parse_duration)
         repeat = self.read_property(node, "repeat", values.parse_flag)
@@ -281,7 +288,10 @@
         )
 
     def read_placement(self, node: KdlNode, plan: RolloutPlan) -> RolloutPlan:
-        """``homes objects=2000 { old ...; new ... }``: the commands that print where builds place objects."""
+        """Read ``homes objects=2000 { old ...; new ... }``.
+
+        Its commands print where each build places objects.
+        """
         self.check_structure(node, 0, ("objects",), BUILDS)
         count = self.read_property(node, "objects", plan_values.parse_object_count)
         commands = self._read_commands(node, BUILDS, BUILDS, "config")
@@ -294,7 +304,7 @@
     # Nodes with a name, and child nodes -------------------------------------------------------------------
 
     def _read_router(self, node: KdlNode, name: str) -> RouterTarget:
-        """``router "n1" zone="edge-1" control="127.0.0.1:9101"``."""
+        """Read ``router "n1" zone="edge-1" control="127.0.0.1:9101"``."""
         self.check_structure(node, 1, ("zone", "control", "config", "rules"))
         zone = self.read_property(node, "zone", plan_values.parse_name, 'a zone, as in zone="edge-1"')
         control_address = self.read_property(node, "control", plan_values.parse_control_address)
@@ -310,7 +320,7 @@
         )
 
     def _read_stage(self, node: KdlNode, name: str) -> Stage:
-        """``stage "half" share="50%" least="2m" most="20m" control=1``."""
+        """Read ``stage "half" share="50%" least="2m" most="20m" control=1``."""
         self.check_structure(node, 1, ("count", "share", "least", "most", "control"))
         control_count = self.read_property(node, "control", plan_values.parse_count)
         router_count = self.read_property(node, "count", plan_values.parse_positive_count)
--- a/kelpcroft/startup/fleet_size.py
+++ b/kelpcroft/startup/fleet_size.py
@@ -1,8 +1,8 @@
 """Estimate of the actual number of routers in the zone, from the reports of the zone's caches.  Pure.
 
-The settings state how many routers a zone has, and each router spends its share of a cold server's capacity
-by that number.  After a power cut a tenth of them may run, or twice as many during a change.  A cache's
-report states how many requests it holds from all routers (``outstanding``).  This router knows how many of
+The settings state how many routers a zone has, and from that number each router computes its share of a cold
+server's capacity.  After a power cut a tenth of them may run, or twice as many during a change.  A cache's
+report states how many requests of all routers it holds (``outstanding``).  This router counts how many of
 them are its own.  Over all caches and some seconds, the quotient is the number of routers with this router's
 load:
 
@@ -44,7 +44,7 @@
         self._reports = DecayingSum(TIME_CONSTANT_NS)
 
     def record_report(self, now: int, reported_requests: float, own_requests: int) -> None:
-        """Records a cache's report of requests held, and how many of this router's were there.
+        """Records a cache's report of the requests that it holds, and how many of them are this router's.
 
         An impossible report is ignored.  A report below this router's own number dates from before those
         requests arrived, and counts as that number.
@@ -55,7 +55,7 @@
             self._reports.add(now, 1.0)
 
     def estimated_routers(self, now: int) -> int:
-        """Returns the number of routers by which this router computes its share."""
+        """Returns the number of routers from which this router computes its share."""
         own_requests = self._own_requests.value_at(now)
         if own_requests <= 0 or self._reports.value_at(now) < MIN_REPORTS:
             return self._configured_routers
