--- a/kelpcroft/cli/check.py
+++ b/kelpcroft/cli/check.py
@@ -70,10 +70,10 @@
             }
         )
     elif is_usable:
-        missing = ", ".join(missing_features(read_settings(config))) or "lack"
-        click.echo(f"{config}: good, {len(diagnostics)} to look at; it has no {missing}")
+        missing = ", ".join(missing_features(read_settings(config))) or "none"
+        click.echo(f"{config}: good, {len(diagnostics)} diagnostics; missing features: {missing}")
     else:
-        not_checked = f", so {file} was not held against it" if file else ""
+        not_checked = f", so {file} was not checked against it" if file else ""
         click.echo(f"{config}: not usable{not_checked}", err=True)
 
 
@@ -104,5 +104,5 @@
         echo_diagnostics(path, diagnostics)
         click.echo(f"{len(diagnostics)} fault{'s' if len(diagnostics) != 1 else ''}", err=True)
         return
-    scope = "held against the deployment" if has_deployment else "without a deployment"
+    scope = "checked against the deployment" if has_deployment else "without a deployment"
     click.echo(f"{path}: good, {len(model.routes)} routes, {scope}")
--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -213,7 +213,7 @@
     if newest is not None and newest.outcome not in FINAL_OUTCOME_VALUES:
         if newest.plan != file_bytes:
             raise LeaseLostError(
-                f"run {newest.id} of another plan is not over; revert it, or go on with its own file",
+                f"run {newest.id} of another plan is not over; revert it, or continue it with its own file",
                 path=store.path,
                 run_id=newest.id,
             )
--- a/kelpcroft/cli/diff.py
+++ b/kelpcroft/cli/diff.py
@@ -129,7 +129,7 @@
 def echo_changes(changes: list[Change]) -> None:
     """Print all differences as text."""
     if not changes:
-        click.echo("every request is treated alike")
+        click.echo("both files treat every request the same")
     for change in changes:
         click.echo(f"class {change.class_name}: {change.where}")
         click.echo(f"  {change.old or 'no route'} -> {change.new or 'no route'}")
--- a/kelpcroft/cli/explain.py
+++ b/kelpcroft/cli/explain.py
@@ -89,7 +89,7 @@
     if output_format == "json":
         print_json({"route": None})
     else:
-        click.echo("no route takes it: the file bounds nothing")
+        click.echo("no route matches the request: the file sets no bounds for it")
 
 
 def print_route_json(route: Route, request_class: api.RequestClass, limits: api.Limits) -> None:
@@ -119,7 +119,7 @@
     for row in rows:
         click.echo(f"  {row.name:<{width}}  {row.text}  (line {row.position.line})")
     wait_ns = longest_wait_ns(route.policy, request_class)
-    click.echo(f"longest wait: {format_duration(wait_ns) if wait_ns else 'as the client says'}")
+    click.echo(f"longest wait: {format_duration(wait_ns) if wait_ns else 'set by the client'}")
     is_unsafe = request_class.idempotency is api.Idempotency.UNSAFE
     unsafe_note = ", one of which may have run" if is_unsafe else ""
     click.echo(f"most sends:   {max_sends(route.policy, request_class, limits)}{unsafe_note}")
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -133,7 +133,7 @@
     if without_address:
         raise CommandError(f"{file}: router {without_address[0]!r} has no control address")
     if not (plan.apply_command or plan.local_builds):
-        raise CommandError(f"{file}: it has no 'act': nothing says how a router is changed")
+        raise CommandError(f"{file}: has no 'act', which states how a router is changed")
 
 
 def entry_printer(output_format: str) -> Callable[[HistoryEntry], None]:
@@ -157,7 +157,7 @@
     """Lead the rollout of FILE until it is over or stopped, printing each decision.
 
     An unfinished run of the same FILE is continued, so the same command replaces a controller that failed.
-    Exit code 0 for done, 1 for taken back or stopped, 2 if it cannot be led.
+    Exit code 0 for done, 1 for taken back or stopped, 2 if the run cannot be led.
     """
     rollout_plan = load_usable_plan(file, output_format)
     check_can_be_led(file, rollout_plan)
@@ -238,7 +238,9 @@
         if output_format == "json":
             print_json({"run": run.id, "said": name, "led": has_leader})
         else:
-            remark = "" if has_leader else "; nobody leads it: start it to have it heard"
+            remark = (
+                "" if has_leader else "; no controller leads the run: `kelpcroft rollout start` starts one"
+            )
             click.echo(f"said to run {run.id}{remark}")
 
     return store_command
--- a/kelpcroft/cli/rollout_preview.py
+++ b/kelpcroft/cli/rollout_preview.py
@@ -201,12 +201,15 @@
     shortest, longest = format_duration(plan.shortest_ns()), format_duration(plan.longest_ns())
     click.echo(f"shortest {shortest}, longest {longest}")
     shares = (f"{share * 100:g}% of {zone}" for zone, share in rollout_preview.max_unavailable_share.items())
-    click.echo("out at once at the worst: " + ", ".join(shares))
+    click.echo("largest share out of service at once: " + ", ".join(shares))
     for zone, diff in rollout_preview.placement_diffs.items():
         click.echo(
-            f"zone {zone}: {diff.moved_share * 100:.1f}% of objects have another home in the new"
-            + ("; as many of the copies kept there are filled once more" if diff.moved_count else "")
+            f"zone {zone}: {diff.moved_share * 100:.1f}% of objects have another home in the new build"
+            + ("; their cached copies are filled again" if diff.moved_count else "")
         )
     for error in rollout_preview.placement_errors:
         click.echo(f"homes not known: {error}")
-    click.echo("harm is " + ("taken back" if plan.rolls_back_on_regression else "held for people to decide"))
+    click.echo(
+        "a regression is "
+        + ("rolled back" if plan.rolls_back_on_regression else "held for an operator to decide")
+    )
--- a/kelpcroft/cli/rollout_status.py
+++ b/kelpcroft/cli/rollout_status.py
@@ -64,7 +64,7 @@
 def print_status(status: RunStatus) -> None:
     """Print the state of a run as text."""
     reason = f": {status['why']}" if status["why"] else ""
-    leader = "led" if status["led"] else "nobody leads it"
+    leader = "led" if status["led"] else "no controller leads it"
     click.echo(f"run {status['run']}: {status['outcome']}{reason}, stage {status['stage']}, {leader}")
     names_by_phase: dict[str, list[str]] = {}
     for name, phase in status["routers"].items():
@@ -73,6 +73,6 @@
         click.echo(f"  {phase}: {', '.join(names)}")
     for row in status["evidence"]:
         click.echo(
-            f"  {row['zone']}, {row['class']}: {row['verdict']} after {row['slices']} slices, "
-            f"{row['mean']:+.3f} more harm than the old"
+            f"  {row['zone']}, {row['class']}: {row['verdict']} after {row['slices']} intervals, "
+            f"mean difference of late shares from the old {row['mean']:+.3f}"
         )
--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -20,11 +20,11 @@
 from kelpcroft.settings_wire import MachineKinds, parse_settings
 
 NS_PER_MS = 1_000_000
-MAX_CONFIG_FILE_BYTES = 16 << 20  # of a configuration that is read again
-MAX_DESCRIPTOR_DIGITS = 7  # in the value of ROUTER_FD
-DEFAULT_MAX_DESCRIPTORS = 1024  # without limits.sockets
-DEFAULT_MEMORY_MB = 192  # without limits.memory_mb
-# Without settings.limits.dial_timeout_ns.
+MAX_CONFIG_FILE_BYTES = 16 << 20  # size of a configuration that is read again
+MAX_DESCRIPTOR_DIGITS = 7  # digits in the value of ROUTER_FD
+DEFAULT_MAX_DESCRIPTORS = 1024  # used without limits.sockets
+DEFAULT_MEMORY_MB = 192  # used without limits.memory_mb
+# Used without settings.limits.dial_timeout_ns.
 DEFAULT_CONNECT_TIMEOUT_NS = 400 * NS_PER_MS
 
 Address = tuple[str, int]  # host and port
@@ -150,8 +150,8 @@
 def limit_to_system_descriptors(config: Config, available: int) -> Config:
     """Return the configuration with ``max_descriptors`` reduced to what the system allows.
 
-    The settings may name more.  A process that relied on them would fail at the first descriptor that it
-    cannot get, when it has already accepted clients.
+    The settings may allow more than that.  A process that relied on them would fail at the first descriptor
+    that it cannot get, when it has already accepted clients.
 
     Raises:
         ConfigError: The system allows fewer than MIN_DESCRIPTORS.
--- a/kelpcroft/config_reload/check.py
+++ b/kelpcroft/config_reload/check.py
@@ -26,8 +26,8 @@
 from kelpcroft.deployment_check.known_keys import parse_host_port
 from kelpcroft.diagnostics import Diagnostic
 
-MAX_DIAGNOSTICS = 100  # reported of one file; further ones are dropped and not counted
-MAX_SHOWN_CHARACTERS = 60  # of an unusable value in a message
+MAX_DIAGNOSTICS = 100  # reported for one file; further ones are dropped and not counted
+MAX_SHOWN_CHARACTERS = 60  # length of an unusable value in a message
 IDEMPOTENCY_NAMES = ("safe", "keyed", "unsafe")
 
 
--- a/kelpcroft/deployment_check/check.py
+++ b/kelpcroft/deployment_check/check.py
@@ -14,7 +14,7 @@
 from kelpcroft.diagnostics import Diagnostic, Severity
 
 MAX_DIAGNOSTICS = 100  # returned for one configuration; the most severe are kept
-# Paths without which the router does not start; classes are checked apart.
+# Paths without which the router does not start; classes are checked separately.
 REQUIRED_PATHS = ("feed", "known", "settings.az", "settings.dcs")
 # Paths whose value must be an object.
 OBJECT_PATHS = (
@@ -26,7 +26,8 @@
     "settings.report",
 )
 ROOT_PATH = ""  # path of the configuration itself
-# Keys whose value holds other keys, by the path of their object.  The table has only the keys that they hold.
+# Keys whose value is an object or a list of objects, by the path of the object that contains them.  The table
+# of known keys has only the keys inside them.
 CONTAINER_KEYS = {
     ROOT_PATH: ("limits", "settings"),
     "settings": ("limits", "contract", "family_info", "report", "classes"),
--- a/kelpcroft/deployment_check/json_values.py
+++ b/kelpcroft/deployment_check/json_values.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-MAX_SHOWN_CHARACTERS = 60  # of a value in a diagnostic
+MAX_SHOWN_CHARACTERS = 60  # length of a value in a diagnostic
 JsonObject = dict[str, Any]  # as parsed, before any check
 
 
--- a/kelpcroft/net/buffers.py
+++ b/kelpcroft/net/buffers.py
@@ -36,7 +36,7 @@
 
 
 class WriteBuffer:
-    """Output that is not sent yet on one connection.
+    """Output of one connection that has not been sent yet.
 
     Chunks added in this iteration are written without a copy.  The bytes that the kernel does not accept
     immediately are copied into pooled buffers, so that the pool bounds their memory.
@@ -55,7 +55,7 @@
         self.chunks += chunks
 
     def stored_bytes(self) -> int:
-        """Returns the number of bytes in pooled buffers; chunks not yet written once do not count."""
+        """Returns the number of bytes in pooled buffers; chunks not yet passed to a write do not count."""
         return (len(self.stored) - 1) * BUFFER_BYTES + self.end - self.start if self.stored else 0
 
     def write(self, sock: socket.socket) -> bool:
--- a/kelpcroft/net/client_connections.py
+++ b/kelpcroft/net/client_connections.py
@@ -35,7 +35,8 @@
 IDLE_CLIENT_TIMEOUT_NS: Final = 5 * SECOND
 NEW_CLIENT_GRACE_NS: Final = SECOND  # in a drain, a client that has sent no message is closed after this
 WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that accepts no output for this long is closed
-# Log lines about lost clients between two sweeps, as misbehaving clients can appear in hundreds.
+# Maximum number of log lines about lost clients between two sweeps, as misbehaving clients can appear in
+# hundreds.
 MAX_LOGGED_LOSSES_PER_SWEEP: Final = 2
 
 
@@ -47,8 +48,8 @@
         self.number = number
         self.codec = ClientCodec(number, BUFFER_BYTES)
         self.is_connected = True
-        self.has_sent_message = False  # at least one complete message
-        self.last_message_ns = now  # when the last message arrived, or the connection if none has yet
+        self.has_sent_message = False  # the client has sent at least one complete message
+        self.last_message_ns = now  # when the last message arrived; before the first: the accept
         self.partial_since_ns = 0  # when an incomplete message began to arrive; 0 = there is none
         # Messages not yet passed to the reducer, each with the time at which it was read.
         self.pending_messages: deque[tuple[int, inputs.ClientRequest | inputs.HealthRequest]] = deque()
@@ -174,11 +175,11 @@
         self.clients_with_pending.pop(client, None)
 
     def malformed_input(self, connection: ClientConnection, reason: str) -> None:
-        """Closes a connection after malformed input; responses already sent still arrive."""
+        """Closes a connection after malformed input; the client can still read the responses already sent."""
         self.close_gracefully(connection, reason)
 
     def interest_of(self, connection: ClientConnection) -> int:
-        """The events to watch: input, unless too much output is unsent, and room for stored output."""
+        """Returns the events to watch: input unless too much output is stored, writability if any is."""
         stored_bytes = connection.write_buffer.stored_bytes()
         readable = NO_EVENTS if stored_bytes > MAX_UNSENT_BYTES_PER_CLIENT else READABLE
         return readable | (WRITABLE if stored_bytes else NO_EVENTS)
--- a/kelpcroft/net/control_endpoint.py
+++ b/kelpcroft/net/control_endpoint.py
@@ -83,7 +83,7 @@
     def _free_descriptor(self) -> bool:
         """Frees the descriptor of the oldest control connection, else of a client; returns whether it did.
 
-        The oldest would be closed after ``CONTROL_CLIENT_TIMEOUT_NS`` in any case; it is closed now.
+        ``sweep`` would close the oldest connection after ``CONTROL_CLIENT_TIMEOUT_NS`` in any case.
         """
         if self.connections:
             self._close_oldest()
@@ -151,7 +151,7 @@
         self.transport.queue_write(connection, (response,))
 
     def all_written(self, connection: ControlConnection) -> None:
-        """Shuts down our side; the connection is closed once the client closes it or its time is over."""
+        """Shuts down the output side; the connection is closed once the client closes it, or by ``sweep``."""
         try:
             connection.sock.shutdown(socket.SHUT_WR)
         except OSError:
--- a/kelpcroft/net/control_replica_watchers.py
+++ b/kelpcroft/net/control_replica_watchers.py
@@ -21,7 +21,7 @@
 READ_BYTES = 1 << 16  # most bytes read from one connection at once
 MAX_ACCEPTS_PER_ITERATION = 256  # connections accepted before the other sockets are handled
 MAX_UNWRITTEN_BYTES = 8 << 20  # bytes that may be queued for one watcher
-IDLE_TIMEOUT_NS = 20 * SECOND  # a watcher that has neither sent nor read anything for this long is closed
+IDLE_TIMEOUT_NS = 20 * SECOND  # a connection without bytes in either direction for this long is closed
 
 
 class WatcherConnection:
@@ -83,7 +83,7 @@
             self._add_watcher(sock)
 
     def write(self, number: int, data: bytes) -> None:
-        """Queues bytes for a watcher, if it is still connected; closes it if it reads too slowly."""
+        """Queues bytes for a watcher, if still connected; closes its connection if it reads too slowly."""
         watcher = self._connections.get(number)
         if watcher is None:
             return
@@ -94,7 +94,7 @@
             self._flush(watcher)
 
     def close_idle(self, now: int) -> None:
-        """Closes watchers that have been idle for longer than ``IDLE_TIMEOUT_NS``."""
+        """Closes connections that have been idle for longer than ``IDLE_TIMEOUT_NS``."""
         for watcher in list(self._connections.values()):
             if now - watcher.last_progress_ns > IDLE_TIMEOUT_NS:
                 self._close_watcher(watcher)
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -40,7 +40,7 @@
 LONG_ITERATION_FLUSH_INTERVAL_NS: Final = 25_000_000
 # A client with at least this many pending messages is not read for a disconnect.
 MAX_PENDING_MESSAGES: Final = 64
-SWEEP_INTERVAL_NS: Final = SECOND // 10  # between sweeps for silent, idle, stalled and stuck connections
+SWEEP_INTERVAL_NS: Final = SECOND // 10  # time between sweeps for silent, idle, stalled and stuck connections
 # An iteration that starts this long after the previous select returned, or a select that returns this long
 # after its timeout, counts as a process stall: the process or the machine was suspended or not scheduled.
 PROCESS_STALL_THRESHOLD_NS: Final = SECOND // 4
@@ -228,8 +228,8 @@
 
         The order matters: updates of the endpoint list and purges come before responses, disconnects before
         any output caused by those clients' requests, and responses before new requests.  After a process
-        stall, iterations end after the control connections until the feed's response has arrived or its time
-        is over (``FeedClient.refresh_after_stall``).
+        stall, each iteration ends after the control connections are handled, until the feed's response has
+        arrived or ``FEED_ONLY_NS`` has passed (``FeedClient.refresh_after_stall``).
         """
         started_ns = self.clock.now()
         wait_s = self._wait_s(started_ns)
--- a/kelpcroft/net/event_stream.py
+++ b/kelpcroft/net/event_stream.py
@@ -1,4 +1,4 @@
-"""Splitter of a long response of the feed: events are returned as they arrive, so memory holds one at a time.
+"""Splits a long response of the feed into events as they arrive, so that memory holds one event at a time.
 
 The response is ``{"n":LAST,"events":[...]}`` with its keys in any order and any white space.  The splitter
 examines brackets and strings only; the JSON parser handles the rest, one event at a time.  An element of
@@ -34,7 +34,7 @@
         self.error = ""  # why the response cannot be split any further; empty if it can
 
     def receive_data(self, data: bytes) -> list[bytes | None]:
-        """Returns the events that these bytes complete, None in place of a too long event; sets ``error``."""
+        """Returns the events that these bytes complete, None for one that is too long; sets ``error``."""
         buffer = self.pending + data
         events = list[bytes | None]()
         start = 0  # offset of the first byte that is in neither the envelope nor ``events``
@@ -104,7 +104,7 @@
             self.error = f"the response has over {MAX_ENVELOPE_BYTES} bytes outside its events"
 
     def end(self) -> bytes:
-        """Returns the response without its events after its last byte; sets ``error`` if it is incomplete."""
+        """Ends the response and returns it without its events; sets ``error`` if it is incomplete."""
         if self.depth or self.pending:
             self.error = "the response is incomplete"
         return self.envelope
--- a/kelpcroft/net/feed_client.py
+++ b/kelpcroft/net/feed_client.py
@@ -20,7 +20,7 @@
 NS_PER_MS: Final = 1_000_000
 # After a process stall, servers, clients and timers wait at most this long for the feed's response.
 FEED_ONLY_NS: Final = SECOND // 25
-# Two of these waits begin at least this far apart.
+# Minimum time between the starts of two such waits.
 FEED_ONLY_INTERVAL_NS: Final = SECOND
 
 
@@ -33,7 +33,8 @@
         self.codec = FeedCodec(MAX_SNAPSHOT_BYTES if is_replica else MAX_UNSPLIT_RESPONSE_BYTES)
         self.request_sent_ns = now  # when the watch request was sent
         self.watch_wait_ns = 0  # how long the feed may wait for an event before it sends a response
-        self.response_timeout_ns = 0  # how long it may be silent after that wait, or within its response
+        # How long the feed may be silent after that wait, or within its response.
+        self.response_timeout_ns = 0
         self.last_read_ns = 0  # when bytes last arrived
         self.awaits_response = False
 
@@ -47,8 +48,8 @@
         self.address = transport.config.feed_address
         self.connection: FeedConnection | None = None
         self.last_interrupted_ns = 0  # when a process stall last interrupted a watch request
-        # Until then servers and clients are not read, because the endpoint list dates from before a process
-        # stall; 0 = all are read.
+        # Servers and clients are not read before this time, because the endpoint list dates from before a
+        # process stall; 0 = all are read.
         self.feed_only_until_ns = 0
 
     # Effects ----------------------------------------------------------------------------------------------
@@ -127,12 +128,13 @@
     # Steps of an iteration --------------------------------------------------------------------------------
 
     def refresh_after_stall(self) -> None:
-        """Drops the outstanding watch request after a process stall; the reducer sends one without a wait.
+        """Drops the outstanding watch request after a process stall.
 
-        Updates that the feed announced during the stall are binding on this router, and the response to the
-        old request may be older than they are.  Until the new response is complete, or for ``FEED_ONLY_NS``,
-        the loop reads no server and no client and fires no timer (``EventLoop.run_iteration``).  Control
-        clients, signals, accepts and queued writes are still handled.
+        The reducer sends another without a wait.  This router must apply the events that the feed published
+        during the stall, and the response to the dropped request may be older than those events.  Until the
+        new response is complete, or for ``FEED_ONLY_NS``, the loop reads no server and no client and fires no
+        timer (``EventLoop.run_iteration``).  Control clients, signals, accepts and queued writes are still
+        handled.
         """
         now = self.transport.clock.now()
         connection = self.connection
--- a/kelpcroft/net/feed_codec.py
+++ b/kelpcroft/net/feed_codec.py
@@ -3,8 +3,8 @@
 A response is ``{"n": LAST, "events": [...]}``; a control replica adds ``mark`` and ``as_of``.  A response of
 up to ``MAX_UNSPLIT_RESPONSE_BYTES`` is parsed in one step.  A longer response, such as a router receives
 after hours without the feed, is parsed event by event while it arrives: each chunk becomes a
-``WatchResponse`` with ``has_more``.  So the events that arrived before a response breaks off are kept, and
-memory holds one chunk at a time.  No socket here.
+``WatchResponse`` with ``has_more``.  So if a response is cut off, the events that have arrived are kept,
+and memory holds one chunk at a time.  No socket here.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 MAX_RETRY_AFTER_S: Final = 3_600  # a longer Retry-After is shortened to this
 # A response up to this size is parsed in one step: some 3,000 purges.
 MAX_UNSPLIT_RESPONSE_BYTES: Final = 256 << 10
-MAX_SNAPSHOT_BYTES: Final = 4 << 20  # the same size for a control replica, whose responses are bounded
+MAX_SNAPSHOT_BYTES: Final = 4 << 20  # the same limit for a control replica, which bounds its responses
 # A longer response is an error: its events up to this size are kept, and the rest is requested again.
 MAX_RESPONSE_BYTES: Final = 16 << 20
 # The state of a server by its ``status`` on the wire.
--- a/kelpcroft/net/listeners.py
+++ b/kelpcroft/net/listeners.py
@@ -63,7 +63,7 @@
     family = sock.getsockopt(socket.SOL_SOCKET, socket.SO_DOMAIN)
     is_listening = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     if kind != socket.SOCK_STREAM or family not in (socket.AF_INET, socket.AF_INET6):
-        return "is not of TCP"
+        return "is not a TCP socket over IPv4 or IPv6"
     if not is_listening:
         return "does not listen"
     return ""
--- a/kelpcroft/net/server_codec.py
+++ b/kelpcroft/net/server_codec.py
@@ -3,7 +3,7 @@
 The parser is part of this module because the reader of hiredis allocates a list of whatever length the header
 of an array states: a dozen bytes from a faulty peer made it request 7 GB of memory
 (docs/design/architecture-history.md).  A response is always four strings (the attempt's id, an outcome word,
-fields and the body), so support for any other RESP is not needed.
+fields and the body), so no other types of RESP need to be supported.
 """
 
 from __future__ import annotations
--- a/kelpcroft/net/server_connections.py
+++ b/kelpcroft/net/server_connections.py
@@ -13,7 +13,7 @@
 
 # A connection that has been idle for longer than this is read before an attempt is written to it.
 READ_BEFORE_WRITE_IDLE_NS: Final = SECOND // 50
-# Maximum silence within a response; the rest of a response that pauses longer is not expected any more.
+# Maximum silence within a response; after a longer pause the connection is closed.
 PARTIAL_RESPONSE_TIMEOUT_NS: Final = SECOND // 5
 WRITE_STALL_TIMEOUT_NS: Final = 10 * SECOND  # a connection that accepts no output for this long is closed
 
@@ -32,7 +32,7 @@
         self.queued_bytes = 0  # total of all bytes ever queued
         # Attempts that are not completely written: the total of queued bytes at the end of each, and its id.
         self.unsent_attempts: deque[tuple[int, str]] = deque()
-        self.has_partial_response = False  # as last reported to the reducer
+        self.has_partial_response = False  # the value last reported to the reducer
 
 
 class ServerConnections(ConnectionHandler[ServerConnection]):
@@ -71,7 +71,7 @@
         self.send(effect.connection, server_codec.encode_attempt(effect), effect.attempt_id)
 
     def cancel_attempt(self, effect: effects.CancelAttempt) -> None:
-        """Sends the cancel of an attempt."""
+        """Sends the command that cancels an attempt."""
         self.send(effect.connection, server_codec.encode_cancel(effect))
 
     def send_health_check(self, effect: effects.SendHealthCheck) -> None:
--- a/kelpcroft/net/signals.py
+++ b/kelpcroft/net/signals.py
@@ -59,7 +59,7 @@
         return self.operator_file_steps is not None
 
     def continue_reading_operator_file(self, iteration_started_ns: int) -> None:
-        """Reads the operator's file for a bounded time; a large file would delay drains and purges."""
+        """Reads the operator's file for a bounded time, as a large file would delay drains and purges."""
         deadline_ns = iteration_started_ns + MAX_OPERATOR_FILE_READ_NS
         for operator_file in self.operator_file_steps or ():
             if operator_file is not None:
--- a/kelpcroft/net/transport.py
+++ b/kelpcroft/net/transport.py
@@ -114,7 +114,7 @@
         """Called after a write that leaves no stored output, even if nothing was queued."""
 
     def interest_of(self, connection: C) -> int:
-        """The events to watch on a connection: input, and room for output if any is stored."""
+        """Returns the events to watch on a connection: input, and writability if output is stored."""
         return READABLE | WRITABLE if connection.write_buffer.stored_bytes() else READABLE
 
     def connection_failed(self, connection: C, reason: str, is_unreachable: bool = False) -> None:
@@ -213,7 +213,7 @@
         self.pending_writes[connection] = None
 
     def writable(self, connection: Connection) -> None:
-        """Handles a connection that is reported writable: a connect has finished, or there is room."""
+        """Handles a connection reported as writable: a connect has finished, or there is room for output."""
         if not connection.is_connected:
             error_number = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if error_number:
--- a/kelpcroft/operator_file/check.py
+++ b/kelpcroft/operator_file/check.py
@@ -34,7 +34,7 @@
 
 # Interval between watch requests of a router while there are no events.
 IDLE_WATCH_INTERVAL_S = MAX_EVENT_WAIT_MS / 1_000
-MAX_REGIONS = 50_000  # groups times parts times objects, of all routes together
+MAX_REGIONS = 50_000  # sum over all routes of groups times parts times objects
 MAX_NAMED_ROUTES = 3  # earlier routes named in the diagnostic of an unreachable route
 Result = TypeVar("Result")
 Steps = Generator[None, None, Result]
@@ -54,7 +54,7 @@
 
 @contextmanager
 def garbage_collection_off() -> Generator[None, None, None]:
-    """Disable garbage collection: there are no cycles here, and it took half of the time for a large file."""
+    """Disable garbage collection, which finds no cycles here and took half of the time for a large file."""
     was_on = gc.isenabled()
     gc.disable()
     try:
--- a/kelpcroft/operator_file/diagnostics.py
+++ b/kelpcroft/operator_file/diagnostics.py
@@ -20,11 +20,11 @@
     "suggestion",
 ]
 
-MAX_DIAGNOSTICS = 1_000  # of one file; the rest of the file is not read
-MAX_SHOWN_CHARACTERS = 60  # of a value in a message
-MAX_COMPARED_CHARACTERS = 64  # of an unknown word that is compared with the known ones
-MAX_SUGGESTED_WORDS = 12  # of the known words in a message, where none is similar
-MIN_SIMILARITY = 0.6  # of a suggested word, see difflib.get_close_matches
+MAX_DIAGNOSTICS = 1_000  # in one file; the rest of the file is not read
+MAX_SHOWN_CHARACTERS = 60  # length of a value in a message
+MAX_COMPARED_CHARACTERS = 64  # length of the start of an unknown word that is compared with known words
+MAX_SUGGESTED_WORDS = 12  # known words listed in a message if none is similar
+MIN_SIMILARITY = 0.6  # similarity of a suggested word, see difflib.get_close_matches
 NEWLINE = r"\r\n|[\n\r\x85\x0b\x0c\u2028\u2029]"  # KDL 2, "Newline"
 
 
--- a/kelpcroft/operator_file/explain.py
+++ b/kelpcroft/operator_file/explain.py
@@ -35,9 +35,9 @@
 from kelpcroft.operator_file.values import format_duration
 from kelpcroft.routes.index import RouteIndex
 
-MAX_REGIONS_OF_CLASS = 20_000  # into which one class is divided for a comparison
-MAX_COMPARED_PAIRS = 50 * MAX_REGIONS_OF_CLASS  # of regions of two files, in one class
-MAX_SHOWN_REGIONS = 4  # of one difference
+MAX_REGIONS_OF_CLASS = 20_000  # regions into which one class is divided for a comparison
+MAX_COMPARED_PAIRS = 50 * MAX_REGIONS_OF_CLASS  # pairs of regions of two files, in one class
+MAX_SHOWN_REGIONS = 4  # regions shown for one difference
 ANY_OBJECT = "0" * OBJECT_DIGITS  # the object of a request for which none is given
 
 
--- a/kelpcroft/operator_file/locator.py
+++ b/kelpcroft/operator_file/locator.py
@@ -16,8 +16,8 @@
 
 from kelpcroft.operator_file.diagnostics import NEWLINE, abbreviated
 
-MAX_NODES = 20_100  # in one file
-MAX_DEPTH = 16  # of nested children
+MAX_NODES = 20_100  # nodes in one file
+MAX_DEPTH = 16  # levels of nested children
 MAX_ENTRIES = 26_000  # arguments and properties in one file
 
 BLANK = r"[ \t\ufeff\u00a0\u1680\u2000-\u200a\u202f\u205f\u3000]"
@@ -102,7 +102,7 @@
 
     def __init__(self, text: str) -> None:
         self.text = text
-        self.offset = 0  # of the next token
+        self.offset = 0  # offset of the next token
         self.node_count = 0
         self.entry_count = 0
 
--- a/kelpcroft/operator_file/match_regions.py
+++ b/kelpcroft/operator_file/match_regions.py
@@ -23,8 +23,8 @@
 BITS_PER_DIGIT = 4
 OBJECT_RANGE: Range = (0, (1 << OBJECT_DIGITS * BITS_PER_DIGIT) - 1)
 FLAG_RANGES: dict[bool | None, Range] = {None: (0, 1), False: (0, 0), True: (1, 1)}
-MAX_SUBTRACTIONS = 100_000  # take some tenths of a second in Python
-MAX_REGIONS_OF_CLASS = 2_000  # in the uncovered rest of one class
+MAX_SUBTRACTIONS = 100_000  # so many take some tenths of a second in Python
+MAX_REGIONS_OF_CLASS = 2_000  # regions in the uncovered rest of one class
 Region = tuple[Range, ...]  # retry, write, group, part, object
 ALL_REQUESTS: Region = (FLAG_RANGES[None], FLAG_RANGES[None], GROUP_RANGE, PART_RANGE, OBJECT_RANGE)
 
--- a/kelpcroft/operator_file/model.py
+++ b/kelpcroft/operator_file/model.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Exponential back-off: ``initial_ns``, doubled up to ``max_ns``; full jitter draws from 0 to that."""
+    """Exponential back-off: ``initial_ns``, doubled up to ``max_ns``; full jitter draws from 0 to it."""
 
     initial_ns: int
     max_ns: int
@@ -115,7 +115,7 @@
 class RoutePolicy:
     """The limits that a route, or the defaults, set for one request.
 
-    A field that is None is not limited here: the defaults apply to it, and then the decision package.
+    Where a field is None, the defaults apply; where they have None too, the decision package decides.
 
     Attributes:
         answer_timeout: Response timeout (``timeout`` in the file).
--- a/kelpcroft/operator_file/node_reader.py
+++ b/kelpcroft/operator_file/node_reader.py
@@ -16,8 +16,8 @@
 from kelpcroft.operator_file.text import KdlNode, Value
 from kelpcroft.operator_file.values import InvalidValue
 
-MAX_NAME_CHARACTERS = 64  # of a budget, a route or another named node
-MAX_ADDRESSES = 16  # of control replicas
+MAX_NAME_CHARACTERS = 64  # length of the name of a budget, a route or another node
+MAX_ADDRESSES = 16  # addresses of control replicas in one node
 REPEATABLE_NODES = ("match",)  # the reader of a route reports a second one with a message of its own
 
 Parsed = TypeVar("Parsed")
--- a/kelpcroft/operator_file/policy_reader.py
+++ b/kelpcroft/operator_file/policy_reader.py
@@ -19,7 +19,7 @@
 from kelpcroft.operator_file.text import KdlNode, Value
 from kelpcroft.operator_file.values import InvalidValue
 
-MAX_COUNT = 64  # of attempts, moves and copies in a file; the deployment has a limit of its own
+MAX_COUNT = 64  # upper bound of attempts, moves and copies; the deployment has a limit of its own
 MAX_OPEN_REQUESTS = 1_000_000  # upper bound of ``limit open=``
 # Outcomes that prove that nothing ran.  The next send is then a reroute, which ``moves`` limits.
 OUTCOMES_NOT_RUN = {"miss", "full", "refused", "moot", "connect"}
--- a/kelpcroft/operator_file/reader.py
+++ b/kelpcroft/operator_file/reader.py
@@ -21,7 +21,7 @@
 from kelpcroft.operator_file.text import KdlNode
 from kelpcroft.startup.options import StartupOptions
 
-VERSION = 1  # of the file's format
+VERSION = 1  # version of the file's format
 MIN_STALE_NS = 2 * values.SECOND  # a replica receives a response from its upstream once a second
 MAX_STALE_NS = 60 * values.SECOND  # upper bound of ``stale``
 MIN_LIST_CALLS_PER_S = 0.1  # lower bound of ``list-calls``
@@ -44,8 +44,9 @@
         self.exposes_state = False
         self.start_options = StartupOptions()
         self.control_replicas: ControlReplicas | None = None
-        self.node_offsets: dict[str, int] = {}  # of the nodes that may occur once, by node
-        self.name_offsets: dict[tuple[str, str], int] = {}  # of budgets and routes, by node and name
+        self.node_offsets: dict[str, int] = {}  # offsets of the nodes that may occur once, by name
+        # Offsets of budgets and routes, by the name of the node and their own name.
+        self.name_offsets: dict[tuple[str, str], int] = {}
 
     def read_file(self, nodes: Iterable[KdlNode]) -> Generator[None, None, OperatorFile]:
         """Read a complete file, one step for each top-level node.
--- a/kelpcroft/operator_file/replica.py
+++ b/kelpcroft/operator_file/replica.py
@@ -4,7 +4,7 @@
     listen "10.0.0.1:7100"
     list-service "10.0.0.9:7000"             // one or more; or
     peer "10.0.0.2:7100"                     // other control replicas, used as upstreams too
-    lease "3s"                               // a state that upstream last confirmed before this is stale
+    lease "3s"                               // a state not confirmed by upstream for this long is stale
     batch "400ms"                            // interval between two responses to one watcher
     watches 1000                             // maximum; further watch requests are rejected
 
@@ -34,9 +34,9 @@
 SECOND = values.SECOND
 VERSION_NODE = "control-replica"
 LEASE_RANGE_NS = (2 * SECOND, 60 * SECOND)  # upstream sends a response once a second
-BATCH_RANGE_NS = (10 * MS, 1 * SECOND)  # a longer interval would delay events by more than purges may take
+BATCH_RANGE_NS = (10 * MS, 1 * SECOND)  # a longer interval would delay events by more than a purge may take
 MAX_WATCHES = 10_000  # upper bound of ``watches``
-FILE_OFFSET = 0  # of diagnostics for missing nodes
+FILE_OFFSET = 0  # offset of diagnostics for missing nodes
 
 Address = tuple[str, int]
 
@@ -71,7 +71,7 @@
         self.node_offsets: dict[str, int] = {}
 
     def read_file(self, nodes: Iterable[KdlNode]) -> ControlReplicaFile:
-        """Read a complete file.  Values that are missing or invalid have their defaults."""
+        """Read a complete file.  A value that is missing or invalid keeps its default."""
         for index, node in enumerate(nodes):
             if index == 0 and node.name != VERSION_NODE:
                 self.diagnostics.add(
@@ -111,7 +111,7 @@
     def report_missing_node(self, name: str, example: str) -> None:
         """Report that a required node is missing."""
         self.diagnostics.add(
-            FILE_OFFSET, "missing-value", f"there is no {name}; add one, as {name} {example}"
+            FILE_OFFSET, "missing-value", f"there is no {name}; add one, as in {name} {example}"
         )
 
     def read_version(self, node: KdlNode) -> None:
--- a/kelpcroft/operator_file/route_rules.py
+++ b/kelpcroft/operator_file/route_rules.py
@@ -195,7 +195,7 @@
                 f"a wait of {format_duration(timeout.ns)}, but clients of class "
                 f"{abbreviated(request_class.name)} give up after {format_duration(deadline_ns)}",
             )
-        elif not timeout or not timeout.ns:  # check_alone compares the other fields with a stated duration
+        elif not timeout or not timeout.ns:  # check_without_deployment checks a stated duration
             response_timeout_ns = timeout.resolve_ns(deadline_ns) if timeout else deadline_ns
             self.check_times_within(response_timeout_ns, request_class)
 
--- a/kelpcroft/operator_file/text.py
+++ b/kelpcroft/operator_file/text.py
@@ -17,7 +17,7 @@
 
 MAX_FILE_BYTES = 1 << 20  # a larger file is rejected without being parsed
 FILE_START = FilePosition(1, 1)  # position of diagnostics for the complete file
-EXCERPT_CHARACTERS = 30  # of the file's text, in a message
+EXCERPT_CHARACTERS = 30  # length of the excerpt of a file's text in a message
 
 Value = str | int | float | bool | None
 
--- a/kelpcroft/operator_file/values.py
+++ b/kelpcroft/operator_file/values.py
@@ -56,7 +56,7 @@
 
 
 def parse_text(value: object, kind: str) -> str:
-    """Parse a string and strip whitespace at both ends; ``what`` is a key of EXAMPLES."""
+    """Parse a string and strip whitespace at both ends; ``kind`` is a key of EXAMPLES."""
     if not isinstance(value, str):
         raise InvalidValue(
             "wrong-type", f"{kind} is written as text, such as {EXAMPLES[kind]}, not {abbreviated(value)}"
@@ -195,5 +195,5 @@
 
 
 def parse_list(value: object, kind: str = "a list") -> list[str]:
-    """Parse a comma-separated list; ``what`` is a key of EXAMPLES."""
+    """Parse a comma-separated list; ``kind`` is a key of EXAMPLES."""
     return [word.strip() for word in parse_text(value, kind).split(",")]
--- a/kelpcroft/routes/index.py
+++ b/kelpcroft/routes/index.py
@@ -20,7 +20,7 @@
 
 NO_ROUTE: Final = 0xFFFFFFFF  # greater than the place of any route
 NOT_FOUND: Final = -1  # the result of RouteIndex.find for a request without a route
-MAX_CELLS: Final = 40_000  # of a plane, runs of groups times ranges of parts; see largest_plane
+MAX_CELLS: Final = 40_000  # cells of a plane: runs of groups times ranges of parts; see largest_plane
 PlacedRoute = tuple[int, Route]  # the place in the file, from 0, and the route
 
 
@@ -46,8 +46,8 @@
     """The routes for one prefix, class, retry and write, by group and part."""
 
     def __init__(self, routes: Sequence[PlacedRoute]) -> None:
-        self.group_starts = group_run_starts(routes)  # of runs of groups with the same routes
-        self.runs: list[PartRuns] = []  # of parts, for each run of groups
+        self.group_starts = group_run_starts(routes)  # starts of the runs of groups with the same routes
+        self.runs: list[PartRuns] = []  # runs of parts, for each run of groups
         runs_by_places: dict[tuple[int, ...], PartRuns] = {}
         for group in self.group_starts:
             group_routes = [
--- a/kelpcroft/routes/sketch.py
+++ b/kelpcroft/routes/sketch.py
@@ -20,10 +20,10 @@
 BUCKETS: Final = ceil(log(MAX_LATENCY_NS / MIN_LATENCY_NS) / log(BUCKET_GROWTH)) + 1
 BUCKET_EDGES_NS: Final = [MIN_LATENCY_NS * BUCKET_GROWTH**n for n in range(BUCKETS)]
 BYTES_PER_DOUBLE: Final = 8
-MAX_DOUBLINGS: Final = 1_000.0  # of a weight; the exponent of a float is limited to 1024
-MAX_WEIGHT: Final = 2.0**40  # of a new sample; beyond it all weights are scaled down
-MIN_SAMPLES: Final = 20.0  # for any quantile, in samples weighted by their decay
-MIN_TAIL_SAMPLES: Final = 2.0  # above the quantile, unless there are MANY_SAMPLES
+MAX_DOUBLINGS: Final = 1_000.0  # doublings of a weight; the exponent of a float is limited to 1024
+MAX_WEIGHT: Final = 2.0**40  # weight of a new sample; beyond it all weights are scaled down
+MIN_SAMPLES: Final = 20.0  # samples, weighted by their decay, without which no quantile is computed
+MIN_TAIL_SAMPLES: Final = 2.0  # samples needed above the quantile, unless there are MANY_SAMPLES
 MANY_SAMPLES: Final = 50 * MIN_SAMPLES  # so many samples are enough for every quantile
 CACHE_NS: Final = 100 * 10**6  # a computed quantile is reused for this time
 
@@ -40,7 +40,8 @@
     """The recent latencies of one route."""
 
     def __init__(self, now: int) -> None:
-        self.weights = array("d", bytes(BYTES_PER_DOUBLE * BUCKETS))  # of the samples in each bucket
+        # Total weight of the samples in each bucket.
+        self.weights = array("d", bytes(BYTES_PER_DOUBLE * BUCKETS))
         self.total_weight = 0.0
         self.epoch_ns = now  # a sample weighs 2 ** ((now - epoch) / HALF_LIFE_NS)
         self.cached: dict[float, CachedQuantile] = {}  # by quantile, 0 to 1
--- a/kelpcroft/routes/table.py
+++ b/kelpcroft/routes/table.py
@@ -23,11 +23,11 @@
 
     Attributes:
         open_requests: The number of requests that are open now.
-        taken: The total number of requests that matched.
+        matched: The total number of requests that matched.
         rejected: The number of requests that were rejected because of ``max_open_requests``.
         base_policy: The policy of each request, without values that depend on time or randomness.
         is_fixed: Whether each request gets ``base_policy`` unchanged, and all of its remaining time.
-        learns: Whether the policy needs a quantile of recent latencies.
+        needs_latencies: Whether the policy needs a quantile of recent latencies.
     """
 
     def __init__(self, route: Route, budgets: dict[str, RetryBudget]) -> None:
@@ -161,7 +161,7 @@
         return self.hedge_budget is None or self.hedge_budget.spend(now)
 
     def record_latency(self, now: int, latency_ns: int) -> None:
-        """Record that a response was received, or an attempt abandoned, after ``took_ns``.
+        """Record that a response was received, or an attempt abandoned, after ``latency_ns``.
 
         Abandoned attempts count too: without them, an attempt timeout that is a quantile would decrease with
         each attempt that it ends.
@@ -203,7 +203,7 @@
         self.index = RouteIndex(file.routes, self.zone)
 
     def budgets_for(self, file: OperatorFile, now: int) -> dict[str, RetryBudget]:
-        """The budgets of another file by name: present ones with new settings, and new ones."""
+        """The budgets of another file by name: existing ones, reconfigured, and new ones."""
         budgets: dict[str, RetryBudget] = {}
         for settings in file.budgets:
             budget = self.budgets.get(settings.name)
--- a/kelpcroft/settings_wire.py
+++ b/kelpcroft/settings_wire.py
@@ -13,14 +13,14 @@
 
 
 def parse_settings(options: JsonObject, seed: int) -> api.Settings:
-    """Return the settings that a JSON object gives.
+    """Return the settings in a JSON object.
 
     Args:
         options: The object.
         seed: Seed of random numbers, which is not part of the object.
 
     Raises:
-        SettingsError: A value can't be used.
+        SettingsError: A value cannot be used.
         KeyError: A class has no name.
         TypeError, ValueError: A value is of a wrong type.
     """
--- a/tests/net/test_listeners.py
+++ b/tests/net/test_listeners.py
@@ -39,7 +39,7 @@
             self.addCleanup(sock.close)
         for fd, reason in (
             (read, "Socket operation on non-socket"),
-            (udp.fileno(), "is not of TCP"),
+            (udp.fileno(), "is not a TCP socket over IPv4 or IPv6"),
             (idle.fileno(), "does not listen"),
             (999, "Bad file descriptor"),
         ):
--- a/tests/net/test_size.py
+++ b/tests/net/test_size.py
@@ -59,7 +59,7 @@
         """Reading needs no pooled buffer.
 
         Responses to clients that read nothing had filled the pool; the next server to respond lost its
-        connection, and all attempts in flight on it, for lack of a buffer to read into.
+        connection, and all attempts in flight on it, because no buffer was left to read into.
         """
         loop = self.loop()
         while loop.transport.pool.acquire() is not None:
--- a/tests/operator_file/test_operator_faulty.py
+++ b/tests/operator_file/test_operator_faulty.py
@@ -27,7 +27,7 @@
 LISTS = (
     f'route "r" {{ match part="{",".join(map(str, range(0, 9_999, 2)))}" '
     f'object="{",".join(f"{n:04x}" for n in range(0, 65_536, 2))}"; }}'
-)  # once took minutes to check
+)  # a file with such lists once took minutes to check
 
 
 def load_and_check(data: bytes, settings: api.Settings) -> tuple[OperatorFile, list[Diagnostic]]:
