--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -103,12 +103,12 @@
         return EXIT_NO_ADDRESS
     with listener:
         clock = Clock()
-        events = EventLog(name, log_format=log_format)
+        event_log = EventLog(name, log_format=log_format)
         address = listening_address(listener)
         text = f"{name} listens on {address}"
-        events.write(clock.now(), LogEvent("replica.listens", text, "info", {"at": address}))
+        event_log.write(clock.now(), LogEvent("replica.listens", text, "info", {"at": address}))
         replica = ControlReplica(replica_options(file, purge_lifetime_ns), clock.now() ^ os.getpid())
-        ControlReplicaServer(replica, listener, clock, events).run(signals)
+        ControlReplicaServer(replica, listener, clock, event_log).run(signals)
     return EXIT_STOPPED
 
 
--- a/kelpcroft/cli/placement.py
+++ b/kelpcroft/cli/placement.py
@@ -15,7 +15,7 @@
 DEFAULT_OBJECTS = 2_000
 
 
-def homes_by_config(config_path: str, count: int) -> tuple[str, list[str]]:
+def zone_and_homes(config_path: str, count: int) -> tuple[str, list[str]]:
     """Return the zone of a configuration, and the homes of ``count`` objects in its initial endpoint list."""
     try:
         config = parse_config(read_configuration(config_path), {})
@@ -51,7 +51,7 @@
     The homes follow from this build and from CONFIG's settings and list of servers.  Every build uses the
     same sample objects, so that `rollout plan` can count the objects that would move.
     """
-    zone, homes = homes_by_config(config, objects)
+    zone, homes = zone_and_homes(config, objects)
     if output_format == "json":
         print_json({"zone": zone, "objects": objects, "homes": homes})
         return
--- a/kelpcroft/cli/rollout_status.py
+++ b/kelpcroft/cli/rollout_status.py
@@ -52,11 +52,11 @@
             {
                 "zone": zone,
                 "class": request_class,
-                "slices": slice_count,
-                "mean": difference_sum / slice_count if slice_count else 0.0,
+                "slices": interval_count,
+                "mean": difference_sum / interval_count if interval_count else 0.0,
                 "verdict": verdict,
             }
-            for zone, request_class, _, _, slice_count, difference_sum, verdict in snapshot["bets"]
+            for zone, request_class, _, _, interval_count, difference_sum, verdict in snapshot["bets"]
         ],
     }
 
--- a/kelpcroft/deployment_check/known_keys.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -18,11 +18,11 @@
 
 
 def number(
-    minimum: float, maximum: float = math.inf, *, is_whole: bool = False, is_above: bool = False
+    minimum: float, maximum: float = math.inf, *, is_whole: bool = False, excludes_minimum: bool = False
 ) -> Form:
-    """Return the form of a finite number in a range; ``is_above`` excludes the minimum itself."""
+    """Return the form of a finite number in a range."""
     type_name = "a whole number" if is_whole else "a number"
-    bounds = f"above {minimum:g}" if is_above else f"of at least {minimum:g}"
+    bounds = f"above {minimum:g}" if excludes_minimum else f"of at least {minimum:g}"
     if maximum < math.inf:
         bounds += f" and at most {maximum:g}"
 
@@ -32,7 +32,7 @@
             and not isinstance(value, bool)
             and math.isfinite(value)
             and minimum <= value <= maximum
-            and not (is_above and value == minimum)
+            and not (excludes_minimum and value == minimum)
             and (not is_whole or float(value).is_integer())
         )
         return "" if fits else f"must be {type_name} {bounds}"
@@ -143,7 +143,11 @@
     ConfigurationKey("flow_bytes_per_s", number(0), "", "", NO_OWN_COPIES),
     ConfigurationKey("link_bytes_per_s", number(0), "", "", NO_OWN_COPIES),
     ConfigurationKey(
-        "limits.cores", number(0, is_above=True), "", "", "the platform holds it; there is one loop anyway"
+        "limits.cores",
+        number(0, excludes_minimum=True),
+        "",
+        "",
+        "the platform holds it; there is one loop anyway",
     ),
     ConfigurationKey("limits.memory_mb", number(1), "config, net.buffers", "192"),
     ConfigurationKey(
--- a/kelpcroft/net/client_codec.py
+++ b/kelpcroft/net/client_codec.py
@@ -25,7 +25,7 @@
 MAX_BODY_BYTES: Final = 48_000  # size of a request's body
 MAX_FIELDS: Final = 64  # number of fields in a request
 MAX_FIELD_BYTES: Final = 1_024  # length of a field, and of any other string in a message
-MAX_OPEN_REQUESTS_PER_CLIENT: Final = 32  # requests that a client may have open on one connection
+MAX_REQUESTS_PER_READ: Final = 32  # requests without a cancel in the bytes of one read
 MAX_REQUESTS_PER_CANCEL: Final = 1_024  # requests that one message may cancel
 MAX_PART_NUMBER: Final = 9_999  # largest part number that a request may name
 MAX_GROUP_NUMBER: Final = 255  # largest group number that a request may name
@@ -121,7 +121,7 @@
         return messages
 
     def _decode_messages(self) -> list[ClientMessage]:
-        """Returns all complete messages; together they may open ``MAX_OPEN_REQUESTS_PER_CLIENT`` requests."""
+        """Returns all complete messages; together they may open ``MAX_REQUESTS_PER_READ`` requests."""
         messages: list[ClientMessage] = []
         open_requests: set[int] = set()  # requests in these bytes, none of which has a response yet
         for raw in self.unpacker:
@@ -132,8 +132,8 @@
                     open_requests.discard(message.request_number)
                     continue
                 open_requests.add(message.request_number)
-                if len(open_requests) > MAX_OPEN_REQUESTS_PER_CLIENT:
-                    raise ClientProtocolError(f"more than {MAX_OPEN_REQUESTS_PER_CLIENT} requests at once")
+                if len(open_requests) > MAX_REQUESTS_PER_READ:
+                    raise ClientProtocolError(f"more than {MAX_REQUESTS_PER_READ} requests at once")
         return messages
 
     def has_partial_message(self) -> bool:
--- a/kelpcroft/net/control_replica_server.py
+++ b/kelpcroft/net/control_replica_server.py
@@ -30,7 +30,7 @@
 from kelpcroft.net.clock import Clock
 from kelpcroft.net.control_replica_upstream import UpstreamClient
 from kelpcroft.net.control_replica_watchers import WatcherConnections
-from kelpcroft.net.watch_codec import EventsRequest, StateRequest, encode_rejection, encode_response
+from kelpcroft.net.watch_codec import EventsRequest, StateRequest, encode_response, encode_unavailable
 
 MS = 1_000_000
 SECOND = 1_000 * MS
@@ -68,12 +68,12 @@
     """The event loop of one control replica; it waits for sockets and timers and makes no decisions."""
 
     def __init__(
-        self, replica: ControlReplica, listener: socket.socket, clock: Clock, events: EventLog
+        self, replica: ControlReplica, listener: socket.socket, clock: Clock, event_log: EventLog
     ) -> None:
         self._replica = replica
         self._listener = listener
         self._clock = clock
-        self._events = events
+        self._event_log = event_log
         self._selector = selectors.DefaultSelector()
         self._upstream = UpstreamClient(
             self._selector,
@@ -145,11 +145,11 @@
                     self._response_bytes += len(body)
                     self._watchers.write(watcher_id, encode_response(body))
                 case RejectWatcher(watcher_id, reason, retry_after_s):
-                    self._watchers.write(watcher_id, encode_rejection(reason, retry_after_s))
+                    self._watchers.write(watcher_id, encode_unavailable(reason, retry_after_s))
                 case SendUpstreamRequest():
                     self._upstream.schedule(effect)
                 case WriteLogEvent(event, text, fields, level):
-                    self._events.write(self._clock.now(), LogEvent(event, text, level, fields))
+                    self._event_log.write(self._clock.now(), LogEvent(event, text, level, fields))
 
     def _on_upstream_response(self, response: UpstreamResponse) -> None:
         self._perform(self._replica.on_upstream_response(self._clock.now(), response))
--- a/kelpcroft/net/event_loop.py
+++ b/kelpcroft/net/event_loop.py
@@ -80,8 +80,8 @@
         config: Config,
         clock: Clock,
         read_config: ReadConfig | None = None,
-        rules: ReadOperatorFile | None = None,
-        events: EventLog | None = None,
+        read_operator_file: ReadOperatorFile | None = None,
+        event_log: EventLog | None = None,
     ) -> None:
         """Builds the loop; no listening socket is opened before ``start``.
 
@@ -89,11 +89,12 @@
             config: The router's configuration.
             clock: The clock of the process.
             read_config: Reads the configuration file again (SIGHUP).
-            rules: Reads the operator's file again in steps; yields None for each step except the last.
-            events: The log; standard error by default.
+            read_operator_file: Reads the operator's file again in steps; yields None for each step except the
+                last.
+            event_log: The log; standard error by default.
         """
         self.clock = clock
-        self.transport = Transport(config, clock, events or EventLog(config.name))
+        self.transport = Transport(config, clock, event_log or EventLog(config.name))
         self.reducer = self.transport.reducer
         budget = allocate_descriptors(config.max_descriptors)
         listener = Listener(self.transport)
@@ -104,7 +105,7 @@
         self.feed = FeedClient(self.transport, connector)
         self.control = ControlEndpoint(self.transport, self.acceptor, budget.control_clients)
         self.predecessor = PredecessorFiles(self.transport)
-        self.signals = Signals(self.transport, read_config, rules)
+        self.signals = Signals(self.transport, read_config, read_operator_file)
         self.transport.effect_handlers = self._effect_handlers()
         self.timers: list[Timer] = []  # a heap
         self.is_stopping = False
@@ -156,7 +157,7 @@
     def start(
         self,
         signals: int | None = None,
-        first: inputs.OperatorFileRead | None = None,
+        operator_file: inputs.OperatorFileRead | None = None,
         listener: socket.socket | None = None,
         control_listener: socket.socket | None = None,
         predecessor: inputs.PredecessorState | None = None,
@@ -166,7 +167,7 @@
 
         Args:
             signals: Read end of the pipe to which signal numbers are written.
-            first: The operator's file as it was read at the start.
+            operator_file: The operator's file as it was read at the start.
             listener: The clients' listening socket; None binds one at the configured address.
             control_listener: The listening socket of the control address; None binds one if the
                 configuration names an address.
@@ -178,9 +179,9 @@
         if signals is not None:
             transport.selector.register(signals, selectors.EVENT_READ, None)
         start_options, replicas = None, None
-        if first is not None and first.file is not None:
-            start_options = first.file.start_options
-            replicas = first.file.control_replicas
+        if operator_file is not None and operator_file.file is not None:
+            start_options = operator_file.file.start_options
+            replicas = operator_file.file.control_replicas
         transport.perform_effects(
             self.reducer.start(self.clock.now(), start_options, crash_loop_delay_ns, replicas)
         )
@@ -188,8 +189,8 @@
             transport.handle_input(predecessor)
         self.control.listen(control_listener)
         self.acceptor.listen(listener)
-        if first is not None:
-            transport.handle_input(first)
+        if operator_file is not None:
+            transport.handle_input(operator_file)
         transport.handle_input(inputs.ListenersReady())
         self.last_select_ns = self.clock.now()
 
@@ -245,7 +246,7 @@
             or select_delay_ns > PROCESS_STALL_THRESHOLD_NS
         ):
             self.feed.refresh_after_stall()
-        ready = self._sort_ready(reported)
+        ready = self._group_ready(reported)
         for connection, events in ready.control:
             self.handle_ready(connection, events)
         if self.feed.feed_only_until_ns > self.clock.now():
@@ -278,7 +279,7 @@
             wait_s = min(wait_s, FEED_ONLY_NS / SECOND / 8)
         return wait_s
 
-    def _sort_ready(self, reported: list[tuple[selectors.SelectorKey, int]]) -> ReadyConnections:
+    def _group_ready(self, reported: list[tuple[selectors.SelectorKey, int]]) -> ReadyConnections:
         """Accepts connections and reads signals immediately; groups the rest by its order of handling."""
         ready = ReadyConnections()
         for key, events in reported:
@@ -295,7 +296,7 @@
     def handle_ready(self, connection: Connection, events: int) -> None:
         """Handles the events of one connection, unless an earlier event has closed the connection."""
         if events & selectors.EVENT_WRITE and connection.is_open():
-            self.transport.writable(connection)
+            self.transport.handle_writable(connection)
         if events & selectors.EVENT_READ and connection.is_open():
             connection.handler.read(connection)
 
--- a/kelpcroft/net/transport.py
+++ b/kelpcroft/net/transport.py
@@ -212,7 +212,7 @@
         connection.write_buffer.add(chunks)
         self.pending_writes[connection] = None
 
-    def writable(self, connection: Connection) -> None:
+    def handle_writable(self, connection: Connection) -> None:
         """Handles a connection reported as writable: a connect has finished, or there is room for output."""
         if not connection.is_connected:
             error_number = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
--- a/kelpcroft/net/watch_codec.py
+++ b/kelpcroft/net/watch_codec.py
@@ -116,7 +116,7 @@
     )
 
 
-def encode_rejection(reason: str, retry_after_s: int) -> bytes:
+def encode_unavailable(reason: str, retry_after_s: int) -> bytes:
     """Encodes the response to a request that is rejected for now; the connection stays usable."""
     text = reason.encode()
     return b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: %d\r\nContent-Length: %d\r\n\r\n%s" % (
--- a/kelpcroft/operator_file/node_reader.py
+++ b/kelpcroft/operator_file/node_reader.py
@@ -39,7 +39,7 @@
         """Report extra arguments, unknown keys, and unknown or repeated children of a node."""
         for _, offset in node.arguments[max_arguments:]:
             self.diagnostics.add(
-                offset, "unknown-key", f"{node.name!r} takes {argument_count(max_arguments)}"
+                offset, "unknown-key", f"{node.name!r} takes {argument_count_text(max_arguments)}"
             )
         for key, node_property in node.properties.items():
             if key not in known_keys:
@@ -130,7 +130,7 @@
         return self.diagnostics.position_of(offset).line
 
 
-def argument_count(count: int) -> str:
+def argument_count_text(count: int) -> str:
     """A number of arguments in words."""
     if count == 0:
         return "no argument"
--- a/kelpcroft/routes/index.py
+++ b/kelpcroft/routes/index.py
@@ -24,8 +24,8 @@
 PlacedRoute = tuple[int, Route]  # the place in the file, from 0, and the route
 
 
-class PartRuns:
-    """Runs of parts: the start of each, and the place of the first route that matches it, or NO_ROUTE."""
+class RoutesByPart:
+    """The first route of each part: the starts of runs of parts, and their routes' places or NO_ROUTE."""
 
     def __init__(self) -> None:
         self.starts: array[int] = array("L")
@@ -47,24 +47,26 @@
 
     def __init__(self, routes: Sequence[PlacedRoute]) -> None:
         self.group_starts = group_run_starts(routes)  # starts of the runs of groups with the same routes
-        self.runs: list[PartRuns] = []  # runs of parts, for each run of groups
-        runs_by_places: dict[tuple[int, ...], PartRuns] = {}
+        self.routes_by_part: list[RoutesByPart] = []  # for each run of groups
+        routes_by_places: dict[tuple[int, ...], RoutesByPart] = {}
         for group in self.group_starts:
             group_routes = [
                 (place, route) for place, route in routes if in_any_range(route.match.groups, group)
             ]
             key = tuple([place for place, _ in group_routes])
-            if key not in runs_by_places:  # runs of groups with the same routes share one object
-                runs_by_places[key] = part_runs([(place, route.match.parts) for place, route in group_routes])
-            self.runs.append(runs_by_places[key])
-        self.is_uniform = len(self.group_starts) == 1 and len(self.runs[0].places) == 1
-        self.first_place = self.runs[0].places[0]
+            if key not in routes_by_places:  # runs of groups with the same routes share one object
+                routes_by_places[key] = build_routes_by_part(
+                    [(place, route.match.parts) for place, route in group_routes]
+                )
+            self.routes_by_part.append(routes_by_places[key])
+        self.is_uniform = len(self.group_starts) == 1 and len(self.routes_by_part[0].places) == 1
+        self.first_place = self.routes_by_part[0].places[0]
 
     def find(self, group: int, part: int) -> int:
         """The place of the first route that matches, or NO_ROUTE."""
         if self.is_uniform:
             return self.first_place
-        return self.runs[bisect_right(self.group_starts, group) - 1].find(part)
+        return self.routes_by_part[bisect_right(self.group_starts, group) - 1].find(part)
 
 
 def group_run_starts(routes: Sequence[PlacedRoute]) -> list[int]:
@@ -81,8 +83,8 @@
     return not ranges or any(low <= value <= high for low, high in ranges)
 
 
-def part_runs(routes: Iterable[tuple[int, Sequence[Range]]]) -> PartRuns:
-    """Build the runs of parts from the places of routes and their ranges of parts, in file order.
+def build_routes_by_part(routes: Iterable[tuple[int, Sequence[Range]]]) -> RoutesByPart:
+    """Build the mapping of parts from the places of routes and their ranges of parts, in file order.
 
     Each cell between adjacent edges is assigned to the first route that matches it.  ``next_free_cell`` skips
     assigned cells by union-find, so that overlapping ranges hardly add to the cost.
@@ -101,10 +103,10 @@
             place_of_cell[cell] = place
             next_cells[cell] = cell + 1
             cell = next_free_cell(next_cells, cell)
-    runs = PartRuns()
+    routes_by_part = RoutesByPart()
     for start, place in zip(edges, place_of_cell):  # noqa: B905 - the last edge ends the last cell
-        runs.add_cell(start, place)
-    return runs
+        routes_by_part.add_cell(start, place)
+    return routes_by_part
 
 
 def next_free_cell(next_cells: list[int], cell: int) -> int:
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -40,8 +40,10 @@
         raw = configuration(size, number, feed, f"{host}:7000", f"{host}:7001")
         config = parse_config(raw, {})
         reload = partial(reload_steps, rules) if rules else None
-        self.loop = EventLoop(config, Clock(), rules=reload, events=EventLog(config.name, log_format="json"))
-        self.loop.start(first=load_at_start(rules, config.settings) if rules else None)
+        self.loop = EventLoop(
+            config, Clock(), read_operator_file=reload, event_log=EventLog(config.name, log_format="json")
+        )
+        self.loop.start(operator_file=load_at_start(rules, config.settings) if rules else None)
         self.applied_events: list[
             tuple[int, int]
         ] = []  # number of its last event, and when it applied it (Unix ns)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -31,11 +31,11 @@
 
 
 class Command(unittest.TestCase):
-    def test_help_has_an_example_for_each_verb(self) -> None:
-        for verb in ("serve", "check", "explain", "diff"):
-            result = run(verb, "--help")
+    def test_help_has_an_example_for_each_subcommand(self) -> None:
+        for subcommand in ("serve", "check", "explain", "diff"):
+            result = run(subcommand, "--help")
             assert result.exit_code == 0
-            assert f"Example:  kelpcroft {verb}" in result.output
+            assert f"Example:  kelpcroft {subcommand}" in result.output
             assert "--format" in result.output
 
     def test_check(self) -> None:
@@ -48,12 +48,12 @@
         assert not output["good"]
         assert [f["code"] for f in output["faults"]] == ["bad-duration", "unknown-key", "bad-range"]
 
-    def test_check_without_a_deployment_looks_at_the_file_alone(self) -> None:
+    def test_check_without_a_deployment_checks_the_file_alone(self) -> None:
         path = str(ROOT / "tests/faulty/unknown-class.kdl")
         assert run("check", path).exit_code == 0
         assert run("check", path, "--config", CONFIG).exit_code == 1
 
-    def test_explain_names_route_lines_and_what_can_follow(self) -> None:
+    def test_explain_prints_the_route_its_lines_and_the_largest_values(self) -> None:
         lines = Path(EXAMPLE).read_text().splitlines()
         output = json.loads(
             run(
@@ -90,7 +90,7 @@
             ("explain", EXAMPLE, "--config", CONFIG, "--class", "pge"),
             ("explain", EXAMPLE, "--config", CONFIG, "--class", "page", "--object", "xyz"),
         ):
-            with self.subTest(words=arguments):
+            with self.subTest(arguments=arguments):
                 result = run(*arguments)
                 assert result.exit_code == 2, result.output
                 assert result.output.strip().count("\n") == 0, result.output
@@ -98,10 +98,10 @@
         for arguments in (("chek",), ("explain", EXAMPLE), ("explain", EXAMPLE, "--part", "-1")):
             assert run(*arguments).exit_code == 2
 
-    def test_serve_is_the_router_itself(self) -> None:
+    def test_serve_becomes_the_router_process(self) -> None:
         with (
-            StandInServers() as world,
-            RouterProcess(world) as router,
+            StandInServers() as stand_ins,
+            RouterProcess(stand_ins) as router,
             tempfile.TemporaryDirectory() as folder,
         ):
             router.process.terminate()  # its configuration and port are used by the next process
@@ -134,14 +134,14 @@
             assert {line["router"] for line in lines} == {"n7"}
             assert "rules.taken" in [line["event"] for line in lines]
 
-    def test_the_demo_ends_well(self) -> None:
+    def test_the_demo_succeeds(self) -> None:
         assert demo.main() == 0
 
 
 NOW = 1_764_576_000_123_456_789
 
 
-class Lines(unittest.TestCase):
+class LogLines(unittest.TestCase):
     def write(self, count: int, form: str) -> list[str]:
         stream = io.StringIO()
         log = EventLog("n1", stream, form)
@@ -163,12 +163,12 @@
         assert list(first)[0] == "time"
         assert last["level"] == "warning", "a field of an event does not hide the field of the line"
 
-    def test_floods_are_held_down_and_counted(self) -> None:
+    def test_excess_lines_of_an_event_are_suppressed_and_counted(self) -> None:
         lines = self.write(MAX_LINES_PER_EVENT + 500, "json")
         assert len(lines) == MAX_LINES_PER_EVENT + 1
         assert json.loads(lines[-1])["suppressed"] == 500
 
-    def test_plain_lines(self) -> None:
+    def test_text_lines(self) -> None:
         lines = self.write(MAX_LINES_PER_EVENT + 3, "text")
         expected = "2025-12-01T08:00:10.123456Z WARNING feed.lost: feed: again (3 left out before)"
         assert lines[-1] == expected
--- a/tests/config_reload/test_retune.py
+++ b/tests/config_reload/test_retune.py
@@ -39,7 +39,7 @@
 
 
 def places(raw: dict[str, Any]) -> list[str]:
-    return [f.place for f in validate_reload(raw, EXAMPLE)]
+    return [diagnostic.place for diagnostic in validate_reload(raw, EXAMPLE)]
 
 
 def reload(r: Reducer, now: int, raw: dict[str, Any] | bytes) -> list[effects.Effect]:
@@ -59,7 +59,7 @@
     def test_the_file_in_use_passes(self) -> None:
         assert validate_reload(EXAMPLE, EXAMPLE) == []
 
-    def test_each_kind_of_broken_file_is_named_by_its_place(self) -> None:
+    def test_each_kind_of_error_is_reported_at_its_place(self) -> None:
         classes = "settings.classes"
         cases: list[tuple[str, Any]] = [
             ("settings", lambda r: r.pop("settings")),
@@ -85,7 +85,7 @@
             with self.subTest(place=place):
                 assert place in places(variant(change))
 
-    def test_all_faults_in_one_pass(self) -> None:
+    def test_all_errors_are_reported_in_one_pass(self) -> None:
         def corrupt(raw: dict[str, Any]) -> None:
             raw["settings"]["classes"][0]["give_up_ns"] = -5
             raw["settings"]["limits"]["most_tries"] = 0
@@ -97,7 +97,7 @@
             "settings.limits.most_tries",
         ]
 
-    def test_what_is_not_whole_json(self) -> None:
+    def test_a_file_without_a_complete_json_object_is_rejected(self) -> None:
         complete = orjson.dumps(EXAMPLE)
         for data, found in (
             (b"", "is empty"),
@@ -111,7 +111,7 @@
                 assert found in str(diagnostics[0])
         assert decode_config(complete[:40])[1][0].place.startswith("line 1 column")
 
-    def test_classes_may_come_and_go(self) -> None:
+    def test_classes_may_be_added_and_removed(self) -> None:
         def change(raw: dict[str, Any]) -> None:
             c = raw["settings"]["classes"]
             c.append({**c[0], "name": "new"})
@@ -130,7 +130,7 @@
             limits=api.Limits(max_attempts=4, may_hedge=True, max_open_requests=100),
         )
 
-    def test_the_passage_is_the_stricter_of_both(self) -> None:
+    def test_the_transition_is_the_stricter_of_both(self) -> None:
         changed = api.RequestClass(
             "a", api.Idempotency.UNSAFE, dedup_window_ns=SECOND, deadline_ns=3 * SECOND
         )
@@ -163,7 +163,7 @@
         )
         assert not diff_settings(self.old, self.old)
 
-    def test_a_key_is_held_to_the_shorter_window_and_narrower_group(self) -> None:
+    def test_a_keyed_class_has_the_shorter_window_and_the_narrower_scope(self) -> None:
         """With the longer window, the router would send a retry that servers with the old file execute."""
 
         def transition(a: api.RequestClass, b: api.RequestClass) -> api.RequestClass:
@@ -180,7 +180,7 @@
             assert transition(*pair).idempotency is api.Idempotency.UNSAFE, "not all clients send a key yet"
         assert transition(wide, api.RequestClass("a", api.Idempotency.UNSAFE)).dedup_window_ns == 3 * SECOND
 
-    def test_a_looser_effect_waits_for_the_passage(self) -> None:
+    def test_a_looser_idempotency_applies_after_the_transition(self) -> None:
         unsafe = api.RequestClass("a", api.Idempotency.UNSAFE)
         old = api.Settings(zone="z", zones=("z",), classes=(unsafe,))
         new = api.Settings(zone="z", zones=("z",), classes=(api.RequestClass("a"),))
@@ -188,8 +188,8 @@
         assert final_settings(old, new).classes[0].idempotency is api.Idempotency.SAFE
 
 
-class Reducer_(unittest.TestCase):
-    def test_a_broken_file_changes_nothing_and_is_named_once(self) -> None:
+class ReducerReload(unittest.TestCase):
+    def test_an_unusable_file_changes_nothing_and_is_logged_once(self) -> None:
         r = router()
 
         def corrupt(raw: dict[str, Any]) -> None:
@@ -243,8 +243,8 @@
         assert r.state.classes["fresh"].idempotency == api.Idempotency.UNSAFE
 
 
-class Module(unittest.TestCase):
-    def test_a_request_under_way_keeps_its_class_and_its_fewer_attempts(self) -> None:
+class DecisionPackage(unittest.TestCase):
+    def test_an_open_request_keeps_its_class_and_gets_the_lower_attempt_limit(self) -> None:
         p = kit.make_policy(max_attempts=2)
         (first,) = kit.forwarded_attempts(kit.send_request(p, S, "r1"))
         fresh = api.RequestClass("fresh", latency_objective_ns=200 * MS, deadline_ns=S)
@@ -263,7 +263,7 @@
             kit.forwarded_attempts(kit.end_attempt(p, S + 7 * MS, one, Outcome.ERROR)) == []
         )  # the lower limit applies to it
 
-    def test_without_a_retune_the_same_request_tries_on(self) -> None:
+    def test_without_a_reload_the_same_request_is_attempted_again(self) -> None:
         """Control for the test above: with a limit of six attempts throughout, a third attempt is made."""
         p = kit.make_policy(max_attempts=6)
         (first,) = kit.forwarded_attempts(kit.send_request(p, S, "r1"))
@@ -274,7 +274,7 @@
 
 
 class Program(unittest.TestCase):
-    def test_the_operators_file_may_name_a_class_that_came_with_the_same_sighup(self) -> None:
+    def test_the_operators_file_may_name_a_class_that_the_same_sighup_adds(self) -> None:
         """The operator's file must not be checked against the classes of the start: it may name a new one."""
         rules = (
             'kelpcroft version=1\nroute "fresh" {{ match class="{}"; attempts most=1; }}\n'
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -182,35 +182,41 @@
             assert time.monotonic() < deadline, description
             time.sleep(0.02)
 
-    def last_requested_events(self, world: StandInServers) -> list[int]:
-        return [after for _, after, _ in world.feed_calls[-3:]]
+    def last_requested_events(self, stand_ins: StandInServers) -> list[int]:
+        return [after for _, after, _ in stand_ins.feed_calls[-3:]]
 
     def test_a_router_100_000_events_behind_catches_up(self) -> None:
         """Guards against a router that misses a drain behind hours of purges, or catches up too slowly."""
         now = time.time_ns() // 10**6
-        with StandInServers() as world:
-            world.publish(purge={"key": "1" * 16, "at": now})
-            with RouterProcess(world, release=True) as router:
-                self.wait(lambda: 2 in self.last_requested_events(world), "the router sends a watch request")
-                with world.lock:  # 5.1 purges a second for 5.4 hours
-                    world.feed_events += [purge(n, now - (100_002 - n) * 196) for n in range(3, 100_002)]
-                    world.feed_events += [
+        with StandInServers() as stand_ins:
+            stand_ins.publish(purge={"key": "1" * 16, "at": now})
+            with RouterProcess(stand_ins, release=True) as router:
+                self.wait(
+                    lambda: 2 in self.last_requested_events(stand_ins), "the router sends a watch request"
+                )
+                with stand_ins.lock:  # 5.1 purges a second for 5.4 hours
+                    stand_ins.feed_events += [purge(n, now - (100_002 - n) * 196) for n in range(3, 100_002)]
+                    stand_ins.feed_events += [
                         {
                             "n": 100_002,
                             "members": {
                                 "snapshot": False,
                                 "endpoints": [
                                     {
-                                        **world.endpoint_snapshot()["members"]["endpoints"][0],
+                                        **stand_ins.endpoint_snapshot()["members"]["endpoints"][0],
                                         "status": "leaving",
                                     }
                                 ],
                             },
                         }
                     ]
-                    requests_before = len(world.feed_calls)
-                self.wait(lambda: 100_002 in self.last_requested_events(world), "the router has caught up")
-                assert len(world.feed_calls) - requests_before < 8, "watch requests until it has caught up"
+                    requests_before = len(stand_ins.feed_calls)
+                self.wait(
+                    lambda: 100_002 in self.last_requested_events(stand_ins), "the router has caught up"
+                )
+                assert len(stand_ins.feed_calls) - requests_before < 8, (
+                    "watch requests until it has caught up"
+                )
                 client = router.client()
                 served = {client.request("page", object=f"{n:016x}").body for n in range(40)}
                 assert served == {b"by cache2"}, "the drained server gets no request"
@@ -222,20 +228,20 @@
 
     def test_a_feed_whose_responses_stay_too_long_is_requested_rarely(self) -> None:
         """Guards against constant retries when each response is megabytes long and has no usable event."""
-        with StandInServers() as world, RouterProcess(world, release=True) as router:
-            self.wait(lambda: len(world.feed_calls) >= 1, "the router sends a watch request")
-            with world.lock:
-                world.feed_events.append({"n": 1, "filler": "x" * (3 * MAX_EVENT_BYTES)})
+        with StandInServers() as stand_ins, RouterProcess(stand_ins, release=True) as router:
+            self.wait(lambda: len(stand_ins.feed_calls) >= 1, "the router sends a watch request")
+            with stand_ins.lock:
+                stand_ins.feed_events.append({"n": 1, "filler": "x" * (3 * MAX_EVENT_BYTES)})
             self.wait(
                 lambda: any(line["event"] == "feed.lost" for line in router.log_events()),
                 "the response is rejected",
             )
             client = router.client()
-            requests_before, lines_before = len(world.feed_calls), len(router.log_events())
+            requests_before, lines_before = len(stand_ins.feed_calls), len(router.log_events())
             for part in range(60):  # it continues to serve with the endpoint list that it has
                 assert client.request("page", part=part).kind == "served"
                 time.sleep(0.05)
-            assert len(world.feed_calls) - requests_before <= 1, "watch requests in 3 s"
+            assert len(stand_ins.feed_calls) - requests_before <= 1, "watch requests in 3 s"
             assert sum(line["event"] == "feed.lost" for line in router.log_events()[lines_before:]) <= 1
 
 
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -5,7 +5,7 @@
 import contextlib
 import unittest
 
-from kelpcroft.net.client_codec import MAX_OPEN_REQUESTS_PER_CLIENT
+from kelpcroft.net.client_codec import MAX_REQUESTS_PER_READ
 from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS
 from tests.support.loop_turns import MS, LoopHarness, Peer, client_request, server_response
 
@@ -55,8 +55,7 @@
         with contextlib.suppress(BlockingIOError):
             flooding.send(
                 b"".join(
-                    client_request(n, trace=f"{n + 99:016x}")
-                    for n in range(1, 10 * MAX_OPEN_REQUESTS_PER_CLIENT)
+                    client_request(n, trace=f"{n + 99:016x}") for n in range(1, 10 * MAX_REQUESTS_PER_READ)
                 )
             )
         flooding.close()
--- a/tests/net/test_listeners.py
+++ b/tests/net/test_listeners.py
@@ -18,7 +18,7 @@
 from tests.support.exchange_player import EXAMPLE, ROOT, WAIT_S
 
 
-class Adopt(unittest.TestCase):
+class AdoptListener(unittest.TestCase):
     def test_a_listening_socket_is_adopted(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             sock = adopt_listener(os.dup(listener.fileno()))
@@ -63,7 +63,7 @@
                 parse_config(EXAMPLE, {"ROUTER_FD": value})
 
 
-class Start(unittest.TestCase):
+class ProcessStart(unittest.TestCase):
     def test_a_descriptor_that_does_not_listen_ends_the_start(self) -> None:
         """The start fails with exit code 2 and one line that names ROUTER_FD, before any client is served."""
         idle = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/tests/operator_file/test_operator_faulty.py
+++ b/tests/operator_file/test_operator_faulty.py
@@ -36,7 +36,7 @@
 
 
 class Faulty(unittest.TestCase):
-    def test_each_is_refused_for_its_reason(self) -> None:
+    def test_each_file_is_rejected_for_its_reason(self) -> None:
         settings = parse_config(EXAMPLE, {}).settings
         files = sorted((TESTS / "faulty").glob("*.kdl"))
         assert len(files) >= 60
@@ -67,7 +67,7 @@
             with self.subTest(file=path.name):
                 assert load_and_check(path.read_bytes(), settings)[1] == []
 
-    def test_large_and_deep_files_are_refused(self) -> None:
+    def test_large_and_deep_files_are_rejected(self) -> None:
         """The parser took hundreds of MB for such files; the locator rejects them before they are parsed."""
         for data, code in (
             (b"/" * (MAX_FILE_BYTES + 1), "too-large"),
--- a/tests/routes/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -55,10 +55,10 @@
     )
 
 
-class Indexed(unittest.TestCase):
+class Index(unittest.TestCase):
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(routes, st.lists(any_request, min_size=1, max_size=12))
-    def test_the_first_that_matches_wins(
+    def test_the_first_matching_route_is_found(
         self, route_matches: list[RouteMatch], requests: list[tuple[str, str, int, int, bool, bool]]
     ) -> None:
         index = RouteIndex(
@@ -157,7 +157,7 @@
                 exact = samples[int(share * len(samples))]
                 assert abs(sketch.quantile(0, share) / exact - 1) < BUCKET_GROWTH - 1 + 0.02
 
-    def test_old_samples_fade(self) -> None:
+    def test_old_samples_decay(self) -> None:
         sketch = LatencySketch(0)
         for _ in range(1_000):
             sketch.record(0, 50 * MS)
@@ -197,7 +197,7 @@
         assert timed_out / 2000 > 0.01
 
 
-class Rest(unittest.TestCase):
+class TimeoutsAndChecks(unittest.TestCase):
     def test_a_duration_counts_from_the_clients_send(self) -> None:
         text = (
             'kelpcroft version=1\nroute "r" { match class="page"; timeout "2s"; }\n'
--- a/tests/routes/test_routes_rules.py
+++ b/tests/routes/test_routes_rules.py
@@ -96,7 +96,7 @@
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(rules_texts, outcome_weights, st.integers(0, 2**32), st.integers(2, 60), st.booleans())
-    def test_never_more_than_declared(
+    def test_no_request_exceeds_the_declared_limits(
         self, text: str, weights: dict[str, float], seed: int, gap: int, reapplies: bool
     ) -> None:
         router = VirtualRouter(text, seed, weights)
@@ -189,7 +189,7 @@
         router.run()
         assert len(record.attempts) == 1
 
-    def test_no_budget_no_second_attempt(self) -> None:
+    def test_without_budget_there_is_no_second_attempt(self) -> None:
         text = (
             'kelpcroft version=1\nbudget "b" ratio=0 burst=1\nroute "orders" { match class="order"; }\n'
             'route "rest" { match; attempts most=5 budget="b"; pause "70ms"; }\n'
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -39,7 +39,7 @@
 from kelpcroft.core.request_statistics import RequestStatistics  # noqa: E402
 from kelpcroft.net.control_codec import encode_control_response  # noqa: E402
 from kelpcroft.net.feed_codec import encode_watch_request  # noqa: E402
-from kelpcroft.net.watch_codec import encode_bad_request, encode_rejection, encode_response  # noqa: E402
+from kelpcroft.net.watch_codec import encode_bad_request, encode_response, encode_unavailable  # noqa: E402
 from kelpcroft.rollout.events import OperatorCommand  # noqa: E402
 from kelpcroft.rollout.phases import HoldCause, Phase, RolloutOutcome  # noqa: E402
 from kelpcroft.rollout.plan_file import load_plan  # noqa: E402
@@ -163,7 +163,7 @@
         "control_state.http": control_state(),
         "watch_unmarked.http": encode_watch_request(("10.0.0.9", 7000), 41, 1_000),
         "watch_marked.http": encode_watch_request(("10.0.0.9", 7000), 42, 5_000, "a0b1c2d3e4f50617"),
-        "replica_refused.http": encode_rejection("stale", 1),
+        "replica_refused.http": encode_unavailable("stale", 1),
         "replica_bad.http": encode_bad_request("a call with a body"),
         **replica_responses(),
     }
