--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -22,7 +22,7 @@
 EXIT_NO_ADDRESS = 2
 
 HELP = """\
-Follow the list service, or another replica, as FILE says, and serve the list of servers and the purges
+Follow the list service or another replica, as FILE states, and serve the list of servers and the purges
 to routers in the same form.  CONFIG is the configuration of any of the routers: it sets how long purges
 are retained.
 
--- a/kelpcroft/cli/controller.py
+++ b/kelpcroft/cli/controller.py
@@ -31,7 +31,7 @@
 from kelpcroft.rollout.state_machine import Rollout
 from kelpcroft.store.rollouts import LeaseLostError, RolloutStore, StoredRun
 
-MAX_THREADS = 64  # of the pool that runs commands and polls
+MAX_THREADS = 64  # threads of the pool that runs commands and polls
 LEASE_RENEWAL_NS = 4 * 10**9  # a step is committed at least this often, even without a decision
 MAX_STEP_SLEEP_S = 0.25  # longest sleep before a step
 STEPS_PER_POLL_INTERVAL = 4  # steps within one poll interval, if MAX_STEP_SLEEP_S does not shorten the sleep
@@ -108,7 +108,7 @@
         assert run.id == self.run.id
         self.rollout: Rollout = from_snapshot(self.plan, run.snapshot)
         try:
-            was_led = bool(self.run.owner)  # by an earlier controller, whether it ended in order or not
+            was_led = bool(self.run.owner)  # by an earlier controller, even by one that ended in order
             effects = (
                 self.rollout.resume_after_takeover(now_ns, self.plan.commands_repeatable) if was_led else []
             )
--- a/kelpcroft/cli/rollout.py
+++ b/kelpcroft/cli/rollout.py
@@ -28,7 +28,7 @@
     outcome.value
     for outcome in (RolloutOutcome.HELD, RolloutOutcome.ROLLING_BACK, RolloutOutcome.ROLLED_BACK)
 )
-WATCH_INTERVAL_S = 0.5  # between two reads of the store by `watch`
+WATCH_INTERVAL_S = 0.5  # time between two reads of the store by `watch`
 
 
 @click.group()
@@ -119,7 +119,7 @@
     """
     run = store.newest_run()
     if run is None:
-        raise CommandError(f"{path}: holds no run")
+        raise CommandError(f"{path}: contains no run")
     return run
 
 
--- a/kelpcroft/config.py
+++ b/kelpcroft/config.py
@@ -20,7 +20,7 @@
 from kelpcroft.settings_wire import MachineKinds, parse_settings
 
 NS_PER_MS = 1_000_000
-MAX_CONFIG_FILE_BYTES = 16 << 20  # size of a configuration that is read again
+MAX_CONFIG_FILE_BYTES = 16 << 20  # size of a configuration file that is read again
 MAX_DESCRIPTOR_DIGITS = 7  # digits in the value of ROUTER_FD
 DEFAULT_MAX_DESCRIPTORS = 1024  # used without limits.sockets
 DEFAULT_MEMORY_MB = 192  # used without limits.memory_mb
--- a/kelpcroft/deployment_check/known_keys.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -14,7 +14,7 @@
 # Returns a text about the values that would be accepted in place of a value, or "" if the value is accepted.
 Form = Callable[[Any], str]
 MAX_PORT = 65_535
-HEX_EXPECTED = "must be a text of hex digits"  # in diagnostics of ``hexadecimal``
+HEX_EXPECTED = "must be a text of hex digits"  # result of ``hexadecimal`` for an unusable value
 
 
 def number(
--- a/kelpcroft/net/client_connections.py
+++ b/kelpcroft/net/client_connections.py
@@ -49,13 +49,13 @@
         self.codec = ClientCodec(number, BUFFER_BYTES)
         self.is_connected = True
         self.has_sent_message = False  # the client has sent at least one complete message
-        self.last_message_ns = now  # when the last message arrived; before the first: the accept
+        self.last_message_ns = now  # when the last message arrived, else when the connection was accepted
         self.partial_since_ns = 0  # when an incomplete message began to arrive; 0 = there is none
         # Messages not yet passed to the reducer, each with the time at which it was read.
         self.pending_messages: deque[tuple[int, inputs.ClientRequest | inputs.HealthRequest]] = deque()
         self.is_closing = False  # its input is discarded, and no further response is due
         self.closing_since_ns = 0
-        self.discarded_bytes = 0  # read and discarded since ``closing_since_ns``
+        self.discarded_bytes = 0  # bytes of input discarded since ``closing_since_ns``
 
     def cancel_pending(self, request_number: int) -> bool:
         """Drops a request that the reducer has not received yet; returns whether there was one."""
--- a/kelpcroft/net/feed_client.py
+++ b/kelpcroft/net/feed_client.py
@@ -92,7 +92,7 @@
         try:
             responses = connection.codec.receive_data(data)
         except FeedError:
-            for response in connection.codec.completed:  # complete events before the error
+            for response in connection.codec.completed:  # the events that were complete before the error
                 self.transport.handle_input(response)
             raise
         for response in responses:
@@ -144,7 +144,7 @@
             return
         self.last_interrupted_ns = now
         self.feed_only_until_ns = now + FEED_ONLY_NS
-        self.close(connection)  # it waits for an event, and its response may predate the stall
+        self.close(connection)  # its request waits for an event, and the response may predate the stall
         self.transport.handle_input(inputs.ProcessStalled())
 
     def fail_if_overdue(self, now: int) -> None:
--- a/kelpcroft/net/transport.py
+++ b/kelpcroft/net/transport.py
@@ -150,10 +150,10 @@
         self.selector = selectors.DefaultSelector()
         # Buffers of output that is not sent yet.
         self.pool = BufferPool(config.memory_mb * 1024 * 1024 // POOL_MEMORY_DIVISOR // BUFFER_BYTES)
-        self.read_buffer = bytearray(BUFFER_BYTES)  # for the input of one connection at a time
+        self.read_buffer = bytearray(BUFFER_BYTES)  # holds the input of one connection at a time
         self.effect_handlers: dict[type, Callable[[Any], None]] = {}  # by the exact type of the effect
         self.pending_writes: dict[Connection, None] = {}  # connections with queued output
-        self.failed_writes: list[tuple[Connection, str]] = []  # each with the reason
+        self.failed_writes: list[tuple[Connection, str]] = []  # connections, each with the reason
         # Connections for which no connect could be started.
         self.failed_opens: list[inputs.ServerConnectionLost | inputs.WatchFailed] = []
         self.last_number = 0  # last number of a connection or a timer
--- a/kelpcroft/operator_file/check.py
+++ b/kelpcroft/operator_file/check.py
@@ -106,7 +106,7 @@
 
 
 def check_steps(file: OperatorFile, settings: api.Settings) -> Steps[list[Diagnostic]]:
-    """Do the work of ``check`` in steps of about a millisecond; one with many subtractions takes longer."""
+    """Do the work of ``check`` in steps of about a millisecond; steps with many subtractions take longer."""
     diagnostics = DiagnosticCollector()
     with suppress(TooManyDiagnostics):
         check_start(file, settings, diagnostics)
--- a/kelpcroft/routes/index.py
+++ b/kelpcroft/routes/index.py
@@ -47,7 +47,7 @@
 
     def __init__(self, routes: Sequence[PlacedRoute]) -> None:
         self.group_starts = group_run_starts(routes)  # starts of the runs of groups with the same routes
-        self.routes_by_part: list[RoutesByPart] = []  # for each run of groups
+        self.routes_by_part: list[RoutesByPart] = []  # one mapping of parts for each run of groups
         routes_by_places: dict[tuple[int, ...], RoutesByPart] = {}
         for group in self.group_starts:
             group_routes = [
--- a/tests/routes/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -107,7 +107,7 @@
     def test_never_overdrawn(
         self, ratio: float, min_per_s: float, burst: float, steps: list[tuple[int, bool]]
     ) -> None:
-        """Also with a clock that stands still or goes back."""
+        """A budget is never overdrawn, even if the clock stands still or goes back."""
         budget, now, latest, request_count = (
             RetryBudget(BudgetSettings("b", ratio, min_per_s, burst), 0),
             0,
--- a/tests/routes/test_routes_rules.py
+++ b/tests/routes/test_routes_rules.py
@@ -1,6 +1,6 @@
-"""The limits of a file hold on every schedule: reducer and decision package in virtual time.
+"""The limits of an operator's file hold for every request, whatever the servers do.
 
-The servers fail in random ways.
+The reducer and the decision package run in virtual time, and the servers fail in random ways.
 """
 
 from __future__ import annotations
