--- a/kelpcroft/cli/control_replica.py
+++ b/kelpcroft/cli/control_replica.py
@@ -22,7 +22,7 @@
 EXIT_NO_ADDRESS = 2
 
 HELP = """\
-Follow the list service, or another replica, as FILE says, and serve the list of servers and the purges
+Follow the list service or another replica, as FILE states, and serve the list of servers and the purges
 to routers in the same form.  CONFIG is the configuration of any of the routers: it sets how long purges
 are retained.
 
@@ -103,12 +103,12 @@
         return EXIT_NO_ADDRESS
     with listener:
         clock = Clock()
-        events = EventLog(name, log_format=log_format)
+        event_log = EventLog(name, log_format=log_format)
         address = listening_address(listener)
         text = f"{name} listens on {address}"
-        events.write(clock.now(), LogEvent("replica.listens", text, "info", {"at": address}))
+        event_log.write(clock.now(), LogEvent("replica.listens", text, "info", {"at": address}))
         replica = ControlReplica(replica_options(file, purge_lifetime_ns), clock.now() ^ os.getpid())
-        ControlReplicaServer(replica, listener, clock, events).run(signals)
+        ControlReplicaServer(replica, listener, clock, event_log).run(signals)
     return EXIT_STOPPED
 
 
--- a/kelpcroft/net/client_codec.py
+++ b/kelpcroft/net/client_codec.py
@@ -25,14 +25,14 @@
 MAX_BODY_BYTES: Final = 48_000  # size of a request's body
 MAX_FIELDS: Final = 64  # number of fields in a request
 MAX_FIELD_BYTES: Final = 1_024  # length of a field, and of any other string in a message
-MAX_OPEN_REQUESTS_PER_CLIENT: Final = 32  # requests that a client may have open on one connection
+MAX_REQUESTS_PER_READ: Final = 32  # requests without a cancel in the bytes of one read
 MAX_REQUESTS_PER_CANCEL: Final = 1_024  # requests that one message may cancel
 MAX_PART_NUMBER: Final = 9_999  # largest part number that a request may name
 MAX_GROUP_NUMBER: Final = 255  # largest group number that a request may name
 MAX_REMAINING_TIME_MS: Final = 60_000  # longest remaining time that a request may name
 MAX_SIZE_KB: Final = 1e9  # a part's size over this is ignored
 MAX_IDEMPOTENCY_KEY_CHARS: Final = 128  # length of an idempotency key
-MAX_COUNT_DIGITS: Final = 12  # digits of a field with a number
+MAX_COUNT_DIGITS: Final = 12  # length of a numeric field
 MAX_SIZE_CHARS: Final = 32  # length of the field with a part's size; a longer one is ignored
 IDENTIFIER_CHARS: Final = 16  # length of the ids of objects, traces and copies: 64 bits as hex digits
 UNPACKER_BUFFER_BYTES: Final = 4_096  # initial size of the unpacker's buffer
@@ -121,7 +121,7 @@
         return messages
 
     def _decode_messages(self) -> list[ClientMessage]:
-        """Returns all complete messages; together they may open ``MAX_OPEN_REQUESTS_PER_CLIENT`` requests."""
+        """Returns all complete messages; together they may open ``MAX_REQUESTS_PER_READ`` requests."""
         messages: list[ClientMessage] = []
         open_requests: set[int] = set()  # requests in these bytes, none of which has a response yet
         for raw in self.unpacker:
@@ -132,8 +132,8 @@
                     open_requests.discard(message.request_number)
                     continue
                 open_requests.add(message.request_number)
-                if len(open_requests) > MAX_OPEN_REQUESTS_PER_CLIENT:
-                    raise ClientProtocolError(f"more than {MAX_OPEN_REQUESTS_PER_CLIENT} requests at once")
+                if len(open_requests) > MAX_REQUESTS_PER_READ:
+                    raise ClientProtocolError(f"more than {MAX_REQUESTS_PER_READ} requests at once")
         return messages
 
     def has_partial_message(self) -> bool:
--- a/kelpcroft/net/transport.py
+++ b/kelpcroft/net/transport.py
@@ -114,7 +114,7 @@
         """Called after a write that leaves no stored output, even if nothing was queued."""
 
     def interest_of(self, connection: C) -> int:
-        """The events to watch on a connection: input, and room for output if any is stored."""
+        """Returns the events to watch on a connection: input, and writability if output is stored."""
         return READABLE | WRITABLE if connection.write_buffer.stored_bytes() else READABLE
 
     def connection_failed(self, connection: C, reason: str, is_unreachable: bool = False) -> None:
@@ -150,10 +150,10 @@
         self.selector = selectors.DefaultSelector()
         # Buffers of output that is not sent yet.
         self.pool = BufferPool(config.memory_mb * 1024 * 1024 // POOL_MEMORY_DIVISOR // BUFFER_BYTES)
-        self.read_buffer = bytearray(BUFFER_BYTES)  # for the input of one connection at a time
+        self.read_buffer = bytearray(BUFFER_BYTES)  # holds the input of one connection at a time
         self.effect_handlers: dict[type, Callable[[Any], None]] = {}  # by the exact type of the effect
         self.pending_writes: dict[Connection, None] = {}  # connections with queued output
-        self.failed_writes: list[tuple[Connection, str]] = []  # each with the reason
+        self.failed_writes: list[tuple[Connection, str]] = []  # connections, each with the reason
         # Connections for which no connect could be started.
         self.failed_opens: list[inputs.ServerConnectionLost | inputs.WatchFailed] = []
         self.last_number = 0  # last number of a connection or a timer
@@ -212,8 +212,8 @@
         connection.write_buffer.add(chunks)
         self.pending_writes[connection] = None
 
-    def writable(self, connection: Connection) -> None:
-        """Handles a connection that is reported writable: a connect has finished, or there is room."""
+    def handle_writable(self, connection: Connection) -> None:
+        """Handles a connection reported as writable: a connect has finished, or there is room for output."""
         if not connection.is_connected:
             error_number = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if error_number:
