--- a/kelpcroft/core/attempt_completion.py
+++ b/kelpcroft/core/attempt_completion.py
@@ -106,7 +106,7 @@
             self.record_not_executed(attempt)
 
     def record_not_executed(self, attempt: Attempt) -> None:
-        """Record that an attempt was certainly not executed: it does not bind its idempotency key."""
+        """Record that an attempt was certainly not executed, and delete its record of the key."""
         message = attempt.request.message
         if message.idempotency_key:
             self.state.idempotency_keys.record_not_executed(
--- a/kelpcroft/core/attempt_sending.py
+++ b/kelpcroft/core/attempt_sending.py
@@ -45,7 +45,7 @@
         state = self.state
         request = state.requests.get(int(action.id))
         if request is None or not check_invariant(
-            not request.has_final_response, "no attempt behind the final answer"
+            not request.has_final_response, "no attempt after the final response"
         ):
             return
         index = request.attempts_made
@@ -140,7 +140,8 @@
         """Send an attempt with the rest of its timeout."""
         state, forward = self.state, attempt.forward
         if attempt.request.has_final_response:
-            # The client has left or has its response, so an attempt that waited for a connection is not sent.
+            # The client has its response or no longer waits, so the attempt, which waited for its connection,
+            # is not sent.
             self.completion.finish(attempt, Outcome.MOOT)
             return
         if not self.bind_idempotency_key(attempt):
--- a/kelpcroft/core/attempts.py
+++ b/kelpcroft/core/attempts.py
@@ -139,8 +139,8 @@
         """Whether a server that refused a connection is only at its connection limit.
 
         A server that responded on another connection within RECENT_RESPONSE_NS is running.  The waiting
-        attempts are sent on the other connections; for those that cannot be, the decision package chooses
-        again.
+        attempts are sent on the other connections; for those that cannot be, the decision package selects
+        servers again.
         """
         if connection.is_connected:
             return False
@@ -234,8 +234,8 @@
     def cancel_matching(self, is_invalid: Callable[[Attempt], bool]) -> None:
         """End the attempts that wait for a connection and that an update has made invalid (rules 3 and 5).
 
-        They were chosen before the update, and would be sent up to a connect timeout after it.  The decision
-        package chooses again.
+        Their servers were selected before the update, and they would be sent up to a connect timeout after
+        it.  The decision package selects servers again.
         """
         invalid = [a for a in self.state.attempts.values() if not a.is_sent and is_invalid(a)]
         for attempt in invalid:
@@ -244,7 +244,9 @@
     def back_off(self, action: api.BackOff) -> None:
         """Start a request's back-off; the next attempt is charged to the route's retry budget now."""
         request = self.state.requests.get(int(action.id))
-        if request is None or not check_invariant(not request.is_backing_off, "a request waits once"):
+        if request is None or not check_invariant(
+            not request.is_backing_off, "a request has at most one back-off"
+        ):
             return
         request.is_backing_off = True
         if request.allowance is not None:
--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -198,8 +198,8 @@
         return prior_execution is not None
 
     def finish(self, request: OpenRequest, response: FinalResponse | None) -> None:
-        """End a request: send its final response, or none (``response`` is None) if its client left."""
-        if not check_invariant(not request.has_final_response, "one final answer for each request"):
+        """End a request: send its final response, or none (None) if its client no longer waits."""
+        if not check_invariant(not request.has_final_response, "one final response for each request"):
             return
         state = self.state
         request.has_final_response = True
--- a/kelpcroft/core/clients.py
+++ b/kelpcroft/core/clients.py
@@ -63,7 +63,8 @@
     def end_request(self, request: OpenRequest) -> None:
         """End a request that its client no longer waits for.
 
-        No further attempt begins for it, even where the settings forbid cancelling attempts in flight.
+        No further attempt is sent for it, even if the settings do not allow attempts in flight to be
+        cancelled.
         """
         self.requests.finish_without_response(request)
         self.attempts.end_unsent(request)
--- a/kelpcroft/core/config_reload.py
+++ b/kelpcroft/core/config_reload.py
@@ -45,7 +45,7 @@
         self.transition_number = 0  # number of transitions begun: only the timer of the last one is valid
 
     def on_file_read(self, read: ConfigFileRead) -> None:
-        """Apply a configuration file that was read again, or nothing of it where it has an error."""
+        """Apply a configuration file that was read again; if it has an error, no part of it is applied."""
         checked, diagnostics = self.check(read)
         if checked is None:
             self.log_not_applied(read.path, diagnostics)
@@ -53,7 +53,7 @@
             self.apply(read.path, checked)
 
     def check(self, read: ConfigFileRead) -> tuple[CheckedConfig | None, list[config_reload.Diagnostic]]:
-        """Decode and check a file; returns None and its diagnostics where it has errors."""
+        """Decode and check a file; returns None and its diagnostics if it has errors."""
         if read.data is None:
             return None, [config_reload.Diagnostic("", read.reason, "must be a readable file")]
         raw, diagnostics = config_reload.decode_config(read.data)
--- a/kelpcroft/core/connection_pool.py
+++ b/kelpcroft/core/connection_pool.py
@@ -1,4 +1,7 @@
-"""The reducer's table of connections to servers, with the attempts that each one carries.  Pure."""
+"""The reducer's table of connections to servers, with the attempts that each one carries.
+
+The module is pure: the current time is an argument.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +11,8 @@
 from kelpcroft.decision.statistics import mix64
 
 ATTEMPTS_BEFORE_NEW_CONNECTION = 8  # attempts on one connection before another connection is opened
-# Attempts that share connections open no more than this; the open ones then carry more.  It is not a hard
-# bound: an attempt that needs a connection of its own, or finds no room on these, may still open one.
+# Once a server has this many connections, attempts share them instead of opening another.  It is not a hard
+# limit: an attempt that needs a connection of its own, or finds no room on the open ones, may still open one.
 MAX_CONNECTIONS_PER_SERVER = 8
 # Back-off after a server at its connection limit refuses a connection.  It doubles with each consecutive
 # refusal, with a random jitter of plus or minus half.
--- a/kelpcroft/core/control_requests.py
+++ b/kelpcroft/core/control_requests.py
@@ -40,7 +40,7 @@
     def drain(self) -> None:
         """Go out of service: close each client's connection once no response is pending on it.
 
-        The request has no effect where the process is not in service.  A drained process completes its open
+        The request has no effect if the process is not in service.  A drained process completes its open
         requests and keeps running, so that it can be returned to service.
         """
         state = self.state
@@ -56,7 +56,7 @@
         state.effects += [DrainClients(True), PersistServiceState(False, state.now)]
 
     def resume(self) -> None:
-        """Accept clients again; no effect where the process is in service or shuts down."""
+        """Accept clients again; no effect if the process is in service or shuts down."""
         state = self.state
         out_since_ns = self.process.service_state.since_ns
         if not self.process.service_state.resume(state.now):
--- a/kelpcroft/core/decision_loop.py
+++ b/kelpcroft/core/decision_loop.py
@@ -68,14 +68,14 @@
         """
         if request.has_final_response or request.attempts_in_flight or request.is_backing_off:
             return
-        if not check_invariant(False, "a request is tried or answered"):
+        if not check_invariant(False, "an open request has an attempt or a back-off"):
             message = request.message
             self.requests.finish(request, FailRequest(message.client, message.request_number))
 
     def with_retry_budget(self, event: api.AttemptEnded) -> api.AttemptEnded:
         """Return the end of an attempt, updated with what the route's retry budget allows now.
 
-        Where many attempts end at once, as on a lost connection, the retries of the earlier ones have already
+        If many attempts end at once, as on a lost connection, the retries of the earlier ones have already
         used some of the budget.
         """
         request = self.state.requests.get(int(event.id))
--- a/kelpcroft/core/descriptors.py
+++ b/kelpcroft/core/descriptors.py
@@ -1,7 +1,8 @@
-"""Division of the process's descriptors among the kinds of connections, each with a share of its own.  Pure.
+"""Division of the process's descriptors among the kinds of connections.
 
-Even if idle clients use up their share while the list service is down, connections to the feed, to servers
-and from control clients must still be possible.  The shares add up to no more than the available descriptors.
+The module is pure.  Each kind of connection has a share of its own: even if idle clients use up their share
+while the list service is down, connections to the feed, to servers and from control clients must still be
+possible.  The shares add up to no more than the available descriptors.
 """
 
 from __future__ import annotations
--- a/kelpcroft/core/effects.py
+++ b/kelpcroft/core/effects.py
@@ -31,7 +31,7 @@
 
 @message
 class FailRequest:
-    """Final response: failed; nothing is promised about the effect of a retry."""
+    """Final response: failed; a retry may execute the request a second time."""
 
     client: int
     request_number: int
@@ -39,7 +39,7 @@
 
 @message
 class SendHealth:
-    """Response to HealthRequest."""
+    """Response to a HealthRequest."""
 
     client: int
     request_number: int
@@ -56,7 +56,7 @@
 
 @message
 class DrainClients:
-    """Start or stop a drain: close each client once it awaits no response and no message is half read."""
+    """Start or stop a drain: close each client once no response and no partly read message is pending."""
 
     is_enabled: bool
 
--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -20,8 +20,8 @@
     Attributes:
         position: The last event that was applied, and the watch on the feed.
         has_endpoint_list: A snapshot or an update has been applied.
-        chunked_response_events: Number of events received of a watch response that arrives in chunks; 0 where
-            no such response is arriving.
+        chunked_response_events: Number of events received of a watch response that arrives in chunks; 0 if no
+            such response is arriving.
         skipped_purges: Number of purges of that response that were skipped as too old.
     """
 
@@ -154,7 +154,7 @@
         self.state.log("feed.refused", f"feed: not applied: {reason}", "warning", {"why": reason})
 
     def trace_list(self, update: EndpointUpdate) -> None:
-        """Log the step ``list`` of the trace."""
+        """Trace the step ``list``: an update of the endpoint list is applied."""
         self.state.trace(
             "list",
             whole=update.is_snapshot,
--- a/kelpcroft/core/feed_position.py
+++ b/kelpcroft/core/feed_position.py
@@ -24,7 +24,7 @@
     Attributes:
         view: The last record of each server, and the number of the last event.
         schedule: Delays of the watch requests.
-        subscription: To control replicas, where they are watched instead of the configuration's feed.
+        subscription: The subscription to control replicas; None if the configuration's feed is watched.
         requested_ns: When the last watch request was sent, except those after a process stall.
         requested_from_event: The last applied event at that time.
         requires_immediate_response: The last watch request followed a stall and does not wait for events.
@@ -45,7 +45,7 @@
         return self.view.last_event_number
 
     def schedule_watch_request(self, wait_ns: int) -> None:
-        """Send the next watch request after a delay, or immediately where the delay is 0."""
+        """Send the next watch request after a delay, or immediately if the delay is 0."""
         if wait_ns > 0:
             self.state.schedule(wait_ns, TimerKind.POLL_FEED)
         else:
--- a/kelpcroft/core/feed_watch.py
+++ b/kelpcroft/core/feed_watch.py
@@ -36,8 +36,8 @@
 
         Args:
             options: The start options of the operator's file.
-            crash_loop_delay_ns: Added to the delay of the first watch request after repeated restarts, where
-                the file sets a budget of requests.
+            crash_loop_delay_ns: Added to the delay of the first watch request after repeated restarts, if the
+                file sets a budget of requests.
             replicas: The control replicas of the operator's file; None = none are named.
         """
         config = self.state.config
@@ -59,7 +59,7 @@
         self.position.schedule.set_budget(self.state.settings.instances, options.list_requests_per_s)
 
     def watch_replicas(self, replicas: ControlReplicas | None) -> None:
-        """Watch control replicas from now on, or the configuration's feed where none are named.
+        """Watch control replicas from now on, or the configuration's feed if none are named.
 
         The event numbers of the configured feed and of the replicas cannot be compared, so a switch between
         them requests a snapshot.
--- a/kelpcroft/core/idempotency_keys.py
+++ b/kelpcroft/core/idempotency_keys.py
@@ -1,4 +1,6 @@
-"""Idempotency keys that may have been executed, each with the place and time.  Pure: the time is an argument.
+"""Idempotency keys whose requests may have been executed, each with the place and time.
+
+The module is pure: the current time is an argument.
 
 A client's retry is a new request with the key of the first request.  The servers of one deduplication scope
 drop repeats of a key during the deduplication window, which is counted from the first send that may have been
--- a/kelpcroft/core/inputs.py
+++ b/kelpcroft/core/inputs.py
@@ -111,9 +111,9 @@
         connection: Number of the connection.
         reason: For the log.
         is_unreachable: The connection could not be established, because no server accepts connections at the
-            address or because the connect timeout expired.  False where a device on the network path resets a
-            connection, or where the router closes one because it cannot decode a response: these are no
-            evidence against the server.
+            address or because the connect timeout expired.  False if a device on the network path resets a
+            connection, or if the router closes one because it cannot decode a response: these are no evidence
+            against the server.
         unsent_attempt_ids: Ids of attempts that were not written completely, so that they never ran.
     """
 
@@ -197,7 +197,7 @@
 
 @message
 class Purge:
-    """An object was purged at the origin, or all of a group where ``object_number`` is None."""
+    """An object was purged at the origin, or all objects of a group if ``object_number`` is None."""
 
     object_number: int | None
     group: int
@@ -283,10 +283,10 @@
     """The service state that the router's predecessor process recorded in its file.
 
     Attributes:
-        is_in_service: None where no file was found or it could not be used.
+        is_in_service: None if no file was found or it could not be used.
         since_ns: When the predecessor went in or out of service.
-        reason: Why the file could not be used; "" where no file was found.
-        ended_at_ns: When the predecessor ended; 0 where it has not recorded its end.
+        reason: Why the file could not be used; "" if no file was found.
+        ended_at_ns: When the predecessor ended; 0 if it has not recorded its end.
     """
 
     is_in_service: bool | None
@@ -319,7 +319,7 @@
 class ConfigFileRead:
     """The configuration file was read again (SIGHUP).
 
-    ``data`` is the file's bytes, or None where it could not be read; ``reason`` is then the error.
+    ``data`` is the file's bytes, or None if it could not be read; ``reason`` is then the error.
     """
 
     path: str
@@ -332,7 +332,7 @@
     """The operator's file was read.
 
     Attributes:
-        file: The parsed file; None where it has errors and must not be used.
+        file: The parsed file; None if it has errors and must not be used.
         first_error: The first error in the file.
         error_count: Number of errors.
         digest: Digest of the file's bytes.
--- a/kelpcroft/core/messages.py
+++ b/kelpcroft/core/messages.py
@@ -43,7 +43,7 @@
     Attributes:
         kind: Purpose of the timer.
         number: Number of a request, an attempt, a connection, a shutdown step, a settings transition or a
-            timer of the decision package; 0 where only one timer of the kind exists.
+            timer of the decision package; 0 if only one timer of the kind exists.
         detail: For a hedge, the number of attempts made when it was scheduled; otherwise 0.
     """
 
--- a/kelpcroft/core/process_status.py
+++ b/kelpcroft/core/process_status.py
@@ -12,7 +12,7 @@
     Attributes:
         service_state: In service, drained by an operator, or shutting down.
         identity: Digest of the program and the process's own name; empty until SetStateEndpoint requests it.
-        operator_file_digest: Digest of the operator's file in use; "" where there is none.
+        operator_file_digest: Digest of the operator's file in use; "" if there is none.
         started_ns: When the process started.
         is_listening: Clients can connect.
         clients: Numbers of the open client connections.
@@ -32,7 +32,7 @@
         return self.service_state.mode is ServiceMode.ENDING
 
     def not_ready_reason(self, has_endpoint_list: bool) -> str:
-        """Why the process is not ready for clients now, or "" where it is ready.
+        """Why the process is not ready for clients now, or "" if it is ready.
 
         The texts are on the wire of the control address.
         """
--- a/kelpcroft/core/reducer.py
+++ b/kelpcroft/core/reducer.py
@@ -121,7 +121,7 @@
         Args:
             now: Unix time in ns.
             options: The start options of the operator's file.
-            crash_loop_delay_ns: Added to the delay of the first watch request where the router restarts
+            crash_loop_delay_ns: Added to the delay of the first watch request if the router restarts
                 repeatedly.
             replicas: The control replicas of the operator's file; None = none are named.
 
@@ -158,7 +158,7 @@
         return self.state.effects
 
     def on_server_connected(self, message: inputs.ServerConnected) -> None:
-        """A connection to a server is established."""
+        """Handle an established connection to a server."""
         self.attempts.on_connected(message.connection)
 
     def on_partial_response(self, message: inputs.PartialResponse) -> None:
@@ -168,7 +168,7 @@
             connection.has_partial_response = message.is_incomplete
 
     def on_listeners_ready(self, _message: inputs.ListenersReady) -> None:
-        """Clients can connect."""
+        """Record that clients can connect."""
         self.process.is_listening = True
         self.restart_overlap.on_serving(self.state.now)
 
--- a/kelpcroft/core/replica_feed.py
+++ b/kelpcroft/core/replica_feed.py
@@ -79,7 +79,7 @@
     def is_requesting_in_a_loop(self, response: WatchResponse) -> bool:
         """Whether too many early responses without events arrived in a row.
 
-        A replica in good order waits for events before it responds.
+        A healthy replica waits for events before it responds.
         """
         if self.position.is_early_empty_response(response, bool(response.events)):
             self.empty_responses += 1
--- a/kelpcroft/core/request_statistics.py
+++ b/kelpcroft/core/request_statistics.py
@@ -1,7 +1,7 @@
-"""Results of requests by class since the start of this process, for the comparison of routers.  Pure.
+"""Results of requests by class since the start of this process, for the comparison of routers.
 
-The statistics are kept only if the operator's file enables them (``control state=#true``).  Their size is
-bounded: classes beyond MAX_CLASSES are counted together.
+The module is pure.  The statistics are kept only if the operator's file enables them (``control
+state=#true``).  Their size is bounded: classes beyond MAX_CLASSES are counted together.
 """
 
 from __future__ import annotations
--- a/kelpcroft/core/service_state.py
+++ b/kelpcroft/core/service_state.py
@@ -6,8 +6,8 @@
 same way.  The process immediately reports that it is not ready, and closes each client's connection once no
 response is pending on it (the event loop closes it, on the reducer's DrainClients effect).  A client whose
 request crosses such a close sends the request again to another router.  Requests that arrive on a connection
-that is still busy are served for a grace period and rejected after it.  So no connection holds a new request
-by the time the platform counts them: 4 s after a drain, or at the SIGKILL that ends a shutdown.
+that is still busy are served for a grace period and rejected after it.  So no new request is open when the
+platform counts them, 4 s after a drain or at the SIGKILL that ends a shutdown.
 
 A drained process never exits.  A process that is shutting down exits once no request is open; on a shared
 listening socket it also waits until no client is connected, for MAX_SHUTDOWN_WAIT_NS at most.
@@ -52,7 +52,7 @@
     was_drained: bool = False
 
     def drain(self, now: int) -> bool:
-        """Go out of service; returns False where the process is not in service."""
+        """Go out of service; returns False if the process is not in service."""
         if self.mode is not ServiceMode.IN_SERVICE:
             return False
         self.mode = ServiceMode.OUT_OF_SERVICE
@@ -60,7 +60,7 @@
         return True
 
     def resume(self, now: int) -> bool:
-        """Go in service again; returns False where the process is in service or shuts down.
+        """Go in service again; returns False if the process is in service or shuts down.
 
         A shutdown cannot be undone.
         """
@@ -71,7 +71,7 @@
         return True
 
     def begin_shutdown(self, now: int) -> bool:
-        """Begin the shutdown (SIGTERM); returns False where it began before."""
+        """Begin the shutdown (SIGTERM); returns False if it began before."""
         if self.mode is ServiceMode.ENDING:
             return False
         self.was_drained = self.mode is ServiceMode.OUT_OF_SERVICE
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -72,7 +72,7 @@
         attempts_in_flight: Number of attempts that have not ended.
         may_have_executed: The attempt that ended last may have run.
         is_backing_off: The request waits for its next attempt, which is already charged to its budget.
-        time_allowed_ns: Time from the acceptance of the request to its deadline.
+        time_allowed_ns: Time from the admission of the request to its deadline.
     """
 
     id: str
@@ -100,7 +100,7 @@
 class State:
     """The reducer's tables, each of bounded size.
 
-    Requests are bounded by ``settings.limits.max_open``, where it is set, and by MAX_OPEN_REQUESTS_PER_CLIENT
+    Requests are bounded by ``settings.limits.max_open``, if it is set, and by MAX_OPEN_REQUESTS_PER_CLIENT
     for each client; connections to servers by the file descriptors; idempotency keys by MAX_KEYS.
     """
 
@@ -138,7 +138,7 @@
         self.counters: Counter[str] = Counter()
         self.effects: list[Effect] = []
         self.events: deque[api.Event] = deque()  # events of the current input for the decision package
-        self.requests_to_check: list[OpenRequest] = []  # accepted, or with an attempt ended, in this input
+        self.requests_to_check: list[OpenRequest] = []  # admitted, or with an ended attempt, in this input
         self.now = 0  # time of the current input
         self.is_tracing = config.is_tracing  # ROUTER_TRACE=1: each step of a request is logged
 
@@ -169,7 +169,7 @@
         """Report this process's share of the router's budgets for cold servers to the decision package.
 
         The report also says whether the origin's concurrency limit allows one more fetch.  It is sent only
-        where one of the two values has changed.
+        if one of the two values has changed.
         """
         origin_available = self.origin_limit is None or self.origin_limit.has_capacity()
         if (share, origin_available) != (self.cold_budget_share, self.origin_available):
@@ -180,7 +180,7 @@
     def expected_transfer_ns(self, request_class: str, size_kb: float) -> float:
         """How long the transfer of a response's bytes takes, without the server's processing time.
 
-        It is computed from the size where that is known, otherwise it is the mean of the class.
+        It is computed from the size if that is known, otherwise it is the mean of the class.
         """
         pace_kb_per_s = self.settings.max_transfer_kb_per_s
         if size_kb and pace_kb_per_s:
--- a/kelpcroft/core/timers.py
+++ b/kelpcroft/core/timers.py
@@ -52,7 +52,7 @@
         }
 
     def on_fired(self, fired: TimerFired) -> None:
-        """A scheduled timer has expired."""
+        """Pass an expired timer to its handler."""
         kind, number, detail = fired.key
         handler = self.numbered_handlers.get(kind)
         if handler is not None:
--- a/kelpcroft/decision/actions.py
+++ b/kelpcroft/decision/actions.py
@@ -89,7 +89,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Probes a server."""
+    """Requests a health check of a server; a ``ProbeFinished`` event reports its end.
+
+    A probe and a health check are the same thing: the settings and the simulator's wire call it a probe.
+    """
 
     server: str
 
--- a/kelpcroft/decision/admission.py
+++ b/kelpcroft/decision/admission.py
@@ -287,7 +287,10 @@
         self.actual_fill_share = max(FILL_SHARE_GAIN, self.actual_fill_share + change)
 
     def withdraw_offered_work(self, request: InFlightRequest) -> None:
-        """Subtract the work not done for a client that disconnected: bursts may be cancelled immediately."""
+        """Subtract the remaining work of a request whose client disconnected from the offered work.
+
+        A client may cancel a burst of requests immediately, and the offered work must not include them.
+        """
         now_ns = self.state.now_ns
         remaining_work_ns = self.latency_model.expected_transfer_ns(request) - (now_ns - request.start_ns)
         if remaining_work_ns <= 0 or request.request_class.uncacheable:
--- a/kelpcroft/decision/attempt_feedback.py
+++ b/kelpcroft/decision/attempt_feedback.py
@@ -80,7 +80,8 @@
             or event.fill_result in (FillResult.SOURCE_BROKE, FillResult.SOURCE_REFUSED)
             or (filling_endpoint is attempt.endpoint and event.outcome in (Outcome.ERROR, Outcome.FULL))
         ):
-            # A failed fill costs as much as a late response, however fast the failure is.
+            # A failed fill counts as one whose time to first byte is the latency objective, even if it failed
+            # sooner.
             filling_endpoint.record_first_byte(
                 self.state.now_ns, self.latency_model.latency_objective_ns(request)
             )
@@ -177,7 +178,10 @@
         return self.state.now_ns - attempt.sent_ns > self.latency_model.expected_latency_ns(request)
 
     def record_load_report(self, endpoint: Endpoint, report: dict[str, float]) -> None:
-        """Record a cache's load report, which covers all routers; one router's own responses are too few.
+        """Record a cache's load report.
+
+        The report covers the requests of all routers.  The responses to one router are too few to estimate a
+        cache's load.
 
         Args:
             endpoint: The cache.
--- a/kelpcroft/decision/endpoint.py
+++ b/kelpcroft/decision/endpoint.py
@@ -107,9 +107,10 @@
         self.started_ns = at_ns
 
     def spare_capacity(self, now_ns: int) -> float:
-        """Return the transfer time per unit of time that this router may use up to ``MAX_COLD_UTILIZATION``.
+        """Return this router's work per unit of time at which the server reaches ``MAX_COLD_UTILIZATION``.
 
-        It is derived from the work that the server has recently completed and the utilization it reported.
+        Work is measured as transfer time.  The result is derived from the work that the server has recently
+        completed and the utilization it reported.
         """
         completed = self.work_completed.value_at(now_ns)
         return (
--- a/kelpcroft/decision/events.py
+++ b/kelpcroft/decision/events.py
@@ -247,7 +247,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeFinished:
-    """The end of a probe."""
+    """The end of the health check that a ``Probe`` action requested."""
 
     server: str
     outcome: Outcome
--- a/kelpcroft/decision/forwarding.py
+++ b/kelpcroft/decision/forwarding.py
@@ -15,8 +15,8 @@
 from kelpcroft.decision.route_selection import Route, RouteSelection
 from kelpcroft.decision.router_state import RouterState
 
-REUSED_REQUEST_COUNT: Final = 1.5  # recent requests of an object from which its copy is kept longer
-HOT_REQUEST_COUNT: Final = 4.0  # recent requests of an object from which its copy is kept longest
+REUSED_REQUEST_COUNT: Final = 1.5  # number of recent requests at which an object's copy is kept longer
+HOT_REQUEST_COUNT: Final = 4.0  # number of recent requests at which an object's copy is kept longest
 
 
 class Forwarding:
--- a/kelpcroft/decision/policy.py
+++ b/kelpcroft/decision/policy.py
@@ -1,4 +1,4 @@
-"""Entry point of the decision package: passes each event to the modules it concerns, returns their actions.
+"""Entry point of the decision package: passes each event to the modules that it concerns.
 
 The types of events and actions are listed in kelpcroft/decision/interface.py.
 
--- a/kelpcroft/decision/settings.py
+++ b/kelpcroft/decision/settings.py
@@ -74,7 +74,7 @@
 
     Attributes:
         may_cancel: Attempts in flight may be cancelled.
-        may_probe: Servers may be probed.
+        may_probe: Health checks may be sent to servers.
         may_message_peers: Routers may send each other messages.
         may_hedge: Two attempts of one request may be in flight at the same time.
         may_send_retry_after: A rejection may state when the client should retry.
--- a/kelpcroft/decision/slow_start.py
+++ b/kelpcroft/decision/slow_start.py
@@ -18,7 +18,7 @@
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.statistics import mix64
 
-# Share of the work that would collapse a server which all routers together may send to it; the rest is a
+# All routers together may send a server this share of the work under which it would collapse.  The rest is a
 # margin, because the routers' estimates of that work differ
 MAX_COLLAPSE_BUDGET_SHARE: Final = 0.6
 # Capacity assumed for a server without a weight, as a share of this router's load on the server's peers:
--- a/kelpcroft/decision/statistics.py
+++ b/kelpcroft/decision/statistics.py
@@ -81,7 +81,7 @@
     """The sum of the samples within a window that ends now.
 
     The sum is updated incrementally: adding up the window for each request of a zone with a cold cache used
-    all the CPU time of a busy router.  The memory used is that of the window's samples.
+    all the CPU time of a busy router.  Memory use is proportional to the number of samples in the window.
     """
 
     def __init__(self) -> None:
@@ -89,7 +89,7 @@
         self.total = 0.0
 
     def add(self, now_ns: int, amount: float) -> None:
-        """Add an amount at a time that never runs back."""
+        """Add an amount at a time, which must never decrease."""
         self.samples.append((now_ns, amount))
         self.total += amount
 
@@ -111,7 +111,7 @@
         self.updated_ns = 0
 
     def add(self, now_ns: int, amount: float) -> None:
-        """Add an amount at a time that never runs back."""
+        """Add an amount at a time, which must never decrease."""
         self.total = self.value_at(now_ns) + amount
         self.updated_ns = now_ns
 
--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptor exhaustion: the router keeps running, and idle clients are closed in favour of active ones."""
+"""Descriptor exhaustion: the router keeps running, and closes idle clients to accept and serve others."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 class Shares(unittest.TestCase):
     def test_shares_leave_descriptors_for_the_process(self) -> None:
-        """Control clients had no share: with all other kinds at their limits they exceeded the total."""
+        """Control clients had no share: with all other kinds at their limits the total was exceeded."""
         for descriptors in range(MIN_DESCRIPTORS, 5_000):
             shares = allocate_descriptors(descriptors)
             kinds = (shares.clients, shares.draining_clients, shares.control_clients, shares.servers)
             assert all(kind > 0 for kind in kinds), (descriptors, shares)
             assert sum(kinds) < descriptors, "some descriptors are left for the process itself"
             assert shares.clients >= descriptors // 3, (
-                "the platform promises that clients hold at most a third"
+                "the platform promises only that clients use no more than a third of the descriptors"
             )
 
     def test_a_lower_system_limit_applies(self) -> None:
@@ -110,7 +110,7 @@
         t.run_until(t.accept_from_router("feed").read, "a watch request is sent")
 
     def test_a_listener_that_cannot_accept_is_paused(self) -> None:
-        """The listener was ready in every iteration: the loop spun and logged a line each time."""
+        """The listener was ready in every iteration, and the loop logged a line each time without a pause."""
         t = LoopHarness(self)
         clients = [t.client()]
         clients[0].send(client_request(1))  # no client is idle, so none is closed
--- a/tests/core/test_gone.py
+++ b/tests/core/test_gone.py
@@ -1,4 +1,4 @@
-"""Requests whose client disconnected or cancelled: no first or further attempt is made for them."""
+"""Requests that a client cancelled or whose client disconnected: no attempt is sent for them after that."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 class DisconnectedClients(unittest.TestCase):
     def client_with_attempt(self, t: LoopHarness) -> tuple[Peer, Peer]:
-        """A client whose attempt is in flight, and the cache that received it."""
+        """Returns a client whose attempt is in flight, and the cache that received the attempt."""
         client = t.client()
         client.send(client_request(1))
         cache = t.accept_from_router("cache1")
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys of repeated requests: no repeat outside the deduplication scope or window."""
+"""Idempotency keys of repeated requests: no repeat is sent outside the deduplication scope or window."""
 
 from __future__ import annotations
 
@@ -98,8 +98,8 @@
         return sorted((x.sent_ns, x.server, x.fate) for s in v.records.values() for x in s.attempts)
 
     def test_a_retry_goes_to_the_group_of_the_first_within_its_window(self) -> None:
-        """Requests with the same key were routed independently: a retry was sent to any cache, a second after
-        a cache of another zone or cell may have executed the first request, and also after the window.
+        """Requests with the same key were routed independently: a retry was sent to any cache, a second
+        after a cache of another zone or cell may have executed the first request, and also after the window.
         """
         for group in ("zone", "cell"):
             for seed in range(30):
--- a/tests/core/test_parts.py
+++ b/tests/core/test_parts.py
@@ -1,4 +1,4 @@
-"""Single components: one test for each failure that was found, and for each safeguard against one."""
+"""Components of the core and of the sockets, one at a time: regression tests and tests of safeguards."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
         assert request.remaining_time_ns == 500 * MS
 
     def test_bad_requests_are_not_forwarded(self) -> None:
-        """Servers answer bad requests with an error or a close, which counted against the servers and against
-        other clients' requests.
+        """Servers respond to bad requests with an error or a close, which counted against the servers and
+        against other clients' requests.
         """
         valid = {"trace": TRACE, "patience": "900", "entity": TRACE, "block": "0", "family": "17"}
         invalid = [
@@ -90,8 +90,8 @@
             )
 
     def test_silent_and_idle_clients_are_closed(self) -> None:
-        """Clients that sent one request and stayed connected used up all places: no other client was accepted
-        until they disconnected.
+        """Clients that sent one request and stayed connected used up all client connections: no other client
+        was accepted until they disconnected.
         """
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: NOW))
         self.addCleanup(loop.selector.close)
@@ -110,7 +110,9 @@
         loop.sweep(NOW)
         assert list(loop.clients.open) == [3, 4]
         loop.reducer.handle(NOW, client_request(1, client=3))
-        assert not loop.acceptor.evict_idle_client(), "one has an open request, the other was just active"
+        assert not loop.acceptor.evict_idle_client(), (
+            "one client has an open request, the other was active just now"
+        )
         loop.reducer.handle(NOW, inputs.CancelRequest(3, 1))
         assert loop.acceptor.evict_idle_client()
         assert list(loop.clients.open) == [4]
@@ -120,7 +122,8 @@
 
     def test_requests_are_read_for_a_bounded_time(self) -> None:
         """All clients were read before the feed was read again, so an iteration could exceed the time that
-        the purge rule allows.  Clients left unread keep the time since which their requests may have waited.
+        the purge rule allows.  For each client that was not read, the time since which its requests may have
+        waited is kept.
         """
         ticks = iter(range(NOW, NOW + 10**12, MAX_DISPATCH_NS // 2))
         loop = EventLoop(parse_config(EXAMPLE, {}), Clock(lambda: next(ticks)))
@@ -251,7 +254,7 @@
         )
 
     def test_a_connection_with_slow_fills_is_health_checked_before_it_is_closed(self) -> None:
-        """While the origin was slow, attempts that waited for it gathered on a few connections.  Each
+        """While the origin was slow, attempts that waited for it accumulated on a few connections.  Each
         connection was closed after half a second and all its attempts were sent again, to every cache of the
         zone, for twelve seconds: 352 of 3,533 attempts in one router, with half of all requests served in
         time.
@@ -352,7 +355,7 @@
         assert attempt.max_age_ms == 1
 
     def test_responses_in_any_chunks(self) -> None:
-        """Code compiled by mypyc took the codec's body as absent forever.  Every split of the bytes must
+        """Code compiled by mypyc assumed that the codec's body stays absent.  Every split of the bytes must
         decode to the same responses.
         """
         data = (
@@ -390,8 +393,8 @@
                 assert codec.error != ""
 
     def test_a_body_with_too_large_a_length_is_not_forwarded(self) -> None:
-        """A body with too large a length took four bytes from the start of the next response, and the bytes
-        that it took end as a body does.
+        """A body with too large a length included the first four bytes of the next response, and those bytes
+        end as a body does.
         """
         codec = ServerCodec(1)
         assert (
--- a/tests/core/test_state.py
+++ b/tests/core/test_state.py
@@ -35,7 +35,7 @@
 
 
 def reply_by_object(server: str, command: ServerCommand) -> ScriptedReply:
-    """Reply by object: a response, a late response, an error, or none."""
+    """Selects the response by the object: a response, a late response, an error, or none."""
     item = command.fields["item"][-1]
     return {
         "a": ScriptedReply(body=b"x"),
@@ -46,7 +46,7 @@
 
 class Memory(unittest.TestCase):
     def test_peak_memory_excludes_the_parent_process(self) -> None:
-        """``ru_maxrss`` starts at the peak of the parent process: a large supervisor's would hide a leak."""
+        """``ru_maxrss`` starts at the parent process's peak: a large supervisor's would hide a leak."""
         inner = "from kelpcroft.net.memory import peak_kb; print(peak_kb())"
         outer = (
             "import subprocess, sys\nheld = bytearray(b'x' * 200_000_000)\n"
--- a/tests/decision/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -1,7 +1,7 @@
-"""Limits that take effect on the current load, before any response is late.
+"""Limits that follow the current load, before any response is late.
 
-With late responses as the only signal, which showed overload seconds after the queue had built up, an
-overloaded zone alternated between full links and idle links in both deployments.
+Late responses alone show an overload only seconds after its queue has built up.  With this signal alone, the
+links of an overloaded zone alternated between full and idle in both deployments.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
         p = make_policy()
         sent = burst(p, S, 200, 400.0)
         assert all(sent[: int(CACHE_CAPACITY)]), "requests within capacity are admitted"
-        assert sum(sent) < 5 * CACHE_CAPACITY, "most of a burst of ten times the capacity was admitted"
+        assert sum(sent) < 5 * CACHE_CAPACITY, "most of a burst of ten times the capacity is rejected"
 
     def test_small_requests_are_admitted_when_large_ones_are_not(self) -> None:
         p = make_policy()
@@ -75,8 +75,8 @@
         assert p.admission.all_requests.cache_load.value < 1.0
 
     def test_requests_beyond_the_caches_capacity_go_to_a_parent(self) -> None:
-        """A zone with only two caches left rejected two thirds of its requests for half a minute, while its
-        fill link was used to a third.  Requests must not bypass the caches if the link is full, or if the
+        """A zone with only two caches left rejected two thirds of its requests for half a minute, while a
+        third of its fill link was used.  Requests must not bypass the caches if the link is full, or if the
         deployment does not allow it.
         """
         for direct, link, straight in ((True, 0.4, True), (True, 3.0, False), (False, 0.4, False)):
@@ -94,7 +94,7 @@
                 assert not any(f.server == "o" for f in later)
 
     def test_requests_beyond_the_caches_capacity_never_go_to_the_origin(self) -> None:
-        """While hubs were empty or down, the fleet's excess load went to the origin, beyond its capacity."""
+        """While parents were empty or down, the fleet's excess load overloaded the origin."""
         p = make_policy(allows_cache_bypass=True)
         burst(p, S, 60, 400.0)
         for name in ("p0", "p1"):
@@ -157,7 +157,7 @@
                 bool(forwarded_attempts(send_request(p, S + 600 * MS, f"n{n}", 2_000 + n, size_kb=600.0)))
                 for n in range(10)
             ]
-            assert all(hits) == has_later_hits, "without later hits the caches may be full"
+            assert all(hits) == has_later_hits, "without later hits, the caches themselves may be overloaded"
 
     def test_a_late_fill_is_not_recorded_as_a_late_hit(self) -> None:
         for has_later_hits in (True, False):
@@ -192,7 +192,9 @@
                     sent = p.endpoints[f.server].work_sent.total
                     assert sent <= 1.2 * S, "requests of 0.02 s and of 1.5 s have different costs"
                     assert p.latency_model.expected_transfer_ns(request) < 1.2 * S
-        assert sum(p.endpoints[f"c{n}"].work_sent.total > 0 for n in range(4)) > 2, "small requests go there"
+        assert sum(p.endpoints[f"c{n}"].work_sent.total > 0 for n in range(4)) > 2, (
+            "small requests are sent to the cold caches"
+        )
 
     def test_a_request_larger_than_the_budget_is_sent_alone(self) -> None:
         p = self.cold()
@@ -207,7 +209,7 @@
             and p.endpoints[f.server].warm_fraction(p.state.now_ns, p.settings.rules) < 0.3
         ]
         assert sent, "a cold zone that receives only large requests must serve some of them"
-        assert len(sent) == len(set(sent)), "two large requests in one second"
+        assert len(sent) == len(set(sent)), "no server receives two large requests in one second"
 
     def test_a_restart_resets_the_measured_capacity(self) -> None:
         p = make_policy()
@@ -273,13 +275,17 @@
         for wait_ms, due in ((20, False), (580, True)):
             p = make_policy()
             self.fills(p, S, wait_ms)
-            assert (self.hit_only_count(p, 2 * S) >= 15) == due, f"sources wait {wait_ms} ms"
+            assert (self.hit_only_count(p, 2 * S) >= 15) == due, (
+                f"the wait for the fill source is {wait_ms} ms"
+            )
 
     def test_large_fills_are_admitted_again_without_a_new_measurement(self) -> None:
         p = make_policy()
         self.fills(p, S, 5_000)
         assert self.hit_only_count(p, 2 * S) == 20
-        assert self.hit_only_count(p, 8 * S) == 0, "without fills, nothing measures the shorter queue"
+        assert self.hit_only_count(p, 8 * S) == 0, (
+            "the limit decays, because without fills nothing measures the shorter queue"
+        )
 
     def test_one_extreme_wait_does_not_block_fills(self) -> None:
         controller = AdmissionController()
@@ -294,7 +300,7 @@
         assert [level.value_at(t * S) for t in (5, 6, 8)] == [3.0, 2.0, 0.0]
 
     def test_idle_caches_attract_no_objects_if_weights_are_known(self) -> None:
-        """A cache that restarted empty was idle while it waited for fills, and got four times its objects."""
+        """A cache that restarted empty was idle while it waited for fills, and got four times its share."""
         moved = {}
         for weights in ("rough", "off"):
             p = make_policy(weight_source=weights)
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -1,4 +1,4 @@
-"""Regression tests: one test for each failure found, named after its symptom."""
+"""Regression tests of single decisions: one test for each failure that was found."""
 
 from __future__ import annotations
 
@@ -67,8 +67,8 @@
 
 
 def test_threshold_rises_with_few_responses() -> None:
-    """At a low threshold there are few responses.  When only responses raised it, links were idle for half a
-    day.
+    """At a low threshold there are few responses.  When the rise depended on their number alone, links were
+    idle for half a day.
     """
     controller = AdmissionController()
     controller.cost_threshold = MIN_COST_THRESHOLD
@@ -91,7 +91,7 @@
         admitted.append(controller.admits(20.0))
     assert not any(admitted[:10])
     assert any(admitted[10:60])
-    controller.record_latency(True, 99 * S, 99 * S)  # arrivals raise it only without responses
+    controller.record_latency(True, 99 * S, 99 * S)  # arrivals raise the threshold only without responses
     threshold = controller.cost_threshold
     controller.record_arrival(20.0, 20.0, 99 * S + 500 * MS)
     assert controller.cost_threshold == threshold
@@ -133,7 +133,8 @@
             end_attempt(p, S + 100 * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     actions = p.handle(10 * S, api.TimerExpired(0))
     assert p.endpoints[silent].is_ejected
-    assert not any(isinstance(a, api.Cancel) for a in actions)  # cancelling cut off large objects midway
+    # A cancellation would end transfers of large objects before they are complete.
+    assert not any(isinstance(a, api.Cancel) for a in actions)
     trials = [
         f
         for n in range(100)
@@ -212,7 +213,7 @@
 
 
 def test_recent_sends_are_summed_incrementally() -> None:
-    """With one cold cache, each request added up all work sent to its warm peers: 91 us became 324 us."""
+    """With one cold cache, each request added up all work sent to warm peers: 324 us instead of 91 us."""
     p = make_policy(weight_source="off")
     for n in range(200):
         (f,) = forwarded_attempts(send_request(p, S + n * 20 * MS, f"r{n}", n))
--- a/tests/decision/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -1,4 +1,4 @@
-"""Regression tests for failures in large fleets: hundreds of routers that act alike and share no state."""
+"""Regression tests for large fleets: hundreds of routers that decide alike and share no state."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 def test_cold_parent_gets_turns_within_its_budget(apart: int) -> None:
     """A router's share of the budget was less than one request, so a restarted parent never received a fill.
     With turns by router number alone, the routers of one zone, whose numbers differ by a multiple of the
-    number of turns, all had the same turn (ha226a3).
+    number of turns, all had the same turn.
     """
     start, weight, unit = 100 * S, 20.0, 0.3
     lines = [replace(x, started_ns=start if x.name == "p0" else 0) for x in servers() if x.name != "p1"]
@@ -79,7 +79,7 @@
 
 
 def test_lost_connections_do_not_eject_a_server() -> None:
-    """Each unreadable response ejected its cache, which then counted as cold, and the others got its load."""
+    """Each unreadable response ejected its cache, which counted as cold then; the others got its load."""
     p = make_policy()
     (f,) = forwarded_attempts(send_request(p, S, "r", 1))
     (g,) = forwarded_attempts(end_attempt(p, S + MS, f, Outcome.RESET))
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -59,7 +59,7 @@
 
 class SlowParent(unittest.TestCase):
     """One of two parents sent responses at an eighth of its rate.  Each router kept using it for fills,
-    because a response that was overdue was not recorded for the parent.
+    because overdue responses were not recorded for the parent before they arrived.
     """
 
     def test_fills_leave_a_parent_whose_answers_do_not_come(self) -> None:
@@ -84,7 +84,7 @@
             return found.count("p0") / len(found)
 
         assert share(5 * S, 10 * S) > 0.35
-        assert share(14 * S, 18 * S) < 0.15, "four seconds later, few fills still use the slow parent"
+        assert share(14 * S, 18 * S) < 0.15, "four seconds later, few fills use the slow parent"
 
     def test_the_origin_shares_fills_when_the_only_parent_is_far_slower(self) -> None:
         random = Random(2)
@@ -148,7 +148,7 @@
             for n in range(40)
             for f in forwarded_attempts(send_request(p, 40 * S, f"later{n}", 2000 + n))
         ]
-        assert later.count("p0") > 5, "it must be tried again, as it may have been repaired"
+        assert later.count("p0") > 5, "the parent is used again, as it may have recovered"
 
 
 class UnequalCaches(unittest.TestCase):
@@ -184,7 +184,9 @@
                 (f,) = forwarded_attempts(send_request(router, 25 * S, f"home{n}-{item}", item))
                 homes.setdefault(item, set()).add(f.server)
         objects_with_one_home = sum(len(found) == 1 for found in homes.values())
-        assert objects_with_one_home > 50, "the routers use the same reports, so most objects have one home"
+        assert objects_with_one_home > 50, (
+            "the routers receive the same reports, so most objects have one home"
+        )
 
 
 class ColdZone(unittest.TestCase):
@@ -346,7 +348,7 @@
         assert f.fill_source != f.server
 
     def test_hit_only_requests_avoid_cold_caches(self) -> None:
-        """Requests for a hit only missed at cold caches, and used up the budgets of the cold caches."""
+        """Requests that only a hit could serve missed at cold caches, and used up the caches' budgets."""
         p = warm_policy()
         (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -142,7 +142,7 @@
 
 
 def test_purge_limit_outlives_the_servers_own_sweep() -> None:
-    """A copy that left the origin just before the purge was stored after the sweep, and was served later."""
+    """A copy sent by the origin just before the purge was stored after the sweep, and was served later."""
     p = make_policy()
     p.handle(10 * S, api.Purged(7, 3, 200 * MS))
     (f,) = forwarded_attempts(send_request(p, 17 * S, "r", 7, purge_group=3))
@@ -237,7 +237,9 @@
             if key in in_flight and now >= in_flight[key][1] + in_flight[key][0].timeout_ns:
                 finish(key, Outcome.TIMEOUT)
         for name, (_, _, due) in list(open_requests.items()):
-            assert now <= due or any(k[0] == name for k in in_flight), "no final response by the deadline"
+            assert now <= due or any(k[0] == name for k in in_flight), (
+                "each request has its final response by its deadline"
+            )
         event_choice = rng.random()
         if event_choice < 0.45:
             cls, item = rng.choice(s.classes), rng.randrange(30)
--- a/tests/decision/test_untold_failures.py
+++ b/tests/decision/test_untold_failures.py
@@ -22,11 +22,11 @@
     def test_a_source_not_reached_within_the_connect_timeout_is_ejected(self) -> None:
         """Five of twelve parents were silent for five seconds, and nearly all of 200 routers kept using them
         as fill sources.  Each fill was rejected after 0.83 s and the failure was attributed to the cache.
-        When the parents were back, cold, they received the full load immediately and collapsed.
+        When the parents were available again, cold, they received the full load immediately and collapsed.
         """
         for notes in ("hit", "off"):
             assert self.reject_fill(notes, 831 * MS) == (True, False)
-            assert self.reject_fill(notes, 50 * MS) == (False, False), "may just be at capacity"
+            assert self.reject_fill(notes, 50 * MS) == (False, False), "the source may only be at capacity"
         assert self.reject_fill("all", 831 * MS) == (False, False), (
             "the response would have reported the cause"
         )
--- a/tests/support/loop_turns.py
+++ b/tests/support/loop_turns.py
@@ -1,8 +1,8 @@
 """Harness that runs the event loop on real loopback sockets, one iteration at a time, with a test clock.
 
-Peers are plain sockets of the test, so bytes, closes, signals and deadlines occur in the order of the test's
-lines.  Nothing here sleeps, and no result depends on the speed of the machine: ``run_until`` runs iterations
-at one instant of the test clock until a condition holds.
+Peers are plain sockets of the test, so bytes, closes, signals and deadlines occur in the order in which
+the test causes them.  Nothing here sleeps, and no result depends on the speed of the machine: ``run_until``
+runs iterations at one instant of the test clock until a condition holds.
 """
 
 from __future__ import annotations
@@ -277,7 +277,7 @@
         return Peer(accepted[0])
 
     def assert_no_connect(self, name: str, iterations: int = 5) -> None:
-        """Checks that the router does not connect to a server."""
+        """Asserts that the router does not connect to a server."""
         for _ in range(iterations):
             self.loop.run_iteration()
             with pytest.raises(BlockingIOError):
--- a/tests/support/policy_fixtures.py
+++ b/tests/support/policy_fixtures.py
@@ -1,6 +1,6 @@
 """Helpers for tests of the decision package: settings, an endpoint list and short names.
 
-There is no model of a server; the tests pass the events themselves.
+No server is simulated: the tests pass the events themselves.
 """
 
 from __future__ import annotations
--- a/tests/support/reducer_fixtures.py
+++ b/tests/support/reducer_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures: a reducer of the example deployment, client requests for it, and a selection of its effects."""
+"""Fixtures: a reducer with the example configuration, client requests for it, and a filter of effects."""
 
 from __future__ import annotations
 
