--- a/kelpcroft/core/feed_position.py
+++ b/kelpcroft/core/feed_position.py
@@ -47,7 +47,7 @@
     def schedule_watch_request(self, wait_ns: int) -> None:
         """Send the next watch request after a delay, or immediately if the delay is 0."""
         if wait_ns > 0:
-            self.state.schedule(wait_ns, TimerKind.POLL_FEED)
+            self.state.schedule(wait_ns, TimerKind.SEND_WATCH_REQUEST)
         else:
             self.send_watch_request()
 
--- a/kelpcroft/core/messages.py
+++ b/kelpcroft/core/messages.py
@@ -28,7 +28,7 @@
     CONNECT_TIMEOUT = "dial"  # latest time at which a connection must be established
     CONNECTION_SILENCE = "quiet"  # checks whether a response has arrived on a connection
     HEALTH_CHECK_TIMEOUT = "probe"
-    POLL_FEED = "feed"  # sends the next watch request
+    SEND_WATCH_REQUEST = "feed"
     HEDGE = "copy"  # a request's hedge is due
     RETRY_BACKOFF = "again"  # the delay between two attempts of a request has elapsed
     HOUSEKEEPING = "house"  # closes idle connections and logs counters
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -182,8 +182,8 @@
 
         It is computed from the size if that is known, otherwise it is the mean of the class.
         """
-        pace_kb_per_s = self.settings.max_transfer_kb_per_s
-        if size_kb and pace_kb_per_s:
-            return size_kb / pace_kb_per_s * SECOND
+        max_kb_per_s = self.settings.max_transfer_kb_per_s
+        if size_kb and max_kb_per_s:
+            return size_kb / max_kb_per_s * SECOND
         transfer_time = self.policy.transfer_time.get(request_class)
         return transfer_time.mean if transfer_time else 0.0
--- a/kelpcroft/core/timers.py
+++ b/kelpcroft/core/timers.py
@@ -46,7 +46,7 @@
         }
         # Handlers of the kinds that have only one timer.
         self.unnumbered_handlers: dict[TimerKind, Callable[[], None]] = {
-            TimerKind.POLL_FEED: position.send_watch_request,
+            TimerKind.SEND_WATCH_REQUEST: position.send_watch_request,
             TimerKind.HOUSEKEEPING: housekeeping.on_timer,
             TimerKind.RESTART_OVERLAP: predecessor.update_budget_share,
         }
--- a/kelpcroft/decision/admission.py
+++ b/kelpcroft/decision/admission.py
@@ -18,11 +18,12 @@
 from kelpcroft.decision.latency_model import AVERAGE_GAIN, TRANSFER_TIME_GAIN, LatencyModel
 from kelpcroft.decision.requests import InFlightRequest
 from kelpcroft.decision.router_state import RouterState
-from kelpcroft.decision.statistics import DecayingSum, LinearDecay, MeanDeviation, price_threshold
+from kelpcroft.decision.statistics import DecayingSum, LinearDecay, MeanDeviation, price_at_work_share
 from kelpcroft.decision.units import SECOND_NS
 
-MAX_COST_THRESHOLD: Final = 6.0  # highest threshold, in mean prices, at which all requests are admitted
-MIN_COST_THRESHOLD: Final = 0.4  # lowest threshold, in mean prices, so that some requests are always admitted
+MAX_PRICE_THRESHOLD: Final = 6.0  # highest threshold, in mean prices, at which all requests are admitted
+# Lowest threshold, in mean prices, so that some requests are always admitted
+MIN_PRICE_THRESHOLD: Final = 0.4
 MAX_LATE_SHARE: Final = 0.2  # recent share of late responses above which the threshold is lowered
 LATE_SHARE_GAIN: Final = 0.2  # weight of one response in the recent share of late responses
 THRESHOLD_DECREASE: Final = 0.45  # factor by which too many late responses lower the threshold
@@ -49,7 +50,8 @@
     Thresholds are multiples of the mean price, so that they hold for any mix of classes and sizes.
 
     Attributes:
-        cost_threshold: The highest admitted price, as it follows from the timeliness of responses.
+        price_threshold: The highest admitted price, in mean prices, as it follows from the timeliness of
+            responses.
         capacity_threshold: The highest admitted price, as it follows from the stated capacity; it is an
             absolute price, infinity if all requests fit.
         mean_price: Mean price of the requests that arrived.
@@ -67,7 +69,7 @@
     """
 
     def __init__(self) -> None:
-        self.cost_threshold: float = MAX_COST_THRESHOLD
+        self.price_threshold: float = MAX_PRICE_THRESHOLD
         self.capacity_threshold = math.inf
         self.mean_price = MeanDeviation(0.0, TRANSFER_TIME_GAIN)
         self.late_share = 0.0
@@ -97,7 +99,7 @@
         self.last_evidence_ns = now_ns
         self.late_share += LATE_SHARE_GAIN * (is_late - self.late_share)
         if self.late_share > MAX_LATE_SHARE:
-            self.cost_threshold = max(MIN_COST_THRESHOLD, self.cost_threshold * THRESHOLD_DECREASE)
+            self.price_threshold = max(MIN_PRICE_THRESHOLD, self.price_threshold * THRESHOLD_DECREASE)
             self.late_share = 0.0
             self.lowered_ns = now_ns
         elif not is_late:
@@ -111,18 +113,18 @@
         """
         elapsed_s = min(now_ns - self.raised_ns, SECOND_NS) / SECOND_NS
         per_second = THRESHOLD_INCREASE_PER_SECOND_WITH_SLACK if has_slack else THRESHOLD_INCREASE_PER_SECOND
-        new_threshold = self.cost_threshold * max(THRESHOLD_INCREASE, per_second**elapsed_s)
-        self.cost_threshold = min(MAX_COST_THRESHOLD, new_threshold)
+        new_threshold = self.price_threshold * max(THRESHOLD_INCREASE, per_second**elapsed_s)
+        self.price_threshold = min(MAX_PRICE_THRESHOLD, new_threshold)
         self.raised_ns = now_ns
 
     def record_arrival(self, price: float, work_ns: float, now_ns: int) -> None:
         """Record the price and the transfer time of a request that arrived, whether admitted or not."""
         last_change_ns = max(self.last_evidence_ns, self.lowered_ns)
-        if self.cost_threshold < MAX_COST_THRESHOLD and now_ns - last_change_ns > SECOND_NS:
+        if self.price_threshold < MAX_PRICE_THRESHOLD and now_ns - last_change_ns > SECOND_NS:
             # If all requests have the same price, all may be rejected at the lowest threshold, and then no
             # response would raise it.
-            new_threshold = self.cost_threshold * THRESHOLD_INCREASE_PER_SECOND
-            self.cost_threshold = min(MAX_COST_THRESHOLD, new_threshold)
+            new_threshold = self.price_threshold * THRESHOLD_INCREASE_PER_SECOND
+            self.price_threshold = min(MAX_PRICE_THRESHOLD, new_threshold)
             self.last_evidence_ns = now_ns
         self.offered_work.add(now_ns, work_ns)
         self.mean_price.add(price)
@@ -137,7 +139,7 @@
         total = self.offered_work.total
         capacity_share = capacity * WORK_TIME_CONSTANT_NS / total if total else math.inf
         if capacity_share < 1:
-            self.capacity_threshold = price_threshold(self.recent_arrivals, capacity_share)
+            self.capacity_threshold = price_at_work_share(self.recent_arrivals, capacity_share)
         else:
             self.capacity_threshold = math.inf
 
@@ -163,12 +165,12 @@
             self.source_wait.value_at(now_ns),
         )
         overload = highest_load - 1
-        threshold = self.cost_threshold
+        threshold = self.price_threshold
         if overload > 0:
             threshold = min(threshold, FULL_LOAD_THRESHOLD * math.exp(-OVERLOAD_DECAY * overload))
         if price > self.capacity_threshold:
             return False
-        return threshold >= MAX_COST_THRESHOLD or price <= self.mean_price.mean * threshold
+        return threshold >= MAX_PRICE_THRESHOLD or price <= self.mean_price.mean * threshold
 
 
 class Admission:
--- a/kelpcroft/decision/statistics.py
+++ b/kelpcroft/decision/statistics.py
@@ -32,7 +32,7 @@
     return -1 / math.log((mix64(key) + 1) / HASH_RANGE)
 
 
-def price_threshold(priced_work: Iterable[tuple[float, float]], share: float) -> float:
+def price_at_work_share(priced_work: Iterable[tuple[float, float]], share: float) -> float:
     """Return the price up to which the cheapest work makes up a share of all work.
 
     Args:
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -251,7 +251,7 @@
                     self.outstanding_watch = None
             elif isinstance(e, effects.SendWatchRequest):
                 self.poll(e)
-            elif isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.POLL_FEED:
+            elif isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.SEND_WATCH_REQUEST:
                 self.net.schedule(e.at_ns - self.now(), lambda e=e: self.on_timer(e, process))  # type: ignore[misc]
             elif isinstance(e, effects.LogEvent):
                 self.log_events.append(e.event)
--- a/tests/control_log/test_control_log.py
+++ b/tests/control_log/test_control_log.py
@@ -286,7 +286,7 @@
             NOW, inputs.OperatorFileRead(OperatorFile(control_replicas=ControlReplicas((("10.0.0.1", 1),))))
         )
         assert [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)] == [("10.0.0.1", 1)]
-        effect_list = reducer.handle(NOW, inputs.TimerFired((messages.TimerKind.POLL_FEED, 0, 0)))
+        effect_list = reducer.handle(NOW, inputs.TimerFired((messages.TimerKind.SEND_WATCH_REQUEST, 0, 0)))
         polls = [
             (e.after_event, e.log_fingerprint) for e in effect_list if isinstance(e, effects.SendWatchRequest)
         ]
@@ -305,7 +305,7 @@
         effect_list, now, polls = reducer.start(NOW, None, 0, ControlReplicas(addresses)), NOW, 0
         switched = [e.address for e in effect_list if isinstance(e, effects.SwitchFeed)]
         assert switched[0] in addresses
-        effect_list = reducer.handle(now, inputs.TimerFired((messages.TimerKind.POLL_FEED, 0, 0)))
+        effect_list = reducer.handle(now, inputs.TimerFired((messages.TimerKind.SEND_WATCH_REQUEST, 0, 0)))
         while any(isinstance(e, effects.SendWatchRequest) for e in effect_list) and polls < 50:
             now, polls = now + 2 * MS, polls + 1
             response = inputs.WatchResponse(1, (), log_fingerprint="aa", as_of_ms=now // MS)
--- a/tests/decision/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from kelpcroft.decision import interface as api
-from kelpcroft.decision.admission import MAX_COST_THRESHOLD, MAX_SOURCE_WAIT_SHARE, AdmissionController
+from kelpcroft.decision.admission import MAX_PRICE_THRESHOLD, MAX_SOURCE_WAIT_SHARE, AdmissionController
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.decision.policy import TICK_TIMER, RoutingPolicy
 from kelpcroft.decision.requests import InFlightRequest
@@ -165,8 +165,8 @@
             for request in p.requests_in_flight.values():
                 request.expects_fill = False  # as if copies were known, so that hits are expected
             p.handle(S + 2_500 * MS, api.TimerExpired(TICK_TIMER))
-            assert (p.admission.all_requests.cost_threshold < MAX_COST_THRESHOLD) == (not has_later_hits)
-            assert (p.admission.fills.cost_threshold < MAX_COST_THRESHOLD) == has_later_hits
+            assert (p.admission.all_requests.price_threshold < MAX_PRICE_THRESHOLD) == (not has_later_hits)
+            assert (p.admission.fills.price_threshold < MAX_PRICE_THRESHOLD) == has_later_hits
 
 
 class ColdBudget(unittest.TestCase):
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -8,7 +8,7 @@
 import pytest
 
 from kelpcroft.decision import interface as api
-from kelpcroft.decision.admission import MAX_COST_THRESHOLD, MIN_COST_THRESHOLD, AdmissionController
+from kelpcroft.decision.admission import MAX_PRICE_THRESHOLD, MIN_PRICE_THRESHOLD, AdmissionController
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.simulator_adapter import SimulatorHost
 from tests.support.policy_fixtures import (
@@ -42,8 +42,8 @@
         controller.record_arrival(float(1 + n % 2), 1.0, n)
     for n in range(400):
         controller.record_latency(True, n, n)
-    assert controller.cost_threshold == MIN_COST_THRESHOLD
-    controller.cost_threshold = 1.0
+    assert controller.price_threshold == MIN_PRICE_THRESHOLD
+    controller.price_threshold = 1.0
     assert controller.admits(1.0)
     assert not controller.admits(20.0)
 
@@ -55,15 +55,15 @@
     controller = AdmissionController()
     for _ in range(100):
         controller.record_latency(True, 5, 10)
-    assert MIN_COST_THRESHOLD < controller.cost_threshold < MAX_COST_THRESHOLD
+    assert MIN_PRICE_THRESHOLD < controller.price_threshold < MAX_PRICE_THRESHOLD
 
 
 def test_threshold_rises_again() -> None:
     controller = AdmissionController()
-    controller.cost_threshold = MIN_COST_THRESHOLD
+    controller.price_threshold = MIN_PRICE_THRESHOLD
     for n in range(300):
         controller.record_latency(False, n, n)
-    assert controller.cost_threshold == MAX_COST_THRESHOLD
+    assert controller.price_threshold == MAX_PRICE_THRESHOLD
 
 
 def test_threshold_rises_with_few_responses() -> None:
@@ -71,10 +71,10 @@
     idle for half a day.
     """
     controller = AdmissionController()
-    controller.cost_threshold = MIN_COST_THRESHOLD
+    controller.price_threshold = MIN_PRICE_THRESHOLD
     for n in range(1, 16):
         controller.record_latency(False, n * S, n * S)
-    assert controller.cost_threshold == MAX_COST_THRESHOLD
+    assert controller.price_threshold == MAX_PRICE_THRESHOLD
 
 
 def test_threshold_that_admits_nothing_rises_again() -> None:
@@ -82,7 +82,7 @@
     threshold none was admitted whose response could have raised it.
     """
     controller = AdmissionController()
-    controller.cost_threshold = MIN_COST_THRESHOLD
+    controller.price_threshold = MIN_PRICE_THRESHOLD
     controller.lowered_ns = S
     admitted = []
     for n in range(100):
@@ -92,15 +92,15 @@
     assert not any(admitted[:10])
     assert any(admitted[10:60])
     controller.record_latency(True, 99 * S, 99 * S)  # arrivals raise the threshold only without responses
-    threshold = controller.cost_threshold
+    threshold = controller.price_threshold
     controller.record_arrival(20.0, 20.0, 99 * S + 500 * MS)
-    assert controller.cost_threshold == threshold
+    assert controller.price_threshold == threshold
 
 
 def test_fill_beyond_capacity_is_sent_for_a_hit_before_rejection() -> None:
     """Rejection of expected fills also rejected requests for objects that the cache held."""
     p = make_policy()
-    p.admission.fills.cost_threshold = 1e-9
+    p.admission.fills.price_threshold = 1e-9
     (f,) = forwarded_attempts(send_request(p, S, "r", 5, size_kb=100.0))
     assert f.fill_source == f.server
     assert api.Reject("r") in end_attempt(p, S + MS, f, Outcome.MISS)
--- a/tests/decision/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -9,7 +9,7 @@
 import pytest
 
 from kelpcroft.decision import interface as api
-from kelpcroft.decision.admission import MIN_COST_THRESHOLD, AdmissionController
+from kelpcroft.decision.admission import MIN_PRICE_THRESHOLD, AdmissionController
 from kelpcroft.decision.endpoint import Endpoint
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.decision.outlier_state import MAX_TRIAL_INTERVAL_NS
@@ -143,7 +143,10 @@
     """Responses are late only seconds after three of four caches drain; the weights show it immediately."""
     p = make_policy()
     assert rejections(p, 10 * S, 40, 10) == 0  # 12 s of transfers per second with capacity for 20
-    p.handle(20 * S, api.ServerList("update", tuple(replace(x, state="terminating") for x in servers()[1:4])))
+    p.handle(
+        20 * S,
+        api.ServerList("update", tuple(replace(x, state="terminating") for x in servers()[1:4])),
+    )
     assert 0.3 < rejections(p, 20 * S, 40, 5) / 200 < 0.8  # 12 s of transfers per second with capacity for 5
     p.handle(25 * S, api.ServerList("update", tuple(servers()[1:4])))
     assert rejections(p, 26 * S, 40, 5) == 0
@@ -167,10 +170,10 @@
     thresholds = []
     for spare in (False, True):
         controller = AdmissionController()
-        controller.cost_threshold = MIN_COST_THRESHOLD
+        controller.price_threshold = MIN_PRICE_THRESHOLD
         for n in range(1, 4):
             controller.record_latency(False, n * S, n * S, spare)
-        thresholds.append(controller.cost_threshold)
+        thresholds.append(controller.price_threshold)
     assert thresholds[0] * 2 < thresholds[1]
 
 
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -250,7 +250,7 @@
     return [
         e
         for e in effects_of_type(effects.ScheduleTimer, effect_list)
-        if isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.POLL_FEED
+        if isinstance(e, effects.ScheduleTimer) and e.key[0] is messages.TimerKind.SEND_WATCH_REQUEST
     ]
 
 
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -53,7 +53,7 @@
     messages.TimerKind.CONNECT_TIMEOUT: "connect",
     messages.TimerKind.CONNECTION_SILENCE: "silence",
     messages.TimerKind.HEALTH_CHECK_TIMEOUT: "probe",
-    messages.TimerKind.POLL_FEED: "poll",
+    messages.TimerKind.SEND_WATCH_REQUEST: "poll",
     messages.TimerKind.HEDGE: "second",
     messages.TimerKind.RETRY_BACKOFF: "retry",
     messages.TimerKind.HOUSEKEEPING: "periodic",
