--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -16,7 +16,7 @@
 from kelpcroft.config import ConfigError, limit_to_system_descriptors, parse_config
 from kelpcroft.core.descriptors import MIN_DESCRIPTORS, allocate_descriptors
 from tests.support.exchange_player import EXAMPLE, ROOT, WAIT_S
-from tests.support.loop_turns import MS, SECOND, LoopHarness, client_request, server_response
+from tests.support.loop_harness import MS, SECOND, LoopHarness, client_request, server_response
 
 
 class Shares(unittest.TestCase):
--- a/tests/core/test_gone.py
+++ b/tests/core/test_disconnected_clients.py
@@ -9,7 +9,7 @@
 from kelpcroft.net.event_loop import LONG_ITERATION_FLUSH_INTERVAL_NS, MAX_DISPATCH_NS
 from kelpcroft.net.server_connections import ServerConnection
 from kelpcroft.net.transport import Connection as RouterConnection
-from tests.support.loop_turns import MS, SECOND, LoopHarness, Peer, client_request, server_response
+from tests.support.loop_harness import MS, SECOND, LoopHarness, Peer, client_request, server_response
 
 
 def cancel(number: int) -> bytes:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -17,7 +17,7 @@
     is_overdue,
     watch_timeouts,
 )
-from tests.support.loop_turns import MS, SECOND, LoopHarness, Peer
+from tests.support.loop_harness import MS, SECOND, LoopHarness, Peer
 
 
 def watch_response(last: int, *events: object) -> bytes:
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -7,7 +7,7 @@
 
 from kelpcroft.net.client_codec import MAX_OPEN_REQUESTS_PER_CLIENT
 from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS
-from tests.support.loop_turns import MS, LoopHarness, Peer, client_request, server_response
+from tests.support.loop_harness import MS, LoopHarness, Peer, client_request, server_response
 
 
 class Floods(unittest.TestCase):
--- a/tests/net/test_link_ends.py
+++ b/tests/net/test_link_ends.py
@@ -5,7 +5,7 @@
 import socket
 import unittest
 
-from tests.support.loop_turns import MS, SECOND, LoopHarness, Peer, client_request, server_response
+from tests.support.loop_harness import MS, SECOND, LoopHarness, Peer, client_request, server_response
 
 
 class ConnectionEnds(unittest.TestCase):
--- a/tests/program/test_signals.py
+++ b/tests/program/test_signals.py
@@ -8,7 +8,7 @@
 import unittest
 
 from kelpcroft.core import inputs
-from tests.support.loop_turns import MS, LoopHarness, Peer, client_request, server_response
+from tests.support.loop_harness import MS, LoopHarness, Peer, client_request, server_response
 
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
 STEPS = 8  # at least the iterations from a client's first byte to its response
