--- a/tests/core/test_components.py
+++ b/tests/core/test_components.py
@@ -60,17 +60,19 @@
         for message in [[0, 1, "page", [fields, b""]] for fields in invalid] + too_long:
             with self.subTest(message=str(message)[:200]), pytest.raises(ClientProtocolError):
                 ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(msgpack.packb(message)))
-        r = router()
-        assert len(effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))) == 1
+        reducer = router()
+        assert len(effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))) == 1
         for request in (
             client_request(1, client=2),
             client_request(2, class_name="none"),
             client_request(3, remaining_ms=90_000),
         ):
-            assert r.handle(NOW, request) == [effects.FailRequest(request.client, request.request_number)]
+            assert reducer.handle(NOW, request) == [
+                effects.FailRequest(request.client, request.request_number)
+            ]
         for number in range(4, 4 + 31):
-            assert effects_of_type(effects.CloseClient, r.handle(NOW, client_request(number))) == []
-        assert len(effects_of_type(effects.CloseClient, r.handle(NOW, client_request(99)))) == 1
+            assert effects_of_type(effects.CloseClient, reducer.handle(NOW, client_request(number))) == []
+        assert len(effects_of_type(effects.CloseClient, reducer.handle(NOW, client_request(99)))) == 1
 
     def test_a_message_has_a_maximum_size(self) -> None:
         """Nested lists grew in memory as they were received, far beyond the size of their bytes.  Also,
@@ -137,40 +139,44 @@
         assert 0 < len(peers_read) < 6
         assert all(p.unread_since_ns == NOW - 5 for p in peers[len(peers_read) :])
 
-    def test_attempts_waiting_for_a_connection_are_chosen_again_on_a_purge(self) -> None:
+    def test_attempts_waiting_for_a_connection_are_routed_again_on_a_purge(self) -> None:
         """An attempt that waited for its connection was sent without an age limit, up to a connect timeout
         after the purge was received.
         """
-        r = router()
-        (_opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
-        r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW),)))
-        (attempt,) = effects_of_type(effects.SendAttempt, r.handle(NOW + 2 * MS, inputs.ServerConnected(2)))
+        reducer = router()
+        (_opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
+        reducer.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW),)))
+        (attempt,) = effects_of_type(
+            effects.SendAttempt, reducer.handle(NOW + 2 * MS, inputs.ServerConnected(2))
+        )
         assert attempt.max_age_ms > 0
 
-    def test_a_cancelled_id_is_kept_off_its_connection(self) -> None:
+    def test_a_cancelled_id_is_not_reused_on_its_connection(self) -> None:
         """A response that crossed its KILL on the wire would be matched to the next attempt with that id."""
-        r = router()
-        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
-        r.handle(NOW, inputs.ServerConnected(opening.connection))
-        (cancellation,) = effects_of_type(effects.CancelAttempt, r.handle(NOW, inputs.CancelRequest(1, 1)))
+        reducer = router()
+        (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
+        reducer.handle(NOW, inputs.ServerConnected(opening.connection))
+        (cancellation,) = effects_of_type(
+            effects.CancelAttempt, reducer.handle(NOW, inputs.CancelRequest(1, 1))
+        )
         assert (
-            r.state.connections.find(
-                r.state.connections.by_number[opening.connection].server, cancellation.attempt_id
+            reducer.state.connections.find(
+                reducer.state.connections.by_number[opening.connection].server, cancellation.attempt_id
             )
             is None
         )
         late = inputs.ServerResponse(
             opening.connection, cancellation.attempt_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"late"
         )
-        assert r.handle(NOW, late) == []
+        assert reducer.handle(NOW, late) == []
 
-    def test_a_completed_id_is_kept_off_its_connection(self) -> None:
+    def test_a_completed_id_is_not_reused_on_its_connection(self) -> None:
         """A duplicate of a miss ended the next attempt while its server still executed it, so a request that
         must not be executed twice was.
         """
-        r = router()
-        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
-        r.handle(NOW, inputs.ServerConnected(opening.connection))
+        reducer = router()
+        (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
+        reducer.handle(NOW, inputs.ServerConnected(opening.connection))
         miss = inputs.ServerResponse(
             opening.connection,
             client_request(1).trace_id,
@@ -181,63 +187,63 @@
             False,
             b"",
         )
-        (next_opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, miss))
+        (next_opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, miss))
         assert next_opening.connection != opening.connection
-        assert r.handle(NOW, miss) == []
-        assert len(r.state.attempts) == 1
+        assert reducer.handle(NOW, miss) == []
+        assert len(reducer.state.attempts) == 1
 
     def test_reset_of_a_new_connection_does_not_eject_its_server(self) -> None:
         """The reset counted as a refused connection: the server was ejected, and later treated as cold."""
-        r = router()
-        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
+        reducer = router()
+        (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
         (reopening,) = effects_of_type(
             effects.OpenServerConnection,
-            r.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNRESET")),
+            reducer.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNRESET")),
         )
         assert reopening.address == opening.address
         assert (
             len(
                 effects_of_type(
-                    effects.SendAttempt, r.handle(NOW, inputs.ServerConnected(reopening.connection))
+                    effects.SendAttempt, reducer.handle(NOW, inputs.ServerConnected(reopening.connection))
                 )
             )
             == 1
         )
-        assert not any(n.is_ejected for n in r.state.policy.endpoints.values())
-        r = router()
-        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
-        r.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNREFUSED", True))
-        assert any(n.is_ejected for n in r.state.policy.endpoints.values())
+        assert not any(endpoint.is_ejected for endpoint in reducer.state.policy.endpoints.values())
+        reducer = router()
+        (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
+        reducer.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNREFUSED", True))
+        assert any(endpoint.is_ejected for endpoint in reducer.state.policy.endpoints.values())
 
     def test_a_silent_connection_is_closed(self) -> None:
         """Responses never arrived on a connection that stayed open; as the fullest connection it was given
         all attempts for its server.
         """
-        r = router()
+        reducer = router()
         (opening,) = effects_of_type(
-            effects.OpenServerConnection, r.handle(NOW, client_request(1, remaining_ms=4_900))
+            effects.OpenServerConnection, reducer.handle(NOW, client_request(1, remaining_ms=4_900))
         )
         (silence_timer,) = [
             e
-            for e in r.handle(NOW, inputs.ServerConnected(opening.connection))
+            for e in reducer.handle(NOW, inputs.ServerConnected(opening.connection))
             if isinstance(e, effects.ScheduleTimer)
         ]
         assert silence_timer.key == (messages.TimerKind.CONNECTION_SILENCE, opening.connection, 0)
         for number in (2, 3):
-            r.handle(NOW + MS, client_request(number, remaining_ms=4_900))
+            reducer.handle(NOW + MS, client_request(number, remaining_ms=4_900))
         later = silence_timer.at_ns + SECOND
         response = inputs.ServerResponse(
             opening.connection, client_request(2).trace_id, Outcome.OK, FillResult.HIT, 0, {}, False, b"two"
         )
-        r.handle(NOW + 2 * MS, response)
+        reducer.handle(NOW + 2 * MS, response)
         assert (
             effects_of_type(
-                effects.CloseServerConnection, r.handle(later, inputs.TimerFired(silence_timer.key))
+                effects.CloseServerConnection, reducer.handle(later, inputs.TimerFired(silence_timer.key))
             )
             == []
         ), "a single attempt may be slow"
-        r.handle(later, client_request(4))
-        effect_list = r.handle(later + SECOND, inputs.TimerFired(silence_timer.key))
+        reducer.handle(later, client_request(4))
+        effect_list = reducer.handle(later + SECOND, inputs.TimerFired(silence_timer.key))
         assert effects_of_type(effects.CloseServerConnection, effect_list) == [
             effects.CloseServerConnection(opening.connection)
         ]
@@ -247,7 +253,7 @@
             len(
                 effects_of_type(
                     effects.SendAttempt,
-                    r.handle(later + SECOND, inputs.ServerConnected(reopening.connection)),
+                    reducer.handle(later + SECOND, inputs.ServerConnected(reopening.connection)),
                 )
             )
             == 3
@@ -260,22 +266,22 @@
         time.
         """
         for responds in (True, False):
-            r = router()
-            r.state.settings = replace(
-                r.state.settings, limits=replace(r.state.settings.limits, may_probe=True)
+            reducer = router()
+            reducer.state.settings = replace(
+                reducer.state.settings, limits=replace(reducer.state.settings.limits, may_probe=True)
             )
             (opening,) = effects_of_type(
-                effects.OpenServerConnection, r.handle(NOW, client_request(1, remaining_ms=4_900))
+                effects.OpenServerConnection, reducer.handle(NOW, client_request(1, remaining_ms=4_900))
             )
             (silence_timer,) = [
                 e
-                for e in r.handle(NOW, inputs.ServerConnected(opening.connection))
+                for e in reducer.handle(NOW, inputs.ServerConnected(opening.connection))
                 if isinstance(e, effects.ScheduleTimer)
             ]
-            assert silence_timer.at_ns == NOW + r.attempts.response_times.silence_timeout_ns() // 2
+            assert silence_timer.at_ns == NOW + reducer.attempts.response_times.silence_timeout_ns() // 2
             for number in (2, 3, 4):
-                r.handle(NOW + MS, client_request(number, remaining_ms=4_900))
-            effect_list = r.handle(silence_timer.at_ns, inputs.TimerFired(silence_timer.key))
+                reducer.handle(NOW + MS, client_request(number, remaining_ms=4_900))
+            effect_list = reducer.handle(silence_timer.at_ns, inputs.TimerFired(silence_timer.key))
             (health_check,) = effects_of_type(effects.SendHealthCheck, effect_list)
             assert (health_check.connection, effects_of_type(effects.CloseServerConnection, effect_list)) == (
                 opening.connection,
@@ -292,19 +298,21 @@
                     False,
                     b"",
                 )
-                r.handle(silence_timer.at_ns + MS, check_response)
-            due = NOW + r.attempts.response_times.silence_timeout_ns()
-            effect_list = r.handle(due, inputs.TimerFired(silence_timer.key))
+                reducer.handle(silence_timer.at_ns + MS, check_response)
+            due_ns = NOW + reducer.attempts.response_times.silence_timeout_ns()
+            effect_list = reducer.handle(due_ns, inputs.TimerFired(silence_timer.key))
             assert bool(effects_of_type(effects.CloseServerConnection, effect_list)) == (not responds)
-            assert len(r.state.attempts) == 4, "the attempts are still in flight, or wait to be sent again"
+            assert len(reducer.state.attempts) == 4, (
+                "the attempts are still in flight, or wait to be sent again"
+            )
             if responds:  # another check follows after the same silence
-                due = silence_timer.at_ns + MS + r.attempts.response_times.silence_timeout_ns()
+                due_ns = silence_timer.at_ns + MS + reducer.attempts.response_times.silence_timeout_ns()
                 (health_check,) = effects_of_type(
-                    effects.SendHealthCheck, r.handle(due, inputs.TimerFired(silence_timer.key))
+                    effects.SendHealthCheck, reducer.handle(due_ns, inputs.TimerFired(silence_timer.key))
                 )
                 assert effects_of_type(
                     effects.CloseServerConnection,
-                    r.handle(due + 200 * MS, inputs.TimerFired(silence_timer.key)),
+                    reducer.handle(due_ns + 200 * MS, inputs.TimerFired(silence_timer.key)),
                 )
 
     def test_few_attempts_share_a_connection_and_an_order_shares_none(self) -> None:
@@ -347,11 +355,11 @@
         """0 on the wire means the freshness lifetime: an age limit under a millisecond, rounded down to 0,
         would have allowed any fresh copy.
         """
-        r = router()
-        (opening,) = effects_of_type(effects.OpenServerConnection, r.handle(NOW, client_request(1)))
-        r.handle(NOW, inputs.ServerConnected(opening.connection))
-        r.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW + MS),)))
-        (attempt,) = effects_of_type(effects.SendAttempt, r.handle(NOW + MS, client_request(2)))
+        reducer = router()
+        (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
+        reducer.handle(NOW, inputs.ServerConnected(opening.connection))
+        reducer.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW + MS),)))
+        (attempt,) = effects_of_type(effects.SendAttempt, reducer.handle(NOW + MS, client_request(2)))
         assert attempt.max_age_ms == 1
 
     def test_responses_in_any_chunks(self) -> None:
--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -64,62 +64,68 @@
         """``dial`` created a new socket in the handler of the error that reports missing descriptors.  The
         error was raised again and ended the process with all its open requests.
         """
-        t = LoopHarness(self)
-        t.run_until(t.accept_from_router("feed").read, "a watch request is sent")
-        idle, active = t.client(), t.client()
-        t.iterate(SECOND)
+        harness = LoopHarness(self)
+        harness.run_until(harness.accept_from_router("feed").read, "a watch request is sent")
+        idle, active = harness.client(), harness.client()
+        harness.iterate(SECOND)
         active.send(client_request(1))
-        with t.no_descriptors():
-            t.run_until(lambda: idle.read() or idle.ended, "the idle client is closed")
-        cache = t.accept_from_router("cache1")
-        t.run_until(cache.attempt_ids, "the attempt arrives")
+        with harness.no_descriptors():
+            harness.run_until(lambda: idle.read() or idle.ended, "the idle client is closed")
+        cache = harness.accept_from_router("cache1")
+        harness.run_until(cache.attempt_ids, "the attempt arrives")
         cache.send(server_response(*cache.attempt_ids()))
-        t.run_until(active.responses, "the request is served")
+        harness.run_until(active.responses, "the request is served")
         assert active.responses() == [[1, 1, None, [b"by", {}]]]
 
     def test_a_connect_without_descriptors_ends_in_a_rejection(self) -> None:
-        t = LoopHarness(self)
-        t.run_until(t.accept_from_router("feed").read, "a watch request is sent")
-        client = t.client()
+        harness = LoopHarness(self)
+        harness.run_until(harness.accept_from_router("feed").read, "a watch request is sent")
+        client = harness.client()
         client.send(client_request(1))
-        with t.no_descriptors():
-            t.run_until(client.responses, "the request ends immediately")
+        with harness.no_descriptors():
+            harness.run_until(client.responses, "the request ends immediately")
         assert client.responses()[0][2][0] == "Shed"
         client.send(client_request(2))
-        t.run_until(t.accept_from_router("cache1").attempt_ids, "later requests are sent to a server")
+        harness.run_until(
+            harness.accept_from_router("cache1").attempt_ids, "later requests are sent to a server"
+        )
 
-    def test_the_feed_is_polled_again_once_a_descriptor_is_free(self) -> None:
+    def test_watch_requests_resume_once_a_descriptor_is_free(self) -> None:
         """The handler of a failed watch request created a new socket, as that of a failed connect did.
 
         The error of that socket ended the process.
         """
-        t = LoopHarness(self, feed=False)
-        t.run_until(
-            lambda: t.loop.feed.connection is None and not t.loop.transport.failed_opens,
+        harness = LoopHarness(self, feed=False)
+        harness.run_until(
+            lambda: harness.loop.feed.connection is None and not harness.loop.transport.failed_opens,
             "the connect has failed",
         )
-        with t.no_descriptors():
+        with harness.no_descriptors():
             for _ in range(5):
-                t.iterate(500 * MS, iterations=3)  # each attempt to send a watch request finds no descriptor
-        assert t.loop.feed.connection is None
-        host, port = t.loop.feed_address
-        t.listeners["feed"] = listener = socket.create_server((host, port))
+                harness.iterate(
+                    500 * MS, iterations=3
+                )  # each attempt to send a watch request finds no descriptor
+        assert harness.loop.feed.connection is None
+        host, port = harness.loop.feed_address
+        harness.listeners["feed"] = listener = socket.create_server((host, port))
         self.addCleanup(listener.close)
         listener.setblocking(False)
-        t.iterate(500 * MS)
-        t.run_until(t.accept_from_router("feed").read, "a watch request is sent")
+        harness.iterate(500 * MS)
+        harness.run_until(harness.accept_from_router("feed").read, "a watch request is sent")
 
     def test_a_listener_that_cannot_accept_is_paused(self) -> None:
         """The listener was ready in every iteration, and the loop logged a line each time without a pause."""
-        t = LoopHarness(self)
-        clients = [t.client()]
+        harness = LoopHarness(self)
+        clients = [harness.client()]
         clients[0].send(client_request(1))  # no client is idle, so none is closed
-        t.run_until(lambda: t.loop.reducer.state.requests_by_client, "the request is admitted")
-        pending = socket.create_connection(t.address, WAIT_S)
+        harness.run_until(lambda: harness.loop.reducer.state.requests_by_client, "the request is admitted")
+        pending = socket.create_connection(harness.address, WAIT_S)
         self.addCleanup(pending.close)
-        with t.no_descriptors():
-            t.run_until(lambda: not t.loop.acceptor.listener.is_registered, "the listener is paused")
-            t.iterate(iterations=20)
-            assert len([log for log in t.logged if log.event == "accept.failed"]) == 1
-        t.iterate(200 * MS)
-        t.run_until(lambda: len(t.loop.clients.open) == 2, "accepting is resumed")
+        with harness.no_descriptors():
+            harness.run_until(
+                lambda: not harness.loop.acceptor.listener.is_registered, "the listener is paused"
+            )
+            harness.iterate(iterations=20)
+            assert len([log for log in harness.logged if log.event == "accept.failed"]) == 1
+        harness.iterate(200 * MS)
+        harness.run_until(lambda: len(harness.loop.clients.open) == 2, "accepting is resumed")
--- a/tests/core/test_state.py
+++ b/tests/core/test_state.py
@@ -21,11 +21,11 @@
 from testbed.router_process import RouterProcess
 from testbed.stand_ins import ROOT, ScriptedReply, ServerCommand, StandInServers
 
-ON = 'kelpcroft version=1\ncontrol state=#true\nroute "rest" { match; }\n'
-OFF = 'kelpcroft version=1\nroute "rest" { match; }\n'
+STATE_ENABLED = 'kelpcroft version=1\ncontrol state=#true\nroute "rest" { match; }\n'
+STATE_DISABLED = 'kelpcroft version=1\nroute "rest" { match; }\n'
 
 
-def state(router: RouterProcess) -> tuple[int, dict[str, Any]]:
+def get_state(router: RouterProcess) -> tuple[int, dict[str, Any]]:
     url = f"http://{router.control_address[0]}:{router.control_address[1]}/control/state"
     try:
         with urllib.request.urlopen(url, timeout=20) as response:
@@ -34,7 +34,7 @@
         return error.code, json.loads(error.read())
 
 
-def reply_by_object(server: str, command: ServerCommand) -> ScriptedReply:
+def response_by_object(server: str, command: ServerCommand) -> ScriptedReply:
     """Selects the response by the object: a response, a late response, an error, or none."""
     item = command.fields["item"][-1]
     return {
@@ -67,12 +67,15 @@
 
 class OnSockets(unittest.TestCase):
     def test_state_reports_the_requests_of_each_class(self) -> None:
-        with StandInServers(reply_by_object) as servers, RouterProcess(servers, ON, mgmt=True) as router:
+        with (
+            StandInServers(response_by_object) as servers,
+            RouterProcess(servers, STATE_ENABLED, mgmt=True) as router,
+        ):
             client = router.client()
             for item, remaining_ms in (("a", 2_000), ("a", 2_000), ("b", 2_400), ("d", 300)):
                 client.request("page", object="0" * 15 + item, patience_ms=remaining_ms)
             client.request("order", object="0" * 15 + "c", body=b"x")
-            code, report = state(router)
+            code, report = get_state(router)
             assert code == 200
             page, order = report["classes"]["page"], report["classes"]["order"]
             assert (page["asked"], page["served"], page["worth"]) == (4, 3, 4.0)
@@ -85,7 +88,7 @@
             assert report["rules"]
             assert report["instance"]
             assert report["memory_kb"] > 5000
-            again = state(router)[1]
+            again = get_state(router)[1]
             assert [again[k] for k in ("instance", "build", "settings", "rules")] == [
                 report[k] for k in ("instance", "build", "settings", "rules")
             ]
@@ -93,39 +96,39 @@
     def test_two_processes_of_one_build_differ_in_their_instance_alone(self) -> None:
         with (
             StandInServers() as servers,
-            RouterProcess(servers, ON, mgmt=True) as one,
-            RouterProcess(servers, ON, mgmt=True) as two,
+            RouterProcess(servers, STATE_ENABLED, mgmt=True) as first_router,
+            RouterProcess(servers, STATE_ENABLED, mgmt=True) as second_router,
         ):
-            one.client(), two.client()
-            a, b = state(one)[1], state(two)[1]
-            assert [a[k] for k in ("build", "settings", "rules")] == [
-                b[k] for k in ("build", "settings", "rules")
+            first_router.client(), second_router.client()
+            first_state, second_state = get_state(first_router)[1], get_state(second_router)[1]
+            assert [first_state[k] for k in ("build", "settings", "rules")] == [
+                second_state[k] for k in ("build", "settings", "rules")
             ]
-            assert a["instance"] != b["instance"]
+            assert first_state["instance"] != second_state["instance"]
 
     def test_the_operators_file_enables_and_disables_the_path(self) -> None:
-        with StandInServers() as servers, RouterProcess(servers, OFF, mgmt=True) as router:
+        with StandInServers() as servers, RouterProcess(servers, STATE_DISABLED, mgmt=True) as router:
             router.client()
-            assert state(router)[0] == 404
-            assert "GET /control/state" not in state(router)[1]["calls"]
-            assert router.reload_rules(ON)["event"] == "rules.taken"
-            code, report = state(router)
+            assert get_state(router)[0] == 404
+            assert "GET /control/state" not in get_state(router)[1]["calls"]
+            assert router.reload_rules(STATE_ENABLED)["event"] == "rules.taken"
+            code, report = get_state(router)
             assert (code, report["classes"]) == (200, {})
             first = report["rules"]
-            router.reload_rules(ON + "// another\n")
-            assert state(router)[1]["rules"] != first
-            router.reload_rules(OFF)
-            assert state(router)[0] == 404
+            router.reload_rules(STATE_ENABLED + "// another\n")
+            assert get_state(router)[1]["rules"] != first
+            router.reload_rules(STATE_DISABLED)
+            assert get_state(router)[0] == 404
 
     def test_many_state_requests_do_not_affect_client_requests(self) -> None:
-        with StandInServers() as servers, RouterProcess(servers, ON, mgmt=True) as router:
+        with StandInServers() as servers, RouterProcess(servers, STATE_ENABLED, mgmt=True) as router:
             client = router.client()
             for _ in range(100):
-                state(router)
+                get_state(router)
                 assert client.request("page").kind == "served"
 
 
-class Pure(unittest.TestCase):
+class CountsAndDigests(unittest.TestCase):
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(
         st.lists(
--- a/tests/decision/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -79,18 +79,22 @@
         third of its fill link was used.  Requests must not bypass the caches if the link is full, or if the
         deployment does not allow it.
         """
-        for direct, link, straight in ((True, 0.4, True), (True, 3.0, False), (False, 0.4, False)):
-            with self.subTest(allows_cache_bypass=direct, link=link):
-                p = make_policy(allows_cache_bypass=direct)
+        for bypass_allowed, link_load, expects_bypass in (
+            (True, 0.4, True),
+            (True, 3.0, False),
+            (False, 0.4, False),
+        ):
+            with self.subTest(allows_cache_bypass=bypass_allowed, link_load=link_load):
+                p = make_policy(allows_cache_bypass=bypass_allowed)
                 burst(p, S, 60, 400.0)
                 for _ in range(50):
-                    p.admission.fills.link_load.record(S, link)
+                    p.admission.fills.link_load.record(S, link_load)
                 later = [
                     f
                     for n in range(20)
                     for f in forwarded_attempts(send_request(p, S, f"l{n}", 5_000 + n, size_kb=400.0))
                 ]
-                assert any(f.server.startswith("p") for f in later) == straight
+                assert any(f.server.startswith("p") for f in later) == expects_bypass
                 assert not any(f.server == "o" for f in later)
 
     def test_requests_beyond_the_caches_capacity_never_go_to_the_origin(self) -> None:
@@ -135,7 +139,7 @@
     were rejected.
     """
 
-    def waiting_requests(self, has_later_hits: bool) -> RoutingPolicy:
+    def policy_with_waiting_requests(self, has_later_hits: bool) -> RoutingPolicy:
         """Return a policy with 60 requests in flight that wait for their fill source.
 
         Args:
@@ -152,7 +156,7 @@
 
     def test_attempts_that_wait_for_their_source_use_no_cache_capacity(self) -> None:
         for has_later_hits in (True, False):
-            p = self.waiting_requests(has_later_hits)
+            p = self.policy_with_waiting_requests(has_later_hits)
             hits = [
                 bool(forwarded_attempts(send_request(p, S + 600 * MS, f"n{n}", 2_000 + n, size_kb=600.0)))
                 for n in range(10)
@@ -161,7 +165,7 @@
 
     def test_a_late_fill_is_not_recorded_as_a_late_hit(self) -> None:
         for has_later_hits in (True, False):
-            p = self.waiting_requests(has_later_hits)
+            p = self.policy_with_waiting_requests(has_later_hits)
             for request in p.requests_in_flight.values():
                 request.expects_fill = False  # as if copies were known, so that hits are expected
             p.handle(S + 2_500 * MS, api.TimerExpired(TICK_TIMER))
@@ -174,16 +178,18 @@
     requests overloaded a cold server, and the work completed before a restart counted as capacity after it.
     """
 
-    def cold(self, **more: Any) -> RoutingPolicy:
+    def cold_policy(self, **changes: Any) -> RoutingPolicy:
         """Return a policy whose caches all started at 100 s: each has a budget of 1.2 s of work per second.
 
         The budget is 0.6 * 2 * 0.2 * 5 = 1.2.
         """
-        lines = [replace(s, started_ns=100 * S) if s.role is api.Role.CACHE else s for s in servers()]
-        return make_policy(lines, **more)
+        listed_servers = [
+            replace(s, started_ns=100 * S) if s.role is api.Role.CACHE else s for s in servers()
+        ]
+        return make_policy(listed_servers, **changes)
 
     def test_known_sizes_count(self) -> None:
-        p = self.cold()
+        p = self.cold_policy()
         for n in range(60):
             kb = 20.0 if n % 3 else 1_500.0
             for f in forwarded_attempts(send_request(p, 100 * S + n * MS, f"r{n}", n, size_kb=kb)):
@@ -197,7 +203,7 @@
         )
 
     def test_a_request_larger_than_the_budget_is_sent_alone(self) -> None:
-        p = self.cold()
+        p = self.cold_policy()
         sent = [
             (now, f.server)
             for now in range(100, 118)
@@ -216,23 +222,23 @@
         endpoint = p.endpoints["c0"]
         endpoint.work_completed.add(100 * S, 200.0 * S)
         assert endpoint.spare_capacity(100 * S) > 10
-        lines = tuple(replace(s, started_ns=100 * S) if s.name == "c0" else s for s in servers())
-        p.handle(100 * S, api.ServerList("update", lines))
+        listed_servers = tuple(replace(s, started_ns=100 * S) if s.name == "c0" else s for s in servers())
+        p.handle(100 * S, api.ServerList("update", listed_servers))
         assert endpoint.spare_capacity(100 * S) == 0.0
         endpoint.work_completed.add(100 * S, 2.0 * S)
-        p.handle(101 * S, api.ServerList("update", lines))
+        p.handle(101 * S, api.ServerList("update", listed_servers))
         assert endpoint.spare_capacity(101 * S) > 0.0, "a start that was already recorded resets nothing"
 
 
 class RankBySize(unittest.TestCase):
-    def retention_rank_of(self, item: int, kb: float) -> int:
+    def retention_rank_of(self, object_id: int, kb: float) -> int:
         """Return the retention rank of an object of this size at its third request."""
         p = make_policy()
         for n in range(40):
             (f,) = forwarded_attempts(send_request(p, S + n * MS, f"w{n}", 1_000 + n, size_kb=400.0))
             end_attempt(p, S + n * MS, f, Outcome.OK, fill_result=FillResult.FILLED)
         for n in range(3):
-            (f,) = forwarded_attempts(send_request(p, 2 * S + n * MS, f"r{n}", item, size_kb=kb))
+            (f,) = forwarded_attempts(send_request(p, 2 * S + n * MS, f"r{n}", object_id, size_kb=kb))
             end_attempt(p, 2 * S + n * MS, f, Outcome.OK, fill_result=FillResult.FILLED)
         return f.retention_rank
 
@@ -242,7 +248,7 @@
 
 
 class SourceWaits(unittest.TestCase):
-    def fills(self, p: RoutingPolicy, start: int, wait_ms: int) -> None:
+    def complete_fills(self, p: RoutingPolicy, start: int, wait_ms: int) -> None:
         """Complete 30 fills, each after a wait of ``wait_ms`` for its fill source."""
         for n in range(30):
             now = start + n * 20 * MS
@@ -265,23 +271,23 @@
 
     def hit_only_count(self, p: RoutingPolicy, now: int) -> int:
         """Return how many of 20 requests for large objects without known copies are sent without a fill."""
-        found = [
+        forwards = [
             forwarded_attempts(send_request(p, now, f"l{now}-{n}", 90_000 + n, size_kb=900.0))
             for n in range(20)
         ]
-        return sum(bool(f) and f[0].fill_source == f[0].server for f in found)
+        return sum(bool(f) and f[0].fill_source == f[0].server for f in forwards)
 
-    def test_a_long_queue_at_the_source_keeps_large_fills_out(self) -> None:
-        for wait_ms, due in ((20, False), (580, True)):
+    def test_a_long_queue_at_the_source_prevents_large_fills(self) -> None:
+        for wait_ms, expects_limit in ((20, False), (580, True)):
             p = make_policy()
-            self.fills(p, S, wait_ms)
-            assert (self.hit_only_count(p, 2 * S) >= 15) == due, (
+            self.complete_fills(p, S, wait_ms)
+            assert (self.hit_only_count(p, 2 * S) >= 15) == expects_limit, (
                 f"the wait for the fill source is {wait_ms} ms"
             )
 
     def test_large_fills_are_admitted_again_without_a_new_measurement(self) -> None:
         p = make_policy()
-        self.fills(p, S, 5_000)
+        self.complete_fills(p, S, 5_000)
         assert self.hit_only_count(p, 2 * S) == 20
         assert self.hit_only_count(p, 8 * S) == 0, (
             "the limit decays, because without fills nothing measures the shorter queue"
@@ -294,27 +300,31 @@
 
 
 class LoadSignals(unittest.TestCase):
-    def test_falls_by_one_in_each_span(self) -> None:
-        level = LinearDecay(S)
-        level.record(5 * S, 3.0)
-        assert [level.value_at(t * S) for t in (5, 6, 8)] == [3.0, 2.0, 0.0]
+    def test_a_gauge_falls_by_one_per_decay_time(self) -> None:
+        gauge = LinearDecay(S)
+        gauge.record(5 * S, 3.0)
+        assert [gauge.value_at(t * S) for t in (5, 6, 8)] == [3.0, 2.0, 0.0]
 
     def test_idle_caches_attract_no_objects_if_weights_are_known(self) -> None:
         """A cache that restarted empty was idle while it waited for fills, and got four times its share."""
-        moved = {}
-        for weights in ("rough", "off"):
-            p = make_policy(weight_source=weights)
-            homes = [p.caches.ranked_caches(self.completed_request(p, n))[0].server.name for n in range(400)]
-            for name, busy in (("c0", 0.05), ("c1", 0.5), ("c2", 0.5), ("c3", 0.5)):
-                p.feedback.record_load_report(p.endpoints[name], {"utilization": busy})
-            after = [p.caches.ranked_caches(self.completed_request(p, n))[0].server.name for n in range(400)]
-            moved[weights] = sum(a != b for a, b in zip(homes, after, strict=True))
-        assert moved["rough"] < 20
-        assert moved["off"] > 60, "without weights, load reports are the only measure of capacity"
-
-    def completed_request(self, p: RoutingPolicy, item: int) -> InFlightRequest:
+        moved_counts = {}
+        for weight_source in ("rough", "off"):
+            p = make_policy(weight_source=weight_source)
+            homes_before = [
+                p.caches.ranked_caches(self.completed_request(p, n))[0].server.name for n in range(400)
+            ]
+            for name, utilization in (("c0", 0.05), ("c1", 0.5), ("c2", 0.5), ("c3", 0.5)):
+                p.feedback.record_load_report(p.endpoints[name], {"utilization": utilization})
+            homes_after = [
+                p.caches.ranked_caches(self.completed_request(p, n))[0].server.name for n in range(400)
+            ]
+            moved_counts[weight_source] = sum(a != b for a, b in zip(homes_before, homes_after, strict=True))
+        assert moved_counts["rough"] < 20
+        assert moved_counts["off"] > 60, "without weights, load reports are the only measure of capacity"
+
+    def completed_request(self, p: RoutingPolicy, object_id: int) -> InFlightRequest:
         (f,) = forwarded_attempts(
-            send_request(p, S, f"h{len(p.requests_in_flight)}-{item}", item, size_kb=1.0)
+            send_request(p, S, f"h{len(p.requests_in_flight)}-{object_id}", object_id, size_kb=1.0)
         )
         request = p.requests_in_flight[f.id]
         end_attempt(p, S, f, Outcome.OK, fill_result=FillResult.HIT, elapsed_ns=MS)
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -122,28 +122,28 @@
 
 def test_silent_cache_is_ejected_and_then_receives_only_trials() -> None:
     p = make_policy(weight_source="off")
-    names = [f"r{n}" for n in range(40)]
+    request_ids = [f"r{n}" for n in range(40)]
     sent = {
         n: forwarded_attempts(send_request(p, S, n, i, time_remaining_ns=60 * S))[0]
-        for i, n in enumerate(names)
+        for i, n in enumerate(request_ids)
     }
-    silent = sent["r0"].server
+    silent_cache = sent["r0"].server
     for f in sent.values():
-        if f.server != silent:
+        if f.server != silent_cache:
             end_attempt(p, S + 100 * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     actions = p.handle(10 * S, api.TimerExpired(0))
-    assert p.endpoints[silent].is_ejected
+    assert p.endpoints[silent_cache].is_ejected
     # A cancellation would end transfers of large objects before they are complete.
     assert not any(isinstance(a, api.Cancel) for a in actions)
     trials = [
         f
         for n in range(100)
         for f in forwarded_attempts(send_request(p, 12 * S + n * MS, f"q{n}", n))
-        if f.server == silent
+        if f.server == silent_cache
     ]
     assert len(trials) == 1
     end_attempt(p, 12 * S + 200 * MS, trials[0], Outcome.OK, fill_result=FillResult.HIT)
-    assert not p.endpoints[silent].is_ejected
+    assert not p.endpoints[silent_cache].is_ejected
 
 
 def test_restarted_server_is_cold_before_the_list_shows_it() -> None:
--- a/tests/decision/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -27,31 +27,34 @@
 ROUTERS = 60
 
 
-def fleet(lines: list[api.Server], apart: int = 1) -> list[RoutingPolicy]:
+def fleet(listed_servers: list[api.Server], index_step: int = 1) -> list[RoutingPolicy]:
     return [
-        make_policy(lines, instances=ROUTERS, zone_instances=ROUTERS, router_index=n * apart)
+        make_policy(listed_servers, instances=ROUTERS, zone_instances=ROUTERS, router_index=n * index_step)
         for n in range(ROUTERS)
     ]
 
 
-@pytest.mark.parametrize("apart", [1, 24])
-def test_cold_parent_gets_turns_within_its_budget(apart: int) -> None:
+@pytest.mark.parametrize("index_step", [1, 24])
+def test_cold_parent_gets_turns_within_its_budget(index_step: int) -> None:
     """A router's share of the budget was less than one request, so a restarted parent never received a fill.
     With turns by router number alone, the routers of one zone, whose numbers differ by a multiple of the
     number of turns, all had the same turn.
     """
-    start, weight, unit = 100 * S, 20.0, 0.3
-    lines = [replace(x, started_ns=start if x.name == "p0" else 0) for x in servers() if x.name != "p1"]
+    start, weight, request_work_s = 100 * S, 20.0, 0.3
+    listed_servers = [
+        replace(x, started_ns=start if x.name == "p0" else 0) for x in servers() if x.name != "p1"
+    ]
     sent: Counter[int] = Counter()
-    for n, p in enumerate(fleet(lines, apart)):
+    for n, p in enumerate(fleet(listed_servers, index_step)):
         for step in range(40):
             now = start + step * 250 * MS
             for f in forwarded_attempts(send_request(p, now, f"r{step}", n * 1000 + step, size_kb=300.0)):
                 sent[step] += f.fill_source == "p0"
     assert sum(sent.values()) > 0
     for step in range(37):
-        low = 0.07 + 0.93 * step * 0.25 / 20  # the parent's warm fraction at the start of this second
-        assert sum(sent[step + k] for k in range(4)) * unit <= 2.0 * low * weight
+        # The parent's warm fraction at the start of this second
+        warm_fraction = 0.07 + 0.93 * step * 0.25 / 20
+        assert sum(sent[step + k] for k in range(4)) * request_work_s <= 2.0 * warm_fraction * weight
 
 
 def test_trials_of_all_routers_do_not_overload_a_server_that_restarts_cold() -> None:
@@ -70,7 +73,7 @@
     assert trials * 0.3 <= 2.0 * 0.07 * 20
 
 
-def test_one_refused_connection_is_enough() -> None:
+def test_one_refused_connection_ejects_a_server() -> None:
     p = make_policy()
     (f,) = forwarded_attempts(send_request(p, S, "r", 1))
     (g,) = forwarded_attempts(end_attempt(p, S + MS, f, Outcome.CONNECT_FAILED))
@@ -97,7 +100,7 @@
     assert not p.endpoints[f.server].is_ejected
 
 
-def test_trials_grow_rarer_up_to_a_limit() -> None:
+def test_the_interval_between_trials_grows_up_to_a_limit() -> None:
     p = make_policy()
     outlier_state = p.endpoints["c0"].outlier_state
     p.ejection.record_failure(p.endpoints["c0"], 3, False)
@@ -113,7 +116,7 @@
     assert outlier_state.next_trial_ns == waits[0]
 
 
-def test_list_corrects_a_guessed_start() -> None:
+def test_list_corrects_an_inferred_start() -> None:
     p = make_policy()
     p.state.now_ns = 50 * S
     p.ejection.record_failure(p.endpoints["c0"], 3, True)
@@ -168,11 +171,11 @@
 def test_threshold_rises_faster_on_responses_with_slack() -> None:
     """After an overload the threshold stayed low for ten seconds while the caches were idle."""
     thresholds = []
-    for spare in (False, True):
+    for has_slack in (False, True):
         controller = AdmissionController()
         controller.price_threshold = MIN_PRICE_THRESHOLD
         for n in range(1, 4):
-            controller.record_latency(False, n * S, n * S, spare)
+            controller.record_latency(False, n * S, n * S, has_slack)
         thresholds.append(controller.price_threshold)
     assert thresholds[0] * 2 < thresholds[1]
 
@@ -180,9 +183,9 @@
 def test_slow_cache_loses_part_of_its_objects() -> None:
     """One of two caches was full because a hot object was hashed to it, while the other was half idle."""
     shares = []
-    for slowness in (1.0, 8.0):
+    for slowdown in (1.0, 8.0):
         p = make_policy()
-        p.endpoints["c0"].slowdown.add(slowness)
+        p.endpoints["c0"].slowdown.add(slowdown)
         shares.append(Counter[str]())
         for n in range(400):
             (f,) = forwarded_attempts(send_request(p, S, f"r{n}", n))
@@ -195,37 +198,39 @@
 
 def test_parents_share_by_weight_when_equally_quick() -> None:
     """All zones filled from the parent with the fastest link, and the other parents were idle."""
-    lines = [replace(x, weight={"p0": 40.0, "p1": 20.0}.get(x.name, x.weight)) for x in servers()]
-    p = make_policy(lines)
+    listed_servers = [replace(x, weight={"p0": 40.0, "p1": 20.0}.get(x.name, x.weight)) for x in servers()]
+    p = make_policy(listed_servers)
     sent = Counter(
         f.fill_source for n in range(600) for f in forwarded_attempts(send_request(p, S, f"r{n}", n))
     )
     assert 1.4 < sent["p0"] / sent["p1"] < 2.8
 
 
-def test_crowded_link_counts_although_the_first_byte_is_quick() -> None:
+def test_congested_link_counts_although_the_first_byte_is_quick() -> None:
     p = make_policy()
     (f,) = forwarded_attempts(send_request(p, S, "r", 1, size_kb=100.0))
     p.handle(2 * S, api.AttemptEnded("r", 0, f.server, Outcome.OK, S, True, FillResult.FILLED, 20 * MS))
     assert round(math.exp(p.endpoints[f.fill_source].log_first_byte_ns.mean)) == 900 * MS
 
 
-@pytest.mark.parametrize("others", [10, 200])
-def test_no_request_visits_the_whole_fleet(others: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    seen: Counter[str] = Counter()
+@pytest.mark.parametrize("remote_cache_count", [10, 200])
+def test_no_request_visits_the_whole_fleet(remote_cache_count: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    calls_by_zone: Counter[str] = Counter()
 
-    def counted(self: Endpoint, now: int, rules: api.Rules) -> float:
-        seen[self.server.zone] += 1
+    def counted_warm_fraction(self: Endpoint, now: int, rules: api.Rules) -> float:
+        calls_by_zone[self.server.zone] += 1
         return 1.0
 
-    far = [api.Server(f"y{n}", api.Role.CACHE, "b", 100 + n, weight=5) for n in range(others)]
-    p = make_policy([*servers(), *far])
-    monkeypatch.setattr(Endpoint, "warm_fraction", counted)
+    remote_caches = [
+        api.Server(f"y{n}", api.Role.CACHE, "b", 100 + n, weight=5) for n in range(remote_cache_count)
+    ]
+    p = make_policy([*servers(), *remote_caches])
+    monkeypatch.setattr(Endpoint, "warm_fraction", counted_warm_fraction)
     forwarded_attempts(send_request(p, S, "r", 1))
     p.handle(2 * S, api.TimerExpired(0))
-    assert seen["a"] > 0
-    assert seen["b"] == 0
-    assert sum(seen.values()) < 40
+    assert calls_by_zone["a"] > 0
+    assert calls_by_zone["b"] == 0
+    assert sum(calls_by_zone.values()) < 40
 
 
 def test_replaced_servers_are_removed() -> None:
@@ -233,8 +238,8 @@
     p = make_policy()
     for n in range(300):
         old, new = (api.Server(f"n{k}", api.Role.CACHE, "a", 0, weight=5) for k in (n, n + 1))
-        gone = replace(old, state="terminated")
-        p.handle(S + n * S, api.ServerList("update", (gone, new)))
+        terminated = replace(old, state="terminated")
+        p.handle(S + n * S, api.ServerList("update", (terminated, new)))
         for f in forwarded_attempts(send_request(p, S + n * S, f"r{n}", n)):
             end_attempt(p, S + n * S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert len(p.endpoints) <= len(servers()) + 2
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -62,34 +62,34 @@
     because overdue responses were not recorded for the parent before they arrived.
     """
 
-    def test_fills_leave_a_parent_whose_answers_do_not_come(self) -> None:
+    def test_fills_leave_a_parent_with_overdue_responses(self) -> None:
         random = Random(1)
-        bad_from = 10 * S
+        slow_from_ns = 10 * S
 
-        def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
-            if f.fill_source == "p0" and now >= bad_from and random.random() < 0.7:
+        def respond(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
+            if f.fill_source == "p0" and now >= slow_from_ns and random.random() < 0.7:
                 return None
             return int(random.lognormvariate(0, 0.8) * 250 * MS), Outcome.OK, FillResult.FILLED, {}
 
-        fleet = PolicyFleet([make_policy(**NO_WEIGHTS, router_index=n) for n in range(40)], reply)
+        fleet = PolicyFleet([make_policy(**NO_WEIGHTS, router_index=n) for n in range(40)], respond)
         fleet.schedule_requests(2 * S, 18 * S, 250 * MS, random)
         fleet.run(22 * S)
 
-        def share(start: int, end: int) -> float:
-            found = [
+        def slow_parent_share(start: int, end: int) -> float:
+            fill_sources = [
                 f.fill_source
-                for at, f in fleet.attempts
-                if start <= at < end and f.fill_source in ("p0", "p1")
+                for sent_ns, f in fleet.attempts
+                if start <= sent_ns < end and f.fill_source in ("p0", "p1")
             ]
-            return found.count("p0") / len(found)
+            return fill_sources.count("p0") / len(fill_sources)
 
-        assert share(5 * S, 10 * S) > 0.35
-        assert share(14 * S, 18 * S) < 0.15, "four seconds later, few fills use the slow parent"
+        assert slow_parent_share(5 * S, 10 * S) > 0.35
+        assert slow_parent_share(14 * S, 18 * S) < 0.15, "four seconds later, few fills use the slow parent"
 
     def test_the_origin_shares_fills_when_the_only_parent_is_far_slower(self) -> None:
         random = Random(2)
 
-        def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
+        def respond(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
             elapsed_ns = 2500 * MS if f.fill_source == "p0" and now > 4 * S else 300 * MS
             return (
                 elapsed_ns,
@@ -98,8 +98,10 @@
                 {},
             )
 
-        lines = [x for x in EQUAL_SERVERS if x.name != "p1"]
-        fleet = PolicyFleet([make_policy(lines, **NO_WEIGHTS, router_index=n) for n in range(40)], reply)
+        listed_servers = [x for x in EQUAL_SERVERS if x.name != "p1"]
+        fleet = PolicyFleet(
+            [make_policy(listed_servers, **NO_WEIGHTS, router_index=n) for n in range(40)], respond
+        )
         for n in range(40):  # writes are executed at the origin, so its time is known
             for k in range(5):
                 fleet.schedule(
@@ -107,8 +109,8 @@
                 )
         fleet.schedule_requests(2 * S, 14 * S, 250 * MS, random)
         fleet.run(18 * S)
-        before = [f.fill_source for at, f in fleet.attempts if 2 * S < at < 4 * S]
-        after = [f.fill_source for at, f in fleet.attempts if at > 9 * S]
+        before = [f.fill_source for sent_ns, f in fleet.attempts if 2 * S < sent_ns < 4 * S]
+        after = [f.fill_source for sent_ns, f in fleet.attempts if sent_ns > 9 * S]
         assert before.count("o") == 0
         assert after.count("o") / len(after) > 0.3
 
@@ -122,33 +124,33 @@
         p = make_policy(EQUAL_SERVERS, **NO_WEIGHTS)
         for n in range(60):
             (f,) = forwarded_attempts(send_request(p, S + n * 100 * MS, f"r{n}", n))
-            broke = f.fill_source == "p0" and n % 2 == 0
+            is_failed = f.fill_source == "p0" and n % 2 == 0
             p.handle(
                 S + n * 100 * MS + 30 * MS,
                 api.AttemptEnded(
                     f.id,
                     0,
                     f.server,
-                    Outcome.ERROR if broke else Outcome.OK,
+                    Outcome.ERROR if is_failed else Outcome.OK,
                     30 * MS,
-                    not broke,
-                    FillResult.SOURCE_BROKE if broke else FillResult.FILLED,
+                    not is_failed,
+                    FillResult.SOURCE_BROKE if is_failed else FillResult.FILLED,
                     20 * MS,
                 ),
             )
         assert not p.endpoints["p0"].is_ejected
-        now = {
+        sources_after_failures = {
             f.fill_source
             for n in range(40)
             for f in forwarded_attempts(send_request(p, 7 * S, f"now{n}", 1000 + n))
         }
-        assert now == {"p1"}
-        later = [
+        assert sources_after_failures == {"p1"}
+        later_sources = [
             f.fill_source
             for n in range(40)
             for f in forwarded_attempts(send_request(p, 40 * S, f"later{n}", 2000 + n))
         ]
-        assert later.count("p0") > 5, "the parent is used again, as it may have recovered"
+        assert later_sources.count("p0") > 5, "the parent is used again, as it may have recovered"
 
 
 class UnequalCaches(unittest.TestCase):
@@ -162,28 +164,33 @@
         capacity = {"c0": 7.0, "c1": 7.0, "c2": 15.0, "c3": 15.0}
         sends: dict[str, list[int]] = {name: [] for name in capacity}
 
-        def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
+        def respond(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
             if f.server not in sends:
                 return 250 * MS, Outcome.OK, FillResult.FILLED, {}
             sends[f.server].append(now)
-            recent_work = sum(now - 1300 * MS < at <= now - 300 * MS for at in sends[f.server][-200:]) * 0.25
+            recent_work = (
+                sum(now - 1300 * MS < sent_ns <= now - 300 * MS for sent_ns in sends[f.server][-200:]) * 0.25
+            )
             utilization = round(recent_work / capacity[f.server], 3)
             return 250 * MS, Outcome.OK, FillResult.HIT, {"utilization": utilization, "x0": 0.7, "x1": 0.3}
 
         fleet = PolicyFleet(
             [make_policy(EQUAL_SERVERS, **NO_WEIGHTS, zone_instances=8, router_index=n) for n in range(8)],
-            reply,
+            respond,
         )
         fleet.schedule_requests(2 * S, 20 * S, 100 * MS, random, 300)
         fleet.run(24 * S)
-        late_load = {name: sum(at > 12 * S for at in found) / capacity[name] for name, found in sends.items()}
+        late_load = {
+            name: sum(sent_ns > 12 * S for sent_ns in send_times) / capacity[name]
+            for name, send_times in sends.items()
+        }
         assert max(late_load.values()) / min(late_load.values()) < 1.7, late_load
         homes: dict[int, set[str]] = {}
         for n, router in enumerate(fleet.routers):
             for item in range(100):
                 (f,) = forwarded_attempts(send_request(router, 25 * S, f"home{n}-{item}", item))
                 homes.setdefault(item, set()).add(f.server)
-        objects_with_one_home = sum(len(found) == 1 for found in homes.values())
+        objects_with_one_home = sum(len(caches) == 1 for caches in homes.values())
         assert objects_with_one_home > 50, (
             "the routers receive the same reports, so most objects have one home"
         )
@@ -194,21 +201,23 @@
     so each cache was assumed to have capacity for one transfer, and was idle while its clients were rejected.
     """
 
-    ROUTERS, CAPACITY, UNIT = 9, 12.0, 0.25
+    ROUTERS, CAPACITY, REQUEST_WORK_S = 9, 12.0, 0.25
 
-    def fleet(self, listed: bool) -> tuple[PolicyFleet, int]:
+    def run_fleet(self, start_is_listed: bool) -> tuple[PolicyFleet, int]:
         start, random = 100 * S, Random(3)
         sends_by_server: dict[str, list[int]] = {}
 
-        def reply(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
+        def respond(now: int, f: api.ForwardRequest) -> ScriptedResult | None:
             sends = sends_by_server.setdefault(f.server, [])
             sends.append(now)
             if f.server not in ("c0", "c1", "c2", "c3"):
                 return 300 * MS, Outcome.OK, FillResult.FILLED, {}
             warm_fraction = min(1.0, 0.2 + 0.8 * (now - start) / (15 * S))
-            recent_work = sum(now - 1300 * MS < at <= now - 300 * MS for at in sends) * self.UNIT
+            recent_work = (
+                sum(now - 1300 * MS < sent_ns <= now - 300 * MS for sent_ns in sends) * self.REQUEST_WORK_S
+            )
             utilization = recent_work / (warm_fraction * self.CAPACITY)
-            elapsed_ns = int(self.UNIT * S * max(1.0, utilization))
+            elapsed_ns = int(self.REQUEST_WORK_S * S * max(1.0, utilization))
             return (
                 elapsed_ns,
                 Outcome.OK,
@@ -216,13 +225,14 @@
                 {"utilization": utilization, "x0": 0.01, "x1": 0.5},
             )
 
-        lines = [
-            replace(x, started_ns=start) if listed and x.role is api.Role.CACHE else x for x in EQUAL_SERVERS
+        listed_servers = [
+            replace(x, started_ns=start) if start_is_listed and x.role is api.Role.CACHE else x
+            for x in EQUAL_SERVERS
         ]
         fleet = PolicyFleet(
             [
                 make_policy(
-                    lines,
+                    listed_servers,
                     **NO_WEIGHTS,
                     **COLD,
                     allows_cache_bypass=True,
@@ -231,31 +241,34 @@
                 )
                 for n in range(self.ROUTERS)
             ],
-            reply,
+            respond,
         )
         fleet.schedule_requests(start, start + 20 * S, 100 * MS, random)
         fleet.run(start + 24 * S)
         return fleet, start
 
-    def check(self, fleet: PolicyFleet, start: int, since: int) -> None:
+    def check_load(self, fleet: PolicyFleet, start: int, first_window_ns: int) -> None:
         """Check rule 4 over all routers in every window of two seconds, and that the caches are used."""
         for name in ("c0", "c1", "c2", "c3"):
-            sends = [at - start for at, f in fleet.attempts if f.server == name]
-            for step in range(since // (100 * MS), 130):
-                at = step * 100 * MS
-                warm_fraction = 0.2 + 0.8 * at / (15 * S)
-                window = sum(at <= x < at + 2 * S for x in sends) * self.UNIT
-                assert window <= 2.5 * warm_fraction * self.CAPACITY * 2, (name, at)
-            assert sum(10 * S <= x < 14 * S for x in sends) / 4 > 6, name
+            sends = [sent_ns - start for sent_ns, f in fleet.attempts if f.server == name]
+            for step in range(first_window_ns // (100 * MS), 130):
+                window_start_ns = step * 100 * MS
+                warm_fraction = 0.2 + 0.8 * window_start_ns / (15 * S)
+                work_s = (
+                    sum(window_start_ns <= sent_ns < window_start_ns + 2 * S for sent_ns in sends)
+                    * self.REQUEST_WORK_S
+                )
+                assert work_s <= 2.5 * warm_fraction * self.CAPACITY * 2, (name, window_start_ns)
+            assert sum(10 * S <= sent_ns < 14 * S for sent_ns in sends) / 4 > 6, name
 
     def test_listed_cold_caches_are_used_within_the_rule(self) -> None:
-        self.check(*self.fleet(listed=True), 0)
+        self.check_load(*self.run_fleet(start_is_listed=True), 0)
 
     def test_cold_caches_receive_requests_within_seconds(self) -> None:
         """No router had received a response from them yet, and each router had a turn only every 30 s."""
-        fleet, start = self.fleet(listed=True)
+        fleet, start = self.run_fleet(start_is_listed=True)
         for name in ("c0", "c1", "c2", "c3"):
-            early = sum(2 * S <= at - start < 4 * S for at, f in fleet.attempts if f.server == name)
+            early = sum(2 * S <= sent_ns - start < 4 * S for sent_ns, f in fleet.attempts if f.server == name)
             assert early > 2, name
 
     def test_a_cold_cache_that_reports_little_load_gets_more(self) -> None:
@@ -277,8 +290,8 @@
         assert (admits(0.2), admits(2.0)) == (True, False)
 
     def test_a_low_hit_share_makes_a_cache_cold_before_the_list_does(self) -> None:
-        fleet, start = self.fleet(listed=False)
-        self.check(fleet, start, 500 * MS)
+        fleet, start = self.run_fleet(start_is_listed=False)
+        self.check_load(fleet, start, 500 * MS)
         for router in fleet.routers:
             assert all(router.endpoints[f"c{n}"].started_ns > 0 for n in range(4))
 
@@ -297,11 +310,11 @@
             forwarded_attempts(send_request(p, 3 * S + (n + 3) * 50 * MS, f"n{n}", n)) for n in range(2, 22)
         ]
         assert [f.fill_source == f.server for (f,) in hit_only_requests] == [True] * 20, "sent for a hit only"
-        ended = [
+        action_lists = [
             end_with_report(p, 4500 * MS, f, FillResult.NONE, 12.0, Outcome.MISS)
             for (f,) in hit_only_requests
         ]
-        assert all(isinstance(a, api.Reject) for (a,) in ended), "rejected immediately after the miss"
+        assert all(isinstance(a, api.Reject) for (a,) in action_lists), "rejected immediately after the miss"
 
     def test_objects_with_a_known_copy_are_still_requested(self) -> None:
         p = warm_policy()
@@ -310,16 +323,16 @@
         (f,) = forwarded_attempts(send_request(p, 3 * S + 200 * MS, "again", 1000))
         assert f.fill_source != f.server, "an object with a known copy is not subject to the limit on fills"
 
-    def test_reports_that_make_no_sense_change_nothing(self) -> None:
+    def test_implausible_reports_are_ignored(self) -> None:
         p = warm_policy()
         nan, inf = float("nan"), float("inf")
-        odd = (
+        implausible_reports = (
             {"x0": 0.5},
             {"utilization": nan, "x1": nan},
             {"utilization": inf, "x1": inf, "x0": nan},
             {"utilization": -1.0, "x1": -9.0},
         )
-        for n, report in enumerate(({"utilization": 0.5, "x1": 0.4}, *odd)):
+        for n, report in enumerate(({"utilization": 0.5, "x1": 0.4}, *implausible_reports)):
             (f,) = forwarded_attempts(send_request(p, 3 * S + n * 100 * MS, f"odd{n}", 1000))
             p.handle(
                 3 * S + n * 100 * MS + MS,
@@ -329,7 +342,7 @@
         assert (endpoint.utilization, p.admission.fills.link_load.value) == (0.5, 0.4)
         assert endpoint.mean_utilization.mean < 1.0
 
-    def test_fills_go_on_once_the_link_is_free(self) -> None:
+    def test_fills_resume_once_the_link_is_free(self) -> None:
         p = warm_policy()
         (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
@@ -370,8 +383,8 @@
         p = warm_policy()
         (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
-        gone = tuple(x for x in servers() if x.role is not api.Role.CACHE)
-        p.handle(3 * S + 150 * MS, api.ServerList("replace", gone))
+        without_caches = tuple(x for x in servers() if x.role is not api.Role.CACHE)
+        p.handle(3 * S + 150 * MS, api.ServerList("replace", without_caches))
         (a,) = [x for x in send_request(p, 3 * S + 200 * MS, "none", 2) if not isinstance(x, api.SetTimer)]
         assert isinstance(a, api.Reject)
 
@@ -381,33 +394,36 @@
     The events after it, drains and purges, were never received.
     """
 
-    LINE = {"name": "c9", "address": "127.0.0.1:9", "zone": "a", "type": "small", "status": "active"}
-    BAD = (
-        ({"members": {"endpoints": [{**LINE, "status": "asleep"}]}}, "status"),
-        ({"members": {"endpoints": [LINE, LINE]}}, "named twice"),
-        ({"members": {"endpoints": [{**LINE, "address": "nowhere"}]}}, "address"),
-        ({"members": {"endpoints": [{**LINE, "since_ms": -5}]}}, "since_ms"),
+    ENDPOINT = {"name": "c9", "address": "127.0.0.1:9", "zone": "a", "type": "small", "status": "active"}
+    INVALID_EVENTS = (
+        ({"members": {"endpoints": [{**ENDPOINT, "status": "asleep"}]}}, "status"),
+        ({"members": {"endpoints": [ENDPOINT, ENDPOINT]}}, "named twice"),
+        ({"members": {"endpoints": [{**ENDPOINT, "address": "nowhere"}]}}, "address"),
+        ({"members": {"endpoints": [{**ENDPOINT, "since_ms": -5}]}}, "since_ms"),
         ({"members": {"endpoints": [{"name": "c9"}]}}, "status"),
-        ({"members": {"endpoints": [{**LINE, "zone": "elsewhere"}]}}, "zone"),
-        ({"members": {"endpoints": [{**LINE, "zone": EXAMPLE["settings"]["az"], "type": "oven"}]}}, "type"),
+        ({"members": {"endpoints": [{**ENDPOINT, "zone": "elsewhere"}]}}, "zone"),
+        (
+            {"members": {"endpoints": [{**ENDPOINT, "zone": EXAMPLE["settings"]["az"], "type": "oven"}]}},
+            "type",
+        ),
         ({"members": 7}, "event 2"),
         ({"purge": {"key": "no hex", "at": 1}}, "event 2"),
         (7, "event None"),
     )
 
     def test_a_bad_event_is_reported_and_the_events_after_it_are_applied(self) -> None:
-        good = {"n": 3, "purge": {"key": "00000000000000ff", "at": 1_764_576_000_000}}
-        for bad, field in self.BAD:
-            with self.subTest(field=field, bad=bad):
-                event = {"n": 2, **bad} if isinstance(bad, dict) else bad
-                world = VirtualRouter(None, 1, {"done": 1.0})
-                before = dict(world.reducer.state.endpoints)
-                world.deliver(parse_watch_response({"n": 3, "events": [event, good]}))
-                assert world.reducer.state.endpoints == before
-                assert world.reducer.state.counters["purges"] == 1
-                assert world.reducer.endpoint_list.last_event == 3
-                (line,) = [x for x in world.log if x.event == "feed.refused"]
-                assert field in line.text
+        purge_event = {"n": 3, "purge": {"key": "00000000000000ff", "at": 1_764_576_000_000}}
+        for invalid, field in self.INVALID_EVENTS:
+            with self.subTest(field=field, invalid=invalid):
+                event = {"n": 2, **invalid} if isinstance(invalid, dict) else invalid
+                virtual_router = VirtualRouter(None, 1, {"done": 1.0})
+                before = dict(virtual_router.reducer.state.endpoints)
+                virtual_router.deliver(parse_watch_response({"n": 3, "events": [event, purge_event]}))
+                assert virtual_router.reducer.state.endpoints == before
+                assert virtual_router.reducer.state.counters["purges"] == 1
+                assert virtual_router.reducer.endpoint_list.last_event == 3
+                (log_event,) = [x for x in virtual_router.log if x.event == "feed.refused"]
+                assert field in log_event.text
 
     def test_an_invalid_watch_response_is_refused(self) -> None:
         for raw in ({}, {"n": 1}, {"n": "x", "events": []}, [], {"n": 1, "events": 3}):
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -31,7 +31,7 @@
 )
 
 
-def test_time_out_at_the_deadline_still_gets_fail() -> None:
+def test_timeout_at_the_deadline_fails_the_request() -> None:
     p = make_policy()
     (f,) = forwarded_attempts(send_request(p, S, "r", time_remaining_ns=S))
     actions = end_attempt(p, 2 * S, f, Outcome.TIMEOUT, elapsed_ns=S)
@@ -39,9 +39,9 @@
     assert not forwarded_attempts(actions)
 
 
-@pytest.mark.parametrize("lines", [[], [replace(s, state="terminating") for s in servers()]])
-def test_no_usable_server_gives_one_rejection(lines: list[api.Server]) -> None:
-    actions = send_request(make_policy(lines), S, "r")
+@pytest.mark.parametrize("listed_servers", [[], [replace(s, state="terminating") for s in servers()]])
+def test_no_usable_server_gives_one_rejection(listed_servers: list[api.Server]) -> None:
+    actions = send_request(make_policy(listed_servers), S, "r")
     assert [a for a in actions if isinstance(a, (api.Reject, api.Fail))] == [api.Reject("r")]
 
 
@@ -51,7 +51,7 @@
     assert p.handle(S, api.AttemptEnded("never", 0, "c0", Outcome.OK, 1, True)) == []
 
 
-def test_unsafe_is_never_sent_twice_once_it_may_have_run() -> None:
+def test_unsafe_is_never_sent_twice_once_it_may_have_executed() -> None:
     p = make_policy()
     (f,) = forwarded_attempts(send_request(p, S, "r", class_name="unsafe"))
     actions = end_attempt(p, S + MS, f, Outcome.RESET)
@@ -60,13 +60,13 @@
     assert not any(isinstance(a, api.Reject) for a in actions)
 
 
-def test_unsafe_is_sent_again_when_it_cannot_have_run() -> None:
+def test_unsafe_is_sent_again_if_it_was_not_executed() -> None:
     p = make_policy()
     (f,) = forwarded_attempts(send_request(p, S, "r", class_name="unsafe"))
     assert forwarded_attempts(end_attempt(p, S + MS, f, Outcome.CONNECT_FAILED))
 
 
-def test_two_attempts_are_out_only_where_that_is_allowed() -> None:
+def test_two_attempts_are_in_flight_only_if_hedging_is_allowed() -> None:
     for allowed in (False, True):
         p = make_policy(may_hedge=allowed)
         send_request(p, S, "safe")
@@ -93,7 +93,7 @@
     assert not forwarded_attempts(end_attempt(p, S + 99 * MS, f, Outcome.RESET))
 
 
-def test_drain_stops_cache_and_source_at_once() -> None:
+def test_drain_stops_cache_and_source_immediately() -> None:
     p = make_policy()
     p.handle(
         S,
@@ -107,7 +107,7 @@
             assert not {f.server, f.fill_source} & {"c0", "c1", "p0"}
 
 
-def test_server_missing_from_a_full_list_is_gone() -> None:
+def test_server_missing_from_a_complete_list_receives_nothing() -> None:
     p = make_policy()
     p.handle(S, api.ServerList("replace", tuple(servers()[1:])))
     assert all(
@@ -115,11 +115,11 @@
     )
 
 
-@pytest.mark.parametrize(("place", "budget"), [(0, 2.0 * 0.2 * 5), (5, 2.0 * 0.07 * 20)])
-def test_cold_server_gets_no_more_than_its_budget(place: int, budget: float) -> None:
+@pytest.mark.parametrize(("server_index", "budget"), [(0, 2.0 * 0.2 * 5), (5, 2.0 * 0.07 * 20)])
+def test_cold_server_gets_no_more_than_its_budget(server_index: int, budget: float) -> None:
     """A burst must not overload a cache or a parent that has just started."""
     start = 100 * S
-    cold = replace(servers()[place], started_ns=start)
+    cold = replace(servers()[server_index], started_ns=start)
     p = make_policy([cold, *(s for s in servers() if s.role is not cold.role or s.name == "c1")])
     sent = 0
     for n in range(400):
@@ -132,11 +132,13 @@
     p = make_policy()
     p.handle(10 * S, api.Purged(7, 3, 200 * MS))
     p.handle(10 * S, api.Purged(None, 4, 0))
-    for n, (item, group, purge) in enumerate([(7, 3, 9_800 * MS), (8, 4, 10 * S), (7, 3, 9_800 * MS)]):
+    for n, (object_id, group, purged_ns) in enumerate(
+        [(7, 3, 9_800 * MS), (8, 4, 10 * S), (7, 3, 9_800 * MS)]
+    ):
         now = 10 * S + n * 900 * MS
-        (f,) = forwarded_attempts(send_request(p, now, f"r{n}", item, purge_group=group))
+        (f,) = forwarded_attempts(send_request(p, now, f"r{n}", object_id, purge_group=group))
         assert f.max_age_ns > 0
-        assert f.max_age_ns < now - purge or now - purge < 2 * MS
+        assert f.max_age_ns < now - purged_ns or now - purged_ns < 2 * MS
     (f,) = forwarded_attempts(send_request(p, 11 * S, "other", 9, purge_group=5))
     assert f.max_age_ns == 0
 
--- a/tests/decision/test_unreported_fill_failures.py
+++ b/tests/decision/test_unreported_fill_failures.py
@@ -63,16 +63,16 @@
         """
         p = make_policy(notes="hit", connect_timeout_ns=400 * MS)
         (origin,) = p.state.directory.origins
-        count = 0
+        rejected_count = 0
         for n in range(20):
             actions = send_request(p, S + n * MS, f"r{n}", n, class_name="unsafe")
             for f in forwarded_attempts(actions):
                 if f.fill_source == origin.server.name:
-                    count += 1
+                    rejected_count += 1
                     end_attempt(p, S + n * MS, f, Outcome.FULL, elapsed_ns=MS)
             if origin.is_ejected:
                 break
         assert origin.is_ejected
-        assert count == EJECTION_FAILURE_SCORE
+        assert rejected_count == EJECTION_FAILURE_SCORE
         (g,) = forwarded_attempts(send_request(p, S + 30 * MS, "fill", 99))
         assert g.cached_only, "parents send only copies that they hold"
