--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -30,7 +30,8 @@
     RejectRequest: "refused",
     FailRequest: "failed",
 }
-CLIENT_GONE = "gone"  # in the trace and the statistics: the client no longer waits for a response
+# The same, in the step trace and the statistics, if the client cancelled the request or disconnected.
+NO_RESPONSE_RESULT = "gone"
 
 
 class ClientRequests:
@@ -214,7 +215,7 @@
                 id=request.message.trace_id,
                 cls=request.message.request_class,
                 tries=request.attempts_made,
-                how=TRACE_RESULTS[type(response)] if response else CLIENT_GONE,
+                how=TRACE_RESULTS[type(response)] if response else NO_RESPONSE_RESULT,
                 out=request.attempts_in_flight,
                 left=request.deadline_ns - state.now,
             )
@@ -247,7 +248,7 @@
         )
         state.statistics.record_end(
             request_class.name,
-            STATISTICS_RESULTS[type(response)] if response else CLIENT_GONE,
+            STATISTICS_RESULTS[type(response)] if response else NO_RESPONSE_RESULT,
             request.attempts_made,
             request_class.priority_weight,
             in_time,
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -131,7 +131,7 @@
         self.routes: RouteTable | None = None  # the routes of the operator's file
         self.statistics: RequestStatistics | None = None  # only where the operator's file enables them
         self.cold_budget_share = 1.0  # as last reported to the decision package
-        self.origin_available = True  # as last reported to the decision package
+        self.origin_fills_allowed = True  # as last reported to the decision package
         # Bounds fetches at the origin during startup, only where the operator's file enables it.
         self.origin_limit: OriginConcurrencyLimit | None = None
         self.fleet_size: FleetSizeEstimator | None = None  # only where the operator's file enables it
@@ -171,11 +171,11 @@
         The report also says whether the origin's concurrency limit allows one more fetch.  It is sent only
         if one of the two values has changed.
         """
-        origin_available = self.origin_limit is None or self.origin_limit.has_capacity()
-        if (share, origin_available) != (self.cold_budget_share, self.origin_available):
+        origin_fills_allowed = self.origin_limit is None or self.origin_limit.has_capacity()
+        if (share, origin_fills_allowed) != (self.cold_budget_share, self.origin_fills_allowed):
             self.cold_budget_share = share
-            self.origin_available = origin_available
-            self.events.append(api.RouterShareChanged(share, origin_available))
+            self.origin_fills_allowed = origin_fills_allowed
+            self.events.append(api.RouterShareChanged(share, origin_fills_allowed))
 
     def expected_transfer_ns(self, request_class: str, size_kb: float) -> float:
         """How long the transfer of a response's bytes takes, without the server's processing time.
--- a/kelpcroft/decision/admission.py
+++ b/kelpcroft/decision/admission.py
@@ -18,7 +18,7 @@
 from kelpcroft.decision.latency_model import AVERAGE_GAIN, TRANSFER_TIME_GAIN, LatencyModel
 from kelpcroft.decision.requests import InFlightRequest
 from kelpcroft.decision.router_state import RouterState
-from kelpcroft.decision.statistics import DecayingSum, LinearDecay, MeanDeviation, price_at_work_share
+from kelpcroft.decision.statistics import DecayingGauge, DecayingSum, MeanDeviation, price_at_work_share
 from kelpcroft.decision.units import SECOND_NS
 
 MAX_PRICE_THRESHOLD: Final = 6.0  # highest threshold, in mean prices, at which all requests are admitted
@@ -78,9 +78,9 @@
         self.last_evidence_ns = 0
         self.recent_arrivals: deque[tuple[float, float]] = deque(maxlen=MAX_RECENT_ARRIVALS)
         self.offered_work = DecayingSum(WORK_TIME_CONSTANT_NS)
-        self.link_load = LinearDecay(LOAD_SIGNAL_DECAY_NS)
-        self.cache_load = LinearDecay(LOAD_SIGNAL_DECAY_NS)
-        self.source_wait = LinearDecay(LOAD_SIGNAL_DECAY_NS)
+        self.link_load = DecayingGauge(LOAD_SIGNAL_DECAY_NS)
+        self.cache_load = DecayingGauge(LOAD_SIGNAL_DECAY_NS)
+        self.source_wait = DecayingGauge(LOAD_SIGNAL_DECAY_NS)
         self.mean_source_wait = MeanDeviation(0.0, AVERAGE_GAIN)
 
     def record_latency(self, is_late: bool, start_ns: int, now_ns: int, has_slack: bool = False) -> None:
--- a/kelpcroft/decision/attempt_feedback.py
+++ b/kelpcroft/decision/attempt_feedback.py
@@ -147,7 +147,7 @@
         if math.log(overdue_ns) > filling_endpoint.log_first_byte_ns.mean:
             filling_endpoint.record_first_byte(self.state.now_ns, overdue_ns)
 
-    def record_silence(self, request: InFlightRequest) -> None:
+    def check_attempts_in_flight(self, request: InFlightRequest) -> None:
         """Check a request's attempts in flight for silence and lateness, without waiting for their end."""
         attempts = request.attempts_in_flight
         for attempt in attempts.values():
--- a/kelpcroft/decision/cache_selection.py
+++ b/kelpcroft/decision/cache_selection.py
@@ -34,24 +34,25 @@
 
     Attributes:
         endpoint: The cache.
-        rank: The cache's weighted rendezvous score for the object; the highest score is the object's home.
+        hash_score: The cache's weighted rendezvous score for the object, which is highest at the object's
+            home.
         weight: The weight from which the cache's load limit is computed.
         is_overloaded: True if the cache has too many requests in flight for its weight, or is at capacity.
     """
 
-    __slots__ = ("endpoint", "is_overloaded", "rank", "weight")
+    __slots__ = ("endpoint", "hash_score", "is_overloaded", "weight")
 
-    def __init__(self, endpoint: Endpoint, rank: float, weight: float) -> None:
+    def __init__(self, endpoint: Endpoint, hash_score: float, weight: float) -> None:
         self.endpoint = endpoint
-        self.rank = rank
+        self.hash_score = hash_score
         self.weight = weight
         self.is_overloaded = False
 
     def __lt__(self, other: Candidate) -> bool:
         if self.is_overloaded != other.is_overloaded:
             return other.is_overloaded
-        if self.rank != other.rank:
-            return self.rank > other.rank
+        if self.hash_score != other.hash_score:
+            return self.hash_score > other.hash_score
         return self.endpoint.server.name < other.endpoint.server.name
 
 
@@ -88,8 +89,8 @@
             warm_fraction = cache.warm_fraction(self.state.now_ns, self.state.settings.rules)
             if cache.is_ejected:
                 if self._is_trial_allowed(cache, request, warm_fraction):
-                    rank = cache.rendezvous_rank(request.object_hash, cache.server.weight)
-                    trials.append(Candidate(cache, rank, 0.0))
+                    hash_score = cache.hash_score(request.object_hash, cache.server.weight)
+                    trials.append(Candidate(cache, hash_score, 0.0))
                 continue
             if request.cache_only and warm_fraction < 1:
                 continue  # a hit is unlikely there, and the request would use up the cold cache's budget
@@ -99,17 +100,17 @@
             total_weight = total_weight + weight
             if self.slow_start.has_budget_at(cache, request, warm_fraction):
                 share = self._share_by_slowdown(cache, slowdown_limit)
-                rank = cache.rendezvous_rank(request.object_hash, weight * share)
-                candidates.append(Candidate(cache, rank, weight))
+                hash_score = cache.hash_score(request.object_hash, weight * share)
+                candidates.append(Candidate(cache, hash_score, weight))
         max_requests_per_weight = (
             MAX_LOAD_OVER_MEAN * (total_requests + 1) / total_weight if total_weight else 0.0
         )
-        best_rank = max([candidate.rank for candidate in candidates], default=0.0)
-        due_trials = [candidate.endpoint for candidate in trials if candidate.rank > best_rank]
-        return due_trials[:1] + self._order_by_rank(candidates, max_requests_per_weight)
+        best_score = max([candidate.hash_score for candidate in candidates], default=0.0)
+        due_trials = [candidate.endpoint for candidate in trials if candidate.hash_score > best_score]
+        return due_trials[:1] + self._order_by_hash(candidates, max_requests_per_weight)
 
-    def _order_by_rank(self, candidates: list[Candidate], max_requests_per_weight: float) -> list[Endpoint]:
-        """Return caches by rank, with overloaded caches and caches at capacity last."""
+    def _order_by_hash(self, candidates: list[Candidate], max_requests_per_weight: float) -> list[Endpoint]:
+        """Return caches by hash score, with overloaded caches and caches at capacity last."""
         for candidate in candidates:
             endpoint = candidate.endpoint
             max_requests = max(MIN_REQUESTS_BEFORE_BOUND, max_requests_per_weight * candidate.weight)
--- a/kelpcroft/decision/endpoint.py
+++ b/kelpcroft/decision/endpoint.py
@@ -156,6 +156,6 @@
             return 0.0
         return self.server.weight * self.warm_fraction(now_ns, rules)
 
-    def rendezvous_rank(self, object_hash: int, weight: float) -> float:
+    def hash_score(self, object_hash: int, weight: float) -> float:
         """Return the weighted rendezvous score for an object; the object's home has the highest score."""
         return weight * rendezvous_score(object_hash ^ self.hash_seed)
--- a/kelpcroft/decision/fill_sources.py
+++ b/kelpcroft/decision/fill_sources.py
@@ -138,12 +138,12 @@
             origin for origin in origins if scores[origin.server.name] * MIN_ORIGIN_ADVANTAGE < best_score
         ]
         selected = eligible[0]
-        selected_rank = self._parent_rank(request, selected, scores)
+        selected_hash_score = self._parent_hash_score(request, selected, scores)
         for candidate in eligible[1:]:
-            rank = self._parent_rank(request, candidate, scores)
-            if rank > selected_rank:
+            hash_score = self._parent_hash_score(request, candidate, scores)
+            if hash_score > selected_hash_score:
                 selected = candidate
-                selected_rank = rank
+                selected_hash_score = hash_score
         return selected
 
     def _comparable_origins(self, request: InFlightRequest) -> list[Endpoint]:
@@ -171,10 +171,12 @@
             for endpoint in endpoints
         }
 
-    def _parent_rank(self, request: InFlightRequest, endpoint: Endpoint, scores: dict[str, float]) -> float:
+    def _parent_hash_score(
+        self, request: InFlightRequest, endpoint: Endpoint, scores: dict[str, float]
+    ) -> float:
         warm_fraction = endpoint.warm_fraction(self.state.now_ns, self.state.settings.rules)
         weight = warm_fraction / scores[endpoint.server.name]
-        return endpoint.rendezvous_rank(request.object_hash, weight)
+        return endpoint.hash_score(request.object_hash, weight)
 
 
 def _backup_sort_key(parent: Endpoint) -> tuple[int, str]:
--- a/kelpcroft/decision/policy.py
+++ b/kelpcroft/decision/policy.py
@@ -234,7 +234,7 @@
         for cache in self.state.directory.zone_caches:
             cache.requests_awaiting_fill = 0
         for request in list(self.state.requests_in_flight.values()):
-            self.feedback.record_silence(request)
+            self.feedback.check_attempts_in_flight(request)
         self.freshness.remove_old_purges()
         if self.state.requests_in_flight:
             self._schedule_tick()
--- a/kelpcroft/decision/statistics.py
+++ b/kelpcroft/decision/statistics.py
@@ -120,7 +120,7 @@
         return self.total * math.exp((self.updated_ns - now_ns) / self.time_constant_ns)
 
 
-class LinearDecay:
+class DecayingGauge:
     """The last reading of a gauge, which falls by 1 per ``unit_decay_ns`` until there is a new reading."""
 
     def __init__(self, unit_decay_ns: int) -> None:
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -24,7 +24,9 @@
 class Table(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(step_sequences)
-    def test_first_send_that_may_have_run(self, sequence: list[tuple[str, int, int]]) -> None:
+    def test_find_returns_the_first_send_that_may_have_executed(
+        self, sequence: list[tuple[str, int, int]]
+    ) -> None:
         """The table agrees with a model that keeps a list of all sends."""
         keys, now, sends, attempt_number = IdempotencyKeys(), 0, [], 0
         for step, key_number, seconds in sequence:
@@ -132,7 +134,7 @@
             assert router.records[late.trace_id].attempts == []
             assert isinstance(router.records[late.trace_id].final_effects[0][1], expected)
 
-    def test_a_send_that_did_not_run_does_not_limit_retries(self) -> None:
+    def test_a_send_that_was_not_executed_does_not_limit_retries(self) -> None:
         router = keyed_router("zone", {"wait": 1.0}, window=S)
         schedule_order(router, 0, "k")
         late = schedule_order(router, 2 * S, "k")
@@ -204,7 +206,7 @@
             [effects.SendResponse],
         ]
 
-    def test_a_request_in_the_transition_runs_once_and_its_later_retry_is_limited(self) -> None:
+    def test_a_request_in_the_transition_is_executed_once_and_its_later_retry_is_limited(self) -> None:
         router = keyed_router("zone", {"silent": 1.0}, window=S)
         self.schedule_reload(router, 0, idempotency="safe", dedup_window_ns=0)
         self.schedule_reload(router, 10 * S, idempotency="keyed", dedup_window_ns=S)
--- a/tests/decision/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -15,7 +15,7 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.decision.policy import TICK_TIMER, RoutingPolicy
 from kelpcroft.decision.requests import InFlightRequest
-from kelpcroft.decision.statistics import LinearDecay
+from kelpcroft.decision.statistics import DecayingGauge
 from tests.support.policy_fixtures import (
     MS,
     S,
@@ -301,7 +301,7 @@
 
 class LoadSignals(unittest.TestCase):
     def test_a_gauge_falls_by_one_per_decay_time(self) -> None:
-        gauge = LinearDecay(S)
+        gauge = DecayingGauge(S)
         gauge.record(5 * S, 3.0)
         assert [gauge.value_at(t * S) for t in (5, 6, 8)] == [3.0, 2.0, 0.0]
 
