--- a/kelpcroft/core/endpoint_list.py
+++ b/kelpcroft/core/endpoint_list.py
@@ -110,7 +110,7 @@
             else:
                 self.retire(endpoint.name)
         self.state.events.append(
-            api.ServerList(update_kind, tuple(map(self.to_decision_server, update.endpoints)))
+            api.EndpointListChanged(update_kind, tuple(map(self.to_decision_server, update.endpoints)))
         )
         self.decisions.run()
         self.attempts.cancel_matching(self.uses_unlisted_server)
--- a/kelpcroft/decision/endpoint_directory.py
+++ b/kelpcroft/decision/endpoint_directory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from kelpcroft.decision.endpoint import Endpoint
-from kelpcroft.decision.events import Role, ServerList
+from kelpcroft.decision.events import EndpointListChanged, Role
 from kelpcroft.decision.object_history import ObjectHistories
 
 
@@ -40,7 +40,7 @@
         self.parents: list[Endpoint] = []
         self.origins: list[Endpoint] = []
 
-    def apply(self, event: ServerList) -> None:
+    def apply(self, event: EndpointListChanged) -> None:
         """Apply a complete endpoint list or changes to it."""
         if event.form != "update":
             for endpoint in self.by_name.values():
--- a/kelpcroft/decision/events.py
+++ b/kelpcroft/decision/events.py
@@ -128,13 +128,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerList:
-    """A change of the endpoint list.
+class EndpointListChanged:
+    """A change of the endpoint list, or a failure of discovery.
 
     Attributes:
         form: "update" (only the servers that changed), "replace" or "restored" (the complete list), or
             "unavailable" (discovery has failed).
-        servers: The servers.
+        servers: The servers that changed, or all servers of the list.
     """
 
     form: str
@@ -300,7 +300,7 @@
 
 RequestEvent = ResponseStarted | HedgeDue | BackoffElapsed | ClientDisconnected
 Event = (
-    ServerList
+    EndpointListChanged
     | Request
     | ResponseStarted
     | AttemptEnded
--- a/kelpcroft/decision/policy.py
+++ b/kelpcroft/decision/policy.py
@@ -22,6 +22,7 @@
     AttemptEnded,
     BackoffElapsed,
     ClientDisconnected,
+    EndpointListChanged,
     Event,
     HedgeDue,
     PossibleExecution,
@@ -30,7 +31,6 @@
     RequestEvent,
     ResponseStarted,
     RouterShareChanged,
-    ServerList,
     SettingsChanged,
     TimerExpired,
 )
@@ -140,8 +140,8 @@
             self._handle_attempt_ended(event)
         elif isinstance(event, TimerExpired):
             self._handle_timer(event)
-        elif isinstance(event, ServerList):
-            self._handle_server_list(event)
+        elif isinstance(event, EndpointListChanged):
+            self._handle_endpoint_list_changed(event)
         elif isinstance(event, Purged):
             self.freshness.record_purge(event)
         elif isinstance(event, SettingsChanged):
@@ -171,7 +171,7 @@
             self.admission.withdraw_offered_work(request)
             self.completion.close(request)
 
-    def _handle_server_list(self, event: ServerList) -> None:
+    def _handle_endpoint_list_changed(self, event: EndpointListChanged) -> None:
         if event.form == "unavailable":
             at_ns = self.state.now_ns + RESUBSCRIBE_DELAY_NS
             self.state.actions.append(SetTimer(RESUBSCRIBE_TIMER, at_ns))
--- a/kelpcroft/rollout/placement.py
+++ b/kelpcroft/rollout/placement.py
@@ -43,7 +43,7 @@
     policy = RoutingPolicy(settings)
     now_ns = START_NS
     policy.start(now_ns)
-    policy.handle(now_ns, api.ServerList("restored", tuple(servers)))
+    policy.handle(now_ns, api.EndpointListChanged("restored", tuple(servers)))
     now_ns += SETTLED_NS
     placement = []
     for n in range(count):
--- a/kelpcroft/simulator_adapter.py
+++ b/kelpcroft/simulator_adapter.py
@@ -91,7 +91,7 @@
         case "Sync":
             is_unavailable = values[2] == "unavailable"
             servers = () if is_unavailable else _parse_roster(rosters[values[1]], router.kinds)
-            event = api.ServerList(values[2], servers)
+            event = api.EndpointListChanged(values[2], servers)
         case "Ingress":
             event = _parse_request(values)
         case "AttemptEnd":
--- a/tests/decision/test_early_limits.py
+++ b/tests/decision/test_early_limits.py
@@ -223,10 +223,10 @@
         endpoint.work_completed.add(100 * S, 200.0 * S)
         assert endpoint.spare_capacity(100 * S) > 10
         listed_servers = tuple(replace(s, started_ns=100 * S) if s.name == "c0" else s for s in servers())
-        p.handle(100 * S, api.ServerList("update", listed_servers))
+        p.handle(100 * S, api.EndpointListChanged("update", listed_servers))
         assert endpoint.spare_capacity(100 * S) == 0.0
         endpoint.work_completed.add(100 * S, 2.0 * S)
-        p.handle(101 * S, api.ServerList("update", listed_servers))
+        p.handle(101 * S, api.EndpointListChanged("update", listed_servers))
         assert endpoint.spare_capacity(101 * S) > 0.0, "a start that was already recorded resets nothing"
 
 
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -160,7 +160,7 @@
     p = make_policy()
     (f,) = forwarded_attempts(send_request(p, S, "r", 1))
     end_attempt(p, S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
-    p.handle(S, api.ServerList("update", (api.Server(f.server, api.Role.CACHE, "a", weight=1e-6),)))
+    p.handle(S, api.EndpointListChanged("update", (api.Server(f.server, api.Role.CACHE, "a", weight=1e-6),)))
     (g,) = forwarded_attempts(send_request(p, 2 * S, "s", 1))
     assert g.server != f.server
     assert g.fill_source == f.server
@@ -180,7 +180,7 @@
 
 def test_failed_subscription_is_repeated_later() -> None:
     p = make_policy(discovery="ask")
-    (timer,) = p.handle(S, api.ServerList("unavailable"))
+    (timer,) = p.handle(S, api.EndpointListChanged("unavailable"))
     assert isinstance(timer, api.SetTimer)
     assert timer.at_ns > S
     assert p.handle(timer.at_ns, api.TimerExpired(timer.label)) == [api.Subscribe()]
--- a/tests/decision/test_fleet.py
+++ b/tests/decision/test_fleet.py
@@ -122,7 +122,7 @@
     p.ejection.record_failure(p.endpoints["c0"], 3, True)
     p.ejection.record_success(p.endpoints["c0"])
     corrected = replace(servers()[0], started_ns=45 * S)
-    p.handle(52 * S, api.ServerList("update", (corrected,)))
+    p.handle(52 * S, api.EndpointListChanged("update", (corrected,)))
     assert p.endpoints["c0"].started_ns == 45 * S
 
 
@@ -148,10 +148,10 @@
     assert rejections(p, 10 * S, 40, 10) == 0  # 12 s of transfers per second with capacity for 20
     p.handle(
         20 * S,
-        api.ServerList("update", tuple(replace(x, state="terminating") for x in servers()[1:4])),
+        api.EndpointListChanged("update", tuple(replace(x, state="terminating") for x in servers()[1:4])),
     )
     assert 0.3 < rejections(p, 20 * S, 40, 5) / 200 < 0.8  # 12 s of transfers per second with capacity for 5
-    p.handle(25 * S, api.ServerList("update", tuple(servers()[1:4])))
+    p.handle(25 * S, api.EndpointListChanged("update", tuple(servers()[1:4])))
     assert rejections(p, 26 * S, 40, 5) == 0
 
 
@@ -239,7 +239,7 @@
     for n in range(300):
         old, new = (api.Server(f"n{k}", api.Role.CACHE, "a", 0, weight=5) for k in (n, n + 1))
         terminated = replace(old, state="terminated")
-        p.handle(S + n * S, api.ServerList("update", (terminated, new)))
+        p.handle(S + n * S, api.EndpointListChanged("update", (terminated, new)))
         for f in forwarded_attempts(send_request(p, S + n * S, f"r{n}", n)):
             end_attempt(p, S + n * S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
     assert len(p.endpoints) <= len(servers()) + 2
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -367,7 +367,7 @@
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         p.handle(
             3 * S + 110 * MS,
-            api.ServerList(
+            api.EndpointListChanged(
                 "update", tuple(replace(x, started_ns=3 * S) for x in servers() if x.name in ("c0", "c1"))
             ),
         )
@@ -384,7 +384,7 @@
         (f,) = forwarded_attempts(send_request(p, 3 * S, "last", 1))
         end_with_report(p, 3 * S + 100 * MS, f, FillResult.FILLED, 12.0)
         without_caches = tuple(x for x in servers() if x.role is not api.Role.CACHE)
-        p.handle(3 * S + 150 * MS, api.ServerList("replace", without_caches))
+        p.handle(3 * S + 150 * MS, api.EndpointListChanged("replace", without_caches))
         (a,) = [x for x in send_request(p, 3 * S + 200 * MS, "none", 2) if not isinstance(x, api.SetTimer)]
         assert isinstance(a, api.Reject)
 
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -97,11 +97,11 @@
     p = make_policy()
     p.handle(
         S,
-        api.ServerList(
+        api.EndpointListChanged(
             "update", tuple(replace(s, state="terminating") for s in servers() if s.name in ("c0", "p0"))
         ),
     )
-    p.handle(S, api.ServerList("update", (replace(servers()[1], state="terminated"),)))
+    p.handle(S, api.EndpointListChanged("update", (replace(servers()[1], state="terminated"),)))
     for n in range(200):
         for f in forwarded_attempts(send_request(p, S + n * MS, f"r{n}", n)):
             assert not {f.server, f.fill_source} & {"c0", "c1", "p0"}
@@ -109,7 +109,7 @@
 
 def test_server_missing_from_a_complete_list_receives_nothing() -> None:
     p = make_policy()
-    p.handle(S, api.ServerList("replace", tuple(servers()[1:])))
+    p.handle(S, api.EndpointListChanged("replace", tuple(servers()[1:])))
     assert all(
         f.server != "c0" for n in range(50) for f in forwarded_attempts(send_request(p, S, f"r{n}", n))
     )
@@ -232,7 +232,7 @@
         )
 
     check(p.start(now))
-    check(p.handle(now, api.ServerList("restored", tuple(initial_servers.values()))))
+    check(p.handle(now, api.EndpointListChanged("restored", tuple(initial_servers.values()))))
     for n in range(1500):
         now += rng.randrange(0, 40) * MS
         for key in sorted(in_flight):
@@ -258,7 +258,7 @@
             x = rng.choice(sorted(initial_servers))
             state = rng.choice(["in_service", "in_service", "terminating", "terminated"])
             listed[x] = replace(initial_servers[x], state=state, started_ns=rng.choice([0, now]))
-            check(p.handle(now, api.ServerList("update", (listed[x],))))
+            check(p.handle(now, api.EndpointListChanged("update", (listed[x],))))
         else:
             check(p.handle(now, api.TimerExpired(0)))
     assert len(p.requests_in_flight) < 400
--- a/tests/support/policy_fixtures.py
+++ b/tests/support/policy_fixtures.py
@@ -78,7 +78,7 @@
     routing_policy = RoutingPolicy(settings(**changes))
     routing_policy.start(S)
     routing_policy.handle(
-        S, api.ServerList("restored", tuple(servers() if listed_servers is None else listed_servers))
+        S, api.EndpointListChanged("restored", tuple(servers() if listed_servers is None else listed_servers))
     )
     return routing_policy
 
