--- a/kelpcroft/core/client_requests.py
+++ b/kelpcroft/core/client_requests.py
@@ -30,7 +30,8 @@
     RejectRequest: "refused",
     FailRequest: "failed",
 }
-CLIENT_GONE = "gone"  # in the trace and the statistics: the client no longer waits for a response
+# The same, in the step trace and the statistics, if the client cancelled the request or disconnected.
+NO_RESPONSE_RESULT = "gone"
 
 
 class ClientRequests:
@@ -198,8 +199,8 @@
         return prior_execution is not None
 
     def finish(self, request: OpenRequest, response: FinalResponse | None) -> None:
-        """End a request: send its final response, or none (``response`` is None) if its client left."""
-        if not check_invariant(not request.has_final_response, "one final answer for each request"):
+        """End a request: send its final response, or none (None) if its client no longer waits."""
+        if not check_invariant(not request.has_final_response, "one final response for each request"):
             return
         state = self.state
         request.has_final_response = True
@@ -214,7 +215,7 @@
                 id=request.message.trace_id,
                 cls=request.message.request_class,
                 tries=request.attempts_made,
-                how=TRACE_RESULTS[type(response)] if response else CLIENT_GONE,
+                how=TRACE_RESULTS[type(response)] if response else NO_RESPONSE_RESULT,
                 out=request.attempts_in_flight,
                 left=request.deadline_ns - state.now,
             )
@@ -247,7 +248,7 @@
         )
         state.statistics.record_end(
             request_class.name,
-            STATISTICS_RESULTS[type(response)] if response else CLIENT_GONE,
+            STATISTICS_RESULTS[type(response)] if response else NO_RESPONSE_RESULT,
             request.attempts_made,
             request_class.priority_weight,
             in_time,
--- a/kelpcroft/core/timers.py
+++ b/kelpcroft/core/timers.py
@@ -46,13 +46,13 @@
         }
         # Handlers of the kinds that have only one timer.
         self.unnumbered_handlers: dict[TimerKind, Callable[[], None]] = {
-            TimerKind.POLL_FEED: position.send_watch_request,
+            TimerKind.SEND_WATCH_REQUEST: position.send_watch_request,
             TimerKind.HOUSEKEEPING: housekeeping.on_timer,
             TimerKind.RESTART_OVERLAP: predecessor.update_budget_share,
         }
 
     def on_fired(self, fired: TimerFired) -> None:
-        """A scheduled timer has expired."""
+        """Pass an expired timer to its handler."""
         kind, number, detail = fired.key
         handler = self.numbered_handlers.get(kind)
         if handler is not None:
--- a/kelpcroft/decision/statistics.py
+++ b/kelpcroft/decision/statistics.py
@@ -32,7 +32,7 @@
     return -1 / math.log((mix64(key) + 1) / HASH_RANGE)
 
 
-def price_threshold(priced_work: Iterable[tuple[float, float]], share: float) -> float:
+def price_at_work_share(priced_work: Iterable[tuple[float, float]], share: float) -> float:
     """Return the price up to which the cheapest work makes up a share of all work.
 
     Args:
@@ -81,7 +81,7 @@
     """The sum of the samples within a window that ends now.
 
     The sum is updated incrementally: adding up the window for each request of a zone with a cold cache used
-    all the CPU time of a busy router.  The memory used is that of the window's samples.
+    all the CPU time of a busy router.  Memory use is proportional to the number of samples in the window.
     """
 
     def __init__(self) -> None:
@@ -89,7 +89,7 @@
         self.total = 0.0
 
     def add(self, now_ns: int, amount: float) -> None:
-        """Add an amount at a time that never runs back."""
+        """Add an amount at a time, which must never decrease."""
         self.samples.append((now_ns, amount))
         self.total += amount
 
@@ -111,7 +111,7 @@
         self.updated_ns = 0
 
     def add(self, now_ns: int, amount: float) -> None:
-        """Add an amount at a time that never runs back."""
+        """Add an amount at a time, which must never decrease."""
         self.total = self.value_at(now_ns) + amount
         self.updated_ns = now_ns
 
@@ -120,7 +120,7 @@
         return self.total * math.exp((self.updated_ns - now_ns) / self.time_constant_ns)
 
 
-class LinearDecay:
+class DecayingGauge:
     """The last reading of a gauge, which falls by 1 per ``unit_decay_ns`` until there is a new reading."""
 
     def __init__(self, unit_decay_ns: int) -> None:
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -1,4 +1,4 @@
-"""Regression tests: one test for each failure found, named after its symptom."""
+"""Regression tests of single decisions: one test for each failure that was found."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from kelpcroft.decision import interface as api
-from kelpcroft.decision.admission import MAX_COST_THRESHOLD, MIN_COST_THRESHOLD, AdmissionController
+from kelpcroft.decision.admission import MAX_PRICE_THRESHOLD, MIN_PRICE_THRESHOLD, AdmissionController
 from kelpcroft.decision.interface import FillResult, Outcome
 from kelpcroft.simulator_adapter import SimulatorHost
 from tests.support.policy_fixtures import (
@@ -42,8 +42,8 @@
         controller.record_arrival(float(1 + n % 2), 1.0, n)
     for n in range(400):
         controller.record_latency(True, n, n)
-    assert controller.cost_threshold == MIN_COST_THRESHOLD
-    controller.cost_threshold = 1.0
+    assert controller.price_threshold == MIN_PRICE_THRESHOLD
+    controller.price_threshold = 1.0
     assert controller.admits(1.0)
     assert not controller.admits(20.0)
 
@@ -55,26 +55,26 @@
     controller = AdmissionController()
     for _ in range(100):
         controller.record_latency(True, 5, 10)
-    assert MIN_COST_THRESHOLD < controller.cost_threshold < MAX_COST_THRESHOLD
+    assert MIN_PRICE_THRESHOLD < controller.price_threshold < MAX_PRICE_THRESHOLD
 
 
 def test_threshold_rises_again() -> None:
     controller = AdmissionController()
-    controller.cost_threshold = MIN_COST_THRESHOLD
+    controller.price_threshold = MIN_PRICE_THRESHOLD
     for n in range(300):
         controller.record_latency(False, n, n)
-    assert controller.cost_threshold == MAX_COST_THRESHOLD
+    assert controller.price_threshold == MAX_PRICE_THRESHOLD
 
 
 def test_threshold_rises_with_few_responses() -> None:
-    """At a low threshold there are few responses.  When only responses raised it, links were idle for half a
-    day.
+    """At a low threshold there are few responses.  When the rise depended on their number alone, links were
+    idle for half a day.
     """
     controller = AdmissionController()
-    controller.cost_threshold = MIN_COST_THRESHOLD
+    controller.price_threshold = MIN_PRICE_THRESHOLD
     for n in range(1, 16):
         controller.record_latency(False, n * S, n * S)
-    assert controller.cost_threshold == MAX_COST_THRESHOLD
+    assert controller.price_threshold == MAX_PRICE_THRESHOLD
 
 
 def test_threshold_that_admits_nothing_rises_again() -> None:
@@ -82,7 +82,7 @@
     threshold none was admitted whose response could have raised it.
     """
     controller = AdmissionController()
-    controller.cost_threshold = MIN_COST_THRESHOLD
+    controller.price_threshold = MIN_PRICE_THRESHOLD
     controller.lowered_ns = S
     admitted = []
     for n in range(100):
@@ -91,16 +91,16 @@
         admitted.append(controller.admits(20.0))
     assert not any(admitted[:10])
     assert any(admitted[10:60])
-    controller.record_latency(True, 99 * S, 99 * S)  # arrivals raise it only without responses
-    threshold = controller.cost_threshold
+    controller.record_latency(True, 99 * S, 99 * S)  # arrivals raise the threshold only without responses
+    threshold = controller.price_threshold
     controller.record_arrival(20.0, 20.0, 99 * S + 500 * MS)
-    assert controller.cost_threshold == threshold
+    assert controller.price_threshold == threshold
 
 
 def test_fill_beyond_capacity_is_sent_for_a_hit_before_rejection() -> None:
     """Rejection of expected fills also rejected requests for objects that the cache held."""
     p = make_policy()
-    p.admission.fills.cost_threshold = 1e-9
+    p.admission.fills.price_threshold = 1e-9
     (f,) = forwarded_attempts(send_request(p, S, "r", 5, size_kb=100.0))
     assert f.fill_source == f.server
     assert api.Reject("r") in end_attempt(p, S + MS, f, Outcome.MISS)
@@ -122,27 +122,28 @@
 
 def test_silent_cache_is_ejected_and_then_receives_only_trials() -> None:
     p = make_policy(weight_source="off")
-    names = [f"r{n}" for n in range(40)]
+    request_ids = [f"r{n}" for n in range(40)]
     sent = {
         n: forwarded_attempts(send_request(p, S, n, i, time_remaining_ns=60 * S))[0]
-        for i, n in enumerate(names)
+        for i, n in enumerate(request_ids)
     }
-    silent = sent["r0"].server
+    silent_cache = sent["r0"].server
     for f in sent.values():
-        if f.server != silent:
+        if f.server != silent_cache:
             end_attempt(p, S + 100 * MS, f, Outcome.OK, fill_result=FillResult.HIT)
     actions = p.handle(10 * S, api.TimerExpired(0))
-    assert p.endpoints[silent].is_ejected
-    assert not any(isinstance(a, api.Cancel) for a in actions)  # cancelling cut off large objects midway
+    assert p.endpoints[silent_cache].is_ejected
+    # A cancellation would end transfers of large objects before they are complete.
+    assert not any(isinstance(a, api.Cancel) for a in actions)
     trials = [
         f
         for n in range(100)
         for f in forwarded_attempts(send_request(p, 12 * S + n * MS, f"q{n}", n))
-        if f.server == silent
+        if f.server == silent_cache
     ]
     assert len(trials) == 1
     end_attempt(p, 12 * S + 200 * MS, trials[0], Outcome.OK, fill_result=FillResult.HIT)
-    assert not p.endpoints[silent].is_ejected
+    assert not p.endpoints[silent_cache].is_ejected
 
 
 def test_restarted_server_is_cold_before_the_list_shows_it() -> None:
@@ -159,7 +160,7 @@
     p = make_policy()
     (f,) = forwarded_attempts(send_request(p, S, "r", 1))
     end_attempt(p, S + MS, f, Outcome.OK, fill_result=FillResult.HIT)
-    p.handle(S, api.ServerList("update", (api.Server(f.server, api.Role.CACHE, "a", weight=1e-6),)))
+    p.handle(S, api.EndpointListChanged("update", (api.Server(f.server, api.Role.CACHE, "a", weight=1e-6),)))
     (g,) = forwarded_attempts(send_request(p, 2 * S, "s", 1))
     assert g.server != f.server
     assert g.fill_source == f.server
@@ -179,7 +180,7 @@
 
 def test_failed_subscription_is_repeated_later() -> None:
     p = make_policy(discovery="ask")
-    (timer,) = p.handle(S, api.ServerList("unavailable"))
+    (timer,) = p.handle(S, api.EndpointListChanged("unavailable"))
     assert isinstance(timer, api.SetTimer)
     assert timer.at_ns > S
     assert p.handle(timer.at_ns, api.TimerExpired(timer.label)) == [api.Subscribe()]
@@ -212,7 +213,7 @@
 
 
 def test_recent_sends_are_summed_incrementally() -> None:
-    """With one cold cache, each request added up all work sent to its warm peers: 91 us became 324 us."""
+    """With one cold cache, each request added up all work sent to warm peers: 324 us instead of 91 us."""
     p = make_policy(weight_source="off")
     for n in range(200):
         (f,) = forwarded_attempts(send_request(p, S + n * 20 * MS, f"r{n}", n))
--- a/tests/decision/test_untold_failures.py
+++ b/tests/decision/test_unreported_fill_failures.py
@@ -22,11 +22,11 @@
     def test_a_source_not_reached_within_the_connect_timeout_is_ejected(self) -> None:
         """Five of twelve parents were silent for five seconds, and nearly all of 200 routers kept using them
         as fill sources.  Each fill was rejected after 0.83 s and the failure was attributed to the cache.
-        When the parents were back, cold, they received the full load immediately and collapsed.
+        When the parents were available again, cold, they received the full load immediately and collapsed.
         """
         for notes in ("hit", "off"):
             assert self.reject_fill(notes, 831 * MS) == (True, False)
-            assert self.reject_fill(notes, 50 * MS) == (False, False), "may just be at capacity"
+            assert self.reject_fill(notes, 50 * MS) == (False, False), "the source may only be at capacity"
         assert self.reject_fill("all", 831 * MS) == (False, False), (
             "the response would have reported the cause"
         )
@@ -63,16 +63,16 @@
         """
         p = make_policy(notes="hit", connect_timeout_ns=400 * MS)
         (origin,) = p.state.directory.origins
-        count = 0
+        rejected_count = 0
         for n in range(20):
             actions = send_request(p, S + n * MS, f"r{n}", n, class_name="unsafe")
             for f in forwarded_attempts(actions):
                 if f.fill_source == origin.server.name:
-                    count += 1
+                    rejected_count += 1
                     end_attempt(p, S + n * MS, f, Outcome.FULL, elapsed_ns=MS)
             if origin.is_ejected:
                 break
         assert origin.is_ejected
-        assert count == EJECTION_FAILURE_SCORE
+        assert rejected_count == EJECTION_FAILURE_SCORE
         (g,) = forwarded_attempts(send_request(p, S + 30 * MS, "fill", 99))
         assert g.cached_only, "parents send only copies that they hold"
