--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -31,7 +31,7 @@
 COMPILED = ROOT / ".compiled/now"
 RATE = 5.1  # purges a second at the expected fleet size
 SECONDS = 5.0  # interval of each run
-AGES = {
+AGES_S = {
     306: 60,
     3_060: 600,
     18_360: 3_600,
@@ -42,20 +42,20 @@
 Run = Callable[[], dict[str, Any]]
 
 
-def flat(figures: dict[str, Any], prefix: str = "") -> dict[str, float]:
+def flatten(figures: dict[str, Any], prefix: str = "") -> dict[str, float]:
     """A run's figures without nesting; nested names are joined with dots."""
     rows: dict[str, float] = {}
     for key, value in figures.items():
         if isinstance(value, dict):
-            rows |= flat(value, f"{prefix}{key}.")
+            rows |= flatten(value, f"{prefix}{key}.")
         else:
             rows[prefix + key] = float(value)
     return rows
 
 
-def rounds(runs: int, run: Run) -> dict[str, dict[str, float]]:
+def run_rounds(runs: int, run: Run) -> dict[str, dict[str, float]]:
     """Median, minimum and maximum of each figure over several rounds."""
-    results = [flat(run()) for _ in range(runs)]
+    results = [flatten(run()) for _ in range(runs)]
     return {
         key: {
             "median": median(row[key] for row in results),
@@ -66,12 +66,12 @@
     }
 
 
-def slope(points: list[tuple[float, float]]) -> dict[str, float]:
+def fit_line(points: list[tuple[float, float]]) -> dict[str, float]:
     """The least-squares line through some points, and the largest residual."""
     n = len(points)
     mean_x, mean_y = sum(x for x, _ in points) / n, sum(y for _, y in points) / n
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    gradient = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread if spread else 0.0
+    x_square_sum = sum((x - mean_x) ** 2 for x, _ in points)
+    gradient = sum((x - mean_x) * (y - mean_y) for x, y in points) / x_square_sum if x_square_sum else 0.0
     intercept = mean_y - gradient * mean_x
     residual = max(abs(y - intercept - gradient * x) for x, y in points)
     return {"slope": gradient, "intercept": intercept, "residual": residual}
@@ -131,8 +131,8 @@
         "behind": (
             "events",
             {
-                n: lambda n=n: feed.measure_catch_up(int(n), AGES[int(n)], COMPILED, 60)  # type: ignore[misc]
-                for n in values_of(*AGES)
+                n: lambda n=n: feed.measure_catch_up(int(n), AGES_S[int(n)], COMPILED, 60)  # type: ignore[misc]
+                for n in values_of(*AGES_S)
             },
         ),
         **(
@@ -140,8 +140,8 @@
                 "behind_before": (
                     "events",
                     {
-                        n: lambda n=n: feed.measure_catch_up(int(n), AGES[int(n)], before, 15)  # type: ignore[misc]
-                        for n in values_of(*AGES)
+                        n: lambda n=n: feed.measure_catch_up(int(n), AGES_S[int(n)], before, 15)  # type: ignore[misc]
+                        for n in values_of(*AGES_S)
                     },
                 )
             }
@@ -151,8 +151,8 @@
         "behind_replica": (
             "events",
             {
-                n: lambda n=n: replicas.measure_catch_up(int(n), AGES[int(n)], COMPILED, 30)  # type: ignore[misc]
-                for n in values_of(*AGES)
+                n: lambda n=n: replicas.measure_catch_up(int(n), AGES_S[int(n)], COMPILED, 30)  # type: ignore[misc]
+                for n in values_of(*AGES_S)
             },
         ),
         "replicas": (
@@ -203,10 +203,10 @@
     }
 
 
-def commit() -> str:
+def measured_commit() -> str:
     """The measured commit, marked if the working tree differs from it."""
-    words = ["git", "describe", "--always", "--dirty", "--abbrev=7", "--exclude=*"]
-    return subprocess.run(words, cwd=ROOT, capture_output=True, text=True).stdout.strip()
+    command = ["git", "describe", "--always", "--dirty", "--abbrev=7", "--exclude=*"]
+    return subprocess.run(command, cwd=ROOT, capture_output=True, text=True).stdout.strip()
 
 
 def run_sweep(name: str, quantity: str, runs: dict[float, Run], count: int) -> dict[str, Any]:
@@ -214,18 +214,18 @@
     rows: list[dict[str, Any]] = []
     for x, run in runs.items():
         started_s = time.monotonic()
-        rows.append({"x": x, "figures": rounds(count, run)})
+        rows.append({"x": x, "figures": run_rounds(count, run)})
         print(f"{name} {quantity}={x:g}: {time.monotonic() - started_s:.0f} s", file=sys.stderr, flush=True)
     keys = rows[0]["figures"] if rows else {}
     slopes = (
-        {key: slope([(row["x"], row["figures"][key]["median"]) for row in rows]) for key in keys}
+        {key: fit_line([(row["x"], row["figures"][key]["median"]) for row in rows]) for key in keys}
         if len(rows) > 1
         else {}
     )
     return {
         "sweep": name,
         "by": quantity,
-        "commit": commit(),
+        "commit": measured_commit(),
         "rounds": count,
         "command": f"python -m benchmarks.capacity --only {name}",
         "machine": f"8 cores, {platform.machine()}, Python {platform.python_version()}",
@@ -246,7 +246,7 @@
     parser.add_argument("--page", action="store_true")
     options = parser.parse_args()
     if options.page:
-        page.PAGE.write_text(page.whole())
+        page.PAGE.write_text(page.generate())
         return
     all_sweeps = sweeps(options.quick, options.before)
     selected = options.only.split(",") if options.only else list(all_sweeps)
--- a/benchmarks/capacity/feed.py
+++ b/benchmarks/capacity/feed.py
@@ -19,7 +19,7 @@
 )
 
 SETTLE_S = 3.0  # wait after the start of all routers, before the measurement
-ONE = FleetSize(routers=1)
+ONE_ROUTER = FleetSize(routers=1)
 
 
 def quantile(values: list[float], share: float) -> float:
@@ -28,15 +28,17 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
-def delays_until_applied(born: dict[int, int], seen: list[list[list[int]]]) -> list[list[float]]:
+def delays_until_applied(
+    event_times_ns: dict[int, int], applied_by_router: list[list[list[int]]]
+) -> list[list[float]]:
     """For each event, the time that each router took to apply it, in ms."""
-    delays_ms: list[list[float]] = [[] for _ in born]
-    numbers = sorted(born)
-    for router in seen:
+    delays_ms: list[list[float]] = [[] for _ in event_times_ns]
+    numbers = sorted(event_times_ns)
+    for router in applied_by_router:
         index = 0
         for last_event, applied_ns in router:
             while index < len(numbers) and numbers[index] <= last_event:
-                delays_ms[index].append((applied_ns - born[numbers[index]]) / 1e6)
+                delays_ms[index].append((applied_ns - event_times_ns[numbers[index]]) / 1e6)
                 index += 1
     return delays_ms
 
@@ -75,41 +77,43 @@
     """Publish purges at a rate, and measure their cost and the time until routers apply them."""
     time.sleep(SETTLE_S)
     for process in fleet:
-        process.ask()
-    before = service.ask(do="stats")
-    cpu_before_s = sum(process.ask()["cpu_s"] for process in fleet)
+        process.request()
+    before = service.request(do="stats")
+    cpu_before_s = sum(process.request()["cpu_s"] for process in fleet)
     started_s = time.monotonic()
-    service.ask(do="purge", rate=rate, seconds=seconds)
+    service.request(do="purge", rate=rate, seconds=seconds)
     time.sleep(seconds)
-    after, elapsed_s = service.ask(do="stats"), time.monotonic() - started_s
+    after, elapsed_s = service.request(do="stats"), time.monotonic() - started_s
     time.sleep(2.0)  # the last events reach the last routers
-    reports = [process.ask() for process in fleet]
-    final_stats = service.ask(do="stats")
-    born = dict(enumerate(final_stats["born"], final_stats["n"] - len(final_stats["born"]) + 1))
-    born = {number: at for number, at in born.items() if number > before["n"]}
-    times = delays_until_applied(born, [router for report in reports for router in report["seen"]])
-    applied_everywhere = [event for event in times if len(event) == size.routers]
-    every, last = (
+    reports = [process.request() for process in fleet]
+    final_stats = service.request(do="stats")
+    event_times_ns = dict(enumerate(final_stats["born"], final_stats["n"] - len(final_stats["born"]) + 1))
+    event_times_ns = {number: at for number, at in event_times_ns.items() if number > before["n"]}
+    delays_by_event = delays_until_applied(
+        event_times_ns, [router for report in reports for router in report["seen"]]
+    )
+    applied_everywhere = [event for event in delays_by_event if len(event) == size.routers]
+    all_delays_ms, last_router_delays_ms = (
         [x for event in applied_everywhere for x in event],
         [max(event) for event in applied_everywhere],
     )
     return {
         **service_figures(size, before, after, elapsed_s),
-        "events": len(born),
+        "events": len(event_times_ns),
         "events_everywhere": len(applied_everywhere),
         "router_cpu_share": (sum(r["cpu_s"] for r in reports) - cpu_before_s)
         / (elapsed_s + 2.0)
         / size.routers,
         "router_memory_kb": sum(r["memory_kb"] for r in reports) / size.routers,
         "in_force_ms": {
-            "median": median(every) if every else 0,
-            "p99": quantile(every, 0.99),
-            "p999": quantile(every, 0.999),
+            "median": median(all_delays_ms) if all_delays_ms else 0,
+            "p99": quantile(all_delays_ms, 0.99),
+            "p999": quantile(all_delays_ms, 0.999),
         },
         "last_router_ms": {
-            "median": median(last) if last else 0,
-            "p99": quantile(last, 0.99),
-            "most": max(last, default=0),
+            "median": median(last_router_delays_ms) if last_router_delays_ms else 0,
+            "p99": quantile(last_router_delays_ms, 0.99),
+            "most": max(last_router_delays_ms, default=0),
         },
     }
 
@@ -123,39 +127,39 @@
             stack.enter_context(RealRouter(size, n, feed_address, program, scratch))
             for n in range(size.routers)
         ]
-        assert wait_for(lambda: service.ask(do="stats")["watches"] == size.routers, 60)
+        assert wait_for(lambda: service.request(do="stats")["watches"] == size.routers, 60)
         time.sleep(SETTLE_S)
-        before, cpu_before_s = service.ask(do="stats"), sum(router.cpu_s() for router in routers)
+        before, cpu_before_s = service.request(do="stats"), sum(router.cpu_s() for router in routers)
         started_s = time.monotonic()
-        service.ask(do="purge", rate=rate, seconds=seconds)
+        service.request(do="purge", rate=rate, seconds=seconds)
         time.sleep(seconds)
-        after, elapsed_s = service.ask(do="stats"), time.monotonic() - started_s
-        spent = sum(router.cpu_s() for router in routers) - cpu_before_s
+        after, elapsed_s = service.request(do="stats"), time.monotonic() - started_s
+        router_cpu_s = sum(router.cpu_s() for router in routers) - cpu_before_s
         memory = sum(router.memory_kb() for router in routers) / size.routers
         return {
             **service_figures(size, before, after, elapsed_s),
-            "router_cpu_share": spent / elapsed_s / size.routers,
+            "router_cpu_share": router_cpu_s / elapsed_s / size.routers,
             "router_memory_kb": memory,
         }
 
 
 def measure_catch_up(
-    events: int, age_s: float, program: Path, timeout_s: float, rules: str = "", size: FleetSize = ONE
+    events: int, age_s: float, program: Path, timeout_s: float, rules: str = "", size: FleetSize = ONE_ROUTER
 ) -> dict[str, Any]:
     """Measure how a router, started as `run` starts it, catches up with ``events`` missed events."""
     with list_service(size) as service, temporary_folder() as scratch:
         feed = f"127.0.0.1:{service.first_line['port']}"
         with RealRouter(size, 0, feed, program, scratch, rules) as router:
-            assert wait_for(lambda: service.ask(do="stats")["calls"] >= 3, 30), router.log.read_text()
-            service.ask(do="mute", on=True)
+            assert wait_for(lambda: service.request(do="stats")["calls"] >= 3, 30), router.log.read_text()
+            service.request(do="mute", on=True)
             usual_kb, cpu_before_s = router.memory_kb(), router.cpu_s()
-            last = service.ask(do="history", purges=events, age_s=age_s)["n"]
-            before = service.ask(do="stats")
+            last_event = service.request(do="history", purges=events, age_s=age_s)["n"]
+            before = service.request(do="stats")
             started_s = time.monotonic()
-            service.ask(do="mute", on=False)
+            service.request(do="mute", on=False)
             # It has caught up once a watch request names the last event.
-            has_caught_up = wait_for(lambda: service.ask(do="look")["reached"] >= last, timeout_s)
-            elapsed_s, after = time.monotonic() - started_s, service.ask(do="stats")
+            has_caught_up = wait_for(lambda: service.request(do="look")["reached"] >= last_event, timeout_s)
+            elapsed_s, after = time.monotonic() - started_s, service.request(do="stats")
             return {
                 "events": events,
                 "caught_up": has_caught_up,
--- a/benchmarks/capacity/replicas.py
+++ b/benchmarks/capacity/replicas.py
@@ -25,7 +25,7 @@
 
 
 def measure_purges_through_replicas(
-    size: FleetSize, rate: float, seconds: float, count: int = 4, dead: int = 0
+    size: FleetSize, rate: float, seconds: float, count: int = 4, killed: int = 0
 ) -> dict[str, Any]:
     """Measure purges at a rate through ``count`` replicas, of which ``dead`` are killed beforehand."""
     with ExitStack() as stack:
@@ -43,15 +43,15 @@
         rules.write_text(f"kelpcroft version=1\nreplicas {addresses}\n")
         fleet = stack.enter_context(hollow_routers(size, "127.0.0.1:1", str(rules)))
         time.sleep(MOVE_S)
-        for replica in replicas[:dead]:
+        for replica in replicas[:killed]:
             replica.end()
-        time.sleep(MOVE_S if dead else 0)
-        alive = replicas[dead:]
-        before = [figures(replica) for replica in alive]
+        time.sleep(MOVE_S if killed else 0)
+        surviving = replicas[killed:]
+        before = [figures(replica) for replica in surviving]
         started_s = time.monotonic()
         purge_figures = measure_purges(service, fleet, size, rate, seconds)
         elapsed_s = time.monotonic() - started_s
-        after = [figures(replica) for replica in alive]
+        after = [figures(replica) for replica in surviving]
         rates = [
             {key: (b[key] - a[key]) / elapsed_s for key in ("answers", "bytes_out", "cpu_s")}
             for a, b in zip(before, after, strict=True)
@@ -59,7 +59,7 @@
         return {
             **purge_figures,
             "replicas": count,
-            "dead": dead,
+            "dead": killed,
             "replica_calls_per_s": max(x["answers"] for x in rates),
             "replica_bytes_out_per_s": max(x["bytes_out"] for x in rates),
             "replica_cpu_share": max(x["cpu_s"] for x in rates),
@@ -97,8 +97,8 @@
         time.sleep(5.0)  # until the router has received its first state
         router.process.send_signal(signal.SIGSTOP)
         usual_kb, cpu_before_s = router.memory_kb(), router.cpu_s()
-        last = service.ask(do="history", purges=events, age_s=age_s)["n"]
-        assert wait_for(lambda: (replica.state() or {}).get("last") == last, 60)
+        last_event = service.request(do="history", purges=events, age_s=age_s)["n"]
+        assert wait_for(lambda: (replica.state() or {}).get("last") == last_event, 60)
         time.sleep(1.5)  # until the stopped router's outstanding watch request has its response
         before = figures(replica)
         router.process.send_signal(signal.SIGCONT)
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -12,7 +12,7 @@
 from testbed.hollow.processes import LineProcess, RealRouter, temporary_folder, wait_for
 from testbed.stand_ins import ROOT
 
-ONE = FleetSize(routers=1, servers=12, zones=1)
+ONE_ROUTER = FleetSize(routers=1, servers=12, zones=1)
 
 
 def measure_requests(rate: float, size_bytes: int, seconds: float, program: Path) -> dict[str, Any]:
@@ -22,7 +22,13 @@
         with temporary_folder() as scratch:
             known = {"n": 1, "events": [servers.first_line["members"]]}
             with RealRouter(
-                ONE, 0, servers.first_line["feed"], program, scratch, known=known, use_example_settings=True
+                ONE_ROUTER,
+                0,
+                servers.first_line["feed"],
+                program,
+                scratch,
+                known=known,
+                use_example_settings=True,
             ) as router:
                 assert wait_for(router.accepts_connections, 20), router.log.read_text()
                 run_load(router, 50, 1)
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -51,7 +51,7 @@
         return self.random_delay_ns(min(100 * MS << min(self.consecutive_failures, 10), 30 * SECOND))
 
 
-WAYS: dict[str, tuple[type[DiscoverySchedule], float]] = {
+START_KINDS: dict[str, tuple[type[DiscoverySchedule], float]] = {
     "none": (DiscoverySchedule, 0.0),
     "budget": (DiscoverySchedule, CALLS_PER_S),
     "fixed": (FixedDelay, 0.0),
@@ -70,28 +70,30 @@
 class BenchmarkFleet(ColdStartFleet):
     """A fleet whose routers start with the operator file's budget, or with a textbook schedule."""
 
-    way = "none"
+    start_kind = "none"
 
     def start_router(self, router_number: int) -> list[Any]:
         """Start with the selected budget, and replace the program's schedule if another is selected."""
-        schedule_type, calls_per_s = WAYS[self.way]
+        schedule_type, calls_per_s = START_KINDS[self.start_kind]
         router: Reducer = self.routers[router_number]
-        effects = router.start(self.now, StartupOptions(calls_per_s and max(calls_per_s, self.believed / 4)))
+        effects = router.start(
+            self.now, StartupOptions(calls_per_s and max(calls_per_s, self.configured_routers / 4))
+        )
         if schedule_type is not DiscoverySchedule:
-            schedule = schedule_type(self.believed, self.sequence * SEED_STEP + router_number)
+            schedule = schedule_type(self.configured_routers, self.sequence * SEED_STEP + router_number)
             schedule.random = Random(schedule.seed).random
             router.position.schedule = schedule
         return effects
 
 
 def run_simulation(
-    routers: int, way: str, service: str, seconds: int, rate: float, is_cold: bool
+    routers: int, start_kind: str, service: str, seconds: int, rate: float, is_cold: bool
 ) -> dict[str, Any]:
     """Run one simulation and return its figures."""
     fleet = BenchmarkFleet(
         routers, service=SERVICES[service](), rate=rate, cold=is_cold, cold_parents=is_cold
     )
-    fleet.way = way
+    fleet.start_kind = start_kind
     fleet.run(seconds)
     return fleet.figures(seconds)
 
@@ -100,7 +102,7 @@
     """Run all combinations and print the table."""
     parser = argparse.ArgumentParser(description="Cost of a cold start in virtual time.")
     parser.add_argument("--routers", type=int, nargs="*", default=[50, 200, 1_000])
-    parser.add_argument("--ways", nargs="*", choices=list(WAYS), default=list(WAYS))
+    parser.add_argument("--ways", nargs="*", choices=list(START_KINDS), default=list(START_KINDS))
     parser.add_argument("--service", nargs="*", choices=list(SERVICES), default=["up", "dead 10 s"])
     parser.add_argument("--seconds", type=int, default=32)
     parser.add_argument("--rate", type=float, default=2.0, help="requests a second of a router's clients")
@@ -109,13 +111,13 @@
     head = None
     for routers in args.routers:
         for service in args.service:
-            for way in args.ways:
+            for start_kind in args.ways:
                 began = time.monotonic()
                 row = {
                     "routers": routers,
                     "list service": service,
-                    "way": way,
-                    **run_simulation(routers, way, service, args.seconds, args.rate, args.boxes),
+                    "way": start_kind,
+                    **run_simulation(routers, start_kind, service, args.seconds, args.rate, args.boxes),
                 }
                 if head is None:
                     head = list(row)
--- a/benchmarks/cold_start_field.py
+++ b/benchmarks/cold_start_field.py
@@ -24,7 +24,7 @@
 
 S = 1_000 * MS
 TICKS = os.sysconf("SC_CLK_TCK")
-WAYS = {"none": RULES, "budget": RULES + "start list-calls=50\n"}
+START_KINDS = {"none": RULES, "budget": RULES + "start list-calls=50\n"}
 
 
 def cpu_s(pid: int) -> float:
@@ -39,50 +39,57 @@
     return int(status[status.index("VmRSS:") + 1]) / 1024
 
 
-def max_per_second(calls: list[int]) -> int:
+def max_calls_per_second(calls: list[int]) -> int:
     """The highest number of watch requests in one second."""
     return max(Counter(at // S for at in calls).values(), default=0)
 
 
-def run_field(routers: int, way: str, dead_s: float, seconds: float) -> dict[str, float]:
+def run_field(routers: int, start_kind: str, outage_s: float, seconds: float) -> dict[str, float]:
     """Run one field and return its figures."""
-    field = RouterField(max(1, routers // 4), min(4, routers), {"old": ROOT}, rules=WAYS[way])
+    field = RouterField(max(1, routers // 4), min(4, routers), {"old": ROOT}, rules=START_KINDS[start_kind])
     servers = field.servers
-    servers.feed_down_until_ns = time.monotonic_ns() + int(dead_s * S)
+    servers.feed_down_until_ns = time.monotonic_ns() + int(outage_s * S)
     try:
         field.__enter__()
         pids = [n.process.pid for n in field.nodes.values() if n.process]
-        began, ready, start_cpu = field.began_ns, time.monotonic_ns(), sum(map(cpu_s, pids))
-        back = max(servers.feed_down_until_ns, ready)
-        servers.feed_down_until_ns = back  # the outage lasts at least until all are ready
-        heard = 0
+        began_ns, ready_ns, startup_cpu_s = field.began_ns, time.monotonic_ns(), sum(map(cpu_s, pids))
+        returned_ns = max(servers.feed_down_until_ns, ready_ns)
+        servers.feed_down_until_ns = returned_ns  # the outage lasts at least until all are ready
+        all_responded_ns = 0
         with ClientLoad(field, per_s=2.0) as load:
-            while time.monotonic_ns() < began + seconds * S or not heard:
-                ports = {port for at, after, port in list(servers.feed_calls) if after >= 0 and at > back}
-                if len(ports) >= len(pids) and not heard:
-                    heard = time.monotonic_ns()
-                if time.monotonic_ns() > back + 60 * S:
+            while time.monotonic_ns() < began_ns + seconds * S or not all_responded_ns:
+                ports = {
+                    port for at, after, port in list(servers.feed_calls) if after >= 0 and at > returned_ns
+                }
+                if len(ports) >= len(pids) and not all_responded_ns:
+                    all_responded_ns = time.monotonic_ns()
+                if time.monotonic_ns() > returned_ns + 60 * S:
                     break
                 time.sleep(0.05)
-            cost, held = sum(map(cpu_s, pids)) - start_cpu, sum(map(memory_mb, pids)) / len(pids)
-            span = (time.monotonic_ns() - ready) / S
+            cpu_used_s, mean_memory_mb = (
+                sum(map(cpu_s, pids)) - startup_cpu_s,
+                sum(map(memory_mb, pids)) / len(pids),
+            )
+            elapsed_s = (time.monotonic_ns() - ready_ns) / S
         calls = [at for at, _, _ in servers.feed_calls]
-        shares = []
-        for first in (5, 10):
-            asked = [a for a in load.calls if a.at_ns < ready + first * S]
-            shares.append(sum(any(k == "served" for _, k in a.answers) for a in asked) / max(1, len(asked)))
+        served_shares = []
+        for window_s in (5, 10):
+            requests = [a for a in load.calls if a.at_ns < ready_ns + window_s * S]
+            served_shares.append(
+                sum(any(kind == "served" for _, kind in a.answers) for a in requests) / max(1, len(requests))
+            )
         return {
             "routers": len(pids),
-            "all ready s": round((ready - began) / S, 1),
+            "all ready s": round((ready_ns - began_ns) / S, 1),
             "calls": len(calls),
-            "calls in the worst s": max_per_second(calls),
-            "after its return": max_per_second([at for at in calls if at >= back]),
-            "all heard s": round((heard - back) / S, 1) if heard else -1.0,
-            "served 5 s": round(shares[0], 3),
-            "10 s": round(shares[1], 3),
-            "MB a router": round(held, 1),
-            "CPU to ready ms": round(1_000 * start_cpu / len(pids)),
-            "CPU share after": round(cost / span / len(pids), 4),
+            "calls in the worst s": max_calls_per_second(calls),
+            "after its return": max_calls_per_second([at for at in calls if at >= returned_ns]),
+            "all heard s": round((all_responded_ns - returned_ns) / S, 1) if all_responded_ns else -1.0,
+            "served 5 s": round(served_shares[0], 3),
+            "10 s": round(served_shares[1], 3),
+            "MB a router": round(mean_memory_mb, 1),
+            "CPU to ready ms": round(1_000 * startup_cpu_s / len(pids)),
+            "CPU share after": round(cpu_used_s / elapsed_s / len(pids), 4),
         }
     finally:
         field.__exit__()
@@ -97,8 +104,8 @@
     args = parser.parse_args()
     head = None
     for count in args.processes:
-        for way in WAYS:
-            row = {"way": way, **run_field(count, way, args.dead, args.seconds)}
+        for start_kind in START_KINDS:
+            row = {"way": start_kind, **run_field(count, start_kind, args.dead, args.seconds)}
             if head is None:
                 head = list(row)
                 print("| " + " | ".join(head) + " |\n|" + " --- |" * len(head))
--- a/benchmarks/cold_start_plot.py
+++ b/benchmarks/cold_start_plot.py
@@ -17,7 +17,7 @@
 from kelpcroft.startup import StartupOptions
 from testbed.cold_start import START, ColdStartFleet, S
 
-WAYS = (
+START_KINDS = (
     ("as ever", StartupOptions(), "tab:red"),
     ("start list-calls=50 store=#true count=#true", StartupOptions(50.0, True, True), "tab:blue"),
 )
@@ -28,9 +28,9 @@
 
     options = StartupOptions()
 
-    def start_router(self, n: int) -> list[effects.Effect]:
+    def start_router(self, router: int) -> list[effects.Effect]:
         """Start with ``options``."""
-        return self.routers[n].start(self.now, self.options)
+        return self.routers[router].start(self.now, self.options)
 
 
 def tenths(times: list[int]) -> Counter[int]:
@@ -43,20 +43,29 @@
 
     The first three are rates a second. The share is by priority weight, over the last second.
     """
-    calls, store, n = tenths(fleet.service.calls), tenths(fleet.servers.origin.request_times), seconds * 10
-    worth = []
-    for tenth in range(n):
-        asked = sum(fleet.outcomes.asked[j] for j in range(max(0, tenth - 9), tenth + 1))
-        worth.append(
-            sum(fleet.outcomes.in_time[j] for j in range(max(0, tenth - 9), tenth + 1)) / max(1, asked)
+    service_requests, origin_requests, tenth_count = (
+        tenths(fleet.service.calls),
+        tenths(fleet.servers.origin.request_times),
+        seconds * 10,
+    )
+    in_time_shares = []
+    for tenth in range(tenth_count):
+        sent_weight_in_s = sum(fleet.outcomes.sent_weight[j] for j in range(max(0, tenth - 9), tenth + 1))
+        in_time_shares.append(
+            sum(fleet.outcomes.in_time_weight[j] for j in range(max(0, tenth - 9), tenth + 1))
+            / max(1, sent_weight_in_s)
         )
     return {
-        "calls of the list service a second": [10.0 * calls[tenth] for tenth in range(n)],
+        "calls of the list service a second": [
+            10.0 * service_requests[tenth] for tenth in range(tenth_count)
+        ],
         "fetches at the store, of what it can do": [
-            10 * store[tenth] / fleet.servers.origin.requests_per_s for tenth in range(n)
+            10 * origin_requests[tenth] / fleet.servers.origin.requests_per_s for tenth in range(tenth_count)
+        ],
+        "fills asked of hubs a second": [
+            10.0 * fleet.servers.parent_fills[tenth] for tenth in range(tenth_count)
         ],
-        "fills asked of hubs a second": [10.0 * fleet.servers.parent_fills[tenth] for tenth in range(n)],
-        "share of the worth in time": worth,
+        "share of the worth in time": in_time_shares,
     }
 
 
@@ -74,12 +83,12 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(4, 1, figsize=(8, 10), sharex=True)
-    for label, begin, colour in WAYS:
+    for label, options, colour in START_KINDS:
         fleet = BenchmarkFleet(args.routers, rate=args.rate)
-        fleet.options = begin
+        fleet.options = options
         fleet.run(args.seconds + 2)
-        found: dict[str, Any] = series(fleet, args.seconds)
-        for axis, (title, values) in zip(axes, found.items(), strict=True):
+        values_by_title: dict[str, Any] = series(fleet, args.seconds)
+        for axis, (title, values) in zip(axes, values_by_title.items(), strict=True):
             axis.plot([k / 10 for k in range(len(values))], values, label=label, color=colour, linewidth=0.9)
             axis.set_title(title, fontsize=10, loc="left")
             axis.grid(alpha=0.3)
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -31,7 +31,7 @@
 from testbed.stand_ins import StandInServers
 
 CONTROL_REQUESTS = 200
-INCOMPLETE = 32  # incomplete control requests that are held open
+INCOMPLETE_REQUESTS = 32  # incomplete control requests that are held open
 READY = b"GET /control/ready HTTP/1.1\r\nHost: bench\r\n\r\n"
 OUT_OF_SERVICE = b"PUT /control/out-of-service HTTP/1.1\r\nHost: bench\r\n\r\n"
 CROSSING_S = (
@@ -89,11 +89,11 @@
             sent = time.monotonic()
             try:
                 sock.sendall(msgpack.packb([0, number, "page", [fields, b""]]))
-                answer = None
-                while answer is None:
+                response = None
+                while response is None:
                     for message in unpacker:
-                        answer = message
-                    if answer is None:
+                        response = message
+                    if response is None:
                         data = sock.recv(65536)
                         if not data:
                             raise ConnectionError
@@ -107,9 +107,9 @@
                         self.lost += 1
                 return
             with self.lock:
-                if answer[2] is None:
+                if response[2] is None:
                     self.served += 1
-                elif answer[2][0] == "Shed":
+                elif response[2][0] == "Shed":
                     self.refused += 1
                 else:
                     self.failed += 1
@@ -131,24 +131,24 @@
 def main() -> None:
     """Measure the control address and a drain, and print the figures."""
     clients = int(sys.argv[1]) if len(sys.argv) > 1 else 16
-    rows: dict[str, tuple[float, float, float]] = {}
-    with StandInServers() as world, RouterProcess(world, release=True, mgmt=True) as router:
+    latencies_ms: dict[str, tuple[float, float, float]] = {}
+    with StandInServers() as stand_ins, RouterProcess(stand_ins, release=True, mgmt=True) as router:
         router.client().request("page")
         pid = router.process.pid
-        rows["idle"] = figures(
+        latencies_ms["idle"] = figures(
             [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
         load = Load(router, clients)
         time.sleep(0.5)
-        rows[f"{clients} busy clients"] = figures(
+        latencies_ms[f"{clients} busy clients"] = figures(
             [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
         before_mb = rss_mb(pid)
-        incomplete = [socket.create_connection(router.control_address, 5) for _ in range(INCOMPLETE)]
+        incomplete = [socket.create_connection(router.control_address, 5) for _ in range(INCOMPLETE_REQUESTS)]
         for sock in incomplete:
             sock.sendall(READY[:20])
         time.sleep(0.2)
-        rows[f"and {INCOMPLETE} half calls"] = figures(
+        latencies_ms[f"and {INCOMPLETE_REQUESTS} half calls"] = figures(
             [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
         loaded_mb = rss_mb(pid)
@@ -159,19 +159,19 @@
         latency_ms, status = send_control_request(router.control_address, OUT_OF_SERVICE)
         for thread in load.threads:
             thread.join(10)
-        last = max(load.closed_at, default=began) - began
+        last_close_s = max(load.closed_at, default=began) - began
         load.end()
-    idle = rows["idle"][0]
+    idle = latencies_ms["idle"][0]
     print(f"{'GET /control/ready':28} {'median':>8} {'p99':>8} {'most':>8} {'median/idle':>12}")
-    for name, (p50, p99, most) in rows.items():
-        print(f"{name:28} {p50:8.2f} {p99:8.2f} {most:8.2f} {p50 / idle:12.2f}")
+    for name, (p50, p99, maximum) in latencies_ms.items():
+        print(f"{name:28} {p50:8.2f} {p99:8.2f} {maximum:8.2f} {p50 / idle:12.2f}")
     print(
-        f"resident memory: {before_mb:.1f} MB, with {INCOMPLETE} half calls {loaded_mb:.1f} MB "
+        f"resident memory: {before_mb:.1f} MB, with {INCOMPLETE_REQUESTS} half calls {loaded_mb:.1f} MB "
         f"(ratio {loaded_mb / before_mb:.3f})"
     )
     print(
         f"drain: {status.decode()} in {latency_ms:.1f} ms; "
-        f"every connection closed {last * 1000:.0f} ms after it; "
+        f"every connection closed {last_close_s * 1000:.0f} ms after it; "
         f"after it served {load.served - served_before}, refused {load.refused}, failed {load.failed}, "
         f"crossed {load.crossed}, lost {load.lost}"
     )
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -49,8 +49,8 @@
     def __init__(self, caches: int, parents: int) -> None:
         raw = json.loads((ROOT / "examples/config.json").read_bytes())
         settings = raw["settings"]
-        kinds, fam = settings["machine_types"], settings["family_info"]
-        parent, origin = kinds[fam["shield_kind"]], kinds[fam["master_kind"]]
+        kinds, family = settings["machine_types"], settings["family_info"]
+        parent, origin = kinds[family["shield_kind"]], kinds[family["master_kind"]]
         cache = next(k for k in kinds if k not in (parent, origin))
         hub = next(z for z in settings["dcs"] if z != settings["az"])
         self.lines = [
@@ -89,9 +89,9 @@
 
 def memory(caches: int, parents: int) -> None:
     """Print the process's resident memory after 300 requests, in KB."""
-    one = Fleet(caches, parents)
+    fleet = Fleet(caches, parents)
     for _ in range(300):
-        one.request()
+        fleet.request()
     status = Path("/proc/self/status").read_text().split()
     print(status[status.index("VmRSS:") + 1])
 
@@ -101,14 +101,18 @@
     if "--memory" in sys.argv:
         memory(*(int(a) for a in sys.argv[1:] if a.isdigit()))
         return
-    fleet = {size: Fleet(*size) for size in SIZES}
-    for one in fleet.values():
-        assert sum(one.request() > 500 for _ in range(100)) == 100, "every request is served"
+    fleets = {size: Fleet(*size) for size in SIZES}
+    for fleet in fleets.values():
+        assert sum(fleet.request() > 500 for _ in range(100)) == 100, "every request is served"
     costs_ns: dict[tuple[tuple[int, int], str], list[float]] = {}
-    for turn in range(ROUNDS):
-        for size in SIZES[turn % len(SIZES) :] + SIZES[: turn % len(SIZES)]:
-            one = fleet[size]
-            for name, work in (("request", one.request), ("list event", one.change), ("tick", one.tick)):
+    for round_number in range(ROUNDS):
+        for size in SIZES[round_number % len(SIZES) :] + SIZES[: round_number % len(SIZES)]:
+            fleet = fleets[size]
+            for name, work in (
+                ("request", fleet.request),
+                ("list event", fleet.change),
+                ("tick", fleet.tick),
+            ):
                 costs_ns.setdefault((size, name), []).append(cost(work, BATCH))
     command = [sys.executable, "-m", "benchmarks.fleet_cost", "--memory"]
     memory_kb = {
--- a/benchmarks/late_answers.py
+++ b/benchmarks/late_answers.py
@@ -34,9 +34,9 @@
         self.records[e.attempt_id].attempts.append(
             AttemptRecord(self.now, self.address_by_connection[e.connection], "done")
         )
-        took = self.random.randint(20, 60) * MS + (LATE_NS if self.random.random() < LATE else 0)
+        delay_ns = self.random.randint(20, 60) * MS + (LATE_NS if self.random.random() < LATE else 0)
         self.schedule(
-            self.now + took,
+            self.now + delay_ns,
             inputs.ServerResponse(
                 e.connection, e.attempt_id, OUTCOME_BY_FATE["done"], FillResult.HIT, 0, {}, False, b"x"
             ),
@@ -51,14 +51,18 @@
         for n in range(REQUESTS)
     ]
     router.run()
-    times = sorted(
-        (s.final_effects[0][0] - s.arrives_ns) / MS
-        for s in records
-        if isinstance(s.final_effects[0][1], effects.SendResponse)
+    latencies_ms = sorted(
+        (record.final_effects[0][0] - record.arrives_ns) / MS
+        for record in records
+        if isinstance(record.final_effects[0][1], effects.SendResponse)
+    )
+    assert len(latencies_ms) > 0.995 * REQUESTS, f"{REQUESTS - len(latencies_ms)} requests were not served"
+    attempts_per_request = sum(len(record.attempts) for record in records) / REQUESTS
+    return (
+        latencies_ms[len(latencies_ms) // 2],
+        latencies_ms[len(latencies_ms) * 99 // 100],
+        attempts_per_request,
     )
-    assert len(times) > 0.995 * REQUESTS, f"{REQUESTS - len(times)} requests were not served"
-    sends = sum(len(s.attempts) for s in records) / REQUESTS
-    return times[len(times) // 2], times[len(times) * 99 // 100], sends
 
 
 def main() -> None:
@@ -71,9 +75,11 @@
     )
     for name, text in VARIANTS.items():
         runs = [run_variant(text, seed) for seed in seeds]
-        p50, p99, sends = (mean(run[k] for run in runs) for k in range(3))
+        p50, p99, attempts_per_request = (mean(run[k] for run in runs) for k in range(3))
         baseline_p99 = baseline_p99 or p99
-        print(f"{name:18}{p50:8.1f}{p99:9.1f}{p99 / baseline_p99:8.2f}{100 * (sends - 1):12.1f}%")
+        print(
+            f"{name:18}{p50:8.1f}{p99:9.1f}{p99 / baseline_p99:8.2f}{100 * (attempts_per_request - 1):12.1f}%"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -57,44 +57,44 @@
         self.router.start(self.now)
         self.router.handle(self.now, inputs.ListenersReady())
         if text is not None:
-            file, faults = load(text.encode())
-            assert not faults, faults[0]
+            file, diagnostics = load(text.encode())
+            assert not diagnostics, diagnostics[0]
             self.router.handle(self.now, inputs.OperatorFileRead(file))
-        self.calls = 0
+        self.request_count = 0
         self.client = ClientCodec(1, READ)
         self.server_codecs: dict[int, ServerCodec] = {}
 
     def request(self) -> int:
         """Handle one page request, from its bytes to those of its response; return the bytes sent."""
-        self.calls += 1
+        self.request_count += 1
         self.now += 3 * MS
-        n = self.calls
+        n = self.request_count
         fields = {"trace": f"{n:016x}", "patience": "1500", "entity": f"{0xFFFF - n % 97:016x}"}
         data = msgpack.packb([0, n, "page", [{**fields, "block": str(n % 7), "family": "17"}, b""]])
         return sum(
-            self.effects(self.router.handle(self.now, call))
-            for call in self.client.receive_data(memoryview(data))
+            self.carry_out(self.router.handle(self.now, message))
+            for message in self.client.receive_data(memoryview(data))
         )
 
-    def effects(self, effect_list: list[effects.Effect]) -> int:
+    def carry_out(self, effect_list: list[effects.Effect]) -> int:
         """Carry out effects and return the number of bytes sent."""
         size = 0
         for e in effect_list:
             if isinstance(e, effects.SendAttempt):
                 size += len(encode_attempt(e)[0])
-                words = (
+                values = (
                     e.attempt_id.encode(),
                     b"DONE",
                     b"sum=4be0c1927d55a6f3,t0=1,tell=" + self.cache_status,
                     b"x" * 500,
                 )
-                data = b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
-                for answer in self.server_codecs.setdefault(
+                data = b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(value), value) for value in values)
+                for response in self.server_codecs.setdefault(
                     e.connection, ServerCodec(e.connection)
                 ).receive_data(memoryview(data)):
-                    size += self.effects(self.router.handle(self.now + MS, answer))
+                    size += self.carry_out(self.router.handle(self.now + MS, response))
             elif isinstance(e, effects.OpenServerConnection):
-                size += self.effects(self.router.handle(self.now, inputs.ServerConnected(e.connection)))
+                size += self.carry_out(self.router.handle(self.now, inputs.ServerConnected(e.connection)))
             elif isinstance(e, effects.SendResponse):
                 size += sum(map(len, encode_response(e.request_number, e.body, e.not_modified)))
         return size
@@ -108,21 +108,23 @@
         "10,000 routes": SocketlessRouter(rules(10_000)),
     }
     costs: dict[str, list[float]] = {name: [] for name in variants}
-    for one in variants.values():
-        assert sum(one.request() > 500 for _ in range(BATCH)) == BATCH, "every request is served"
-    for turn in range(ROUNDS):
+    for router in variants.values():
+        assert sum(router.request() > 500 for _ in range(BATCH)) == BATCH, "every request is served"
+    for round_number in range(ROUNDS):
         names = list(variants)
-        for name in names[turn % 3 :] + names[: turn % 3]:
+        for name in names[round_number % 3 :] + names[: round_number % 3]:
             began = time.process_time_ns()
             for _ in range(BATCH):
                 variants[name].request()
             costs[name].append((time.process_time_ns() - began) / BATCH)
     print(f"{'compiled' if COPY.is_dir() else 'plain'}, {ROUNDS} rounds of {BATCH} requests")
-    for name, found in costs.items():
-        ratio = median(a / b for a, b in zip(found, costs["no file"], strict=True))
-        print(f"{name:14} {median(found) / 1000:7.1f} us of CPU a request   {ratio:6.3f} of no file")
-    last = median(a / b for a, b in zip(costs["10,000 routes"], costs["10 routes"], strict=True))
-    print(f"10,000 routes cost {last:.3f} of 10 routes")
+    for name, costs_ns in costs.items():
+        ratio = median(a / b for a, b in zip(costs_ns, costs["no file"], strict=True))
+        print(f"{name:14} {median(costs_ns) / 1000:7.1f} us of CPU a request   {ratio:6.3f} of no file")
+    ratio_to_10_routes = median(
+        a / b for a, b in zip(costs["10,000 routes"], costs["10 routes"], strict=True)
+    )
+    print(f"10,000 routes cost {ratio_to_10_routes:.3f} of 10 routes")
 
 
 if __name__ == "__main__":
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -120,12 +120,18 @@
         at += router.random.expovariate(RATE) * S
         arrivals.append(router.schedule_request(int(at), "page", 2_500, router.random.randint(0, 400)))
     router.run()
-    found = {}
+    by_period = {}
     for name, (low, high) in PERIODS.items():
-        here = [s for s in arrivals if low <= s.arrives_ns - START < high]
-        sends = sum(len(s.attempts) + (len(s.client_retry.attempts) if s.client_retry else 0) for s in here)
-        found[name] = sends / len(here), sum(in_time(s, aim_ns) for s in here) / len(here)
-    return found
+        requests = [record for record in arrivals if low <= record.arrives_ns - START < high]
+        attempts = sum(
+            len(record.attempts) + (len(record.client_retry.attempts) if record.client_retry else 0)
+            for record in requests
+        )
+        by_period[name] = (
+            attempts / len(requests),
+            sum(in_time(record, aim_ns) for record in requests) / len(requests),
+        )
+    return by_period
 
 
 def in_time(record: RequestRecord, aim_ns: int) -> bool:
@@ -152,9 +158,12 @@
             runs = [run_variant(ORDERS + text if text else None, seed, aim_ms * MS) for seed in seeds]
             cells = []
             for period in PERIODS:
-                sends, good = (mean(run[period][k] for run in runs) for k in (0, 1))
-                baseline.setdefault(period, good)
-                cells.append(f"{sends:6.2f} {good:7.3f} ({good / max(baseline[period], 1e-9):5.2f})")
+                attempts_per_request, in_time_share = (mean(run[period][k] for run in runs) for k in (0, 1))
+                baseline.setdefault(period, in_time_share)
+                cells.append(
+                    f"{attempts_per_request:6.2f} {in_time_share:7.3f} "
+                    f"({in_time_share / max(baseline[period], 1e-9):5.2f})"
+                )
             print(f"{name:22}" + "".join(f"{cell:>24}" for cell in cells))
 
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -20,10 +20,12 @@
 SECONDS = 1_500
 
 
-def defect(share: float, cls: str = "", zone: str = "") -> Defect:
+def defect(share: float, request_class: str = "", zone: str = "") -> Defect:
     """A regression of the new build by a share of requests, optionally in one class or zone only."""
-    return lambda _, p, found: (
-        share if p.build == "beef" and cls in ("", found) and zone in ("", p.zone) else 0.0
+    return lambda _, router, actual_class: (
+        share
+        if router.build == "beef" and request_class in ("", actual_class) and zone in ("", router.zone)
+        else 0.0
     )
 
 
@@ -31,19 +33,19 @@
     ("none", defect(0.0)),
     ("1 in 20", defect(0.05)),
     ("3 in 10", defect(0.3)),
-    ("3 in 10, writes only", defect(0.3, cls="writes")),
+    ("3 in 10, writes only", defect(0.3, request_class="writes")),
     ("3 in 10, one zone", defect(0.3, zone="z2")),
 )
 
 
 def at_once(fleet: SimulatedFleet) -> tuple[float, int, int]:
     """Change every router in the first second; operators roll back after ten minutes."""
-    for p in fleet.routers.values():
-        fleet.start(p, "beef")
-    for n in range(SECONDS):
-        if n == 600:
-            for p in fleet.routers.values():
-                fleet.start(p, "old")
+    for router in fleet.routers.values():
+        fleet.start(router, "beef")
+    for second in range(SECONDS):
+        if second == 600:
+            for router in fleet.routers.values():
+                fleet.start(router, "old")
         run_second_without_rollout(fleet)
     return fleet.harmed_requests, len(fleet.routers), SECONDS
 
@@ -51,13 +53,13 @@
 def one_by_one(fleet: SimulatedFleet) -> tuple[float, int, int]:
     """Change one router every 30 s without a judge; operators roll back after ten minutes as well."""
     names = list(fleet.routers)
-    for n in range(SECONDS):
-        if n % 30 == 0 and n // 30 < len(names) and n < 600:
-            fleet.start(fleet.routers[names[n // 30]], "beef")
-        if n == 600:
-            for p in fleet.routers.values():
-                if p.build == "beef":
-                    fleet.start(p, "old")
+    for second in range(SECONDS):
+        if second % 30 == 0 and second // 30 < len(names) and second < 600:
+            fleet.start(fleet.routers[names[second // 30]], "beef")
+        if second == 600:
+            for router in fleet.routers.values():
+                if router.build == "beef":
+                    fleet.start(router, "old")
         run_second_without_rollout(fleet)
     return fleet.harmed_requests, min(len(names), 20), SECONDS
 
@@ -84,22 +86,24 @@
     seeds = int(arguments[arguments.index("--seeds") + 1]) if "--seeds" in arguments else 3
     print(f"12 routers in 3 zones, {seeds} seeds; requests harmed, routers touched, seconds\n")
     print(f"{'defect':24}{'all at once':>22}{'one by one':>22}{'staged':>22}{'staged/at once':>16}")
-    for name, harm in DEFECTS:
-        cells, costs = [], []
+    for name, regression in DEFECTS:
+        cells, harm_by_strategy = [], []
         for run_case in (at_once, one_by_one, staged):
-            found = [run_case(SimulatedFleet(make_plan(3, 4), seed, harm)) for seed in range(seeds)]
-            cost, touched, seconds_taken = (sum(x[n] for x in found) / seeds for n in range(3))
-            costs.append(cost)
-            cells.append(f"{cost:.0f}, {touched:.0f}, {seconds_taken:.0f}")
-        ratio = f"{costs[2] / costs[0]:.3f}" if costs[0] else "-"
+            results = [run_case(SimulatedFleet(make_plan(3, 4), seed, regression)) for seed in range(seeds)]
+            harmed_requests, changed_routers, duration_s = (
+                sum(result[n] for result in results) / seeds for n in range(3)
+            )
+            harm_by_strategy.append(harmed_requests)
+            cells.append(f"{harmed_requests:.0f}, {changed_routers:.0f}, {duration_s:.0f}")
+        ratio = f"{harm_by_strategy[2] / harm_by_strategy[0]:.3f}" if harm_by_strategy[0] else "-"
         print(f"{name:24}" + "".join(f"{cell:>22}" for cell in cells) + f"{ratio:>16}", flush=True)
     if "--large" not in arguments:
         return 0
     print(f"\n{'routers':>8}{'outcome':>10}{'seconds':>9}{'controller us a router and second':>36}")
-    for zones, each in ((2, 5), (10, 10), (20, 50)):
-        total = zones * each
-        more = (
-            f"limits at-once={max(2, total // 10)} per-zone={max(1, each // 5)}\n"
+    for zones, routers_per_zone in ((2, 5), (10, 10), (20, 50)):
+        router_count = zones * routers_per_zone
+        extra_lines = (
+            f"limits at-once={max(2, router_count // 10)} per-zone={max(1, routers_per_zone // 5)}\n"
             'watch every="1s" slowest="30s" ready="10s" cold="10s" unknown=1\n'
         )
         stages = (
@@ -108,22 +112,22 @@
             'stage "half" share="50%" least="30s" most="900s"\n'
             'stage "all" share="100%" least="30s" most="900s"\n'
         )
-        world = SimulatedFleet(make_plan(zones, each, stages, more), 1, defect(0.0))
-        spent = [0.0]
-        handle = world.rollout.handle
+        fleet = SimulatedFleet(make_plan(zones, routers_per_zone, stages, extra_lines), 1, defect(0.0))
+        controller_s = [0.0]
+        handle = fleet.rollout.handle
 
-        def timed(now_ns: int, event: object, handle=handle, spent=spent):  # type: ignore[no-untyped-def]
+        def timed(now_ns: int, event: object, handle=handle, controller_s=controller_s):  # type: ignore[no-untyped-def]
             began = perf_counter()
             try:
                 return handle(now_ns, event)
             finally:
-                spent[0] += perf_counter() - began
+                controller_s[0] += perf_counter() - began
 
-        world.rollout.handle = timed  # type: ignore[method-assign]
-        outcome = world.run(4_000)
-        seconds = (world.now - 1_000 * S) // S
-        each_us = spent[0] / seconds / total * 1e6
-        print(f"{total:>8}{outcome.value:>10}{seconds:>9}{each_us:>36.1f}", flush=True)
+        fleet.rollout.handle = timed  # type: ignore[method-assign]
+        outcome = fleet.run(4_000)
+        seconds = (fleet.now - 1_000 * S) // S
+        controller_us = controller_s[0] / seconds / router_count * 1e6
+        print(f"{router_count:>8}{outcome.value:>10}{seconds:>9}{controller_us:>36.1f}", flush=True)
     return 0
 
 
--- a/benchmarks/rollout_field.py
+++ b/benchmarks/rollout_field.py
@@ -21,7 +21,7 @@
 from testbed.stand_ins import MS, ROOT
 
 DEFECTS = ("sound", "refuses", "one in twenty", "slow", "one class", "crashes", "breaks an invariant")
-AIM_NS = 150 * MS
+LATENCY_OBJECTIVE_NS = 150 * MS
 PER_S = 50.0
 TIMEOUT_S = 240.0
 
@@ -29,7 +29,8 @@
 def count_harmed(load: ClientLoad) -> int:
     """The number of requests that were not served in time."""
     return sum(
-        not any(kind == "served" and at - a.at_ns <= AIM_NS for at, kind in a.answers) for a in load.calls
+        not any(kind == "served" and at - a.at_ns <= LATENCY_OBJECTIVE_NS for at, kind in a.answers)
+        for a in load.calls
     )
 
 
@@ -58,10 +59,10 @@
             process.kill()
             process.wait()
             elapsed_s = time.monotonic() - began
-        touched = sum("new" in node.started_builds for node in field.nodes.values())
+        changed_routers = sum("new" in node.started_builds for node in field.nodes.values())
         return (
             count_harmed(load),
-            touched,
+            changed_routers,
             elapsed_s,
             {0: "done", 1: "taken back"}.get(process.returncode, "not over"),
         )
@@ -76,8 +77,8 @@
         time.sleep(2)
         for node in field.nodes.values():
             node.change("new")
-        until = time.monotonic() + seconds
-        while time.monotonic() < until:
+        until_s = time.monotonic() + seconds
+        while time.monotonic() < until_s:
             for node in field.nodes.values():
                 if node.process and node.process.poll() is not None:
                     node.start(node.started_builds.pop())
@@ -94,11 +95,12 @@
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for defect in defects or DEFECTS:
         with tempfile.TemporaryDirectory() as name:
-            harm, touched, elapsed_s, ended = staged(defect, Path(name))
+            harmed_requests, changed_routers, elapsed_s, ended = staged(defect, Path(name))
             all_at_once = at_once(defect, Path(name), elapsed_s)
-        ratio = f"{harm / all_at_once:.3f}" if all_at_once else "-"
+        ratio = f"{harmed_requests / all_at_once:.3f}" if all_at_once else "-"
         print(
-            f"| {defect:20} | {harm} | {touched} | {elapsed_s:.0f} | {ended} | {all_at_once} | {ratio} |",
+            f"| {defect:20} | {harmed_requests} | {changed_routers} | {elapsed_s:.0f} | {ended} "
+            f"| {all_at_once} | {ratio} |",
             flush=True,
         )
     return 0
--- a/benchmarks/rollout_judge.py
+++ b/benchmarks/rollout_judge.py
@@ -17,7 +17,7 @@
 
 from kelpcroft.rollout.judge import RegressionJudge, RequestSample, StopCriteria, Verdict, ZoneClass
 
-PLACE = ZoneClass("zone", "class")
+ZONE_CLASS = ZoneClass("zone", "class")
 
 
 def poisson(random: Random, mean: float) -> int:
@@ -46,16 +46,16 @@
     """
     judge, drift = RegressionJudge(StopCriteria()), 0.0
     for _ in range(60):
-        judge.add_baseline(True, {PLACE: sample(random, rate, usual_late_share + own_late_share)})
-        judge.add_baseline(False, {PLACE: sample(random, 11 * rate, usual_late_share)})
+        judge.add_baseline(True, {ZONE_CLASS: sample(random, rate, usual_late_share + own_late_share)})
+        judge.add_baseline(False, {ZONE_CLASS: sample(random, 11 * rate, usual_late_share)})
     for second in range(seconds):
         drift = 0.95 * drift + random.gauss(0, 0.02)
         late_share = min(0.9, max(0.0, usual_late_share + drift + (0.3 if 30 <= second < 45 else 0.0)))
         judge.add_slice(
-            {PLACE: sample(random, rate, min(1.0, late_share + harm + own_late_share))},
-            {PLACE: sample(random, 11 * rate, late_share)},
+            {ZONE_CLASS: sample(random, rate, min(1.0, late_share + harm + own_late_share))},
+            {ZONE_CLASS: sample(random, 11 * rate, late_share)},
         )
-        verdict, _ = judge.verdict(frozenset((PLACE,)))
+        verdict, _ = judge.verdict(frozenset((ZONE_CLASS,)))
         if verdict is not Verdict.UNDECIDED:
             return verdict, second + 1
     return Verdict.UNDECIDED, seconds
@@ -73,11 +73,11 @@
 )
 
 
-def row(kind: tuple[float, float, float, float], runs: int, seconds: int) -> tuple[str, bool]:
+def row(parameters: tuple[float, float, float, float], runs: int, seconds: int) -> tuple[str, bool]:
     """One line of the table, and whether its error rate exceeds the configured rate."""
-    harm, usual_late_share, own_late_share, rate = kind
+    harm, usual_late_share, own_late_share, rate = parameters
     rates = StopCriteria()
-    random, found, verdict_seconds, slices, began = (
+    random, verdict_counts, verdict_seconds, intervals, began = (
         Random(7),
         dict.fromkeys(Verdict, 0),
         [],
@@ -85,22 +85,22 @@
         perf_counter(),
     )
     for _ in range(runs):
-        verdict, after = rollout(random, rate, usual_late_share, harm, own_late_share, seconds)
-        found[verdict] += 1
-        verdict_seconds.append(after)
-        slices += after
-    judge_us = (perf_counter() - began) / max(1, slices) * 1e6
-    shares = {v: n / runs for v, n in found.items()}
+        verdict, verdict_s = rollout(random, rate, usual_late_share, harm, own_late_share, seconds)
+        verdict_counts[verdict] += 1
+        verdict_seconds.append(verdict_s)
+        intervals += verdict_s
+    judge_us = (perf_counter() - began) / max(1, intervals) * 1e6
+    shares = {v: n / runs for v, n in verdict_counts.items()}
     line = (
         f"{harm:>6}{usual_late_share:>7}{own_late_share:>6}{rate:>7g}{shares[Verdict.REGRESSION]:>9.4f}{shares[Verdict.NO_REGRESSION]:>9.4f}"
         f"{shares[Verdict.UNDECIDED]:>9.4f}{sorted(verdict_seconds)[runs // 2]:>10}{judge_us:>10.1f}"
     )
-    wrong = (
+    error_ratio = (
         shares[Verdict.REGRESSION] / rates.false_stop
         if not harm
         else shares[Verdict.NO_REGRESSION] / rates.missed_harm
     )
-    return line, wrong > 1
+    return line, error_ratio > 1
 
 
 def main(arguments: list[str]) -> int:
@@ -115,9 +115,9 @@
     print("  harm  usual   own  req/s    worse     fine     open  median s  us/slice")
     wrong_rows = 0
     with ProcessPoolExecutor() as pool:  # rows have their own seeds: same results on any number of cores
-        for line, wrong in pool.map(row, ROWS, [runs] * len(ROWS), [seconds] * len(ROWS)):
+        for line, exceeds_rate in pool.map(row, ROWS, [runs] * len(ROWS), [seconds] * len(ROWS)):
             print(line, flush=True)
-            wrong_rows += wrong
+            wrong_rows += exceeds_rate
     return 1 if wrong_rows else 0
 
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -20,7 +20,7 @@
 from testbed.stand_ins import ROOT, StandInServers
 
 BEFORE = "fa17234"  # the last commit before routes
-TURNS = 9
+ROUNDS = 9
 
 
 def build(commit: str, folder: Path) -> Path:
@@ -34,9 +34,9 @@
 
 def start_router(program: Path, rules: str | None) -> tuple[float, float]:
     """Start a router; return the ms until it accepts connections, and its MB after 200 served requests."""
-    with StandInServers() as world:
+    with StandInServers() as stand_ins:
         began = time.monotonic()
-        with RouterProcess(world, rules, program, release=True) as router:
+        with RouterProcess(stand_ins, rules, program, release=True) as router:
             client = router.client()
             start_ms = (time.monotonic() - began) * 1000
             for part in range(200):
@@ -57,9 +57,9 @@
             "HEAD, with a file": (new, rules),
         }
         measurements: dict[str, list[tuple[float, float]]] = {name: [] for name in variants}
-        for _ in range(TURNS):
-            for name, (program, text) in variants.items():
-                measurements[name].append(start_router(program, text))
+        for _ in range(ROUNDS):
+            for name, (program, operator_file) in variants.items():
+                measurements[name].append(start_router(program, operator_file))
     base = [median(x[k] for x in measurements[f"commit {commit}"]) for k in (0, 1)]
     print(f"{'':20}{'start ms':>10}{'ratio':>7}{'MB':>8}{'more':>7}")
     for name, runs in measurements.items():
--- a/testbed/cold_start.py
+++ b/testbed/cold_start.py
@@ -122,19 +122,19 @@
     """Priority weight of requests sent and of those served in time, by tenth of a second."""
 
     def __init__(self) -> None:
-        self.asked: Counter[int] = Counter()
-        self.in_time: Counter[int] = Counter()  # by the time of the request
+        self.sent_weight: Counter[int] = Counter()
+        self.in_time_weight: Counter[int] = Counter()  # by the time of the request
         self._open: dict[tuple[int, int], OpenRequest] = {}  # by router and client
 
     def record_request(self, router: int, client: int, now_ns: int, weight: float) -> None:
         """Record that a client sends a request."""
         self._open[router, client] = OpenRequest(now_ns, weight)
 
-    def record_answer(self, router: int, client: int, now_ns: int, is_served: bool) -> None:
+    def record_response(self, router: int, client: int, now_ns: int, is_served: bool) -> None:
         """Record a request's final response."""
         request = self._open.pop((router, client), None)
         if request and is_served and now_ns - request.began_ns <= LATENCY_OBJECTIVE_NS:
-            self.in_time[tenth_of(request.began_ns)] += int(request.weight)
+            self.in_time_weight[tenth_of(request.began_ns)] += int(request.weight)
 
     def drop_router(self, router: int) -> None:
         """Discard the open requests of a router that was killed."""
@@ -144,7 +144,7 @@
     def share_in_time(self, first_s: int, last_s: int) -> float:
         """The share, by priority weight, of the requests sent between two seconds that was served in time."""
         tenths = range(first_s * TENTHS_PER_S, last_s * TENTHS_PER_S)
-        return sum(self.in_time[k] for k in tenths) / max(1, sum(self.asked[k] for k in tenths))
+        return sum(self.in_time_weight[k] for k in tenths) / max(1, sum(self.sent_weight[k] for k in tenths))
 
     def seconds_to_recover(self, seconds: int) -> int:
         """The first of three successive seconds whose share in time reaches 0.95 of the level near the end.
@@ -171,7 +171,7 @@
         rate: float = 8.0,
         load: float = 0.5,
         service: ListServiceModel | None = None,
-        believed: int = 0,
+        configured_routers: int = 0,
         max_connections: int = 64,
         down_cache_every: int = 0,
         change: Callable[[Reducer], None] | None = None,
@@ -186,7 +186,7 @@
             rate: Requests a second of one router's clients.
             load: Load of warm caches, as a share of their capacity.
             service: The list service; by default one that is up.
-            believed: Number of routers in the settings, if it is not the actual number; 0 = the actual one.
+            configured_routers: Number of routers in the settings; 0 = the actual number.
             max_connections: Connections that a cache accepts from all routers together.
             down_cache_every: One cache in this many is listed but down; 0 = none.
             change: Function that is called with each router before it starts, to change it.
@@ -194,11 +194,11 @@
         self.random = Random(seed)
         self.now = START
         self.sequence = 0  # of events and of clients' requests
-        self.believed = believed or routers
+        self.configured_routers = configured_routers or routers
         self.rate = rate
         self.service = service or ListServiceModel()
         self.outcomes = RequestOutcomes()
-        self.first_answer_ns: dict[int, int] = {}  # by router: time of the first watch response
+        self.first_response_ns: dict[int, int] = {}  # by router: time of the first watch response
         self.servers = simulated_servers(
             routers, rate, load, max_connections, is_cold=cold, parents_are_cold=cold_parents
         )
@@ -224,11 +224,11 @@
         zone = f"z{number // ROUTERS_PER_ZONE}"
         raw = copy.deepcopy(EXAMPLE)
         settings = raw["settings"]
-        in_zone = max(1, round(ROUTERS_PER_ZONE * self.believed / len(self._process)))
+        in_zone = max(1, round(ROUTERS_PER_ZONE * self.configured_routers / len(self._process)))
         settings.update(
             az=zone,
             dcs=[zone, HUB_ZONE],
-            instances=self.believed,
+            instances=self.configured_routers,
             self_index=number,
             weight_source="nominal",
         )
@@ -271,7 +271,7 @@
         elif isinstance(event, ClientSends):
             self._send_client_request(router)
         elif isinstance(event, ServiceReady):
-            self._answer_watch_request(router, event.received_ns)
+            self._respond_to_watch_request(router, event.received_ns)
         else:
             self._deliver_from_server(router, event)
 
@@ -312,7 +312,7 @@
         object_number = int(self.random.paretovariate(POPULARITY_TAIL) * 10) % OBJECTS
         is_order = self.random.random() < ORDERS_SHARE
         weight = ORDER_WEIGHT if is_order else PAGE_WEIGHT
-        self.outcomes.asked[tenth_of(self.now)] += int(weight)
+        self.outcomes.sent_weight[tenth_of(self.now)] += int(weight)
         self.sequence += 1
         client = self.sequence
         self.outcomes.record_request(router, client, self.now, weight)
@@ -338,14 +338,14 @@
             for watcher in watchers:
                 self._schedule(arrives_ns + FEED_DELAY_NS, watcher, inputs.WatchFailed("reset"))
 
-    def _answer_watch_request(self, router: int, received_ns: int) -> None:
+    def _respond_to_watch_request(self, router: int, received_ns: int) -> None:
         """Respond to a watch request if there are new events or its wait is over; otherwise let it wait."""
         watch = self.service.waiting_watches.get(router)
         if watch is None or watch.received_ns != received_ns:
             return
         if watch.after_event != self.service.last_event or self.now >= watch.until_ns:
             del self.service.waiting_watches[router]
-            self.first_answer_ns.setdefault(router, self.now)
+            self.first_response_ns.setdefault(router, self.now)
             response = inputs.WatchResponse(self.service.last_event, ())
             self._schedule(self.now + FEED_DELAY_NS, router, response)
         else:
@@ -369,7 +369,7 @@
                 self._schedule(self.now + WITHIN_ZONE_NS, router, respond(e, Outcome.OK))
             elif isinstance(e, (effects.SendResponse, effects.RejectRequest, effects.FailRequest)):
                 is_served = isinstance(e, effects.SendResponse)
-                self.outcomes.record_answer(router, e.client, self.now, is_served)
+                self.outcomes.record_response(router, e.client, self.now, is_served)
 
     def _connect(self, router: int, e: effects.OpenServerConnection) -> None:
         name = e.address.rpartition(":")[0]
@@ -385,9 +385,9 @@
 
     def _send_attempt(self, router: int, e: effects.SendAttempt) -> None:
         name = self._server_by_connection[router].get(e.connection, "")
-        answer = self.servers.answer(self.now, name, e)
-        if answer is not None:
-            self._schedule(answer.at_ns, router, answer.response)
+        timed_response = self.servers.respond_to_attempt(self.now, name, e)
+        if timed_response is not None:
+            self._schedule(timed_response.at_ns, router, timed_response.response)
 
     # Figures ----------------------------------------------------------------------------------------------
 
@@ -422,9 +422,9 @@
 
     def _seconds_until_all_listed(self) -> float:
         """Seconds until every router had received a watch response; -1 if some router received none."""
-        if len(self.first_answer_ns) < len(self.routers):
+        if len(self.first_response_ns) < len(self.routers):
             return -1
-        return round((max(self.first_answer_ns.values()) - START) / S, 1)
+        return round((max(self.first_response_ns.values()) - START) / S, 1)
 
 
 def simulated_servers(
--- a/testbed/cold_start_models.py
+++ b/testbed/cold_start_models.py
@@ -139,11 +139,11 @@
         self.transfers_end_ns.append(until_ns)
         return {"outstanding": float(len(self.transfers_end_ns))}
 
-    def has_object(self, item: int, seed: int) -> bool:
+    def has_object(self, object_number: int, seed: int) -> bool:
         """Whether it holds an object; a server that started warm holds a share drawn by ``seed``."""
-        if item in self.objects:
+        if object_number in self.objects:
             return True
-        return not self.started_ns and mix64(item * 65_537 + seed) % 1000 < OBJECTS_HELD_SHARE * 1000
+        return not self.started_ns and mix64(object_number * 65_537 + seed) % 1000 < OBJECTS_HELD_SHARE * 1000
 
 
 @dataclass
@@ -158,7 +158,7 @@
     refused: int = 0
     request_times: list[int] = field(default_factory=list)
 
-    def answer(self, now_ns: int) -> int | None:
+    def accept(self, now_ns: int) -> int | None:
         """Accept one more request; return the ns until its response arrives, or None if it is rejected."""
         self.request_times.append(now_ns)
         queue_share = max(0.0, self.free_at_ns - now_ns) / ORIGIN_QUEUE_NS
--- a/testbed/cold_start_servers.py
+++ b/testbed/cold_start_servers.py
@@ -47,7 +47,7 @@
 def respond(
     command: effects.SendAttempt | effects.SendHealthCheck,
     outcome: Outcome,
-    note: FillResult = FillResult.NONE,
+    fill_result: FillResult = FillResult.NONE,
     source_wait_ns: int = 0,
     load_report: dict[str, float] | None = None,
     body: bytes = b"",
@@ -57,7 +57,7 @@
         command.connection,
         command.attempt_id,
         outcome,
-        note,
+        fill_result,
         source_wait_ns,
         load_report or {},
         False,
@@ -128,55 +128,59 @@
         if name in self.caches:
             self.caches[name].connections -= 1
 
-    def answer(self, now_ns: int, name: str, command: effects.SendAttempt) -> TimedResponse | None:
+    def respond_to_attempt(
+        self, now_ns: int, name: str, command: effects.SendAttempt
+    ) -> TimedResponse | None:
         """The response to an attempt, or None if the server does not respond."""
         server = self.find(name)
         if server is None:
-            return self._answer_at_origin(now_ns, command)
+            return self._respond_at_origin(now_ns, command)
         if now_ns < server.down_until_ns:
             return None
         transfer_ns = server.transfer(now_ns)
         if transfer_ns is None:
             return None
-        item = int(command.object_id, 16)
+        object_number = int(command.object_id, 16)
         fill = Fill(0, FillResult.HIT)
-        if not server.has_object(item, self._object_seeds[name]):
-            fill = self._fill(now_ns, command, item)
+        if not server.has_object(object_number, self._object_seeds[name]):
+            fill = self._fill(now_ns, command, object_number)
             if fill.wait_ns is None:
                 outcome = Outcome.MISS if fill.result is FillResult.SOURCE_LACKS else Outcome.ERROR
                 return TimedResponse(now_ns + WITHIN_ZONE_NS, respond(command, outcome, fill.result))
-            server.objects.add(item)
+            server.objects.add(object_number)
         wait_ns = fill.wait_ns or 0
         at_ns = now_ns + transfer_ns + wait_ns + WITHIN_ZONE_NS
         report = server.load_report(now_ns, at_ns)
         return TimedResponse(at_ns, respond(command, Outcome.OK, fill.result, wait_ns, report, b"x"))
 
-    def _answer_at_origin(self, now_ns: int, command: effects.SendAttempt) -> TimedResponse:
-        took_ns = self.origin.answer(now_ns)
-        if took_ns is None:
+    def _respond_at_origin(self, now_ns: int, command: effects.SendAttempt) -> TimedResponse:
+        response_ns = self.origin.accept(now_ns)
+        if response_ns is None:
             return TimedResponse(now_ns + TO_ORIGIN_NS, respond(command, Outcome.FULL))
         if command.request_class == "order":
             self.order_runs[command.attempt_id] += 1
         response = respond(command, Outcome.OK, FillResult.HIT, body=b"x")
-        return TimedResponse(now_ns + max(took_ns, TO_ORIGIN_NS), response)
+        return TimedResponse(now_ns + max(response_ns, TO_ORIGIN_NS), response)
 
-    def _fill(self, now_ns: int, command: effects.SendAttempt, item: int) -> Fill:
+    def _fill(self, now_ns: int, command: effects.SendAttempt, object_number: int) -> Fill:
         """Fill a cache's miss from the source that the router named."""
         if not command.source:
             return Fill(None, FillResult.SOURCE_LACKS)
         parent = self.parents.get(command.source)
         if parent is not None:
-            return self._fill_from_parent(now_ns, command, item, parent)
+            return self._fill_from_parent(now_ns, command, object_number, parent)
         if command.source in self.caches:  # the source is a sibling
             sibling = self.caches[command.source]
-            if sibling.has_object(item, self._object_seeds[command.source]):
+            if sibling.has_object(object_number, self._object_seeds[command.source]):
                 return Fill(WITHIN_ZONE_NS, FillResult.FILLED)
             return Fill(None, FillResult.SOURCE_LACKS)
-        took_ns = self.origin.answer(now_ns)
-        return Fill(took_ns, FillResult.SOURCE_REFUSED if took_ns is None else FillResult.FILLED_FROM_ORIGIN)
+        response_ns = self.origin.accept(now_ns)
+        return Fill(
+            response_ns, FillResult.SOURCE_REFUSED if response_ns is None else FillResult.FILLED_FROM_ORIGIN
+        )
 
     def _fill_from_parent(
-        self, now_ns: int, command: effects.SendAttempt, item: int, parent: ServerModel
+        self, now_ns: int, command: effects.SendAttempt, object_number: int, parent: ServerModel
     ) -> Fill:
         if now_ns < parent.down_until_ns:
             return Fill(None, FillResult.SOURCE_BROKE)
@@ -186,12 +190,12 @@
         self.parent_fills[tenth_of(now_ns)] += 1
         # The cache forwards the part while it receives it, so the part's own transfer is counted once.
         wait_ns = transfer_ns - PART_TRANSFER_NS + WITHIN_ZONE_NS
-        if parent.has_object(item, self._object_seeds[command.source]):
+        if parent.has_object(object_number, self._object_seeds[command.source]):
             return Fill(wait_ns, FillResult.FILLED)
         if command.cached_only:
             return Fill(None, FillResult.SOURCE_LACKS)
-        origin_ns = self.origin.answer(now_ns)
+        origin_ns = self.origin.accept(now_ns)
         if origin_ns is None:
             return Fill(None, FillResult.ORIGIN_FAILED)
-        parent.objects.add(item)
+        parent.objects.add(object_number)
         return Fill(wait_ns + origin_ns, FillResult.FILLED_FROM_ORIGIN)
--- a/testbed/hollow/field.py
+++ b/testbed/hollow/field.py
@@ -20,16 +20,23 @@
     Entering it as a context manager starts all processes; leaving it ends them.
     """
 
-    def __init__(self, size: FleetSize, replicas: int = 2, services: int = 1, more: str = "") -> None:
+    def __init__(
+        self, size: FleetSize, replicas: int = 2, service_count: int = 1, extra_lines: str = ""
+    ) -> None:
         """Prepare the field without starting a process.
 
         Args:
             size: Numbers of routers, servers and zones.
             replicas: Number of control replicas.
-            services: Number of independent list services; replica n watches number n modulo ``services``.
-            more: Further lines of the replicas' files.
+            service_count: Number of independent list services; replica n watches number n modulo this.
+            extra_lines: Further lines of the replicas' files.
         """
-        self.size, self.count, self.services, self.more = size, replicas, services, more
+        self.size, self.replica_count, self.service_count, self.extra_lines = (
+            size,
+            replicas,
+            service_count,
+            extra_lines,
+        )
         self.stack = ExitStack()
 
     def __enter__(self) -> ControlField:
@@ -43,16 +50,20 @@
     def start(self) -> None:
         """Start all processes and relays."""
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
-        self.service_list = [self.stack.enter_context(list_service(self.size)) for _ in range(self.services)]
-        self.service = self.service_list[0]
+        self.services = [self.stack.enter_context(list_service(self.size)) for _ in range(self.service_count)]
+        self.service = self.services[0]
         self.replicas: list[ControlReplica] = []
         self.upstream_relays: list[Relay] = []
         self.watcher_relays: list[Relay] = []
-        for n in range(self.count):
-            port = self.service_list[n % self.services].first_line["port"]
+        for n in range(self.replica_count):
+            port = self.services[n % self.service_count].first_line["port"]
             upstream = self.stack.enter_context(Relay(("127.0.0.1", port), delay_s=0.15))
             replica = ControlReplica(
-                self.folder, f"r{n}", [f"127.0.0.1:{upstream.address[1]}"], more=self.more, size=self.size
+                self.folder,
+                f"r{n}",
+                [f"127.0.0.1:{upstream.address[1]}"],
+                extra_lines=self.extra_lines,
+                size=self.size,
             )
             self.stack.callback(replica.end)
             replica.start()
@@ -69,15 +80,15 @@
     def __exit__(self, *_: object) -> None:
         self.stack.close()
 
-    def order_service(self, service: LineProcess | None = None, **order: Any) -> int:
+    def send_service_command(self, service: LineProcess | None = None, **command: Any) -> int:
         """Send a command to a list service, by default the first, and return the number of its last event."""
-        return int((service or self.service).ask(**order)["n"])
+        return int((service or self.service).request(**command)["n"])
 
     def is_caught_up(self, number: int, servers: int, timeout_s: float = CATCH_UP_TIMEOUT_S) -> bool:
         """Whether within ``timeout_s`` all routers apply event ``number`` and use ``servers`` servers."""
 
         def has_caught_up() -> bool:
-            report = self.routers.ask()
+            report = self.routers.request()
             last_events = [router[-1][0] if router else 0 for router in report["seen"]]
             return min(last_events) >= number and set(report["in_service"]) == {servers}
 
@@ -85,5 +96,5 @@
 
     def watchers(self) -> list[int]:
         """The number of routers that currently watch each replica."""
-        feed_ports = self.routers.ask()["at"]
+        feed_ports = self.routers.request()["at"]
         return [feed_ports.count(relay.address[1]) for relay in self.watcher_relays]
--- a/testbed/hollow/processes.py
+++ b/testbed/hollow/processes.py
@@ -58,7 +58,7 @@
         self.process.stdin.write(json.dumps(command) + "\n")
         self.process.stdin.flush()
 
-    def ask(self, **command: Any) -> dict[str, Any]:
+    def request(self, **command: Any) -> dict[str, Any]:
         """Send one command and wait for its response."""
         self.send(**command)
         return self.read()
@@ -126,7 +126,7 @@
         name: str,
         upstreams: list[str],
         peers: list[str] | None = None,
-        more: str = "",
+        extra_lines: str = "",
         size: FleetSize | None = None,
     ) -> None:
         """Write the replica's file and configuration; ``start`` starts its process.
@@ -136,7 +136,7 @@
             name: Its name.
             upstreams: List services, each as HOST:PORT.
             peers: Other replicas, each as HOST:PORT.
-            more: Further lines of its file.
+            extra_lines: Further lines of its file.
             size: The fleet whose settings it reads; by default the default size.
         """
         self.name, self.port = name, free_port()
@@ -145,7 +145,7 @@
         for node_name, addresses in (("list-service", upstreams), ("peer", peers or [])):
             if addresses:
                 lines.append(f"{node_name} " + " ".join(f'"{x}"' for x in addresses))
-        self.file.write_text("\n".join([*lines, more]) + "\n")
+        self.file.write_text("\n".join([*lines, extra_lines]) + "\n")
         raw = configuration(size or FleetSize(), 0, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2")
         self.config.write_text(json.dumps(raw))
         self.process: subprocess.Popen[bytes] | None = None
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -77,19 +77,19 @@
 
     def run_iteration(self) -> None:
         """Wait for a ready socket or a due timer, then run one iteration of each router that has one."""
-        now = time.time_ns()
+        now_ns = time.time_ns()
         next_ns = min(
-            (hollow_router.loop.timers[0][0] for hollow_router in self.routers if hollow_router.loop.timers),
-            default=now,
+            (router.loop.timers[0][0] for router in self.routers if router.loop.timers),
+            default=now_ns,
         )
-        for key, _ in self.selector.select(min(TIMER_CHECK_S, max(0, next_ns - now) / 1e9)):
+        for key, _ in self.selector.select(min(TIMER_CHECK_S, max(0, next_ns - now_ns) / 1e9)):
             if key.data is None:
                 self.handle_line()
             else:
                 key.data.run_iteration()
-        now = time.time_ns()
+        now_ns = time.time_ns()
         for router in self.routers:
-            if router.has_due_timer(now):
+            if router.has_due_timer(now_ns):
                 router.run_iteration()
 
     def handle_line(self) -> None:
@@ -103,14 +103,14 @@
         """The routers' activity since the last report."""
         times = os.times()
         pages = int(Path("/proc/self/statm").read_text().split()[1])
-        seen = [router.applied_events for router in self.routers]
+        applied_events = [router.applied_events for router in self.routers]
         for router in self.routers:
             router.applied_events = router.applied_events[-1:]
 
         return {
             "cpu_s": times.user + times.system,
             "memory_kb": pages * os.sysconf("SC_PAGE_SIZE") // 1024,
-            "seen": seen,
+            "seen": applied_events,
             "in_service": [len(r.loop.reducer.state.endpoints) for r in self.routers],
             "at": [r.loop.feed_address[1] for r in self.routers],
             "now_ns": time.time_ns(),
--- a/testbed/hollow/service.py
+++ b/testbed/hollow/service.py
@@ -39,7 +39,7 @@
 SELECT_TIMEOUT_S = 0.02  # longest wait of one loop iteration
 PURGING_SELECT_TIMEOUT_S = 0.002  # the same while purges are published at a rate
 STATS_EVENTS = 20_000  # newest events whose times the stats contain
-MAX_CACHED_BODIES = 64  # encoded watch responses cached for watchers at the same position
+MAX_CACHED_RESPONSES = 64  # encoded watch responses cached for watchers at the same position
 
 
 @dataclass
@@ -73,15 +73,15 @@
         self.event_times_ns: list[int] = []  # time of each event, Unix ns
         self.index = 1
         self.watchers: dict[int, Watcher] = {}
-        self.bodies: dict[int, bytes] = {}
+        self.cached_responses: dict[int, bytes] = {}
         self.muted = False
         self.watch_requests = 0
         self.bytes_in = 0
         self.bytes_out = 0
-        self.accepted = 0  # connections
+        self.accepted_connections = 0
         self.max_watches = 0  # highest number of connections at a time
         self.purging = NO_PURGES
-        self.purged = 0  # purges in total
+        self.purge_count = 0
         self.purges_at_rate = 0  # purges already published at the present rate
         self.highest_position = 0  # highest position in a watch request
         self.selector = selectors.DefaultSelector()
@@ -99,17 +99,17 @@
         number = self.last_event + 1
         self.events.append(json.dumps({"n": number, **event}, separators=(",", ":")).encode())
         self.event_times_ns.append(time.time_ns())
-        self.bodies.clear()
+        self.cached_responses.clear()
         return number
 
     def purge(self, at_ms: int) -> int:
         """Append a purge of an object that no other purge names, and return the event's number."""
-        self.purged += 1
-        return self.append_event({"purge": {"key": f"{0x7F3A << 48 | self.purged:016x}", "at": at_ms}})
+        self.purge_count += 1
+        return self.append_event({"purge": {"key": f"{0x7F3A << 48 | self.purge_count:016x}", "at": at_ms}})
 
     def watch_response(self, position: int) -> bytes:
         """The watch response with the events after a position, preceded by a snapshot if it is below 1."""
-        response = self.bodies.get(position)
+        response = self.cached_responses.get(position)
         if response is None:
             events = self.events[max(0, position - 1) :] if position <= self.last_event else []
             if position < 1:
@@ -124,9 +124,9 @@
                 events = [json.dumps(snapshot, separators=(",", ":")).encode(), *events]
             payload = b'{"n":%d,"events":[%s]}' % (self.last_event, b",".join(events))
             response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(payload), payload)
-            if len(self.bodies) >= MAX_CACHED_BODIES:
-                self.bodies.clear()
-            self.bodies[position] = response
+            if len(self.cached_responses) >= MAX_CACHED_RESPONSES:
+                self.cached_responses.clear()
+            self.cached_responses[position] = response
         return response
 
     def command(self, raw: dict[str, Any]) -> dict[str, Any]:
@@ -164,7 +164,7 @@
         """Number events from 1 again, and close all connections."""
         self.events = []
         self.event_times_ns = []
-        self.bodies = {}
+        self.cached_responses = {}
         for watcher in list(self.watchers.values()):
             self.drop(watcher)
 
@@ -184,7 +184,7 @@
             "calls": self.watch_requests,
             "bytes_in": self.bytes_in,
             "bytes_out": self.bytes_out,
-            "accepted": self.accepted,
+            "accepted": self.accepted_connections,
             "reached": self.highest_position,
             "watches": len(self.watchers),
             "cpu_s": times.user + times.system,
@@ -242,7 +242,7 @@
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.accepted += 1
+            self.accepted_connections += 1
             self.watchers[sock.fileno()] = Watcher(sock)
             self.max_watches = max(self.max_watches, len(self.watchers))
             self.selector.register(sock, selectors.EVENT_READ, self.watchers[sock.fileno()])
@@ -275,9 +275,9 @@
         watcher.received += data
         while b"\r\n\r\n" in watcher.received:
             head, _, watcher.received = watcher.received.partition(b"\r\n\r\n")
-            self.take_watch_request(watcher, head)
+            self.handle_watch_request(watcher, head)
 
-    def take_watch_request(self, watcher: Watcher, head: bytes) -> None:
+    def handle_watch_request(self, watcher: Watcher, head: bytes) -> None:
         """Record one watch request; any other request closes the connection."""
         match = QUERY.match(head)
         if match is None:
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -63,23 +63,23 @@
     starts: int = 1
     events: list[dict[str, Any]] = field(default_factory=list)
     waiting: list[PendingWatch] = field(default_factory=list)
-    calls: int = 0
+    watch_requests: int = 0
 
     @property
-    def last(self) -> int:
+    def last_event(self) -> int:
         """The number of the last event."""
         return len(self.events) + 1
 
-    def tell(self, **event: Any) -> None:
+    def publish(self, **event: Any) -> None:
         """Publish an event."""
-        self.events.append({"n": self.last + 1, **event})
+        self.events.append({"n": self.last_event + 1, **event})
         for watch in self.waiting[:]:
             self.respond(watch)
 
-    def change(self, name: str, status: str, since_ms: int = 0) -> None:
+    def change_status(self, name: str, status: str, since_ms: int = 0) -> None:
         """Publish a change of a server's status."""
         self.lines[name] = {**self.lines[name], "status": status, "since_ms": since_ms}
-        self.tell(members={"index": self.last, "snapshot": False, "endpoints": [self.lines[name]]})
+        self.publish(members={"index": self.last_event, "snapshot": False, "endpoints": [self.lines[name]]})
 
     def restart(self) -> None:
         """Number events from 1 again; purges published before are not published again."""
@@ -89,11 +89,11 @@
             self.waiting.remove(watch)
             self.net.fail(watch)
 
-    def on_call(self, watch: PendingWatch) -> None:
+    def on_watch_request(self, watch: PendingWatch) -> None:
         """Handle a watch request: respond immediately if its position is behind, otherwise let it wait."""
-        self.calls += 1
+        self.watch_requests += 1
         self.waiting.append(watch)
-        if watch.position != self.last:
+        if watch.position != self.last_event:
             self.respond(watch)
         else:
             self.net.schedule(watch.wait_ns - 100 * MS, lambda: self.respond(watch))
@@ -103,11 +103,11 @@
         if watch not in self.waiting:
             return
         self.waiting.remove(watch)
-        events = self.events[max(0, watch.position - 1) :] if watch.position <= self.last else []
+        events = self.events[max(0, watch.position - 1) :] if watch.position <= self.last_event else []
         if watch.position < 1:
             snapshot = {"index": 1, "snapshot": True, "endpoints": list(self.lines.values())}
             events = [{"n": 1, "members": snapshot}, *events]
-        self.net.reply(watch, orjson.dumps({"n": self.last, "events": events}))
+        self.net.send_response(watch, orjson.dumps({"n": self.last_event, "events": events}))
 
 
 class ReplicaNode:
@@ -123,7 +123,7 @@
         self.starts = 0
         self.watches: dict[int, PendingWatch] = {}
         self.watchers: dict[str, int] = {}  # ids of the watchers with an open connection, by name
-        self.calls: list[int] = []  # arrival of each watch request, in true time
+        self.watch_request_times: list[int] = []  # arrival of each watch request, in true time
         self.log_events: list[str] = []
         self.core = ControlReplica(options, number)
         self.start()
@@ -156,9 +156,9 @@
                 self.carry_out(self.core.on_timer(self.now()))
             self.net.schedule(10 * MS, lambda: self.tick(process))
 
-    def on_call(self, pending: PendingWatch) -> None:
+    def on_watch_request(self, pending: PendingWatch) -> None:
         """Handle a watch request of a watcher."""
-        self.calls.append(self.net.now)
+        self.watch_request_times.append(self.net.now)
         number = self.watchers.setdefault(pending.sender, self.net.event_count)
         self.watches[number] = pending
         position = LogPosition(pending.position, pending.fingerprint or "")
@@ -172,21 +172,21 @@
             if isinstance(e, (core.SendWatchResponse, core.RejectWatcher)):
                 pending = self.watches.pop(e.watcher_id, None)
                 if pending and isinstance(e, core.SendWatchResponse):
-                    self.net.reply(pending, e.body)
+                    self.net.send_response(pending, e.body)
                 elif pending:
                     self.net.fail(pending)
             elif isinstance(e, core.SendUpstreamRequest):
-                self.net.schedule(e.delay_ns, lambda e=e: self.call(e, process))  # type: ignore[misc]
+                self.net.schedule(e.delay_ns, lambda e=e: self.send_upstream_request(e, process))  # type: ignore[misc]
             else:
                 self.log_events.append(e.event)
 
-    def call(self, e: core.SendUpstreamRequest, process: int) -> None:
+    def send_upstream_request(self, e: core.SendUpstreamRequest, process: int) -> None:
         """Send a watch request upstream, unless process number ``process`` has ended."""
         if not self.up or process != self.starts:
             return
         fingerprint = e.position.fingerprint if e.address in self.options.peers else None
 
-        def reply(body: bytes | None) -> None:
+        def on_response(body: bytes | None) -> None:
             if not self.up or process != self.starts:
                 return
             if body is None:
@@ -198,8 +198,8 @@
                     )
                 )
 
-        self.net.call(
-            PendingWatch(self.name, e.address, e.position.event_number, fingerprint, e.wait_ns, reply),
+        self.net.send_watch_request(
+            PendingWatch(self.name, e.address, e.position.event_number, fingerprint, e.wait_ns, on_response),
             core.UPSTREAM_TIMEOUT_MARGIN_NS,
         )
 
@@ -217,7 +217,7 @@
         self.skew_ns = skew_ns
         self.name = f"router-{number}"
         self.starts = 0
-        self.calls = 0
+        self.watch_requests = 0
         self.start()
 
     def now(self) -> int:
@@ -234,9 +234,9 @@
         self.outstanding_watch: PendingWatch | None = None
         self.log_events: list[str] = []
         self.carry_out(self.reducer.start(self.now(), None, 0, self.replicas))
-        self.tell(inputs.OperatorFileRead(OperatorFile(control_replicas=self.replicas)))
+        self.deliver(inputs.OperatorFileRead(OperatorFile(control_replicas=self.replicas)))
 
-    def tell(self, message: inputs.Input) -> None:
+    def deliver(self, message: inputs.Input) -> None:
         """Pass an input to the reducer and carry out its effects."""
         self.carry_out(self.reducer.handle(self.now(), message))
 
@@ -259,32 +259,32 @@
     def on_timer(self, e: effects.ScheduleTimer, process: int) -> None:
         """Fire a timer, unless the process that set it (number ``process``) has ended."""
         if process == self.starts:
-            self.tell(inputs.TimerFired(e.key))
+            self.deliver(inputs.TimerFired(e.key))
 
     def poll(self, e: effects.SendWatchRequest) -> None:
         """Send a watch request to the feed, unless one is outstanding."""
         if self.outstanding_watch is not None:
             return
         process = self.starts
-        self.calls += 1
+        self.watch_requests += 1
 
-        def reply(body: bytes | None) -> None:
+        def on_response(body: bytes | None) -> None:
             self.outstanding_watch = None
             if process == self.starts:
-                self.tell(
+                self.deliver(
                     inputs.WatchFailed("lost") if body is None else parse_watch_response(orjson.loads(body))
                 )
 
         self.outstanding_watch = PendingWatch(
-            self.name, self.feed_address, e.after_event, e.log_fingerprint, e.wait_ms * MS, reply
+            self.name, self.feed_address, e.after_event, e.log_fingerprint, e.wait_ms * MS, on_response
         )
-        self.net.call(self.outstanding_watch, e.response_timeout_ns)
+        self.net.send_watch_request(self.outstanding_watch, e.response_timeout_ns)
 
-    def serving(self) -> set[str]:
+    def usable_servers(self) -> set[str]:
         """Names of the servers that it may use."""
         return set(self.reducer.state.endpoints)
 
-    def purged(self) -> set[int]:
+    def purged_objects(self) -> set[int]:
         """Numbers of the objects whose purges it keeps."""
         return set(self.reducer.state.policy.freshness.object_purges)
 
@@ -336,7 +336,7 @@
         name = "service" if isinstance(node, Service) else node.name
         return frozenset((sender, name)) not in self.cut
 
-    def call(self, watch: PendingWatch, grace_ns: int) -> None:
+    def send_watch_request(self, watch: PendingWatch, grace_ns: int) -> None:
         """Send a watch request; it times out ``grace_ns`` after the end of its wait."""
         connection = watch.sender, watch.target
         process = self.connections.setdefault(connection, self.node(watch.target).starts)
@@ -346,7 +346,7 @@
             if not self.is_linked(watch.sender, watch.target):
                 return
             if node.up and node.starts == process:  # a successor process resets the old connection
-                node.on_call(watch)
+                node.on_watch_request(watch)
             else:
                 self.connections.pop(connection, None)
                 self.fail(watch)
@@ -367,7 +367,7 @@
         """Fail a watch request: its connection is reset."""
         self.schedule(DELAY_NS, lambda: self.finish(watch, None))
 
-    def reply(self, watch: PendingWatch, body: bytes) -> None:
+    def send_response(self, watch: PendingWatch, body: bytes) -> None:
         """Send a response; it is lost if the link is cut when it arrives."""
 
         def arrive() -> None:
--- a/tests/control_log/test_control_field.py
+++ b/tests/control_log/test_control_field.py
@@ -36,9 +36,9 @@
 
     def publish_purge_and_drain(self, field: ControlField) -> int:
         """Publishes a purge and a drain; returns the event number of the drain."""
-        field.order_service(do="history", purges=1, age_s=0)
+        field.send_service_command(do="history", purges=1, age_s=0)
         self.drained += 1
-        return field.order_service(do="status", server=f"s-{self.drained:04x}", status="leaving")
+        return field.send_service_command(do="status", server=f"s-{self.drained:04x}", status="leaving")
 
     def assert_caught_up(self, field: ControlField, description: str) -> None:
         number = self.publish_purge_and_drain(field)
@@ -116,7 +116,7 @@
         field = self.field()
         self.assert_caught_up(field, "before")
         self.assert_caught_up(field, "before")
-        field.order_service(do="restart")
+        field.send_service_command(do="restart")
         self.assert_caught_up(field, "numbers are lower than before the restart")
         self.assert_caught_up(field, "numbers are higher than before the restart")
         self.assert_request_rate_bounded(field)
@@ -138,17 +138,17 @@
     def test_two_replicas_that_disagree(self) -> None:
         """Two replicas watch different list services, and each has a drain that the other does not have."""
         field = self.field(services=2)
-        first_service, second_service = field.service_list
-        field.order_service(first_service, do="status", server="s-0001", status="leaving")
-        field.order_service(second_service, do="status", server="s-0002", status="leaving")
-        assert wait_for(lambda: set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, 10)
+        first_service, second_service = field.services
+        field.send_service_command(first_service, do="status", server="s-0001", status="leaving")
+        field.send_service_command(second_service, do="status", server="s-0002", status="leaving")
+        assert wait_for(lambda: set(field.routers.request()["in_service"]) == {SIZE.servers - 1}, 10)
         field.replicas[0].end()
-        number = field.order_service(second_service, do="status", server="s-0003", status="leaving")
+        number = field.send_service_command(second_service, do="status", server="s-0003", status="leaving")
         assert field.is_caught_up(number, SIZE.servers - 2), (
             "all routers have the state of the second replica"
         )
 
-    def test_an_upstream_that_stays_dead(self) -> None:
+    def test_an_upstream_that_stays_down(self) -> None:
         """Without an upstream, routers keep their endpoint list, and the request rate stays bounded."""
         field = self.field()
         self.assert_caught_up(field, "before")
@@ -156,7 +156,7 @@
         time.sleep(4.0)  # longer than the lease
         assert all((replica.state() or {}).get("stale") for replica in field.replicas)
         self.assert_request_rate_bounded(field)
-        assert set(field.routers.ask()["in_service"]) == {SIZE.servers - 1}, (
+        assert set(field.routers.request()["in_service"]) == {SIZE.servers - 1}, (
             "routers keep their endpoint list"
         )
 
@@ -171,11 +171,11 @@
         purges, rate = 30, 10.0
         with ControlField(SIZE, 2) as field:
             assert field.is_caught_up(1, SIZE.servers)
-            before = field.service.ask(do="stats")
+            before = field.service.request(do="stats")
             states_before = [replica.state() or {} for replica in field.replicas]
-            field.service.ask(do="purge", rate=rate, seconds=purges / rate)
+            field.service.request(do="purge", rate=rate, seconds=purges / rate)
             assert field.is_caught_up(purges + 1, SIZE.servers)
-            after = field.service.ask(do="stats")
+            after = field.service.request(do="stats")
             states_after = [replica.state() or {} for replica in field.replicas]
             elapsed_s = (after["now_ns"] - before["now_ns"]) / 1e9
             assert after["n"] == purges + 1
@@ -198,7 +198,7 @@
 
 
 class UnderLoad(unittest.TestCase):
-    def test_rules_hold_while_a_replica_dies_and_a_server_drains(self) -> None:
+    def test_rules_hold_while_a_replica_is_killed_and_a_server_drains(self) -> None:
         """Routers serve clients while the replica of half of them is killed and a server starts to drain.
 
         The requests of clients break no rule and none is lost.
@@ -225,10 +225,10 @@
                 return sum(watch_counts) == 4
 
             assert wait_for(all_watch, 20), "all routers watch replicas"
-            dead_replica = watch_counts.index(max(watch_counts))
-            replicas[dead_replica].end()
+            killed_replica = watch_counts.index(max(watch_counts))
+            replicas[killed_replica].end()
             number = field.servers.change("cache-z0", "leaving")
-            other_replica = replicas[1 - dead_replica]
+            other_replica = replicas[1 - killed_replica]
             assert wait_for(lambda: (other_replica.state() or {}).get("last", 0) >= number, 20)
             served = load.counts["served"]
             assert wait_for(lambda: load.counts["served"] > served + 200, 30), load.counts
--- a/tests/control_log/test_control_log.py
+++ b/tests/control_log/test_control_log.py
@@ -57,7 +57,7 @@
             log.append(purge_event(n, at_ms), 0)
         return log
 
-    def test_the_tail_is_told_by_number_and_mark(self) -> None:
+    def test_the_tail_has_events_by_number_and_fingerprint(self) -> None:
         log = self.filled(5)
         assert (log.last_event_number, log.last_fingerprint) == (
             6,
@@ -84,7 +84,7 @@
             "snapshots are available again once all these purges have expired"
         )
 
-    def test_a_snapshot_is_the_state_and_what_matters(self) -> None:
+    def test_a_snapshot_has_all_servers_and_the_relevant_purges(self) -> None:
         log = self.filled(2)
         log.append(
             {"n": 4, "members": {"snapshot": False, "endpoints": [record("a", "leaving"), record("c")]}}, 0
@@ -97,7 +97,7 @@
         assert status_by_name == {"a": "leaving", "c": "active"}
         assert [event["purge"] for event in events[1:]] == [{"group": 3, "at": 50000}]
 
-    def test_odd_events_are_named_and_handed_on(self) -> None:
+    def test_unusable_events_are_reported_and_forwarded(self) -> None:
         log = self.filled(0)
         assert "without a number" in log.append({"purge": {}}, 0)
         assert "event 2: KeyError" in log.append({"n": 2, "purge": {"key": "ff"}}, 0)
@@ -106,7 +106,7 @@
 
 
 class Following(unittest.TestCase):
-    def test_what_an_answer_means(self) -> None:
+    def test_verdicts_on_responses(self) -> None:
         for case, head, expected in (
             ("the tail", ResponseHead(12, "m", 10_000, False), ResponseVerdict.APPLY),
             ("nothing new", ResponseHead(10, "k", 10_000, False), ResponseVerdict.APPLY),
@@ -129,7 +129,7 @@
                     expected is ResponseVerdict.REQUEST_SNAPSHOT
                 )
 
-    def test_a_doubtful_state_is_followed_until_one_is_later(self) -> None:
+    def test_a_possibly_earlier_state_removes_only_until_a_later_one_arrives(self) -> None:
         follower = LogFollower(10_000)
         for head, expected in (
             (ResponseHead(5, "a", 9_000, True), ResponseVerdict.APPLY_REMOVALS_ONLY),
@@ -143,7 +143,7 @@
             assert verdict is expected, head
         assert follower.position == LogPosition(8, "d")
 
-    def test_sources_spread_move_and_go_home(self) -> None:
+    def test_upstreams_are_spread_changed_on_failure_and_returned_to(self) -> None:
         addresses = tuple((f"10.0.0.{n}", 1) for n in range(4))
         selectors = [UpstreamSelector(addresses, seed) for seed in range(400)]
         homes = [selector.current_address for selector in selectors]
@@ -157,15 +157,15 @@
         )
         selector = UpstreamSelector(addresses, 7)
         delays = [selector.record_failure(NOW) for _ in range(40)]
-        assert all(0 <= w < MAX_FIRST_RETRY_DELAY_NS for w in delays[:3])
-        assert all(RETRY_PERIOD_NS // 2 <= w < 2 * RETRY_PERIOD_NS for w in delays[3:])
+        assert all(0 <= delay_ns < MAX_FIRST_RETRY_DELAY_NS for delay_ns in delays[:3])
+        assert all(RETRY_PERIOD_NS // 2 <= delay_ns < 2 * RETRY_PERIOD_NS for delay_ns in delays[3:])
         selector.record_failure(NOW)
         assert not selector.record_success(NOW + RETURN_HOME_NS // 4)
         assert selector.record_success(NOW + 2 * RETURN_HOME_NS)
         assert selector.current_index == selector.home_index
 
 
-class Answers(unittest.TestCase):
+class Responses(unittest.TestCase):
     def replica(self, **options: Any) -> ControlReplica:
         replica = ControlReplica(ReplicaOptions((UPSTREAM,), **options), 1)
         replica.start(NOW)
@@ -179,7 +179,7 @@
             if isinstance(e, (SendWatchResponse, RejectWatcher))
         ]
 
-    def test_calls_of_a_watcher_are_bounded_whatever_the_rate_of_events(self) -> None:
+    def test_watch_requests_are_bounded_at_any_event_rate(self) -> None:
         replica, now, requests = self.replica(), NOW, 0
         position, has_fingerprint, is_outstanding = LogPosition(), True, False
         for n in range(2, 302):  # a purge every 10 ms, for 3 s
@@ -201,25 +201,29 @@
         assert requests <= 3 * SECOND // replica.options.batch_ns + 2
         assert position.event_number > 250
 
-    def test_past_its_lease_it_says_so_at_once(self) -> None:
+    def test_a_replica_past_its_lease_reports_that_it_is_stale(self) -> None:
         replica = self.replica()
         fingerprint = replica.log.last_fingerprint
         assert self.responses(replica, NOW, WatchRequest(7, LogPosition(1, fingerprint), True, SECOND)) == []
         timer_ns = replica.next_timer_ns()
         assert timer_ns is not None
-        end = NOW + replica.options.lease_ns + 1
-        sent = [e for e in replica.on_timer(end) if isinstance(e, SendWatchResponse)]
+        after_lease_ns = NOW + replica.options.lease_ns + 1
+        sent = [e for e in replica.on_timer(after_lease_ns) if isinstance(e, SendWatchResponse)]
         assert orjson.loads(sent[0].body)["as_of"] == NOW // MS
         assert replica.is_stale
         assert (
             len(
                 self.responses(
-                    replica, end + SECOND, WatchRequest(7, LogPosition(1, fingerprint), True, SECOND)
+                    replica,
+                    after_lease_ns + SECOND,
+                    WatchRequest(7, LogPosition(1, fingerprint), True, SECOND),
                 )
             )
             == 1
         )
-        rejected = self.responses(replica, end + SECOND, WatchRequest(8, LogPosition(1), False, SECOND))
+        rejected = self.responses(
+            replica, after_lease_ns + SECOND, WatchRequest(8, LogPosition(1), False, SECOND)
+        )
         assert isinstance(rejected[0], RejectWatcher), (
             "a watcher without fingerprints cannot detect a stale state"
         )
@@ -238,7 +242,7 @@
         replica.on_watcher_disconnected(0)
         assert self.responses(replica, NOW, WatchRequest(9, LogPosition(1, fingerprint), True, SECOND)) == []
 
-    def test_a_follower_that_is_ahead_is_waited_for(self) -> None:
+    def test_a_follower_that_is_ahead_waits_for_the_replica(self) -> None:
         """A follower already has an event that this replica has yet to receive.
 
         The response to its request comes by the end of the wait and does not repeat that event.
@@ -255,7 +259,7 @@
         sent = [e for e in replica.on_timer(NOW + SECOND) if isinstance(e, SendWatchResponse)]
         assert orjson.loads(sent[0].body)["events"] == []
 
-    def test_a_list_service_that_repeats_itself_is_not_asked_in_a_loop(self) -> None:
+    def test_a_repeated_response_does_not_cause_a_request_loop(self) -> None:
         replica, now, requests = self.replica(), NOW, 0
         effect_list = replica.on_upstream_response(now, UpstreamResponse(1, (snapshot_event(1, "a"),)))
         while now < NOW + 10 * SECOND:
@@ -264,7 +268,7 @@
             effect_list = replica.on_upstream_response(now, UpstreamResponse(1, (snapshot_event(1, "a"),)))
         assert requests < 10 * SECOND // replica.options.batch_ns + 5
 
-    def test_a_history_in_pieces(self) -> None:
+    def test_a_history_in_chunks(self) -> None:
         replica = ControlReplica(ReplicaOptions((UPSTREAM,)), 1)
         replica.start(NOW)
         replica.on_upstream_response(
@@ -275,8 +279,8 @@
         assert (replica.log.last_event_number, replica.is_stale, len(replica.log.purges)) == (3, False, 2)
 
 
-class AtARouter(unittest.TestCase):
-    def test_replicas_are_taken_up_and_left_when_the_file_is_read_again(self) -> None:
+class RouterWithReplicas(unittest.TestCase):
+    def test_a_reload_of_the_operators_file_adds_and_removes_replicas(self) -> None:
         """Event numbers of feed and replicas are unrelated, so a router that switches requests a snapshot."""
         raw = configuration(FleetSize(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
         reducer = Reducer(parse_config(raw, {}))
@@ -298,7 +302,7 @@
         ] == [(0, None)]
         assert set(reducer.state.endpoints) == endpoints_before, "the endpoint list is kept in the meantime"
 
-    def test_a_replica_that_answers_at_once_with_nothing_is_left(self) -> None:
+    def test_a_replica_with_immediate_empty_responses_is_left(self) -> None:
         raw = configuration(FleetSize(4, 12, 2), 0, "10.0.0.9:1", "127.0.0.1:1", "127.0.0.1:2")
         reducer = Reducer(parse_config(raw, {}))
         addresses = (("10.0.0.1", 1), ("10.0.0.2", 1))
--- a/tests/control_log/test_control_machine.py
+++ b/tests/control_log/test_control_machine.py
@@ -57,14 +57,16 @@
         for _ in range(count):
             self.purge_count += 1
             self.purges[self.purge_count] = self.network.now
-            self.network.service.tell(purge={"key": f"{self.purge_count:016x}", "at": self.network.now // MS})
+            self.network.service.publish(
+                purge={"key": f"{self.purge_count:016x}", "at": self.network.now // MS}
+            )
 
     @precondition(lambda self: self.network.service.up and len(self.drained) < 8)
     @rule(number=st.integers(0, 1))
     def drain(self, number: int) -> None:
         name = sorted(set(self.network.service.lines) - self.drained - {"origin"})[number]
         self.drained.add(name)
-        self.network.service.change(name, "leaving")
+        self.network.service.change_status(name, "leaving")
 
     @precondition(lambda self: self.network.service.up and self.drained)
     @rule()
@@ -74,7 +76,7 @@
         self.drained.discard(name)
         for drained in self.drained_at_router.values():
             drained.discard(name)
-        self.network.service.change(name, "active", self.network.now // MS)
+        self.network.service.change_status(name, "active", self.network.now // MS)
 
     @rule(a=st.integers(0, 3), b=st.integers(1, 3), router=st.integers(-1, 3))
     def cut(self, a: int, b: int, router: int) -> None:
@@ -101,9 +103,9 @@
         service = self.network.service
         service.up = not service.up
         if not service.up:
-            for call in service.waiting[:]:
-                service.waiting.remove(call)
-                self.network.fail(call)
+            for watch in service.waiting[:]:
+                service.waiting.remove(watch)
+                self.network.fail(watch)
 
     @rule(number=st.integers(0, 3))
     def restart_router(self, number: int) -> None:
@@ -116,10 +118,10 @@
     @invariant()
     def nothing_is_undone(self) -> None:
         for router in self.network.routers:
-            serving, drained = router.serving(), self.drained_at_router[router.name]
-            assert not serving & drained, (router.name, serving & drained)
-            drained |= self.drained - serving
-            purged, known_purges = router.purged(), self.purges_at_router[router.name]
+            usable, drained = router.usable_servers(), self.drained_at_router[router.name]
+            assert not usable & drained, (router.name, usable & drained)
+            drained |= self.drained - usable
+            purged, known_purges = router.purged_objects(), self.purges_at_router[router.name]
             for number, at in known_purges.items():
                 assert number in purged or self.network.now - at > PURGE_LIFETIME_NS, (router.name, number)
             known_purges.update({n: self.purges[n] for n in purged if n in self.purges})
@@ -127,9 +129,9 @@
     @invariant()
     def calls_are_bounded(self) -> None:
         for replica in self.network.replicas:
-            recent = [at for at in replica.calls if at > self.network.now - SECOND]
+            recent = [at for at in replica.watch_request_times if at > self.network.now - SECOND]
             assert len(recent) <= MAX_REQUESTS_PER_S * (SIZE.routers + 1), len(recent)
-            replica.calls = recent
+            replica.watch_request_times = recent
 
     def teardown(self) -> None:
         """Restores everything; every router must catch up soon."""
@@ -142,12 +144,12 @@
         self.nothing_is_undone()
         active = {name for name, line in self.network.service.lines.items() if line["status"] == "active"}
         for router in self.network.routers:
-            assert router.serving() == active, (router.name, router.serving() ^ active)
+            assert router.usable_servers() == active, (router.name, router.usable_servers() ^ active)
             if router.starts == 1:
                 required = {
                     n for n, at in self.purges.items() if self.network.now - at < PURGE_LIFETIME_NS - SECOND
                 }
-                assert required <= router.purged(), (router.name, required - router.purged())
+                assert required <= router.purged_objects(), (router.name, required - router.purged_objects())
 
 
 ControlMachine.TestCase.settings = settings(
--- a/tests/control_log/test_replica_file.py
+++ b/tests/control_log/test_replica_file.py
@@ -28,7 +28,7 @@
         assert diagnostics == []
         assert file == ControlReplicaFile(("127.0.0.1", 7100), (("127.0.0.1", 9400),))
 
-    def test_each_fault_by_its_code_and_line(self) -> None:
+    def test_each_error_has_its_code_and_line(self) -> None:
         for old, new, expected in (
             ("control-replica version=1\n", "", ("no-version", 1)),
             ("version=1", "version=2", ("unknown-version", 1)),
@@ -49,7 +49,7 @@
                 _, diagnostics = load(EXAMPLE.replace(old, new, 1).encode())
                 assert expected in [(diagnostic.code, diagnostic.position.line) for diagnostic in diagnostics]
 
-    def test_a_peer_alone_will_do(self) -> None:
+    def test_a_peer_is_a_sufficient_upstream(self) -> None:
         file, diagnostics = load(EXAMPLE.replace("list-service", "peer").encode())
         assert (diagnostics, file.peers) == ([], (("127.0.0.1", 9400),))
 
@@ -75,7 +75,7 @@
 
 
 class Wire(unittest.TestCase):
-    def test_calls(self) -> None:
+    def test_requests_are_parsed(self) -> None:
         codec = WatchServerCodec()
         data = (
             b"GET /v1/events?SUB=41&wait=1000 HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -90,7 +90,7 @@
             StateRequest(),
         ]
 
-    def test_what_is_no_call(self) -> None:
+    def test_other_requests_are_rejected(self) -> None:
         for data in (
             b"GET /v1/events HTTP/1.1\r\n\r\n",
             b"GET /v1/events?SUB=x&wait=1 HTTP/1.1\r\n\r\n",
@@ -106,7 +106,7 @@
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.binary(max_size=300), st.integers(1, 50))
-    def test_any_bytes_are_calls_or_none(self, data: bytes, size: int) -> None:
+    def test_any_bytes_are_parsed_or_rejected(self, data: bytes, size: int) -> None:
         codec = WatchServerCodec()
         try:
             for n in range(0, len(data), size):
--- a/tests/documents/test_architecture_page.py
+++ b/tests/documents/test_architecture_page.py
@@ -45,11 +45,11 @@
         text = text.split(f"## {heading}\n", 1)[1].split("\n## ", 1)[0]
     row_cells = [re.split(r"(?<!\\)\|", line)[1:-1] for line in text.splitlines() if line.startswith("|")]
     cells = [[cell.strip() for cell in row] for row in row_cells]
-    followed = zip(cells, [*cells[1:], []], strict=True)
-    return [row for row, following in followed if not is_rule(row) and not is_rule(following)]
+    row_pairs = zip(cells, [*cells[1:], []], strict=True)
+    return [row for row, following in row_pairs if not is_separator(row) and not is_separator(following)]
 
 
-def is_rule(row: list[str]) -> bool:
+def is_separator(row: list[str]) -> bool:
     """Return whether a row is the separator between a table's head and its body."""
     return bool(row) and all(set(cell) <= set("-: ") and cell for cell in row)
 
--- a/tests/documents/test_capacity_page.py
+++ b/tests/documents/test_capacity_page.py
@@ -11,11 +11,11 @@
 
 
 class Page(unittest.TestCase):
-    def test_the_page_is_made_of_its_measurements(self) -> None:
+    def test_the_page_is_as_generated(self) -> None:
         """After a change of a text or a measurement, regenerate it: python -m benchmarks.capacity --page"""
-        assert page.PAGE.read_text() == page.whole()
+        assert page.PAGE.read_text() == page.generate()
 
-    def test_each_measurement_says_what_it_is_of(self) -> None:
+    def test_each_measurement_has_its_fields_and_ordered_figures(self) -> None:
         paths = sorted(page.FOLDER.glob("*.json"))
         assert len(paths) >= 5
         for path in paths:
--- a/tests/documents/test_fleet_counts.py
+++ b/tests/documents/test_fleet_counts.py
@@ -23,15 +23,15 @@
 
 class Counts(unittest.TestCase):
     def test_a_router_in_virtual_time_is_counted(self) -> None:
-        world = VirtualRouter(None, 3, {"done": 1.0})
-        world.reducer.state.is_tracing = True
+        virtual_router = VirtualRouter(None, 3, {"done": 1.0})
+        virtual_router.reducer.state.is_tracing = True
         for n in range(20):
-            world.schedule_request(n * 100_000_000, "page", 2000, object=n)
-        world.run()
-        assert all(len(s.final_effects) == 1 for s in world.records.values())
+            virtual_router.schedule_request(n * 100_000_000, "page", 2000, object=n)
+        virtual_router.run()
+        assert all(len(s.final_effects) == 1 for s in virtual_router.records.values())
         text = io.StringIO()
         log = EventLog("n0", text, "json")
-        for n, line in enumerate(world.log):
+        for n, line in enumerate(virtual_router.log):
             log.write(10**18 + n, line)
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "n0.log").write_text("no event here\n0.001 " + text.getvalue() + '{"half": ')
@@ -41,11 +41,11 @@
         assert "final Serve 20" in completed.stdout
         assert "hit OK/HIT 20" in completed.stdout
 
-    def test_nothing_is_traced_unless_asked_for(self) -> None:
-        world = VirtualRouter(None, 3, {"done": 1.0})
-        world.schedule_request(0, "page", 2000)
-        world.run()
-        assert not [x for x in world.log if x.event.startswith("trace.")]
+    def test_nothing_is_traced_by_default(self) -> None:
+        virtual_router = VirtualRouter(None, 3, {"done": 1.0})
+        virtual_router.schedule_request(0, "page", 2000)
+        virtual_router.run()
+        assert not [x for x in virtual_router.log if x.event.startswith("trace.")]
 
     def test_traced_steps_are_not_limited(self) -> None:
         text = io.StringIO()
--- a/tests/documents/test_known_red.py
+++ b/tests/documents/test_known_red.py
@@ -63,7 +63,7 @@
         assert code == 1, output
         assert "take it out of KNOWN-RED.txt" in output
 
-    def test_what_cannot_be_used_fails_the_run(self) -> None:
+    def test_an_unusable_line_fails_the_run(self) -> None:
         for line, message in (
             ("test_red", "is not 'tests/"),
             ("SAMPLE::Sample::test_red | | 27", "is not 'tests/"),
--- a/tests/golden/test_golden_stored_data.py
+++ b/tests/golden/test_golden_stored_data.py
@@ -129,14 +129,14 @@
     name: str, in_service: bool, since_ns: int, written_ns: int, pid: int, ended_ns: int
 ) -> None:
     """Each field of the file is read, and the same fields are written as the same bytes."""
-    found, reason = decode_service(golden(name), "n3", NOW + SECOND)
+    record, reason = decode_service(golden(name), "n3", NOW + SECOND)
     assert reason == ""
-    assert found is not None
-    assert found.in_service is in_service
-    assert found.since_ns == since_ns
-    assert found.written_ns == written_ns
-    assert found.pid == pid
-    assert found.ended_ns == ended_ns
+    assert record is not None
+    assert record.in_service is in_service
+    assert record.since_ns == since_ns
+    assert record.written_ns == written_ns
+    assert record.pid == pid
+    assert record.ended_ns == ended_ns
     assert encode_service("n3", pid, written_ns, in_service, since_ns, ended_ns) == golden(name)
 
 
@@ -169,7 +169,7 @@
     assert encode_starts("n3", starts[:-1], starts[-1]) == golden(name)
 
 
-def test_starts_of_over_a_minute_ago_are_left_out() -> None:
+def test_starts_over_a_minute_ago_are_ignored() -> None:
     """Starts are counted within one minute before now."""
     assert decode_starts(golden("starts_loop.starts"), "n3", LOOP[2] + 60 * SECOND) == LOOP[3:]
 
@@ -218,23 +218,23 @@
     after_ns: int,
 ) -> None:
     """Each field of the rollout is read."""
-    r = load_snapshot(plan, orjson.loads(golden(f"snapshot_{name}.json")))
-    assert r.now_ns == now_s * SECOND
-    assert r.stage_index == stage
-    assert r.stage_since_ns == stage_s * SECOND
-    assert r.outcome.value == outcome
-    assert r.reason == reason
-    assert r.hold_cause.value == hold_cause
-    assert r.regression_place == regression_place
-    assert r.rolled_back_ns == after_ns
-    assert r.old_peak_memory_kb == 30_720
-    assert len(r.routers) == 12
+    rollout = load_snapshot(plan, orjson.loads(golden(f"snapshot_{name}.json")))
+    assert rollout.now_ns == now_s * SECOND
+    assert rollout.stage_index == stage
+    assert rollout.stage_since_ns == stage_s * SECOND
+    assert rollout.outcome.value == outcome
+    assert rollout.reason == reason
+    assert rollout.hold_cause.value == hold_cause
+    assert rollout.regression_place == regression_place
+    assert rollout.rolled_back_ns == after_ns
+    assert rollout.old_peak_memory_kb == 30_720
+    assert len(rollout.routers) == 12
 
 
 def test_every_phase_is_read(plan: RolloutPlan) -> None:
     """Phases have their stored words, their start times and the instance before a restart."""
-    r = load_snapshot(plan, orjson.loads(golden("snapshot_phases.json")))
-    assert [x.phase.value for x in r.routers.values()] == [
+    rollout = load_snapshot(plan, orjson.loads(golden("snapshot_phases.json")))
+    assert [router.phase.value for router in rollout.routers.values()] == [
         "waiting",
         "out of service",
         "changed",
@@ -248,9 +248,13 @@
         "restarted",
         "control",
     ]
-    assert [x.phase_since_ns for x in r.routers.values()] == [1_000 * SECOND + n for n in range(12)]
-    assert [x.instance_before_restart for x in r.routers.values()] == [f"was-{n}" for n in range(12)]
-    assert r.routers["n0-0"].last_report is None
+    assert [router.phase_since_ns for router in rollout.routers.values()] == [
+        1_000 * SECOND + n for n in range(12)
+    ]
+    assert [router.instance_before_restart for router in rollout.routers.values()] == [
+        f"was-{n}" for n in range(12)
+    ]
+    assert rollout.routers["n0-0"].last_report is None
 
 
 def test_a_router_of_a_rollout_is_read(plan: RolloutPlan) -> None:
@@ -297,12 +301,12 @@
     assert judge.sides[("z0", "reads"), True].baseline == RequestSample(831, 831.0, 813.0)
 
 
-def test_a_verdict_of_harm_is_read(plan: RolloutPlan) -> None:
+def test_a_verdict_of_regression_is_read(plan: RolloutPlan) -> None:
     """A rollout that is being rolled back has the statistical test that found the regression."""
-    r = load_snapshot(plan, orjson.loads(golden("snapshot_reverting.json")))
-    assert r.outcome.value == "reverting"
-    assert r.regression_place == ("z0", "reads")
-    assert r.judge.tests["z0", "reads"].verdict.value == "worse"
+    rollout = load_snapshot(plan, orjson.loads(golden("snapshot_reverting.json")))
+    assert rollout.outcome.value == "reverting"
+    assert rollout.regression_place == ("z0", "reads")
+    assert rollout.judge.tests["z0", "reads"].verdict.value == "worse"
 
 
 def test_a_snapshot_of_an_older_build_is_read(plan: RolloutPlan) -> None:
@@ -311,12 +315,12 @@
     del raw["hold_cause"], raw["memory"]
     for router in raw["routers"].values():
         del router["was"], router["report"]["memory"]
-    r = load_snapshot(plan, raw)
-    assert r.hold_cause.value == ""
-    assert r.old_peak_memory_kb == 0
-    assert r.routers["n0-0"].instance_before_restart == ""
-    assert r.routers["n0-0"].last_report is not None
-    assert r.routers["n0-0"].last_report.peak_memory_kb == 0
+    rollout = load_snapshot(plan, raw)
+    assert rollout.hold_cause.value == ""
+    assert rollout.old_peak_memory_kb == 0
+    assert rollout.routers["n0-0"].instance_before_restart == ""
+    assert rollout.routers["n0-0"].last_report is not None
+    assert rollout.routers["n0-0"].last_report.peak_memory_kb == 0
 
 
 # Rollout database -------------------------------------------------------------------------------------------
@@ -371,7 +375,7 @@
     assert store.history(2) == []
 
 
-def test_the_run_of_the_database_goes_on(store: RolloutStore, plan: RolloutPlan) -> None:
+def test_another_controller_continues_the_run_of_the_database(store: RolloutStore, plan: RolloutPlan) -> None:
     """After the lease has expired, another controller leads the run, handles the commands and ends it."""
     with pytest.raises(RuntimeError, match="led by another"):
         store.acquire_lease(2, "5000-11", NOW + 85 * SECOND)
@@ -472,30 +476,30 @@
 
 def upstream_response(name: str) -> UpstreamResponse:
     """Return a committed response as the codec of a following replica reads it."""
-    (found,) = UpstreamCodec().receive_data(memoryview(golden(name)))
-    return found
+    (response,) = UpstreamCodec().receive_data(memoryview(golden(name)))
+    return response
 
 
 @pytest.mark.parametrize(("name", "events"), [("state", 3), ("tail", 2), ("none", 0)])
-def test_a_replica_reads_the_answer_of_an_older_one(name: str, events: int) -> None:
+def test_a_replica_reads_the_response_of_an_older_one(name: str, events: int) -> None:
     """Each field of a response is read; its events are kept as received."""
-    feed = upstream_response(f"replica_{name}.http")
-    assert feed.last_event_number == 4
-    assert feed.fingerprint == FINGERPRINT_4
-    assert feed.as_of_ms == NOW // MS
-    assert feed.has_more is False
-    assert len(feed.events) == events
-    assert list(feed.events) == orjson.loads(body_of(f"replica_{name}.http"))["events"]
+    response = upstream_response(f"replica_{name}.http")
+    assert response.last_event_number == 4
+    assert response.fingerprint == FINGERPRINT_4
+    assert response.as_of_ms == NOW // MS
+    assert response.has_more is False
+    assert len(response.events) == events
+    assert list(response.events) == orjson.loads(body_of(f"replica_{name}.http"))["events"]
 
 
 def test_a_router_reads_the_state_of_an_older_replica() -> None:
     """Each field of a list of servers, of a purge of an object and of a purge of a group is read."""
-    (update,) = FeedCodec().receive_data(memoryview(golden("replica_state.http")))
-    assert update.last_event == 4
-    assert update.unusable_events == ()
-    assert update.log_fingerprint == FINGERPRINT_4
-    assert update.as_of_ms == NOW // MS
-    members, by_object, by_group = (dataclasses.astuple(event) for event in update.events)
+    (response,) = FeedCodec().receive_data(memoryview(golden("replica_state.http")))
+    assert response.last_event == 4
+    assert response.unusable_events == ()
+    assert response.log_fingerprint == FINGERPRINT_4
+    assert response.as_of_ms == NOW // MS
+    members, by_object, by_group = (dataclasses.astuple(event) for event in response.events)
     assert members == (
         True,
         (
@@ -510,13 +514,13 @@
 
 def test_a_router_reads_the_tail_of_an_older_replica() -> None:
     """An update of the list with a server that has left is read."""
-    (update,) = FeedCodec().receive_data(memoryview(golden("replica_tail.http")))
-    purge, members = (dataclasses.astuple(event) for event in update.events)
+    (response,) = FeedCodec().receive_data(memoryview(golden("replica_tail.http")))
+    purge, members = (dataclasses.astuple(event) for event in response.events)
     assert purge == (None, 17, NOW - SECOND)
     assert members == (False, (("s-c2", "10.0.0.1:7001", "edge-1", "box", 3, "terminated", 1.0, 0),), 4)
 
 
-def test_a_replica_that_follows_an_older_one_tells_the_same_state() -> None:
+def test_a_replica_that_follows_an_older_one_sends_the_same_state() -> None:
     """Events read from another replica are forwarded with the same bytes."""
     upstream = ("10.0.0.8", 7000)
     replica = ControlReplica(ReplicaOptions((upstream,), frozenset((upstream,))), 1)
@@ -537,7 +541,7 @@
         ("watch_marked.http", EventsRequest(LogPosition(42, "a0b1c2d3e4f50617"), True, 5 * SECOND)),
     ],
 )
-def test_a_replica_reads_the_call_of_an_older_router(name: str, expected: EventsRequest) -> None:
+def test_a_replica_reads_the_watch_request_of_an_older_router(name: str, expected: EventsRequest) -> None:
     """The position, its fingerprint and the wait are read."""
     assert WatchServerCodec().receive_data(golden(name)) == [expected]
 
@@ -546,7 +550,9 @@
     ("name", "reason", "retry_after_ns"),
     [("replica_refused.http", "status 503", SECOND), ("replica_bad.http", "status 400", 0)],
 )
-def test_a_router_reads_the_refusal_of_an_older_replica(name: str, reason: str, retry_after_ns: int) -> None:
+def test_a_router_reads_the_rejection_of_an_older_replica(
+    name: str, reason: str, retry_after_ns: int
+) -> None:
     """The response has no state; the time after which the router may retry is read."""
     codec = FeedCodec()
     with pytest.raises(FeedError, match=reason):
--- a/tests/program/test_datagrams.py
+++ b/tests/program/test_datagrams.py
@@ -45,13 +45,13 @@
             self.target.sendto(data + b" back", sender)
             assert sock.recvfrom(2048) == (b"ask back", relay.address)
 
-    def test_half_are_lost_the_same_ones_each_time(self) -> None:
+    def test_a_seed_determines_which_datagrams_are_lost(self) -> None:
         first = self.send_and_receive(self.relay(DatagramFate(lost=0.5)), 100)
         assert 30 < len(first) < 70, len(first)
         assert self.send_and_receive(self.relay(DatagramFate(lost=0.5)), 100) == first
         assert self.send_and_receive(self.relay(DatagramFate(lost=0.5), seed=2), 100) != first
 
-    def test_repeated_overtaken_and_silent(self) -> None:
+    def test_repeated_late_and_silent(self) -> None:
         twice = self.send_and_receive(self.relay(DatagramFate(repeated=0.5)), 50)
         assert 60 < len(twice) < 90, len(twice)
         assert len(set(twice)) == 50
--- a/tests/program/test_handover.py
+++ b/tests/program/test_handover.py
@@ -108,12 +108,12 @@
         successor = router()
         effect_list = successor.handle(NOW, inputs.PredecessorState(False, NOW - SECOND))
         assert effects_of_type(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
-        (reply,) = effects_of_type(
+        (response,) = effects_of_type(
             effects.ControlResponse,
             successor.handle(NOW, inputs.ControlRequest(4, inputs.ControlOperation.READY)),
         )
-        assert isinstance(reply, effects.ControlResponse)
-        assert not reply.ok
+        assert isinstance(response, effects.ControlResponse)
+        assert not response.ok
         assert successor.handle(NOW, inputs.PredecessorState(True, NOW)) == []
         assert (
             len(
--- a/tests/program/test_signals.py
+++ b/tests/program/test_signals.py
@@ -15,59 +15,59 @@
 
 
 class Signals(unittest.TestCase):
-    def run_request(self, at: int, signals: tuple[int, ...], is_valid_file: bool = False) -> None:
+    def run_request(self, signal_step: int, signals: tuple[int, ...], is_valid_file: bool = False) -> None:
         """Serve one request in two attempts, with signals before one iteration of the event loop.
 
         Args:
-            at: The iteration before which the signals arrive.
+            signal_step: The iteration before which the signals arrive.
             signals: The signals.
             is_valid_file: The reloaded file is valid: it equals the one in use.
         """
-        t = LoopHarness(self)
+        harness = LoopHarness(self)
         if is_valid_file:
-            t.loop.signals.read_config = lambda: inputs.ConfigFileRead(
-                "config.json", json.dumps(t.raw).encode()
+            harness.loop.signals.read_config = lambda: inputs.ConfigFileRead(
+                "config.json", json.dumps(harness.raw).encode()
             )
-        client = Peer(socket.create_connection(t.address))
+        client = Peer(socket.create_connection(harness.address))
         self.addCleanup(client.close)
         client.send(client_request(1))
         caches: list[Peer] = []
-        answered: set[tuple[int, str]] = set()
+        handled_attempts: set[tuple[int, str]] = set()
         for step in range(3 * STEPS):
-            if step == at:
-                t.loop.signals.handle(bytes(signals))
-            t.iterate()
+            if step == signal_step:
+                harness.loop.signals.handle(bytes(signals))
+            harness.iterate()
             for name in ("cache1", "parent", "origin"):
                 try:
-                    caches.append(Peer(t.listeners[name].accept()[0]))
+                    caches.append(Peer(harness.listeners[name].accept()[0]))
                     self.addCleanup(caches[-1].close)
                 except BlockingIOError:
                     pass
             for n, cache in enumerate(caches):
                 for attempt_id in cache.attempt_ids():
-                    if (n, attempt_id) not in answered:
+                    if (n, attempt_id) not in handled_attempts:
                         cache.send(
                             server_response(attempt_id)
-                            if answered
+                            if handled_attempts
                             else server_response(attempt_id, b"", b"LACK", b"-")
                         )
-                        answered.add((n, attempt_id))
+                        handled_attempts.add((n, attempt_id))
         assert client.responses() == [[1, 1, None, [b"by", {}]]]
-        assert len(answered) == 2, "one attempt that failed and one that succeeded"
-        t.iterate(1_000 * MS)
-        assert t.loop.is_stopping == (TERM in signals)
-        if t.loop.is_stopping:
-            t.tick_ns = 10 * MS
-            t.loop.flush_and_close()
+        assert len(handled_attempts) == 2, "one attempt that failed and one that succeeded"
+        harness.iterate(1_000 * MS)
+        assert harness.loop.is_stopping == (TERM in signals)
+        if harness.loop.is_stopping:
+            harness.tick_ns = 10 * MS
+            harness.loop.flush_and_close()
             client.read()
             assert client.ended
             assert not client.reset
         assert len(client.responses()) == 1
 
     def test_at_every_step(self) -> None:
-        for at in range(STEPS):
+        for step in range(STEPS):
             for signals in ((TERM,), (HUP,), (TERM, TERM), (HUP, TERM), (TERM, HUP)):
-                with self.subTest(at=at, signals=signals):
-                    self.run_request(at, signals)
-            with self.subTest(at=at, signals="SIGHUP with a valid file"):
-                self.run_request(at, (HUP,), is_valid_file=True)
+                with self.subTest(step=step, signals=signals):
+                    self.run_request(step, signals)
+            with self.subTest(step=step, signals="SIGHUP with a valid file"):
+                self.run_request(step, (HUP,), is_valid_file=True)
--- a/tests/purge/test_purge_floors.py
+++ b/tests/purge/test_purge_floors.py
@@ -33,7 +33,7 @@
 )
 
 
-def touches(
+def matches(
     target: PurgeTarget, request: tuple[str, int, int, int], tags: dict[tuple[int, int], frozenset[str]]
 ) -> bool:
     request_class, object_id, part, group = request
@@ -50,10 +50,10 @@
     )
 
 
-class Meaning(unittest.TestCase):
+class Floors(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(purges, tags_by_part, st.lists(requests, min_size=1, max_size=8), st.integers(0, 10**6), stamps)
-    def test_newest_that_touches_in_any_order(
+    def test_the_floor_is_the_newest_matching_purge_in_any_order(
         self,
         applied: list[tuple[PurgeStamp, PurgeTarget]],
         tags: dict[tuple[int, int], frozenset[str]],
@@ -73,23 +73,23 @@
         for stamp, target in shuffled:
             floors.add(stamp, target)
         for request in sample:
-            expected = max([s for s, target in applied if touches(target, request, tags)], default=NEVER)
+            expected = max([s for s, target in applied if matches(target, request, tags)], default=NEVER)
             assert floors.floor(*request) == expected, request
         floors.drop_before(horizon)
         for request in sample:
             expected = max(
-                [s for s, target in applied if s >= horizon and touches(target, request, tags)], default=NEVER
+                [s for s, target in applied if s >= horizon and matches(target, request, tags)], default=NEVER
             )
             assert floors.floor(*request) == expected, request
 
-    def test_wider_and_newer_leaves_nothing_of_the_narrower(self) -> None:
+    def test_a_wider_and_newer_purge_replaces_narrower_ones(self) -> None:
         floors = PurgeFloors()
         for part in range(5_000):
             floors.add(PurgeStamp(part + 1, 0, 0), PurgeTarget(parts=(part * 2, part * 2)))
         floors.add(PurgeStamp(9_999, 0, 0), PurgeTarget())
         assert len(floors.patterns[0][""][None].starts) == 1
 
-    def test_tags_that_were_forgotten_count_as_purged(self) -> None:
+    def test_parts_whose_tags_were_discarded_count_as_purged(self) -> None:
         floors = PurgeFloors(max_tagged_parts=2)
         for object_id in range(3):
             floors.record_tags(object_id, 0, {"oat"})
@@ -97,7 +97,7 @@
         newest = [floors.floor("page", object_id, 0, 0) for object_id in range(3)]
         assert newest == [PurgeStamp(5, 0, 0), NEVER, NEVER]
 
-    def test_all_is_given_back(self) -> None:
+    def test_dropping_all_purges_leaves_no_state(self) -> None:
         floors = PurgeFloors()
         for n in range(300):
             floors.add(
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -428,7 +428,7 @@
         """
         share_in_time = {}
         for count in (False, True):
-            fleet = FleetWithStartOptions(24, believed=240, cold_parents=False)
+            fleet = FleetWithStartOptions(24, configured_routers=240, cold_parents=False)
             fleet.start_options = StartupOptions(estimate_fleet_size=count)
             fleet.run(16)
             share_in_time[count] = fleet.outcomes.share_in_time(5, 14)
@@ -598,10 +598,10 @@
     def test_a_simultaneous_start_crashes_the_service_only_without_a_budget(self) -> None:
         for start_kind, crashes in (("none", True), ("budget", False)):
             fleet = BenchmarkFleet(200, rate=0.2, service=ListServiceModel(), cold=False, cold_parents=False)
-            fleet.way = start_kind
+            fleet.start_kind = start_kind
             fleet.run(12)
             assert (fleet.service.crashes > 0) == crashes, start_kind
-            assert (len(fleet.first_answer_ns) == 200) == (not crashes), start_kind
+            assert (len(fleet.first_response_ns) == 200) == (not crashes), start_kind
 
     def test_a_service_that_is_dead_for_ten_seconds_and_renumbers(self) -> None:
         fleet = BenchmarkFleet(
@@ -616,11 +616,11 @@
                 renumbers_after_crash=True,
             ),
         )
-        fleet.way = "budget"
+        fleet.start_kind = "budget"
         fleet.run(20)
-        assert (fleet.service.crashes, len(fleet.first_answer_ns)) == (0, 120)
+        assert (fleet.service.crashes, len(fleet.first_response_ns)) == (0, 120)
         assert (
-            max(fleet.first_answer_ns.values())
+            max(fleet.first_response_ns.values())
             < START + 10 * S + fleet.routers[0].position.schedule.max_delay_ns + S
         )
         assert all(r.state.endpoints for r in fleet.routers)
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -91,9 +91,9 @@
         self.count += 1
         self.words.add(word)
 
-    def effects(self, now: int, found: list[effects.Effect]) -> None:
+    def effects(self, now: int, effect_list: list[effects.Effect]) -> None:
         """Adds the effects that the reducer returned for one input."""
-        for e in found:
+        for e in effect_list:
             word, encode = EFFECTS[type(e)]
             if word != "log":
                 self.add(now, word, *encode(self, e))
@@ -186,7 +186,7 @@
         super().start_router()
         self.deliver(inputs.ProcessIdentity("0123456789abcdef", f"process-{self.router_life}"))
         self.deliver(inputs.ClientConnected(10**6))
-        verbs = (
+        operations = (
             inputs.ControlOperation.READY,
             inputs.ControlOperation.STATE,
             inputs.ControlOperation.OUT_OF_SERVICE,
@@ -195,8 +195,8 @@
             inputs.ControlOperation.IN_SERVICE,
             inputs.ControlOperation.STATE,
         )
-        for n, verb in enumerate(verbs, 1):
-            self.schedule(self.now + n * 700 * MS, inputs.ControlRequest(n, verb))
+        for n, operation in enumerate(operations, 1):
+            self.schedule(self.now + n * 700 * MS, inputs.ControlRequest(n, operation))
             self.schedule(self.now + n * 700 * MS + MS, inputs.HealthRequest(10**6, n))
         self.schedule(self.now + 6 * S, inputs.WatchFailed("reset", 2 * S))
         self.schedule(self.now + 7 * S, inputs.ClientDisconnected(10**6))
@@ -239,24 +239,28 @@
 def virtual(seed: int) -> Digest:
     """Returns the digest of some seconds of ``testbed.virtual`` with the operator's file of this seed."""
     path, random = RULES[seed], Random(seed)
-    world = RecordedVirtual(
+    router = RecordedVirtual(
         None if path is None else (ROOT / path).read_text(), seed, {**FATES, "refuse": 0.05}
     )
     for n in range(500):
-        cls = random.choice(["page", "page", "page", "order"])
-        world.schedule_request(
-            n * 12 * MS, cls, random.choice([300, 900, 2_400]), random.randrange(30), random.randrange(12)
+        request_class = random.choice(["page", "page", "page", "order"])
+        router.schedule_request(
+            n * 12 * MS,
+            request_class,
+            random.choice([300, 900, 2_400]),
+            random.randrange(30),
+            random.randrange(12),
         )
     for n in range(1, 6):
-        world.schedule(
+        router.schedule(
             START + n * S,
             inputs.WatchResponse(
                 n + 1, (inputs.Purge(n, 17, START + n * S - 20 * MS),), log_fingerprint=f"m{n}"
             ),
         )
-    world.schedule(START + 2 * S, inputs.WatchFailed("reset", 0))
-    world.run()
-    return world.digest
+    router.schedule(START + 2 * S, inputs.WatchFailed("reset", 0))
+    router.run()
+    return router.digest
 
 
 # A rollout ------------------------------------------------------------------------------------------------
@@ -265,13 +269,13 @@
 class RecordedRollout(Rollout):
     """A rollout that records every command, and the stored state after each event."""
 
-    def __init__(self, world: SimulatedFleet) -> None:
-        super().__init__(world.plan, world.now)
+    def __init__(self, fleet: SimulatedFleet) -> None:
+        super().__init__(fleet.plan, fleet.now)
         self.digest, self.history = Digest(), Digest()
 
     def handle(self, now: int, event: Event) -> list[RouterCommand | HistoryEntry]:
-        found = super().handle(now, event)
-        for e in found:
+        outputs = super().handle(now, event)
+        for e in outputs:
             if isinstance(e, HistoryEntry):
                 figures = orjson.dumps(dict(e.figures), option=orjson.OPT_NON_STR_KEYS)
                 self.history.add(now, "note", 0, fields(e.name, e.text) + figures)
@@ -282,20 +286,20 @@
         for key, names in (("bets", 2), ("sides", 3)):  # rows by zone and class, which have no order
             snapshot[key].sort(key=lambda row, names=names: row[:names])
         self.digest.add(now, "snapshot", 0, orjson.dumps(snapshot))
-        return found
+        return outputs
 
 
 def recorded_rollout(seed: int) -> RecordedRollout:
     """Runs a rollout of ``testbed.rollouts``; the seed selects the injected failures."""
     late_share = {1: 0.0, 2: 0.3, 3: 0.08, 4: 0.3, 5: 0.0, 6: 0.0}[seed]
 
-    def late_share_of(_: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
-        return late_share if p.build == "beef" and (seed != 4 or cls == "writes") else 0.0
+    def late_share_of(_: SimulatedFleet, router: SimulatedRouter, request_class: str) -> float:
+        return late_share if router.build == "beef" and (seed != 4 or request_class == "writes") else 0.0
 
-    world = SimulatedFleet(make_plan(2, 3), seed, late_share_of)
-    world.rollout = recorded = RecordedRollout(world)
+    fleet = SimulatedFleet(make_plan(2, 3), seed, late_share_of)
+    fleet.rollout = recorded = RecordedRollout(fleet)
     if seed == 5:
-        world.lost_command_share = 0.02
+        fleet.lost_command_share = 0.02
     operator_commands = (
         {40: OperatorCommand.HOLD, 60: OperatorCommand.RESUME}
         if seed == 1
@@ -304,13 +308,13 @@
         else None
     )
     if seed == 6:  # two routers are silent for a while in a later stage, then new processes crash
-        world.run(150)
+        fleet.run(150)
         for name in ("n1-0", "n0-2"):
-            world.routers[name].silent_until_ns = world.now + 12 * S
-        world.run(100, {99: OperatorCommand.RESUME})
-        world.new_build_crash_after_ns = 20 * S
-    outcome = world.run(2_000, operator_commands)
-    recorded.digest.add(world.now, "outcome", 0, fields(outcome.value))
+            fleet.routers[name].silent_until_ns = fleet.now + 12 * S
+        fleet.run(100, {99: OperatorCommand.RESUME})
+        fleet.new_build_crash_after_ns = 20 * S
+    outcome = fleet.run(2_000, operator_commands)
+    recorded.digest.add(fleet.now, "outcome", 0, fields(outcome.value))
     return recorded
 
 
@@ -352,9 +356,9 @@
         self.finished_requests: set[str] = set()
         self.outcomes: set[int] = set()
 
-    def schedule(self, after: int, line: list[Any]) -> None:
+    def schedule(self, delay_ns: int, line: list[Any]) -> None:
         self.scheduled_count += 1
-        heapq.heappush(self.heap, (self.now + after, self.scheduled_count, line))
+        heapq.heappush(self.heap, (self.now + delay_ns, self.scheduled_count, line))
 
     def send_batch(self, *lines: list[Any]) -> None:
         """Sends one batch and carries out the actions in its response."""
@@ -427,10 +431,10 @@
                 self.send_batch(["Abandoned", 0, line[1]])
         elif line[0] == "list":
             name = r.choice(sorted(self.servers))
-            entry = self.servers[name]
-            entry[4] = r.choice(["in_service", "terminating", "terminated"])
-            entry[6] = self.now if entry[4] == "in_service" else entry[6]
-            self.send_batch(["Roster", 1, [list(entry)]], ["Sync", 0, 1, "update", 2])
+            server_line = self.servers[name]
+            server_line[4] = r.choice(["in_service", "terminating", "terminated"])
+            server_line[6] = self.now if server_line[4] == "in_service" else server_line[6]
+            self.send_batch(["Roster", 1, [list(server_line)]], ["Sync", 0, 1, "update", 2])
         elif line[0] == "none":
             self.send_batch(["Sync", 0, None, "unavailable", 2])
         else:
@@ -445,15 +449,15 @@
             ["Sync", 0, 0, "restored", 1],
         )
         for n in range(600):
-            at, index = r.randrange(10 * S), r.randrange(len(self.classes))
-            cls = self.classes[index]
-            remaining_ns = int(cls["give_up_ns"] * r.uniform(0.3, 1.0))
-            write = cls["idempotency"] != "safe"
+            at_ns, index = r.randrange(10 * S), r.randrange(len(self.classes))
+            class_settings = self.classes[index]
+            remaining_ns = int(class_settings["give_up_ns"] * r.uniform(0.3, 1.0))
+            write = class_settings["idempotency"] != "safe"
             id, size = f"{n:036x}", r.choice([None, 1, 200.0, 5_000.0])
             object_number = r.choice([7, 8, 9, r.randrange(10**6)])
             retry = r.random() < 0.1
             self.schedule(
-                at,
+                at_ns,
                 [
                     "Ingress",
                     0,
@@ -466,10 +470,10 @@
                     object_number % 5,
                     size,
                     None,
-                    cls["name"],
+                    class_settings["name"],
                 ],
             )
-            self.schedule(at + int(remaining_ns * r.uniform(0.2, 1.5)), ["gone", id])
+            self.schedule(at_ns + int(remaining_ns * r.uniform(0.2, 1.5)), ["gone", id])
         for _ in range(12):
             self.schedule(r.randrange(10 * S), ["list"])
             purged: int | None = r.choice([7, 8, None])
--- a/tools/golden_stored_data.py
+++ b/tools/golden_stored_data.py
@@ -75,7 +75,7 @@
 """
 
 
-def server_entry(name: str, status: str = "active", **more: Any) -> dict[str, Any]:
+def server_entry(name: str, status: str = "active", **more_fields: Any) -> dict[str, Any]:
     """Return one server's entry in a list event."""
     return {
         "name": name,
@@ -83,7 +83,7 @@
         "zone": "edge-1",
         "type": "box",
         "status": status,
-        **more,
+        **more_fields,
     }
 
 
@@ -172,28 +172,28 @@
 def rollouts() -> tuple[dict[str, bytes], SimulatedFleet]:
     """Return the files of rollouts in all outcomes and router phases, and the fleet that was rolled back."""
 
-    def regression_of_new_build(world: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
-        return 0.3 if p.build == "beef" else 0.0
+    def regression_of_new_build(fleet: SimulatedFleet, node: SimulatedRouter, request_class: str) -> float:
+        return 0.3 if node.build == "beef" else 0.0
 
     plan, diagnostics = load_plan(PLAN.encode())
     assert not diagnostics, diagnostics
-    running = SimulatedFleet(plan, 1, lambda world, p, cls: 0.0)
+    running = SimulatedFleet(plan, 1, lambda fleet, node, request_class: 0.0)
     for _ in range(200):
         running.run_second()
     assert running.rollout.outcome is RolloutOutcome.RUNNING
     assert running.rollout.judge.tests
-    held = SimulatedFleet(plan, 2, lambda world, p, cls: 0.0)
+    held_by_operator = SimulatedFleet(plan, 2, lambda fleet, node, request_class: 0.0)
     for _ in range(60):
-        held.run_second()
-    held.deliver(OperatorCommand.HOLD)
-    silent = SimulatedFleet(plan, 5, lambda world, p, cls: 0.0)
+        held_by_operator.run_second()
+    held_by_operator.deliver(OperatorCommand.HOLD)
+    held_for_silence = SimulatedFleet(plan, 5, lambda fleet, node, request_class: 0.0)
     for name in ("n1-1", "n2-1"):
-        silent.routers[name].silent_until_ns = 1 << 80
+        held_for_silence.routers[name].silent_until_ns = 1 << 80
     for _ in range(60):
-        silent.run_second()
-    assert silent.rollout.outcome is RolloutOutcome.HELD
-    assert silent.rollout.hold_cause is HoldCause.SILENCE
-    done = SimulatedFleet(plan, 6, lambda world, p, cls: 0.0)
+        held_for_silence.run_second()
+    assert held_for_silence.rollout.outcome is RolloutOutcome.HELD
+    assert held_for_silence.rollout.hold_cause is HoldCause.SILENCE
+    done = SimulatedFleet(plan, 6, lambda fleet, node, request_class: 0.0)
     assert done.run() is RolloutOutcome.DONE
     rolled_back = SimulatedFleet(plan, 3, regression_of_new_build)
     while rolled_back.rollout.outcome is RolloutOutcome.RUNNING:
@@ -201,7 +201,7 @@
     reverting = orjson.dumps(to_snapshot(rolled_back.rollout))
     assert rolled_back.rollout.outcome is RolloutOutcome.ROLLING_BACK
     assert rolled_back.run() is RolloutOutcome.ROLLED_BACK
-    phases = SimulatedFleet(plan, 4, lambda world, p, cls: 0.0)
+    phases = SimulatedFleet(plan, 4, lambda fleet, node, request_class: 0.0)
     for _ in range(20):
         phases.run_second()
     assert len(phases.rollout.routers) == len(Phase)
@@ -211,14 +211,14 @@
     next(iter(phases.rollout.routers.values())).last_report = None
     fleets = {
         "running": running,
-        "held": held,
-        "silent": silent,
+        "held": held_by_operator,
+        "silent": held_for_silence,
         "done": done,
         "taken_back": rolled_back,
         "phases": phases,
     }
     files = {
-        f"snapshot_{name}.json": orjson.dumps(to_snapshot(world.rollout)) for name, world in fleets.items()
+        f"snapshot_{name}.json": orjson.dumps(to_snapshot(fleet.rollout)) for name, fleet in fleets.items()
     }
     return {"plan.kdl": PLAN.encode(), "snapshot_reverting.json": reverting, **files}, rolled_back
 
