--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -15,7 +15,7 @@
 
 def generate() -> str:
     """The complete page."""
-    return PLACEHOLDER.sub(lambda found: placeholder_text(found[1].strip()), (FOLDER / "page.md").read_text())
+    return PLACEHOLDER.sub(lambda match: placeholder_text(match[1].strip()), (FOLDER / "page.md").read_text())
 
 
 def placeholder_text(text: str) -> str:
--- a/benchmarks/capacity/replicas.py
+++ b/benchmarks/capacity/replicas.py
@@ -25,9 +25,9 @@
 
 
 def measure_purges_through_replicas(
-    size: FleetSize, rate: float, seconds: float, count: int = 4, killed: int = 0
+    size: FleetSize, rate: float, seconds: float, count: int = 4, killed_count: int = 0
 ) -> dict[str, Any]:
-    """Measure purges at a rate through ``count`` replicas, of which ``dead`` are killed beforehand."""
+    """Measure purges at a rate through ``count`` replicas, of which ``killed_count`` are killed before."""
     with ExitStack() as stack:
         service = stack.enter_context(list_service(size))
         scratch = stack.enter_context(temporary_folder())
@@ -43,10 +43,10 @@
         rules.write_text(f"kelpcroft version=1\nreplicas {addresses}\n")
         fleet = stack.enter_context(hollow_routers(size, "127.0.0.1:1", str(rules)))
         time.sleep(MOVE_S)
-        for replica in replicas[:killed]:
+        for replica in replicas[:killed_count]:
             replica.end()
-        time.sleep(MOVE_S if killed else 0)
-        surviving = replicas[killed:]
+        time.sleep(MOVE_S if killed_count else 0)
+        surviving = replicas[killed_count:]
         before = [figures(replica) for replica in surviving]
         started_s = time.monotonic()
         purge_figures = measure_purges(service, fleet, size, rate, seconds)
@@ -59,7 +59,7 @@
         return {
             **purge_figures,
             "replicas": count,
-            "dead": killed,
+            "dead": killed_count,
             "replica_calls_per_s": max(x["answers"] for x in rates),
             "replica_bytes_out_per_s": max(x["bytes_out"] for x in rates),
             "replica_cpu_share": max(x["cpu_s"] for x in rates),
--- a/benchmarks/rollout_judge.py
+++ b/benchmarks/rollout_judge.py
@@ -30,15 +30,20 @@
     return count
 
 
-def sample(random: Random, rate: float, harm: float) -> RequestSample:
+def sample(random: Random, rate: float, late_share: float) -> RequestSample:
     """One second of requests of one side."""
     sent = poisson(random, rate)
-    late = min(sent, poisson(random, sent * harm)) if sent else 0
-    return RequestSample(sent, 2.0 * sent, 2.0 * (sent - late))
+    late_count = min(sent, poisson(random, sent * late_share)) if sent else 0
+    return RequestSample(sent, 2.0 * sent, 2.0 * (sent - late_count))
 
 
 def rollout(
-    random: Random, rate: float, usual_late_share: float, harm: float, own_late_share: float, seconds: int
+    random: Random,
+    rate: float,
+    usual_late_share: float,
+    regression: float,
+    own_late_share: float,
+    seconds: int,
 ) -> tuple[Verdict, int]:
     """Run one rollout; return the verdict, and the second at which it was reached.
 
@@ -52,7 +57,7 @@
         drift = 0.95 * drift + random.gauss(0, 0.02)
         late_share = min(0.9, max(0.0, usual_late_share + drift + (0.3 if 30 <= second < 45 else 0.0)))
         judge.add_slice(
-            {ZONE_CLASS: sample(random, rate, min(1.0, late_share + harm + own_late_share))},
+            {ZONE_CLASS: sample(random, rate, min(1.0, late_share + regression + own_late_share))},
             {ZONE_CLASS: sample(random, 11 * rate, late_share)},
         )
         verdict, _ = judge.verdict(frozenset((ZONE_CLASS,)))
@@ -75,7 +80,7 @@
 
 def row(parameters: tuple[float, float, float, float], runs: int, seconds: int) -> tuple[str, bool]:
     """One line of the table, and whether its error rate exceeds the configured rate."""
-    harm, usual_late_share, own_late_share, rate = parameters
+    regression, usual_late_share, own_late_share, rate = parameters
     rates = StopCriteria()
     random, verdict_counts, verdict_seconds, intervals, began = (
         Random(7),
@@ -85,19 +90,19 @@
         perf_counter(),
     )
     for _ in range(runs):
-        verdict, verdict_s = rollout(random, rate, usual_late_share, harm, own_late_share, seconds)
+        verdict, verdict_s = rollout(random, rate, usual_late_share, regression, own_late_share, seconds)
         verdict_counts[verdict] += 1
         verdict_seconds.append(verdict_s)
         intervals += verdict_s
     judge_us = (perf_counter() - began) / max(1, intervals) * 1e6
     shares = {v: n / runs for v, n in verdict_counts.items()}
     line = (
-        f"{harm:>6}{usual_late_share:>7}{own_late_share:>6}{rate:>7g}{shares[Verdict.REGRESSION]:>9.4f}{shares[Verdict.NO_REGRESSION]:>9.4f}"
+        f"{regression:>6}{usual_late_share:>7}{own_late_share:>6}{rate:>7g}{shares[Verdict.REGRESSION]:>9.4f}{shares[Verdict.NO_REGRESSION]:>9.4f}"
         f"{shares[Verdict.UNDECIDED]:>9.4f}{sorted(verdict_seconds)[runs // 2]:>10}{judge_us:>10.1f}"
     )
     error_ratio = (
         shares[Verdict.REGRESSION] / rates.false_stop
-        if not harm
+        if not regression
         else shares[Verdict.NO_REGRESSION] / rates.missed_harm
     )
     return line, error_ratio > 1
--- a/testbed/cold_start.py
+++ b/testbed/cold_start.py
@@ -26,10 +26,10 @@
 from testbed.cold_start_models import (
     CACHE_WARM_UP,
     MS,
-    OBJECTS_HELD_SHARE,
     PARENT_WARM_UP,
     PART_TRANSFER_NS,
     START,
+    WARM_CACHE_OBJECTS_SHARE,
     WARM_UP_NS,
     ListServiceModel,
     OriginModel,
@@ -149,7 +149,7 @@
     def seconds_to_recover(self, seconds: int) -> int:
         """The first of three successive seconds whose share in time reaches 0.95 of the level near the end.
 
-        Without such seconds, it is ``seconds``.
+        Returns ``seconds`` if there are no such seconds.
         """
         level = 0.95 * self.share_in_time(seconds - 5, seconds - 2)
         for start in range(seconds - 4):
@@ -174,7 +174,7 @@
         configured_routers: int = 0,
         max_connections: int = 64,
         down_cache_every: int = 0,
-        change: Callable[[Reducer], None] | None = None,
+        configure_router: Callable[[Reducer], None] | None = None,
     ) -> None:
         """Build the fleet; ``run`` starts its time.
 
@@ -189,7 +189,7 @@
             configured_routers: Number of routers in the settings; 0 = the actual number.
             max_connections: Connections that a cache accepts from all routers together.
             down_cache_every: One cache in this many is listed but down; 0 = none.
-            change: Function that is called with each router before it starts, to change it.
+            configure_router: Function that is called with each router before it starts.
         """
         self.random = Random(seed)
         self.now = START
@@ -204,7 +204,7 @@
         )
         if down_cache_every:
             self._take_down_caches(down_cache_every)
-        self._change = change
+        self._configure_router = configure_router
         self._heap: list[Scheduled] = []
         self._server_by_connection: list[dict[int, str]] = [{} for _ in range(routers)]
         self._process = [0] * routers
@@ -241,8 +241,8 @@
         raw["name"] = f"n{number}"
         raw["seed"] = f"{number + 1:x}"
         router = Reducer(parse_config(raw, {}))
-        if self._change is not None:
-            self._change(router)
+        if self._configure_router is not None:
+            self._configure_router(router)
         return router
 
     def _schedule(self, at_ns: int, router: int, event: FleetEvent) -> None:
@@ -441,7 +441,7 @@
     cache_weight = max(
         MIN_CACHE_WEIGHT, ROUTERS_PER_ZONE * rate * PART_TRANSFER_NS / S / CACHES_PER_ZONE / load
     )
-    fills_per_s = routers * rate * (1 - OBJECTS_HELD_SHARE)
+    fills_per_s = routers * rate * (1 - WARM_CACHE_OBJECTS_SHARE)
     parent_count = max(MIN_PARENTS, zones // ZONES_PER_PARENT)
     parent_weight = fills_per_s * PART_TRANSFER_NS / S / parent_count * PARENT_HEADROOM
     caches = {
@@ -453,7 +453,9 @@
         f"h{n}": ServerModel(parent_weight, True, START if parents_are_cold else 0)
         for n in range(parent_count)
     }
-    origin_per_s = (fills_per_s * (1 - OBJECTS_HELD_SHARE) + routers * rate * ORDERS_SHARE) * ORIGIN_HEADROOM
+    origin_per_s = (
+        fills_per_s * (1 - WARM_CACHE_OBJECTS_SHARE) + routers * rate * ORDERS_SHARE
+    ) * ORIGIN_HEADROOM
     return SimulatedServers(caches, parents, OriginModel(origin_per_s))
 
 
--- a/testbed/cold_start_models.py
+++ b/testbed/cold_start_models.py
@@ -18,7 +18,7 @@
 WARM_UP_NS = 15 * S
 TO_ORIGIN_NS = 20 * MS  # round trip
 ORIGIN_QUEUE_NS = 1_500 * MS  # longest queue of the origin, as time of work
-OBJECTS_HELD_SHARE = 0.7  # share of objects in a warm cache; a warm parent holds as much of the rest
+WARM_CACHE_OBJECTS_SHARE = 0.7  # share of objects in a warm cache; a warm parent holds as much of the rest
 
 
 class WarmUp(NamedTuple):
@@ -143,7 +143,10 @@
         """Whether it holds an object; a server that started warm holds a share drawn by ``seed``."""
         if object_number in self.objects:
             return True
-        return not self.started_ns and mix64(object_number * 65_537 + seed) % 1000 < OBJECTS_HELD_SHARE * 1000
+        return (
+            not self.started_ns
+            and mix64(object_number * 65_537 + seed) % 1000 < WARM_CACHE_OBJECTS_SHARE * 1000
+        )
 
 
 @dataclass
--- a/tests/control_log/test_control_log.py
+++ b/tests/control_log/test_control_log.py
@@ -129,7 +129,7 @@
                     expected is ResponseVerdict.REQUEST_SNAPSHOT
                 )
 
-    def test_a_possibly_earlier_state_removes_only_until_a_later_one_arrives(self) -> None:
+    def test_only_removals_are_applied_until_a_state_is_certainly_later(self) -> None:
         follower = LogFollower(10_000)
         for head, expected in (
             (ResponseHead(5, "a", 9_000, True), ResponseVerdict.APPLY_REMOVALS_ONLY),
@@ -143,7 +143,7 @@
             assert verdict is expected, head
         assert follower.position == LogPosition(8, "d")
 
-    def test_upstreams_are_spread_changed_on_failure_and_returned_to(self) -> None:
+    def test_upstreams_are_spread_changed_after_failures_and_returned_to(self) -> None:
         addresses = tuple((f"10.0.0.{n}", 1) for n in range(4))
         selectors = [UpstreamSelector(addresses, seed) for seed in range(400)]
         homes = [selector.current_address for selector in selectors]
