--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -6,10 +6,11 @@
    the router idle, with CLIENTS connections (16) that keep it busy with requests, and additionally with 32
    control clients that each hold an incomplete control request open. Also the ratios to idle, and the
    router's resident memory with and without the incomplete requests.
-2. A drain under that load. Each client sends a request as soon as the last one is answered, on one persistent
-   connection, and stops once the router closes it, because the front would then send it to another router.
+2. A drain under that load. Each client sends a request as soon as it has the response to the last one, on one
+   persistent connection, and stops once the router closes it, because the front would then send it to another
+   router.
    Printed are the milliseconds from the control request to the last close, and the requests served, refused
-   and lost (sent, never answered, and not within 50 ms before the close).
+   and lost (sent more than 50 ms before the close, without a response).
 
 The program is the one that `run` starts if KELPCROFT_FROM=.compiled/now, else the sources, without
 assertions.
@@ -30,16 +31,16 @@
 from testbed.stand_ins import StandInServers
 
 CONTROL_REQUESTS = 200
-INCOMPLETE = 32  # incomplete control requests that are held open
+INCOMPLETE_REQUESTS = 32  # incomplete control requests that are held open
 READY = b"GET /control/ready HTTP/1.1\r\nHost: bench\r\n\r\n"
 OUT_OF_SERVICE = b"PUT /control/out-of-service HTTP/1.1\r\nHost: bench\r\n\r\n"
 CROSSING_S = (
-    0.050  # a request sent less than this before a close has crossed it, and the client sends it again
+    0.050  # a request sent at most this long before a close has crossed it, and the client sends it again
 )
 
 
 def send_control_request(address: tuple[str, int], text: bytes) -> tuple[float, bytes]:
-    """Send one control request: milliseconds until the complete response, and its first line."""
+    """Send one control request; return the ms until the complete response, and its first line."""
     began = time.monotonic()
     with socket.create_connection(address, 5) as sock:
         sock.sendall(text)
@@ -88,11 +89,11 @@
             sent = time.monotonic()
             try:
                 sock.sendall(msgpack.packb([0, number, "page", [fields, b""]]))
-                answer = None
-                while answer is None:
+                response = None
+                while response is None:
                     for message in unpacker:
-                        answer = message
-                    if answer is None:
+                        response = message
+                    if response is None:
                         data = sock.recv(65536)
                         if not data:
                             raise ConnectionError
@@ -106,9 +107,9 @@
                         self.lost += 1
                 return
             with self.lock:
-                if answer[2] is None:
+                if response[2] is None:
                     self.served += 1
-                elif answer[2][0] == "Shed":
+                elif response[2][0] == "Shed":
                     self.refused += 1
                 else:
                     self.failed += 1
@@ -128,26 +129,26 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure the control address and a drain, and print the figures."""
     clients = int(sys.argv[1]) if len(sys.argv) > 1 else 16
-    rows: dict[str, tuple[float, float, float]] = {}
-    with StandInServers() as world, RouterProcess(world, release=True, mgmt=True) as router:
+    latencies_ms: dict[str, tuple[float, float, float]] = {}
+    with StandInServers() as stand_ins, RouterProcess(stand_ins, release=True, mgmt=True) as router:
         router.client().request("page")
         pid = router.process.pid
-        rows["idle"] = figures(
+        latencies_ms["idle"] = figures(
             [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
         load = Load(router, clients)
         time.sleep(0.5)
-        rows[f"{clients} busy clients"] = figures(
+        latencies_ms[f"{clients} busy clients"] = figures(
             [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
         before_mb = rss_mb(pid)
-        incomplete = [socket.create_connection(router.control_address, 5) for _ in range(INCOMPLETE)]
+        incomplete = [socket.create_connection(router.control_address, 5) for _ in range(INCOMPLETE_REQUESTS)]
         for sock in incomplete:
             sock.sendall(READY[:20])
         time.sleep(0.2)
-        rows[f"and {INCOMPLETE} half calls"] = figures(
+        latencies_ms[f"and {INCOMPLETE_REQUESTS} half calls"] = figures(
             [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
         loaded_mb = rss_mb(pid)
@@ -158,19 +159,19 @@
         latency_ms, status = send_control_request(router.control_address, OUT_OF_SERVICE)
         for thread in load.threads:
             thread.join(10)
-        last = max(load.closed_at, default=began) - began
+        last_close_s = max(load.closed_at, default=began) - began
         load.end()
-    idle = rows["idle"][0]
+    idle = latencies_ms["idle"][0]
     print(f"{'GET /control/ready':28} {'median':>8} {'p99':>8} {'most':>8} {'median/idle':>12}")
-    for name, (p50, p99, most) in rows.items():
-        print(f"{name:28} {p50:8.2f} {p99:8.2f} {most:8.2f} {p50 / idle:12.2f}")
+    for name, (p50, p99, maximum) in latencies_ms.items():
+        print(f"{name:28} {p50:8.2f} {p99:8.2f} {maximum:8.2f} {p50 / idle:12.2f}")
     print(
-        f"resident memory: {before_mb:.1f} MB, with {INCOMPLETE} half calls {loaded_mb:.1f} MB "
+        f"resident memory: {before_mb:.1f} MB, with {INCOMPLETE_REQUESTS} half calls {loaded_mb:.1f} MB "
         f"(ratio {loaded_mb / before_mb:.3f})"
     )
     print(
         f"drain: {status.decode()} in {latency_ms:.1f} ms; "
-        f"every connection closed {last * 1000:.0f} ms after it; "
+        f"every connection closed {last_close_s * 1000:.0f} ms after it; "
         f"after it served {load.served - served_before}, refused {load.refused}, failed {load.failed}, "
         f"crossed {load.crossed}, lost {load.lost}"
     )
--- a/testbed/cold_start.py
+++ b/testbed/cold_start.py
@@ -1,11 +1,11 @@
 """Hundreds of routers that start in the same second, in virtual time, around the program's reducer.
 
 Every router is a ``Reducer``. Models with limits carry out its effects (``cold_start_models``,
-``cold_start_servers``): a list service that answers a limited number of watch requests a second, queues more
-and crashes when its queue is full; caches and parents that start cold and empty, accept few connections and
-collapse under the combined load of all routers; an origin that slows down as its queue fills. A fleet can
-include failures: a list service that is down, slow or restarts its numbering, caches that are down from the
-start, routers that are killed and restart. The same seed gives exactly the same run.
+``cold_start_servers``): a list service that responds to a limited number of watch requests a second, queues
+more and crashes when its queue is full; caches and parents that start cold and empty, accept few connections
+and collapse under the combined load of all routers; an origin that slows down as its queue fills. A fleet can
+include failures: a list service that is down, is slow or restarts its numbering; caches that are down from
+the start; routers that are killed and restart. The same seed gives exactly the same run.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 from testbed.cold_start_models import (
     CACHE_WARM_UP,
     MS,
-    OBJECTS_HELD_SHARE,
     PARENT_WARM_UP,
     PART_TRANSFER_NS,
     START,
+    WARM_CACHE_OBJECTS_SHARE,
     WARM_UP_NS,
     ListServiceModel,
     OriginModel,
@@ -122,19 +122,19 @@
     """Priority weight of requests sent and of those served in time, by tenth of a second."""
 
     def __init__(self) -> None:
-        self.asked: Counter[int] = Counter()
-        self.in_time: Counter[int] = Counter()  # by the time of the request
+        self.sent_weight: Counter[int] = Counter()
+        self.in_time_weight: Counter[int] = Counter()  # by the time of the request
         self._open: dict[tuple[int, int], OpenRequest] = {}  # by router and client
 
     def record_request(self, router: int, client: int, now_ns: int, weight: float) -> None:
         """Record that a client sends a request."""
         self._open[router, client] = OpenRequest(now_ns, weight)
 
-    def record_answer(self, router: int, client: int, now_ns: int, is_served: bool) -> None:
+    def record_response(self, router: int, client: int, now_ns: int, is_served: bool) -> None:
         """Record a request's final response."""
         request = self._open.pop((router, client), None)
         if request and is_served and now_ns - request.began_ns <= LATENCY_OBJECTIVE_NS:
-            self.in_time[tenth_of(request.began_ns)] += int(request.weight)
+            self.in_time_weight[tenth_of(request.began_ns)] += int(request.weight)
 
     def drop_router(self, router: int) -> None:
         """Discard the open requests of a router that was killed."""
@@ -144,12 +144,12 @@
     def share_in_time(self, first_s: int, last_s: int) -> float:
         """The share, by priority weight, of the requests sent between two seconds that was served in time."""
         tenths = range(first_s * TENTHS_PER_S, last_s * TENTHS_PER_S)
-        return sum(self.in_time[k] for k in tenths) / max(1, sum(self.asked[k] for k in tenths))
+        return sum(self.in_time_weight[k] for k in tenths) / max(1, sum(self.sent_weight[k] for k in tenths))
 
     def seconds_to_recover(self, seconds: int) -> int:
         """The first of three successive seconds whose share in time reaches 0.95 of the level near the end.
 
-        Without such seconds, it is ``seconds``.
+        Returns ``seconds`` if there are no such seconds.
         """
         level = 0.95 * self.share_in_time(seconds - 5, seconds - 2)
         for start in range(seconds - 4):
@@ -171,10 +171,10 @@
         rate: float = 8.0,
         load: float = 0.5,
         service: ListServiceModel | None = None,
-        believed: int = 0,
+        configured_routers: int = 0,
         max_connections: int = 64,
         down_cache_every: int = 0,
-        change: Callable[[Reducer], None] | None = None,
+        configure_router: Callable[[Reducer], None] | None = None,
     ) -> None:
         """Build the fleet; ``run`` starts its time.
 
@@ -186,25 +186,25 @@
             rate: Requests a second of one router's clients.
             load: Load of warm caches, as a share of their capacity.
             service: The list service; by default one that is up.
-            believed: Number of routers in the settings, if it differs from the true one; 0 = the true one.
+            configured_routers: Number of routers in the settings; 0 = the actual number.
             max_connections: Connections that a cache accepts from all routers together.
-            down_cache_every: One cache in so many is listed but down; 0 = none.
-            change: Called with each router before it starts.
+            down_cache_every: One cache in this many is listed but down; 0 = none.
+            configure_router: Function that is called with each router before it starts.
         """
         self.random = Random(seed)
         self.now = START
         self.sequence = 0  # of events and of clients' requests
-        self.believed = believed or routers
+        self.configured_routers = configured_routers or routers
         self.rate = rate
         self.service = service or ListServiceModel()
         self.outcomes = RequestOutcomes()
-        self.first_answer_ns: dict[int, int] = {}  # by router: time of the first watch response
+        self.first_response_ns: dict[int, int] = {}  # by router: time of the first watch response
         self.servers = simulated_servers(
             routers, rate, load, max_connections, is_cold=cold, parents_are_cold=cold_parents
         )
         if down_cache_every:
             self._take_down_caches(down_cache_every)
-        self._change = change
+        self._configure_router = configure_router
         self._heap: list[Scheduled] = []
         self._server_by_connection: list[dict[int, str]] = [{} for _ in range(routers)]
         self._process = [0] * routers
@@ -220,15 +220,15 @@
                 cache.down_until_ns = START + FOREVER_NS
 
     def _make_router(self, number: int) -> Reducer:
-        """Make a router whose first list is the present one."""
+        """Make a router whose first endpoint list is the present one."""
         zone = f"z{number // ROUTERS_PER_ZONE}"
         raw = copy.deepcopy(EXAMPLE)
         settings = raw["settings"]
-        in_zone = max(1, round(ROUTERS_PER_ZONE * self.believed / len(self._process)))
+        in_zone = max(1, round(ROUTERS_PER_ZONE * self.configured_routers / len(self._process)))
         settings.update(
             az=zone,
             dcs=[zone, HUB_ZONE],
-            instances=self.believed,
+            instances=self.configured_routers,
             self_index=number,
             weight_source="nominal",
         )
@@ -241,8 +241,8 @@
         raw["name"] = f"n{number}"
         raw["seed"] = f"{number + 1:x}"
         router = Reducer(parse_config(raw, {}))
-        if self._change is not None:
-            self._change(router)
+        if self._configure_router is not None:
+            self._configure_router(router)
         return router
 
     def _schedule(self, at_ns: int, router: int, event: FleetEvent) -> None:
@@ -252,7 +252,7 @@
     # Events -----------------------------------------------------------------------------------------------
 
     def run(self, seconds: float, faults: dict[int, Fault] | None = None) -> None:
-        """Run for ``seconds``; ``faults`` has the faults to inject, by time in ns after the start."""
+        """Run for ``seconds`` seconds; ``faults`` has the faults to inject, by time in ns after the start."""
         for after_ns, fault in (faults or {}).items():
             self._schedule(START + after_ns, 0, fault)
         end_ns = START + int(seconds * S)
@@ -271,7 +271,7 @@
         elif isinstance(event, ClientSends):
             self._send_client_request(router)
         elif isinstance(event, ServiceReady):
-            self._answer_watch_request(router, event.received_ns)
+            self._respond_to_watch_request(router, event.received_ns)
         else:
             self._deliver_from_server(router, event)
 
@@ -312,7 +312,7 @@
         object_number = int(self.random.paretovariate(POPULARITY_TAIL) * 10) % OBJECTS
         is_order = self.random.random() < ORDERS_SHARE
         weight = ORDER_WEIGHT if is_order else PAGE_WEIGHT
-        self.outcomes.asked[tenth_of(self.now)] += int(weight)
+        self.outcomes.sent_weight[tenth_of(self.now)] += int(weight)
         self.sequence += 1
         client = self.sequence
         self.outcomes.record_request(router, client, self.now, weight)
@@ -338,14 +338,14 @@
             for watcher in watchers:
                 self._schedule(arrives_ns + FEED_DELAY_NS, watcher, inputs.WatchFailed("reset"))
 
-    def _answer_watch_request(self, router: int, received_ns: int) -> None:
-        """Respond to a watch request if there are new events or its wait is over; else let it wait."""
+    def _respond_to_watch_request(self, router: int, received_ns: int) -> None:
+        """Respond to a watch request if there are new events or its wait is over; otherwise let it wait."""
         watch = self.service.waiting_watches.get(router)
         if watch is None or watch.received_ns != received_ns:
             return
         if watch.after_event != self.service.last_event or self.now >= watch.until_ns:
             del self.service.waiting_watches[router]
-            self.first_answer_ns.setdefault(router, self.now)
+            self.first_response_ns.setdefault(router, self.now)
             response = inputs.WatchResponse(self.service.last_event, ())
             self._schedule(self.now + FEED_DELAY_NS, router, response)
         else:
@@ -369,7 +369,7 @@
                 self._schedule(self.now + WITHIN_ZONE_NS, router, respond(e, Outcome.OK))
             elif isinstance(e, (effects.SendResponse, effects.RejectRequest, effects.FailRequest)):
                 is_served = isinstance(e, effects.SendResponse)
-                self.outcomes.record_answer(router, e.client, self.now, is_served)
+                self.outcomes.record_response(router, e.client, self.now, is_served)
 
     def _connect(self, router: int, e: effects.OpenServerConnection) -> None:
         name = e.address.rpartition(":")[0]
@@ -385,14 +385,14 @@
 
     def _send_attempt(self, router: int, e: effects.SendAttempt) -> None:
         name = self._server_by_connection[router].get(e.connection, "")
-        answer = self.servers.answer(self.now, name, e)
-        if answer is not None:
-            self._schedule(answer.at_ns, router, answer.response)
+        timed_response = self.servers.respond_to_attempt(self.now, name, e)
+        if timed_response is not None:
+            self._schedule(timed_response.at_ns, router, timed_response.response)
 
     # Figures ----------------------------------------------------------------------------------------------
 
     def figures(self, seconds: int) -> dict[str, float]:
-        """Figures of a run of ``seconds`` seconds, as a row of a table by column head."""
+        """Figures of a run of ``seconds`` seconds, by column head of the table."""
         caches = list(self.servers.caches.values())
         parents = list(self.servers.parents.values())
         origin = self.servers.origin
@@ -422,9 +422,9 @@
 
     def _seconds_until_all_listed(self) -> float:
         """Seconds until every router had received a watch response; -1 if some router received none."""
-        if len(self.first_answer_ns) < len(self.routers):
+        if len(self.first_response_ns) < len(self.routers):
             return -1
-        return round((max(self.first_answer_ns.values()) - START) / S, 1)
+        return round((max(self.first_response_ns.values()) - START) / S, 1)
 
 
 def simulated_servers(
@@ -441,7 +441,7 @@
     cache_weight = max(
         MIN_CACHE_WEIGHT, ROUTERS_PER_ZONE * rate * PART_TRANSFER_NS / S / CACHES_PER_ZONE / load
     )
-    fills_per_s = routers * rate * (1 - OBJECTS_HELD_SHARE)
+    fills_per_s = routers * rate * (1 - WARM_CACHE_OBJECTS_SHARE)
     parent_count = max(MIN_PARENTS, zones // ZONES_PER_PARENT)
     parent_weight = fills_per_s * PART_TRANSFER_NS / S / parent_count * PARENT_HEADROOM
     caches = {
@@ -453,7 +453,9 @@
         f"h{n}": ServerModel(parent_weight, True, START if parents_are_cold else 0)
         for n in range(parent_count)
     }
-    origin_per_s = (fills_per_s * (1 - OBJECTS_HELD_SHARE) + routers * rate * ORDERS_SHARE) * ORIGIN_HEADROOM
+    origin_per_s = (
+        fills_per_s * (1 - WARM_CACHE_OBJECTS_SHARE) + routers * rate * ORDERS_SHARE
+    ) * ORIGIN_HEADROOM
     return SimulatedServers(caches, parents, OriginModel(origin_per_s))
 
 
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -4,9 +4,9 @@
 
     python -m testbed.hollow.routers --first 0 --count 100 --feed HOST:PORT
 
-``--rules FILE`` gives them an operator's file. The process prints one line once all routers have started. For
-each line on standard input it prints a report: CPU time, memory, and at which time each router applied which
-event of the feed since the previous report.
+``--rules FILE`` names the operator's file of all routers. The process prints one line once all routers have
+started. For each line on standard input it prints a report: CPU time, memory, and for each router the events
+of the feed that it has applied since the previous report, with their times.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class HollowRouter:
-    """One router's event loop, which runs when it has work."""
+    """One router's event loop, which runs an iteration when a socket is ready or a timer is due."""
 
     def __init__(self, size: FleetSize, number: int, feed: str, rules: str) -> None:
         host = f"127.2.{number // 250}.{number % 250 + 1}"
@@ -56,8 +56,8 @@
     def run_iteration(self) -> None:
         """Run one iteration of its loop, and record the number of its last event if that has changed.
 
-        The time since the previous iteration was spent waiting outside of the loop; setting
-        ``last_select_ns`` keeps the loop from taking it for a process stall.
+        The router waited outside of its loop since the previous iteration; setting ``last_select_ns`` keeps
+        the loop from counting that wait as a process stall.
         """
         self.loop.last_select_ns = self.loop.clock.now()
         self.loop.run_iteration()
@@ -78,20 +78,20 @@
         self.ended = False
 
     def run_iteration(self) -> None:
-        """Wait for work, then run one iteration of each router that has some."""
-        now = time.time_ns()
+        """Wait for a ready socket or a due timer, then run one iteration of each router that has one."""
+        now_ns = time.time_ns()
         next_ns = min(
-            (hollow_router.loop.timers[0][0] for hollow_router in self.routers if hollow_router.loop.timers),
-            default=now,
+            (router.loop.timers[0][0] for router in self.routers if router.loop.timers),
+            default=now_ns,
         )
-        for key, _ in self.selector.select(min(TIMER_CHECK_S, max(0, next_ns - now) / 1e9)):
+        for key, _ in self.selector.select(min(TIMER_CHECK_S, max(0, next_ns - now_ns) / 1e9)):
             if key.data is None:
                 self.handle_line()
             else:
                 key.data.run_iteration()
-        now = time.time_ns()
+        now_ns = time.time_ns()
         for router in self.routers:
-            if router.has_due_timer(now):
+            if router.has_due_timer(now_ns):
                 router.run_iteration()
 
     def handle_line(self) -> None:
@@ -105,14 +105,14 @@
         """The routers' activity since the last report."""
         times = os.times()
         pages = int(Path("/proc/self/statm").read_text().split()[1])
-        seen = [router.applied_events for router in self.routers]
+        applied_events = [router.applied_events for router in self.routers]
         for router in self.routers:
             router.applied_events = router.applied_events[-1:]
 
         return {
             "cpu_s": times.user + times.system,
             "memory_kb": pages * os.sysconf("SC_PAGE_SIZE") // 1024,
-            "seen": seen,
+            "seen": applied_events,
             "in_service": [len(r.loop.reducer.state.endpoints) for r in self.routers],
             "at": [r.loop.feed_address[1] for r in self.routers],
             "now_ns": time.time_ns(),
--- a/testbed/hollow/virtual.py
+++ b/testbed/hollow/virtual.py
@@ -63,23 +63,23 @@
     starts: int = 1
     events: list[dict[str, Any]] = field(default_factory=list)
     waiting: list[PendingWatch] = field(default_factory=list)
-    calls: int = 0
+    watch_requests: int = 0
 
     @property
-    def last(self) -> int:
+    def last_event(self) -> int:
         """The number of the last event."""
         return len(self.events) + 1
 
-    def tell(self, **event: Any) -> None:
+    def publish(self, **event: Any) -> None:
         """Publish an event."""
-        self.events.append({"n": self.last + 1, **event})
+        self.events.append({"n": self.last_event + 1, **event})
         for watch in self.waiting[:]:
             self.respond(watch)
 
-    def change(self, name: str, status: str, since_ms: int = 0) -> None:
-        """Publish a server's new line."""
+    def change_status(self, name: str, status: str, since_ms: int = 0) -> None:
+        """Publish a change of a server's status."""
         self.lines[name] = {**self.lines[name], "status": status, "since_ms": since_ms}
-        self.tell(members={"index": self.last, "snapshot": False, "endpoints": [self.lines[name]]})
+        self.publish(members={"index": self.last_event, "snapshot": False, "endpoints": [self.lines[name]]})
 
     def restart(self) -> None:
         """Number events from 1 again; purges published before are not published again."""
@@ -89,29 +89,29 @@
             self.waiting.remove(watch)
             self.net.fail(watch)
 
-    def on_call(self, watch: PendingWatch) -> None:
-        """Take a watch request: respond immediately if it is behind, else let it wait."""
-        self.calls += 1
+    def on_watch_request(self, watch: PendingWatch) -> None:
+        """Handle a watch request: respond immediately if its position is behind, otherwise let it wait."""
+        self.watch_requests += 1
         self.waiting.append(watch)
-        if watch.position != self.last:
+        if watch.position != self.last_event:
             self.respond(watch)
         else:
             self.net.schedule(watch.wait_ns - 100 * MS, lambda: self.respond(watch))
 
     def respond(self, watch: PendingWatch) -> None:
-        """Respond to a watch request that still waits, with the events after its position."""
+        """Respond to a watch request that is still waiting, with the events after its position."""
         if watch not in self.waiting:
             return
         self.waiting.remove(watch)
-        events = self.events[max(0, watch.position - 1) :] if watch.position <= self.last else []
+        events = self.events[max(0, watch.position - 1) :] if watch.position <= self.last_event else []
         if watch.position < 1:
             snapshot = {"index": 1, "snapshot": True, "endpoints": list(self.lines.values())}
             events = [{"n": 1, "members": snapshot}, *events]
-        self.net.reply(watch, orjson.dumps({"n": self.last, "events": events}))
+        self.net.send_response(watch, orjson.dumps({"n": self.last_event, "events": events}))
 
 
 class ReplicaNode:
-    """One control replica and the processes that it runs in turn."""
+    """One control replica, whose process can be killed and started again."""
 
     def __init__(self, net: VirtualNetwork, number: int, options: ReplicaOptions, skew_ns: int) -> None:
         self.net = net
@@ -122,8 +122,8 @@
         self.up = False
         self.starts = 0
         self.watches: dict[int, PendingWatch] = {}
-        self.watchers: dict[str, int] = {}  # by the watcher's name, while its connection is open
-        self.calls: list[int] = []  # arrival of each watch request, in true time
+        self.watchers: dict[str, int] = {}  # ids of the watchers with an open connection, by name
+        self.watch_request_times: list[int] = []  # arrival of each watch request, in true time
         self.log_events: list[str] = []
         self.core = ControlReplica(options, number)
         self.start()
@@ -141,7 +141,7 @@
         self.tick(self.starts)
 
     def kill(self) -> None:
-        """The process ends: its connections are reset."""
+        """End the process; its connections are reset."""
         self.up = False
         for pending in self.watches.values():
             self.net.fail(pending)
@@ -156,9 +156,9 @@
                 self.carry_out(self.core.on_timer(self.now()))
             self.net.schedule(10 * MS, lambda: self.tick(process))
 
-    def on_call(self, pending: PendingWatch) -> None:
-        """Take a watch request of a watcher."""
-        self.calls.append(self.net.now)
+    def on_watch_request(self, pending: PendingWatch) -> None:
+        """Handle a watch request of a watcher."""
+        self.watch_request_times.append(self.net.now)
         number = self.watchers.setdefault(pending.sender, self.net.event_count)
         self.watches[number] = pending
         position = LogPosition(pending.position, pending.fingerprint or "")
@@ -172,21 +172,21 @@
             if isinstance(e, (core.SendWatchResponse, core.RejectWatcher)):
                 pending = self.watches.pop(e.watcher_id, None)
                 if pending and isinstance(e, core.SendWatchResponse):
-                    self.net.reply(pending, e.body)
+                    self.net.send_response(pending, e.body)
                 elif pending:
                     self.net.fail(pending)
             elif isinstance(e, core.SendUpstreamRequest):
-                self.net.schedule(e.delay_ns, lambda e=e: self.call(e, process))  # type: ignore[misc]
+                self.net.schedule(e.delay_ns, lambda e=e: self.send_upstream_request(e, process))  # type: ignore[misc]
             else:
                 self.log_events.append(e.event)
 
-    def call(self, e: core.SendUpstreamRequest, process: int) -> None:
+    def send_upstream_request(self, e: core.SendUpstreamRequest, process: int) -> None:
         """Send a watch request upstream, unless process number ``process`` has ended."""
         if not self.up or process != self.starts:
             return
         fingerprint = e.position.fingerprint if e.address in self.options.peers else None
 
-        def reply(body: bytes | None) -> None:
+        def on_response(body: bytes | None) -> None:
             if not self.up or process != self.starts:
                 return
             if body is None:
@@ -198,14 +198,14 @@
                     )
                 )
 
-        self.net.call(
-            PendingWatch(self.name, e.address, e.position.event_number, fingerprint, e.wait_ns, reply),
+        self.net.send_watch_request(
+            PendingWatch(self.name, e.address, e.position.event_number, fingerprint, e.wait_ns, on_response),
             core.UPSTREAM_TIMEOUT_MARGIN_NS,
         )
 
 
 class RouterNode:
-    """One router and the processes that it runs in turn."""
+    """One router, whose process can be restarted."""
 
     def __init__(
         self, net: VirtualNetwork, number: int, size: FleetSize, replicas: ControlReplicas, skew_ns: int
@@ -217,7 +217,7 @@
         self.skew_ns = skew_ns
         self.name = f"router-{number}"
         self.starts = 0
-        self.calls = 0
+        self.watch_requests = 0
         self.start()
 
     def now(self) -> int:
@@ -225,7 +225,7 @@
         return self.net.now + self.skew_ns
 
     def start(self) -> None:
-        """Start a new process whose first list is the service's present one."""
+        """Start a new process whose first endpoint list is the list service's present one."""
         self.starts += 1
         raw = configuration(self.size, self.number, "10.9.9.9:1", "127.0.0.1:1", "127.0.0.1:2")
         raw["known"]["events"][0]["members"]["endpoints"] = list(self.net.service.lines.values())
@@ -234,9 +234,9 @@
         self.outstanding_watch: PendingWatch | None = None
         self.log_events: list[str] = []
         self.carry_out(self.reducer.start(self.now(), None, 0, self.replicas))
-        self.tell(inputs.OperatorFileRead(OperatorFile(control_replicas=self.replicas)))
+        self.deliver(inputs.OperatorFileRead(OperatorFile(control_replicas=self.replicas)))
 
-    def tell(self, message: inputs.Input) -> None:
+    def deliver(self, message: inputs.Input) -> None:
         """Pass an input to the reducer and carry out its effects."""
         self.carry_out(self.reducer.handle(self.now(), message))
 
@@ -259,32 +259,32 @@
     def on_timer(self, e: effects.ScheduleTimer, process: int) -> None:
         """Fire a timer, unless the process that set it (number ``process``) has ended."""
         if process == self.starts:
-            self.tell(inputs.TimerFired(e.key))
+            self.deliver(inputs.TimerFired(e.key))
 
     def poll(self, e: effects.SendWatchRequest) -> None:
         """Send a watch request to the feed, unless one is outstanding."""
         if self.outstanding_watch is not None:
             return
         process = self.starts
-        self.calls += 1
+        self.watch_requests += 1
 
-        def reply(body: bytes | None) -> None:
+        def on_response(body: bytes | None) -> None:
             self.outstanding_watch = None
             if process == self.starts:
-                self.tell(
+                self.deliver(
                     inputs.WatchFailed("lost") if body is None else parse_watch_response(orjson.loads(body))
                 )
 
         self.outstanding_watch = PendingWatch(
-            self.name, self.feed_address, e.after_event, e.log_fingerprint, e.wait_ms * MS, reply
+            self.name, self.feed_address, e.after_event, e.log_fingerprint, e.wait_ms * MS, on_response
         )
-        self.net.call(self.outstanding_watch, e.response_timeout_ns)
+        self.net.send_watch_request(self.outstanding_watch, e.response_timeout_ns)
 
-    def serving(self) -> set[str]:
+    def usable_servers(self) -> set[str]:
         """Names of the servers that it may use."""
         return set(self.reducer.state.endpoints)
 
-    def purged(self) -> set[int]:
+    def purged_objects(self) -> set[int]:
         """Numbers of the objects whose purges it keeps."""
         return set(self.reducer.state.policy.freshness.object_purges)
 
@@ -300,7 +300,7 @@
         self.event_count = 0  # number of scheduled events; breaks ties between them
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.cut: set[frozenset[str]] = set()
-        self.connections: dict[tuple[str, Address], int] = {}  # the target's process number
+        self.connections: dict[tuple[str, Address], int] = {}  # the target's process number at connect
         self.service = Service(self, {line["name"]: line for line in endpoints(size)})
         self.replicas = [
             ReplicaNode(self, n + 1, options, skews_ns[n % len(skews_ns)])
@@ -336,7 +336,7 @@
         name = "service" if isinstance(node, Service) else node.name
         return frozenset((sender, name)) not in self.cut
 
-    def call(self, watch: PendingWatch, grace_ns: int) -> None:
+    def send_watch_request(self, watch: PendingWatch, grace_ns: int) -> None:
         """Send a watch request; it times out ``grace_ns`` after the end of its wait."""
         connection = watch.sender, watch.target
         process = self.connections.setdefault(connection, self.node(watch.target).starts)
@@ -346,7 +346,7 @@
             if not self.is_linked(watch.sender, watch.target):
                 return
             if node.up and node.starts == process:  # a successor process resets the old connection
-                node.on_call(watch)
+                node.on_watch_request(watch)
             else:
                 self.connections.pop(connection, None)
                 self.fail(watch)
@@ -355,7 +355,7 @@
         self.schedule(watch.wait_ns + grace_ns, lambda: self.time_out(watch))
 
     def time_out(self, watch: PendingWatch) -> None:
-        """Time out: without a response by now, the sender closes the connection."""
+        """End a watch request without a response so far: its sender closes the connection."""
         node = self.node(watch.target)
         if not watch.is_over and isinstance(node, ReplicaNode):
             number = node.watchers.pop(watch.sender, -1)
@@ -364,10 +364,10 @@
         self.finish(watch, None)
 
     def fail(self, watch: PendingWatch) -> None:
-        """The connection is reset."""
+        """Fail a watch request: its connection is reset."""
         self.schedule(DELAY_NS, lambda: self.finish(watch, None))
 
-    def reply(self, watch: PendingWatch, body: bytes) -> None:
+    def send_response(self, watch: PendingWatch, body: bytes) -> None:
         """Send a response; it is lost if the link is cut when it arrives."""
 
         def arrive() -> None:
@@ -377,7 +377,7 @@
         self.schedule(DELAY_NS, arrive)
 
     def finish(self, watch: PendingWatch, body: bytes | None) -> None:
-        """End a watch request once, with its response, or with None if it failed."""
+        """End a watch request with its response, or with None if it failed; a later call has no effect."""
         if not watch.is_over:
             watch.is_over = True
             watch.on_response(body)
--- a/tests/program/test_handover.py
+++ b/tests/program/test_handover.py
@@ -61,7 +61,9 @@
             )
             record, _ = decode(path.read_bytes(), "n3", NOW + SECOND)
             assert record is not None
-            assert (record.in_service, record.pid) == (True, os.getpid()), "its own state is the later one"
+            assert (record.in_service, record.pid) == (True, os.getpid()), (
+                "the state of the ending process is the later one"
+            )
 
     def test_unusable_records_are_rejected(self) -> None:
         good = orjson.loads(encode("n3", 4711, NOW, True, NOW))
@@ -106,12 +108,12 @@
         successor = router()
         effect_list = successor.handle(NOW, inputs.PredecessorState(False, NOW - SECOND))
         assert effects_of_type(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
-        (reply,) = effects_of_type(
+        (response,) = effects_of_type(
             effects.ControlResponse,
             successor.handle(NOW, inputs.ControlRequest(4, inputs.ControlOperation.READY)),
         )
-        assert isinstance(reply, effects.ControlResponse)
-        assert not reply.ok
+        assert isinstance(response, effects.ControlResponse)
+        assert not response.ok
         assert successor.handle(NOW, inputs.PredecessorState(True, NOW)) == []
         assert (
             len(
