--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -5,8 +5,8 @@
     python -m benchmarks.cold_start --ways none budget --boxes  # caches and parents cold as well
 
 The simulation is ``testbed/cold_start.py`` around the program's reducer: a list service that responds to
-200 watch requests a second and crashes for 5 s with over 100 queued; caches and parents ("boxes" and "hubs"
-in the table), warm or cold and empty; an origin ("store") that slows down as its queue fills.
+200 watch requests a second and crashes for 5 s with over 100 queued; caches and parents, warm or cold
+and empty; an origin that slows down as its queue fills.
 
 ``--service`` selects the list service: up; down for the first 10 s; slow (40 watch requests a second); or one
 that responds to 100 a second, crashes with over 40 queued and then numbers its events from 1 again.
@@ -116,7 +116,7 @@
                 row = {
                     "routers": routers,
                     "list service": service,
-                    "way": start_kind,
+                    "schedule": start_kind,
                     **run_simulation(routers, start_kind, service, args.seconds, args.rate, args.boxes),
                 }
                 if head is None:
--- a/benchmarks/cold_start_field.py
+++ b/benchmarks/cold_start_field.py
@@ -81,15 +81,15 @@
         return {
             "routers": len(pids),
             "all ready s": round((ready_ns - began_ns) / S, 1),
-            "calls": len(calls),
-            "calls in the worst s": max_calls_per_second(calls),
-            "after its return": max_calls_per_second([at for at in calls if at >= returned_ns]),
-            "all heard s": round((all_responded_ns - returned_ns) / S, 1) if all_responded_ns else -1.0,
-            "served 5 s": round(served_shares[0], 3),
-            "10 s": round(served_shares[1], 3),
-            "MB a router": round(mean_memory_mb, 1),
+            "watch requests": len(calls),
+            "most in 1 s": max_calls_per_second(calls),
+            "most in 1 s after recovery": max_calls_per_second([at for at in calls if at >= returned_ns]),
+            "all responded s": round((all_responded_ns - returned_ns) / S, 1) if all_responded_ns else -1.0,
+            "served in 5 s": round(served_shares[0], 3),
+            "served in 10 s": round(served_shares[1], 3),
+            "MB per router": round(mean_memory_mb, 1),
             "CPU to ready ms": round(1_000 * startup_cpu_s / len(pids)),
-            "CPU share after": round(cpu_used_s / elapsed_s / len(pids), 4),
+            "CPU share when ready": round(cpu_used_s / elapsed_s / len(pids), 4),
         }
     finally:
         field.__exit__()
@@ -105,7 +105,7 @@
     head = None
     for count in args.processes:
         for start_kind in START_KINDS:
-            row = {"way": start_kind, **run_field(count, start_kind, args.dead, args.seconds)}
+            row = {"schedule": start_kind, **run_field(count, start_kind, args.dead, args.seconds)}
             if head is None:
                 head = list(row)
                 print("| " + " | ".join(head) + " |\n|" + " --- |" * len(head))
--- a/benchmarks/cold_start_plot.py
+++ b/benchmarks/cold_start_plot.py
@@ -18,7 +18,7 @@
 from testbed.cold_start import START, ColdStartFleet, S
 
 START_KINDS = (
-    ("as ever", StartupOptions(), "tab:red"),
+    ("without start options", StartupOptions(), "tab:red"),
     ("start list-calls=50 store=#true count=#true", StartupOptions(50.0, True, True), "tab:blue"),
 )
 
@@ -41,7 +41,7 @@
 def series(fleet: ColdStartFleet, seconds: int) -> dict[str, list[float]]:
     """By tenth of a second: requests at the list service, at the origin and for fills, and the share in time.
 
-    The first three are rates a second. The share is by priority weight, over the last second.
+    The first three are rates per second. The share is by priority weight, over the last second.
     """
     service_requests, origin_requests, tenth_count = (
         tenths(fleet.service.calls),
@@ -56,16 +56,16 @@
             / max(1, sent_weight_in_s)
         )
     return {
-        "calls of the list service a second": [
+        "watch requests per second at the list service": [
             10.0 * service_requests[tenth] for tenth in range(tenth_count)
         ],
-        "fetches at the store, of what it can do": [
+        "fetches at the origin, as a share of its capacity": [
             10 * origin_requests[tenth] / fleet.servers.origin.requests_per_s for tenth in range(tenth_count)
         ],
-        "fills asked of hubs a second": [
+        "fills per second at parents": [
             10.0 * fleet.servers.parent_fills[tenth] for tenth in range(tenth_count)
         ],
-        "share of the worth in time": in_time_shares,
+        "share of requests served in time, by priority weight": in_time_shares,
     }
 
 
@@ -93,7 +93,7 @@
             axis.set_title(title, fontsize=10, loc="left")
             axis.grid(alpha=0.3)
     axes[0].legend(fontsize=9)
-    axes[-1].set_xlabel(f"seconds after {args.routers} routers start, boxes and hubs cold and empty")
+    axes[-1].set_xlabel(f"seconds after {args.routers} routers start, caches and parents cold and empty")
     figure.tight_layout()
     figure.savefig(args.out, dpi=80)
     print(args.out)
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -148,7 +148,7 @@
         for sock in incomplete:
             sock.sendall(READY[:20])
         time.sleep(0.2)
-        latencies_ms[f"and {INCOMPLETE_REQUESTS} half calls"] = figures(
+        latencies_ms[f"and {INCOMPLETE_REQUESTS} incomplete"] = figures(
             [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
         loaded_mb = rss_mb(pid)
@@ -162,18 +162,18 @@
         last_close_s = max(load.closed_at, default=began) - began
         load.end()
     idle = latencies_ms["idle"][0]
-    print(f"{'GET /control/ready':28} {'median':>8} {'p99':>8} {'most':>8} {'median/idle':>12}")
+    print(f"{'GET /control/ready':28} {'median':>8} {'p99':>8} {'max':>8} {'median/idle':>12}")
     for name, (p50, p99, maximum) in latencies_ms.items():
         print(f"{name:28} {p50:8.2f} {p99:8.2f} {maximum:8.2f} {p50 / idle:12.2f}")
     print(
-        f"resident memory: {before_mb:.1f} MB, with {INCOMPLETE_REQUESTS} half calls {loaded_mb:.1f} MB "
-        f"(ratio {loaded_mb / before_mb:.3f})"
+        f"resident memory: {before_mb:.1f} MB, with {INCOMPLETE_REQUESTS} incomplete requests "
+        f"{loaded_mb:.1f} MB (ratio {loaded_mb / before_mb:.3f})"
     )
     print(
         f"drain: {status.decode()} in {latency_ms:.1f} ms; "
-        f"every connection closed {last_close_s * 1000:.0f} ms after it; "
-        f"after it served {load.served - served_before}, refused {load.refused}, failed {load.failed}, "
-        f"crossed {load.crossed}, lost {load.lost}"
+        f"last connection closed {last_close_s * 1000:.0f} ms after the request; "
+        f"requests after it: served {load.served - served_before}, refused {load.refused}, "
+        f"failed {load.failed}, sent again by the client {load.crossed}, lost {load.lost}"
     )
 
 
--- a/benchmarks/late_answers.py
+++ b/benchmarks/late_answers.py
@@ -18,9 +18,9 @@
 GAP_NS, REQUESTS = 5 * MS, 6_000
 HEAD = 'kelpcroft version=1\nroute "orders" { match class="order"; attempts most=1; }\n'
 VARIANTS = {
-    "copies off": 'route "rest" { match class="page"; copies most=0; }',
+    "no hedging": 'route "rest" { match class="page"; copies most=0; }',
     "fixed, 150 ms": 'route "rest" { match class="page"; copies most=1 after="150ms"; }',
-    "p95, least 20 ms": 'route "rest" { match class="page"; copies most=1 after="p95" least="20ms"; }',
+    "p95, min. 20 ms": 'route "rest" { match class="page"; copies most=1 after="p95" least="20ms"; }',
     "p95, budget 0.03": 'budget "b" ratio=0.03 least="1/s" burst=10\n'
     'route "rest" { match class="page"; copies most=1 after="p95" least="20ms" budget="b"; }',
 }
@@ -71,7 +71,7 @@
     baseline_p99 = 0.0
     print(
         f"{REQUESTS} requests, seeds {seeds.start} to {seeds.stop - 1}\n{'':18}{'p50 ms':>8}{'p99 ms':>9}"
-        f"{'of off':>8}{'extra sends':>13}"
+        f"{'ratio':>8}{'extra sends':>13}"
     )
     for name, text in VARIANTS.items():
         runs = [run_variant(text, seed) for seed in seeds]
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -120,11 +120,13 @@
     print(f"{'compiled' if COPY.is_dir() else 'plain'}, {ROUNDS} rounds of {BATCH} requests")
     for name, costs_ns in costs.items():
         ratio = median(a / b for a, b in zip(costs_ns, costs["no file"], strict=True))
-        print(f"{name:14} {median(costs_ns) / 1000:7.1f} us of CPU a request   {ratio:6.3f} of no file")
+        print(
+            f"{name:14} {median(costs_ns) / 1000:7.1f} us of CPU per request   ratio to no file {ratio:6.3f}"
+        )
     ratio_to_10_routes = median(
         a / b for a, b in zip(costs["10,000 routes"], costs["10 routes"], strict=True)
     )
-    print(f"10,000 routes cost {ratio_to_10_routes:.3f} of 10 routes")
+    print(f"10,000 routes cost {ratio_to_10_routes:.3f} times as much as 10 routes")
 
 
 if __name__ == "__main__":
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -38,7 +38,7 @@
 VARIANTS = {
     "no budget": 'budget "b" ratio=10 burst=1000000\nroute "rest" { match class="page"; '
     'attempts most=4 budget="b"; }',
-    "no file": "",
+    "no operator file": "",
     "budget 0.2": 'budget "b" ratio=0.2 least="5/s" burst=20\nroute "rest" { match class="page"; '
     'attempts most=4 budget="b"; }',
     "budget 0.1, backoff": 'budget "b" ratio=0.1 least="5/s" burst=20\nroute "rest" { match class="page"; '
@@ -150,9 +150,9 @@
     """Run all variants and print the tables."""
     seeds = range(1, 1 + int(sys.argv[1] if len(sys.argv) > 1 else 3))
     print(f"{RATE:.0f} requests a second, seeds {seeds.start} to {seeds.stop - 1}")
-    print("sends for each request, share in time (its ratio to no budget)")
+    print("attempts per request, share served in time (ratio to the variant without a budget)")
     for aim_ms in (250, 1_000):
-        print(f"\n{f'aim {aim_ms} ms':22}" + "".join(f"{period:>24}" for period in PERIODS))
+        print(f"\n{f'objective {aim_ms} ms':22}" + "".join(f"{period:>24}" for period in PERIODS))
         baseline: dict[str, float] = {}
         for name, text in VARIANTS.items():
             runs = [run_variant(ORDERS + text if text else None, seed, aim_ms * MS) for seed in seeds]
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -84,7 +84,7 @@
 def main(arguments: list[str]) -> int:
     """Run all cases and print the tables."""
     seeds = int(arguments[arguments.index("--seeds") + 1]) if "--seeds" in arguments else 3
-    print(f"12 routers in 3 zones, {seeds} seeds; requests harmed, routers touched, seconds\n")
+    print(f"12 routers in 3 zones, {seeds} seeds; requests harmed, routers changed, seconds\n")
     print(f"{'defect':24}{'all at once':>22}{'one by one':>22}{'staged':>22}{'staged/at once':>16}")
     for name, regression in DEFECTS:
         cells, harm_by_strategy = [], []
@@ -99,7 +99,7 @@
         print(f"{name:24}" + "".join(f"{cell:>22}" for cell in cells) + f"{ratio:>16}", flush=True)
     if "--large" not in arguments:
         return 0
-    print(f"\n{'routers':>8}{'outcome':>10}{'seconds':>9}{'controller us a router and second':>36}")
+    print(f"\n{'routers':>8}{'outcome':>10}{'seconds':>9}{'controller us per router and second':>36}")
     for zones, routers_per_zone in ((2, 5), (10, 10), (20, 50)):
         router_count = zones * routers_per_zone
         extra_lines = (
--- a/benchmarks/rollout_field.py
+++ b/benchmarks/rollout_field.py
@@ -64,7 +64,7 @@
             count_harmed(load),
             changed_routers,
             elapsed_s,
-            {0: "done", 1: "taken back"}.get(process.returncode, "not over"),
+            {0: "done", 1: "rolled back"}.get(process.returncode, "not finished"),
         )
 
 
@@ -91,7 +91,7 @@
 
 def main(defects: list[str]) -> int:
     """Run all defects and print the table."""
-    print(f"| {'defect':20} | staged | touched | seconds | ended | at once | staged to at once |")
+    print(f"| {'defect':20} | staged | changed | seconds | outcome | at once | staged / at once |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for defect in defects or DEFECTS:
         with tempfile.TemporaryDirectory() as name:
--- a/benchmarks/rollout_judge.py
+++ b/benchmarks/rollout_judge.py
@@ -114,10 +114,10 @@
     seconds = int(arguments[arguments.index("--seconds") + 1]) if "--seconds" in arguments else 600
     rates = StopCriteria()
     print(
-        f"{runs} rollouts a row; stated: false stops {rates.false_stop}, missed harm {rates.missed_harm} "
-        f"of {rates.harm}"
+        f"{runs} rollouts per row; configured rates: false stops {rates.false_stop}, "
+        f"missed regressions {rates.missed_harm} of {rates.harm}"
     )
-    print("  harm  usual   own  req/s    worse     fine     open  median s  us/slice")
+    print(" added  usual   own  req/s regress.     none undecid.  median s us/second")
     wrong_rows = 0
     with ProcessPoolExecutor() as pool:  # rows have their own seeds: same results on any number of cores
         for line, exceeds_rate in pool.map(row, ROWS, [runs] * len(ROWS), [seconds] * len(ROWS)):
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -61,7 +61,7 @@
             for name, (program, operator_file) in variants.items():
                 measurements[name].append(start_router(program, operator_file))
     base = [median(x[k] for x in measurements[f"commit {commit}"]) for k in (0, 1)]
-    print(f"{'':20}{'start ms':>10}{'ratio':>7}{'MB':>8}{'more':>7}")
+    print(f"{'':20}{'start ms':>10}{'ratio':>7}{'MB':>8}{'MB +/-':>7}")
     for name, runs in measurements.items():
         start_ms, size = (median(x[k] for x in runs) for k in (0, 1))
         print(f"{name:20}{start_ms:10.0f}{start_ms / base[0]:7.2f}{size:8.1f}{size - base[1]:+7.1f}")
--- a/kelpcroft/control_log/log.py
+++ b/kelpcroft/control_log/log.py
@@ -106,7 +106,7 @@
     def start_new_log(self) -> None:
         """Resets the log because the replica switches to another one, whose complete list follows.
 
-        Purges are kept: they expire by their own times, and a purge that has been received stays in force
+        Purges are kept: they expire by their own times, and a purge that has been received stays in effect
         whichever log is followed.
         """
         self.servers = {}
--- a/kelpcroft/control_log/upstream.py
+++ b/kelpcroft/control_log/upstream.py
@@ -2,7 +2,7 @@
 
 One watch request is outstanding at a time, so the load on upstream does not grow with the number of watchers.
 A list service has no fingerprints, and counts from 1 again when it is restarted.  So after a lost connection
-the replica requests the last event of its log once more, and compares the two.  The state of another replica
+the replica requests the last event of its log again, and compares the two.  The state of another replica
 may be earlier than this one's: ``follower`` judges how its response is used.
 """
 
--- a/kelpcroft/core/configured_feed.py
+++ b/kelpcroft/core/configured_feed.py
@@ -79,7 +79,7 @@
         return needs_snapshot
 
     def apply_chunk(self, response: WatchResponse) -> None:
-        """Apply one chunk of a response too long to be decoded at once, as after hours without the feed."""
+        """Apply one chunk of a response too long to be decoded in one go, as after hours without the feed."""
         endpoint_list, requested_from = self.endpoint_list, self.position.requested_from_event
         if not endpoint_list.chunked_response_events:
             self.state.log(
--- a/kelpcroft/core/decision_loop.py
+++ b/kelpcroft/core/decision_loop.py
@@ -75,7 +75,7 @@
     def with_retry_budget(self, event: api.AttemptEnded) -> api.AttemptEnded:
         """Return the end of an attempt, updated with what the route's retry budget allows now.
 
-        If many attempts end at once, as on a lost connection, the retries of the earlier ones have already
+        If many attempts end together, as on a lost connection, the retries of the earlier ones have already
         used some of the budget.
         """
         request = self.state.requests.get(int(event.id))
--- a/kelpcroft/deployment_check/known_keys.py
+++ b/kelpcroft/deployment_check/known_keys.py
@@ -126,9 +126,9 @@
     unread_reason: str = ""
 
 
-EVALUATION_ONLY = "how the operators judge a day; no decision hangs on it"
-MEMBERSHIP_OFF = "routers send one another nothing yet: membership is off"
-NO_OWN_COPIES = "the router keeps no copies of its own"
+EVALUATION_ONLY = "used by operators to evaluate a day; no decision depends on it"
+MEMBERSHIP_OFF = "routers do not exchange messages yet: membership is off"
+NO_OWN_COPIES = "the router itself stores no copies of objects"
 
 CONFIGURATION_KEYS = (
     ConfigurationKey("name", text, "config", "needed, unless ROUTER_NAME is set"),
@@ -147,7 +147,7 @@
         number(0, excludes_minimum=True),
         "",
         "",
-        "the platform holds it; there is one loop anyway",
+        "the platform enforces it; the router has only one event loop in any case",
     ),
     ConfigurationKey("limits.memory_mb", number(1), "config, net.buffers", "192"),
     ConfigurationKey(
@@ -155,8 +155,12 @@
     ),
     ConfigurationKey("settings.az", text, "decision", "needed: one of dcs"),
     ConfigurationKey("settings.dcs", listed(text), "decision, core.endpoint_list", "needed"),
-    ConfigurationKey("settings.instances", COUNT_FROM_ONE, "decision: a router's share of parents", "1"),
-    ConfigurationKey("settings.self_index", COUNT, "decision: turns at cold servers", "0"),
+    ConfigurationKey(
+        "settings.instances", COUNT_FROM_ONE, "decision: a router's share of the parents' capacity", "1"
+    ),
+    ConfigurationKey(
+        "settings.self_index", COUNT, "decision: turns of the routers at servers in slow start", "0"
+    ),
     ConfigurationKey(
         "settings.machine_types",
         listed(text),
@@ -166,19 +170,24 @@
     ConfigurationKey(
         "settings.weight_source",
         one_of("off", "nominal", "rough", "live"),
-        "decision: limits and cold budgets",
-        "off: no weights, capacity is measured",
+        "decision: limits, and budgets of servers in slow start",
+        "off: no weights; capacity is measured",
     ),
     ConfigurationKey("settings.discovery", one_of("push", "ask"), "decision", "push"),
-    ConfigurationKey("settings.tick_ns", COUNT_FROM_ONE, "decision: margin of a key's window", "1"),
+    ConfigurationKey(
+        "settings.tick_ns", COUNT_FROM_ONE, "decision: margin of an idempotency key's window", "1"
+    ),
     ConfigurationKey(
         "settings.report.how",
         one_of("inline", "on_probe", "off"),
-        "Settings only: reports are read as they come",
+        "Settings only: load reports are read whenever they arrive",
         "off",
     ),
     ConfigurationKey(
-        "settings.report.fields", listed(text), "decision: utilization, x0, x1, each where it comes", "none"
+        "settings.report.fields",
+        listed(text),
+        "decision: utilization, x0 and x1, each if a report has it",
+        "none",
     ),
     ConfigurationKey("settings.classes[].name", text, "core.client_requests, decision", "needed"),
     ConfigurationKey(
@@ -197,29 +206,37 @@
         "settings.classes[].dedup_window_ns",
         NANOSECONDS,
         "decision: rule 2; core.idempotency_keys",
-        "0: never sent again",
+        "0: not sent again after a possible execution",
     ),
-    ConfigurationKey("settings.classes[].aim_ns", NANOSECONDS, "decision: what is late", "0"),
-    ConfigurationKey("settings.classes[].aim_stretch", number(0), "decision: what is late", "0"),
+    ConfigurationKey("settings.classes[].aim_ns", NANOSECONDS, "decision: latency objective", "0"),
+    ConfigurationKey("settings.classes[].aim_stretch", number(0), "decision: latency objective", "0"),
     ConfigurationKey(
         "settings.classes[].give_up_ns",
         NANOSECONDS,
         "core.client_requests, operator_file.route_rules, core.idempotency_keys",
-        "0: no bound",
+        "0: no limit",
+    ),
+    ConfigurationKey(
+        "settings.classes[].credit",
+        number(0),
+        "decision: which requests are rejected first under overload",
+        "1",
     ),
-    ConfigurationKey("settings.classes[].credit", number(0), "decision: what is shed first", "1"),
     ConfigurationKey("settings.classes[].late_value", SHARE, "Settings only", "0"),
     ConfigurationKey(
-        "settings.classes[].stream", flag, "Settings only: the program's clients have no streams", "false"
+        "settings.classes[].stream",
+        flag,
+        "Settings only: the client protocol of the program has no streams",
+        "false",
     ),
     ConfigurationKey("settings.limits.may_cancel", flag, "decision", "false"),
     ConfigurationKey(
         "settings.limits.probing",
         flag,
-        "core.silence_detection: a quiet connection is asked before it is given up",
+        "core.silence_detection: a health check is sent on a silent connection before it is closed",
         "false",
     ),
-    ConfigurationKey("settings.limits.peers", flag, "Settings only: the module sends no messages", "false"),
+    ConfigurationKey("settings.limits.peers", flag, "Settings only: no messages are sent to peers", "false"),
     ConfigurationKey("settings.limits.second_copies", flag, "decision, operator_file.route_rules", "false"),
     ConfigurationKey("settings.limits.retry_after", flag, "decision, operator_file.route_rules", "false"),
     ConfigurationKey(
@@ -228,10 +245,10 @@
     ConfigurationKey(
         "settings.limits.most_tries", COUNT_FROM_ONE, "decision, operator_file.route_rules", "1"
     ),
-    ConfigurationKey("settings.limits.max_open", COUNT, "core.client_requests", "0: not bounded by a number"),
+    ConfigurationKey("settings.limits.max_open", COUNT, "core.client_requests", "0: no limit on the number"),
     ConfigurationKey("settings.limits.max_streams", COUNT_FROM_ONE, "core.connection_pool", "1"),
     ConfigurationKey(
-        "settings.limits.conn_idle_ns", NANOSECONDS, "core.housekeeping", "0: never closed for being idle"
+        "settings.limits.conn_idle_ns", NANOSECONDS, "core.housekeeping", "0: idle connections stay open"
     ),
     ConfigurationKey(
         "settings.limits.dial_timeout_ns",
@@ -240,21 +257,25 @@
         "400 ms",
     ),
     ConfigurationKey(
-        "settings.limits.cpu_us_per_s", number(0), "", "", "the platform holds it; turns are bounded"
+        "settings.limits.cpu_us_per_s",
+        number(0),
+        "",
+        "",
+        "the platform enforces it; the work of a loop iteration is bounded",
     ),
     ConfigurationKey(
-        "settings.limits.cpu_us_per_request", number(0), "", "", "as above; 0 at every deployment so far"
+        "settings.limits.cpu_us_per_request", number(0), "", "", "as above; 0 in every deployment so far"
     ),
     ConfigurationKey(
         "settings.contract.answer_slack_ns",
         NANOSECONDS,
-        "Settings only: answers are due at the deadline",
+        "Settings only: responses are due at the deadline",
         "0",
     ),
     ConfigurationKey(
         "settings.contract.drain_grace_ns",
         NANOSECONDS,
-        "Settings only: a draining server gets nothing from the event on",
+        "Settings only: a draining server receives no requests once the router has the event",
         "0",
     ),
     ConfigurationKey("settings.contract.cold_from", SHARE, "decision: rule 4", "1: never cold"),
@@ -262,10 +283,16 @@
     ConfigurationKey("settings.contract.fall_multiple", number(0), "decision: rule 4", "1"),
     ConfigurationKey("settings.contract.fall_ns", NANOSECONDS, "decision: rule 4", "0"),
     ConfigurationKey(
-        "settings.contract.ask_within_ns", NANOSECONDS, "Settings only: the feed is polled all the time", "0"
+        "settings.contract.ask_within_ns",
+        NANOSECONDS,
+        "Settings only: a watch request to the feed is always outstanding",
+        "0",
     ),
     ConfigurationKey(
-        "settings.family_info.goes_through", listed(flag), "decision", "no class runs at the origin"
+        "settings.family_info.goes_through",
+        listed(flag),
+        "decision",
+        "no class has to be executed at the origin",
     ),
     ConfigurationKey(
         "settings.family_info.multi_part",
@@ -274,38 +301,38 @@
         "no class has parts",
     ),
     ConfigurationKey(
-        "settings.family_info.max_age_ns", listed(NANOSECONDS), "decision", "copies are good until purged"
+        "settings.family_info.max_age_ns", listed(NANOSECONDS), "decision", "copies are fresh until purged"
     ),
     ConfigurationKey(
         "settings.family_info.usable_after_ns",
         listed(NANOSECONDS),
-        "Settings only: no old copy is asked for",
+        "Settings only: stale copies are never requested",
         "0",
     ),
     ConfigurationKey("settings.family_info.old_copy_worth", listed(SHARE), "Settings only, as above", "1"),
     ConfigurationKey(
         "settings.family_info.hub_of",
         listed(COUNT),
-        "Settings only: parents go by their answer times",
+        "Settings only: parents are selected by their response times",
         "none",
     ),
     ConfigurationKey(
         "settings.family_info.instances_by_zone",
         listed(COUNT),
-        "decision: a router's share of caches and links",
-        "all instances are of this zone",
+        "decision: a router's share of the capacity of caches and links",
+        "all instances are in this zone",
     ),
     ConfigurationKey(
         "settings.family_info.zone_link_kb_per_s",
         listed(number(0)),
-        "decision: bound of fills",
-        "0: not told, reports of x1 bound them",
+        "decision: limit on fills",
+        "0: unknown; reports of x1 limit the fills",
     ),
     ConfigurationKey(
         "settings.family_info.pace_kb_per_s",
         number(0),
-        "decision: sending times of told sizes",
-        "0: sizes are of no use, times are measured",
+        "decision: transfer times of objects whose size the request gives",
+        "0: sizes are not used; transfer times are measured",
     ),
     ConfigurationKey("settings.family_info.may_pass_by", flag, "decision", "false"),
     ConfigurationKey("settings.family_info.sideways", one_of("off", "location", "any"), "decision", "off"),
@@ -313,7 +340,7 @@
     ConfigurationKey(
         "settings.family_info.notes_given",
         one_of("all", "hit", "off"),
-        "Settings only: notes are read as they come",
+        "Settings only: notes of fills are read whenever they arrive",
         "off",
     ),
     ConfigurationKey(
@@ -330,7 +357,7 @@
     ConfigurationKey(
         "settings.family_info.purge_grace_ns",
         NANOSECONDS,
-        "Settings only: a purge binds from its event on",
+        "Settings only: a purge applies once the router has its event",
         "0",
     ),
     ConfigurationKey("settings.family_info.purge_takes_ns", NANOSECONDS, "decision: rule 5", "0"),
@@ -340,24 +367,46 @@
         number(0),
         "",
         "",
-        "0 at every deployment so far; sources' waits bound what the origin is asked",
+        "0 in every deployment so far; the waits at fill sources limit the requests to the origin",
     ),
     ConfigurationKey("settings.family_info.origin_bears_ns", NANOSECONDS, "", "", "as above"),
-    ConfigurationKey("settings.family_info.report_x0", anything, "", "", "words for people: what x0 means"),
-    ConfigurationKey("settings.family_info.report_x1", anything, "", "", "words for people: what x1 means"),
+    ConfigurationKey(
+        "settings.family_info.report_x0", anything, "", "", "description for operators: the meaning of x0"
+    ),
+    ConfigurationKey(
+        "settings.family_info.report_x1", anything, "", "", "description for operators: the meaning of x1"
+    ),
     ConfigurationKey("settings.blend", anything, "", "", EVALUATION_ONLY),
     ConfigurationKey(
-        "settings.costs", anything, "", "", EVALUATION_ONLY + "; what they price is sent sparingly everywhere"
+        "settings.costs",
+        anything,
+        "",
+        "",
+        EVALUATION_ONLY + "; whatever has a cost is sent sparingly in every deployment",
     ),
     ConfigurationKey("settings.worth_by", anything, "", "", EVALUATION_ONLY),
     ConfigurationKey("settings.over_share_worth", anything, "", "", EVALUATION_ONLY),
     ConfigurationKey(
-        "settings.customers", anything, "", "", "no deployment has tenants; their shares are not kept"
+        "settings.customers",
+        anything,
+        "",
+        "",
+        "no deployment has tenants; shares of tenants are not enforced",
     ),
     ConfigurationKey(
-        "settings.client_habits", anything, "", "", "a retry is known by its mark, a repeat by its key"
+        "settings.client_habits",
+        anything,
+        "",
+        "",
+        "a retry is recognized by its mark, a repeated request by its idempotency key",
     ),
     ConfigurationKey("settings.family", anything, "", "", "a name"),
-    ConfigurationKey("settings.stage", anything, "", "", "a router has one tier, which its list is of"),
+    ConfigurationKey(
+        "settings.stage",
+        anything,
+        "",
+        "",
+        "a router has a single tier, whose servers its endpoint list contains",
+    ),
     ConfigurationKey("settings.stages", anything, "", "", "as above"),
 )
--- a/kelpcroft/discovery/schedule.py
+++ b/kelpcroft/discovery/schedule.py
@@ -9,7 +9,7 @@
 - a first failed request is repeated after a random 0 to 1 cycle, each further one after 0.5 to 1.5 cycles
   (jitter).  So an unresponsive service receives ``requests_per_s`` from the whole fleet on average, whatever
   the fleet's size and however long the outage lasts.  After it, all routers have returned within 1.5 cycles
-  and never all at once.  A Retry-After is respected, up to ``MAX_RETRY_AFTER_NS``;
+  and never all at the same time.  A Retry-After is respected, up to ``MAX_RETRY_AFTER_NS``;
 - a response is followed immediately by the next request, because the grace periods of events begin when the
   service has them;
 - the wait of a request grows with the fleet's cycle (1 to 4 s); nothing else bounds the requests of a fleet
--- a/kelpcroft/discovery/watch_timeouts.py
+++ b/kelpcroft/discovery/watch_timeouts.py
@@ -1,12 +1,12 @@
 """Timeouts of a watch on the list: how long it may stay silent before it is sent again.  Pure.
 
-A watch on a broken connection cannot be told from one without new events.  So a watch request waits for a
-bounded time.  If its response has not begun ``MAX_SILENCE_NS`` after that, the router regards the connection
-as lost and sends the request again on another one.  A drain sent during the silence is received after both
-times and one more request.
+A watch on a broken connection cannot be distinguished from one without new events.  So a watch request waits
+for a bounded time.  If its response has not begun ``MAX_SILENCE_NS`` after that, the router regards the
+connection as lost and sends the request again on another one.  A drain sent during the silence is received
+after both times and one more request.
 
 The settings bound both times: an event that was listed ``discovery_poll_limit_ns`` ago counts as received by
-a router that has sent no request since, and is in force there one grace period later.  Half of that total is
+a router that has sent no request since, and is in effect there one grace period later.  Half of that total is
 for the wait, a quarter for the silence, and a quarter for the request that follows.  Where the settings set
 no such limit, or a long one, the request's own wait and ``MAX_SILENCE_NS`` apply.
 
--- a/kelpcroft/net/client_acceptor.py
+++ b/kelpcroft/net/client_acceptor.py
@@ -43,7 +43,7 @@
         )
 
     def accept(self) -> bool:
-        """Accepts waiting clients, a limited number at once; returns whether more may be waiting."""
+        """Accepts waiting clients, up to a limit per call; returns whether more may be waiting."""
         for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if len(self.clients.open) >= self.clients.max_open and not self.evict_idle_client():
                 self.listener.set_registered(False)
--- a/kelpcroft/net/client_codec.py
+++ b/kelpcroft/net/client_codec.py
@@ -104,8 +104,8 @@
                 remaining time of each request, which counts from the moment the client sent the request.
 
         Raises:
-            ClientProtocolError: the bytes are not valid messages, or a message is too large, or there are too
-                many requests at once.
+            ClientProtocolError: the bytes are not valid messages, or a message is too large, or one read
+                completes too many requests.
         """
         self.queued_ns = queued_ns
         self.received_bytes += len(data)
--- a/kelpcroft/net/control_replica_server.py
+++ b/kelpcroft/net/control_replica_server.py
@@ -37,7 +37,7 @@
 # Longest wait of one iteration, and so the longest time between checks for a silent upstream.
 MAX_ITERATION_WAIT_NS = SECOND // 2
 IDLE_CHECK_INTERVAL_NS = SECOND  # time between two searches for idle watchers
-SIGNALS_READ_BYTES = 1 << 16  # most bytes read from the signal pipe at once
+SIGNALS_READ_BYTES = 1 << 16  # largest number of bytes read from the signal pipe in one call
 # Connections beyond the limit of watches: for status requests, and connections that are about to be closed.
 SPARE_CONNECTIONS = 64
 
--- a/kelpcroft/net/control_replica_upstream.py
+++ b/kelpcroft/net/control_replica_upstream.py
@@ -18,7 +18,7 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-READ_BYTES = 1 << 16  # most bytes read from the connection at once
+READ_BYTES = 1 << 16  # largest number of bytes read from the connection in one call
 CONNECT_TIMEOUT_NS = 400 * MS  # longest time to connect to an upstream
 
 
--- a/kelpcroft/net/control_replica_watchers.py
+++ b/kelpcroft/net/control_replica_watchers.py
@@ -18,7 +18,7 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-READ_BYTES = 1 << 16  # most bytes read from one connection at once
+READ_BYTES = 1 << 16  # largest number of bytes read from a connection in one call
 MAX_ACCEPTS_PER_ITERATION = 256  # connections accepted before the other sockets are handled
 MAX_UNWRITTEN_BYTES = 8 << 20  # bytes that may be queued for one watcher
 IDLE_TIMEOUT_NS = 20 * SECOND  # a connection without bytes in either direction for this long is closed
--- a/kelpcroft/net/transport.py
+++ b/kelpcroft/net/transport.py
@@ -24,7 +24,7 @@
 
 SECOND: Final = 1_000_000_000
 MAX_READS_PER_ITERATION: Final = 2  # buffers read from one connection before other connections are handled
-MAX_ACCEPTS_PER_ITERATION: Final = 64  # connections accepted at once before other connections are handled
+MAX_ACCEPTS_PER_ITERATION: Final = 64  # connections accepted in a row before other connections are handled
 POOL_MEMORY_DIVISOR: Final = 3  # pooled buffers use at most the configured memory divided by this
 # Errors of a socket call for lack of descriptors or kernel memory.
 OUT_OF_DESCRIPTORS_ERRORS: Final = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
--- a/kelpcroft/net/watch_codec.py
+++ b/kelpcroft/net/watch_codec.py
@@ -17,7 +17,7 @@
 from kelpcroft.control_log.follower import LogPosition
 
 MAX_HEAD_BYTES = 4_096  # size of one request's head
-MAX_PIPELINED_REQUESTS = 4  # requests that one connection may send at once
+MAX_PIPELINED_REQUESTS = 4  # requests that one read of a connection may complete
 EVENTS_PATH = b"/v1/events"
 STATE_PATH = b"/control/state"
 EVENTS_QUERY = re.compile(rb"SUB=(\d{1,18})&wait=(\d{1,9})(?:&mark=([0-9a-f]{0,32}))?")
--- a/kelpcroft/operator_file/reader.py
+++ b/kelpcroft/operator_file/reader.py
@@ -151,7 +151,7 @@
         )
 
     def read_start(self, node: KdlNode) -> None:
-        """Read ``start list-calls=50 store=#true count=#true``: limits while many routers start at once."""
+        """Read ``start list-calls=50 store=#true count=#true``: limits while many routers start together."""
         self.check_structure(node, 0, ("list-calls", "store", "count"))
         if not node.properties:
             self.diagnostics.add(
--- a/kelpcroft/operator_file/service.py
+++ b/kelpcroft/operator_file/service.py
@@ -1,4 +1,4 @@
-"""Reads the operator's file for a serving process: at once at the start, in steps while it serves."""
+"""Reads the operator's file for a serving process: in one go at the start, in steps while it serves."""
 
 from __future__ import annotations
 
--- a/testbed/cold_start.py
+++ b/testbed/cold_start.py
@@ -400,24 +400,26 @@
         origin_requests = Counter((at - START) // S for at in origin.request_times)
         share = self.outcomes.share_in_time
         return {
-            "calls": len(self.service.calls),
-            "calls in the worst s": max(calls.values(), default=0),
-            "falls": self.service.crashes,
-            "all listed s": self._seconds_until_all_listed(),
-            "boxes toppled": sum(cache.collapses for cache in caches),
-            "hubs toppled": sum(parent.collapses for parent in parents),
-            "cold room": round(max(cache.max_cold_use for cache in caches), 2),
-            "hubs' room": round(max(parent.max_cold_use for parent in parents), 2),
-            "dials a box": round(sum(cache.connection_attempts for cache in caches) / len(caches), 1),
-            "refused": sum(cache.refused_connections for cache in caches),
-            "store in the worst s": round(
+            "watch requests": len(self.service.calls),
+            "most in 1 s": max(calls.values(), default=0),
+            "service crashes": self.service.crashes,
+            "all responded s": self._seconds_until_all_listed(),
+            "cache collapses": sum(cache.collapses for cache in caches),
+            "parent collapses": sum(parent.collapses for parent in parents),
+            "max cold use, caches": round(max(cache.max_cold_use for cache in caches), 2),
+            "max cold use, parents": round(max(parent.max_cold_use for parent in parents), 2),
+            "connection attempts per cache": round(
+                sum(cache.connection_attempts for cache in caches) / len(caches), 1
+            ),
+            "refused connections": sum(cache.refused_connections for cache in caches),
+            "origin load, max in 1 s": round(
                 max(origin_requests.values(), default=0) / origin.requests_per_s, 2
             ),
-            "worth 5 s": round(share(0, 5), 3),
-            "10 s": round(share(0, 10), 3),
-            "30 s": round(share(0, min(30, seconds - 2)), 3),
-            "to 95% s": self.outcomes.seconds_to_recover(seconds),
-            "orders twice": sum(count > 1 for count in self.servers.order_runs.values()),
+            "in time 5 s": round(share(0, 5), 3),
+            "in time 10 s": round(share(0, 10), 3),
+            "in time 30 s": round(share(0, min(30, seconds - 2)), 3),
+            "recovery to 95% s": self.outcomes.seconds_to_recover(seconds),
+            "orders executed twice": sum(count > 1 for count in self.servers.order_runs.values()),
         }
 
     def _seconds_until_all_listed(self) -> float:
