--- a/kelpcroft/decision/endpoint_directory.py
+++ b/kelpcroft/decision/endpoint_directory.py
@@ -42,7 +42,7 @@
 
     def apply(self, event: EndpointListChanged) -> None:
         """Apply a complete endpoint list or changes to it."""
-        if event.form != "update":
+        if event.update_kind != "update":
             for endpoint in self.by_name.values():
                 endpoint.is_listed = False
         for server in event.servers:
--- a/kelpcroft/decision/events.py
+++ b/kelpcroft/decision/events.py
@@ -132,12 +132,12 @@
     """A change of the endpoint list, or a failure of discovery.
 
     Attributes:
-        form: "update" (only the servers that changed), "replace" or "restored" (the complete list), or
+        update_kind: "update" (only the servers that changed), "replace" or "restored" (the complete list), or
             "unavailable" (discovery has failed).
         servers: The servers that changed, or all servers of the list.
     """
 
-    form: str
+    update_kind: str
     servers: tuple[Server, ...] = ()
 
 
--- a/kelpcroft/decision/forwarding.py
+++ b/kelpcroft/decision/forwarding.py
@@ -12,7 +12,7 @@
 from kelpcroft.decision.outlier_ejection import OutlierEjection
 from kelpcroft.decision.request_completion import RequestCompletion
 from kelpcroft.decision.requests import Attempt, InFlightRequest
-from kelpcroft.decision.route_selection import Route, RouteSelection
+from kelpcroft.decision.route_selection import AttemptServers, ServerSelection
 from kelpcroft.decision.router_state import RouterState
 
 REUSED_REQUEST_COUNT: Final = 1.5  # number of recent requests at which an object's copy is kept longer
@@ -28,35 +28,35 @@
         latency_model: LatencyModel,
         ejection: OutlierEjection,
         freshness: Freshness,
-        routes: RouteSelection,
+        server_selection: ServerSelection,
         completion: RequestCompletion,
     ) -> None:
         self.state = state
         self.latency_model = latency_model
         self.ejection = ejection
         self.freshness = freshness
-        self.routes = routes
+        self.server_selection = server_selection
         self.completion = completion
 
     def send_next_attempt(self, request: InFlightRequest) -> None:
         """Send the next attempt of a request, or end the request if no further attempt is possible."""
         remaining_ns = request.deadline_ns - self.state.now_ns
-        route = None
+        servers = None
         if remaining_ns > 0 and not self.has_used_all_attempts(request):
-            route = self.routes.select_route(request)
-        if route is None:
+            servers = self.server_selection.select_servers(request)
+        if servers is None:
             self.completion.reject_or_fail(request)
         else:
-            self.send(request, route, remaining_ns)
+            self.send(request, servers, remaining_ns)
 
     def has_used_all_attempts(self, request: InFlightRequest) -> bool:
         """Return True if a request has used all its attempts; the lower of old and new limit applies."""
         return request.attempts_sent >= min(request.max_attempts, self.state.settings.limits.max_attempts)
 
-    def send(self, request: InFlightRequest, route: Route, remaining_ns: int) -> None:
+    def send(self, request: InFlightRequest, servers: AttemptServers, remaining_ns: int) -> None:
         """Send one attempt, and charge it to the budgets of its servers."""
-        endpoint = route.endpoint
-        source = route.fill_source
+        endpoint = servers.endpoint
+        source = servers.fill_source
         is_trial = endpoint.is_ejected or source.is_ejected
         self._charge_budgets(request, endpoint, source)
         number = request.attempts_sent
--- a/kelpcroft/decision/policy.py
+++ b/kelpcroft/decision/policy.py
@@ -43,7 +43,7 @@
 from kelpcroft.decision.request_completion import RequestCompletion
 from kelpcroft.decision.requests import InFlightRequest
 from kelpcroft.decision.retries import Retries
-from kelpcroft.decision.route_selection import RouteSelection
+from kelpcroft.decision.route_selection import ServerSelection
 from kelpcroft.decision.router_state import RouterState
 from kelpcroft.decision.settings import Settings
 from kelpcroft.decision.slow_start import SlowStart
@@ -77,9 +77,16 @@
         self.sources = FillSources(self.state, self.slow_start, self.ejection)
         self.freshness = Freshness(self.state)
         self.completion = RequestCompletion(self.state)
-        self.routes = RouteSelection(self.state, self.admission, self.idempotency, self.caches, self.sources)
+        self.server_selection = ServerSelection(
+            self.state, self.admission, self.idempotency, self.caches, self.sources
+        )
         self.forwarding = Forwarding(
-            self.state, self.latency_model, self.ejection, self.freshness, self.routes, self.completion
+            self.state,
+            self.latency_model,
+            self.ejection,
+            self.freshness,
+            self.server_selection,
+            self.completion,
         )
         self.retries = Retries(self.state, self.forwarding, self.completion)
         self.is_tick_scheduled = False
@@ -172,7 +179,7 @@
             self.completion.close(request)
 
     def _handle_endpoint_list_changed(self, event: EndpointListChanged) -> None:
-        if event.form == "unavailable":
+        if event.update_kind == "unavailable":
             at_ns = self.state.now_ns + RESUBSCRIBE_DELAY_NS
             self.state.actions.append(SetTimer(RESUBSCRIBE_TIMER, at_ns))
         else:
--- a/kelpcroft/decision/retries.py
+++ b/kelpcroft/decision/retries.py
@@ -52,7 +52,7 @@
             self.completion.fail(request)
         elif event.outcome is Outcome.RESET and request.reset_count < MAX_SAME_SERVER_RESETS:
             # The server holds the copy or is filling it; another server would have to fill it again.
-            # Route selection still applies the guard against a second execution.
+            # Server selection still applies the guard against a second execution.
             request.reset_count += 1
             self._send_again(request, not event.outcome.proves_not_executed)
         else:
@@ -143,13 +143,15 @@
         in_flight_servers = {attempt.endpoint.server.name for attempt in request.attempts_in_flight.values()}
         in_flight_servers -= request.excluded_servers
         request.excluded_servers |= in_flight_servers
-        route = (
-            self.forwarding.routes.select_route(request) if self.state.now_ns < request.deadline_ns else None
+        servers = (
+            self.forwarding.server_selection.select_servers(request)
+            if self.state.now_ns < request.deadline_ns
+            else None
         )
         request.excluded_servers -= in_flight_servers
-        if route is not None:
+        if servers is not None:
             request.hedge_count += 1
-            self.forwarding.send(request, route, request.deadline_ns - self.state.now_ns)
+            self.forwarding.send(request, servers, request.deadline_ns - self.state.now_ns)
 
     def _may_hedge(self, request: InFlightRequest, event: HedgeDue) -> bool:
         retry_policy = request.request.retry_policy
--- a/kelpcroft/decision/route_selection.py
+++ b/kelpcroft/decision/route_selection.py
@@ -1,4 +1,4 @@
-"""Route selection: chooses the servers of a request's next attempt."""
+"""Server selection: chooses the servers of a request's next attempt."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from kelpcroft.decision.router_state import RouterState
 
 
-class Route:
+class AttemptServers:
     """The servers of an attempt.
 
     Attributes:
@@ -27,7 +27,7 @@
         self.fill_source = fill_source
 
 
-class RouteSelection:
+class ServerSelection:
     """Selects a cache and a fill source, or a parent or origin if the caches are bypassed."""
 
     def __init__(
@@ -44,16 +44,16 @@
         self.caches = caches
         self.sources = sources
 
-    def select_route(self, request: InFlightRequest) -> Route | None:
+    def select_servers(self, request: InFlightRequest) -> AttemptServers | None:
         """Return the servers of the next attempt, or None if no server can be used."""
         if not request.bypasses_cache:
             for cache in self.caches.ranked_caches(request):
                 for source in self.sources.ranked_sources(request, cache):
-                    return Route(cache, source)
-        return self._select_bypass_route(request)
+                    return AttemptServers(cache, source)
+        return self._select_bypass_servers(request)
 
-    def _select_bypass_route(self, request: InFlightRequest) -> Route | None:
-        """Return a direct route to a parent or the origin, if no cache of the zone can take the request."""
+    def _select_bypass_servers(self, request: InFlightRequest) -> AttemptServers | None:
+        """Return a parent or the origin for the attempt, if no cache of the zone can take the request."""
         if not self.state.settings.allows_cache_bypass:
             return None
         if not request.request_class.uncacheable and (
@@ -64,5 +64,5 @@
         for endpoint in self.sources.ranked_sources(request, None):
             is_excluded_origin = request.bypasses_cache and endpoint.server.role is Role.ORIGIN
             if self.idempotency.may_send(request, endpoint) and not is_excluded_origin:
-                return Route(endpoint, origins[0] if origins else endpoint)
+                return AttemptServers(endpoint, origins[0] if origins else endpoint)
         return None
--- a/tests/config_reload/test_retune.py
+++ b/tests/config_reload/test_reload.py
@@ -29,7 +29,7 @@
 from tests.support import policy_fixtures as kit
 from tests.support.exchange_player import EXAMPLE
 from tests.support.policy_fixtures import S
-from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, router
+from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, make_reducer
 
 
 def variant(change: Any) -> dict[str, Any]:
@@ -190,7 +190,7 @@
 
 class ReducerReload(unittest.TestCase):
     def test_an_unusable_file_changes_nothing_and_is_logged_once(self) -> None:
-        r = router()
+        r = make_reducer()
 
         def corrupt(raw: dict[str, Any]) -> None:
             raw["settings"]["classes"][0]["give_up_ns"] = -5
@@ -208,7 +208,7 @@
         assert r.state.counters["files refused"] == 3
 
     def test_an_added_class_is_accepted_at_once_and_a_removed_one_until_the_transition_ends(self) -> None:
-        r = router()
+        r = make_reducer()
         first = EXAMPLE["settings"]["classes"][0]["name"]
 
         def change(raw: dict[str, Any]) -> None:
--- a/tests/core/test_components.py
+++ b/tests/core/test_components.py
@@ -26,7 +26,14 @@
 from kelpcroft.net.server_codec import ServerCodec
 from kelpcroft.net.server_connections import PARTIAL_RESPONSE_TIMEOUT_NS, ServerConnection
 from tests.support.exchange_player import EXAMPLE
-from tests.support.reducer_fixtures import GOOD_RESPONSE, NOW, TRACE, client_request, effects_of_type, router
+from tests.support.reducer_fixtures import (
+    GOOD_RESPONSE,
+    NOW,
+    TRACE,
+    client_request,
+    effects_of_type,
+    make_reducer,
+)
 
 
 class Components(unittest.TestCase):
@@ -60,7 +67,7 @@
         for message in [[0, 1, "page", [fields, b""]] for fields in invalid] + too_long:
             with self.subTest(message=str(message)[:200]), pytest.raises(ClientProtocolError):
                 ClientCodec(1, BUFFER_BYTES).receive_data(memoryview(msgpack.packb(message)))
-        reducer = router()
+        reducer = make_reducer()
         assert len(effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))) == 1
         for request in (
             client_request(1, client=2),
@@ -143,7 +150,7 @@
         """An attempt that waited for its connection was sent without an age limit, up to a connect timeout
         after the purge was received.
         """
-        reducer = router()
+        reducer = make_reducer()
         (_opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
         reducer.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW),)))
         (attempt,) = effects_of_type(
@@ -153,7 +160,7 @@
 
     def test_a_cancelled_id_is_not_reused_on_its_connection(self) -> None:
         """A response that crossed its KILL on the wire would be matched to the next attempt with that id."""
-        reducer = router()
+        reducer = make_reducer()
         (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
         reducer.handle(NOW, inputs.ServerConnected(opening.connection))
         (cancellation,) = effects_of_type(
@@ -174,7 +181,7 @@
         """A duplicate of a miss ended the next attempt while its server still executed it, so a request that
         must not be executed twice was.
         """
-        reducer = router()
+        reducer = make_reducer()
         (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
         reducer.handle(NOW, inputs.ServerConnected(opening.connection))
         miss = inputs.ServerResponse(
@@ -194,7 +201,7 @@
 
     def test_reset_of_a_new_connection_does_not_eject_its_server(self) -> None:
         """The reset counted as a refused connection: the server was ejected, and later treated as cold."""
-        reducer = router()
+        reducer = make_reducer()
         (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
         (reopening,) = effects_of_type(
             effects.OpenServerConnection,
@@ -210,7 +217,7 @@
             == 1
         )
         assert not any(endpoint.is_ejected for endpoint in reducer.state.policy.endpoints.values())
-        reducer = router()
+        reducer = make_reducer()
         (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
         reducer.handle(NOW, inputs.ServerConnectionLost(opening.connection, "ECONNREFUSED", True))
         assert any(endpoint.is_ejected for endpoint in reducer.state.policy.endpoints.values())
@@ -219,7 +226,7 @@
         """Responses never arrived on a connection that stayed open; as the fullest connection it was given
         all attempts for its server.
         """
-        reducer = router()
+        reducer = make_reducer()
         (opening,) = effects_of_type(
             effects.OpenServerConnection, reducer.handle(NOW, client_request(1, remaining_ms=4_900))
         )
@@ -266,7 +273,7 @@
         time.
         """
         for responds in (True, False):
-            reducer = router()
+            reducer = make_reducer()
             reducer.state.settings = replace(
                 reducer.state.settings, limits=replace(reducer.state.settings.limits, may_probe=True)
             )
@@ -355,7 +362,7 @@
         """0 on the wire means the freshness lifetime: an age limit under a millisecond, rounded down to 0,
         would have allowed any fresh copy.
         """
-        reducer = router()
+        reducer = make_reducer()
         (opening,) = effects_of_type(effects.OpenServerConnection, reducer.handle(NOW, client_request(1)))
         reducer.handle(NOW, inputs.ServerConnected(opening.connection))
         reducer.handle(NOW + MS, inputs.WatchResponse(2, (inputs.Purge(10, 0, NOW + MS),)))
--- a/tests/deployment_check/test_places.py
+++ b/tests/deployment_check/test_places.py
@@ -16,7 +16,7 @@
 from kelpcroft.decision.interface import FillResult, Outcome
 from testbed import cold_start
 from testbed.cold_start import ColdStartFleet
-from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, router
+from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, make_reducer
 
 
 class Refused(unittest.TestCase):
@@ -29,7 +29,7 @@
 
         The refusal comes ``since_response_ns`` after the last response on the first connection.
         """
-        reducer = router()
+        reducer = make_reducer()
         now = NOW + 10 * SECOND
         (first,) = effects_of_type(effects.OpenServerConnection, reducer.handle(now, client_request(1)))
         assert isinstance(first, effects.OpenServerConnection)
--- a/tests/net/test_size.py
+++ b/tests/net/test_size.py
@@ -18,7 +18,7 @@
 from kelpcroft.net.event_loop import EventLoop
 from kelpcroft.net.server_connections import ServerConnection
 from tests.support.exchange_player import EXAMPLE
-from tests.support.reducer_fixtures import GOOD_RESPONSE, NOW, TRACE, router
+from tests.support.reducer_fixtures import GOOD_RESPONSE, NOW, TRACE, make_reducer
 
 
 def pair(case: unittest.TestCase, size: int = 0) -> tuple[socket.socket, socket.socket]:
@@ -103,7 +103,7 @@
 
 class Feed(unittest.TestCase):
     def test_a_failed_watch_is_retried_sooner_than_the_rule_needs(self) -> None:
-        r = router()
+        r = make_reducer()
         first = r.handle(NOW, inputs.WatchFailed("reset"))
         assert [e for e in first if isinstance(e, effects.SendWatchRequest)] == [
             effects.SendWatchRequest(r.endpoint_list.last_event)
--- a/tests/program/test_control.py
+++ b/tests/program/test_control.py
@@ -14,7 +14,7 @@
 )
 from kelpcroft.core.state import MS, SECOND
 from kelpcroft.net.control_codec import MAX_BODY_BYTES, MAX_HEAD_BYTES, ControlCodec
-from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, router
+from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, make_reducer
 
 READY = b"GET /control/ready HTTP/1.1\r\nHost: r\r\n\r\n"
 
@@ -119,7 +119,7 @@
 
 class Drain(unittest.TestCase):
     def test_a_drain_through_the_reducer(self) -> None:
-        r = router()
+        r = make_reducer()
         r.handle(NOW, inputs.ClientConnected(1))
         assert r.handle(NOW, inputs.ControlRequest(7, inputs.ControlOperation.READY)) == [
             effects.ControlResponse(7, True, {"ready": True, "service": "in"})
--- a/tests/program/test_handover.py
+++ b/tests/program/test_handover.py
@@ -13,7 +13,7 @@
 from kelpcroft.core.state import SECOND
 from kelpcroft.net.predecessor_files import write_handover
 from kelpcroft.store.handover import MAX_AGE_NS, MAX_FILE_BYTES, HandoverRecord, decode, encode, file_path
-from tests.support.reducer_fixtures import NOW, effects_of_type, router
+from tests.support.reducer_fixtures import NOW, effects_of_type, make_reducer
 
 
 class File(unittest.TestCase):
@@ -89,7 +89,7 @@
 
 class Reducer(unittest.TestCase):
     def test_a_drain_is_recorded_and_applied_by_the_successor(self) -> None:
-        r = router()
+        r = make_reducer()
         assert effects_of_type(
             effects.PersistServiceState,
             r.handle(NOW, inputs.ControlRequest(1, inputs.ControlOperation.OUT_OF_SERVICE)),
@@ -105,7 +105,7 @@
             )
             == []
         )  # no change
-        successor = router()
+        successor = make_reducer()
         effect_list = successor.handle(NOW, inputs.PredecessorState(False, NOW - SECOND))
         assert effects_of_type(effects.DrainClients, effect_list) == [effects.DrainClients(True)]
         (response,) = effects_of_type(
@@ -119,7 +119,7 @@
             len(
                 effects_of_type(
                     effects.LogEvent,
-                    router().handle(NOW, inputs.PredecessorState(None, reason="x: is not JSON")),
+                    make_reducer().handle(NOW, inputs.PredecessorState(None, reason="x: is not JSON")),
                 )
             )
             == 1
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -35,7 +35,7 @@
     servers,
     settings,
 )
-from tests.support.reducer_fixtures import NOW, effects_of_type, router
+from tests.support.reducer_fixtures import NOW, effects_of_type, make_reducer
 
 COLD = 100 * S
 
@@ -133,14 +133,14 @@
 
 class OverlapInTheReducer(unittest.TestCase):
     def test_the_decision_package_receives_half_and_then_the_full_share(self) -> None:
-        r = router()
+        r = make_reducer()
         assert r.state.policy.router_share == 0.5
         span = r.state.settings.rules.overload_collapse_ns
         r.handle(NOW + span, inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)))
         assert r.state.policy.router_share == 1.0
 
     def test_with_a_shared_listener_it_polls_for_the_end_of_the_predecessor(self) -> None:
-        r = router()
+        r = make_reducer()
         r.service_state.shares_listener = r.restart_overlap.is_shared = True
         effect_list = r.start(NOW)
         assert effects_of_type(effects.ReadPredecessorState, effect_list)
@@ -156,7 +156,7 @@
         assert effects_of_type(effects.ReadPredecessorState, effect_list) == []
 
     def test_its_own_end_is_persisted(self) -> None:
-        r = router()
+        r = make_reducer()
         r.service_state.shares_listener = True
         r.handle(NOW + S, inputs.ShutdownRequested())
         effect_list = r.handle(NOW + 3 * S, inputs.TimerFired((TimerKind.SHUTDOWN, 2, 0)))
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -32,7 +32,7 @@
 from kelpcroft.startup.fleet_size import FleetSizeEstimator
 from kelpcroft.startup.origin_concurrency import OriginConcurrencyLimit
 from testbed.cold_start import START, ColdStartFleet, ListServiceModel
-from tests.support.reducer_fixtures import NOW, effects_of_type, router
+from tests.support.reducer_fixtures import NOW, effects_of_type, make_reducer
 
 S = SECOND
 STEP_SEQUENCES = st.lists(st.sampled_from(["fail", "retry", "answer", "news", "empty"]), max_size=60)
@@ -263,7 +263,7 @@
 class StartInTheReducer(unittest.TestCase):
     def reducer(self, routers: int = 0) -> Reducer:
         """Returns a reducer under the budget of a fleet of this size; without a budget where it is 0."""
-        r = router()
+        r = make_reducer()
         if routers:
             r.position.schedule = DiscoverySchedule(routers, 11, 50.0)
         return r
@@ -317,7 +317,7 @@
         )
 
     def test_the_first_request_is_delayed_and_longer_after_many_starts(self) -> None:
-        r = router()
+        r = make_reducer()
         r.state.config = replace(r.state.config, settings=replace(r.state.config.settings, instances=400))
         (timer,) = poll_timers(r.start(NOW, BUDGET))
         assert 0 < timer.at_ns - NOW < 5 * S
@@ -329,7 +329,7 @@
         )
 
     def test_a_reloaded_file_changes_the_budget(self) -> None:
-        r = router()
+        r = make_reducer()
         r.handle(NOW + S, inputs.OperatorFileRead(OperatorFile(start_options=BUDGET)))
         assert r.position.schedule.has_budget
         r.handle(NOW + 2 * S, inputs.OperatorFileRead(OperatorFile()))
@@ -396,14 +396,14 @@
         assert sum(shares) <= 1.25 + 0.001, "by the settings' number the sum would be len(loads) / configured"
 
     def test_a_deployment_without_that_report_gets_a_diagnostic(self) -> None:
-        s = router().state.settings
+        s = make_reducer().state.settings
         file, _ = load(b'kelpcroft version=1\nstart count=#true\nroute "rest" { match; }\n')
         assert [f.code for f in check(file, s)] == []
         for changed in (replace(s, load_report_mode="off"), replace(s, load_report_fields=("utilization",))):
             assert [f.code for f in check(file, changed)] == ["no-report"]
 
     def test_in_the_reducer(self) -> None:
-        r = router()
+        r = make_reducer()
         assert r.state.fleet_size is None
         r.handle(
             NOW + S,
@@ -486,7 +486,7 @@
         assert origin_limit.has_capacity(), "one fetch is always allowed"
 
     def test_the_reducer_applies_the_limit_to_fills_and_not_to_orders(self) -> None:
-        r = router()
+        r = make_reducer()
         r.handle(
             NOW + S,
             inputs.OperatorFileRead(OperatorFile(start_options=StartupOptions(limit_origin_fetches=True))),
--- a/tests/support/reducer_fixtures.py
+++ b/tests/support/reducer_fixtures.py
@@ -34,7 +34,7 @@
     )
 
 
-def router() -> Reducer:
+def make_reducer() -> Reducer:
     reducer = Reducer(parse_config(EXAMPLE, {}))
     reducer.start(NOW)
     reducer.handle(NOW, inputs.ListenersReady())
