--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -148,7 +148,7 @@
         for sock in incomplete:
             sock.sendall(READY[:20])
         time.sleep(0.2)
-        latencies_ms[f"and {INCOMPLETE_REQUESTS} incomplete"] = figures(
+        latencies_ms[f"and {INCOMPLETE_REQUESTS} incomplete requests"] = figures(
             [send_control_request(router.control_address, READY)[0] for _ in range(CONTROL_REQUESTS)]
         )
         loaded_mb = rss_mb(pid)
