--- a/testbed/demo.py
+++ b/testbed/demo.py
@@ -31,7 +31,7 @@
 
 
 def main() -> int:
-    """Send the requests: exit code 0 if each got the response that its route requires."""
+    """Send the requests; return exit code 0 if each got the response that its route requires."""
     text = (ROOT / "examples/operator.kdl").read_text()
     file, faults = load(text.encode())
     if faults:
@@ -42,7 +42,7 @@
     with StandInServers(script) as stand_ins, RouterProcess(stand_ins, text) as router:
         print(f"a router on {router.address[0]}:{router.address[1]}, two caches, a parent and the origin\n")
         client = router.client()
-        print(f"{'class':8}{'object':20}{'part':>5}  {'route':8}{'answer':9}{'asked':22}{'ms':>6}")
+        print(f"{'class':8}{'object':20}{'part':>5}  {'route':8}{'result':9}{'sent to':22}{'ms':>6}")
         for cls, object_id, part in (
             ("page", "7f3a9c21e0b4d655", 0),
             ("page", "7f3a9c21e0b4d655", 9),
@@ -67,7 +67,7 @@
             must_fail = cls == "order" and object_id == FAILING_OBJECT
             is_as_expected &= response.kind == ("failed" if must_fail else "served")
             is_as_expected &= len(attempted) == (2 if object_id == FAILING_OBJECT and not must_fail else 1)
-    print("\neach as its route says" if is_as_expected else "\nNOT as the routes say")
+    print("\nevery result is as its route requires" if is_as_expected else "\nNOT as the routes require")
     return 0 if is_as_expected else 1
 
 
--- a/testbed/demo_rollout.py
+++ b/testbed/demo_rollout.py
@@ -32,13 +32,17 @@
 
 
 def run(*arguments: str) -> int:
-    """Print and run a command with its output shown: its exit code."""
+    """Print a command and run it with its output shown; return its exit code."""
     print(f"$ kelpcroft {' '.join(arguments)}", flush=True)
     return subprocess.run(command(*arguments), cwd=ROOT, timeout=TIMEOUT_S).returncode
 
 
 def run_with_killed_controller(field: RouterField, plan: str, store: str) -> int:
-    """Start a rollout, kill its controller at the second router's change, start it again: its exit code."""
+    """Start a rollout, kill its controller at the second router's change, and start the rollout again.
+
+    Returns:
+        The exit code of the second controller.
+    """
     orders_before = len(field.orders)
     print(f"$ kelpcroft rollout start {plan} --store {store}", flush=True)
     process = subprocess.Popen(command("rollout", "start", plan, "--store", store), cwd=ROOT)
@@ -47,7 +51,7 @@
         time.sleep(0.05)
     process.send_signal(signal.SIGKILL)
     process.wait()
-    print_heading("the controller was killed; its lease lasts for 15 s, then another goes on")
+    print_heading("the controller was killed; its lease lasts for 15 s, then another continues")
     run("rollout", "status", "--store", store)
     time.sleep(16)
     return run("rollout", "start", plan, "--store", store)
@@ -74,13 +78,13 @@
                         run("rollout", "plan", plan)
                         is_as_expected &= run_with_killed_controller(field, plan, store) == 0
                     else:
-                        print_heading("a bad one: the new build refuses one request in three")
+                        print_heading("a bad change: the new build rejects one request in three")
                         is_as_expected &= run("rollout", "start", plan, "--store", store) == 1
                         run("rollout", "history", "--store", store)
                 changed = [n for n, node in field.nodes.items() if "new" in node.started_builds]
-                print(f"routers touched: {len(changed)}; requests: {dict(load.counts)}", flush=True)
+                print(f"routers changed: {len(changed)}; requests: {dict(load.counts)}", flush=True)
                 is_as_expected &= load.counts["lost"] == 0 and len(changed) == (6 if defect == "sound" else 1)
-    print("\nas it should be" if is_as_expected else "\nNOT as it should be")
+    print("\nboth rollouts ended as expected" if is_as_expected else "\nNOT as expected")
     return 0 if is_as_expected else 1
 
 
--- a/testbed/deployments.py
+++ b/testbed/deployments.py
@@ -1,8 +1,8 @@
 """A simulated day in a randomly generated deployment: the reducer in virtual time, with injected failures.
 
 Servers restart and drain, purges are published, responses are lost, clients retry, and the router is killed.
-The traffic is recorded for a checker that has the rules and none of the router's code. The same seed gives
-exactly the same day. Start at ``SimulatedDay``, whose constructor runs the day.
+The traffic is recorded for a checker, which implements the rules without the router's code. The same seed
+gives exactly the same day. Start at ``SimulatedDay``, whose constructor runs the day.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
 RETRY_SHARE = 0.7  # of the clients that may retry
 RETRY_AFTER_NS = 100 * MS  # from the end of a client's wait to its retry
 REFUSED_CONNECTIONS_SHARE = 0.03
-RESTART_NS = 300 * MS  # from the router's death to its next start
+RESTART_NS = 300 * MS  # from the router's kill to its next start
 REDELIVERED_PURGES_NS = 6 * S  # a new router receives purges that were published at most this long ago
 PURGE_AGE_NS = 50 * MS  # age of a purge when it is published
-EVENT_NUMBER = 9  # of every event; the numbers do not matter here
+EVENT_NUMBER = 9  # number of every event; its value does not matter here
 FROM_SERVERS = (inputs.ServerConnected, inputs.ServerConnectionLost, inputs.ServerResponse)
 FINAL_EFFECTS = (effects.SendResponse, effects.RejectRequest, effects.FailRequest)
 
@@ -63,7 +63,7 @@
     router_life: int  # counts the router's starts
     fate: str
     service_ns: int = 0  # time that its server takes for it
-    ended_ns: int = 0  # its response was read, it was cancelled, or its connection or the router ended
+    ended_ns: int = 0  # when its response was read, it was cancelled, or its connection or the router ended
 
 
 @dataclass
@@ -236,7 +236,7 @@
             self.deliver(inputs.ServerConnectionLost(connection, "reset"))
 
     def _change_server(self, kind: str, status: str) -> str:
-        """Change the status of a random server in service: its name, or "" if none is in service."""
+        """Change the status of a random server in service; return its name, or "" if none is in service."""
         names = [
             line["name"]
             for line in self.endpoints.values()
--- a/testbed/field/agent.py
+++ b/testbed/field/agent.py
@@ -10,7 +10,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Send one command to the field's agent: exit code 0 if the field carried it out."""
+    """Send one command to the field's agent; return exit code 0 if the field carried it out."""
     port, command, router = arguments
     with socket.create_connection(("127.0.0.1", int(port)), 30) as sock:
         sock.sendall(f"{command} {router}\n".encode())
--- a/testbed/field/datagrams.py
+++ b/testbed/field/datagrams.py
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True)
 class DatagramFate:
-    """Shares of datagrams that are lost, repeated or late, and the delay of those that pass.
+    """Shares of datagrams that are lost, repeated or late, and the delay of those that are sent on.
 
-    Every datagram that passes is delayed by ``delay_s`` to twice ``delay_s``, drawn at random.
+    Every datagram that is sent on is delayed by ``delay_s`` to twice ``delay_s``, drawn at random.
     """
 
     lost: float = 0.0
@@ -34,7 +34,7 @@
     late: float = 0.0  # delayed by ``late_s`` more, so that later datagrams overtake it
     delay_s: float = 0.0
     late_s: float = 0.05
-    silent: bool = False  # nothing passes
+    silent: bool = False  # no datagram is sent on
 
 
 class TimedDatagram(NamedTuple):
--- a/testbed/field/field.py
+++ b/testbed/field/field.py
@@ -29,7 +29,7 @@
 
 RULES = 'kelpcroft version=1\ncontrol state=#true\nroute "rest" { match; }\n'
 ORIGIN = "origin"
-DEFAULT_WORK_NS = 20 * MS  # work that one request without a known size counts as at a stand-in
+DEFAULT_WORK_NS = 20 * MS  # work of a request whose size is unknown
 POLL_S = 0.02
 
 
@@ -65,7 +65,7 @@
             weight: Weight of every stand-in in the list.
             settings: Values that replace keys of the routers' settings; tables are merged.
             delay_s: Delay of the relays in ``LinkMode.DELAY``.
-            inherited: Each router has a listening socket that all its processes share, as in upgrades.
+            inherited: Each router has a listening socket that all its processes share, as upgrades need it.
             rules: The operator's file.
             cold: All caches and parents start at the same time as the routers.
         """
@@ -126,7 +126,7 @@
         """Wait until a router accepts connections.
 
         Raises:
-            RuntimeError: It does not in time; the message has the end of its log.
+            RuntimeError: It does not accept them in time; the message contains the end of its log.
         """
         deadline_s = time.monotonic() + MAX_WAIT_S
         while time.monotonic() < deadline_s:
@@ -136,7 +136,9 @@
                 time.sleep(POLL_S)
             else:
                 return
-        raise RuntimeError(f"{node.name} does not serve: {node.log()[-2_000:]}")
+        raise RuntimeError(
+            f"{node.name} accepted no connection within {MAX_WAIT_S:g} s: {node.log()[-2_000:]}"
+        )
 
     # Commands of a rollout --------------------------------------------------------------------------------
 
--- a/testbed/field/load.py
+++ b/testbed/field/load.py
@@ -21,7 +21,7 @@
 REQUEST_TIMEOUT_MS = 2_000
 RESPONSE_TIMEOUT_S = 5
 CONNECT_TIMEOUT_S = 2
-OBJECTS_PER_CLIENT = 50  # requested in turn by each client
+OBJECTS_PER_CLIENT = 50  # which the client requests in turn
 NO_ROUTER_WAIT_S = 0.1  # wait of a client that could connect to no router, before it tries again
 REQUESTS_BEFORE_RETURN = 10  # a client at another router tries its own again after so many requests
 
@@ -29,9 +29,9 @@
 class ClientLoad:
     """One client for each router; while that router is down it uses another of the zone. A context manager.
 
-    ``counts`` counts responses by kind. Its ``lost`` counts requests that a router had accepted and never
-    answered, that is, whose connection ended or timed out first. A request that crossed the router's close
-    of the connection is not counted if it was answered when it was sent again on a new connection.
+    ``counts`` counts responses by kind. Its ``lost`` counts requests that a router had accepted and that got
+    no response, because their connection ended or timed out first. A request that was sent while the router
+    closed the connection is not counted if it got a response when it was sent again on a new connection.
     """
 
     def __init__(self, field: RouterField, per_s: float = 25.0, orders: int = 0) -> None:
@@ -63,9 +63,9 @@
         self._stop.set()
         for thread in self._threads:
             thread.join(MAX_WAIT_S)
-        # A request that crossed a close and was answered when it was sent again was never accepted. Only this
-        # thread removes requests, after all clients have ended: a removal by one client's thread could shift
-        # the list while another thread searches it.
+        # A request that was sent while the router closed the connection, and that got a response when it was
+        # sent again, was never accepted. Only this thread removes requests, after all clients have ended: a
+        # removal by one client's thread could shift the list while another thread searches it.
         crossed_ids = set(map(id, self._crossed_close))
         self.calls = [request for request in self.calls if id(request) not in crossed_ids]
 
--- a/testbed/field/node.py
+++ b/testbed/field/node.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from testbed.field.field import RouterField
 
-PACE_KB_PER_S = 1_000.0  # transfer rate by which a request's size becomes work
+PACE_KB_PER_S = 1_000.0  # transfer rate that converts a request's size to work
 LATENCY_OBJECTIVE_NS = 150 * MS  # of every request class
 DRAIN_TIMEOUT_S = 3.7  # longer than the longest deadline; an old process that still runs then is killed
 HOSTS_PER_NETWORK = 250  # nodes in one 127.1.x.0/24 network of loopback
@@ -71,7 +71,7 @@
         return self.host, int(self.reserved_ports[-1].getsockname()[1])
 
     def release_ports(self) -> None:
-        """Give the reserved ports back; to be called after the last process has ended."""
+        """Release the reserved ports; call this after the last process has ended."""
         for sock in self.reserved_ports:
             sock.close()
 
--- a/testbed/field/relay.py
+++ b/testbed/field/relay.py
@@ -66,9 +66,9 @@
 class Relay:
     """Listens on a port of its own and forwards to a target. A context manager.
 
-    The mode may change at any time. ``share`` is the share of connections to which it applies, chosen by
-    their number. ``passed`` counts accepted connections. ``target`` may be set to another address, which
-    new connections use.
+    The mode may change at any time. ``share`` is the share of connections to which it applies; a connection's
+    number decides whether it is one of them. ``passed`` counts accepted connections. ``target`` may be set to
+    another address, which new connections use.
     """
 
     def __init__(self, target: tuple[str, int], delay_s: float = 2.0, seed: int = 1) -> None:
@@ -124,7 +124,7 @@
         self._selector.close()
 
     def _carry_out_commands(self) -> bool:
-        """Carry out the commands of other threads: whether one of them was to stop."""
+        """Carry out the commands of other threads; return whether one of them was to stop."""
         while self._commands:
             command = self._commands.popleft()
             for end in list(self._ends):
--- a/testbed/field/servers.py
+++ b/testbed/field/servers.py
@@ -27,7 +27,7 @@
         caches_per_zone: int = 1,
         parent_count: int = 1,
     ) -> None:
-        """Listen for ``boxes`` caches in each zone, ``hubs`` parents, the origin and the feed."""
+        """Listen for the caches of each zone, the parents, the origin and the feed."""
         caches = []
         for zone in zones:
             for n in range(caches_per_zone):
@@ -68,7 +68,7 @@
         return {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": lines}}
 
     def change(self, name: str, status: str = "active", since_ms: int = 0) -> int:
-        """Publish an event with one server's new line: the event's number."""
+        """Publish an event with one server's new line; return the event's number."""
         line = self.published_lines[name] = self.line(name, status, since_ms)
         return self.publish(members={"index": 2, "snapshot": False, "endpoints": [line]})
 
--- a/testbed/field/watch.py
+++ b/testbed/field/watch.py
@@ -1,4 +1,4 @@
-"""Checker of five rules over the traffic that clients and stand-ins recorded; imports nothing of the router.
+"""Contract checker: checks five rules on the recorded traffic; imports nothing of the router.
 
 It reads the stand-ins' records of commands and of feed responses, and the clients' records of requests. All
 times are of one monotonic clock, in ns. Each violation begins with the name of its rule:
@@ -6,11 +6,11 @@
     answered  an accepted request has exactly one final response, sent before its deadline
     once      an unsafe request is sent again only if its attempt was proven not executed, a keyed one also
               within its key's window; unless hedged, a request has one attempt in flight at a time
-    drained   past the grace period no request goes to, or names as fill source, a server listed as draining
-              or gone
+    drained   after the grace period no request is sent to a server that is listed as draining or terminated,
+              or names it as fill source
     cold      the work that all routers together send to a server after its start stays below the amount that
-              makes it collapse
-    purged    past the grace period no request allows a copy older than a purge of its object
+              overloads it
+    purged    after the grace period no request allows a copy older than a purge of its object
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 S = 1_000_000_000
 SLACK_NS = 150 * MS  # longest delay that a busy machine may add between the wire and a record
 CONNECTED_NS = 2 * S  # a router that receives an event later was not connected at its publication
-PURGE_CHECKED_NS = 4 * S  # interval after a purge's delivery in which requests are checked against it
+PURGE_CHECKED_NS = 4 * S  # time after a purge's delivery in which requests are checked against it
 
 
 @dataclass
@@ -47,7 +47,7 @@
 
     cold_share: float  # share of the full capacity at the start
     warm_up_ns: int  # time until the full capacity
-    collapse_multiple: float  # multiple of the present capacity that, within the collapse time, is too much
+    collapse_multiple: float  # of the present capacity; more load within the collapse time overloads it
 
 
 @dataclass(frozen=True)
@@ -107,7 +107,7 @@
             requests: The clients' requests.
             rules: Parameters of the rules.
             servers: Id in the list and weight, by the stand-in's name.
-            routers_were_killed: Routers were killed, so requests that they had accepted may lack a response.
+            routers_were_killed: Routers were killed, so requests that they had accepted may have no response.
             links_were_cut: Links lost bytes, so an attempt that a router had abandoned may look as if it were
                 in flight.
             cold_starts_ns: Start times by id of servers that started with the routers. The routers have these
@@ -163,7 +163,9 @@
         elif not request.answers and not request.connection_ended:
             self._report("answered", f"{request.trace} has no response")
         elif not request.answers and not self.routers_were_killed:
-            self._report("answered", f"{request.trace} was accepted and its connection ended unanswered")
+            self._report(
+                "answered", f"{request.trace} was accepted, but its connection ended without a response"
+            )
 
     def _check_attempts(self) -> None:
         """Check each request's attempts in the order in which servers received them."""
@@ -201,7 +203,7 @@
             self._report("once", f"{request_id} was sent again although it may have been executed")
         is_past_window = attempt.received_ns - first.received_ns > window_ns
         if effect == "keyed" and not end.proves_not_executed and is_past_window:
-            self._report("once", f"{request_id} was sent again past its key's window")
+            self._report("once", f"{request_id} was sent again after its key's window")
 
     # The feed's events ------------------------------------------------------------------------------------
 
@@ -247,12 +249,12 @@
             if c.received_ns > grace_end_ns and (not next_in_service_ns or c.received_ns < next_in_service_ns)
         ]
         if violating:
-            self._report("drained", f"{server_id} was sent {len(violating)} requests past its drain's grace")
+            self._report("drained", f"{server_id} was sent {len(violating)} requests after its drain's grace")
 
     def _check_cold(self, server_id: str, delivered_ns: int, started_ns: int) -> None:
         contract = self.rules.cold_parent if server_id in self.parents else self.rules.cold_cache
         cold_share = contract.cold_share
-        # Requests in flight when the routers received the start are excused, as with a drain.
+        # Requests in flight when the routers received the start are not counted, as with a drain.
         sends = [
             c
             for c in self._sent_to(server_id)
--- a/testbed/rollouts.py
+++ b/testbed/rollouts.py
@@ -1,7 +1,7 @@
 """The routers of a rollout in virtual time.
 
-Processes start, serve, go out of service and return, crash and stop responding. A share of their requests is
-not answered in time. For tests and benchmarks of ``kelpcroft.rollout``; the same seed gives the same run.
+Processes start, serve, go out of service and return, crash and stop responding. A share of their requests
+gets no response in time. For tests and benchmarks of ``kelpcroft.rollout``; the same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -138,7 +138,7 @@
                     self.carry_out(effect)
 
     def answer(self, router: SimulatedRouter) -> Event:
-        """A router's report, or that it does not respond."""
+        """A router's report, or ``NoAnswer`` if it does not respond."""
         is_starting = self.now < router.ready_at and router.started == self.now
         if not router.alive or self.now < router.silent_until_ns or is_starting:
             return NoAnswer(router.name)
--- a/testbed/router_process.py
+++ b/testbed/router_process.py
@@ -47,7 +47,7 @@
         self,
         cls: str,
         patience_ms: int = 2_400,
-        object: str = "7f3a9c21e0b4d655",  # noqa: A002 - the word of the request's field
+        object: str = "7f3a9c21e0b4d655",  # noqa: A002 - name of the request's field
         part: int = 0,
         group: int = 17,
         retry: bool = False,
@@ -186,7 +186,7 @@
         return [json.loads(line) for line in self.log_path.read_text().splitlines() if line.startswith("{")]
 
     def reload_rules(self, rules: str) -> dict[str, Any]:
-        """Replace the operator's file and send SIGHUP: the log event about it.
+        """Replace the operator's file and send SIGHUP; return the log event about it.
 
         Raises:
             TimeoutError: No such event was logged in time.
@@ -218,4 +218,4 @@
                 return RouterClient(socket.create_connection(self.address, MAX_WAIT_S))
             except ConnectionRefusedError:
                 time.sleep(RETRY_S)
-        raise RuntimeError(f"the router does not serve: {self.log_path.read_text()}")
+        raise RuntimeError(f"the router accepts no connections: {self.log_path.read_text()}")
--- a/testbed/stand_ins.py
+++ b/testbed/stand_ins.py
@@ -21,7 +21,7 @@
 from typing import Any, NamedTuple
 
 ROOT = Path(__file__).parent.parent
-PROGRAM_DIR = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now: the program that `run` starts
+PROGRAM_DIR = ROOT / os.environ.get("KELPCROFT_FROM", ".")  # .compiled/now is what `run` starts
 MS = 1_000_000
 MAX_WAIT_S = 20.0  # a test or process that waits longer than this has failed
 SELECT_TIMEOUT_S = 0.02  # longest interval between two checks for watch responses that are due
@@ -58,7 +58,7 @@
 class ScriptedReply:
     """How a server treats a request: it responds after a delay, stays silent, or breaks the connection."""
 
-    fate: str = "DONE"  # one of ANSWERS, "silent", "reset", or "cut" (half a response)
+    fate: str = "DONE"  # one of RESPONSE_WORDS, "silent", "reset", or "cut" (half a response)
     delay_ms: float = 0.0
     cache_status: str = "mem"  # value of the response's field ``tell``
     body: bytes = b""
@@ -175,7 +175,7 @@
         return f"127.0.0.1:{self.listeners[name].getsockname()[1]}"
 
     def publish(self, **event: Any) -> int:
-        """Add an event to the feed, which waiting and later watch requests receive: its number."""
+        """Add an event to the feed, which waiting and later watch requests receive; return its number."""
         with self.lock:
             self.feed_events.append({"n": len(self.feed_events) + 2, **event})
             self.feed_event_times_ns.append(time.monotonic_ns())
@@ -343,7 +343,7 @@
                     self._write_later(0, sock, head + body.encode())
 
     def _events_after(self, after_event: int, last_event: int, now_ns: int) -> list[dict[str, Any]]:
-        """Events after a position in the feed's present numbering; below position 1, after a snapshot."""
+        """Events after a position in the feed's present numbering, with a snapshot first below position 1."""
         new_events = []
         if after_event <= last_event:
             new_events = self.feed_events[self.events_before_restart + max(0, after_event - 1) :]
--- a/testbed/virtual.py
+++ b/testbed/virtual.py
@@ -114,7 +114,7 @@
         self.now = START
         self.records: dict[str, RequestRecord] = {}  # by trace id
         self.records_by_number: dict[tuple[int, int], RequestRecord] = {}  # by client and request number
-        self.address_by_connection: dict[int, str] = {}  # of the connections that stand
+        self.address_by_connection: dict[int, str] = {}  # of open connections
         self.log: list[effects.LogEvent] = []
         self.carry_out(self.reducer.start(self.now))
         self.deliver(inputs.ListenersReady())
@@ -173,7 +173,7 @@
         return record
 
     def run(self, until_ns: int = FOREVER) -> None:
-        """Run until no request is open or to come, or up to a time after the start."""
+        """Run until no request is open or scheduled, or up to a time after the start."""
         while self.heap and self.heap[0].at_ns <= START + until_ns:
             due = heapq.heappop(self.heap)
             self.now = due.at_ns
@@ -192,7 +192,7 @@
         return isinstance(message, FROM_SERVERS) and message.connection not in self.address_by_connection
 
     def _is_done(self) -> bool:
-        """Whether no request is open or to come."""
+        """Whether no request is open or scheduled."""
         return not self.reducer.state.requests and not any(
             isinstance(event.message, inputs.ClientRequest) for event in self.heap
         )
--- a/tests/deployment_check/test_deployments.py
+++ b/tests/deployment_check/test_deployments.py
@@ -1,4 +1,4 @@
-"""One program and one `run` line work for deployments with any names of classes."""
+"""One program and one command line of `run` work in deployments whose classes have any names."""
 
 from __future__ import annotations
 
@@ -52,7 +52,10 @@
 
 
 class RunLine(unittest.TestCase):
-    """`run` once named a file with one deployment's class names: at others the router exited with code 2."""
+    """Guards against a file of `run` with class names of one deployment.
+
+    With such a file, the router exited with code 2 in every other deployment.
+    """
 
     @FEW_EXAMPLES
     @given(classes, limits)
@@ -93,7 +96,7 @@
 
 class Printed(unittest.TestCase):
     def test_every_printed_example_runs_as_printed(self) -> None:
-        """They once combined a file of one deployment with the configuration of another: three errors."""
+        """Guards against an example with files of two deployments, whose check reported three errors."""
         for verb in ("check", "explain", "diff", "rollout plan"):
             output = CliRunner().invoke(main, [*verb.split(), "--help"]).output
             example = re.search(r"Example:\s+(kelpcroft .*?)(?:\n\n|\Z)", output, re.S)
@@ -104,7 +107,7 @@
             assert "unknown" not in result.output
 
     def test_the_example_of_serve_runs_as_printed(self) -> None:
-        """It listens on a free port, because the port of the example may be in use."""
+        """The router listens on a free port, because the port of the example may be in use."""
         output = CliRunner().invoke(main, ["serve", "--help"]).output
         example = re.search(r"Example:\s+kelpcroft (serve .*?)(?:\n\n|\Z)", output, re.S)
         assert example, output
@@ -122,7 +125,7 @@
         self.addCleanup(process.kill)
         assert process.stderr
         lines = iter(process.stderr.readline, "")
-        assert any("router.listens" in line for line in lines), "the router does not serve"
+        assert any("router.listens" in line for line in lines), "the router does not listen"
         process.terminate()
         process.stderr.read()
         assert process.wait(20) == 0
@@ -167,7 +170,7 @@
 
 
 def constants_of_the_program() -> dict[str, list[object]]:
-    """Return the values of all module constants, by name; None for a value that is not plain arithmetic."""
+    """Return the values of all module constants by name; None for a value that is not simple arithmetic."""
     constants: dict[str, list[object]] = {}
     for path in sorted((ROOT / "kelpcroft").rglob("*.py")):
         values: dict[str, object] = {"MS": 10**6, "SECOND": 10**9, "SECOND_NS": 10**9}
@@ -377,7 +380,7 @@
             for key in ("settings.weight_source", "settings.limits.most_tries"):
                 assert key in result.output
                 assert key in started.stderr
-            del raw["feed"]  # the command once filled it in, so that only the start rejected its absence
+            del raw["feed"]  # when the command added a missing feed, only the start rejected the file
             with open(path, "w") as file:
                 json.dump(raw, file)
             result = CliRunner().invoke(main, ["check", "--config", path])
--- a/tests/deployment_check/test_generated.py
+++ b/tests/deployment_check/test_generated.py
@@ -1,4 +1,4 @@
-"""Rules for the router, checked on the recorded messages of random deployments (testbed/deployments.py)."""
+"""Rules of the router, checked on the recorded traffic of random deployments (testbed/deployments.py)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DayCheck:
-    """Check of a simulated day: compares attempts and their ends and clients' responses with the settings."""
+    """Checks the attempts of a simulated day, their ends and the clients' responses against the settings."""
 
     def __init__(self, day: SimulatedDay) -> None:
         self.day, self.violations = day, list[str]()
@@ -100,7 +100,7 @@
                 attempt.command.idempotency_key
                 != self.day.requests_by_trace[attempt.command.attempt_id].request.idempotency_key
             ):
-                self.report("nonce", f"{key} went out as {attempt.command.idempotency_key!r}")
+                self.report("nonce", f"{key} was sent as {attempt.command.idempotency_key!r}")
         if request_class["idempotency"] == "safe" or (
             request_class["idempotency"] == "keyed" and request_class["group"] == "all"
         ):
@@ -117,7 +117,7 @@
                     self.report("refused", f"{key} may have run")
 
     def check_drains(self, attempt: AttemptRecord) -> None:
-        """No attempt is sent to or filled from a server after its drain notice; the grace is not used."""
+        """No attempt is sent to or filled from a server after its drain event; no grace is allowed."""
         for name in (attempt.server, attempt.command.source):
             notices = [
                 (at_ns, kind)
@@ -128,11 +128,11 @@
                 self.report(
                     "drain",
                     f"{name} got an attempt "
-                    f"{(attempt.sent_ns - max(notices)[0]) / MS:.0f} ms after its drain notice",
+                    f"{(attempt.sent_ns - max(notices)[0]) / MS:.0f} ms after its drain event",
                 )
 
     def check_purges(self, attempt: AttemptRecord, record: RequestRecord) -> None:
-        """No attempt allows a copy from before a reported purge."""
+        """No attempt allows a copy from before a purge that the router has received."""
         request = record.request
         sweep_ns = self.settings["family_info"]["purge_takes_ns"]
         for at_ns, kind, purge in self.day.notices:
@@ -148,7 +148,7 @@
         """A server that has just started is sent no more than its cold capacity allows.
 
         In any window of ``fall_ns``, the sending times of the attempts that are sent to it or filled from it
-        stay within the rule's bound.  The largest attempt is not counted, because one can always be sent.
+        stay within the rule's bound.  The largest attempt is not counted, because one is always allowed.
         """
         family_info, contract = self.settings["family_info"], self.settings["contract"]
         endpoint = self.addresses[name]
@@ -203,7 +203,7 @@
                     for _, effect in record.final_effects
                 )
                 attempt_count += len(day.attempts)
-        assert served_count > 30 * SEEDS, "days with few served requests prove little"
+        assert served_count > 30 * SEEDS, "too few served requests to check the rules"
         assert attempt_count > served_count
 
     def test_a_seed_replays_a_day(self) -> None:
--- a/tests/deployment_check/test_places.py
+++ b/tests/deployment_check/test_places.py
@@ -1,4 +1,4 @@
-"""Servers with few connections: a refused one does not eject the server; retries are spread over time."""
+"""Servers that accept few connections: a refusal does not eject them, and retries are spread over time."""
 
 from __future__ import annotations
 
@@ -58,7 +58,10 @@
         )
 
     def test_a_waiting_request_takes_the_open_connection_after_a_refusal(self) -> None:
-        """Once the server was ejected, its copies forgotten and clients rejected for at least a second."""
+        """Guards against an ejection of the server because of one refused connection.
+
+        The ejection discarded the record of its copies, and clients were rejected for at least a second.
+        """
         reducer, first, effect_list = self.refuse_second_connection(0)
         (attempt,) = effects_of_type(effects.SendAttempt, effect_list)
         assert isinstance(attempt, effects.SendAttempt)
@@ -107,7 +110,10 @@
         assert len(set(backoffs_ns.values())) == 40
 
     def test_many_routers_with_caches_of_few_connections(self) -> None:
-        """Forty routers, caches with 32 connections: a refused router once ejected the cache."""
+        """Forty routers use caches with 32 connections each.
+
+        Guards against the ejection of a cache by a router whose connection it refused.
+        """
         before, cold_start.ROUTERS_PER_ZONE = cold_start.ROUTERS_PER_ZONE, 40
         try:
             fleet = ColdStartFleet(40, rate=4.0, max_connections=32, cold=False, cold_parents=False)
--- a/tests/deployment_check/test_two_sites.py
+++ b/tests/deployment_check/test_two_sites.py
@@ -1,7 +1,7 @@
-"""The `run` line at several deployments, as real processes on loopback with stand-in servers.
+"""The command line of `run` in several deployments, as real processes on loopback with stand-in servers.
 
-They differ in classes, effects, groups, windows, graces, features, reports, weights and known sizes.  Neither
-the program nor the file that `run` names contains a name of theirs.
+The deployments differ in classes, effects, groups, windows, graces, features, reports, weights and known
+sizes.  Neither the program nor the file that `run` names contains any of their names.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 
 
 def servers_that_fail_once(reply: str) -> tuple[StandInServers, list[ServerCommand]]:
-    """Return servers of which the first to get a request ends it with ``reply``; the others serve it."""
+    """Return servers: the first that receives a request ends it with ``reply``, the others serve it."""
     seen: list[ServerCommand] = []
 
     def script(server: str, command: ServerCommand) -> ScriptedReply:
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -43,7 +43,7 @@
 
 
 class ProcessKilled(BaseException):
-    """Simulates the death of the controller's process; not an Exception, so that no handler catches it."""
+    """Simulates a kill of the controller's process; not an Exception, so that no handler catches it."""
 
 
 class ImmediateExecutor:
@@ -66,7 +66,7 @@
 
 
 class FleetDriver(RouterDriver):
-    """Driver of the simulated routers; the controller dies at the command with the number ``dies_at``."""
+    """Driver of the simulated routers; the controller is killed at the command with number ``dies_at``."""
 
     def __init__(self, plan: RolloutPlan, fleet: ControlledFleet, dies_at: int = 0) -> None:
         super().__init__(plan)
@@ -84,7 +84,10 @@
 
 
 class KillableStore(RolloutStore):
-    """Store whose user dies at a numbered step, before or after its commit, without releasing the lease."""
+    """Store whose controller is killed at a numbered step, before or after its commit.
+
+    ``keeps_lease`` makes the controller end without releasing its lease, as a killed process does.
+    """
 
     def __init__(self) -> None:
         super().__init__(":memory:")
@@ -139,12 +142,12 @@
             number: The number of the step or command.
 
         Returns:
-            Whether the run was long enough for the controller to die at this place.
+            Whether the run was long enough for the controller to be killed at this place.
         """
         self.setUp()
         self.store.dies_before = number if kind == "before" else 0
         self.store.dies_after = number if kind == "behind" else 0
-        self.store.keeps_lease = True  # a process that dies does not release its lease
+        self.store.keeps_lease = True  # a killed process does not release its lease
         was_killed = False
         try:
             assert self.lead(number if kind == "order" else 0) == RolloutOutcome.DONE
@@ -154,7 +157,7 @@
         run = self.store.newest_run()
         if was_killed and run is not None and run.outcome != "done":
             with pytest.raises(LeaseLostError) as raised:
-                self.lead()  # the lease of the dead controller has not expired
+                self.lead()  # the lease of the killed controller has not expired
             assert (raised.value.path, raised.value.run_id) == (self.store.path, run.id)
             assert str(raised.value) == f"run {run.id} is led by another controller"
             self.sleep(16.0)
@@ -170,7 +173,7 @@
             number = 1
             while self.is_killed_and_continued(kind, number):
                 number += 1
-            assert number > 18, f"{kind}: fewer places than commands and the steps between them"
+            assert number > 18, f"{kind}: killed at fewer places than a run has commands"
 
     def test_a_controller_stalled_past_its_lease_sends_no_commands(self) -> None:
         """A controller that stalled for 30 s, while its successor led, must not send commands afterwards."""
@@ -276,7 +279,7 @@
                 second = self.instance(driver, target)
                 assert second != first
                 assert driver.execute(target, CommandKind.APPLY) == "", (
-                    "its digest is not that of the new build"
+                    "the running build's digest is not that of the new build"
                 )
                 assert self.instance(driver, target) != second
                 plan = self.plan(f'act local=#true {{ old "{ROOT}"; new "/nowhere" }}', folder, ports[1])
@@ -301,8 +304,8 @@
     def test_a_zombie_process_counts_as_ended(self) -> None:
         """A zombie process counts as ended.
 
-        The pid of a process stays in use until its parent collects the exit status.  A slow parent made the
-        driver report that the process did not end, so that the change counted as failed.
+        The pid of a process stays in use until its parent collects the exit status.  With a slow parent, the
+        driver reported that the process had not ended, and the change counted as failed.
         """
         child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
         try:
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -87,7 +87,9 @@
     def test_a_stage_that_takes_a_complete_zone_is_an_error(self) -> None:
         assert "whole-zone" in codes(VALID_PLAN.replace('stage "two" count=2 least="30s" most="5m"\n', ""))
         alone = VALID_PLAN.replace('; router "b2" zone="b"', "").replace("count=2", 'share="50%"')
-        assert codes(alone) == [], "b1 is the only router of its zone, so none could be left"
+        assert codes(alone) == [], (
+            "b1 is the only router of its zone, so its stage must take the complete zone"
+        )
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.binary(max_size=60), st.integers(0, len(VALID_PLAN)))
@@ -257,8 +259,8 @@
     def test_a_new_router_without_requests_is_not_good(self) -> None:
         """New routers without requests must not pass a stage.
 
-        Clients that had moved to other routers during the change stayed there.  The new routers got no
-        requests, and a build with a regression passed every stage.
+        Clients that move to other routers during the change stay there, so the new routers get no requests.
+        A build with a regression passed every stage in this way.
         """
 
         class WithoutNewRequests(SimulatedFleet):
@@ -280,14 +282,15 @@
     def test_a_successor_continues_at_any_instant(self) -> None:
         """A takeover after any step, with the commands of that step lost, changes each router exactly once.
 
-        The time without a controller counted as silence of the routers, and held the rollout immediately.
+        Guards against counting the time without a controller as silence of the routers, which held the
+        rollout immediately.
         """
         for takeover_interval in (7, 23, 61):
             fleet = SimulatedFleet(make_plan(2, 3), 3, sound)
             for n in range(3_000):
                 if n % takeover_interval == takeover_interval - 1:
                     raw = json.loads(json.dumps(to_snapshot(fleet.rollout)))
-                    fleet.now += 20 * S  # the lease of the predecessor has to expire
+                    fleet.now += 20 * S  # the lease of the predecessor expires first
                     fleet.rollout = restored(fleet.plan, raw)
                     for effect in fleet.rollout.resume_after_takeover(fleet.now, True):
                         if isinstance(effect, RouterCommand):
@@ -371,7 +374,8 @@
     def test_a_router_that_crashes_in_its_change_is_rolled_back(self) -> None:
         """A router that crashes during its change is rolled back without a drain.
 
-        It never responded, so it never reported that it was out of service, and the rollback hung.
+        Guards against a rollback that waits for the router to report that it is out of service: it never
+        responds, so the rollback hung.
         """
 
         class Dying(SimulatedFleet):
@@ -388,7 +392,8 @@
     def test_a_router_that_crashes_while_cold_holds_the_rollout(self) -> None:
         """A router that crashes while it is cold holds the rollout.
 
-        It was neither compared nor counted as missing, so the stage waited for it forever.
+        Guards against a router that is neither compared nor counted as missing: the stage waited for it
+        forever.
         """
 
         class Dying(SimulatedFleet):
--- a/tests/rollout/test_rollout_faults.py
+++ b/tests/rollout/test_rollout_faults.py
@@ -26,7 +26,7 @@
 
 
 class FailureTestCase(RolloutTestCase):
-    """A check that the tests of this module share."""
+    """Base class with a check that the tests of this module share."""
 
     def run_defective_change(
         self,
@@ -68,8 +68,8 @@
     def test_a_sound_change_under_failures_of_all_kinds(self) -> None:
         """Network failures during a sound change must not stop it, lose a request or violate the contract.
 
-        Twelve routers in three zones; dropped connections, a slow cache, a resetting cache and a silent
-        parent, each injected at a change of a router.
+        Twelve routers in three zones.  Dropped connections, a slow cache, a cache that resets connections and
+        a silent parent are each injected at the change of a router.
         """
         field, digest = self.field("sound", 3, 4, boxes=2, hubs=2, relayed=True)
         relays, change_count = field.servers.relays, [0]
@@ -247,7 +247,8 @@
             deadline_s = time.monotonic() + 90
             while "held" not in controller.run_command("status", *store) and time.monotonic() < deadline_s:
                 time.sleep(0.2)
-            # The router died while it was cold, or when it was warm; then the stage's maximum time holds it.
+            # The router was killed while it was cold, or when it was warm; in the second case the rollout is
+            # held at the end of the stage's maximum time.
             assert re.search("has not answered|not enough evidence", controller.run_command("status", *store))
             controller.run_command("revert", *store)
             assert self.wait_for_exit(process, controller) == 1, controller.output()
@@ -383,7 +384,7 @@
         self.run_defective_change(field, plan, "does worse in zone", 1, per_s=100.0)
 
     def supervise(self, field: RouterField) -> None:
-        """Act as a supervisor that restarts each process that died, with the same build."""
+        """Act as a supervisor that restarts each process that has ended, with the same build."""
 
         def restart_dead_routers() -> None:
             while field.agent.fileno() >= 0:
@@ -437,7 +438,7 @@
             assert self.wait_for_exit(process, controller) == 0, controller.output()
 
     def test_a_controller_that_is_suspended_for_thirty_seconds(self) -> None:
-        """A successor takes over when the lease has expired; the first controller must not act any more."""
+        """A successor takes over when the lease has expired; the first controller must not send commands."""
         field, digest = self.field("sound", 1, 3)
         controller = self.controller(field.rollout_plan(digest))
         with ClientLoad(field):
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_beside.py
@@ -1,4 +1,4 @@
-"""Two processes of one router and a cold server: together they send less than the load that overloads it."""
+"""Two processes of one router during a restart: together they never overload a cold server."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         overlap.start(COLD)
         overlap.on_serving(COLD + 5 * S)
         assert overlap.budget_share(COLD + 17 * S) == 0.5, (
-            "6 s, the longest deadline of 6 s and 0.7 s after it serves"
+            "half until 6 s + 6 s (the longest deadline) + 0.7 s after it serves"
         )
         assert overlap.budget_share(COLD + 18700 * MS) == 1.0
         overlap.on_predecessor_ended(COLD + 9 * S, COLD + 8 * S)
@@ -121,7 +121,7 @@
         for kb in (20.0, 100.0, 400.0, 1_500.0):
             with self.subTest(kb=kb):
                 assert max_overload(self.two_policies(1.0, 1.0), kb, 3 * MS) > 1.0, (
-                    "the overload is possible in this test"
+                    "two full shares overload the cache, so the test can fail"
                 )
                 assert max_overload(self.two_policies(1.0, 0.5), kb, 3 * MS) <= 1.0
 
@@ -146,7 +146,9 @@
         assert effects_of_type(effects.ReadPredecessorState, effect_list)
         r.handle(NOW + S, inputs.PredecessorEnded(NOW - S))
         r.handle(NOW + 4 * S, inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)))
-        assert r.state.policy.router_share == 0.5, "an earlier process ended, not the one that still runs"
+        assert r.state.policy.router_share == 0.5, (
+            "an earlier process has ended, not the predecessor, which still runs"
+        )
         r.handle(NOW + 5 * S, inputs.PredecessorEnded(NOW + 5 * S))
         effect_list = r.handle(
             NOW + 5 * S + r.state.settings.rules.overload_collapse_ns,
@@ -248,7 +250,9 @@
                         )
                         served[0] += response.kind == "served"
                         if sent % 5 == 0:
-                            raise ConnectionError("opens another connection, maybe to the other process")
+                            raise ConnectionError(
+                                "open another connection, which may reach the other process"
+                            )
                     except OSError:
                         client = None
                     time.sleep(0.01)
@@ -276,9 +280,9 @@
             received_ns = [s.received_ns for s in stand_ins.requests(server="cache1")]
             assert len(received_ns) > received_before, "the cold cache is used"
             assert served[0] > 200
-            # 0.02 s of work each; 2.0 * 0.21 * 2 = 0.83 s of it in any second overload the cache.
+            # Each request is 0.02 s of work; 2.0 * 0.21 * 2 = 0.83 s of work in a second overloads the cache.
             max_per_s = max(sum(at <= x < at + S for x in received_ns) for at in received_ns)
-            assert max_per_s <= 41, "requests of 0.02 s in one second"
+            assert max_per_s <= 41, "requests to the cold cache in one second"
             handover = orjson.loads(next(folder.glob("kelpcroft-*.json")).read_bytes())
             assert handover["ended_ms"] > 0
 
--- a/tests/startup/test_cold_start.py
+++ b/tests/startup/test_cold_start.py
@@ -1,7 +1,7 @@
 """Twenty-four router processes that start at the same time, while the list service and servers fail.
 
-Failures are injected on events.  The checks use the requests that reached the stand-ins.  Some tests run only
-with ``pytest -m long``.
+Failures are injected when an observed event occurs.  The checks use the requests that reached the
+stand-ins.  Some tests run only with ``pytest -m long``.
 """
 
 from __future__ import annotations
@@ -83,13 +83,15 @@
             )
             requests_while_dead = watch_requests(stand_ins, began_ns, back_ns)
             assert requests_while_dead < ROUTERS + 1.5 * MAX_REQUESTS_PER_S * (back_ns - began_ns) / S, (
-                "while it was dead"
+                "watch requests while the service was dead"
             )
             assert requests_while_dead > ROUTERS // 2, "routers continued to send requests"
-            assert stand_ins.feed_crashes == 0, "more than 40 requests in a second crash it"
+            assert stand_ins.feed_crashes == 0, (
+                "no second had more than 40 requests, which would crash the service"
+            )
             stand_ins.crash_feed(2.0)
             back_ns = stand_ins.feed_down_until_ns
-            # Routers that have not reconnected yet receive a drain late: this is the cost of the budget.
+            # Routers that have not reconnected yet would receive a drain late: the budget delays them.
             assert wait_until(
                 lambda: len({p for at, _, p in stand_ins.feed_calls if p and at > back_ns}) >= ROUTERS
             )
@@ -191,7 +193,9 @@
                 name = ("cache-z0", "cache-z0-1")[n % 2]
                 last, changed_ns = stand_ins.change(name, "leaving"), time.monotonic_ns()
                 assert wait_until(lambda at=changed_ns, last=last: informed_routers(stand_ins, last, at) >= 1)
-                assert wait_until(lambda at=changed_ns: time.monotonic_ns() > at + 2100 * MS), "past grace"
+                assert wait_until(lambda at=changed_ns: time.monotonic_ns() > at + 2100 * MS), (
+                    "the drain's grace has passed"
+                )
                 node.process.send_signal(signal.SIGCONT)
                 assert wait_until(lambda at=changed_ns, last=last: informed_routers(stand_ins, last, at) >= 2)
                 stand_ins.change(name)
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -71,7 +71,7 @@
     def test_a_dead_service_receives_a_bounded_number_of_requests(self) -> None:
         """A dead list service receives a bounded number of requests whatever the fleet's size.
 
-        Guards against a fixed retry delay: at 400 ms each, 200 routers sent it 500 requests a second.
+        Guards against a fixed retry delay: with 400 ms, 200 routers sent it 500 requests a second.
         """
         for count in (20, 120, 200, 1_000):
             times = request_times(fleet(count), 30, lambda at: False)
@@ -82,7 +82,7 @@
             assert max_requests(times) < max(130, 1.4 * count / 5), count
 
     def test_without_a_budget_requests_are_sent_immediately(self) -> None:
-        """Rules whose grace starts when the feed has an event require each request to be sent immediately."""
+        """A grace starts when the feed has an event, so without a budget requests are sent immediately."""
         for count in (1, 60, 200, 5_000):
             schedule = DiscoverySchedule(count, 1)
             assert (schedule.first_request_delay_ns(), schedule.event_wait_ms()) == (0, 1000)
@@ -349,7 +349,7 @@
 
 
 class FleetSize(unittest.TestCase):
-    """Routers of the zone, estimated from the reports of caches."""
+    """The number of routers in the zone, estimated from the load reports of caches."""
 
     def test_an_estimate_equal_to_the_settings(self) -> None:
         estimator = FleetSizeEstimator(4)
@@ -375,14 +375,14 @@
             estimator.record_report(
                 NOW + S + n * MS, 0.0, 2
             )  # reports from before this router's two requests arrived
-        assert estimator.estimated_routers(NOW + S + 50 * MS) == 2, "one router, and the margin"
+        assert estimator.estimated_routers(NOW + S + 50 * MS) == 2, "one router, plus the margin"
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.integers(1, 40), min_size=1, max_size=40), st.integers(1, 40))
     def test_the_shares_never_exceed_the_capacity_of_a_zone(self, loads: list[int], configured: int) -> None:
         """The shares of all routers stay within the zone's capacity.
 
-        This holds whatever their number and however uneven their load, within 16 times the settings' number.
+        This holds for up to 16 times the number of routers in the settings, however uneven their load.
         """
         total = sum(loads)
         if len(loads) > 16 * configured or total > 16 * configured * min(loads):
@@ -393,7 +393,9 @@
             for n in range(30):
                 estimator.record_report(NOW + n * MS, float(total), own_load)
             shares.append(1 / estimator.estimated_routers(NOW + 30 * MS))
-        assert sum(shares) <= 1.25 + 0.001, "by the settings' number the sum would be len(loads) / configured"
+        assert sum(shares) <= 1.25 + 0.001, (
+            "with the number in the settings the sum would be len(loads) / configured"
+        )
 
     def test_a_deployment_without_that_report_gets_a_diagnostic(self) -> None:
         s = router().state.settings
@@ -423,8 +425,8 @@
     def test_a_tenth_of_the_configured_routers(self) -> None:
         """A tenth of the configured routers run, and all caches are cold.
 
-        Guards against a share by the settings' number: each router spent a fortieth of the zone's capacity,
-        and 0.28 of the requests' priority weight was served in time.
+        Guards against a share computed from the number in the settings: each router used a fortieth of the
+        zone's capacity, and 0.28 of the requests' priority weight was served in time.
         """
         share_in_time = {}
         for count in (False, True):
@@ -551,14 +553,16 @@
 
 class CrashLoop(unittest.TestCase):
     def test_a_crash_loop_sends_the_list_service_few_requests(self) -> None:
-        """A router starts every 2 s for a minute: counts the requests that are sent before the next crash."""
+        """A router starts every 2 s for a minute; few of the starts send a request before the next crash."""
         data, requests = b"", 0
         for n in range(30):
             now = NOW + n * 2 * S
             earlier = crash_loop_backoff.decode(data, "n3", now)
             requests += crash_loop_backoff.crash_loop_delay_ns(earlier) < 2 * S
             data = crash_loop_backoff.encode("n3", earlier, now)
-        assert requests == 4, "of 30 starts: the third and fourth wait 0.5 and 1 s"
+        assert requests == 4, (
+            "4 of 30 starts: the third waits 0.5 s, the fourth 1 s, and all later ones too long"
+        )
         assert (
             crash_loop_backoff.crash_loop_delay_ns(crash_loop_backoff.decode(data, "n3", NOW + 180 * S)) == 0
         ), "earlier starts expire"
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -29,7 +29,7 @@
 
 
 def fail_orders(server: str, command: ServerCommand) -> ScriptedReply:
-    """Ends every order with an error after which it may have run, and serves all other requests."""
+    """Ends every order with an error, after which it may have been executed, and serves other requests."""
     return ScriptedReply("BROKE" if command.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
 
 
@@ -110,7 +110,7 @@
         assert self.exchange(sock) == b""
         self.relay.change(LinkMode.SILENT)
         sock = self.connect()
-        assert self.exchange(sock) == b"", "nothing passes"
+        assert self.exchange(sock) == b"", "a silent relay forwards nothing"
         self.relay.change(LinkMode.PASS)
         assert sock.recv(16) == b"hello", "the bytes held by the silent relay are delivered"
         self.relay.change(LinkMode.CUT)
