--- a/benchmarks/cold_start_field.py
+++ b/benchmarks/cold_start_field.py
@@ -52,13 +52,13 @@
     try:
         field.__enter__()
         pids = [n.process.pid for n in field.nodes.values() if n.process]
-        began, ready, start_cpu = field.began_ns, time.monotonic_ns(), sum(map(cpu_s, pids))
+        began, ready, start_cpu = field.started_ns, time.monotonic_ns(), sum(map(cpu_s, pids))
         back = max(servers.feed_down_until_ns, ready)
         servers.feed_down_until_ns = back  # the outage lasts at least until all are ready
         heard = 0
         with ClientLoad(field, per_s=2.0) as load:
             while time.monotonic_ns() < began + seconds * S or not heard:
-                ports = {port for at, after, port in list(servers.feed_calls) if after >= 0 and at > back}
+                ports = {port for at, after, port in list(servers.feed_requests) if after >= 0 and at > back}
                 if len(ports) >= len(pids) and not heard:
                     heard = time.monotonic_ns()
                 if time.monotonic_ns() > back + 60 * S:
@@ -66,11 +66,11 @@
                 time.sleep(0.05)
             cost, held = sum(map(cpu_s, pids)) - start_cpu, sum(map(memory_mb, pids)) / len(pids)
             span = (time.monotonic_ns() - ready) / S
-        calls = [at for at, _, _ in servers.feed_calls]
+        calls = [at for at, _, _ in servers.feed_requests]
         shares = []
         for first in (5, 10):
-            asked = [a for a in load.calls if a.at_ns < ready + first * S]
-            shares.append(sum(any(k == "served" for _, k in a.answers) for a in asked) / max(1, len(asked)))
+            asked = [a for a in load.requests if a.at_ns < ready + first * S]
+            shares.append(sum(any(k == "served" for _, k in a.responses) for a in asked) / max(1, len(asked)))
         return {
             "routers": len(pids),
             "all ready s": round((ready - began) / S, 1),
--- a/benchmarks/late_answers.py
+++ b/benchmarks/late_answers.py
@@ -12,7 +12,7 @@
 
 from kelpcroft.core import effects, inputs
 from kelpcroft.decision.interface import FillResult
-from testbed.virtual import MS, OUTCOME_BY_FATE, AttemptRecord, S, VirtualRouter
+from testbed.virtual import MS, OUTCOME_BY_NAME, AttemptRecord, S, VirtualRouter
 
 LATE, LATE_NS = 0.02, S
 GAP_NS, REQUESTS = 5 * MS, 6_000
@@ -38,7 +38,7 @@
         self.schedule(
             self.now + took,
             inputs.ServerResponse(
-                e.connection, e.attempt_id, OUTCOME_BY_FATE["done"], FillResult.HIT, 0, {}, False, b"x"
+                e.connection, e.attempt_id, OUTCOME_BY_NAME["done"], FillResult.HIT, 0, {}, False, b"x"
             ),
         )
 
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -21,7 +21,7 @@
 from testbed.virtual import (
     EXAMPLE,
     MS,
-    OUTCOME_BY_FATE,
+    OUTCOME_BY_NAME,
     START,
     AttemptRecord,
     RequestRecord,
@@ -71,13 +71,13 @@
         """Occupy a slot and schedule the response and the slot's release."""
         self.busy[server] = self.busy.get(server, 0) + 1
         failing = FAILURE[0] <= self.now - START < FAILURE[1]
-        fate = "broke" if failing and self.random.random() < 0.5 else "done"
+        outcome = "broke" if failing and self.random.random() < 0.5 else "done"
         done = self.now + self.random.randint(*SERVICE_MS) * MS
-        note = FillResult.HIT if fate == "done" else FillResult.NONE
+        note = FillResult.HIT if outcome == "done" else FillResult.NONE
         self.schedule(
             done,
             inputs.ServerResponse(
-                e.connection, e.attempt_id, OUTCOME_BY_FATE[fate], note, 0, {"server": 0.0}, False, b"x"
+                e.connection, e.attempt_id, OUTCOME_BY_NAME[outcome], note, 0, {"server": 0.0}, False, b"x"
             ),
         )
         self.schedule(done, server)
--- a/benchmarks/rollout_field.py
+++ b/benchmarks/rollout_field.py
@@ -29,7 +29,8 @@
 def count_harmed(load: ClientLoad) -> int:
     """The number of requests that were not served in time."""
     return sum(
-        not any(kind == "served" and at - a.at_ns <= AIM_NS for at, kind in a.answers) for a in load.calls
+        not any(kind == "served" and at - a.at_ns <= AIM_NS for at, kind in a.responses)
+        for a in load.requests
     )
 
 
@@ -42,7 +43,7 @@
             plan = plan.replace("harm=0.15", "harm=0.05").replace('most="60s"', 'most="140s"')
         (folder / "plan.kdl").write_text(plan)
         arguments = ["rollout", "start", str(folder / "plan.kdl"), "--store", str(folder / "store.db")]
-        with ClientLoad(field, PER_S, orders=5) as load:
+        with ClientLoad(field, PER_S, order_every=5) as load:
             began = time.monotonic()
             process = subprocess.Popen(
                 [sys.executable, "-c", f"from kelpcroft.cli import main; main({arguments!r})"],
@@ -71,7 +72,7 @@
     """Run every router with the defect for ``seconds``: requests harmed."""
     with (
         RouterField(2, 3, {"old": ROOT, "new": build_program(folder / "again", defect)}) as field,
-        ClientLoad(field, PER_S, orders=5) as load,
+        ClientLoad(field, PER_S, order_every=5) as load,
     ):
         time.sleep(2)
         for node in field.nodes.values():
--- a/testbed/demo.py
+++ b/testbed/demo.py
@@ -8,21 +8,21 @@
 from kelpcroft.operator_file import load
 from kelpcroft.operator_file.explain import RequestAttributes, find_route
 from testbed.router_process import RouterProcess
-from testbed.stand_ins import ROOT, ScriptedReply, ServerCommand, StandInServers
+from testbed.stand_ins import ROOT, ScriptedResponse, ServerCommand, StandInServers
 
 ZONE = "edge-1"
 FAILING_OBJECT = "00000000000000aa"  # the first response to each request for this object is an error
 
 
-def script(server: str, command: ServerCommand) -> ScriptedReply:
+def script(server: str, command: ServerCommand) -> ScriptedResponse:
     """Caches hold pages, orders run at the origin, and requests for one object fail at first."""
     if (
         command.fields["item"] == FAILING_OBJECT
         and len(ATTEMPTED_SERVERS.setdefault(command.request_id, [])) == 0
     ):
         ATTEMPTED_SERVERS[command.request_id].append(server)
-        return ScriptedReply("BROKE")
-    return ScriptedReply(
+        return ScriptedResponse("BROKE")
+    return ScriptedResponse(
         "DONE", 3, "mem" if server.startswith("cache") else "origin", f"by {server}".encode()
     )
 
--- a/testbed/demo_rollout.py
+++ b/testbed/demo_rollout.py
@@ -43,11 +43,13 @@
     Returns:
         The exit code of the second controller.
     """
-    orders_before = len(field.orders)
+    commands_before = len(field.commands)
     print(f"$ kelpcroft rollout start {plan} --store {store}", flush=True)
     process = subprocess.Popen(command("rollout", "start", plan, "--store", store), cwd=ROOT)
     deadline_s = time.monotonic() + TIMEOUT_S
-    while len(field.orders) < orders_before + 2 and process.poll() is None and time.monotonic() < deadline_s:
+    while (
+        len(field.commands) < commands_before + 2 and process.poll() is None and time.monotonic() < deadline_s
+    ):
         time.sleep(0.05)
     process.send_signal(signal.SIGKILL)
     process.wait()
--- a/testbed/deployments.py
+++ b/testbed/deployments.py
@@ -1,8 +1,9 @@
-"""A simulated day in a randomly generated deployment: the reducer in virtual time, with injected failures.
+"""The reducer in virtual time, in a randomly generated deployment, with injected failures.
 
 Servers restart and drain, purges are published, responses are lost, clients retry, and the router is killed.
 The traffic is recorded for a checker, which implements the rules without the router's code. The same seed
-gives exactly the same day. Start at ``SimulatedDay``, whose constructor runs the day.
+gives exactly the same run. Start at ``SimulatedDay``, whose constructor runs the simulation: a "day" takes a
+few seconds of virtual time.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 from testbed.generated_configuration import MS, S, generate_configuration
 
 __all__ = [
-    "FATES_NOT_EXECUTED",
     "MS",
+    "OUTCOMES_NOT_EXECUTED",
     "START",
     "AttemptRecord",
     "RequestRecord",
@@ -32,9 +33,9 @@
 ]
 
 START = 1_764_576_000 * S
-OUTCOME_BY_FATE = {"done": Outcome.OK, "lack": Outcome.MISS, "wait": Outcome.FULL, "broke": Outcome.ERROR}
-FATES_NOT_EXECUTED = ("lack", "wait", "refused")
-FATE_WEIGHTS = {"done": 0.8, "lack": 0.05, "wait": 0.05, "broke": 0.05, "reset": 0.02}
+OUTCOME_BY_NAME = {"done": Outcome.OK, "lack": Outcome.MISS, "wait": Outcome.FULL, "broke": Outcome.ERROR}
+OUTCOMES_NOT_EXECUTED = ("lack", "wait", "refused")
+OUTCOME_WEIGHTS = {"done": 0.8, "lack": 0.05, "wait": 0.05, "broke": 0.05, "reset": 0.02}
 SILENT = "silent"
 LIST_STATES = {"active": "in_service", "leaving": "terminating", "left": "terminated"}
 ORIGIN = "store"
@@ -60,8 +61,8 @@
     sent_ns: int
     command: effects.SendAttempt
     server: str
-    router_life: int  # counts the router's starts
-    fate: str
+    process_number: int  # of the router's process that sent it
+    outcome: str
     service_ns: int = 0  # time that its server takes for it
     ended_ns: int = 0  # when its response was read, it was cancelled, or its connection or the router ended
 
@@ -72,12 +73,12 @@
 
     arrived_ns: int
     request: inputs.ClientRequest
-    router_life: int
+    process_number: int
     final_effects: list[tuple[int, effects.Effect]] = field(default_factory=list)  # with their times
-    gone_ns: int = 0  # the client cancelled, or the router was killed
+    aborted_ns: int = 0  # when the client cancelled or the router was killed
 
 
-class Notice(NamedTuple):
+class FeedEvent(NamedTuple):
     """A drain, restart or purge that was published to the router, with its time."""
 
     at_ns: int
@@ -90,7 +91,7 @@
 
     at_ns: int
     sequence: int  # breaks ties, so that events are never compared
-    router_life: int
+    process_number: int
     event: inputs.Input | Callable[[], None]
 
 
@@ -98,7 +99,7 @@
     """One router in one deployment, its servers, its feed and its clients."""
 
     def __init__(self, seed: int, seconds: int = 12) -> None:
-        """Run a day of ``seconds`` seconds."""
+        """Run a day that takes ``seconds`` seconds of virtual time."""
         self.random = Random(seed + 1_000_003)
         self.raw_config = generate_configuration(seed)
         self.config = parse_config(self.raw_config, {})
@@ -110,12 +111,12 @@
         self.silent_share = self.random.choice([0.0, 0.05, 0.3])
         self._heap: list[Scheduled] = []
         self._sequence = 0  # of events and of clients
-        self.router_life = 0
+        self.process_number = 0
         self.now = START
         self.attempts: list[AttemptRecord] = []
         self.requests: dict[tuple[int, int], RequestRecord] = {}  # by client and request number
         self.requests_by_trace: dict[str, RequestRecord] = {}
-        self.notices: list[Notice] = []
+        self.feed_events: list[FeedEvent] = []
         self.is_up = True
         self.start_router()
         self._schedule_day(seconds)
@@ -142,19 +143,19 @@
             self.now = due.at_ns
             if callable(due.event):
                 due.event()
-            elif due.router_life == self.router_life and self.is_up:
+            elif due.process_number == self.process_number and self.is_up:
                 self.deliver(due.event)
 
     def schedule(self, at: int, event: inputs.Input | Callable[[], None]) -> None:
         """Schedule an input, which is dropped if the router is killed first, or a step of the day."""
         self._sequence += 1
-        heapq.heappush(self._heap, Scheduled(at, self._sequence, self.router_life, event))
+        heapq.heappush(self._heap, Scheduled(at, self._sequence, self.process_number, event))
 
     # The router's processes -------------------------------------------------------------------------------
 
     def start_router(self) -> None:
         """Start a router that has only its first list, and deliver the changes since then."""
-        self.router_life += 1
+        self.process_number += 1
         self.is_up = True
         self._server_by_connection: dict[int, str] = {}
         self._open_attempts: dict[tuple[int, str], AttemptRecord] = {}  # by connection and attempt id
@@ -171,23 +172,23 @@
         for attempt in self._open_attempts.values():
             attempt.ended_ns = self.now
         for record in self.requests.values():
-            if not record.final_effects and not record.gone_ns:
-                record.gone_ns = self.now
+            if not record.final_effects and not record.aborted_ns:
+                record.aborted_ns = self.now
         self.schedule(self.now + RESTART_NS, self._restart_router)
 
     def _restart_router(self) -> None:
         """Start the router and deliver the purges of the last seconds."""
-        self.notices = [
-            notice
-            for notice in self.notices
-            if notice.kind != "purge" or self.now - notice.at_ns < REDELIVERED_PURGES_NS
+        self.feed_events = [
+            feed_event
+            for feed_event in self.feed_events
+            if feed_event.kind != "purge" or self.now - feed_event.at_ns < REDELIVERED_PURGES_NS
         ]
         self.start_router()
-        for notice in list(self.notices):
-            if notice.kind == "purge":
-                self.deliver(inputs.WatchResponse(EVENT_NUMBER, (inputs.Purge(*notice.subject),)))
-                self.notices.append(Notice(self.now, "purge", notice.subject))
-                self.notices.remove(notice)
+        for feed_event in list(self.feed_events):
+            if feed_event.kind == "purge":
+                self.deliver(inputs.WatchResponse(EVENT_NUMBER, (inputs.Purge(*feed_event.subject),)))
+                self.feed_events.append(FeedEvent(self.now, "purge", feed_event.subject))
+                self.feed_events.remove(feed_event)
 
     # The router's inputs ----------------------------------------------------------------------------------
 
@@ -248,7 +249,7 @@
         line["status"] = status
         if kind == "active":
             line["since_ms"] = self.now // MS
-        self.notices.append(Notice(self.now, kind, line["name"]))
+        self.feed_events.append(FeedEvent(self.now, kind, line["name"]))
         if self.is_up:
             self._deliver_endpoints([line])
         return str(line["name"])
@@ -256,7 +257,7 @@
     def _purge(self) -> None:
         object_number, group = self.random.choice([(7, 0), (8, 0), (None, 3)])
         purged_ns = self.now - PURGE_AGE_NS
-        self.notices.append(Notice(self.now, "purge", (object_number, group, purged_ns)))
+        self.feed_events.append(FeedEvent(self.now, "purge", (object_number, group, purged_ns)))
         if self.is_up:
             self.deliver(inputs.WatchResponse(EVENT_NUMBER, (inputs.Purge(object_number, group, purged_ns),)))
 
@@ -274,7 +275,7 @@
         if wait_ms < 1:
             return
         request = self._make_request(cls, key, wait_ms, is_retry=bool(retry_key))
-        record = RequestRecord(self.now, request, self.router_life)
+        record = RequestRecord(self.now, request, self.process_number)
         self.requests[request.client, 1] = record
         self.requests_by_trace[request.trace_id] = record
         wait_ends_ns = self.now + wait_ms * MS + CLIENT_SLACK_NS
@@ -314,9 +315,9 @@
     def _end_wait(self, record: RequestRecord, since_ns: int) -> None:
         """End a client's wait: it cancels an open request, and may retry if the class allows it."""
         cls = self.classes[record.request.request_class]
-        if not record.final_effects and not record.gone_ns:
-            record.gone_ns = self.now
-            if record.router_life == self.router_life and self.is_up:
+        if not record.final_effects and not record.aborted_ns:
+            record.aborted_ns = self.now
+            if record.process_number == self.process_number and self.is_up:
                 self.deliver(inputs.CancelRequest(record.request.client, 1))
         was_refused = any(isinstance(e, effects.RejectRequest) for _, e in record.final_effects)
         was_served = any(isinstance(e, effects.SendResponse) for _, e in record.final_effects)
@@ -358,28 +359,30 @@
             self.schedule(result_ns, inputs.ServerConnectionLost(e.connection, "refused", True))
 
     def _run_attempt(self, e: effects.SendAttempt) -> None:
-        """Draw an attempt's fate and its service time."""
-        fate = self._draw_fate()
+        """Draw an attempt's outcome and its service time."""
+        outcome = self._draw_outcome()
         service_ns = int(self.random.lognormvariate(4, 1)) * MS + MS
         server = self._server_by_connection[e.connection]
-        attempt = AttemptRecord(self.now, e, server, self.router_life, fate, service_ns)
+        attempt = AttemptRecord(self.now, e, server, self.process_number, outcome, service_ns)
         self.attempts.append(attempt)
         self._open_attempts[e.connection, e.attempt_id] = attempt
         ends_ns = self.now + service_ns
-        if fate == "reset":
+        if outcome == "reset":
             self.schedule(ends_ns, inputs.ServerConnectionLost(e.connection, "reset"))
-        elif fate != SILENT:
-            self.schedule(ends_ns, self._response(e, fate))
+        elif outcome != SILENT:
+            self.schedule(ends_ns, self._response(e, outcome))
 
-    def _draw_fate(self) -> str:
+    def _draw_outcome(self) -> str:
         if self.random.random() < self.silent_share:
             return SILENT
-        return self.random.choices(list(FATE_WEIGHTS), list(FATE_WEIGHTS.values()))[0]
+        return self.random.choices(list(OUTCOME_WEIGHTS), list(OUTCOME_WEIGHTS.values()))[0]
 
-    def _response(self, e: effects.SendAttempt, fate: str) -> inputs.ServerResponse:
+    def _response(self, e: effects.SendAttempt, outcome: str) -> inputs.ServerResponse:
         report = {name: self.random.random() for name in self.config.settings.load_report_fields}
         note = FillResult.NONE
-        if fate == "done":
+        if outcome == "done":
             note = self.random.choice([FillResult.HIT, FillResult.FILLED, FillResult.FILLED_FROM_ORIGIN])
-        outcome = OUTCOME_BY_FATE[fate]
-        return inputs.ServerResponse(e.connection, e.attempt_id, outcome, note, 5 * MS, report, False, b"x")
+        reported_outcome = OUTCOME_BY_NAME[outcome]
+        return inputs.ServerResponse(
+            e.connection, e.attempt_id, reported_outcome, note, 5 * MS, report, False, b"x"
+        )
--- a/testbed/field/__init__.py
+++ b/testbed/field/__init__.py
@@ -5,17 +5,17 @@
 """
 
 from testbed.field.builds import build_program
-from testbed.field.datagrams import DatagramFate, DatagramRelay
+from testbed.field.contract import ContractChecker
+from testbed.field.datagrams import DatagramFaults, DatagramRelay
 from testbed.field.field import RouterField
 from testbed.field.load import ClientLoad
 from testbed.field.node import RouterNode
 from testbed.field.relay import LinkMode, Relay
-from testbed.field.watch import ContractChecker
 
 __all__ = [
     "ClientLoad",
     "ContractChecker",
-    "DatagramFate",
+    "DatagramFaults",
     "DatagramRelay",
     "LinkMode",
     "Relay",
--- a/testbed/field/watch.py
+++ b/testbed/field/contract.py
@@ -4,8 +4,8 @@
 times are of one monotonic clock, in ns. Each violation begins with the name of its rule:
 
     answered  an accepted request has exactly one final response, sent before its deadline
-    once      an unsafe request is sent again only if its attempt was proven not executed, a keyed one also
-              within its key's window; unless hedged, a request has one attempt in flight at a time
+    once      an unsafe request is sent again only if its attempt is proven not executed, a keyed one also
+              within its key's window; unless it is hedged, a request has at most one attempt in flight
     drained   after the grace period no request is sent to a server that is listed as draining or terminated,
               or names it as fill source
     cold      the work that all routers together send to a server after its start stays below the amount that
@@ -38,7 +38,7 @@
     at_ns: int
     patience_ms: int
     size_kb: float = 0.0
-    answers: list[tuple[int, str]] = field(default_factory=list)  # time and kind: served, refused or failed
+    responses: list[tuple[int, str]] = field(default_factory=list)  # time and kind: served, refused or failed
     connection_ended: bool = False  # its connection ended before a response
 
 
@@ -155,14 +155,14 @@
 
     def _check_answered(self, request: ClientRequest) -> None:
         deadline_ns = request.at_ns + request.patience_ms * MS + SLACK_NS
-        if len(request.answers) > 1:
-            self._report("answered", f"{request.trace} has {len(request.answers)} responses")
-        elif request.answers and request.answers[0][0] > deadline_ns:
-            late_ms = (request.answers[0][0] - deadline_ns) / MS
+        if len(request.responses) > 1:
+            self._report("answered", f"{request.trace} has {len(request.responses)} responses")
+        elif request.responses and request.responses[0][0] > deadline_ns:
+            late_ms = (request.responses[0][0] - deadline_ns) / MS
             self._report("answered", f"the response to {request.trace} is {late_ms:.0f} ms late")
-        elif not request.answers and not request.connection_ended:
+        elif not request.responses and not request.connection_ended:
             self._report("answered", f"{request.trace} has no response")
-        elif not request.answers and not self.routers_were_killed:
+        elif not request.responses and not self.routers_were_killed:
             self._report(
                 "answered", f"{request.trace} was accepted, but its connection ended without a response"
             )
--- a/testbed/field/datagrams.py
+++ b/testbed/field/datagrams.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class DatagramFate:
+class DatagramFaults:
     """Shares of datagrams that are lost, repeated or late, and the delay of those that are sent on.
 
     Every datagram that is sent on is delayed by ``delay_s`` to twice ``delay_s``, drawn at random.
@@ -50,20 +50,20 @@
 class DatagramRelay:
     """Listens on a port of its own and forwards to a target. A context manager.
 
-    ``fate`` may be changed while the relay runs. ``seen`` counts datagrams received, ``passed`` those sent.
+    ``faults`` may be changed while the relay runs. ``received`` and ``sent`` count datagrams.
     """
 
     def __init__(
         self,
         target: tuple[str, int],
-        fate: DatagramFate = DatagramFate(),
+        faults: DatagramFaults = DatagramFaults(),
         seed: int = 1,
     ) -> None:
         """Bind a port and start the thread."""
         self.target = target
-        self.fate = fate
-        self.seen = 0
-        self.passed = 0
+        self.faults = faults
+        self.received = 0
+        self.sent = 0
         self._random = Random(seed)
         self._sock = open_socket()
         self.address: tuple[str, int] = self._sock.getsockname()[:2]
@@ -106,7 +106,7 @@
             due = heapq.heappop(self._heap)
             with suppress(OSError):
                 due.sock.sendto(due.data, due.to)
-                self.passed += 1
+                self.sent += 1
 
     def _socket_for(self, sender: tuple[str, int]) -> socket.socket:
         """The socket on which this sender's datagrams are sent to the target."""
@@ -123,20 +123,20 @@
     def _forward(self, sock: socket.socket, to: tuple[str, int], data: bytes) -> None:
         """Lose, repeat or delay a datagram.
 
-        Each datagram takes four random draws whether it is lost or not, so that the fate of one does not
-        change the fates of later ones.
+        Each datagram takes four random draws whether it is lost or not, so that the faults of one do not
+        change those of later ones.
         """
-        self.seen += 1
-        fate = self.fate
-        is_lost = self._random.random() < fate.lost
-        is_repeated = self._random.random() < fate.repeated
-        is_late = self._random.random() < fate.late
-        delay_s = fate.delay_s * (1 + self._random.random())
-        if is_lost or fate.silent:
+        self.received += 1
+        faults = self.faults
+        is_lost = self._random.random() < faults.lost
+        is_repeated = self._random.random() < faults.repeated
+        is_late = self._random.random() < faults.late
+        delay_s = faults.delay_s * (1 + self._random.random())
+        if is_lost or faults.silent:
             return
         for repeat in range(1 + is_repeated):
             self._number += 1
-            due_s = time.monotonic() + delay_s + repeat * fate.late_s + is_late * fate.late_s
+            due_s = time.monotonic() + delay_s + repeat * faults.late_s + is_late * faults.late_s
             heapq.heappush(self._heap, TimedDatagram(due_s, self._number, sock, to, data))
 
 
--- a/testbed/field/field.py
+++ b/testbed/field/field.py
@@ -1,9 +1,9 @@
 """Routers of several zones as real processes, each with its own folder, and their stand-in servers.
 
 Everything that the field starts ends with it, also when the test fails. The kernel assigns the ports. A
-router keeps its addresses over restarts. In a field with upgrades (``inherited``) it also keeps its listening
-socket, which each of its processes inherits. The agent listens for commands of a rollout: ``apply`` starts a
-router with the field's new build, ``undo`` with the old one.
+router keeps its addresses over restarts. In a field with upgrades (``share_listener``) it also keeps its
+listening socket, which each of its processes inherits. The agent listens for commands of a rollout:
+``apply`` starts a router with the field's new build, ``undo`` with the old one.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from pathlib import Path
 from typing import Any
 
+from testbed.field.contract import ContractChecker, ContractRules
 from testbed.field.load import ClientLoad
 from testbed.field.node import RouterNode
 from testbed.field.servers import ZonedServers
-from testbed.field.watch import ContractChecker, ContractRules
-from testbed.stand_ins import MAX_WAIT_S, MS, ServerScript, answer_at_once
+from testbed.stand_ins import MAX_WAIT_S, MS, ServerScript, respond_immediately
 
 __all__ = ["RULES", "ClientLoad", "RouterField", "RouterNode"]
 
@@ -39,16 +39,16 @@
     def __init__(
         self,
         zones: int,
-        each: int,
+        routers_per_zone: int,
         builds: dict[str, Path],
-        script: ServerScript = answer_at_once,
-        boxes: int = 1,
-        hubs: int = 1,
-        relayed: bool = False,
+        script: ServerScript = respond_immediately,
+        caches_per_zone: int = 1,
+        parents: int = 1,
+        use_relays: bool = False,
         weight: float = 8.0,
         settings: dict[str, Any] | None = None,
         delay_s: float = 0.05,
-        inherited: bool = False,
+        share_listener: bool = False,
         rules: str = RULES,
         cold: bool = False,
     ) -> None:
@@ -56,40 +56,42 @@
 
         Args:
             zones: Number of zones: z0, z1, ...
-            each: Number of routers in each zone: z0-0, z0-1, ...
+            routers_per_zone: Number of routers in each zone: z0-0, z0-1, ...
             builds: Folders of the program by build name. The field starts "old", and ``apply`` starts "new".
             script: Decides how stand-ins respond.
-            boxes: Number of caches in each zone.
-            hubs: Number of parents.
-            relayed: Put a relay in front of every stand-in.
+            caches_per_zone: Number of caches in each zone.
+            parents: Number of parents.
+            use_relays: Put a relay in front of every stand-in.
             weight: Weight of every stand-in in the list.
             settings: Values that replace keys of the routers' settings; tables are merged.
             delay_s: Delay of the relays in ``LinkMode.DELAY``.
-            inherited: Each router has a listening socket that all its processes share, as upgrades need it.
+            share_listener: Each router has a listening socket that all its processes share, for upgrades.
             rules: The operator's file.
             cold: All caches and parents start at the same time as the routers.
         """
-        self.inherited = inherited
+        self.share_listener = share_listener
         self.node_rules = rules
         self.zones = tuple(f"z{n}" for n in range(zones))
-        self.each = each
+        self.routers_per_zone = routers_per_zone
         self.builds = builds
         self.settings = settings or {}
         self.folder = tempfile.TemporaryDirectory()
-        self.servers = ZonedServers(self.zones, script, boxes, hubs)
+        self.servers = ZonedServers(self.zones, script, caches_per_zone, parents)
         self.servers.weight = weight
-        if relayed:
+        if use_relays:
             self.servers.relay([row.name for row in self.servers.rows], delay_s)
         self.is_cold = cold
-        self.began_ns = 0
+        self.started_ns = 0
         # Carries out a command at a router; a test may put ``reload_config`` here.
-        self.order_action: Callable[[RouterNode, str], None] = self._upgrade if inherited else self._restart
+        self.command_action: Callable[[RouterNode, str], None] = (
+            self._upgrade if share_listener else self._restart
+        )
         # Callbacks by step of an upgrade, called with the node, the old process and the new one.
         self.on_upgrade_step: dict[str, Any] = {}
         self.agent = socket.create_server(("127.0.0.1", 0))
         self.nodes: dict[str, RouterNode] = {}
-        self.orders: list[tuple[str, str]] = []  # command and router, in order of arrival
-        self.on_order: dict[str, Any] = {}  # callbacks by command, called with the node before it runs
+        self.commands: list[tuple[str, str]] = []  # command and router, in order of arrival
+        self.on_command: dict[str, Any] = {}  # callbacks by command, called with the node before it runs
 
     def __enter__(self) -> RouterField:
         if self.is_cold:
@@ -97,10 +99,10 @@
             for row in self.servers.rows:
                 if row.name != ORIGIN:
                     self.servers.published_lines[row.name] = self.servers.line(row.name, since_ms=now_ms)
-        self.began_ns = time.monotonic_ns()
+        self.started_ns = time.monotonic_ns()
         self.servers.__enter__()
         for zone in self.zones:
-            for number in range(self.each):
+            for number in range(self.routers_per_zone):
                 self.nodes[f"{zone}-{number}"] = RouterNode(self, f"{zone}-{number}", zone)
         for node in self.nodes.values():
             node.start("old")
@@ -152,10 +154,10 @@
             with sock:
                 command, name = sock.makefile().readline().split()
                 node = self.nodes[name]
-                self.orders.append((command, name))
-                if command in self.on_order:
-                    self.on_order[command](node)
-                self.order_action(node, command)
+                self.commands.append((command, name))
+                if command in self.on_command:
+                    self.on_command[command](node)
+                self.command_action(node, command)
                 with suppress(OSError):  # a controller that was killed does not read the response
                     sock.sendall(b"ok\n")
 
@@ -185,18 +187,20 @@
 
     # For tests --------------------------------------------------------------------------------------------
 
-    def check_contract(self, load: ClientLoad, killed: bool = False, cut: bool = False) -> ContractChecker:
-        """Check the traffic recorded so far; ``killed`` and ``cut`` as for ``ContractChecker``."""
+    def check_contract(
+        self, load: ClientLoad, routers_were_killed: bool = False, links_were_cut: bool = False
+    ) -> ContractChecker:
+        """Check the traffic recorded so far; the other arguments are those of ``ContractChecker``."""
         settings = next(iter(self.nodes.values())).config["settings"]
         rows = self.servers.rows
-        cold_starts_ns = {row.server_id: self.began_ns for row in rows if row.name != ORIGIN}
+        cold_starts_ns = {row.server_id: self.started_ns for row in rows if row.name != ORIGIN}
         return ContractChecker(
             self.servers,
-            load.calls,
+            load.requests,
             ContractRules.of(settings, DEFAULT_WORK_NS),
             {row.name: (row.server_id, self.servers.weight) for row in rows},
-            killed,
-            cut,
+            routers_were_killed,
+            links_were_cut,
             cold_starts_ns if self.is_cold else {},
             frozenset(row.server_id for row in rows if row.kind == "parent"),
         )
@@ -204,17 +208,17 @@
     def rollout_plan(
         self,
         digest: str,
-        more: str = "",
+        extra_lines: str = "",
         control: dict[str, tuple[str, int]] | None = None,
-        what: str = 'program build="{}"',
+        change: str = 'program build="{}"',
     ) -> str:
         """A rollout file for these routers, with intervals short enough for a test.
 
         Args:
-            digest: Digest of the new build or configuration, formatted into ``what``.
-            more: Further lines of the file.
+            digest: Digest of the new build or configuration, formatted into ``change``.
+            extra_lines: Further lines of the file.
             control: Control addresses by router that replace the routers' own.
-            what: Content of the file's ``change`` node.
+            change: Content of the file's ``change`` node.
         """
         addresses = {name: node.control_address for name, node in self.nodes.items()}
         addresses |= {
@@ -228,7 +232,7 @@
         agent = f'"{sys.executable}" "-m" "testbed.field.agent" "{self.agent.getsockname()[1]}"'
         lines = [
             "rollout version=1",
-            f"change {{ {what.format(digest)}; }}",
+            f"change {{ {change.format(digest)}; }}",
             *routers,
             'stage "one" count=1 least="3s" most="60s"',
             'stage "half" share="50%" least="3s" most="60s"',
@@ -240,6 +244,6 @@
             f'  apply {agent} "apply" "{{router}}"',
             f'  undo {agent} "undo" "{{router}}"',
             "}",
-            more,
+            extra_lines,
         ]
         return "\n".join(lines)
--- a/testbed/field/load.py
+++ b/testbed/field/load.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from testbed.field.watch import SLACK_NS, ClientRequest
+from testbed.field.contract import SLACK_NS, ClientRequest
 from testbed.router_process import RouterClient
 from testbed.stand_ins import MAX_WAIT_S
 
@@ -34,20 +34,20 @@
     closed the connection is not counted if it got a response when it was sent again on a new connection.
     """
 
-    def __init__(self, field: RouterField, per_s: float = 25.0, orders: int = 0) -> None:
+    def __init__(self, field: RouterField, per_s: float = 25.0, order_every: int = 0) -> None:
         """Create the clients; entering the context starts them.
 
         Args:
             field: The field whose routers receive the requests.
             per_s: Requests a second of each client, if responses took no time.
-            orders: One in so many requests is an order, which must not run twice; 0 = none.
+            order_every: One in so many requests is an order, which must not run twice; 0 = none.
         """
         self.field = field
         self.interval_s = 1 / per_s
-        self.orders = orders
-        self.calls: list[ClientRequest] = []
+        self.order_every = order_every
+        self.requests: list[ClientRequest] = []
         self.counts: Counter[str] = Counter()
-        self._crossed_close: list[ClientRequest] = []
+        self._sent_during_close: list[ClientRequest] = []
         self._stop = threading.Event()
         self._threads = [
             threading.Thread(target=self._drive, args=(node, n), daemon=True)
@@ -66,8 +66,8 @@
         # A request that was sent while the router closed the connection, and that got a response when it was
         # sent again, was never accepted. Only this thread removes requests, after all clients have ended: a
         # removal by one client's thread could shift the list while another thread searches it.
-        crossed_ids = set(map(id, self._crossed_close))
-        self.calls = [request for request in self.calls if id(request) not in crossed_ids]
+        sent_during_close_ids = set(map(id, self._sent_during_close))
+        self.requests = [request for request in self.requests if id(request) not in sent_during_close_ids]
 
     def _connect(self, node: RouterNode) -> tuple[RouterClient | None, bool]:
         """A connection to this router or else to another of its zone, and whether it is to this router."""
@@ -95,7 +95,7 @@
                 time.sleep(NO_ROUTER_WAIT_S)
                 continue
             request_count += 1
-            cls = "order" if self.orders and request_count % self.orders == 0 else "page"
+            cls = "order" if self.order_every and request_count % self.order_every == 0 else "page"
             object_id = f"{number:08x}{request_count % OBJECTS_PER_CLIENT:08x}"
             client, is_own = self._send_with_retry(node, client, is_own, cls, object_id)
             time.sleep(self.interval_s)
@@ -114,7 +114,7 @@
             request = ClientRequest(
                 secrets.token_hex(8), cls, object_id, time.monotonic_ns(), REQUEST_TIMEOUT_MS, SIZE_KB
             )
-            self.calls.append(request)
+            self.requests.append(request)
             try:
                 self._exchange(current, request, is_retry=is_retry)
                 break
@@ -128,7 +128,7 @@
                     self.counts["lost"] += 1
                     break
                 if time.monotonic_ns() - request.at_ns < SLACK_NS:
-                    self._crossed_close.append(request)
+                    self._sent_during_close.append(request)
         return current, is_own
 
     def _exchange(self, client: RouterClient, request: ClientRequest, *, is_retry: bool) -> None:
@@ -144,5 +144,5 @@
             more={"size": f"{request.size_kb:g}"},
         )
         response = next(client.responses(1))
-        request.answers.append((time.monotonic_ns(), response.kind))
+        request.responses.append((time.monotonic_ns(), response.kind))
         self.counts[response.kind] += 1
--- a/testbed/field/node.py
+++ b/testbed/field/node.py
@@ -55,7 +55,7 @@
         self.control_address = self._reserve_address()
         self.listener: socket.socket | None = None  # inherited by all its processes
         self.control_relay: Relay | None = None  # to the control address of the newest process
-        if field.inherited:
+        if field.share_listener:
             self.listener = socket.create_server((self.host, 0), backlog=128)
             self.address = self.listener.getsockname()[:2]
             self.control_relay = Relay(self.control_address)
@@ -92,7 +92,7 @@
     def _settings(self, example: dict[str, Any]) -> dict[str, Any]:
         """The example's settings with this field's zones, size and replaced values."""
         field = self.field
-        number = field.zones.index(self.zone) * field.each + int(self.name.rpartition("-")[2])
+        number = field.zones.index(self.zone) * field.routers_per_zone + int(self.name.rpartition("-")[2])
         settings = {
             **example,
             "az": self.zone,
@@ -100,10 +100,10 @@
             "family_info": {
                 **example["family_info"],
                 "hub_of": [len(field.zones)] * (len(field.zones) + 1),
-                "instances_by_zone": [field.each] * len(field.zones) + [0],
+                "instances_by_zone": [field.routers_per_zone] * len(field.zones) + [0],
                 "pace_kb_per_s": PACE_KB_PER_S,
             },
-            "instances": field.each * len(field.zones),
+            "instances": field.routers_per_zone * len(field.zones),
             "self_index": number,
             "weight_source": "nominal",
             "classes": [{**c, "aim_ns": LATENCY_OBJECTIVE_NS} for c in example["classes"]],
@@ -193,9 +193,9 @@
         self.field.run_step_callback("ready", self, old, new)
         if old and old.poll() is None:
             old.send_signal(signal.SIGTERM)
-            self.field.run_step_callback("told", self, old, new)
+            self.field.run_step_callback("signalled", self, old, new)
             wait_or_kill(old, DRAIN_TIMEOUT_S)
-        self.field.run_step_callback("gone", self, old, new)
+        self.field.run_step_callback("ended", self, old, new)
 
     def end(self, signal_number: int = signal.SIGTERM) -> None:
         """Send a signal to the process and wait for its end; kill it if it does not end in time."""
--- a/testbed/field/relay.py
+++ b/testbed/field/relay.py
@@ -67,7 +67,7 @@
     """Listens on a port of its own and forwards to a target. A context manager.
 
     The mode may change at any time. ``share`` is the share of connections to which it applies; a connection's
-    number decides whether it is one of them. ``passed`` counts accepted connections. ``target`` may be set to
+    number decides whether it is one of them. ``accepted`` counts connections. ``target`` may be set to
     another address, which new connections use.
     """
 
@@ -77,7 +77,7 @@
         self.delay_s = delay_s
         self.mode = LinkMode.PASS
         self.share = 1.0
-        self.passed = 0
+        self.accepted = 0
         self._random = random.Random(seed)
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=256)
         self._listener.setblocking(False)
@@ -141,8 +141,8 @@
             client, _ = self._listener.accept()
         except OSError:
             return
-        self.passed += 1
-        is_affected = (self.passed * GOLDEN_RATIO) % 1 < self.share
+        self.accepted += 1
+        is_affected = (self.accepted * GOLDEN_RATIO) % 1 < self.share
         client_end = End(client, is_server=False)
         if self.mode in (LinkMode.REFUSE, LinkMode.RESET) and is_affected:
             self._close(client_end)
--- a/testbed/field/servers.py
+++ b/testbed/field/servers.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from testbed.field.relay import Relay
-from testbed.stand_ins import FEED, SERVERS, ServerScript, StandInServers, answer_at_once
+from testbed.stand_ins import FEED, SERVERS, ServerScript, StandInServers, respond_immediately
 
 
 class ServerRow(NamedTuple):
@@ -23,7 +23,7 @@
     def __init__(
         self,
         zones: tuple[str, ...],
-        script: ServerScript = answer_at_once,
+        script: ServerScript = respond_immediately,
         caches_per_zone: int = 1,
         parent_count: int = 1,
     ) -> None:
--- a/testbed/fleet.py
+++ b/testbed/fleet.py
@@ -21,13 +21,13 @@
 class PolicyFleet:
     """Many routers in virtual time.
 
-    ``reply`` returns when and how an attempt ends; None means that it times out.
+    ``script`` returns when and how an attempt ends; None means that it times out.
     """
 
     def __init__(
-        self, routers: list[RoutingPolicy], reply: Callable[[int, api.ForwardRequest], ScriptedResult | None]
+        self, routers: list[RoutingPolicy], script: Callable[[int, api.ForwardRequest], ScriptedResult | None]
     ) -> None:
-        self.routers, self.reply = routers, reply
+        self.routers, self.script = routers, script
         self.heap: list[tuple[int, int, int, api.Event]] = []
         self.event_count = 0
         self.attempts: list[tuple[int, api.ForwardRequest]] = []
@@ -50,7 +50,7 @@
                     self.attempts.append((now, action))
                     attempt_number = self.attempt_counts.get((router, action.id), 0)
                     self.attempt_counts[router, action.id] = attempt_number + 1
-                    duration_ns, outcome, fill_result, report = self.reply(now, action) or (
+                    duration_ns, outcome, fill_result, report = self.script(now, action) or (
                         action.timeout_ns,
                         Outcome.TIMEOUT,
                         FillResult.NONE,
--- a/testbed/hollow/servers.py
+++ b/testbed/hollow/servers.py
@@ -11,7 +11,7 @@
 import json
 import sys
 
-from testbed.stand_ins import ScriptedReply, ServerCommand, StandInServers
+from testbed.stand_ins import ScriptedResponse, ServerCommand, StandInServers
 
 
 def main() -> None:
@@ -20,8 +20,8 @@
     parser.add_argument("--bytes", type=int, default=20_000)
     body = b"x" * parser.parse_args().bytes
 
-    def script(_: str, __: ServerCommand) -> ScriptedReply:
-        return ScriptedReply(body=body)
+    def script(_: str, __: ServerCommand) -> ScriptedResponse:
+        return ScriptedResponse(body=body)
 
     with StandInServers(script) as stand_ins:
         stand_ins.commands = DiscardingList()
--- a/testbed/rollouts.py
+++ b/testbed/rollouts.py
@@ -34,7 +34,7 @@
 NEW_BUILD = "beef"
 OLD_BUILD = "old"
 USUAL_MEMORY_MB = 30.0
-CLASS_RATES = {"reads": 1, "writes": 3}  # by class: divisor of a router's request rate
+RATE_DIVISORS = {"reads": 1, "writes": 3}  # by class: the router's request rate is divided by this
 DRIFT_DECAY = 0.95  # per second, of the drift: a share of late requests that varies for all routers together
 DRIFT_STEP = 0.01  # standard deviation of the drift's change in a second
 EVERYWHERE = ""  # key of all zones together
@@ -50,20 +50,20 @@
 Harm = Callable[["SimulatedFleet", "SimulatedRouter", str], float]
 
 
-def make_plan(zones: int, routers_per_zone: int, stages: str = "", more: str = "") -> RolloutPlan:
+def make_plan(zones: int, routers_per_zone: int, stages: str = "", limits: str = "") -> RolloutPlan:
     """A plan whose stages are, by default, one router, half of them, and all.
 
     Args:
         zones: Number of zones: z0, z1, ...
         routers_per_zone: Number of routers in each zone: n0-0, n0-1, ...
         stages: Lines that replace the default stages.
-        more: Lines that replace the default limits and times.
+        limits: Lines that replace the default limits and times.
     """
     names = [(f"n{z}-{n}", f"z{z}") for z in range(zones) for n in range(routers_per_zone)]
     text = 'rollout version=1\nchange { program build="beef"; }\n'
     text += "".join(f'router "{name}" zone="{zone}"\n' for name, zone in names)
     text += stages or DEFAULT_STAGES
-    text += more or DEFAULT_LIMITS
+    text += limits or DEFAULT_LIMITS
     plan, faults = load_plan(text.encode())
     assert not faults, [fault.format_for("plan") for fault in faults]
     return plan
@@ -131,13 +131,13 @@
             if isinstance(effect, HistoryEntry):
                 self.history.append(effect)
             elif effect.kind is CommandKind.POLL:
-                self._pending_reports.append(self.answer(self.routers[effect.router]))
+                self._pending_reports.append(self.poll_router(self.routers[effect.router]))
             else:
                 self.commands.append((self.now, effect.router, effect.kind))
                 if self.random.random() >= self.lost_command_share:
                     self.carry_out(effect)
 
-    def answer(self, router: SimulatedRouter) -> Event:
+    def poll_router(self, router: SimulatedRouter) -> Event:
         """A router's report, or ``NoAnswer`` if it does not respond."""
         is_starting = self.now < router.ready_at and router.started == self.now
         if not router.alive or self.now < router.silent_until_ns or is_starting:
@@ -190,7 +190,7 @@
             if self._crashes_now(router):
                 self.start(router, NEW_BUILD)  # the platform restarts it
             if router.serves(self.now):
-                for cls in CLASS_RATES:
+                for cls in RATE_DIVISORS:
                     self._draw_requests(router, cls)
         self.deliver(Tick())
         for event in self._pending_reports:
@@ -207,7 +207,7 @@
 
     def _draw_requests(self, router: SimulatedRouter, cls: str) -> None:
         """Draw the number of a class's requests at a router in this second, and how many are late."""
-        rate = self.rate / CLASS_RATES[cls]
+        rate = self.rate / RATE_DIVISORS[cls]
         sent = max(0, round(self.random.gauss(rate, math.sqrt(rate))))
         harm = self.harm(self, router, cls)
         late_share = min(1.0, max(0.0, self.usual_late_share + self._drift + harm))
--- a/testbed/stand_ins.py
+++ b/testbed/stand_ins.py
@@ -1,7 +1,7 @@
 """Stand-in servers on loopback: caches, a parent, the origin and the feed in one thread.
 
 A script decides how servers respond: a function of the server's name and the received command that returns a
-``ScriptedReply``. Everything received is recorded with its time, so that tests can check it. The kernel
+``ScriptedResponse``. Everything received is recorded with its time, so that tests can check it. The kernel
 assigns the ports. Times are of the monotonic clock, in ns.
 """
 
@@ -55,10 +55,10 @@
 
 
 @dataclass(frozen=True)
-class ScriptedReply:
+class ScriptedResponse:
     """How a server treats a request: it responds after a delay, stays silent, or breaks the connection."""
 
-    fate: str = "DONE"  # one of RESPONSE_WORDS, "silent", "reset", or "cut" (half a response)
+    outcome: str = "DONE"  # one of RESPONSE_WORDS, "silent", "reset", or "cut" (half a response)
     delay_ms: float = 0.0
     cache_status: str = "mem"  # value of the response's field ``tell``
     body: bytes = b""
@@ -111,12 +111,12 @@
 
 
 RESET_MARK = b"reset"
-ServerScript = Callable[[str, ServerCommand], ScriptedReply]
+ServerScript = Callable[[str, ServerCommand], ScriptedResponse]
 
 
-def answer_at_once(server: str, command: ServerCommand) -> ScriptedReply:  # noqa: ARG001 - a ServerScript
+def respond_immediately(server: str, command: ServerCommand) -> ScriptedResponse:  # noqa: ARG001 - a ServerScript
     """Respond to every request immediately, with the server's name."""
-    return ScriptedReply(body=f"by {server}".encode())
+    return ScriptedResponse(body=f"by {server}".encode())
 
 
 class StandInServers:
@@ -127,7 +127,7 @@
     """
 
     def __init__(
-        self, script: ServerScript = answer_at_once, servers: tuple[str, ...] = tuple(SERVERS)
+        self, script: ServerScript = respond_immediately, servers: tuple[str, ...] = tuple(SERVERS)
     ) -> None:
         """Listen on a port for each of ``servers`` (keys of ``SERVERS``) and one for the feed."""
         self.script = script
@@ -138,8 +138,8 @@
         self.feed_events: list[dict[str, Any]] = []  # numbered from 2
         self.feed_event_times_ns: list[int] = []  # time of each event's publication
         self.feed_deliveries: list[Delivery] = []
-        self.feed_calls: list[FeedRequest] = []
-        self.max_feed_calls_per_s = 0  # more watch requests in a second crash the feed; 0 = no limit
+        self.feed_requests: list[FeedRequest] = []
+        self.max_feed_requests_per_s = 0  # more watch requests in a second crash the feed; 0 = no limit
         self.feed_down_until_ns = 0  # until then the feed resets every new connection
         self.feed_crashes = 0
         self.events_before_restart = 0  # number of events before its last restart
@@ -254,7 +254,7 @@
         self._buffers[sock] = b""
         self._selector.register(sock, selectors.EVENT_READ, name)
         if name == FEED and time.monotonic_ns() < self.feed_down_until_ns:
-            self.feed_calls.append(FeedRequest(time.monotonic_ns(), -1, 0))
+            self.feed_requests.append(FeedRequest(time.monotonic_ns(), -1, 0))
             self._drop(sock, reset=True)
 
     def _drop(self, sock: socket.socket, *, reset: bool = False) -> None:
@@ -296,14 +296,14 @@
             self._drop(sock)
             return
         self._buffers[sock] += data
-        take_next = self._take_watch_request if name == FEED else self._take_command
-        while sock in self._buffers and take_next(sock, name):
+        handle_next = self._handle_watch_request if name == FEED else self._handle_command
+        while sock in self._buffers and handle_next(sock, name):
             pass
 
     # The feed ---------------------------------------------------------------------------------------------
 
-    def _take_watch_request(self, sock: socket.socket, _: str) -> bool:
-        """Parse one watch request from the bytes read so far; False if they hold no complete one."""
+    def _handle_watch_request(self, sock: socket.socket, _: str) -> bool:
+        """Handle one watch request of the bytes read so far; False if they contain no complete one."""
         head, separator, rest = self._buffers[sock].partition(b"\r\n\r\n")
         if not separator:
             return False
@@ -318,11 +318,11 @@
     def _record_watch_request(self, after_event: int, port: int) -> None:
         """Record a watch request; too many in a second crash the feed."""
         now_ns = time.monotonic_ns()
-        self.feed_calls.append(FeedRequest(now_ns, after_event, port))
-        max_requests = self.max_feed_calls_per_s
+        self.feed_requests.append(FeedRequest(now_ns, after_event, port))
+        max_requests = self.max_feed_requests_per_s
         recent = [
             request
-            for request in self.feed_calls[-4 * max_requests :]
+            for request in self.feed_requests[-4 * max_requests :]
             if request.after_event >= 0 and request.at_ns > now_ns - 1_000 * MS
         ]
         if max_requests and len(recent) > max_requests:
@@ -353,8 +353,8 @@
 
     # Servers ----------------------------------------------------------------------------------------------
 
-    def _take_command(self, sock: socket.socket, name: str) -> bool:
-        """Parse one command from the bytes read so far and respond to it; False if none is complete."""
+    def _handle_command(self, sock: socket.socket, name: str) -> bool:
+        """Handle one command of the bytes read so far; False if they contain no complete one."""
         elements, rest = split_resp_array(self._buffers[sock])
         if elements is None:
             return False
@@ -371,28 +371,28 @@
 
     def _respond(self, sock: socket.socket, command: ServerCommand) -> None:
         """Treat a request as the script decides."""
-        reply = self.script(command.server, command)
-        after_ns = int(reply.delay_ms * MS)
+        response = self.script(command.server, command)
+        after_ns = int(response.delay_ms * MS)
         key = RequestKey(command.request_id, command.server, command.received_ns)
-        if reply.fate in RESPONSE_WORDS:
+        if response.outcome in RESPONSE_WORDS:
             with self.lock:
                 self.settled_requests[key] = RequestEnd(
-                    command.received_ns + after_ns, reply.fate in PROVE_NOT_EXECUTED
+                    command.received_ns + after_ns, response.outcome in PROVE_NOT_EXECUTED
                 )
         else:
             self._unanswered_requests.setdefault(sock, set()).add(key)
-        if reply.fate == RESET:
+        if response.outcome == RESET:
             self._write_later(after_ns, sock, RESET_MARK)
-        elif reply.fate != SILENT:
-            data = encode_response(command.request_id, reply)
-            self._write_later(after_ns, sock, data[: len(data) // 2] if reply.fate == CUT else data)
+        elif response.outcome != SILENT:
+            data = encode_response(command.request_id, response)
+            self._write_later(after_ns, sock, data[: len(data) // 2] if response.outcome == CUT else data)
 
 
-def encode_response(request_id: str, reply: ScriptedReply) -> bytes:
+def encode_response(request_id: str, response: ScriptedResponse) -> bytes:
     """A response as a RESP array: id, status word, fields and body."""
-    status = "DONE" if reply.fate == CUT else reply.fate
-    fields = f"sum=4be0c1927d55a6f3,t0={time.time_ns() // MS},tell={reply.cache_status}".encode()
-    body = reply.body if reply.fate in ("DONE", "BROKE") else b""
+    status = "DONE" if response.outcome == CUT else response.outcome
+    fields = f"sum=4be0c1927d55a6f3,t0={time.time_ns() // MS},tell={response.cache_status}".encode()
+    body = response.body if response.outcome in ("DONE", "BROKE") else b""
     elements = (request_id.encode(), status.encode(), fields if status == "DONE" else b"-", body)
     return b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(element), element) for element in elements)
 
--- a/testbed/virtual.py
+++ b/testbed/virtual.py
@@ -24,15 +24,15 @@
 FIRST_PORT = 9_000
 FOREVER = 10**18
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_bytes())
-OUTCOME_BY_FATE = {
+OUTCOME_BY_NAME = {
     "done": Outcome.OK,
     "lack": Outcome.MISS,
     "wait": Outcome.FULL,
     "broke": Outcome.ERROR,
     "past": Outcome.MOOT,
 }
-FATES_NOT_EXECUTED = ("lack", "wait", "past")
-REFUSE = "refuse"  # fate of a connection; all others are fates of attempts
+OUTCOMES_NOT_EXECUTED = ("lack", "wait", "past")
+REFUSE = "refuse"  # outcome of a connection; all others are outcomes of attempts
 RESET = "reset"
 FROM_SERVERS = (inputs.ServerResponse, inputs.ServerConnectionLost, inputs.ServerConnected)
 FINAL_EFFECTS = (effects.SendResponse, effects.RejectRequest, effects.FailRequest)
@@ -40,11 +40,11 @@
 
 @dataclass
 class AttemptRecord:
-    """One attempt on the wire; ``fate`` is a key of ``OUTCOME_BY_FATE``, "reset" or "silent"."""
+    """One attempt on the wire; ``outcome`` is a key of ``OUTCOME_BY_NAME``, "reset" or "silent"."""
 
     sent_ns: int
     server: str  # its address
-    fate: str
+    outcome: str
     cancelled_ns: int = 0
 
 
@@ -89,8 +89,8 @@
         self,
         rules: str | None,
         seed: int,
-        fates: dict[str, float],
-        slow_ns: int = 200 * MS,
+        outcomes: dict[str, float],
+        max_service_ns: int = 200 * MS,
         settings: dict[str, Any] | None = None,
     ) -> None:
         """Start the router.
@@ -98,13 +98,13 @@
         Args:
             rules: Content of the operator's file; None = no file.
             seed: Seed of all random draws.
-            fates: Weights of the fates of an attempt; "refuse" is the share of connections refused.
-            slow_ns: Longest service time of a server.
+            outcomes: Weights of the outcomes of an attempt; "refuse" is the share of connections refused.
+            max_service_ns: Longest service time of a server.
             settings: Values that replace keys of the settings.
         """
         self.random = Random(seed)
-        self.fates = fates
-        self.max_service_ns = slow_ns
+        self.outcomes = outcomes
+        self.max_service_ns = max_service_ns
         known = {"n": 1, "events": [{"n": 1, "members": {"snapshot": True, "endpoints": listed_endpoints()}}]}
         changed = {**EXAMPLE["settings"], **(settings or {})}
         self.config = parse_config({**EXAMPLE, "known": known, "settings": changed}, {})
@@ -219,7 +219,7 @@
 
     def _connect(self, e: effects.OpenServerConnection) -> None:
         self.address_by_connection[e.connection] = e.address
-        is_refused = self.random.random() < self.fates.get(REFUSE, 0)
+        is_refused = self.random.random() < self.outcomes.get(REFUSE, 0)
         result_ns = self.now + self.random.randint(1, 3) * MS
         if is_refused:
             self.schedule(result_ns, inputs.ServerConnectionLost(e.connection, "refused", True))
@@ -227,19 +227,19 @@
             self.schedule(result_ns, inputs.ServerConnected(e.connection))
 
     def run_attempt(self, e: effects.SendAttempt) -> None:
-        """Draw an attempt's fate and its service time; benchmarks override this with other servers."""
-        fates = [fate for fate in self.fates if fate != REFUSE]
-        fate = self.random.choices(fates, [self.fates[name] for name in fates])[0]
-        record = AttemptRecord(self.now, self.address_by_connection[e.connection], fate)
+        """Draw an attempt's outcome and its service time; benchmarks override this with other servers."""
+        outcomes = [outcome for outcome in self.outcomes if outcome != REFUSE]
+        outcome = self.random.choices(outcomes, [self.outcomes[name] for name in outcomes])[0]
+        record = AttemptRecord(self.now, self.address_by_connection[e.connection], outcome)
         self.records[e.attempt_id].attempts.append(record)
         ends_ns = self.now + self.random.randint(1, self.max_service_ns // MS) * MS
-        if fate == RESET:
+        if outcome == RESET:
             self.schedule(ends_ns, inputs.ServerConnectionLost(e.connection, "reset"))
-        elif fate in OUTCOME_BY_FATE:
-            note = FillResult.HIT if fate == "done" else FillResult.NONE
+        elif outcome in OUTCOME_BY_NAME:
+            note = FillResult.HIT if outcome == "done" else FillResult.NONE
             self.schedule(
                 ends_ns,
                 inputs.ServerResponse(
-                    e.connection, e.attempt_id, OUTCOME_BY_FATE[fate], note, 0, {}, False, b"x"
+                    e.connection, e.attempt_id, OUTCOME_BY_NAME[outcome], note, 0, {}, False, b"x"
                 ),
             )
--- a/tests/control_log/test_control_field.py
+++ b/tests/control_log/test_control_field.py
@@ -206,7 +206,7 @@
         folder = TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         builds = {"old": PROGRAM_DIR, "new": build_program(Path(folder.name) / "new", "sound")}
-        field = RouterField(2, 2, builds, boxes=3)
+        field = RouterField(2, 2, builds, caches_per_zone=3)
         replicas = [
             ControlReplica(Path(folder.name), f"r{n}", [field.servers.address_of("feed")]) for n in range(2)
         ]
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -58,10 +58,10 @@
         assert len(keys.records) == 2
 
 
-def keyed_router(group: str, fates: dict[str, float], seed: int = 1, window: int = 3 * S) -> VirtualRouter:
+def keyed_router(group: str, outcomes: dict[str, float], seed: int = 1, window: int = 3 * S) -> VirtualRouter:
     classes = [dict(c) for c in EXAMPLE["settings"]["classes"]]
     classes[1].update(idempotency="keyed", group=group, dedup_window_ns=window)
-    return VirtualRouter(None, seed, fates, settings={"classes": classes})
+    return VirtualRouter(None, seed, outcomes, settings={"classes": classes})
 
 
 def schedule_order(
@@ -95,7 +95,7 @@
 
 class Retries(unittest.TestCase):
     def sends(self, v: VirtualRouter) -> list[tuple[int, str, str]]:
-        return sorted((x.sent_ns, x.server, x.fate) for s in v.records.values() for x in s.attempts)
+        return sorted((x.sent_ns, x.server, x.outcome) for s in v.records.values() for x in s.attempts)
 
     def test_a_retry_goes_to_the_group_of_the_first_within_its_window(self) -> None:
         """Requests with the same key were routed independently: a retry was sent to any cache, a second after
@@ -151,7 +151,7 @@
                     v = keyed_router(group, {"broke": 0.8, "wait": 0.2}, seed)
                     request = schedule_order(v, 0, "k", retry=retry)
                     v.run(10 * S)
-                    executed = [x for x in v.records[request.trace_id].attempts if x.fate == "broke"]
+                    executed = [x for x in v.records[request.trace_id].attempts if x.outcome == "broke"]
                     sends = max(sends, len(executed))
                     if retry and executed:
                         assert isinstance(v.records[request.trace_id].final_effects[0][1], expected)
--- a/tests/core/test_state.py
+++ b/tests/core/test_state.py
@@ -19,7 +19,7 @@
 from kelpcroft.net.memory import peak_kb
 from kelpcroft.store.identity import files_digest, settings_digest
 from testbed.router_process import RouterProcess
-from testbed.stand_ins import ROOT, ScriptedReply, ServerCommand, StandInServers
+from testbed.stand_ins import ROOT, ScriptedResponse, ServerCommand, StandInServers
 
 ON = 'kelpcroft version=1\ncontrol state=#true\nroute "rest" { match; }\n'
 OFF = 'kelpcroft version=1\nroute "rest" { match; }\n'
@@ -34,14 +34,14 @@
         return error.code, json.loads(error.read())
 
 
-def reply_by_object(server: str, command: ServerCommand) -> ScriptedReply:
+def reply_by_object(server: str, command: ServerCommand) -> ScriptedResponse:
     """Reply by object: a response, a late response, an error, or none."""
     item = command.fields["item"][-1]
     return {
-        "a": ScriptedReply(body=b"x"),
-        "b": ScriptedReply(body=b"x", delay_ms=1_100),
-        "c": ScriptedReply("BROKE"),
-    }.get(item, ScriptedReply("silent"))
+        "a": ScriptedResponse(body=b"x"),
+        "b": ScriptedResponse(body=b"x", delay_ms=1_100),
+        "c": ScriptedResponse("BROKE"),
+    }.get(item, ScriptedResponse("silent"))
 
 
 class Memory(unittest.TestCase):
--- a/tests/deployment_check/test_deployments.py
+++ b/tests/deployment_check/test_deployments.py
@@ -94,7 +94,7 @@
         assert [f.code for f in check(named, EXAMPLE_SETTINGS)] == ["unreachable-route"]
 
 
-class Printed(unittest.TestCase):
+class PrintedExamples(unittest.TestCase):
     def test_every_printed_example_runs_as_printed(self) -> None:
         """Guards against an example with files of two deployments, whose check reported three errors."""
         for verb in ("check", "explain", "diff", "rollout plan"):
@@ -130,14 +130,14 @@
         process.stderr.read()
         assert process.wait(20) == 0
 
-    def test_diff_without_a_deployment_tells_kinds_apart(self) -> None:
+    def test_diff_without_a_deployment_distinguishes_idempotency(self) -> None:
         arguments = ["diff", str(ROOT / "deploy/routes.kdl"), str(ROOT / "examples/operator.kdl")]
         output = CliRunner().invoke(main, arguments).output
         assert "class any other (unsafe): all of it\n  once -> no route\n" in output
         assert "class any other (keyed): all of it\n  rest -> no route\n" in output
 
 
-class Fields(unittest.TestCase):
+class RequestFields(unittest.TestCase):
     def request(self, **more_fields: str) -> ClientRequest:
         fields = {"trace": "0" * 16, "patience": "900", "entity": "0" * 16, **more_fields}
         codec = ClientCodec(1, 65_536)
@@ -266,7 +266,7 @@
     def test_the_example_is_good(self) -> None:
         assert deployment_check.check_configuration(EXAMPLE) == []
 
-    def test_each_is_named_by_its_key(self) -> None:
+    def test_each_diagnostic_names_its_key(self) -> None:
         s, fi = "settings.", "settings.family_info."
         for change, expected in (
             ({"feed": None}, ("fault", "feed")),
@@ -359,7 +359,7 @@
         assert len(read) > 40
         assert read - known - {"family_info", "limits", "contract", "report", "classes"} == set()
 
-    def test_the_command_and_the_start_say_it(self) -> None:
+    def test_the_command_and_the_start_report_the_same_keys(self) -> None:
         raw = json.loads(json.dumps(EXAMPLE))
         raw["settings"]["weight_source"], raw["settings"]["limits"]["most_tries"] = "heavy", 0
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/deployment_check/test_generated.py
+++ b/tests/deployment_check/test_generated.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from kelpcroft.core import effects
-from testbed.deployments import FATES_NOT_EXECUTED, MS, AttemptRecord, RequestRecord, S, SimulatedDay
+from testbed.deployments import MS, OUTCOMES_NOT_EXECUTED, AttemptRecord, RequestRecord, S, SimulatedDay
 
 SEEDS = 60
 SLACK = 51 * MS
@@ -28,7 +28,7 @@
             self.check_purges(attempt, record)
             self.check_drains(attempt)
         if self.settings["weight_source"] != "off":
-            for at, kind, name in day.notices:
+            for at, kind, name in day.feed_events:
                 if kind == "active":
                     self.check_cold_start(name, at)
         for record in day.requests.values():
@@ -43,7 +43,7 @@
         """Each request gets one final response in time if the router that received it is still running."""
         due_ns = record.arrived_ns + record.request.remaining_time_ns + SLACK
         if len(record.final_effects) > 1 or (
-            not record.final_effects and (not record.gone_ns or record.gone_ns >= due_ns)
+            not record.final_effects and (not record.aborted_ns or record.aborted_ns >= due_ns)
         ):
             self.report("answered", f"{record.request.trace_id} has {len(record.final_effects)} responses")
         if record.final_effects and record.final_effects[0][0] > due_ns:
@@ -60,7 +60,9 @@
 
     def may_have_run(self, attempt: AttemptRecord, now_ns: int) -> bool:
         """Whether an attempt may have run, as known at a time; its end can prove that it did not run."""
-        return not (attempt.fate in FATES_NOT_EXECUTED and attempt.ended_ns and attempt.ended_ns <= now_ns)
+        return not (
+            attempt.outcome in OUTCOMES_NOT_EXECUTED and attempt.ended_ns and attempt.ended_ns <= now_ns
+        )
 
     def check_attempts(self, key: str, attempts: list[AttemptRecord]) -> None:
         """Second attempts and rejections of one key, over all its requests, follow the rules of its class."""
@@ -69,7 +71,7 @@
             open_attempts = [
                 other
                 for other in attempts[:n]
-                if other.router_life == attempt.router_life
+                if other.process_number == attempt.process_number
                 and not (other.ended_ns and other.ended_ns <= attempt.sent_ns)
             ]
             if open_attempts and not (
@@ -81,7 +83,8 @@
             maybe_run = [
                 other
                 for other in attempts[:n]
-                if self.may_have_run(other, attempt.sent_ns) and other.router_life == attempt.router_life
+                if self.may_have_run(other, attempt.sent_ns)
+                and other.process_number == attempt.process_number
             ]
             if maybe_run and request_class["idempotency"] == "unsafe":
                 self.report("twice", f"{key} was sent again")
@@ -111,7 +114,7 @@
                 if isinstance(response, effects.RejectRequest) and any(
                     other.sent_ns <= at_ns
                     and self.may_have_run(other, at_ns)
-                    and other.router_life == record.router_life
+                    and other.process_number == record.process_number
                     for other in attempts
                 ):
                     self.report("refused", f"{key} may have run")
@@ -119,23 +122,23 @@
     def check_drains(self, attempt: AttemptRecord) -> None:
         """No attempt is sent to or filled from a server after its drain event; no grace is allowed."""
         for name in (attempt.server, attempt.command.source):
-            notices = [
+            feed_events = [
                 (at_ns, kind)
-                for at_ns, kind, server in self.day.notices
+                for at_ns, kind, server in self.day.feed_events
                 if server == name and at_ns < attempt.sent_ns
             ]
-            if name and notices and max(notices)[1] == "leaving":
+            if name and feed_events and max(feed_events)[1] == "leaving":
                 self.report(
                     "drain",
                     f"{name} got an attempt "
-                    f"{(attempt.sent_ns - max(notices)[0]) / MS:.0f} ms after its drain event",
+                    f"{(attempt.sent_ns - max(feed_events)[0]) / MS:.0f} ms after its drain event",
                 )
 
     def check_purges(self, attempt: AttemptRecord, record: RequestRecord) -> None:
         """No attempt allows a copy from before a purge that the router has received."""
         request = record.request
         sweep_ns = self.settings["family_info"]["purge_takes_ns"]
-        for at_ns, kind, purge in self.day.notices:
+        for at_ns, kind, purge in self.day.feed_events:
             if kind == "purge" and at_ns <= attempt.sent_ns < at_ns + sweep_ns:
                 object_number, group, purged_ns = purge
                 if object_number == request.object_number or (
@@ -159,14 +162,14 @@
         window_ns = contract["fall_ns"]
         if cold_share >= 1:
             return  # the server is never cold
-        next_notice_ns = min(
-            (at_ns for at_ns, kind, server in self.day.notices if server == name and at_ns > start_ns),
+        next_event_ns = min(
+            (at_ns for at_ns, kind, server in self.day.feed_events if server == name and at_ns > start_ns),
             default=start_ns + warm_up_ns,
         )
         attempts = [
             other
             for other in self.day.attempts
-            if start_ns <= other.sent_ns < min(next_notice_ns, start_ns + warm_up_ns)
+            if start_ns <= other.sent_ns < min(next_event_ns, start_ns + warm_up_ns)
             and name in (other.server, other.command.source)
         ]
         pace = family_info["pace_kb_per_s"]
@@ -207,9 +210,9 @@
         assert attempt_count > served_count
 
     def test_a_seed_replays_a_day(self) -> None:
-        one, two = SimulatedDay(5), SimulatedDay(5)
-        assert [(s.sent_ns, s.server, s.command.attempt_id) for s in one.attempts] == [
-            (s.sent_ns, s.server, s.command.attempt_id) for s in two.attempts
+        first, second = SimulatedDay(5), SimulatedDay(5)
+        assert [(s.sent_ns, s.server, s.command.attempt_id) for s in first.attempts] == [
+            (s.sent_ns, s.server, s.command.attempt_id) for s in second.attempts
         ]
 
     def test_the_day_check_reports_each_broken_rule(self) -> None:
@@ -224,13 +227,13 @@
                     if change == "again":
                         day.attempts.append(
                             AttemptRecord(
-                                attempt.sent_ns + 1, attempt.command, "store", attempt.router_life, "done"
+                                attempt.sent_ns + 1, attempt.command, "store", attempt.process_number, "done"
                             )
                         )
                     elif change == "drain":
-                        day.notices.append((attempt.sent_ns - 1, "leaving", attempt.server))
+                        day.feed_events.append((attempt.sent_ns - 1, "leaving", attempt.server))
                     elif change == "purge":
-                        day.notices.append(
+                        day.feed_events.append(
                             (
                                 attempt.sent_ns - 1,
                                 "purge",
@@ -238,7 +241,7 @@
                             )
                         )
                     elif change == "cold":
-                        day.notices.append((attempt.sent_ns - 1, "active", attempt.server))
+                        day.feed_events.append((attempt.sent_ns - 1, "active", attempt.server))
                         day.attempts += [replace(attempt, service_ns=S, command=attempt.command)] * 400
                         break
                     elif change == "twice" and record.final_effects:
--- a/tests/deployment_check/test_places.py
+++ b/tests/deployment_check/test_places.py
@@ -19,7 +19,7 @@
 from tests.support.reducer_fixtures import NOW, client_request, effects_of_type, router
 
 
-class Refused(unittest.TestCase):
+class RefusedConnections(unittest.TestCase):
     """One connection is open and full; the next is refused."""
 
     def refuse_second_connection(
@@ -93,7 +93,7 @@
         assert not pool.may_connect("s", NOW)
 
 
-class Waits(unittest.TestCase):
+class RefusalBackoffs(unittest.TestCase):
     def test_backoffs_double_up_to_a_limit_and_differ_between_routers(self) -> None:
         backoffs_ns = {}
         for seed in range(40):
--- a/tests/deployment_check/test_two_sites.py
+++ b/tests/deployment_check/test_two_sites.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from testbed.router_process import RouterProcess
-from testbed.stand_ins import ROOT, ScriptedReply, ServerCommand, StandInServers
+from testbed.stand_ins import ROOT, ScriptedResponse, ServerCommand, StandInServers
 
 S, MS = 10**9, 10**6
 EXAMPLE = json.loads((ROOT / "examples/config.json").read_text())["settings"]
@@ -81,19 +81,19 @@
 }
 
 
-def servers_that_fail_once(reply: str) -> tuple[StandInServers, list[ServerCommand]]:
-    """Return servers: the first that receives a request ends it with ``reply``, the others serve it."""
-    seen: list[ServerCommand] = []
+def servers_that_fail_once(outcome: str) -> tuple[StandInServers, list[ServerCommand]]:
+    """Return servers: the first that receives a request ends it with ``outcome``, the others serve it."""
+    received: list[ServerCommand] = []
 
-    def script(server: str, command: ServerCommand) -> ScriptedReply:
-        first = not any(s.request_id == command.request_id for s in seen)
-        seen.append(command)
-        return ScriptedReply(reply) if first else ScriptedReply("DONE", body=b"fine")
+    def script(server: str, command: ServerCommand) -> ScriptedResponse:
+        is_first = not any(s.request_id == command.request_id for s in received)
+        received.append(command)
+        return ScriptedResponse(outcome) if is_first else ScriptedResponse("DONE", body=b"fine")
 
-    return StandInServers(script), seen
+    return StandInServers(script), received
 
 
-class Sites(unittest.TestCase):
+class Deployments(unittest.TestCase):
     def setUp(self) -> None:
         assert FILE_MATCH
         self.file = (ROOT / FILE_MATCH[1]).read_text()
@@ -101,9 +101,9 @@
     def test_each_class_is_served_by_the_same_line(self) -> None:
         for name, settings in DEPLOYMENTS.items():
             with (
-                self.subTest(site=name),
-                StandInServers() as world,
-                RouterProcess(world, self.file, settings=settings) as router,
+                self.subTest(deployment=name),
+                StandInServers() as stand_ins,
+                RouterProcess(stand_ins, self.file, settings=settings) as router,
             ):
                 client = router.client()
                 for cls in settings["classes"]:
@@ -112,7 +112,7 @@
                         cls["name"], patience_ms=900, body=b"x", more={**more_fields, "size": "40.5"}
                     )
                     assert response.kind == "served", (name, cls["name"])
-                    (pull,) = world.requests()[-1:]
+                    (pull,) = stand_ins.requests()[-1:]
                     assert pull.fields.get("nonce") == more_fields.get("nonce")
                 lacks_event = next(
                     line for line in router.log_events() if line["event"] == "deployment.lacks"
@@ -121,13 +121,13 @@
                 assert ("second copies" in lacks_event["lacks"]) == (not settings["limits"]["second_copies"])
 
     def test_what_may_have_run_is_sent_again_only_as_its_class_allows(self) -> None:
-        for reply in ("reset", "BROKE"):
+        for outcome in ("reset", "BROKE"):
             for name, settings in DEPLOYMENTS.items():
-                world, seen = servers_that_fail_once(reply)
+                stand_ins, received = servers_that_fail_once(outcome)
                 with (
-                    self.subTest(site=name, word=reply),
-                    world,
-                    RouterProcess(world, self.file, settings=settings) as router,
+                    self.subTest(deployment=name, outcome=outcome),
+                    stand_ins,
+                    RouterProcess(stand_ins, self.file, settings=settings) as router,
                 ):
                     client = router.client()
                     for cls in settings["classes"]:
@@ -135,7 +135,7 @@
                             {"nonce": f"key-of-{cls['name']}"} if cls["idempotency"] == "keyed" else {}
                         )
                         response = client.request(cls["name"], patience_ms=900, body=b"x", more=more_fields)
-                        commands = [s for s in seen if s.fields["cls"] == cls["name"]]
+                        commands = [s for s in received if s.fields["cls"] == cls["name"]]
                         if cls["idempotency"] == "unsafe":
                             assert (response.kind, len(commands)) == ("failed", 1), cls["name"]
                         else:
@@ -145,22 +145,25 @@
     def test_a_keyed_retry_at_the_process_that_takes_over(self) -> None:
         """The predecessor completes its request; the client's retry reaches the successor, with its key."""
         settings = DEPLOYMENTS["parts and keyed writes"]
-        world, seen = servers_that_fail_once("silent")
-        with world, RouterProcess(world, self.file, settings=settings) as router:
+        stand_ins, received = servers_that_fail_once("silent")
+        with stand_ins, RouterProcess(stand_ins, self.file, settings=settings) as router:
             client = router.client()
             client.send_request("sheet", patience_ms=600, body=b"x", more={"nonce": "k"})
-            while not seen:
+            while not received:
                 time.sleep(0.01)
-            with RouterProcess(world, self.file, settings=settings) as other:
+            with RouterProcess(stand_ins, self.file, settings=settings) as other:
                 router.process.terminate()
                 assert next(client.responses(1)).kind == "failed"
-                world.script = lambda server, one: (seen.append(one), ScriptedReply("DONE"))[1]
+                stand_ins.script = lambda server, command: (
+                    received.append(command),
+                    ScriptedResponse("DONE"),
+                )[1]
                 response = other.client().request(
                     "sheet", patience_ms=900, body=b"x", retry=True, more={"nonce": "k"}
                 )
                 assert response.kind == "served"
                 assert router.process.wait(20) == 0
-            assert {s.fields["nonce"] for s in seen if s.verb == "PULL"} == {"k"}
+            assert {s.fields["nonce"] for s in received if s.verb == "PULL"} == {"k"}
 
 
 if __name__ == "__main__":
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -183,7 +183,7 @@
             time.sleep(0.02)
 
     def last_requested_events(self, world: StandInServers) -> list[int]:
-        return [after for _, after, _ in world.feed_calls[-3:]]
+        return [after for _, after, _ in world.feed_requests[-3:]]
 
     def test_a_router_100_000_events_behind_catches_up(self) -> None:
         """Guards against a router that misses a drain behind hours of purges, or catches up too slowly."""
@@ -208,9 +208,9 @@
                             },
                         }
                     ]
-                    requests_before = len(world.feed_calls)
+                    requests_before = len(world.feed_requests)
                 self.wait(lambda: 100_002 in self.last_requested_events(world), "the router has caught up")
-                assert len(world.feed_calls) - requests_before < 8, "watch requests until it has caught up"
+                assert len(world.feed_requests) - requests_before < 8, "watch requests until it has caught up"
                 client = router.client()
                 served = {client.request("page", object=f"{n:016x}").body for n in range(40)}
                 assert served == {b"by cache2"}, "the drained server gets no request"
@@ -223,7 +223,7 @@
     def test_a_feed_whose_responses_stay_too_long_is_requested_rarely(self) -> None:
         """Guards against constant retries when each response is megabytes long and has no usable event."""
         with StandInServers() as world, RouterProcess(world, release=True) as router:
-            self.wait(lambda: len(world.feed_calls) >= 1, "the router sends a watch request")
+            self.wait(lambda: len(world.feed_requests) >= 1, "the router sends a watch request")
             with world.lock:
                 world.feed_events.append({"n": 1, "filler": "x" * (3 * MAX_EVENT_BYTES)})
             self.wait(
@@ -231,11 +231,11 @@
                 "the response is rejected",
             )
             client = router.client()
-            requests_before, lines_before = len(world.feed_calls), len(router.log_events())
+            requests_before, lines_before = len(world.feed_requests), len(router.log_events())
             for part in range(60):  # it continues to serve with the endpoint list that it has
                 assert client.request("page", part=part).kind == "served"
                 time.sleep(0.05)
-            assert len(world.feed_calls) - requests_before <= 1, "watch requests in 3 s"
+            assert len(world.feed_requests) - requests_before <= 1, "watch requests in 3 s"
             assert sum(line["event"] == "feed.lost" for line in router.log_events()[lines_before:]) <= 1
 
 
--- a/tests/program/test_datagrams.py
+++ b/tests/program/test_datagrams.py
@@ -1,11 +1,11 @@
-"""The datagram relay of the testbed: it applies each fate, and the same seed drops the same datagrams."""
+"""The datagram relay of the testbed: it injects each fault, and the same seed drops the same datagrams."""
 
 from __future__ import annotations
 
 import socket
 import unittest
 
-from testbed.field.datagrams import DatagramFate, DatagramRelay, open_socket
+from testbed.field.datagrams import DatagramFaults, DatagramRelay, open_socket
 
 
 class Relayed(unittest.TestCase):
@@ -14,8 +14,8 @@
         self.target.settimeout(0.3)
         self.addCleanup(self.target.close)
 
-    def relay(self, fate: DatagramFate, seed: int = 1) -> DatagramRelay:
-        relay = DatagramRelay(self.target.getsockname(), fate, seed)
+    def relay(self, faults: DatagramFaults, seed: int = 1) -> DatagramRelay:
+        relay = DatagramRelay(self.target.getsockname(), faults, seed)
         self.addCleanup(relay.__exit__)
         return relay
 
@@ -32,12 +32,12 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for n in range(count):
                 sock.sendto(b"%d" % n, relay.address)
-                while relay.seen <= n:
+                while relay.received <= n:
                     pass
         return self.received_datagrams()
 
     def test_datagrams_pass_and_responses_come_back(self) -> None:
-        relay = self.relay(DatagramFate())
+        relay = self.relay(DatagramFaults())
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.settimeout(2)
             sock.sendto(b"ask", relay.address)
@@ -46,19 +46,19 @@
             assert sock.recvfrom(2048) == (b"ask back", relay.address)
 
     def test_half_are_lost_the_same_ones_each_time(self) -> None:
-        first = self.send_and_receive(self.relay(DatagramFate(lost=0.5)), 100)
+        first = self.send_and_receive(self.relay(DatagramFaults(lost=0.5)), 100)
         assert 30 < len(first) < 70, len(first)
-        assert self.send_and_receive(self.relay(DatagramFate(lost=0.5)), 100) == first
-        assert self.send_and_receive(self.relay(DatagramFate(lost=0.5), seed=2), 100) != first
+        assert self.send_and_receive(self.relay(DatagramFaults(lost=0.5)), 100) == first
+        assert self.send_and_receive(self.relay(DatagramFaults(lost=0.5), seed=2), 100) != first
 
     def test_repeated_overtaken_and_silent(self) -> None:
-        twice = self.send_and_receive(self.relay(DatagramFate(repeated=0.5)), 50)
+        twice = self.send_and_receive(self.relay(DatagramFaults(repeated=0.5)), 50)
         assert 60 < len(twice) < 90, len(twice)
         assert len(set(twice)) == 50
-        late = self.send_and_receive(self.relay(DatagramFate(late=0.3, late_s=0.1)), 50)
+        late = self.send_and_receive(self.relay(DatagramFaults(late=0.3, late_s=0.1)), 50)
         assert len(late) == 50
         assert late != sorted(late, key=int), "some datagrams were overtaken by later ones"
-        assert self.send_and_receive(self.relay(DatagramFate(silent=True)), 10) == []
+        assert self.send_and_receive(self.relay(DatagramFaults(silent=True)), 10) == []
 
 
 if __name__ == "__main__":
--- a/tests/program/test_routes_loopback.py
+++ b/tests/program/test_routes_loopback.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from testbed.router_process import ClientResponse, RouterProcess
-from testbed.stand_ins import MS, ScriptedReply, ServerCommand, StandInServers, answer_at_once
+from testbed.stand_ins import MS, ScriptedResponse, ServerCommand, StandInServers, respond_immediately
 
 HEAD = 'kelpcroft version=1\nroute "orders" { match class="order"; timeout "1.5s"; attempts most=1; }\n'
 ONE_CACHE = ("cache1", "parent", "origin")
@@ -37,8 +37,8 @@
 }
 
 
-def always(reply: str, after_ms: float = 0.0) -> Callable[[str, ServerCommand], ScriptedReply]:
-    return lambda server, command: ScriptedReply(reply, after_ms, cache_status="")
+def always(reply: str, after_ms: float = 0.0) -> Callable[[str, ServerCommand], ScriptedResponse]:
+    return lambda server, command: ScriptedResponse(reply, after_ms, cache_status="")
 
 
 class Loopback(unittest.TestCase):
@@ -52,7 +52,7 @@
 
     def request_once(
         self,
-        script: Callable[[str, ServerCommand], ScriptedReply],
+        script: Callable[[str, ServerCommand], ScriptedResponse],
         rules: str,
         class_name: str = "page",
         servers: tuple[str, ...] = ("cache1", "cache2", "parent", "origin"),
@@ -97,7 +97,7 @@
     def test_a_refused_connection_is_a_move(self) -> None:
         for maximum, kind in ((0, "refused"), (4, "served")):
             with self.subTest(most=maximum):
-                stand_ins = StandInServers(answer_at_once, ONE_CACHE)
+                stand_ins = StandInServers(respond_immediately, ONE_CACHE)
                 stand_ins.refuse_connections("cache1")
                 router = self.start(
                     stand_ins, f'route "rest" {{ match; attempts most=1; moves most={maximum}; }}'
@@ -117,7 +117,7 @@
     def test_a_late_response_is_ignored(self) -> None:
         """A response after the attempt timeout must not end this request or the next one."""
         stand_ins = StandInServers(
-            lambda server, command: ScriptedReply("DONE", 300 if command.fields["chunk"] == "1" else 0)
+            lambda server, command: ScriptedResponse("DONE", 300 if command.fields["chunk"] == "1" else 0)
         )
         router = self.start(stand_ins, 'route "rest" { match; attempt timeout="100ms"; attempts most=1; }')
         client = router.client()
@@ -148,11 +148,11 @@
         assert second.received_ns - first.received_ns >= 195 * MS
 
     def test_a_hedge_is_sent_after_its_delay_and_responds_first(self) -> None:
-        def script(server: str, command: ServerCommand) -> ScriptedReply:
+        def script(server: str, command: ServerCommand) -> ScriptedResponse:
             return (
-                ScriptedReply(body=server.encode())
+                ScriptedResponse(body=server.encode())
                 if len(stand_ins.requests()) > 1
-                else ScriptedReply("silent")
+                else ScriptedResponse("silent")
             )
 
         stand_ins = StandInServers(script)
@@ -167,12 +167,12 @@
     def test_a_hedge_after_a_quantile_waits_for_its_minimum(self) -> None:
         """Responses take 5 ms; a request without a response is hedged, but not before 'least'."""
 
-        def script(server: str, command: ServerCommand) -> ScriptedReply:
+        def script(server: str, command: ServerCommand) -> ScriptedResponse:
             same = list(stand_ins.requests(command.request_id))
             return (
-                ScriptedReply("silent")
+                ScriptedResponse("silent")
                 if command.fields["chunk"] == "99" and len(same) < 2
-                else ScriptedReply("DONE", 5)
+                else ScriptedResponse("DONE", 5)
             )
 
         stand_ins = StandInServers(script)
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -34,7 +34,7 @@
 from testbed.rollouts import S, SimulatedFleet, make_plan
 from testbed.stand_ins import ROOT
 
-QUICK = (
+SHORT_PLAN = (
     'stage "one" count=1 least="5s" most="300s"\nstage "half" share="50%" least="5s" most="300s"\n'
     'stage "all" share="100%" least="5s" most="300s"\n',
     'limits at-once=2 per-zone=1\nwatch every="1s" slowest="5s" ready="10s" cold="2s" unknown=1\n'
@@ -73,7 +73,7 @@
         self.fleet, self.dies_at, self.command_count = fleet, dies_at, 0
 
     def poll(self, target: RouterTarget) -> Event:
-        return self.fleet.answer(self.fleet.routers[target.name])
+        return self.fleet.poll_router(self.fleet.routers[target.name])
 
     def execute(self, target: RouterTarget, kind: CommandKind) -> str:
         self.command_count += 1
@@ -108,7 +108,7 @@
 
 class ControllerInVirtualTime(unittest.TestCase):
     def setUp(self) -> None:
-        self.plan = make_plan(2, 3, *QUICK)
+        self.plan = make_plan(2, 3, *SHORT_PLAN)
         self.fleet = ControlledFleet(self.plan, 1, lambda *_: 0.0, rate=60.0)
         self.store = KillableStore()
         self.addCleanup(self.store.close)
@@ -138,7 +138,7 @@
         """Kill the controller at a place; its successor must finish the run, with each router changed once.
 
         Args:
-            kind: "before" or "behind" (after) the commit of a step, or at a command to a router ("order").
+            kind: "before" or "after" the commit of a step, or at a "command" to a router.
             number: The number of the step or command.
 
         Returns:
@@ -146,11 +146,11 @@
         """
         self.setUp()
         self.store.dies_before = number if kind == "before" else 0
-        self.store.dies_after = number if kind == "behind" else 0
+        self.store.dies_after = number if kind == "after" else 0
         self.store.keeps_lease = True  # a killed process does not release its lease
         was_killed = False
         try:
-            assert self.lead(number if kind == "order" else 0) == RolloutOutcome.DONE
+            assert self.lead(number if kind == "command" else 0) == RolloutOutcome.DONE
         except ProcessKilled:
             was_killed = True
         self.store.keeps_lease = False
@@ -162,14 +162,18 @@
             assert str(raised.value) == f"run {run.id} is led by another controller"
             self.sleep(16.0)
             assert self.lead() == RolloutOutcome.DONE, (kind, number)
-        for p in self.fleet.routers.values():
-            assert (p.build, p.instance, p.in_service) == ("beef", 2, True), (kind, number, p.name)
+        for router in self.fleet.routers.values():
+            assert (router.build, router.instance, router.in_service) == ("beef", 2, True), (
+                kind,
+                number,
+                router.name,
+            )
         names = [row["name"] for row in self.store.history(1)]
         assert (names.count("done"), names.count("begun")) == (1, 6), (kind, number)
         return was_killed
 
     def test_killed_between_any_two_effects(self) -> None:
-        for kind in ("before", "behind", "order"):
+        for kind in ("before", "after", "command"):
             number = 1
             while self.is_killed_and_continued(kind, number):
                 number += 1
@@ -191,7 +195,7 @@
         with pytest.raises(LeaseLostError):
             first.lead()
         assert [driver.command_count] == command_counts, "the stalled controller sent a command afterwards"
-        assert {(p.build, p.instance) for p in self.fleet.routers.values()} == {("beef", 2)}
+        assert {(router.build, router.instance) for router in self.fleet.routers.values()} == {("beef", 2)}
 
     def test_a_zone_without_responses_holds_the_rollout(self) -> None:
         """More silent routers than ``unknown`` hold the rollout, which names them and then finishes."""
@@ -222,7 +226,7 @@
 
         controller.sleep = sleep
         assert controller.lead() == RolloutOutcome.DONE
-        assert {p.instance for p in self.fleet.routers.values()} == {2}
+        assert {router.instance for router in self.fleet.routers.values()} == {2}
 
 
 class Drivers(unittest.TestCase):
@@ -256,12 +260,12 @@
         """A process is started if none runs, left alone if it is as commanded, and replaced otherwise."""
         with (
             tempfile.TemporaryDirectory() as name,
-            socket.create_server(("127.0.0.1", 0)) as a,
-            socket.create_server(("127.0.0.1", 0)) as b,
+            socket.create_server(("127.0.0.1", 0)) as listener,
+            socket.create_server(("127.0.0.1", 0)) as control_listener,
         ):
-            folder, ports = Path(name), (a.getsockname()[1], b.getsockname()[1])
-            a.close()
-            b.close()
+            folder, ports = Path(name), (listener.getsockname()[1], control_listener.getsockname()[1])
+            listener.close()
+            control_listener.close()
             raw = json.loads((ROOT / "examples/config.json").read_text())
             raw |= {"name": "n1", "listen": f"127.0.0.1:{ports[0]}", "mgmt": f"127.0.0.1:{ports[1]}"}
             (folder / "config.json").write_text(json.dumps(raw))
@@ -409,23 +413,27 @@
         return fleet
 
     def test_a_cold_start_is_no_regression_and_a_worse_one_is(self) -> None:
-        def cold(fleet: SimulatedFleet, p: Any, cls: str) -> float:
-            return 0.3 if p.instance > 1 and fleet.now - p.started < 50 * S else 0.0
+        def late_while_cold(fleet: SimulatedFleet, router: Any, cls: str) -> float:
+            return 0.3 if router.instance > 1 and fleet.now - router.started < 50 * S else 0.0
 
-        fleet = self.run_with(cold)
+        fleet = self.run_with(late_while_cold)
         assert fleet.rollout.outcome == RolloutOutcome.DONE, fleet.rollout.reason
-        restarted = [name for _, name, act in fleet.commands if act is CommandKind.RESTART]
+        restarted = [name for _, name, kind in fleet.commands if kind is CommandKind.RESTART]
         assert len(restarted) == 1
-        assert all(p.in_service and p.build == "beef" for p in fleet.routers.values())
+        assert all(router.in_service and router.build == "beef" for router in fleet.routers.values())
 
-        def colder(fleet: SimulatedFleet, p: Any, cls: str) -> float:
-            return 0.6 if p.build == "beef" and fleet.now - p.started < 50 * S else cold(fleet, p, cls)
+        def worse_while_cold(fleet: SimulatedFleet, router: Any, cls: str) -> float:
+            return (
+                0.6
+                if router.build == "beef" and fleet.now - router.started < 50 * S
+                else late_while_cold(fleet, router, cls)
+            )
 
-        fleet = self.run_with(colder)
+        fleet = self.run_with(worse_while_cold)
         assert fleet.rollout.outcome == RolloutOutcome.ROLLED_BACK
         assert "worse" in [n.name for n in fleet.history]
-        assert {p.build for p in fleet.routers.values()} == {"old"}
-        assert all(p.in_service for p in fleet.routers.values())
+        assert {router.build for router in fleet.routers.values()} == {"old"}
+        assert all(router.in_service for router in fleet.routers.values())
         assert max(fleet.max_unavailable.get(f"z{n}", 0) for n in range(2)) <= 2
 
     def test_the_limits_of_control_groups_are_checked(self) -> None:
@@ -447,9 +455,9 @@
             fleet = SimulatedFleet(make_plan(2, 3), 1, lambda *_: 0.0)
             for _ in range(3_000):
                 fleet.run_second()
-                for p in fleet.routers.values():
-                    if p.build == "beef":
-                        p.memory_mb = max(p.memory_mb, 40.0) + growth
+                for router in fleet.routers.values():
+                    if router.build == "beef":
+                        router.memory_mb = max(router.memory_mb, 40.0) + growth
                 if fleet.rollout.outcome in (
                     RolloutOutcome.DONE,
                     RolloutOutcome.ROLLED_BACK,
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -86,8 +86,10 @@
 
     def test_a_stage_that_takes_a_complete_zone_is_an_error(self) -> None:
         assert "whole-zone" in codes(VALID_PLAN.replace('stage "two" count=2 least="30s" most="5m"\n', ""))
-        alone = VALID_PLAN.replace('; router "b2" zone="b"', "").replace("count=2", 'share="50%"')
-        assert codes(alone) == [], (
+        single_router_zone = VALID_PLAN.replace('; router "b2" zone="b"', "").replace(
+            "count=2", 'share="50%"'
+        )
+        assert codes(single_router_zone) == [], (
             "b1 is the only router of its zone, so its stage must take the complete zone"
         )
 
@@ -106,26 +108,28 @@
                 ZoneClass("a", "y"): RequestSample(30, 30.0, 24.0),
                 ZoneClass("b", "x"): RequestSample(30, 30.0, 29.0),
             }
-            judge.add_slice(new, {place: RequestSample(90, 90.0, 87.0) for place in new})
+            judge.add_slice(new, {zone_class: RequestSample(90, 90.0, 87.0) for zone_class in new})
         assert judge.verdict(frozenset(new)) == (Verdict.REGRESSION, ZoneClass("a", "y"))
         assert judge.tests[ZoneClass("b", "x")].verdict is Verdict.NO_REGRESSION
 
     def test_failures_of_both_sides_or_from_before_are_no_regression(self) -> None:
-        judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
-        judge.add_baseline(True, {place: RequestSample(3_000, 3_000.0, 2_400.0)})
-        judge.add_baseline(False, {place: RequestSample(9_000, 9_000.0, 8_550.0)})
+        judge, zone_class = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
+        judge.add_baseline(True, {zone_class: RequestSample(3_000, 3_000.0, 2_400.0)})
+        judge.add_baseline(False, {zone_class: RequestSample(9_000, 9_000.0, 8_550.0)})
         for n in range(400):
-            both = 0.5 if 100 < n < 160 else 0.0
+            common_failure_share = 0.5 if 100 < n < 160 else 0.0
             judge.add_slice(
-                {place: RequestSample(100, 100.0, 80 * (1 - both))},
-                {place: RequestSample(300, 300.0, 285 * (1 - both))},
+                {zone_class: RequestSample(100, 100.0, 80 * (1 - common_failure_share))},
+                {zone_class: RequestSample(300, 300.0, 285 * (1 - common_failure_share))},
             )
-        assert judge.tests[place].verdict is Verdict.NO_REGRESSION
+        assert judge.tests[zone_class].verdict is Verdict.NO_REGRESSION
 
     def test_few_requests_are_no_evidence(self) -> None:
-        judge, place = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
-        judge.add_slice({place: RequestSample(3, 3.0, 0.0)}, {place: RequestSample(900, 900.0, 900.0)})
-        assert judge.verdict(frozenset((place,))) == (Verdict.UNDECIDED, place)
+        judge, zone_class = RegressionJudge(StopCriteria()), ZoneClass("a", "x")
+        judge.add_slice(
+            {zone_class: RequestSample(3, 3.0, 0.0)}, {zone_class: RequestSample(900, 900.0, 900.0)}
+        )
+        assert judge.verdict(frozenset((zone_class,))) == (Verdict.UNDECIDED, zone_class)
         assert judge.verdict(frozenset()) == (Verdict.UNDECIDED, None), (
             "without a required comparison there is no evidence"
         )
@@ -165,13 +169,17 @@
         assert str(raised.value) == "the old placed 1 objects, the new 2"
 
 
-def sound(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
+def sound(fleet: SimulatedFleet, router: SimulatedRouter, cls: str) -> float:
     return 0.0
 
 
 def with_regression(share: float, cls: str = "", zone: str = "") -> object:
-    def late_share(fleet: SimulatedFleet, p: SimulatedRouter, found: str) -> float:
-        return share if p.build == "beef" and cls in ("", found) and zone in ("", p.zone) else 0.0
+    def late_share(fleet: SimulatedFleet, router: SimulatedRouter, request_class: str) -> float:
+        return (
+            share
+            if router.build == "beef" and cls in ("", request_class) and zone in ("", router.zone)
+            else 0.0
+        )
 
     return late_share
 
@@ -186,7 +194,7 @@
         for seed in range(4):
             fleet = self.make_fleet(sound, seed)
             assert fleet.run() == RolloutOutcome.DONE, fleet.rollout.reason
-            assert {p.build for p in fleet.routers.values()} == {"beef"}
+            assert {router.build for router in fleet.routers.values()} == {"beef"}
             assert [a for _, _, a in fleet.commands].count(CommandKind.APPLY) == 12, (
                 "each router is changed once"
             )
@@ -194,8 +202,8 @@
             assert max(fleet.max_unavailable[f"z{n}"] for n in range(3)) <= 1
 
     def test_a_failure_of_a_complete_zone_does_not_stop_the_rollout(self) -> None:
-        def parent_lost(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
-            return 0.4 if p.zone == "z0" and 60 <= fleet.now / S - 1_000 < 120 else 0.0
+        def parent_lost(fleet: SimulatedFleet, router: SimulatedRouter, cls: str) -> float:
+            return 0.4 if router.zone == "z0" and 60 <= fleet.now / S - 1_000 < 120 else 0.0
 
         fleet = self.make_fleet(parent_lost)
         assert fleet.run() == RolloutOutcome.DONE, fleet.rollout.reason
@@ -210,9 +218,9 @@
             fleet = self.make_fleet(late_share)
             assert fleet.run() == RolloutOutcome.ROLLED_BACK, fleet.rollout.reason
             assert len(fleet.changed_routers) <= max_changed
-            assert {p.build for p in fleet.routers.values()} == {"old"}
+            assert {router.build for router in fleet.routers.values()} == {"old"}
             assert "the harm is gone" in fleet.history[-1].text
-            assert all(p.in_service for p in fleet.routers.values())
+            assert all(router.in_service for router in fleet.routers.values())
 
     def test_crashes_and_routers_never_ready_stop_the_rollout(self) -> None:
         def crash(defective_fleet: SimulatedFleet) -> None:
@@ -233,20 +241,20 @@
             fleet = self.make_fleet(sound)
             for _ in range(400):
                 fleet.run_second()
-                for p in fleet.routers.values():
-                    if p.build == "beef" and fleet.rollout.routers[p.name].phase is Phase.COMPARED:
+                for router in fleet.routers.values():
+                    if router.build == "beef" and fleet.rollout.routers[router.name].phase is Phase.COMPARED:
                         for key, value in change.items():
-                            setattr(p, key, value)
+                            setattr(router, key, value)
                 if fleet.rollout.outcome is not RolloutOutcome.RUNNING:
                     break
             assert expected_entry in [n.name for n in fleet.history]
 
     def test_a_regression_that_outlasts_the_rollback_is_not_the_changes(self) -> None:
-        def broken_place(fleet: SimulatedFleet, p: SimulatedRouter, cls: str) -> float:
-            began = next((at for at, _, act in fleet.commands if act is CommandKind.APPLY), 0)
-            return 0.3 if p.name == "n0-0" and began and fleet.now > began else 0.0
+        def broken_router(fleet: SimulatedFleet, router: SimulatedRouter, cls: str) -> float:
+            applied_ns = next((at for at, _, kind in fleet.commands if kind is CommandKind.APPLY), 0)
+            return 0.3 if router.name == "n0-0" and applied_ns and fleet.now > applied_ns else 0.0
 
-        fleet = self.make_fleet(broken_place)
+        fleet = self.make_fleet(broken_router)
         assert fleet.run() == RolloutOutcome.ROLLED_BACK
         assert "not the change's" in fleet.history[-1].text
 
@@ -265,13 +273,13 @@
 
         class WithoutNewRequests(SimulatedFleet):
             def run_second(self) -> None:
-                for p in self.routers.values():
-                    if p.build == "beef":
-                        p.classes = {}
+                for router in self.routers.values():
+                    if router.build == "beef":
+                        router.classes = {}
                 super().run_second()
-                for p in self.routers.values():
-                    if p.build == "beef":
-                        p.classes = {}
+                for router in self.routers.values():
+                    if router.build == "beef":
+                        router.classes = {}
 
         for rate in (30.0, 0.0):
             fleet = WithoutNewRequests(make_plan(3, 4), 1, sound, rate=rate)
@@ -299,7 +307,9 @@
                 if fleet.rollout.outcome is not RolloutOutcome.RUNNING:
                     break
             assert fleet.rollout.outcome == RolloutOutcome.DONE, (takeover_interval, fleet.rollout.reason)
-            assert {p.instance for p in fleet.routers.values()} == {2}, "each router is changed once"
+            assert {router.instance for router in fleet.routers.values()} == {2}, (
+                "each router is changed once"
+            )
 
     def test_an_unusable_snapshot_is_an_error(self) -> None:
         fleet = SimulatedFleet(make_plan(2, 3), 1, sound)
@@ -324,8 +334,8 @@
 
     def test_silent_routers_hold_the_rollout(self) -> None:
         fleet = self.make_fleet(sound)
-        for n, p in enumerate(fleet.routers.values()):
-            p.silent_until_ns = (1_050 + 100) * S if n < 5 else 0
+        for n, router in enumerate(fleet.routers.values()):
+            router.silent_until_ns = (1_050 + 100) * S if n < 5 else 0
         while fleet.now < 1_045 * S:
             fleet.run_second()
         assert fleet.rollout.outcome == RolloutOutcome.HELD
@@ -338,8 +348,8 @@
         for is_commanded in (False, True):
             with self.subTest(is_commanded=is_commanded):
                 fleet = self.make_fleet(sound)
-                for n, p in enumerate(fleet.routers.values()):
-                    p.silent_until_ns = 1_150 * S if n < 5 else 0
+                for n, router in enumerate(fleet.routers.values()):
+                    router.silent_until_ns = 1_150 * S if n < 5 else 0
                 while fleet.now < 1_045 * S:
                     fleet.run_second()
                 assert fleet.rollout.outcome == RolloutOutcome.HELD
@@ -378,16 +388,16 @@
         responds, so the rollback hung.
         """
 
-        class Dying(SimulatedFleet):
-            def start(self, p: SimulatedRouter, build: str) -> None:
-                super().start(p, build)
-                p.alive = build != "beef"
+        class CrashingFleet(SimulatedFleet):
+            def start(self, router: SimulatedRouter, build: str) -> None:
+                super().start(router, build)
+                router.alive = build != "beef"
 
-        fleet = Dying(make_plan(3, 4), 1, sound)
+        fleet = CrashingFleet(make_plan(3, 4), 1, sound)
         assert fleet.run() == RolloutOutcome.ROLLED_BACK, fleet.rollout.reason
         assert "not-ready" in [n.name for n in fleet.history]
         assert len(fleet.changed_routers) == 1
-        assert {(p.build, p.alive) for p in fleet.routers.values()} == {("old", True)}
+        assert {(router.build, router.alive) for router in fleet.routers.values()} == {("old", True)}
 
     def test_a_router_that_crashes_while_cold_holds_the_rollout(self) -> None:
         """A router that crashes while it is cold holds the rollout.
@@ -396,19 +406,19 @@
         forever.
         """
 
-        class Dying(SimulatedFleet):
+        class CrashingFleet(SimulatedFleet):
             def run_second(self) -> None:
                 super().run_second()
-                for p in self.routers.values():
-                    if p.build == "beef" and self.rollout.routers[p.name].phase is Phase.WARMING_UP:
-                        p.alive = False
+                for router in self.routers.values():
+                    if router.build == "beef" and self.rollout.routers[router.name].phase is Phase.WARMING_UP:
+                        router.alive = False
 
-        fleet = Dying(make_plan(3, 4), 1, sound)
+        fleet = CrashingFleet(make_plan(3, 4), 1, sound)
         assert fleet.run(300) == RolloutOutcome.HELD
         assert "n0-0 has not answered since its change" in fleet.rollout.reason
         fleet.deliver(OperatorCommand.REVERT)
         assert fleet.run() == RolloutOutcome.ROLLED_BACK
-        assert {(p.build, p.alive) for p in fleet.routers.values()} == {("old", True)}
+        assert {(router.build, router.alive) for router in fleet.routers.values()} == {("old", True)}
 
     def test_lost_commands_hold_and_change_no_router_twice(self) -> None:
         for seed in range(4):
@@ -421,7 +431,7 @@
                 RolloutOutcome.ROLLED_BACK,
                 RolloutOutcome.ROLLING_BACK,
             )
-            starts = {p.name: p.instance for p in fleet.routers.values()}
+            starts = {router.name: router.instance for router in fleet.routers.values()}
             assert max(starts.values()) <= 3, "each router is changed once and rolled back at most once"
             assert fleet.max_unavailable[""] <= 4, "three, and one whose ENABLE command was lost"
 
@@ -433,7 +443,7 @@
             )
             == RolloutOutcome.ROLLED_BACK
         )
-        assert {p.build for p in fleet.routers.values()} == {"old"}
+        assert {router.build for router in fleet.routers.values()} == {"old"}
 
     def test_contradictions_and_unknown_routers_are_not_used(self) -> None:
         rollout = Rollout(make_plan(1, 4), 0)
@@ -461,24 +471,27 @@
             max_size=8,
         ),
     )
-    def test_random_failures_and_commands(self, seed: int, incidents: list[tuple[int, str, int]]) -> None:
+    def test_random_failures_and_commands(self, seed: int, actions: list[tuple[int, str, int]]) -> None:
         """Random failures and commands: the rollout keeps its limits, and a final outcome does not change."""
         defect = [0.0]
         fleet = SimulatedFleet(
-            make_plan(3, 4), seed, lambda _fleet, p, c: defect[0] if p.build == "beef" else 0.0, rate=10.0
+            make_plan(3, 4),
+            seed,
+            lambda _fleet, router, c: defect[0] if router.build == "beef" else 0.0,
+            rate=10.0,
         )
         names = list(fleet.routers)
         for second in range(700):
-            for incident_second, kind, router_index in incidents:
-                if incident_second != second:
+            for action_second, kind, router_index in actions:
+                if action_second != second:
                     continue
-                p = fleet.routers[names[router_index]]
+                router = fleet.routers[names[router_index]]
                 if kind == "silent":
-                    p.silent_until_ns = fleet.now + 20 * S
+                    router.silent_until_ns = fleet.now + 20 * S
                 elif kind == "crash":
-                    fleet.start(p, p.build)
+                    fleet.start(router, router.build)
                 elif kind == "kill":
-                    p.alive = False
+                    router.alive = False
                 elif kind == "defect":
                     defect[0] = 0.4
                 else:
--- a/tests/rollout/test_rollout_faults.py
+++ b/tests/rollout/test_rollout_faults.py
@@ -35,7 +35,7 @@
         expected_text: str,
         max_changed: int = 1,
         per_s: float = 40.0,
-        orders: int = 0,
+        order_every: int = 0,
     ) -> ClientLoad:
         """Run a defective change and check that it is stopped for the expected reason and rolled back.
 
@@ -45,13 +45,13 @@
             expected_text: A text that the controller must print.
             max_changed: The change reaches at most this many routers.
             per_s: Requests per second of each client.
-            orders: One in this many requests must not run twice; 0 = none.
+            order_every: One in this many requests must not run twice; 0 = none.
 
         Returns:
             The load that ran meanwhile.
         """
         controller = self.controller(plan)
-        with ClientLoad(field, per_s, orders) as load:
+        with ClientLoad(field, per_s, order_every) as load:
             assert self.wait_for_exit(controller.start(), controller) == 1, controller.output()
         assert expected_text in controller.output()
         changed = [name for name, node in field.nodes.items() if "new" in node.started_builds]
@@ -71,7 +71,7 @@
         Twelve routers in three zones.  Dropped connections, a slow cache, a cache that resets connections and
         a silent parent are each injected at the change of a router.
         """
-        field, digest = self.field("sound", 3, 4, boxes=2, hubs=2, relayed=True)
+        field, digest = self.field("sound", 3, 4, caches_per_zone=2, parents=2, use_relays=True)
         relays, change_count = field.servers.relays, [0]
 
         def inject_failure(node: RouterNode) -> None:
@@ -90,14 +90,14 @@
                 10: lambda: relays["cache-z0"].change(LinkMode.PASS),
             }.get(change_count[0], lambda: None)()
 
-        field.on_order["apply"] = inject_failure
+        field.on_command["apply"] = inject_failure
         plan = field.rollout_plan(digest).replace("at-once=2", "at-once=3")
         controller = self.controller(plan)
         with ClientLoad(field, per_s=15.0) as load:
             assert self.wait_for_exit(controller.start(), controller) == 0, controller.output()
         assert change_count[0] == 12
         assert {tuple(n.started_builds) for n in field.nodes.values()} == {("old", "new")}
-        assert field.check_contract(load, cut=True).violations == []
+        assert field.check_contract(load, links_were_cut=True).violations == []
         assert load.counts["lost"] == 0, load.counts
         assert load.counts["served"] > 2000, load.counts
 
@@ -129,13 +129,13 @@
                 path.write_text(path.read_text()[:200])
 
         field.changed_config = with_short_deadline  # type: ignore[method-assign]
-        field.order_action = field.reload_config
+        field.command_action = field.reload_config
         if truncated:
             RouterNode.write = write_truncated  # type: ignore[method-assign]
             self.addCleanup(setattr, RouterNode, "write", write_complete)
         node = next(iter(field.nodes.values()))
         digest = settings_digest(with_short_deadline(node.config)["settings"])
-        plan = field.rollout_plan(digest, what='settings digest="{}"').replace('ready="15s"', 'ready="4s"')
+        plan = field.rollout_plan(digest, change='settings digest="{}"').replace('ready="15s"', 'ready="4s"')
         load = self.run_defective_change(field, plan, expected_text)
         assert load.counts["served"] > 300
 
@@ -165,7 +165,7 @@
         Returns:
             The routers and the load, once the rollout has ended.
         """
-        field, digest = self.field(defect, 1, 3, inherited=True)
+        field, digest = self.field(defect, 1, 3, share_listener=True)
         failed_nodes: list[str] = []
 
         def on_first_upgrade(inject: Any) -> Any:
@@ -193,19 +193,19 @@
         """
         field, digest = self.field("sound", 1, 3)
         controller = self.controller(field.rollout_plan(digest))
-        stopped: list[str] = []
+        suspended: list[str] = []
 
         def pause(node: RouterNode) -> None:
-            stopped.append(node.name)
+            suspended.append(node.name)
             process = controller.processes[-1]
             process.send_signal(signal.SIGSTOP)
             time.sleep(2.0)
             process.send_signal(signal.SIGCONT)
 
-        field.on_order["apply"] = pause
+        field.on_command["apply"] = pause
         with ClientLoad(field):
             assert self.wait_for_exit(controller.start(), controller) == 0, controller.output()
-        assert len(stopped) == 3
+        assert len(suspended) == 3
         assert "held" not in [row["name"] for row in controller.history()], controller.output()
 
     @pytest.mark.long
@@ -214,13 +214,13 @@
 
         The rollout finishes.
         """
-        for step in ("ready", "told"):
+        for step in ("ready", "signalled"):
             with self.subTest(step=step):
                 self.setUp()
                 field, load = self.run_upgrades(
                     "sound", **{step: lambda _, old, new: (old.kill(), old.wait())}
                 )
-                assert field.check_contract(load, killed=True).violations == []
+                assert field.check_contract(load, routers_were_killed=True).violations == []
                 assert load.counts["lost"] < 10, load.counts
 
     @pytest.mark.long
@@ -230,7 +230,7 @@
         The reason names the router, or the missing evidence if the router was already warm.  An operator
         reverts the change, and the old build runs again.
         """
-        field, digest = self.field("sound", 1, 3, inherited=True)
+        field, digest = self.field("sound", 1, 3, share_listener=True)
         killed: list[str] = []
 
         def kill(node: RouterNode, old: Any, new: Any) -> None:
@@ -239,7 +239,7 @@
                 new.kill()
                 new.wait()
 
-        field.on_upgrade_step["gone"] = kill
+        field.on_upgrade_step["ended"] = kill
         controller = self.controller(field.rollout_plan(digest).replace('ready="15s"', 'ready="4s"'))
         store = ["--store", str(self.folder / "store.db")]
         with ClientLoad(field) as load:
@@ -255,7 +255,7 @@
         assert sum("new" in n.started_builds for n in field.nodes.values()) == 1
         assert {n.started_builds[-1] for n in field.nodes.values()} == {"old"}
         # Clients that connected while no process served the socket get no response; all other rules hold.
-        violations = field.check_contract(load, killed=True).violations
+        violations = field.check_contract(load, routers_were_killed=True).violations
         assert [x for x in violations if not x.startswith("answered")] == []
 
     @pytest.mark.long
@@ -270,8 +270,8 @@
 
         killed: list[str] = []
 
-        def reload_and_kill(node: RouterNode, verb: str) -> None:
-            field.reload_config(node, verb)
+        def reload_and_kill(node: RouterNode, command: str) -> None:
+            field.reload_config(node, command)
             if not killed:
                 killed.append(node.name)
                 assert node.process is not None
@@ -280,14 +280,14 @@
                 node.start(node.started_builds.pop(), keep=True)
 
         field.changed_config = with_longer_deadline  # type: ignore[method-assign]
-        field.order_action = reload_and_kill
+        field.command_action = reload_and_kill
         digest = settings_digest(with_longer_deadline(next(iter(field.nodes.values())).config)["settings"])
-        controller = self.controller(field.rollout_plan(digest, what='settings digest="{}"'))
+        controller = self.controller(field.rollout_plan(digest, change='settings digest="{}"'))
         with ClientLoad(field) as load:
             code = self.wait_for_exit(controller.start(), controller)
         assert code == 0, controller.output() + "".join(n.log()[-900:] for n in field.nodes.values())
         assert len(killed) == 1
-        assert field.check_contract(load, killed=True).violations == []
+        assert field.check_contract(load, routers_were_killed=True).violations == []
 
     @pytest.mark.long
     def test_local_processes_of_one_machine(self) -> None:
@@ -342,12 +342,12 @@
                 killed.append(node.name)
                 node.end(signal.SIGKILL)
 
-        field.on_order["apply"] = kill_first
+        field.on_command["apply"] = kill_first
         with ClientLoad(field) as load:
             assert self.wait_for_exit(controller.start(), controller) == 0, controller.output()
         assert len(killed) == 1
         assert {n.started_builds[-1] for n in field.nodes.values()} == {"new"}
-        assert field.check_contract(load, killed=True).violations == []
+        assert field.check_contract(load, routers_were_killed=True).violations == []
 
 
 @pytest.mark.long
@@ -407,14 +407,16 @@
                 self.setUp()
                 field, digest = self.field("sound", 2, 3)
                 with (
-                    Relay(field.nodes["z0-1"].control_address) as a,
-                    Relay(field.nodes["z1-1"].control_address) as b,
+                    Relay(field.nodes["z0-1"].control_address) as first_relay,
+                    Relay(field.nodes["z1-1"].control_address) as second_relay,
                 ):
-                    self.fail_links(field, digest, mode, a, b)
+                    self.fail_links(field, digest, mode, first_relay, second_relay)
 
-    def fail_links(self, field: RouterField, digest: str, mode: LinkMode, a: Relay, b: Relay) -> None:
+    def fail_links(
+        self, field: RouterField, digest: str, mode: LinkMode, first_relay: Relay, second_relay: Relay
+    ) -> None:
         controller = self.controller(
-            field.rollout_plan(digest, control={"z0-1": a.address, "z1-1": b.address})
+            field.rollout_plan(digest, control={"z0-1": first_relay.address, "z1-1": second_relay.address})
         )
         store = ["--store", str(self.folder / "store.db")]
         changed: list[str] = []
@@ -422,19 +424,19 @@
         def fail_on_first_change(node: RouterNode) -> None:
             if not changed:
                 changed.append(node.name)
-                a.change(mode)
-                b.change(mode)
+                first_relay.change(mode)
+                second_relay.change(mode)
 
-        field.on_order["apply"] = fail_on_first_change
+        field.on_command["apply"] = fail_on_first_change
         with ClientLoad(field):
             process = controller.start()
             self.wait_until(lambda: "held" in controller.run_command("status", *store), controller)
             assert "do not answer: z0-1, z1-1" in controller.run_command("status", *store)
-            held_command_count = len(field.orders)
+            held_command_count = len(field.commands)
             time.sleep(3)
-            assert len(field.orders) == held_command_count
-            a.change(LinkMode.PASS)
-            b.change(LinkMode.PASS)
+            assert len(field.commands) == held_command_count
+            first_relay.change(LinkMode.PASS)
+            second_relay.change(LinkMode.PASS)
             assert self.wait_for_exit(process, controller) == 0, controller.output()
 
     def test_a_controller_that_is_suspended_for_thirty_seconds(self) -> None:
@@ -443,7 +445,7 @@
         controller = self.controller(field.rollout_plan(digest))
         with ClientLoad(field):
             first = controller.start()
-            self.wait_until(lambda: len(field.orders) >= 1, controller)
+            self.wait_until(lambda: len(field.commands) >= 1, controller)
             first.send_signal(signal.SIGSTOP)
             time.sleep(16)
             second = controller.start()
--- a/tests/rollout/test_rollout_field.py
+++ b/tests/rollout/test_rollout_field.py
@@ -22,12 +22,12 @@
         killed: list[int] = []
 
         def kill(node: object) -> None:
-            applied = sum(verb == "apply" for verb, _ in field.orders)
+            applied = sum(command == "apply" for command, _ in field.commands)
             if applied in (3, 5) and applied not in killed:
                 killed.append(applied)
                 controller.processes[-1].send_signal(signal.SIGKILL)
 
-        field.on_order["apply"] = kill
+        field.on_command["apply"] = kill
         with ClientLoad(field) as load:
             code = -signal.SIGKILL
             while code == -signal.SIGKILL and len(controller.processes) < 4:
@@ -72,7 +72,7 @@
                 'ready="15s"', 'ready="4s"'
             )
             controller = self.controller(plan)
-            field.on_order["apply"] = lambda node: relay.change(LinkMode.GARBAGE)
+            field.on_command["apply"] = lambda node: relay.change(LinkMode.GARBAGE)
             assert self.wait_for_exit(controller.start(), controller) == 1, controller.output()
         assert "not-ready" in controller.output()
         assert sum("new" in node.started_builds for node in field.nodes.values()) == 1
@@ -80,7 +80,7 @@
 
     def test_two_controllers_and_operators(self) -> None:
         """A second controller cannot lead the run; the commands hold, status and revert take effect."""
-        field, digest = self.field("sound", zones=1, each=3)
+        field, digest = self.field("sound", zones=1, routers_per_zone=3)
         controller = self.controller(field.rollout_plan(digest).replace('least="3s"', 'least="20s"'))
         first = controller.start()
         store = ["--store", str(self.folder / "store.db")]
--- a/tests/routes/test_routes_rules.py
+++ b/tests/routes/test_routes_rules.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from kelpcroft.core import effects
-from testbed.virtual import FATES_NOT_EXECUTED, MS, START, RequestRecord, S, VirtualRouter
+from testbed.virtual import MS, OUTCOMES_NOT_EXECUTED, START, RequestRecord, S, VirtualRouter
 
 ORDERS = (
     'route "orders" {{ match class="order"; timeout "{wait}ms"; attempts most=1; moves most={moves}; }}\n'
@@ -83,7 +83,7 @@
         assert all(at < deadline_ns for at in send_times), "no send after the response timeout"
         assert all(at <= ended_ns for at in send_times), "no send after the final response"
         assert len(send_times) <= min(6, limits["attempts"] + limits["moves"] + limits["copies"])
-        executed = [sent for sent in record.attempts if sent.fate not in FATES_NOT_EXECUTED]
+        executed = [sent for sent in record.attempts if sent.outcome not in OUTCOMES_NOT_EXECUTED]
         assert len(executed) <= limits["attempts"] + limits["copies"]
         if record.request.request_class == "order":
             assert len(executed) <= 1, "an order runs once"
@@ -117,7 +117,7 @@
         page_count = sum(record.request.request_class == "page" for record in records)
         assert spent <= burst + 0.1 * page_count + (router.now - START) / S, "a budget is never overdrawn"
         extra_attempts = sum(
-            len([x for x in s.attempts if x.fate not in FATES_NOT_EXECUTED]) - 1
+            len([x for x in s.attempts if x.outcome not in OUTCOMES_NOT_EXECUTED]) - 1
             for s in records
             if s.attempts
         )
@@ -163,7 +163,7 @@
             'kelpcroft version=1\nroute "orders" { match class="order"; }\nroute "rest" { match; '
             'timeout "1s"; attempts most=2; backoff first="300ms"; pause "70ms"; }\n'
         )
-        router = VirtualRouter(text, 1, {"broke": 1}, slow_ns=MS)
+        router = VirtualRouter(text, 1, {"broke": 1}, max_service_ns=MS)
         short, long = router.schedule_request(0, "page", 250), router.schedule_request(0, "page", 2_400, 3)
         router.run()
         assert len(short.attempts) == 1
@@ -184,7 +184,7 @@
         assert first.server != second.server
         assert second.sent_ns - record.arrives_ns >= 150 * MS
         assert second.sent_ns - record.arrives_ns < 160 * MS
-        router = VirtualRouter(text, 5, {"done": 1}, slow_ns=MS)
+        router = VirtualRouter(text, 5, {"done": 1}, max_service_ns=MS)
         record = router.schedule_request(0, "page", 2_000)
         router.run()
         assert len(record.attempts) == 1
@@ -194,7 +194,7 @@
             'kelpcroft version=1\nbudget "b" ratio=0 burst=1\nroute "orders" { match class="order"; }\n'
             'route "rest" { match; attempts most=5 budget="b"; pause "70ms"; }\n'
         )
-        router = VirtualRouter(text, 5, {"broke": 1}, slow_ns=MS)
+        router = VirtualRouter(text, 5, {"broke": 1}, max_service_ns=MS)
         one, two = (
             router.schedule_request(0, "page", 2_000),
             router.schedule_request(500 * MS, "page", 2_000, 3),
--- a/tests/startup/test_beside.py
+++ b/tests/startup/test_restart_overlap.py
@@ -77,27 +77,30 @@
         assert overlap.start(COLD) == 1.0
 
 
-def max_overload(policies: list[RoutingPolicy], kb: float, every_ns: int) -> float:
+def max_overload(policies: list[RoutingPolicy], size_kb: float, interval_ns: int) -> float:
     """Returns the most work that a cold cache is sent within a second, over the work that overloads it.
 
     Requests go to two processes in turn for four seconds from the cache's start.
     """
     sent: deque[tuple[int, float]] = deque()
     max_ratio = 0.0
-    for n in range(4 * S // every_ns):
-        now = COLD + n * every_ns
-        p = policies[n % 2]
-        for f in forwarded_attempts(send_request(p, now, f"r{n}", n, size_kb=kb)):
-            if f.server == "c0":
-                sent.append((now, kb / 1000 * S))
-                p.handle(now + MS, api.AttemptEnded(f.id, 0, f.server, api.Outcome.OK, MS, True))
+    for n in range(4 * S // interval_ns):
+        now = COLD + n * interval_ns
+        policy = policies[n % 2]
+        for attempt in forwarded_attempts(send_request(policy, now, f"r{n}", n, size_kb=size_kb)):
+            if attempt.server == "c0":
+                sent.append((now, size_kb / 1000 * S))
+                policy.handle(
+                    now + MS, api.AttemptEnded(attempt.id, 0, attempt.server, api.Outcome.OK, MS, True)
+                )
         while sent and sent[0][0] <= now - RULES.overload_collapse_ns:
             sent.popleft()
         share = RULES.cold_capacity_share + (1 - RULES.cold_capacity_share) * (now - COLD) / RULES.warm_up_ns
         capacity = RULES.overload_collapse_multiple * share * 5 * RULES.overload_collapse_ns
         # A server with capacity for less than one request still gets at least one.
         max_ratio = max(
-            max_ratio, (sum(work for _, work in sent) - (kb / 1000 * S if len(sent) == 1 else 0)) / capacity
+            max_ratio,
+            (sum(work for _, work in sent) - (size_kb / 1000 * S if len(sent) == 1 else 0)) / capacity,
         )
     return max_ratio
 
@@ -108,9 +111,9 @@
         records += [s for s in servers() if s.role is not api.Role.CACHE]
         policies = []
         for share in shares:
-            p = make_policy(records)
-            p.handle(COLD, api.RouterShareChanged(share))
-            policies.append(p)
+            policy = make_policy(records)
+            policy.handle(COLD, api.RouterShareChanged(share))
+            policies.append(policy)
         return policies
 
     def test_the_sum_stays_below_the_overload(self) -> None:
@@ -118,12 +121,12 @@
 
         Guards against each process spending 0.6 of its router's share, which is 1.2 together.
         """
-        for kb in (20.0, 100.0, 400.0, 1_500.0):
-            with self.subTest(kb=kb):
-                assert max_overload(self.two_policies(1.0, 1.0), kb, 3 * MS) > 1.0, (
+        for size_kb in (20.0, 100.0, 400.0, 1_500.0):
+            with self.subTest(size_kb=size_kb):
+                assert max_overload(self.two_policies(1.0, 1.0), size_kb, 3 * MS) > 1.0, (
                     "two full shares overload the cache, so the test can fail"
                 )
-                assert max_overload(self.two_policies(1.0, 0.5), kb, 3 * MS) <= 1.0
+                assert max_overload(self.two_policies(1.0, 0.5), size_kb, 3 * MS) <= 1.0
 
     def test_the_successor_sends_requests(self) -> None:
         predecessor, successor = self.two_policies(1.0, 0.5)
@@ -135,8 +138,8 @@
     def test_the_decision_package_receives_half_and_then_the_full_share(self) -> None:
         r = router()
         assert r.state.policy.router_share == 0.5
-        span = r.state.settings.rules.overload_collapse_ns
-        r.handle(NOW + span, inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)))
+        collapse_ns = r.state.settings.rules.overload_collapse_ns
+        r.handle(NOW + collapse_ns, inputs.TimerFired((TimerKind.RESTART_OVERLAP, 0, 0)))
         assert r.state.policy.router_share == 1.0
 
     def test_with_a_shared_listener_it_polls_for_the_end_of_the_predecessor(self) -> None:
@@ -175,12 +178,12 @@
     """Stand-ins whose list has weights, and in which one cache has just started."""
 
     def endpoint_snapshot(self) -> dict[str, object]:
-        found = super().endpoint_snapshot()
-        for e in found["members"]["endpoints"]:
+        snapshot = super().endpoint_snapshot()
+        for e in snapshot["members"]["endpoints"]:
             e["weight"] = 2
             if e["name"] == SERVERS["cache1"][0]:
                 e["since_ms"] = time.time_ns() // MS
-        return found
+        return snapshot
 
 
 class UpgradeOfProcesses(unittest.TestCase):
--- a/tests/startup/test_start.py
+++ b/tests/startup/test_start.py
@@ -35,7 +35,7 @@
 from tests.support.reducer_fixtures import NOW, effects_of_type, router
 
 S = SECOND
-STEP_SEQUENCES = st.lists(st.sampled_from(["fail", "retry", "answer", "news", "empty"]), max_size=60)
+STEP_SEQUENCES = st.lists(st.sampled_from(["fail", "retry", "response", "event", "empty"]), max_size=60)
 
 
 def fleet(count: int, requests_per_s: float = 50.0) -> list[DiscoverySchedule]:
@@ -62,9 +62,9 @@
     return times
 
 
-def max_requests(times: list[int], span: int = S) -> int:
-    """Returns the most requests in any interval of length ``span``."""
-    return max(Counter(at // span for at in times).values())
+def max_requests(times: list[int], interval_ns: int = S) -> int:
+    """Returns the most requests in any interval of ``interval_ns``."""
+    return max(Counter(at // interval_ns for at in times).values())
 
 
 class WatchRequests(unittest.TestCase):
@@ -75,9 +75,9 @@
         """
         for count in (20, 120, 200, 1_000):
             times = request_times(fleet(count), 30, lambda at: False)
-            late = [at for at in times if at > 5 * S]
-            assert len(late) / 25 < 60, count
-            assert max_requests(late) < 90, count
+            after_start = [at for at in times if at > 5 * S]
+            assert len(after_start) / 25 < 60, count
+            assert max_requests(after_start) < 90, count
             # The first requests are sent within 5 s whatever the fleet's size.
             assert max_requests(times) < max(130, 1.4 * count / 5), count
 
--- a/tests/support/rollout_field.py
+++ b/tests/support/rollout_field.py
@@ -81,9 +81,11 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def field(self, defect: str, zones: int = 2, each: int = 3, **more: Any) -> tuple[RouterField, str]:
+    def field(
+        self, defect: str, zones: int = 2, routers_per_zone: int = 3, **options: Any
+    ) -> tuple[RouterField, str]:
         builds = {"old": PROGRAM_DIR, "new": build_program(self.folder / "new", defect)}
-        field = RouterField(zones, each, builds, **more)
+        field = RouterField(zones, routers_per_zone, builds, **options)
         field.__enter__()
         self.addCleanup(field.__exit__)
         return field, program_digest(builds["new"] / "kelpcroft")
--- a/tests/support/wire_capture.py
+++ b/tests/support/wire_capture.py
@@ -184,7 +184,7 @@
 
     def start_router(self) -> None:
         super().start_router()
-        self.deliver(inputs.ProcessIdentity("0123456789abcdef", f"process-{self.router_life}"))
+        self.deliver(inputs.ProcessIdentity("0123456789abcdef", f"process-{self.process_number}"))
         self.deliver(inputs.ClientConnected(10**6))
         verbs = (
             inputs.ControlOperation.READY,
@@ -206,16 +206,24 @@
 class RecordedVirtual(VirtualRouter):
     """A recorded router in the deployment of examples/config.json."""
 
-    def __init__(self, rules: str | None, seed: int, fates: dict[str, float]) -> None:
+    def __init__(self, rules: str | None, seed: int, outcomes: dict[str, float]) -> None:
         self.digest = Digest()
-        super().__init__(rules, seed, fates)
+        super().__init__(rules, seed, outcomes)
 
     def carry_out(self, effect_list: list[effects.Effect]) -> None:
         self.digest.effects(self.now, effect_list)
         super().carry_out(effect_list)
 
 
-FATES = {"done": 0.7, "lack": 0.06, "wait": 0.06, "broke": 0.08, "past": 0.02, "reset": 0.04, "silent": 0.04}
+OUTCOME_WEIGHTS = {
+    "done": 0.7,
+    "lack": 0.06,
+    "wait": 0.06,
+    "broke": 0.08,
+    "past": 0.02,
+    "reset": 0.04,
+    "silent": 0.04,
+}
 RULES: dict[int, str | None] = {  # the operator's file for each seed
     1: None,
     2: None,
@@ -240,7 +248,7 @@
     """Returns the digest of some seconds of ``testbed.virtual`` with the operator's file of this seed."""
     path, random = RULES[seed], Random(seed)
     world = RecordedVirtual(
-        None if path is None else (ROOT / path).read_text(), seed, {**FATES, "refuse": 0.05}
+        None if path is None else (ROOT / path).read_text(), seed, {**OUTCOME_WEIGHTS, "refuse": 0.05}
     )
     for n in range(500):
         cls = random.choice(["page", "page", "page", "order"])
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -16,7 +16,7 @@
 from testbed.field import ClientLoad, ContractChecker, LinkMode, Relay, RouterField, build_program
 from testbed.field.builds import DEFECTS
 from testbed.field.node import reserve_port
-from testbed.stand_ins import MS, ScriptedReply, ServerCommand
+from testbed.stand_ins import MS, ScriptedResponse, ServerCommand
 
 CONTRACT_SETTINGS = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
 RULE_BY_DEFECT = {
@@ -28,9 +28,9 @@
 }
 
 
-def fail_orders(server: str, command: ServerCommand) -> ScriptedReply:
+def fail_orders(server: str, command: ServerCommand) -> ScriptedResponse:
     """Ends every order with an error, after which it may have been executed, and serves other requests."""
-    return ScriptedReply("BROKE" if command.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
+    return ScriptedResponse("BROKE" if command.fields["cls"] == "order" else "DONE", 5.0, body=b"x")
 
 
 def test_a_reserved_port_belongs_to_the_router_alone() -> None:
@@ -95,13 +95,13 @@
         sock = self.connect()
         assert self.exchange(sock) == b"hello"
         self.relay.change(LinkMode.DELAY)
-        began = time.monotonic()
+        started_s = time.monotonic()
         assert self.exchange(sock) == b"hello"
-        assert time.monotonic() - began > 0.4, "the delay applies in both directions"
+        assert time.monotonic() - started_s > 0.4, "the delay applies in both directions"
         self.relay.change(LinkMode.SLOW)
-        began = time.monotonic()
+        started_s = time.monotonic()
         assert self.exchange(sock, b"x" * 640) == b"x" * 640
-        assert time.monotonic() - began > 0.15
+        assert time.monotonic() - started_s > 0.15
         self.relay.change(LinkMode.GARBAGE)
         assert b"garbage" in self.exchange(sock, b"hello")
         self.relay.change(LinkMode.PASS)
@@ -157,7 +157,7 @@
             builds = {"old": build_program(Path(name) / "old", defect)}
             with RouterField(1, 2, builds, fail_orders, 3, 2, True, 1.5, CONTRACT_SETTINGS) as field:
                 relays = field.servers.relays
-                with ClientLoad(field, per_s=60.0, orders=10) as load:
+                with ClientLoad(field, per_s=60.0, order_every=10) as load:
                     time.sleep(0.8)
                     purged = {"key": f"{0:08x}{7:08x}", "group": 0, "at": time.time_ns() // MS}
                     field.servers.publish(purge=purged)
@@ -170,7 +170,9 @@
                     killed = with_failures
                     for relay in relays.values():
                         relay.change(LinkMode.PASS)
-                return field.check_contract(load, killed=killed, cut=with_failures), load
+                return field.check_contract(
+                    load, routers_were_killed=killed, links_were_cut=with_failures
+                ), load
 
     def break_links(self, field: RouterField) -> None:
         """Applies each mode to a parent, a cache and the origin; suspends one router and kills another."""
