--- a/benchmarks/cold_start_field.py
+++ b/benchmarks/cold_start_field.py
@@ -52,14 +52,14 @@
     try:
         field.__enter__()
         pids = [n.process.pid for n in field.nodes.values() if n.process]
-        began_ns, ready_ns, startup_cpu_s = field.began_ns, time.monotonic_ns(), sum(map(cpu_s, pids))
+        began_ns, ready_ns, startup_cpu_s = field.started_ns, time.monotonic_ns(), sum(map(cpu_s, pids))
         returned_ns = max(servers.feed_down_until_ns, ready_ns)
         servers.feed_down_until_ns = returned_ns  # the outage lasts at least until all are ready
         all_responded_ns = 0
         with ClientLoad(field, per_s=2.0) as load:
             while time.monotonic_ns() < began_ns + seconds * S or not all_responded_ns:
                 ports = {
-                    port for at, after, port in list(servers.feed_calls) if after >= 0 and at > returned_ns
+                    port for at, after, port in list(servers.feed_requests) if after >= 0 and at > returned_ns
                 }
                 if len(ports) >= len(pids) and not all_responded_ns:
                     all_responded_ns = time.monotonic_ns()
@@ -71,12 +71,13 @@
                 sum(map(memory_mb, pids)) / len(pids),
             )
             elapsed_s = (time.monotonic_ns() - ready_ns) / S
-        calls = [at for at, _, _ in servers.feed_calls]
+        calls = [at for at, _, _ in servers.feed_requests]
         served_shares = []
         for window_s in (5, 10):
-            requests = [a for a in load.calls if a.at_ns < ready_ns + window_s * S]
+            requests = [a for a in load.requests if a.at_ns < ready_ns + window_s * S]
             served_shares.append(
-                sum(any(kind == "served" for _, kind in a.answers) for a in requests) / max(1, len(requests))
+                sum(any(kind == "served" for _, kind in a.responses) for a in requests)
+                / max(1, len(requests))
             )
         return {
             "routers": len(pids),
