--- a/kelpcroft/control_log/watchers.py
+++ b/kelpcroft/control_log/watchers.py
@@ -161,9 +161,8 @@
         watcher_id = request.watcher_id
         del self.pending[watcher_id]
         if self._lease.is_stale and not request.has_fingerprint:
-            self._reject(
-                watcher_id, "stale"
-            )  # this watcher cannot distinguish a stale state from a current one
+            # This watcher cannot distinguish a stale state from a current one.
+            self._reject(watcher_id, "stale")
             return
         try:
             body = self._response_body(now, request)
--- a/kelpcroft/core/state.py
+++ b/kelpcroft/core/state.py
@@ -119,9 +119,8 @@
         )
         self.endpoints: dict[str, EndpointRecord] = {}  # in service, by name
         self.requests: dict[int, OpenRequest] = {}  # requests without a final response, by number
-        self.requests_by_client: dict[
-            int, dict[int, OpenRequest]
-        ] = {}  # the same requests, by client and the request number on its connection
+        # The same requests, by client and the request number on its connection.
+        self.requests_by_client: dict[int, dict[int, OpenRequest]] = {}
         self.open_trace_ids: set[str] = set()  # trace ids of the requests without a final response
         self.idempotency_keys = IdempotencyKeys()
         self.attempts: dict[int, Attempt] = {}  # by number
--- a/kelpcroft/routes/sketch.py
+++ b/kelpcroft/routes/sketch.py
@@ -44,7 +44,7 @@
         self.weights = array("d", bytes(BYTES_PER_DOUBLE * BUCKETS))
         self.total_weight = 0.0
         self.epoch_ns = now  # a sample weighs 2 ** ((now - epoch) / HALF_LIFE_NS)
-        self.cached: dict[float, CachedQuantile] = {}  # computed quantiles, by their share of samples
+        self.cached: dict[float, CachedQuantile] = {}  # by quantile, from 0 to 1
 
     def sample_weight(self, now: int) -> float:
         """The weight of a sample at ``now``.  Scales all weights down if it exceeds MAX_WEIGHT."""
--- a/testbed/hollow/routers.py
+++ b/testbed/hollow/routers.py
@@ -44,9 +44,8 @@
             config, Clock(), read_operator_file=reload, event_log=EventLog(config.name, log_format="json")
         )
         self.loop.start(operator_file=load_at_start(rules, config.settings) if rules else None)
-        self.applied_events: list[
-            tuple[int, int]
-        ] = []  # number of its last event, and when it applied it (Unix ns)
+        # Numbers of the router's last events, and when it applied each (Unix ns).
+        self.applied_events: list[tuple[int, int]] = []
 
     def has_due_timer(self, now_ns: int) -> bool:
         """Whether one of its timers is due."""
--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -102,9 +102,8 @@
         )
         with harness.no_descriptors():
             for _ in range(5):
-                harness.iterate(
-                    500 * MS, iterations=3
-                )  # each attempt to send a watch request finds no descriptor
+                # Each attempt to send a watch request finds no descriptor.
+                harness.iterate(500 * MS, iterations=3)
         assert harness.loop.feed.connection is None
         host, port = harness.loop.feed_address
         harness.listeners["feed"] = listener = socket.create_server((host, port))
--- a/tests/testbed/test_field.py
+++ b/tests/testbed/test_field.py
@@ -16,7 +16,7 @@
 from testbed.field import ClientLoad, ContractChecker, LinkMode, Relay, RouterField, build_program
 from testbed.field.builds import DEFECTS
 from testbed.field.node import reserve_port
-from testbed.stand_ins import MS, ScriptedResponse, ServerCommand
+from testbed.stand_ins import MS, ROOT, ScriptedResponse, ServerCommand
 
 CONTRACT_SETTINGS = {"contract": {"cold_ns": 10_000 * MS, "fall_ns": 500 * MS, "cold_from": 0.05}}
 RULE_BY_DEFECT = {
@@ -46,6 +46,17 @@
             socket.create_connection(address, 1)
 
 
+def test_the_ports_of_a_node_stay_reserved_while_its_router_is_down() -> None:
+    """Otherwise the router could not start again on its addresses."""
+    with RouterField(1, 1, {"old": ROOT}) as field:
+        node = field.nodes["z0-0"]
+        node.end(signal.SIGKILL)
+        assert node.address != node.control_address
+        for address in (node.address, node.control_address):
+            with socket.socket() as other, pytest.raises(OSError, match="Address already in use"):
+                other.bind(address)
+
+
 class Links(unittest.TestCase):
     def setUp(self) -> None:
         """Starts an echo server, and a relay in front of it."""
